--- a/cmd/lilacbend/charter.go
+++ b/cmd/lilacbend/charter.go
@@ -13,7 +13,7 @@
 	"lilacbend/internal/governor"
 	"lilacbend/internal/operator"
 	"lilacbend/internal/registry"
-	"lilacbend/provision"
+	"lilacbend/settings"
 )
 
 // charter is what one governor is told before it starts.
@@ -23,7 +23,7 @@
 	memory                  int64 // bytes
 	descriptors             int
 	known                   governor.Listing
-	names                   provision.Names
+	names                   settings.Names
 	provision               control.Provision
 	rules                   operator.Rulebook
 }
@@ -115,14 +115,14 @@
 	if c.known, err = registry.Parse(file.Known); err != nil {
 		return charter{}, fmt.Errorf("known: %w", err)
 	}
-	facts, err := provision.FromJSON(file.Settings)
+	values, err := settings.ParseJSON(file.Settings)
 	if err != nil {
 		return charter{}, fmt.Errorf("settings: %w", err)
 	}
-	if c.provision, err = facts.Provision(c.seed); err != nil {
+	if c.provision, err = values.Decode(c.seed); err != nil {
 		return charter{}, fmt.Errorf("settings: %w", err)
 	}
-	if c.names, err = facts.Names(); err != nil {
+	if c.names, err = values.Names(); err != nil {
 		return charter{}, fmt.Errorf("settings: %w", err)
 	}
 	c.provision.Kinds++          // one more for kinds that the settings do not name
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -12,7 +12,7 @@
 
 	"lilacbend/brain"
 	"lilacbend/control"
-	"lilacbend/provision"
+	"lilacbend/settings"
 	"lilacbend/wire"
 )
 
@@ -81,7 +81,7 @@
 			delete(h.governors, id)
 			told = nil
 		case wire.Configure:
-			p, err := provision.FromLines(e.Text).Provision(e.Seed)
+			p, err := settings.ParseLines(e.Text).Decode(e.Seed)
 			if err != nil {
 				delete(h.governors, id)
 				h.reply.Fault(id, "cannot start: "+err.Error())
--- a/internal/governor/census.go
+++ b/internal/governor/census.go
@@ -6,7 +6,7 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/channel"
-	"lilacbend/provision"
+	"lilacbend/settings"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // Census says which proxies, zones and traffic groups there are, and which figures can be. It does not change.
 type Census struct {
-	names   provision.Names
+	names   settings.Names
 	proxies int
 	kinds   int   // of the provision, those that it does not name among them
 	answer  int64 // the longest mean time that can be
@@ -34,7 +34,7 @@
 }
 
 // NewCensus makes a census of what the provision names.
-func NewCensus(names provision.Names, p control.Provision) Census {
+func NewCensus(names settings.Names, p control.Provision) Census {
 	c := Census{names: names, proxies: p.Proxies, kinds: p.Kinds, grace: p.DrainGrace,
 		span: max(spanMost, reportsMost*p.ReportEvery), bounds: channel.Bounds{Lines: p.ChannelLimit, Rate: p.ChannelRate,
 			Head: p.MessageHead, Messages: p.MessagesMost, Span: p.MessagesSpan, Transit: p.WorstTransit}}
--- a/lab/emulator/world.go
+++ b/lab/emulator/world.go
@@ -12,7 +12,7 @@
 	"lilacbend/control"
 	"lilacbend/internal/governor"
 	"lilacbend/internal/memory"
-	"lilacbend/provision"
+	"lilacbend/settings"
 )
 
 const (
@@ -99,7 +99,7 @@
 	Replicas, Proxies int
 	Load              float64 // of what all replicas can serve
 	Intake            int     // lines of reports a second that each governor gets, the oldest first; 0: any number
-	Names             provision.Names
+	Names             settings.Names
 	Provision         control.Provision
 }
 
@@ -154,7 +154,7 @@
 // as equal.
 func NewSite(replicas, proxies int, load float64) Site {
 	return Site{Replicas: replicas, Proxies: proxies, Load: load,
-		Names: provision.Names{Groups: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}},
+		Names: settings.Names{Groups: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}},
 		Provision: control.Provision{Seed: 7, Governors: 1, Zones: 2, Kinds: 3, Proxies: proxies, ChannelRate: 20000,
 			ChannelLimit: 40 * proxies, MessageHead: 4, WorstTransit: second / 2, MessagesMost: 30, MessagesSpan: 10 * second, HostHolds: true,
 			ReportEvery: second, ColdShare: 0.2, WarmAfter: 20 * second, FallMultiple: 3, Admission: control.AdmitShare,
--- /dev/null
+++ b/settings/settings.go
@@ -0,0 +1,166 @@
+package settings
+
+import (
+	"fmt"
+	"math"
+
+	"lilacbend/control"
+)
+
+// minMessages is how many messages of the smallest table a channel has to hold: one, and room for what cannot wait.
+const minMessages = 2
+
+// The words of the settings for the constants of the decision module.
+var (
+	picks = map[string]control.Pick{
+		"random": control.PickChance,
+		"rotate": control.PickRound,
+		"p2c":    control.PickIdler,
+	}
+	admissions = map[string]control.Admission{
+		"silent":     control.AdmitAll,
+		"fraction":   control.AdmitShare,
+		"per_second": control.AdmitRate,
+	}
+	effects = map[string]control.Effect{
+		"read_like":       control.Retriable,
+		"idempotency_key": control.Deduped,
+		"non_idempotent":  control.NonRetriable,
+	}
+	scopes = map[string]control.Scope{
+		"all":  control.ScopeAll,
+		"zone": control.ScopeZone,
+		"cell": control.ScopeCell,
+	}
+)
+
+// Names are the names of traffic classes, zones and kinds of replica. The decision module knows each by its index here.
+type Names struct{ Groups, Zones, Kinds []string }
+
+// Names decodes the names. There may be neither zones nor kinds. The error names the first setting that is wrong.
+func (v Values) Names() (Names, error) {
+	d := &decoder{values: v}
+	names := Names{Zones: v["zones"], Kinds: v["kinds"]}
+	d.checkNames("zones", names.Zones, "")
+	count := d.count("lanes.count")
+	for k := 0; k < count && d.err == nil; k++ {
+		names.Groups = append(names.Groups, d.text(classPath(k)+"name"))
+	}
+	d.checkNames("lanes.name", names.Groups, "+")
+	return names, d.err
+}
+
+// Decode decodes what the decision module needs; seed becomes part of it. Paths that it does not know are ignored. The error
+// names the first setting that is missing or out of its range.
+func (v Values) Decode(seed uint64) (control.Provision, error) {
+	d := &decoder{values: v}
+	decoded := control.Provision{Seed: seed}
+	d.decodeFleet(&decoded)
+	d.decodeChannel(&decoded)
+	d.decodeReplicas(&decoded)
+	d.decodeProxies(&decoded)
+	d.refuseShards()
+	decoded.Groups = d.trafficClasses()
+	d.checkChannelLimit(decoded)
+	if d.err != nil {
+		return control.Provision{}, d.err
+	}
+	return decoded, nil
+}
+
+// decodeFleet decodes how many there are of each role.
+func (d *decoder) decodeFleet(to *control.Provision) {
+	to.Governors = d.count("balancers")
+	to.Zones = len(d.values["zones"])
+	to.Kinds = len(d.values["kinds"])
+	to.Proxies = d.count("domain.proxy_count")
+}
+
+// decodeChannel decodes the limits of the channel to the proxies.
+func (d *decoder) decodeChannel(to *control.Provision) {
+	to.ChannelRate = d.positive("domain.push_rate")
+	to.ChannelLimit = d.lines("domain.pending_max", math.Floor)
+	to.MessageHead = d.lines("domain.envelope", math.Ceil)
+	to.WorstTransit = d.nanos("domain.worst_transit_ms")
+	to.MessagesMost = d.count("domain.pushes_allowed")
+	to.MessagesSpan = d.nanos("domain.reload_span_ms")
+	to.ReportEvery = d.positiveNanos("domain.cycle_ms")
+}
+
+// decodeReplicas decodes the rules for replicas that drain or start slowly. A deployment without such a rule does not state its
+// figures. A replica whose slow start is not described is taken for the least able: it starts with nothing and falls over
+// as soon as it is sent more than it can do. Where no replica starts slowly, those figures have no effect.
+func (d *decoder) decodeReplicas(to *control.Provision) {
+	to.DrainGrace = optional(d, "invariants.drain_grace_ms", d.nanos, 0)
+	to.ColdShare = optional(d, "invariants.cold_from", d.fraction, 0)
+	to.WarmAfter = optional(d, "invariants.warm_after_ms", d.nanos, 0)
+	to.FallMultiple = optional(d, "invariants.tip_multiple", d.positive, 1)
+}
+
+// decodeProxies decodes how proxies pick replicas, admit requests and try again.
+func (d *decoder) decodeProxies(to *control.Provision) {
+	to.Pick = choice(d, "domain.pick", picks)
+	to.Admission = choice(d, "domain.admit", admissions)
+	to.TryFactor = d.number("domain.try_factor")
+	to.UsualTries = control.Tries(d.count("domain.usual_how"))
+	if to.UsualTries > control.TryTwiceMore {
+		d.fail("setting domain.usual_how=%d is no way of trying again", to.UsualTries)
+	}
+}
+
+// refuseShards refuses sites whose replicas hold shards of the data.
+func (d *decoder) refuseShards() {
+	if shards := optional(d, "domain.shards", d.number, 0); shards != 0 {
+		d.fail("setting domain.shards=%v: sites with slices are not served", shards)
+	}
+}
+
+// classPath is the path that the settings of a traffic class begin with.
+func classPath(index int) string { return fmt.Sprintf("lanes.%d.", index) }
+
+// trafficClasses decodes all traffic classes; there must be one at least.
+func (d *decoder) trafficClasses() []control.TrafficGroup {
+	d.positive("lanes.count")
+	count := d.count("lanes.count")
+	var classes []control.TrafficGroup
+	for k := 0; k < count && d.err == nil; k++ {
+		classes = append(classes, d.trafficClass(classPath(k)))
+	}
+	return classes
+}
+
+// trafficClass decodes the traffic class at a path.
+func (d *decoder) trafficClass(path string) control.TrafficGroup {
+	class := control.TrafficGroup{
+		Utility:       d.number(path + "gain"),
+		LatencyBudget: d.positiveNanos(path + "slo_ms"),
+		Expiry:        d.positiveNanos(path + "deadline_ms"),
+		Effect:        choice(d, path+"effect", effects),
+	}
+	if class.Effect == control.Deduped {
+		class.Window = d.nanos(path + "window_ms")
+		class.Scope = choice(d, path+"group", scopes)
+	}
+	return class
+}
+
+// checkChannelLimit refuses a channel that a few messages of the smallest table fill: it could not be kept under its limit.
+func (d *decoder) checkChannelLimit(decoded control.Provision) {
+	minimum := minMessages * smallestTable(decoded.MessageHead, len(decoded.Groups))
+	if decoded.ChannelLimit < minimum {
+		d.fail("setting domain.pending_max=%d is too small for %d messages of a table, which have %d lines",
+			decoded.ChannelLimit, minMessages, minimum)
+	}
+}
+
+// smallestTable is how many lines a message of the smallest table has: its head, the word that it is whole, three replicas
+// that may each be ejected as well, an admission rate for each traffic class, and a nonce.
+func smallestTable(head, classes int) int {
+	const (
+		full     = 1
+		replicas = 3
+		ejected  = 3
+		nonce    = 1
+	)
+	return head + full + replicas + ejected + classes + nonce
+}
