--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// In virtual time: a file that is not whole for long is read once in rereadMost, and taken over by then.
+// In virtual time: a file that is not whole for long is read once in rereadLimit, and taken over by then.
 func TestAFileThatIsWaitedForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		file, x, asked := filepath.Join(t.TempDir(), "config.json"), exchange.New(), make(chan os.Signal)
@@ -167,7 +167,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		// 50, 100, ... 800 ms apart, which is 1.55 s in all, then a second each: the next one is at 10.55 s.
-		want := 31*rereadFirst + 9*rereadMost
+		want := 31*rereadInitial + 9*rereadLimit
 		if took := time.Since(start); took < want || took > want+2*time.Millisecond || x.Tally.Misread.Load() != 1 {
 			t.Errorf("taken over after %v, want %v; %d misread", took, want, x.Tally.Misread.Load())
 		}
--- a/cmd/lilacbend/reread.go
+++ b/cmd/lilacbend/reread.go
@@ -4,33 +4,37 @@
 	"context"
 	"os"
 	"time"
+
+	"lilacbend/internal/backoff"
 )
 
 // A file that cannot be used is one that is still being written, which takes milliseconds, or one that waits for a hand. It is
-// read again from rereadFirst on, half as often each time, down to once in rereadMost: at the discovery that it names lists
-// count as told after 6 s, and one small file a second is no load.
-const rereadFirst, rereadMost = 50 * time.Millisecond, time.Second
+// read again after rereadInitial, then half as often each time, down to once in rereadLimit: at the discovery that it names
+// lists count as told after 6 s, and one small file a second is no load.
+const (
+	rereadInitial = 50 * time.Millisecond
+	rereadLimit   = time.Second
+)
 
-// atHangups has a file taken over at each signal, until ctx ends. The signal may come before the file is whole, and is not sent
-// twice: what cannot be used is tried again until it can, or until the next signal; first says that a signal has just come.
-func atHangups(ctx context.Context, asked <-chan os.Signal, take func(first bool) error) {
-	pause := time.Duration(0) // until it is read again; 0: nobody waits for it
+// reloadOnHangup calls load at each signal, until ctx ends. The signal may come before the file that load reads is whole, and
+// is not sent twice: after an error load is called again until it succeeds, or until the next signal. signalled tells load
+// whether a signal has just come.
+func reloadOnHangup(ctx context.Context, hangups <-chan os.Signal, load func(signalled bool) error) {
+	retry := backoff.New(rereadInitial, rereadLimit)
+	var due <-chan time.Time // nil: there is nothing to try again
 	for {
-		var again <-chan time.Time
-		if pause > 0 {
-			again = time.After(pause)
-		}
+		signalled := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
-			pause = 0
-		case <-again:
+		case <-hangups:
+			signalled = true
+			retry.Reset()
+		case <-due:
 		}
-		if take(pause == 0) == nil {
-			pause = 0
-		} else {
-			pause = min(max(rereadFirst, 2*pause), rereadMost)
+		due = nil
+		if load(signalled) != nil {
+			due = time.After(retry.Next())
 		}
 	}
 }
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -96,12 +96,12 @@
 // follow reads the configuration again whenever that is asked for, until ctx ends. Discovery moves; all else
 // that a configuration holds is for the next start. One that cannot be used is said and counted once.
 func (r reload) follow(ctx context.Context, running charter, client *registry.Client, x *exchange.Exchange, log *slog.Logger) {
-	atHangups(ctx, r.asked, func(first bool) error {
+	reloadOnHangup(ctx, r.asked, func(signalled bool) error {
 		c, err := r.read()
 		if err != nil {
-			if first {
+			if signalled {
 				x.Tally.Misread.Add(1)
-				log.Error("the new configuration cannot be used, the old one goes on", "error", err, "again_every", rereadMost)
+				log.Error("the new configuration cannot be used, the old one goes on", "error", err, "again_every", rereadLimit)
 			}
 			return err
 		}
--- a/cmd/lilacbend/sidecar.go
+++ b/cmd/lilacbend/sidecar.go
@@ -62,15 +62,15 @@
 
 // rereadManifest takes the file over once more at each SIGHUP; one that cannot be used changes nothing, and is said once.
 func rereadManifest(ctx context.Context, file string, s *sidecar.Sidecar, hangups <-chan os.Signal, log *slog.Logger) {
-	atHangups(ctx, hangups, func(first bool) error {
+	reloadOnHangup(ctx, hangups, func(signalled bool) error {
 		m, err := readManifest(file)
 		var waits []string
 		if err == nil {
 			waits, err = s.Reload(m)
 		}
 		switch {
-		case err != nil && first:
-			log.Error("the new file cannot be used, the old one goes on", "error", err, "again_every", rereadMost)
+		case err != nil && signalled:
+			log.Error("the new file cannot be used, the old one goes on", "error", err, "again_every", rereadLimit)
 		case err != nil:
 		case len(waits) > 0:
 			log.Warn("rules taken over, some of the file waits for the next start", "fields", waits)
--- a/internal/steering/client.go
+++ b/internal/steering/client.go
@@ -13,18 +13,18 @@
 	"sync/atomic"
 	"time"
 
-	"lilacbend/control"
+	"lilacbend/internal/backoff"
 	"lilacbend/internal/forward"
 	"lilacbend/internal/resp"
 )
 
 const (
 	dialMost = time.Second
-	// After a failed stream the next one waits from backoffFirst, twice as long each time, to backoffMost, half of it
-	// by chance: all sidecars of a governor that dies come to the others, and not at once.
-	backoffFirst, backoffMost = 50 * time.Millisecond, 2 * time.Second
-	// A stream that has lasted so long was a good one: the next wait is the first again.
-	goodSpan = 5 * time.Second
+	// The waits after failed streams, with jitter: all sidecars of a governor that dies come to the others, and not at once.
+	backoffInitial = 50 * time.Millisecond
+	backoffLimit   = 2 * time.Second
+	// A stream that has lasted so long was a good one: the next wait is the initial one again.
+	goodStreamAge = 5 * time.Second
 	// A governor that vanished says nothing: it is asked this often, and given up after that.
 	probeEvery, silenceMost = time.Second, 4 * time.Second
 	writeMost               = 2 * time.Second
@@ -55,7 +55,6 @@
 
 	pool    *resp.Pool
 	counted time.Time // when what came was last taken from the core
-	draws   uint64
 	steered atomic.Bool
 	now     atomic.Pointer[string]
 }
@@ -71,7 +70,8 @@
 // Run holds a stream until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	c.pool, c.counted = resp.NewPool(2<<20), time.Now()
-	backoff, at := backoffFirst, c.ID%max(1, len(c.Governors)) // sidecars begin at different ones
+	retry := backoff.NewJittered(backoffInitial, backoffLimit, c.Seed)
+	at := c.ID % max(1, len(c.Governors)) // sidecars begin at different ones
 	for ctx.Err() == nil && len(c.Governors) > 0 {
 		began := time.Now()
 		err := c.stream(ctx, c.Governors[at])
@@ -84,16 +84,11 @@
 		none := ""
 		c.now.Store(&none)
 		c.Count.Broken.Add(1)
-		if at = (at + 1) % len(c.Governors); time.Since(began) > goodSpan {
-			backoff = backoffFirst
-		}
-		c.draws++
-		wait := backoff/2 + time.Duration(control.Chance(c.Seed, c.draws)*float64(backoff/2))
-		backoff = min(2*backoff, backoffMost)
-		select {
-		case <-ctx.Done():
-		case <-time.After(wait):
+		at = (at + 1) % len(c.Governors)
+		if time.Since(began) > goodStreamAge {
+			retry.Reset()
 		}
+		backoff.Sleep(ctx, retry.Next())
 	}
 }
 
--- a/internal/steering/collector.go
+++ b/internal/steering/collector.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"lilacbend/control"
+	"lilacbend/internal/backoff"
 	"lilacbend/internal/forward"
 	"lilacbend/internal/resp"
 )
@@ -170,23 +170,18 @@
 
 // forward tells one governor, dialing again with growing waits.
 func (c *Collector) forward(ctx context.Context, to string, l *ledger, seed uint64) {
-	backoff, draws := backoffFirst, uint64(0)
+	retry := backoff.NewJittered(backoffInitial, backoffLimit, seed)
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := c.tell(ctx, to, l)
 		if ctx.Err() != nil {
 			return
 		}
-		if time.Since(began) > goodSpan {
+		if time.Since(began) > goodStreamAge {
 			c.Log.Warn("governor lost", "governor", to, "error", err)
-			backoff = backoffFirst
+			retry.Reset()
 		}
-		draws++
-		select {
-		case <-ctx.Done():
-		case <-time.After(backoff/2 + time.Duration(control.Chance(seed, draws)*float64(backoff/2))):
-		}
-		backoff = min(2*backoff, backoffMost)
+		backoff.Sleep(ctx, retry.Next())
 	}
 }
 
