--- a/cmd/lilacbend/charter.go
+++ b/cmd/lilacbend/charter.go
@@ -10,9 +10,9 @@
 	"strconv"
 
 	"lilacbend/control"
+	"lilacbend/internal/discovery"
 	"lilacbend/internal/governor"
 	"lilacbend/internal/operator"
-	"lilacbend/internal/registry"
 	"lilacbend/settings"
 )
 
@@ -112,7 +112,7 @@
 	if len(file.Known) == 0 || len(file.Settings) == 0 {
 		return charter{}, errors.New("known or settings is missing")
 	}
-	if c.known, err = registry.Parse(file.Known); err != nil {
+	if c.known, err = discovery.Parse(file.Known); err != nil {
 		return charter{}, fmt.Errorf("known: %w", err)
 	}
 	values, err := settings.ParseJSON(file.Settings)
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -14,8 +14,8 @@
 	"testing/synctest"
 	"time"
 
+	"lilacbend/internal/discovery"
 	"lilacbend/internal/exchange"
-	"lilacbend/internal/registry"
 	"lilacbend/lab/peers"
 )
 
@@ -107,16 +107,16 @@
 }
 
 // reloading runs the part of a governor that reads its configuration again; a signal is sent when follow takes it.
-func reloading(t *testing.T, file, discovery string) (chan<- os.Signal, *exchange.Exchange, *lines) {
+func reloading(t *testing.T, file, address string) (chan<- os.Signal, *exchange.Exchange, *lines) {
 	c, x, out := exampleCharter(t, "127.0.0.1:1"), exchange.New(), &lines{}
 	asked, log := make(chan os.Signal), slog.New(slog.NewTextHandler(out, nil))
 	ctx, stop := context.WithCancel(context.Background())
-	client := registry.New(discovery, 0, x, log, func() int64 { return 1 }, 1)
+	client := discovery.New(address, 0, x, log, func() int64 { return 1 }, 1)
 	moved, read := make(chan struct{}), make(chan struct{})
 	go func() { defer close(moved); client.Run(ctx) }()
 	go func() {
 		defer close(read)
-		reload{asked, told{discovery: discovery, file: file}}.follow(ctx, c, client, x, log)
+		reload{asked, told{discovery: address, file: file}}.follow(ctx, c, client, x, log)
 	}()
 	t.Cleanup(func() { stop(); <-moved; <-read })
 	return asked, x, out
@@ -154,7 +154,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		file, x, asked := filepath.Join(t.TempDir(), "config.json"), exchange.New(), make(chan os.Signal)
 		c, log := exampleCharter(t, "127.0.0.1:1"), slog.New(slog.DiscardHandler)
-		client := registry.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
+		client := discovery.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
 		read := make(chan struct{})
 		go func() { defer close(read); reload{asked, told{file: file}}.follow(t.Context(), c, client, x, log) }()
 		t.Cleanup(func() { <-read })
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"lilacbend/brain"
+	"lilacbend/internal/discovery"
 	"lilacbend/internal/exchange"
 	"lilacbend/internal/governor"
-	"lilacbend/internal/registry"
 	"lilacbend/internal/resp"
 	"lilacbend/internal/streams"
 )
@@ -75,7 +75,7 @@
 		defer stop()
 		broken = streams.New(x, pool, log, c.descriptors, census).Serve(ctx, listener)
 	})
-	client := registry.New(c.discovery, c.known.Revision, x, log, base.now, c.seed)
+	client := discovery.New(c.discovery, c.known.Revision, x, log, base.now, c.seed)
 	all.Go(func() { client.Run(ctx) })
 	all.Go(func() { again.follow(ctx, c, client, x, log) })
 	drive(ctx, core, x, base, asked, kept, log)
@@ -95,7 +95,7 @@
 
 // follow reads the configuration again whenever that is asked for, until ctx ends. Discovery moves; all else
 // that a configuration holds is for the next start. One that cannot be used is said and counted once.
-func (r reload) follow(ctx context.Context, running charter, client *registry.Client, x *exchange.Exchange, log *slog.Logger) {
+func (r reload) follow(ctx context.Context, running charter, client *discovery.Client, x *exchange.Exchange, log *slog.Logger) {
 	reloadOnHangup(ctx, r.asked, func(signalled bool) error {
 		c, err := r.read()
 		if err != nil {
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"lilacbend/internal/discovery"
 	"lilacbend/internal/exchange"
-	"lilacbend/internal/registry"
 	"lilacbend/internal/resp"
 )
 
@@ -136,7 +136,7 @@
 	asked, log := make(chan os.Signal), slog.New(slog.DiscardHandler)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	client := registry.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
+	client := discovery.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
 	go client.Run(ctx)
 	go reload{asked, told{discovery: c.discovery, file: file}}.follow(ctx, c, client, x, log)
 	moved := bytes.Replace(good, []byte("127.0.0.1:8500"), []byte(l.Addr().String()), 1)
--- a/internal/registry/client_test.go
+++ b/internal/discovery/client_test.go
@@ -1,4 +1,4 @@
-package registry
+package discovery
 
 import (
 	"bufio"
@@ -43,7 +43,7 @@
 		{`{"id":"s","phase":"Sleeping"}`, 0, true}, {`{"id":"s"}`, 0, true}, {`{"phase":"Ready"}`, 0, true},
 		{`{"id":"a,b","phase":"Ready"}`, 0, true}, {`{"id":"a:b","phase":"Ready"}`, 0, true},
 		{`{"id":"a b","phase":"Ready"}`, 0, true}, {`{"id":"s","phase":"Ready","size":-1}`, 0, true},
-		{`{"id":"` + strings.Repeat("s", nameMost+1) + `","phase":"Ready"}`, 0, true},
+		{`{"id":"` + strings.Repeat("s", maxIDLength+1) + `","phase":"Ready"}`, 0, true},
 	} {
 		l, err := Parse([]byte(`{"revision":1,"complete":false,"members":[` + c.member + `]}`))
 		if err != nil || l.Members[0].State != c.state || l.Members[0].Odd != c.odd {
@@ -64,9 +64,9 @@
 		return fmt.Appendf(nil, `{"revision":%d,"complete":%v,"members":[]}`, revision, whole)
 	}
 	moved, _ := client(41)
-	moved.older = olderMost - olderMoved
-	for k := range olderMoved {
-		if _, err := moved.take(answer(3, true)); (err != nil) != (k+1 < olderMoved) {
+	moved.staleAnswers = staleAnswersLimit - staleAnswersLimitAfterMove
+	for k := range staleAnswersLimitAfterMove {
+		if _, err := moved.apply(answer(3, true)); (err != nil) != (k+1 < staleAnswersLimitAfterMove) {
 			t.Errorf("answer %d of a new discovery that counts anew: %v", k, err)
 		}
 	}
@@ -85,21 +85,21 @@
 		"older changes":         {[][]byte{answer(41, true), answer(40, false)}, 41, 1, true, true},
 		"an older list":         {[][]byte{answer(41, true), answer(40, true)}, 41, 1, true, true},
 		"not a list":            {[][]byte{answer(41, true), []byte("<html>")}, 41, 1, true, false},
-		"discovery begins anew": {slices.Repeat([][]byte{answer(3, true)}, olderMost), 3, 1, false, false},
+		"discovery begins anew": {slices.Repeat([][]byte{answer(3, true)}, staleAnswersLimit), 3, 1, false, false},
 	} {
 		cl, x := client(41)
 		var err error
 		for _, a := range c.answers {
-			_, err = cl.take(a)
+			_, err = cl.apply(a)
 		}
-		if told := len(x.Take()); cl.known != c.known || told != c.told || (err != nil) != c.fails || cl.whole == c.whole {
-			t.Errorf("%s: revision %d, %d told, whole next %v: %v", name, cl.known, told, !cl.whole, err)
+		if told := len(x.Take()); cl.revision != c.known || told != c.told || (err != nil) != c.fails || cl.synced == c.whole {
+			t.Errorf("%s: revision %d, %d told, whole next %v: %v", name, cl.revision, told, !cl.synced, err)
 		}
 	}
 }
 
-// answering is the other end of a connection: it reads one call, checks what it asks, and sends text.
-func answering(t *testing.T, want string, pieces ...string) *patient {
+// answerOnce is the other end of a connection: it reads one call, checks what it asks, and sends text.
+func answerOnce(t *testing.T, want string, pieces ...string) *pacedConn {
 	here, there := net.Pipe()
 	go func() {
 		req, err := http.ReadRequest(bufio.NewReader(there))
@@ -107,12 +107,12 @@
 			t.Errorf("asked %s, want %s", req.URL.RequestURI(), want)
 		}
 		for k, text := range pieces {
-			time.Sleep(time.Duration(min(k, 1)) * lateAfter * 2 / 5)
+			time.Sleep(time.Duration(min(k, 1)) * answerTimeout * 2 / 5)
 			fmt.Fprint(there, text)
 		}
 		there.Close()
 	}()
-	return &patient{Conn: here}
+	return &pacedConn{Conn: here}
 }
 
 func TestOneCall(t *testing.T) {
@@ -121,43 +121,48 @@
 	sized := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(someList), someList)
 	many := `{"revision":42,"complete":true,"members":[` + strings.Repeat(`{"id":"s-1","phase":"Ready"},`, 5000) + `{"id":"s-2","phase":"Ready"}]}`
 	for name, c := range map[string]struct {
-		text, stage string
-		kept        bool
-		told        int
+		text  string
+		stage Stage
+		says  string // in the error
+		kept  bool
+		told  int
 	}{
-		"sized":          {sized, "", true, 1},
-		"chunked":        {chunked, "", true, 1},
-		"closed":         {"HTTP/1.0 200 OK\r\n\r\n" + someList, "", false, 1},
-		"thousands":      {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(many), many), "", true, 1},
-		"more follows":   {sized + "HTTP/1.1 200 OK\r\n", "", false, 1},
-		"cut off":        {sized[:len(sized)-9], "body after", false, 0},
-		"chunk cut off":  {chunked[:120], "body after", false, 0},
-		"nothing":        {"", "status", false, 0},
-		"not HTTP":       {"+OK\r\n", "status", false, 0},
-		"an error":       {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "status", false, 0},
-		"not JSON":       {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "list", false, 0},
-		"over the limit": {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat(" ", bodyMost+1), "body", false, 0},
+		"sized":          {sized, "", "", true, 1},
+		"chunked":        {chunked, "", "", true, 1},
+		"closed":         {"HTTP/1.0 200 OK\r\n\r\n" + someList, "", "", false, 1},
+		"thousands":      {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(many), many), "", "", true, 1},
+		"more follows":   {sized + "HTTP/1.1 200 OK\r\n", "", "", false, 1},
+		"cut off":        {sized[:len(sized)-9], StageBody, "after ", false, 0},
+		"chunk cut off":  {chunked[:120], StageBody, "after ", false, 0},
+		"nothing":        {"", StageStatus, "EOF", false, 0},
+		"not HTTP":       {"+OK\r\n", StageStatus, "malformed", false, 0},
+		"an error":       {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", StageStatus, "answered 503 Busy", false, 0},
+		"not JSON":       {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", StageList, "not a list", false, 0},
+		"over the limit": {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat(" ", maxBodySize+1), StageBody, "over ", false, 0},
 	} {
 		cl, x := client(41)
-		conn := answering(t, path, c.text)
-		_, kept, err := cl.call(conn, bufio.NewReader(iotest.HalfReader(conn)))
-		var failure *Failure
-		if errors.As(err, &failure) != (c.stage != "") || err != nil && !strings.HasPrefix(failure.Stage, c.stage) {
+		conn := answerOnce(t, path, c.text)
+		got, err := cl.call(conn, bufio.NewReader(iotest.HalfReader(conn)))
+		var failure *CallError
+		if errors.As(err, &failure) != (c.stage != "") {
 			t.Errorf("%s: %v", name, err)
 		}
-		if told := len(x.Take()); kept != c.kept || told != c.told {
-			t.Errorf("%s: kept %v, %d told", name, kept, told)
+		if err != nil && (failure.Stage != c.stage || !strings.Contains(err.Error(), c.says)) {
+			t.Errorf("%s: %v", name, err)
+		}
+		if told := len(x.Take()); got.keep != c.kept || told != c.told {
+			t.Errorf("%s: kept %v, %d told", name, got.keep, told)
 		}
 		conn.Close()
 	}
 	cl, x := client(41)
-	conn := answering(t, path, sized[:9], sized[9:40], sized[40:99], sized[99:]) // longer than an answer may be late
-	if _, _, err := cl.call(conn, bufio.NewReader(conn)); err != nil || len(x.Take()) != 1 {
+	conn := answerOnce(t, path, sized[:9], sized[9:40], sized[40:99], sized[99:]) // longer than an answer may be late
+	if _, err := cl.call(conn, bufio.NewReader(conn)); err != nil || len(x.Take()) != 1 {
 		t.Errorf("in slow pieces: %v", err)
 	}
-	cl.whole = true
-	conn = answering(t, fmt.Sprintf("%s?since=41&timeout_ms=%d", path, watchWait.Milliseconds()), sized)
-	if _, _, err := cl.call(conn, bufio.NewReader(conn)); err != nil {
+	cl.synced = true
+	conn = answerOnce(t, fmt.Sprintf("%s?since=41&timeout_ms=%d", path, watchTimeout.Milliseconds()), sized)
+	if _, err := cl.call(conn, bufio.NewReader(conn)); err != nil {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/internal/discovery/crossings_test.go
@@ -0,0 +1,205 @@
+package discovery
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"strings"
+	"testing"
+
+	"lilacbend/internal/exchange"
+	"lilacbend/lab/peers"
+)
+
+// Agents that close each connection with its answer, in every way, are followed without a gap: the watch goes on at once
+// on the next connection, and nothing is said of a failure. One that is gone is a failure as before.
+func TestAnAnswerAndTheCloseOfItsConnection(t *testing.T) {
+	for name, way := range map[string]struct {
+		text  func(string) string
+		close func(*peers.Conn, *exchange.Exchange)
+	}{
+		"said":            {withClose, func(c *peers.Conn, _ *exchange.Exchange) { c.Ends() }},
+		"said and done":   {withClose, func(c *peers.Conn, _ *exchange.Exchange) { c.Close() }},
+		"not said":        {strings.Clone, func(c *peers.Conn, _ *exchange.Exchange) { c.Close() }},
+		"more than asked": {func(a string) string { return a + "HTTP/1.1" }, func(c *peers.Conn, _ *exchange.Exchange) { c.Close() }},
+		"reset under the next call": {strings.Clone, func(c *peers.Conn, _ *exchange.Exchange) {
+			c.Request()
+			c.Reset()
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			agent := peers.Listen(t)
+			_, x, log := startClient(t, agent.At(), 40)
+			conn := agent.Take()
+			expectRequest(t, conn, wholeListLine)
+			for revision := int64(41); revision < 45; revision++ {
+				conn.Raw(way.text(list(revision, revision == 41, "Ready")))
+				way.close(conn, x)
+				if l := nextListing(t, x); l.Revision != revision {
+					t.Errorf("%d is told, want %d", l.Revision, revision)
+				}
+				conn = agent.Take()
+				expectRequest(t, conn, fmt.Sprintf(watchLine, revision))
+			}
+			if errs := x.Tally.CallErrors.Load(); errs != 0 || log.count("discovery") != 0 {
+				t.Errorf("%d errors: %s", errs, log.text.String())
+			}
+			agent.Close()
+			conn.Reset() // it is gone
+			peers.Until(t, "a discovery that is gone is not noticed", func() bool { return log.count("discovery fails") == 1 })
+		})
+	}
+}
+
+// An answer to a watch that is of no use is followed by the whole list, as what was asked may be what cannot be answered;
+// so is a watch that breaks.
+func TestAWatchWithoutUseIsFollowedByTheWholeList(t *testing.T) {
+	for name, answer := range map[string]string{
+		"not found": "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
+		"gone":      "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n",
+		"busy":      "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nbusy",
+		"not JSON":  "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbusy",
+		"not ours":  "HTTP/1.1 200 OK\r\nContent-Length: 24\r\n\r\n" + `{"revision":44,"code":1}`,
+		"not HTTP":  "+OK\r\n",
+		"cut off":   list(42, false, "Ready")[:60],
+		"older":     list(40, false, "Ready"),
+	} {
+		t.Run(name, func(t *testing.T) {
+			agent := peers.Listen(t)
+			_, x, log := startClient(t, agent.At(), 40)
+			conn := agent.Take()
+			expectRequest(t, conn, wholeListLine)
+			conn.Raw(list(41, true, "Ready"))
+			expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
+			conn.Raw(answer)
+			conn.Close()
+			conn = agent.Take()
+			expectRequest(t, conn, wholeListLine)
+			conn.Raw(list(45, true, "Terminating"))
+			expectRequest(t, conn, fmt.Sprintf(watchLine, 45))
+			if l := nextListing(t, x); l.Revision != 45 || !l.Whole {
+				t.Errorf("told %+v", l)
+			}
+			if log.count("discovery fails") != 1 || log.count("discovery answers") != 0 {
+				t.Errorf("log: %s", log.text.String())
+			}
+			conn.Raw(unchanged(45))
+			peers.Until(t, "a watch that is answered again is not noticed", func() bool { return log.count("discovery answers") == 1 })
+		})
+	}
+}
+
+// What the old discovery is still delivering when it is moved from changes nothing, and what it has just delivered does not
+// outrank the new one, which counts from a lower revision.
+func TestTheOldDiscoveryDeliversWhileItIsMovedFrom(t *testing.T) {
+	before, after := peers.Listen(t), peers.Listen(t)
+	c, x, _ := startClient(t, before.At(), 40)
+	old := before.Take()
+	expectRequest(t, old, wholeListLine)
+	old.Raw(list(41, true, "Ready"))
+	if l := nextListing(t, x); l.Revision != 41 {
+		t.Errorf("told %+v", l)
+	}
+	expectRequest(t, old, fmt.Sprintf(watchLine, 41))
+	late := list(math.MaxInt64, true, "Ready")
+	old.Raw(late[:len(late)-1])
+	c.Move(after.At())
+	next := after.Take() // only after the old conversation has ended
+	io.WriteString(old.Conn, late[len(late)-1:])
+	for k := range staleAnswersLimitAfterMove {
+		expectRequest(t, next, wholeListLine)
+		next.Raw(list(3, true, "Terminating"))
+		if k+1 < staleAnswersLimitAfterMove {
+			next = after.Take()
+		}
+	}
+	if l := nextListing(t, x); l.Revision != 3 || len(x.Take()) > 0 {
+		t.Errorf("told %+v", l)
+	}
+	expectRequest(t, next, fmt.Sprintf(watchLine, 3))
+	next.Raw(late) // and what has come in full may be taken, or not
+	c.Move(before.At())
+	for k := range staleAnswersLimitAfterMove {
+		old = before.Take()
+		expectRequest(t, old, wholeListLine)
+		old.Raw(list(4, true, "Gone"))
+		if k == 0 && nextListing(t, x).Revision == 4 { // it was not
+			break
+		}
+	}
+	expectRequest(t, old, fmt.Sprintf(watchLine, 4))
+}
+
+// There and back before anybody has answered: the last address alone counts, and it is asked for the whole list.
+func TestMovingThereAndBack(t *testing.T) {
+	home, away := peers.Listen(t), peers.Listen(t)
+	c, x, _ := startClient(t, home.At(), 40)
+	first := home.Take()
+	expectRequest(t, first, wholeListLine)
+	c.Move(away.At())
+	there := away.Take()
+	first.Ends()
+	expectRequest(t, there, wholeListLine)
+	c.Move(away.At()) // no move at all
+	c.Move(home.At())
+	second := home.Take()
+	there.Ends()
+	expectRequest(t, second, wholeListLine)
+	second.Raw(list(41, true, "Ready"))
+	expectRequest(t, second, fmt.Sprintf(watchLine, 41))
+	if l := nextListing(t, x); l.Revision != 41 || x.Tally.Dials.Load() != 3 {
+		t.Errorf("told %+v after %d dials", l, x.Tally.Dials.Load())
+	}
+}
+
+// A change that is made between an answer and the next call comes with that call.
+func TestAChangeBetweenTwoCalls(t *testing.T) {
+	agent := peers.Listen(t)
+	_, x, _ := startClient(t, agent.At(), 40)
+	conn := agent.Take()
+	expectRequest(t, conn, wholeListLine)
+	conn.Raw(list(41, true, "Ready"))
+	nextListing(t, x)
+	expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
+	conn.Raw(unchanged(41)) // and now 42 is made
+	expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
+	conn.Raw(list(42, false, "Terminating"))
+	if l := nextListing(t, x); l.Revision != 42 || l.Whole || len(l.Members) != 1 {
+		t.Errorf("told %+v", l)
+	}
+	expectRequest(t, conn, fmt.Sprintf(watchLine, 42))
+}
+
+// Revisions of all sizes, and the same again.
+func TestRevisionsThatAreOdd(t *testing.T) {
+	body := func(answer string) []byte { return []byte(answer[strings.Index(answer, "{"):]) }
+	for name, c := range map[string]struct {
+		known, revision int64 // the second is of a whole list, in answer to a call for all of it
+		told, fails     bool
+	}{
+		"the largest":             {41, math.MaxInt64, true, false},
+		"the first of all":        {-1, 0, true, false},
+		"the same as at start":    {41, 41, true, false},
+		"below nought":            {41, -2, false, true},
+		"after one made of noise": {math.MaxInt64, 42, false, true},
+	} {
+		cl, x := client(c.known)
+		_, err := cl.apply(body(list(c.revision, true, "Ready")))
+		if got := len(x.Take()) == 1; got != c.told || (err != nil) != c.fails {
+			t.Errorf("%s: told %v: %v", name, got, err)
+		}
+		if _, err := cl.apply(body(list(cl.revision, false, "Gone"))); (err != nil) != c.fails { // changes, where all is asked for
+			t.Errorf("%s: changes then: %v", name, err)
+		}
+	}
+	for _, revision := range []string{"9223372036854775808", "-9223372036854775809", "1e3", "41.5", `"41"`, "null"} {
+		if l, err := Parse(fmt.Appendf(nil, `{"revision":%s,"complete":true,"members":[]}`, revision)); err == nil {
+			t.Errorf("revision %s is read as %d", revision, l.Revision)
+		}
+	}
+	l, err := Parse([]byte(`{"revision":5,"complete":false,"members":[{"id":"a","phase":"Gone","up_since_ms":1},` +
+		`{"id":"a","phase":"Ready","up_since_ms":2},{"id":"b","phase":"Gone"}]}`))
+	if err != nil || len(l.Members) != 3 || l.Members[1].UpSince != 2e6 { // in their order: the last one holds
+		t.Errorf("%+v %v", l, err)
+	}
+}
--- /dev/null
+++ b/internal/discovery/list.go
@@ -0,0 +1,90 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+
+	"lilacbend/control"
+	"lilacbend/internal/governor"
+)
+
+// maxIDLength is the longest id of a replica, in bytes, that fits the messages to proxies with room to spare.
+const maxIDLength = 128
+
+// listMessage is an answer of discovery. Its pointers tell a field that is missing from one that is zero.
+type listMessage struct {
+	Revision *int64           `json:"revision"`
+	Complete *bool            `json:"complete"`
+	Members  *[]memberMessage `json:"members"`
+}
+
+// memberMessage is one replica of an answer.
+type memberMessage struct {
+	ID       string   `json:"id"`
+	HostPort string   `json:"host_port"`
+	Cell     any      `json:"cell"`
+	Locality string   `json:"locality"`
+	Flavor   string   `json:"flavor"`
+	Phase    string   `json:"phase"`
+	Size     *float64 `json:"size"`
+	UpSince  float64  `json:"up_since_ms"`
+}
+
+// states are the states that discovery's phases stand for.
+var states = map[string]control.State{
+	"Ready":       control.Ready,
+	"Terminating": control.Draining,
+	"Gone":        control.Gone,
+}
+
+// defaultWeight is the weight of a member whose size is not told.
+const defaultWeight = 1.0
+
+// Parse decodes an answer of discovery. A member that cannot be used stays in the listing, marked as odd.
+func Parse(raw []byte) (governor.Listing, error) {
+	var message listMessage
+	if err := json.Unmarshal(raw, &message); err != nil {
+		return governor.Listing{}, fmt.Errorf("not a list: %w", err)
+	}
+	if message.Revision == nil || message.Complete == nil || message.Members == nil {
+		return governor.Listing{}, errors.New("not a list: no revision, no members, or not said whether they are all")
+	}
+	list := governor.Listing{Revision: *message.Revision, Whole: *message.Complete}
+	for _, member := range *message.Members {
+		list.Members = append(list.Members, member.decode())
+	}
+	return list, nil
+}
+
+// decode turns a member into the core's form.
+func (m memberMessage) decode() governor.Member {
+	state, known := states[m.Phase]
+	weight := defaultWeight
+	if m.Size != nil {
+		weight = *m.Size
+	}
+	usable := known && validID(m.ID) && weight >= 0 && m.UpSince >= 0
+	return governor.Member{
+		ID:      m.ID,
+		Zone:    m.Locality,
+		Kind:    m.Flavor,
+		Address: m.HostPort,
+		Cell:    fmt.Sprint(m.Cell),
+		State:   state,
+		Odd:     !usable,
+		Weight:  weight,
+		UpSince: control.Nanos(m.UpSince),
+	}
+}
+
+// validID says whether an id can stand in the endpoint lists that proxies are sent.
+func validID(id string) bool {
+	return id != "" && len(id) <= maxIDLength && !strings.ContainsFunc(id, isDelimiter)
+}
+
+// isDelimiter says whether a character would end an id in a message, or is unprintable.
+func isDelimiter(r rune) bool {
+	return r == ',' || r == ':' || r <= ' ' || r == 0x7f
+}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"lilacbend/control"
+	"lilacbend/internal/discovery"
 	"lilacbend/internal/exchange"
 	"lilacbend/internal/forward"
 	"lilacbend/internal/front"
 	"lilacbend/internal/governor"
-	"lilacbend/internal/registry"
 	"lilacbend/internal/relay"
 	"lilacbend/internal/steering"
 	"lilacbend/internal/upstream"
@@ -161,7 +161,7 @@
 		all.Go(func() { s.teller.Run(talk) })
 	}
 	if m.Discovery != "" {
-		r := registry.New(m.Discovery, -1, s.lists, s.log, s.now, m.Plan.Seed)
+		r := discovery.New(m.Discovery, -1, s.lists, s.log, s.now, m.Plan.Seed)
 		all.Go(func() { r.Run(talk) })
 		all.Go(func() { s.follow(talk) })
 	}
