--- a/cmd/lilacbend/shutdown_test.go
+++ b/cmd/lilacbend/shutdown_test.go
@@ -77,7 +77,8 @@
 }
 
 // A successor serves from what it knows to whoever comes back before discovery has answered, and the drain that discovery then
-// tells of reaches them at once; answers to marks of the earlier life free nothing and tell nothing.
+// tells of reaches them at once. The acks are of marks of an earlier life. The governor may read that of mark 1 before or after it
+// has written a mark 1 of its own; its proxy counts as bound in the second case, and hears of the drain as a weight of 0.
 func TestProxiesComeBackBeforeDiscoveryHasAnswered(t *testing.T) {
 	disco, at := peers.Listen(t), peers.Free(t)
 	file := configured(t, map[string]any{"listen": at, "discovery": disco.At()})
@@ -98,7 +99,7 @@
 	}
 	body = exampleList(t, 100, "box-2")
 	call.Raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
-	for !strings.Contains(proxy.Hears("push"), "eject box-2") {
+	for !withdraws(strings.Fields(proxy.Hears("push")), "box-2") {
 	}
 	c.ends(syscall.SIGTERM)
 }
