--- a/internal/forward/flow_test.go
+++ b/internal/forward/flow_test.go
@@ -356,10 +356,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := desk(&testing.T{}, nil)
 		type going struct {
-			f   *Flow
-			s   Step
-			n   int // finals
-			ran []try
+			f *Flow
+			s Step
+			n int // finals
 		}
 		var flows []*going
 		now := int64(0)
--- a/internal/forward/table.go
+++ b/internal/forward/table.go
@@ -49,7 +49,6 @@
 
 type table struct {
 	lines  []line // by replica
-	total  float64
 	levels Level
 	set    bool // a level was pushed
 	bucket bucket
--- a/internal/governor/core_test.go
+++ b/internal/governor/core_test.go
@@ -499,7 +499,7 @@
 	c, s := tight(11, 0, orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.Mark{Number: 1}}, orders{line(0, 1, 0), control.Mark{Number: 2}})
 	c.account.Rate = 1 // so slow that what is not answered is charged for a minute
 	c.Turn(1, []any{list(true, "xr", "yr"), Joined{Stream: 1, Proxy: 4, Zone: "a", Blank: true}})
-	if got := text(c.Turn(2, []any{list(true, "yr")})); got != "" || s.turns != nil && len(s.turns) > 0 {
+	if got := text(c.Turn(2, []any{list(true, "yr")})); got != "" || len(s.turns) > 0 {
 		t.Fatalf("got %s", got)
 	}
 	for at := sweepPause; at <= nameKept+4*sweepPause; at += sweepPause { // it lives, but does not answer
--- a/internal/steering/collector.go
+++ b/internal/steering/collector.go
@@ -122,14 +122,13 @@
 			defer conn.Close()
 			end := context.AfterFunc(ctx, func() { conn.Close() })
 			defer end()
-			if err := c.attend(conn); err != nil {
-				c.Log.Debug("sidecar left", "from", conn.RemoteAddr(), "error", err)
-			}
+			err := c.attend(conn)
+			c.Log.Debug("sidecar left", "from", conn.RemoteAddr(), "error", err)
 		})
 	}
 }
 
-// attend reads the sums of one sidecar; a message that cannot be used is skipped.
+// attend reads the sums of one sidecar until its connection ends, and returns why; a message that cannot be used is skipped.
 func (c *Collector) attend(conn net.Conn) error {
 	for r := resp.NewReader(conn, c.pool); ; {
 		conn.SetReadDeadline(time.Now().Add(sidecarSilence))
