--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -90,16 +91,10 @@
 	const size = 40_000
 	for _, head := range []string{fmt.Sprintf("Content-Length: %d\r\n\r\n", size), "Transfer-Encoding: chunked\r\n\r\n"} {
 		busy := peers.Listen(t)
-		go func() {
-			for {
-				conn, err := busy.Accept()
-				if err != nil {
-					return
-				}
-				io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-				go func() { io.Copy(io.Discard, conn); conn.Close() }()
-			}
-		}()
+		busy.Serve(func(conn net.Conn) {
+			io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+			io.Copy(io.Discard, conn)
+		})
 		got := make(chan string, 1)
 		good := replica(t, func(w http.ResponseWriter, req *http.Request) {
 			n, err := io.Copy(io.Discard, req.Body)
@@ -140,16 +135,10 @@
 // client reads the asking whole, or none of it, and then the answer.
 func TestABodyIsNotAskedForOnceAnAnswerHasBegun(t *testing.T) {
 	early := peers.Listen(t)
-	go func() {
-		for {
-			conn, err := early.Accept()
-			if err != nil {
-				return
-			}
-			io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n")
-			go func() { io.Copy(io.Discard, conn); conn.Close() }()
-		}
-	}()
+	early.Serve(func(conn net.Conn) {
+		io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n")
+		io.Copy(io.Discard, conn)
+	})
 	s := start(t, patient("replica_stall", "replica_idle: 0, replica_stall"), early.At())
 	for range 100 {
 		client := peers.Dial(t, s.h1)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -16,18 +16,10 @@
 	"time"
 
 	"lilacbend/internal/forward"
+	"lilacbend/lab/peers"
 	"lilacbend/lab/standin"
 )
 
-func free(t testing.TB) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
 const file = `
 name: shop
 proxy: 3
@@ -106,24 +98,9 @@
 
 // raw is a replica that does with each connection as it is told.
 func raw(t testing.TB, attend func(conn net.Conn, r *bufio.Reader)) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { l.Close() })
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer conn.Close()
-				attend(conn, bufio.NewReader(conn))
-			}()
-		}
-	}()
-	return l.Addr().String()
+	l := peers.Listen(t)
+	l.Serve(func(conn net.Conn) { attend(conn, bufio.NewReader(conn)) })
+	return l.At()
 }
 
 // says sends raw bytes on a new connection and reads all that comes back.
@@ -300,7 +277,7 @@
 // Nobody listens there: proof that nothing ran, so even a payout goes to the next one.
 func TestARefusedConnectionIsTriedElsewhere(t *testing.T) {
 	good := replica(t, nil)
-	s := start(t, func(f string) string { return strings.Replace(f, "usual: again", "usual: never-ran", 1) }, free(t), good.Addr)
+	s := start(t, func(f string) string { return strings.Replace(f, "usual: again", "usual: never-ran", 1) }, peers.Free(t), good.Addr)
 	for path, body := range map[string]string{"/payouts": "", "/orders": "small", "/orders?long": strings.Repeat("x", 50_000)} {
 		if got := counts(t, s, 10, "POST", path, body); got["200"] != 10 {
 			t.Errorf("%s: %v", path, got)
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"errors"
 	"io"
+	"net"
 	"net/http"
 	"sync"
 	"testing"
@@ -76,23 +77,14 @@
 // picked, and no flow fails of it.
 func TestIdleConnectionsEndAsTheyArePicked(t *testing.T) {
 	at := peers.Listen(t)
-	go func() {
-		for {
-			conn, err := at.Accept()
-			if err != nil {
+	at.Serve(func(conn net.Conn) {
+		for r := bufio.NewReader(conn); ; {
+			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			go func() {
-				defer conn.Close()
-				for r := bufio.NewReader(conn); ; {
-					if _, err := http.ReadRequest(r); err != nil {
-						return
-					}
-					io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-				}
-			}()
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
-	}()
+	})
 	p := NewPool(4, 4, time.Minute, time.Minute)
 	defer p.Close()
 	end, swept := make(chan struct{}), make(chan struct{})
--- a/lab/peers/peers.go
+++ b/lab/peers/peers.go
@@ -91,6 +91,23 @@
 	return wrap(l.t, conn)
 }
 
+// Serve has a function attend each connection that comes from now on, in a goroutine of its own, and closes the connection after
+// it. It does not wait.
+func (l *Listener) Serve(attend func(net.Conn)) {
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				attend(conn)
+			}()
+		}
+	}()
+}
+
 // None says that nobody comes for so long. For what must not happen only: it orders nothing.
 func (l *Listener) None(span time.Duration) {
 	l.t.Helper()
