--- a/cmd/lilacbend/child_test.go
+++ b/cmd/lilacbend/child_test.go
@@ -104,8 +104,8 @@
 	return file
 }
 
-// configured writes the example's configuration with some values of its own, and names the file.
-func configured(t testing.TB, values map[string]any) string {
+// exampleWith is the example's configuration with other values at some keys.
+func exampleWith(t testing.TB, values map[string]any) []byte {
 	t.Helper()
 	file := example(t)
 	maps.Copy(file, values)
@@ -113,8 +113,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	return raw
+}
+
+// configured writes the example's configuration with other values at some keys, and names the file.
+func configured(t testing.TB, values map[string]any) string {
+	t.Helper()
 	at := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(at, raw, 0o600); err != nil {
+	if err := os.WriteFile(at, exampleWith(t, values), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return at
--- /dev/null
+++ b/cmd/lilacbend/config.go
@@ -0,0 +1,183 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"reflect"
+	"strconv"
+
+	"lilacbend/control"
+	"lilacbend/internal/discovery"
+	"lilacbend/internal/governor"
+	"lilacbend/internal/operator"
+	"lilacbend/settings"
+)
+
+// options are what the command line and the environment say. What is set there takes precedence over the configuration file.
+type options struct {
+	name      string
+	listen    string
+	discovery string
+	file      string // the configuration
+	operator  string // the operator file
+}
+
+// configuration is all that one governor reads before it starts.
+type configuration struct {
+	name        string
+	listen      string // host:port
+	discovery   string // host:port
+	seed        uint64
+	memory      int64 // bytes
+	descriptors int
+	known       governor.Listing // the replicas to start with
+	names       settings.Names
+	settings    control.Provision
+	operator    operator.Rulebook
+}
+
+// configurationFile is the configuration as its JSON has it.
+type configurationFile struct {
+	Name      string
+	Listen    string
+	Discovery string
+	Seed      string
+	Limits    struct {
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  float64 `json:"sockets"`
+	}
+	Known    json.RawMessage
+	Settings json.RawMessage
+}
+
+// readConfiguration reads the configuration file and the operator file. The error names the file and what is wrong with it.
+func readConfiguration(opts options) (configuration, error) {
+	if opts.file == "" {
+		return configuration{}, errors.New("no configuration is named: PROXY_CONFIG or --config")
+	}
+	raw, err := os.ReadFile(opts.file)
+	if err != nil {
+		return configuration{}, fmt.Errorf("configuration: %w", err)
+	}
+	c, err := parseConfiguration(raw, opts)
+	if err != nil {
+		return configuration{}, fmt.Errorf("configuration %s: %w", opts.file, err)
+	}
+	c.operator, err = operator.Read(opts.operator)
+	if err != nil {
+		return configuration{}, fmt.Errorf("operator file %w", err)
+	}
+	return c, nil
+}
+
+// parseConfiguration decodes and checks the configuration. The error names the first key that is wrong.
+func parseConfiguration(raw []byte, opts options) (configuration, error) {
+	var file configurationFile
+	if err := json.Unmarshal(raw, &file); err != nil {
+		return configuration{}, fmt.Errorf("not readable as JSON: %w", err)
+	}
+	c := configuration{
+		name:      or(opts.name, file.Name),
+		listen:    or(opts.listen, file.Listen),
+		discovery: or(opts.discovery, file.Discovery),
+	}
+	for _, decode := range []func(*configuration, configurationFile) error{
+		checkAddresses, decodeSeed, decodeLimits, requireSections, decodeKnown, decodeSettings,
+	} {
+		if err := decode(&c, file); err != nil {
+			return configuration{}, err
+		}
+	}
+	return c, nil
+}
+
+func checkAddresses(c *configuration, _ configurationFile) error {
+	for _, address := range []struct{ key, value string }{{"listen", c.listen}, {"discovery", c.discovery}} {
+		if _, _, err := net.SplitHostPort(address.value); err != nil {
+			return fmt.Errorf("%s=%q is no address of host and port", address.key, address.value)
+		}
+	}
+	return nil
+}
+
+func decodeSeed(c *configuration, file configurationFile) error {
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
+	if err != nil {
+		return fmt.Errorf("seed=%q is not a hexadecimal number", file.Seed)
+	}
+	c.seed = seed
+	return nil
+}
+
+func decodeLimits(c *configuration, file configurationFile) error {
+	if file.Limits.MemoryMB <= 0 || file.Limits.Sockets <= 0 {
+		return errors.New("limits.memory_mb or limits.sockets is missing or not above 0")
+	}
+	c.memory = int64(file.Limits.MemoryMB * (1 << 20))
+	c.descriptors = int(file.Limits.Sockets)
+	return nil
+}
+
+func requireSections(_ *configuration, file configurationFile) error {
+	if len(file.Known) == 0 || len(file.Settings) == 0 {
+		return errors.New("known or settings is missing")
+	}
+	return nil
+}
+
+// decodeKnown decodes the list to start with, which is taken for a whole one.
+func decodeKnown(c *configuration, file configurationFile) error {
+	known, err := discovery.Parse(file.Known)
+	if err != nil {
+		return fmt.Errorf("known: %w", err)
+	}
+	known.Whole = true
+	c.known = known
+	return nil
+}
+
+// decodeSettings decodes the settings; the seed has to be decoded before.
+func decodeSettings(c *configuration, file configurationFile) error {
+	values, err := settings.ParseJSON(file.Settings)
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	c.settings, err = values.Decode(c.seed)
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	c.names, err = values.Names()
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	c.settings.Kinds++          // one more for kinds that the settings do not name
+	c.settings.HostHolds = true // the core does, by the channel's account
+	return nil
+}
+
+// changesAtRestart names the parts of a new configuration that differ and that only the next start takes over.
+func (c configuration) changesAtRestart(next configuration) []string {
+	next.settings.Seed = c.settings.Seed // new with each start
+	var parts []string
+	if c.listen != next.listen {
+		parts = append(parts, "listen")
+	}
+	if c.memory != next.memory || c.descriptors != next.descriptors {
+		parts = append(parts, "limits")
+	}
+	if !reflect.DeepEqual(c.settings, next.settings) || !reflect.DeepEqual(c.names, next.names) {
+		parts = append(parts, "settings")
+	}
+	return append(parts, c.operator.Differs(next.operator)...)
+}
+
+// or is the first string, or the second if the first is empty.
+func or(first, second string) string {
+	if first != "" {
+		return first
+	}
+	return second
+}
--- a/cmd/lilacbend/charter_test.go
+++ b/cmd/lilacbend/config_test.go
@@ -13,15 +13,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := parseCharter(good, told{listen: "127.0.0.1:9"})
-	if err != nil || c.listen != "127.0.0.1:9" || c.seed == 0 || len(c.names.Groups) != len(c.provision.Groups) || !c.known.Whole {
+	c, err := parseConfiguration(good, options{listen: "127.0.0.1:9"})
+	if err != nil || c.listen != "127.0.0.1:9" || c.seed == 0 || len(c.names.Groups) != len(c.settings.Groups) || !c.known.Whole {
 		t.Errorf("%+v %v", c, err)
 	}
 	for _, w := range [][3]string{{"", "", "[]"}, {`"seed": "8`, `"seed": "9`, "[]"}, {`"memory_mb": `, `"memory_mb": 1`, "[limits]"},
 		{`"push_rate": `, `"push_rate": 1`, "[settings]"}, {`"listen": "`, `"listen": "x`, "[]"}} { // the flag says otherwise
-		n, err := parseCharter([]byte(strings.Replace(string(good), w[0], w[1], 1)), told{listen: "127.0.0.1:9"})
-		if err != nil || fmt.Sprint(c.differs(n)) != w[2] {
-			t.Errorf("%s: %v differs, %v", w[1], c.differs(n), err)
+		n, err := parseConfiguration([]byte(strings.Replace(string(good), w[0], w[1], 1)), options{listen: "127.0.0.1:9"})
+		if err != nil || fmt.Sprint(c.changesAtRestart(n)) != w[2] {
+			t.Errorf("%s: %v differs, %v", w[1], c.changesAtRestart(n), err)
 		}
 	}
 	for _, w := range [][3]string{
@@ -41,14 +41,14 @@
 			t.Fatalf("no %s in the example", w[0])
 		}
 		bad := strings.Replace(string(good), w[0], w[1], 1)
-		if _, err := parseCharter([]byte(bad), told{}); err == nil || !strings.Contains(err.Error(), w[2]) ||
+		if _, err := parseConfiguration([]byte(bad), options{}); err == nil || !strings.Contains(err.Error(), w[2]) ||
 			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: %v", w[1], w[0], err)
 		}
 	}
 	missing := filepath.Join(t.TempDir(), "none.json")
 	for file, says := range map[string]string{"": "PROXY_CONFIG", missing: missing} {
-		if _, err := readCharter(told{file: file}); err == nil || !strings.Contains(err.Error(), says) {
+		if _, err := readConfiguration(options{file: file}); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%q: %v", file, err)
 		}
 	}
--- a/cmd/lilacbend/fleet_test.go
+++ b/cmd/lilacbend/fleet_test.go
@@ -12,21 +12,22 @@
 	"time"
 
 	"lilacbend/internal/resp"
+	"lilacbend/lab/peers"
 )
 
-// fleetCharter is the example's with the sizes of a full fleet: so many governors and replicas, and all proxies at this one.
-func fleetCharter(t *testing.T, listen string, governors, replicas, proxies int) charter {
+// fleetConfiguration is the example's with the sizes of a full fleet: so many governors and replicas, and all proxies at this one.
+func fleetConfiguration(t *testing.T, listen string, governors, replicas, proxies int) configuration {
 	file := example(t)
-	var peers []string
+	var addresses []string
 	for k := range governors {
-		peers = append(peers, fmt.Sprintf("127.3.%d.%d:7946", k/250, k%250+1))
+		addresses = append(addresses, fmt.Sprintf("127.3.%d.%d:7946", k/250, k%250+1))
 	}
 	var members []map[string]any
 	for k := range replicas {
 		members = append(members, map[string]any{"id": fmt.Sprintf("box-%d", k), "host_port": "127.0.0.1:9001", "locality": []string{"a", "b"}[k%2],
 			"flavor": "m1", "cell": k / 4, "phase": "Ready", "size": 1.0, "up_since_ms": 0})
 	}
-	file["peers"], file["known"] = peers, map[string]any{"revision": 1, "complete": true, "members": members}
+	file["peers"], file["known"] = addresses, map[string]any{"revision": 1, "complete": true, "members": members}
 	settings := file["settings"].(map[string]any)
 	settings["balancers"] = governors
 	domain := settings["domain"].(map[string]any)
@@ -36,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := parseCharter(raw, told{listen: listen, discovery: "127.0.0.1:1"})
+	c, err := parseConfiguration(raw, options{listen: listen, discovery: "127.0.0.1:1"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,11 +48,11 @@
 // them some read nothing, and some connect again and again.
 func TestAllProxiesOfAFleetComeAtOnce(t *testing.T) {
 	const governors, replicas, proxies = 350, 1024, 400
-	at := free(t)
+	at := peers.Free(t)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
-		ended <- serve(ctx, fleetCharter(t, at, governors, replicas, proxies), reload{}, slog.New(slog.DiscardHandler))
+		ended <- serve(ctx, fleetConfiguration(t, at, governors, replicas, proxies), reloader{}, slog.New(slog.DiscardHandler))
 	}()
 	pool := resp.NewPool(64 << 20)
 	dial := func() net.Conn {
--- a/cmd/lilacbend/main.go
+++ b/cmd/lilacbend/main.go
@@ -25,28 +25,28 @@
 }
 
 func command(hangups <-chan os.Signal) *cli.Command {
-	var t told
+	var opts options
 	flag := func(name, env, usage string, into *string) cli.Flag {
 		return &cli.StringFlag{Name: name, Usage: usage, Sources: cli.EnvVars(env), Destination: into}
 	}
 	flags := []cli.Flag{
-		flag("config", "PROXY_CONFIG", "the configuration, as JSON", &t.file),
-		flag("name", "PROXY_NAME", "this governor's name, before the configuration's", &t.name),
-		flag("listen", "PROXY_LISTEN", "where proxies and collectors connect", &t.listen),
-		flag("operator", "LILACBEND_OPERATOR", "what this installation switches on, as YAML; without it nothing", &t.operator),
-		flag("discovery", "PROXY_DISCOVERY", "where the list of replicas is", &t.discovery),
+		flag("config", "PROXY_CONFIG", "the configuration, as JSON", &opts.file),
+		flag("name", "PROXY_NAME", "this governor's name, before the configuration's", &opts.name),
+		flag("listen", "PROXY_LISTEN", "where proxies and collectors connect", &opts.listen),
+		flag("operator", "LILACBEND_OPERATOR", "what this installation switches on, as YAML; without it nothing", &opts.operator),
+		flag("discovery", "PROXY_DISCOVERY", "where the list of replicas is", &opts.discovery),
 	}
 	run := func(ctx context.Context, cmd *cli.Command) error {
 		if cmd.Args().Present() {
 			return fmt.Errorf("no command %q: serve, check, state, sidecar, collector or version", cmd.Args().First())
 		}
-		c, err := readCharter(t)
+		c, err := readConfiguration(opts)
 		if err != nil {
 			return err
 		}
 		signal.Ignore(syscall.SIGPIPE) // a log that nobody reads any more is no reason to end
 		book := newLogbook(os.Stderr)
-		err = serve(ctx, c, reload{hangups, t}, slog.New(slog.NewTextHandler(book, nil)).With("governor", c.name))
+		err = serve(ctx, c, reloader{hangups, opts}, slog.New(slog.NewTextHandler(book, nil)).With("governor", c.name))
 		book.close()
 		return err
 	}
@@ -59,19 +59,19 @@
 			{Name: "serve", Usage: "run a governor (also what happens without a command)", Action: run},
 			{Name: "check", Usage: "say whether a configuration would start: check [FILE]", ArgsUsage: "[FILE]",
 				Action: func(_ context.Context, cmd *cli.Command) error {
-					t.file = or(cmd.Args().First(), t.file)
-					c, err := readCharter(t)
+					opts.file = or(cmd.Args().First(), opts.file)
+					c, err := readConfiguration(opts)
 					if err == nil {
-						if c.rules.State.Folder != "" {
-							fmt.Printf("%s: state is kept in %s every %v, %d generations\n", t.operator, c.rules.State.Folder, c.rules.State.Every, c.rules.State.Keep)
+						if c.operator.State.Folder != "" {
+							fmt.Printf("%s: state is kept in %s every %v, %d generations\n", opts.operator, c.operator.State.Folder, c.operator.State.Every, c.operator.State.Keep)
 						}
 						fmt.Printf("%s would start: %s listens on %s, discovery at %s, %d replicas known, %d proxies, "+
-							"%d traffic groups\n", t.file, or(c.name, "it"), c.listen, c.discovery, len(c.known.Members),
-							c.provision.Proxies, len(c.names.Groups))
+							"%d traffic groups\n", opts.file, or(c.name, "it"), c.listen, c.discovery, len(c.known.Members),
+							c.settings.Proxies, len(c.names.Groups))
 					}
 					return err
 				}},
-			stateCommand(&t, os.Stdout),
+			stateCommand(&opts, os.Stdout),
 			sidecarCommand(hangups),
 			collectorCommand(),
 			{Name: "version", Usage: "say what was built", Action: func(context.Context, *cli.Command) error {
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -21,17 +20,10 @@
 
 const wholeList = "GET /registry/instances HTTP/1.1"
 
-// configuration is the example's, with another discovery.
-func configuration(t *testing.T, discovery string) []byte {
-	raw, err := os.ReadFile("../../example/config.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	moved := bytes.Replace(raw, []byte("127.0.0.1:8500"), []byte(discovery), 1)
-	if bytes.Equal(raw, moved) {
-		t.Fatal("the example names another discovery")
-	}
-	return moved
+// exampleAt is the example's configuration with another discovery.
+func exampleAt(t *testing.T, discovery string) []byte {
+	t.Helper()
+	return exampleWith(t, map[string]any{"discovery": discovery})
 }
 
 func write(t *testing.T, file string, raw []byte) {
@@ -71,15 +63,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			file, before, after := filepath.Join(t.TempDir(), "config.json"), peers.Listen(t), peers.Listen(t)
-			write(t, file, configuration(t, before.At()))
+			write(t, file, exampleAt(t, before.At()))
 			p := launch(t, file, peers.Free(t))
 			if got := before.Take().Request(); got != wholeList {
 				t.Errorf("asked %q", got)
 			}
-			spoil(file, configuration(t, after.At()))
+			spoil(file, exampleAt(t, after.At()))
 			p.tell(syscall.SIGHUP)
 			p.until("cannot be used")
-			replace(t, file, configuration(t, after.At()))
+			replace(t, file, exampleAt(t, after.At()))
 			if got := after.Take().Request(); got != wholeList {
 				t.Errorf("asked %q", got)
 			}
@@ -96,7 +88,7 @@
 // SIGHUP round the end changes nothing of it: while a file is waited for, together with SIGTERM, and after it.
 func TestSIGHUPWhileItEnds(t *testing.T) {
 	file, agent, at := filepath.Join(t.TempDir(), "config.json"), peers.Listen(t), peers.Free(t)
-	write(t, file, configuration(t, agent.At()))
+	write(t, file, exampleAt(t, agent.At()))
 	p := launch(t, file, at)
 	agent.Take().Request()
 	os.Remove(file)
@@ -108,7 +100,7 @@
 
 // reloading runs the part of a governor that reads its configuration again; a signal is sent when follow takes it.
 func reloading(t *testing.T, file, address string) (chan<- os.Signal, *exchange.Exchange, *lines) {
-	c, x, out := exampleCharter(t, "127.0.0.1:1"), exchange.New(), &lines{}
+	c, x, out := exampleConfiguration(t, "127.0.0.1:1"), exchange.New(), &lines{}
 	asked, log := make(chan os.Signal), slog.New(slog.NewTextHandler(out, nil))
 	ctx, stop := context.WithCancel(context.Background())
 	client := discovery.New(address, 0, x, log, func() int64 { return 1 }, 1)
@@ -116,7 +108,7 @@
 	go func() { defer close(moved); client.Run(ctx) }()
 	go func() {
 		defer close(read)
-		reload{asked, told{discovery: address, file: file}}.follow(ctx, c, client, x, log)
+		reloader{asked, options{discovery: address, file: file}}.run(ctx, c, client, x, log)
 	}()
 	t.Cleanup(func() { stop(); <-moved; <-read })
 	return asked, x, out
@@ -128,19 +120,19 @@
 	asked, x, _ := reloading(t, file, a.At())
 	first := a.Take()
 	first.Request()
-	write(t, file, configuration(t, a.At()))
+	write(t, file, exampleAt(t, a.At()))
 	asked <- syscall.SIGHUP // to where it is
 	asked <- syscall.SIGHUP // taken once the first has been read
 	peers.Until(t, "not read twice", func() bool { return x.Tally.Reloads.Load() == 2 })
 	if dials := x.Tally.Dials.Load(); dials != 1 {
 		t.Errorf("%d dials", dials)
 	}
-	replace(t, file, configuration(t, b.At()))
+	replace(t, file, exampleAt(t, b.At()))
 	asked <- syscall.SIGHUP
 	there := b.Take()
 	first.Ends()
 	there.Request()
-	replace(t, file, configuration(t, a.At()))
+	replace(t, file, exampleAt(t, a.At()))
 	asked <- syscall.SIGHUP
 	back := a.Take()
 	there.Ends()
@@ -153,16 +145,16 @@
 func TestAFileThatIsWaitedForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		file, x, asked := filepath.Join(t.TempDir(), "config.json"), exchange.New(), make(chan os.Signal)
-		c, log := exampleCharter(t, "127.0.0.1:1"), slog.New(slog.DiscardHandler)
+		c, log := exampleConfiguration(t, "127.0.0.1:1"), slog.New(slog.DiscardHandler)
 		client := discovery.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
 		read := make(chan struct{})
-		go func() { defer close(read); reload{asked, told{file: file}}.follow(t.Context(), c, client, x, log) }()
+		go func() { defer close(read); reloader{asked, options{file: file}}.run(t.Context(), c, client, x, log) }()
 		t.Cleanup(func() { <-read })
 		start := time.Now()
 		asked <- syscall.SIGHUP
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		write(t, file, configuration(t, "127.0.0.1:2"))
+		write(t, file, exampleAt(t, "127.0.0.1:2"))
 		for x.Tally.Reloads.Load() == 0 && time.Since(start) < time.Minute {
 			time.Sleep(time.Millisecond)
 		}
@@ -182,7 +174,7 @@
 	asked <- syscall.SIGHUP
 	asked <- syscall.SIGHUP
 	peers.Until(t, "not read twice", func() bool { return x.Tally.Misread.Load() == 2 })
-	replace(t, file, configuration(t, b.At()))
+	replace(t, file, exampleAt(t, b.At()))
 	asked <- syscall.SIGHUP
 	if got := b.Take().Request(); got != wholeList {
 		t.Errorf("asked %q", got)
@@ -196,11 +188,11 @@
 // asked for the whole list; who drains by then is withdrawn.
 func TestProxiesThatComeBeforeDiscoveryHasAnswered(t *testing.T) {
 	agent, at := peers.Listen(t), peers.Free(t)
-	c := exampleCharter(t, at)
+	c := exampleConfiguration(t, at)
 	c.discovery = agent.At()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- serve(ctx, c, reload{}, slog.New(slog.DiscardHandler)) }()
+	go func() { ended <- serve(ctx, c, reloader{}, slog.New(slog.DiscardHandler)) }()
 	defer func() { stop(); <-ended }()
 	proxy := peers.DialWhenUp(t, at)
 	proxy.Say("hello id 3 site a rps 20 new 1")
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -44,7 +44,7 @@
 func (c clock) now() int64 { return c.start.UnixNano() + time.Since(c.start).Nanoseconds() }
 
 // serve runs one governor until ctx ends.
-func serve(ctx context.Context, c charter, again reload, log *slog.Logger) error {
+func serve(ctx context.Context, c configuration, reload reloader, log *slog.Logger) error {
 	asked := make(chan os.Signal, 1)
 	signal.Notify(asked, syscall.SIGUSR1)
 	defer signal.Stop(asked)
@@ -59,14 +59,14 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	base, x := clock{time.Now()}, exchange.New()
-	x.Expect(c.provision.Proxies * (1 + len(c.names.Groups)/groupsUsual)) // each tells its usage of every group
-	census := governor.NewCensus(c.names, c.provision)
-	core := governor.New(func() governor.Module { return brain.New(c.provision) }, census)
-	kept := openArchive(c.rules.State, &c, core, x, base, log)
+	x.Expect(c.settings.Proxies * (1 + len(c.names.Groups)/groupsUsual)) // each tells its usage of every group
+	census := governor.NewCensus(c.names, c.settings)
+	core := governor.New(func() governor.Module { return brain.New(c.settings) }, census)
+	kept := openArchive(c.operator.State, &c, core, x, base, log)
 	c.known.At, c.known.Wall = base.now(), base.start.UnixNano()
 	x.Tell(c.known)
 	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", c.known.Revision,
-		"replicas", len(c.known.Members), "proxies", c.provision.Proxies)
+		"replicas", len(c.known.Members), "proxies", c.settings.Proxies)
 
 	pool := resp.NewPool(int(buffersPart * float64(c.memory)))
 	var all sync.WaitGroup
@@ -77,7 +77,7 @@
 	})
 	client := discovery.New(c.discovery, c.known.Revision, x, log, base.now, c.seed)
 	all.Go(func() { client.Run(ctx) })
-	all.Go(func() { again.follow(ctx, c, client, x, log) })
+	all.Go(func() { reload.run(ctx, c, client, x, log) })
 	drive(ctx, core, x, base, asked, kept, log)
 	kept.put(core.Last(base.now()))
 	kept.close()
@@ -93,28 +93,6 @@
 	}
 }
 
-// follow reads the configuration again whenever that is asked for, until ctx ends. Discovery moves; all else
-// that a configuration holds is for the next start. One that cannot be used is said and counted once.
-func (r reload) follow(ctx context.Context, running charter, client *discovery.Client, x *exchange.Exchange, log *slog.Logger) {
-	reloadOnHangup(ctx, r.asked, func(signalled bool) error {
-		c, err := r.read()
-		if err != nil {
-			if signalled {
-				x.Tally.Misread.Add(1)
-				log.Error("the new configuration cannot be used, the old one goes on", "error", err, "again_every", rereadLimit)
-			}
-			return err
-		}
-		x.Tally.Reloads.Add(1)
-		log.Info("read again", "discovery", c.discovery)
-		client.Move(c.discovery)
-		if fields := running.differs(c); len(fields) > 0 {
-			log.Warn("some of the new configuration waits for the next start", "fields", fields)
-		}
-		return nil
-	})
-}
-
 // listen waits for an address in use, for as long as whoever came before may take to end, or until ctx ends.
 func listen(ctx context.Context, address string, log *slog.Logger) (net.Listener, error) {
 	since := time.Now()
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -16,6 +16,7 @@
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/exchange"
 	"lilacbend/internal/resp"
+	"lilacbend/lab/peers"
 )
 
 type lines struct {
@@ -35,34 +36,26 @@
 	return strings.Contains(l.String(), text)
 }
 
-func exampleCharter(t *testing.T, listen string) charter {
+func exampleConfiguration(t *testing.T, listen string) configuration {
 	raw, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := parseCharter(raw, told{listen: listen, discovery: "127.0.0.1:1"}) // nobody answers there
+	c, err := parseConfiguration(raw, options{listen: listen, discovery: "127.0.0.1:1"}) // nobody answers there
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// free is an address of loopback that nobody listens on.
-func free(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
 // A governor serves from its known list while discovery refuses, and ends soon after it is told to.
 func TestServingFromTheKnownList(t *testing.T) {
-	at, out := free(t), &lines{}
+	at, out := peers.Free(t), &lines{}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- serve(ctx, exampleCharter(t, at), reload{}, slog.New(slog.NewTextHandler(out, nil))) }()
+	go func() {
+		ended <- serve(ctx, exampleConfiguration(t, at), reloader{}, slog.New(slog.NewTextHandler(out, nil)))
+	}()
 	var conn net.Conn
 	for range 200 {
 		var err error
@@ -115,7 +108,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	err = serve(context.Background(), exampleCharter(t, l.Addr().String()), reload{}, slog.New(slog.DiscardHandler))
+	err = serve(context.Background(), exampleConfiguration(t, l.Addr().String()), reloader{}, slog.New(slog.DiscardHandler))
 	if err == nil || !strings.Contains(err.Error(), l.Addr().String()) || strings.Contains(err.Error(), "\n") {
 		t.Errorf("got %v", err)
 	}
@@ -123,24 +116,20 @@
 
 // A configuration read again moves discovery, whatever was said of it at the start; a bad one changes nothing.
 func TestReadingTheConfigurationAgain(t *testing.T) {
-	good, err := os.ReadFile("../../example/config.json")
-	if err != nil {
-		t.Fatal(err)
-	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c, file, x := exampleCharter(t, "127.0.0.1:1"), filepath.Join(t.TempDir(), "config.json"), exchange.New()
+	c, file, x := exampleConfiguration(t, "127.0.0.1:1"), filepath.Join(t.TempDir(), "config.json"), exchange.New()
 	asked, log := make(chan os.Signal), slog.New(slog.DiscardHandler)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	client := discovery.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
 	go client.Run(ctx)
-	go reload{asked, told{discovery: c.discovery, file: file}}.follow(ctx, c, client, x, log)
-	moved := bytes.Replace(good, []byte("127.0.0.1:8500"), []byte(l.Addr().String()), 1)
-	for k, raw := range [][]byte{moved, good[:100]} { // the bad one last: it is read again until it is whole, which counts too
+	go reloader{asked, options{discovery: c.discovery, file: file}}.run(ctx, c, client, x, log)
+	moved := exampleAt(t, l.Addr().String())
+	for k, raw := range [][]byte{moved, moved[:100]} { // the bad one last: it is read again until it is whole, which counts too
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/lilacbend/shapes_test.go
+++ b/cmd/lilacbend/shapes_test.go
@@ -70,22 +70,22 @@
 }
 
 // start reads a shape as the start of the program does.
-func (s shape) start() (charter, error) {
+func (s shape) start() (configuration, error) {
 	raw, err := json.Marshal(s.file)
 	if err != nil {
-		return charter{}, err
+		return configuration{}, err
 	}
-	return parseCharter(raw, told{})
+	return parseConfiguration(raw, options{})
 }
 
 // broken plays core and module in virtual time: all proxies join, a replica drains, one is replaced, a stream is replaced,
 // the governor starts anew and a replica falls silent. It says which of the rules 1, 3 and 5 were broken.
-func broken(c charter) (said []string) {
+func broken(c configuration) (said []string) {
 	const second = int64(1e9)
-	if c.provision.Proxies == 0 { // nobody may join
+	if c.settings.Proxies == 0 { // nobody may join
 		return nil
 	}
-	site := emulator.Site{Replicas: 10, Proxies: c.provision.Proxies, Load: 0.3, Names: c.names, Provision: c.provision}
+	site := emulator.Site{Replicas: 10, Proxies: c.settings.Proxies, Load: 0.3, Names: c.names, Provision: c.settings}
 	w := emulator.New(site, 1)
 	w.Watch()
 	w.Up(nil)
@@ -98,7 +98,7 @@
 			said = append(said, b.String())
 		}
 	}
-	for k := range c.provision.Governors {
+	for k := range c.settings.Governors {
 		if n := w.Core(k).Count; n.Renewed > 0 || n.Strange > 0 {
 			said = append(said, fmt.Sprintf("governor %d: %d modules failed, %d notes were strange", k, n.Renewed, n.Strange))
 		}
--- a/cmd/lilacbend/state.go
+++ b/cmd/lilacbend/state.go
@@ -39,7 +39,7 @@
 
 // openArchive holds the folder, tells the core of the newest whole generation that fits, and begins to keep. What
 // goes wrong with the folder is logged, and the governor goes on without. The list is the one to start with.
-func openArchive(r operator.Retention, c *charter, core *governor.Core, x *exchange.Exchange, base clock, log *slog.Logger) *archive {
+func openArchive(r operator.Retention, c *configuration, core *governor.Core, x *exchange.Exchange, base clock, log *slog.Logger) *archive {
 	if r.Folder == "" {
 		return nil
 	}
@@ -67,7 +67,7 @@
 	return a
 }
 
-func (a *archive) recall(folder vault.Folder, r operator.Retention, c *charter, core *governor.Core, x *exchange.Exchange, base clock) {
+func (a *archive) recall(folder vault.Folder, r operator.Retention, c *configuration, core *governor.Core, x *exchange.Exchange, base clock) {
 	g, found, refused, err := vault.Latest(folder)
 	if a.refuse = len(refused); err != nil {
 		a.log.Warn("state cannot be read", "folder", r.Folder, "error", err)
@@ -86,7 +86,7 @@
 		return
 	}
 	age := g.Memory.Taken.Age(vault.Now())
-	m, dropped := memory.Fit(g.Memory, governor.NewCensus(c.names, c.provision).Place(), age, r.HalfLife.Nanoseconds())
+	m, dropped := memory.Fit(g.Memory, governor.NewCensus(c.names, c.settings).Place(), age, r.HalfLife.Nanoseconds())
 	if m.Lists(c.known.Revision, age) {
 		c.known = governor.ListFrom(m)
 	}
@@ -131,12 +131,12 @@
 }
 
 // stateCommand shows, checks and moves what was kept.
-func stateCommand(t *told, out io.Writer) *cli.Command {
+func stateCommand(opts *options, out io.Writer) *cli.Command {
 	where := func(cmd *cli.Command, k int) (string, error) {
 		if at := cmd.Args().Get(k); at != "" {
 			return at, nil
 		}
-		book, err := operator.Read(t.operator)
+		book, err := operator.Read(opts.operator)
 		if err == nil && book.State.Folder == "" {
 			err = errors.New("no folder: name one, or the operator file that sets state.folder (--operator)")
 		}
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -17,22 +17,25 @@
 	"lilacbend/internal/operator"
 	"lilacbend/internal/resp"
 	"lilacbend/internal/vault"
+	"lilacbend/lab/peers"
 )
 
-func stateful(t *testing.T, folder string) charter {
-	c := exampleCharter(t, free(t))
-	c.rules = operator.Rulebook{State: operator.Retention{Folder: folder, Every: 20 * time.Millisecond, HalfLife: time.Minute, Keep: 2}}
+func stateful(t *testing.T, folder string) configuration {
+	c := exampleConfiguration(t, peers.Free(t))
+	c.operator = operator.Rulebook{State: operator.Retention{Folder: folder, Every: 20 * time.Millisecond, HalfLife: time.Minute, Keep: 2}}
 	return c
 }
 
 // start serves until stop is called, which waits for the end.
-func start(t *testing.T, c charter) (out *lines, stop func()) { return startWith(t, c, reload{}) }
+func start(t *testing.T, c configuration) (out *lines, stop func()) {
+	return startWith(t, c, reloader{})
+}
 
-func startWith(t *testing.T, c charter, again reload) (out *lines, stop func()) {
+func startWith(t *testing.T, c configuration, reload reloader) (out *lines, stop func()) {
 	out = &lines{}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- serve(ctx, c, again, slog.New(slog.NewTextHandler(out, nil))) }()
+	go func() { ended <- serve(ctx, c, reload, slog.New(slog.NewTextHandler(out, nil))) }()
 	for range 500 {
 		if conn, err := net.Dial("tcp", c.listen); err == nil {
 			conn.Close()
@@ -85,7 +88,7 @@
 	if !out.has("no state to begin with") || !out.has("state.failed=0") {
 		t.Errorf("first: %s", out)
 	}
-	c.listen = free(t)
+	c.listen = peers.Free(t)
 	out, stop = start(t, c)
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
@@ -102,7 +105,7 @@
 			t.Fatalf("told %q %v", heard, err)
 		}
 	}
-	other, end := start(t, func() charter { second := c; second.listen = free(t); return second }())
+	other, end := start(t, func() configuration { second := c; second.listen = peers.Free(t); return second }())
 	if end(); !other.has("state is neither read nor kept") || !other.has(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
 		t.Errorf("two on one folder: %s", other)
 	}
@@ -121,11 +124,11 @@
 		"state-0000000000000004.lbs": {string(whole[:60]), "damaged"},
 		"unrelated":                  {"x", "no state to begin with"},
 	} {
-		ch := stateful(t, t.TempDir())
-		os.Chmod(ch.rules.State.Folder, 0o700)
-		file := filepath.Join(ch.rules.State.Folder, name)
+		started := stateful(t, t.TempDir())
+		os.Chmod(started.operator.State.Folder, 0o700)
+		file := filepath.Join(started.operator.State.Folder, name)
 		os.WriteFile(file, []byte(c.raw), 0o600)
-		out, stop := start(t, ch)
+		out, stop := start(t, started)
 		stop()
 		if !out.has(c.says) || c.raw != "x" && !out.has(name) {
 			t.Errorf("%s: %s", name, out)
@@ -140,10 +143,10 @@
 func TestSignalsDuringWrites(t *testing.T) {
 	for range 2 {
 		c := stateful(t, t.TempDir())
-		os.Chmod(c.rules.State.Folder, 0o700)
-		c.rules.State.Every = time.Millisecond
+		os.Chmod(c.operator.State.Folder, 0o700)
+		c.operator.State.Every = time.Millisecond
 		hangups := make(chan os.Signal)
-		out, stop := startWith(t, c, reload{hangups, told{file: "../../example/config.json"}})
+		out, stop := startWith(t, c, reloader{hangups, options{file: "../../example/config.json"}})
 		for range 20 {
 			syscall.Kill(os.Getpid(), syscall.SIGUSR1)
 			hangups <- syscall.SIGHUP
@@ -152,7 +155,7 @@
 		if stop(); !out.has("read again") || !out.has("msg=counters") {
 			t.Errorf("%s", out)
 		}
-		whole, refused, err := vault.Survey(vault.Folder(c.rules.State.Folder))
+		whole, refused, err := vault.Survey(vault.Folder(c.operator.State.Folder))
 		if len(whole) != 2 || len(refused) != 0 || err != nil {
 			t.Errorf("%d whole, refused %v, %v", len(whole), refused, err)
 		}
@@ -170,7 +173,7 @@
 	os.WriteFile(file, paper, 0o600)
 	run := func(args ...string) (string, error) {
 		var out bytes.Buffer
-		cmd := stateCommand(&told{}, &out)
+		cmd := stateCommand(&options{}, &out)
 		err := cmd.Run(context.Background(), append([]string{"state"}, args...))
 		return out.String(), err
 	}
