--- /dev/null
+++ b/internal/configstore/store_test.go
@@ -0,0 +1,280 @@
+package configstore
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"lilacbend/internal/configapi"
+	"lilacbend/internal/revision"
+)
+
+// object passes whatever is a JSON object without the key "bad".
+func object(settings []byte) error {
+	var o map[string]any
+	if err := json.Unmarshal(settings, &o); err != nil {
+		return err
+	}
+	if _, bad := o["bad"]; bad {
+		return errors.New("setting bad is bad")
+	}
+	return nil
+}
+
+func writer(t testing.TB, epoch uint64) *Store {
+	s := New(object)
+	if err := s.Begin(epoch, 0); err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+func put(t testing.TB, s *Store, name, settings string) {
+	t.Helper()
+	if _, err := s.Put(name, []byte(settings), 0); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func version(epoch, number uint64) revision.Version {
+	return revision.Version{Epoch: epoch, Revision: number}
+}
+
+// Only settings that pass and differ get a revision; what is refused leaves the last good ones in place.
+func TestARevisionIsGivenToWhatPassesAndDiffers(t *testing.T) {
+	s := writer(t, 5)
+	for k, step := range []struct {
+		name, settings string
+		changed        bool
+		says           string
+		revision       uint64
+	}{
+		{"orders", `{"a": 1}`, true, "", 1},
+		{"orders", `{"a":1}`, false, "", 1}, // the same, written otherwise
+		{"orders", `{"a": 1, "bad": 2}`, false, "setting bad is bad", 1},
+		{"orders", `{"a": 1`, false, "unexpected end", 1},
+		{"orders", ``, false, "unexpected end", 1},
+		{"payouts", `{"b": 1}`, true, "", 2},
+		{"orders", `{"a": 2}`, true, "", 3},
+		{"", `{}`, false, "no name of a service", 3},
+		{".hidden", `{}`, false, "begins with a dot", 3},
+		{"a/b", `{}`, false, "no name of a service", 3},
+		{strings.Repeat("x", 129), `{}`, false, "129 bytes", 3},
+		{"large", `{"x":"` + strings.Repeat("x", SettingsMax) + `"}`, false, "at most 1048576", 3},
+	} {
+		changed, err := s.Put(step.name, []byte(step.settings), 0)
+		if changed != step.changed || (err != nil) != (step.says != "") || err != nil && !strings.Contains(err.Error(), step.says) || s.Version() != version(5, step.revision) {
+			t.Errorf("step %d: changed %v, %v, %s", k, changed, err, s.Version())
+		}
+	}
+	a, result := s.Answer(configapi.Query{Service: "orders"}, 0)
+	if result != News || string(a.Services[0].Settings) != `{"a":2}` || a.Version != version(5, 3) || !a.Complete {
+		t.Errorf("%+v %v", a.Services, result)
+	}
+	if !s.Remove("orders") || s.Remove("orders") || s.Version() != version(5, 4) {
+		t.Errorf("removed: %s", s.Version())
+	}
+}
+
+// What a follower is told depends on what it has: nothing, a change, or a whole copy.
+func TestWhatAFollowerIsTold(t *testing.T) {
+	s := writer(t, 5)
+	put(t, s, "orders", `{"a":1}`)  // 5.1
+	put(t, s, "payouts", `{"b":1}`) // 5.2
+	put(t, s, "stock", `{"c":1}`)   // 5.3
+	s.Remove("payouts")             // 5.4
+	put(t, s, "orders", `{"a":2}`)  // 5.5
+	for _, c := range []struct {
+		query    configapi.Query
+		result   Result
+		complete bool
+		services string
+		version  revision.Version
+	}{
+		{configapi.Query{Service: "orders"}, News, true, "orders", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(5, 1)}, News, false, "orders", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(5, 5)}, Current, false, "", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(5, 1), Refused: version(5, 5)}, Current, false, "", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(4, 900)}, News, true, "orders", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(6, 1)}, Current, false, "", version(5, 5)}, // who is ahead is told nothing older
+		{configapi.Query{Service: "payouts"}, Unknown, false, "", version(0, 0)},
+		{configapi.Query{Service: "stock", Since: version(5, 3)}, Current, false, "", version(5, 3)}, // others' changes are no news
+		{configapi.Query{}, News, true, "orders,stock", version(5, 5)},
+		{configapi.Query{Since: version(5, 3)}, News, false, "orders,-payouts", version(5, 5)},
+		{configapi.Query{Since: version(5, 4)}, News, false, "orders", version(5, 5)},
+		{configapi.Query{Since: version(5, 5)}, Current, false, "", version(5, 5)},
+		{configapi.Query{Since: version(4, 5)}, News, true, "orders,stock", version(5, 5)},
+	} {
+		a, result := s.Answer(c.query, 0)
+		var names []string
+		for _, service := range a.Services {
+			if service.Removed {
+				service.Name = "-" + service.Name
+			}
+			names = append(names, service.Name)
+		}
+		if result != c.result || a.Complete != c.complete || strings.Join(names, ",") != c.services || a.Version != c.version {
+			t.Errorf("%+v: %v, complete %v, %v, %s", c.query, result, a.Complete, names, a.Version)
+		}
+		if err := a.Check(c.query); result != Unknown && err != nil {
+			t.Errorf("%+v: %v", c.query, err)
+		}
+	}
+}
+
+// A server that was restored begins a later epoch: its lower revisions outrank the higher ones of the epoch before.
+func TestARestoredServerOutranksItsOwnPast(t *testing.T) {
+	s := writer(t, 5)
+	put(t, s, "orders", `{"a":1}`)
+	backup := s.Snapshot()
+	for k := range 9 {
+		put(t, s, "orders", fmt.Sprintf(`{"a":%d}`, 10+k))
+	}
+	ahead := configapi.Query{Service: "orders", Since: s.Version()}
+
+	restored := New(object)
+	if _, err := restored.Merge(backup, 0); err != nil {
+		t.Fatal(err)
+	}
+	if _, result := restored.Answer(ahead, 0); result != Current {
+		t.Errorf("a backup of the same epoch serves an older revision: %v", result)
+	}
+	if err := restored.Begin(5, 0); err == nil {
+		t.Error("the same epoch began twice")
+	}
+	if err := restored.Begin(6, 0); err != nil {
+		t.Fatal(err)
+	}
+	a, result := restored.Answer(ahead, 0)
+	if result != News || !a.Complete || a.Version != version(6, 1) || string(a.Services[0].Settings) != `{"a":1}` {
+		t.Errorf("%v %s %v", result, a.Version, a.Complete)
+	}
+	if a, result = s.Answer(configapi.Query{Service: "orders", Since: version(6, 1)}, 0); result != Current {
+		t.Errorf("the server of the epoch before goes on to serve %s", a.Version)
+	}
+}
+
+// A writer that has lost its count sees it by its first follower; one that is followed sees another writer.
+func TestALaterEpochAtAFollower(t *testing.T) {
+	s := writer(t, 5)
+	if got := s.Observe(version(5, 0)); got != NoRival {
+		t.Errorf("own epoch: %v", got)
+	}
+	if got := s.Observe(version(6, 1)); got != Another {
+		t.Errorf("a later epoch, followed: %v", got)
+	}
+	s = writer(t, 5)
+	for _, v := range []revision.Version{{}, version(4, 9)} {
+		if got := s.Observe(v); got != NoRival {
+			t.Errorf("%s: %v", v, got)
+		}
+	}
+	if got := s.Observe(version(6, 1)); got != LostCount {
+		t.Errorf("a later epoch, not followed: %v", got)
+	}
+	if err := s.Begin(revision.Max+1, 0); err == nil {
+		t.Error("an epoch out of range began")
+	}
+}
+
+func TestAnswersThatAreNotMerged(t *testing.T) {
+	s := writer(t, 5)
+	put(t, s, "orders", `{"a":1}`)
+	put(t, s, "orders", `{"a":2}`)
+	before, _ := json.Marshal(s.Snapshot())
+	update := func(name string, size int) configapi.Service {
+		return configapi.Service{Name: name, Version: version(5, 3), Settings: json.RawMessage(strings.Repeat(" ", size))}
+	}
+	for says, a := range map[string]configapi.Answer{
+		"is older than":        {Version: version(5, 1), Complete: true},
+		"4.900 is older than":  {Version: version(4, 900), Complete: true},
+		"changes of epoch 6":   {Version: version(6, 1)},
+		"no name of a service": {Version: version(5, 3), Services: []configapi.Service{update("a/b", 1)}},
+		"bytes in all":         {Version: version(5, 3), Services: []configapi.Service{update("x", BytesMax)}},
+	} {
+		if _, err := s.Merge(a, 0); err == nil || !strings.Contains(err.Error(), says) {
+			t.Errorf("%s: %v", says, err)
+		}
+		if after, _ := json.Marshal(s.Snapshot()); string(after) != string(before) {
+			t.Errorf("%s: it changed something", says)
+		}
+	}
+	if changed, err := s.Merge(configapi.Answer{Version: version(5, 2)}, 0); err != nil || changed != nil {
+		t.Errorf("nothing new: %v %v", changed, err)
+	}
+}
+
+// Followers that merge what they are told, in steps that skip any number of revisions, hold at each of them exactly
+// what the writer held, through removals, epochs and forgotten removals.
+func TestFollowersHoldWhatTheWriterHeld(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s, followers := New(object), []*Store{New(object), New(object), New(object)}
+		if err := s.Begin(1, 0); err != nil {
+			t.Fatal(err)
+		}
+		names := []string{"a", "b", "c", "d", "e"}
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			name := rapid.SampledFrom(names).Draw(t, "name")
+			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			case 0:
+				s.Remove(name)
+			case 1:
+				if err := s.Begin(s.Version().Epoch+1, 0); err != nil {
+					t.Fatal(err)
+				}
+			case 2:
+				s.compacted = s.version.Revision
+				clear(s.removed)
+			case 3, 4, 5:
+				if _, err := s.Put(name, fmt.Appendf(nil, `{"v":%d}`, rapid.IntRange(0, 9).Draw(t, "value")), 0); err != nil {
+					t.Fatal(err)
+				}
+			default:
+				k := rapid.IntRange(0, len(followers)-1).Draw(t, "follower")
+				from := s
+				if k > 0 && rapid.Bool().Draw(t, "of another follower") {
+					from = followers[0]
+				}
+				f := followers[k]
+				a, result := from.Answer(configapi.Query{Since: f.Version()}, 0)
+				before := f.Version()
+				if _, err := f.Merge(a, 0); err != nil && result == News {
+					t.Fatal(err)
+				}
+				if before.Newer(f.Version()) {
+					t.Fatalf("went back from %s to %s", before, f.Version())
+				}
+				if from.Version() == f.Version() {
+					want, _ := json.Marshal(from.Snapshot().Services)
+					if got, _ := json.Marshal(f.Snapshot().Services); string(got) != string(want) {
+						t.Fatalf("at %s: has %s, want %s", f.Version(), got, want)
+					}
+				} else if result == News {
+					t.Fatalf("was told of %s and is at %s", from.Version(), f.Version())
+				}
+			}
+		}
+	})
+}
+
+func TestForgottenRemovalsAskForAWholeCopy(t *testing.T) {
+	s := writer(t, 1)
+	put(t, s, "kept", `{}`)
+	since := s.Version()
+	for k := range removedMax + 1 {
+		name := fmt.Sprintf("s-%d", k)
+		put(t, s, name, `{}`)
+		s.Remove(name)
+	}
+	if a, _ := s.Answer(configapi.Query{Since: since}, 0); !a.Complete || len(a.Services) != 1 || len(s.removed) != removedMax {
+		t.Errorf("complete %v, %d services, %d removals kept", a.Complete, len(a.Services), len(s.removed))
+	}
+	if !slices.Equal(s.Names(), []string{"kept"}) {
+		t.Errorf("%v", s.Names())
+	}
+}
