--- /dev/null
+++ b/internal/configclient/client.go
@@ -0,0 +1,282 @@
+// Package configclient is what a follower of configuration servers decides: which server it asks next and when, and which
+// answers count. Followers are governors, which follow one service, and servers, which follow all. It has no I/O, no clock
+// and no goroutine: times (nanoseconds of any one clock) and events go in, commands come out, chance is drawn from a seed.
+package configclient
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"time"
+
+	"lilacbend/control"
+	"lilacbend/internal/configapi"
+	"lilacbend/internal/revision"
+)
+
+const (
+	// A failed server is tried again after retryFirst, then after twice as long each time, up to retryMost: a
+	// network that heals is noticed within retryMost.
+	retryFirst, retryMost = 100 * time.Millisecond, 3 * time.Second
+	// While another server answers, one that has failed is left alone for longer, up to returnMost.
+	returnFirst, returnMost = 5 * time.Second, time.Minute
+	// A server that has not heard of the writer for so long is stale: others are tried, though it is followed on as long as
+	// there is none better. Servers watch each other for ServerWait at a time, so two of them in a row may take twice that.
+	staleAfter = 3 * ServerWait
+	// Between two tries after failures there is a pause, from pauseFirst up to pauseMost: the followers of a server that
+	// fails come to the others spread out, and where all fail nobody tries them without rest.
+	pauseFirst, pauseMost = 250 * time.Millisecond, time.Second
+	// So many times in a row a busy server is waited for before others are tried.
+	busyMost = 3
+)
+
+// How long a server may wait for news before it answers that there are none: as long as it may take until a connection
+// is noticed that has died without a word, and as often as a follower speaks when there is nothing new.
+const (
+	GovernorWait = 5 * time.Second
+	ServerWait   = 2 * time.Second
+)
+
+// Options say who a follower is.
+type Options struct {
+	Instance string
+	Service  string // empty: all services, for a server
+	Region   string
+	Zone     string
+	Servers  []Server
+	Seed     uint64
+	Wait     time.Duration // 0: GovernorWait or, for all services, ServerWait
+}
+
+// Ask is the command to send a query to a server, no sooner than At.
+type Ask struct {
+	At     int64
+	Server Server
+	Query  configapi.Query
+}
+
+// Client is the state of one follower.
+type Client struct {
+	options  Options
+	servers  []*server // in the order in which they are preferred
+	asked    *server   // the one whose answer is awaited, or that answered last
+	draws    uint64
+	earliest int64 // nobody is asked before
+	misses   int   // failures in a row, whoever was asked
+
+	inForce  revision.Version
+	settings []byte // those in force
+	refused  revision.Version
+	offered  revision.Version // handed on, no verdict yet
+}
+
+// server is what is known of one server.
+type server struct {
+	Server
+	failures int   // in a row
+	busy     int   // in a row
+	retryAt  int64 // not asked before, whatever else
+	returnAt int64 // not asked before where another one answers
+	stale    int   // answers in a row by a server that has not heard of the writer for long, or is behind the follower
+}
+
+// New makes a follower that has nothing in force.
+func New(o Options) (*Client, error) {
+	if len(o.Servers) == 0 {
+		return nil, errors.New("there is no server to follow")
+	}
+	if o.Wait == 0 {
+		if o.Wait = GovernorWait; o.Service == "" {
+			o.Wait = ServerWait
+		}
+	}
+	c := &Client{options: o}
+	for _, s := range Order(o.Instance, o.Region, o.Servers) {
+		c.servers = append(c.servers, &server{Server: s})
+	}
+	return c, nil
+}
+
+// Servers are the servers in the order in which they are preferred.
+func (c *Client) Servers() (all []Server) {
+	for _, s := range c.servers {
+		all = append(all, s.Server)
+	}
+	return all
+}
+
+// InForce is the version in force.
+func (c *Client) InForce() revision.Version { return c.inForce }
+
+// held is the newest version that the follower need not be told of again.
+func (c *Client) held() revision.Version {
+	return revision.Latest(c.inForce, revision.Latest(c.refused, c.offered))
+}
+
+// Next says whom to ask next, when and what.
+func (c *Client) Next(now int64) Ask {
+	s, at := c.choose(now)
+	c.asked = s
+	at = max(at, c.earliest, now)
+	return Ask{At: at, Server: s.Server, Query: configapi.Query{Service: c.options.Service, Since: c.inForce, Refused: c.refused,
+		Timeout: c.wait(s, at), Instance: c.options.Instance, Zone: c.options.Zone, Region: c.options.Region}}
+}
+
+// choose picks the first server that is well; else the first failed one that is due; else one that is stale, as it
+// answers at least; else the one that is due soonest.
+func (c *Client) choose(now int64) (*server, int64) {
+	for _, s := range c.servers {
+		well := s.failures == 0 && s.stale == 0
+		if s.retryAt <= now && (well || s.returnAt <= now) {
+			return s, now
+		}
+	}
+	for _, stale := range []bool{false, true} {
+		for _, s := range c.servers {
+			if (s.stale > 0) == stale && s.retryAt <= now {
+				return s, now
+			}
+		}
+	}
+	soonest := c.servers[0]
+	for _, s := range c.servers[1:] {
+		if s.retryAt < soonest.retryAt {
+			soonest = s
+		}
+	}
+	return soonest, soonest.retryAt
+}
+
+// wait is for how long a server may wait for news: while it is stale no longer than until another one is due.
+func (c *Client) wait(s *server, at int64) time.Duration {
+	if c.inForce.IsZero() && c.refused.IsZero() {
+		return 0 // whatever it has is news
+	}
+	wait := c.options.Wait
+	if s.stale == 0 {
+		return wait
+	}
+	for _, other := range c.servers {
+		if due := time.Duration(other.retryAt - at); other != s && other.stale == 0 {
+			wait = min(wait, max(due, retryFirst))
+		}
+	}
+	return wait
+}
+
+// Failed tells that the server that was asked gave no answer of use.
+func (c *Client) Failed(now int64) {
+	s := c.asked
+	c.misses++
+	s.failures, s.stale, s.busy = s.failures+1, 0, 0
+	s.retryAt = now + int64(c.jitter(backoff(retryFirst, retryMost, s.failures)))
+	s.returnAt = now + int64(c.jitter(backoff(returnFirst, returnMost, s.failures)))
+	c.earliest = now + int64(c.jitter(backoff(pauseFirst, pauseMost, c.misses)))
+}
+
+// Busy tells that the server that was asked has no room now and says when to come back; 0: it does not say.
+func (c *Client) Busy(now int64, retryAfter time.Duration) {
+	s := c.asked
+	if s.busy++; s.busy > busyMost {
+		c.Failed(now)
+		return
+	}
+	retryAfter = min(max(retryAfter, retryFirst), returnMost)
+	c.earliest = now + int64(retryAfter) + int64(c.chance()*float64(retryAfter)/4)
+}
+
+// Unknown tells that the server that was asked has no such service: another one may.
+func (c *Client) Unknown(now int64) {
+	c.Failed(now)
+}
+
+// Answered takes an answer of the server that was asked. Offer says that it brings something to be put in force, about
+// which Applied or Refused has to be told. An error means that it is of no use.
+func (c *Client) Answered(now int64, a configapi.Answer) (offer bool, err error) {
+	s := c.asked
+	s.failures, s.busy, c.misses = 0, 0, 0
+	c.judge(s, a, now)
+	if !a.Version.Newer(c.held()) {
+		return false, nil
+	}
+	if err := c.usable(a); err != nil {
+		return false, err
+	}
+	if c.options.Service != "" && bytes.Equal(a.Services[0].Settings, c.settings) && !c.inForce.IsZero() {
+		c.inForce = a.Version // another name for what is in force
+		c.settle(a.Version)
+		return false, nil
+	}
+	c.offered = a.Version
+	return true, nil
+}
+
+// judge notes whether a server that answers is worth staying with.
+func (c *Client) judge(s *server, a configapi.Answer, now int64) {
+	behind := c.held().Newer(a.Version)
+	if !behind && time.Duration(a.AgeMS)*time.Millisecond <= staleAfter {
+		s.stale, s.returnAt = 0, 0
+		return
+	}
+	s.stale++
+	s.returnAt = now + int64(c.jitter(backoff(returnFirst, returnMost, s.stale)))
+}
+
+// usable says whether an answer that is newer brings what it has to.
+func (c *Client) usable(a configapi.Answer) error {
+	switch {
+	case !a.Complete && a.Epoch != c.inForce.Epoch:
+		return fmt.Errorf("changes of epoch %d where %s is in force", a.Epoch, c.inForce)
+	case c.options.Service == "":
+		return nil
+	case len(a.Services) != 1 || a.Services[0].Removed:
+		return fmt.Errorf("version %s without settings of %s", a.Version, c.options.Service)
+	case a.Services[0].Version != a.Version:
+		return fmt.Errorf("settings of version %s in an answer of version %s", a.Services[0].Version, a.Version)
+	}
+	return nil
+}
+
+// Applied tells that what was offered is in force.
+func (c *Client) Applied(v revision.Version, settings []byte) {
+	if v.Newer(c.inForce) {
+		c.inForce, c.settings = v, settings
+	}
+	c.settle(v)
+}
+
+// Refused tells that what was offered cannot be used: what is in force stays.
+func (c *Client) Refused(v revision.Version) {
+	c.refused = revision.Latest(c.refused, v)
+	c.settle(v)
+}
+
+func (c *Client) settle(v revision.Version) {
+	if !c.offered.Newer(v) {
+		c.offered = revision.Version{}
+	}
+	if !c.refused.Newer(c.inForce) {
+		c.refused = revision.Version{}
+	}
+}
+
+// Pending says that an offer awaits its verdict: until then nothing is asked.
+func (c *Client) Pending() bool { return !c.offered.IsZero() }
+
+// backoff grows from first, twice as long with each failure, to most.
+func backoff(first, most time.Duration, failures int) time.Duration {
+	for ; failures > 1 && first < most; failures-- {
+		first *= 2
+	}
+	return min(first, most)
+}
+
+// jitter draws from half of a time to all of it.
+func (c *Client) jitter(d time.Duration) time.Duration {
+	return d/2 + time.Duration(c.chance()*float64(d/2))
+}
+
+func (c *Client) chance() float64 {
+	c.draws++
+	return control.Chance(c.options.Seed, c.draws)
+}
