--- a/cmd/lilacbend/config.go
+++ b/cmd/lilacbend/config.go
@@ -140,21 +140,11 @@
 }
 
 // decodeSettings decodes the settings; the seed has to be decoded before.
-func decodeSettings(c *configuration, file configurationFile) error {
-	values, err := settings.ParseJSON(file.Settings)
+func decodeSettings(c *configuration, file configurationFile) (err error) {
+	c.names, c.settings, err = settings.Load(file.Settings, c.seed)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.settings, err = values.Decode(c.seed)
-	if err != nil {
-		return fmt.Errorf("settings: %w", err)
-	}
-	c.names, err = values.Names()
-	if err != nil {
-		return fmt.Errorf("settings: %w", err)
-	}
-	c.settings.Kinds++          // one more for kinds that the settings do not name
-	c.settings.HostHolds = true // the core does, by the channel's account
 	return nil
 }
 
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -44,6 +44,7 @@
 	Region   string
 	Zone     string
 	Servers  []Server
+	Ordered  bool // Servers stand in the order in which they are preferred, as a writer goes before its other followers
 	Seed     uint64
 	Wait     time.Duration // 0: GovernorWait or, for all services, ServerWait
 }
@@ -91,7 +92,11 @@
 		}
 	}
 	c := &Client{options: o}
-	for _, s := range Order(o.Instance, o.Region, o.Servers) {
+	order := o.Servers
+	if !o.Ordered {
+		order = Order(o.Instance, o.Region, o.Servers)
+	}
+	for _, s := range order {
 		c.servers = append(c.servers, &server{Server: s})
 	}
 	return c, nil
--- a/internal/configstore/watch.go
+++ b/internal/configstore/watch.go
@@ -39,7 +39,7 @@
 
 func (s *Store) all(q configapi.Query, now int64) (configapi.Answer, Result) {
 	a := configapi.Answer{Version: s.version, AgeMS: milliseconds(s.Age(now)), Services: []configapi.Service{}}
-	if !s.version.Newer(q.Since) {
+	if !s.version.Newer(revision.Latest(q.Since, q.Refused)) {
 		return a, Current
 	}
 	a.Complete = q.Since.Epoch != s.version.Epoch || q.Since.Revision < s.compacted
