--- /dev/null
+++ b/internal/configserver/failures_test.go
@@ -0,0 +1,123 @@
+package configserver
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"lilacbend/internal/configclient"
+	"lilacbend/lab/peers"
+)
+
+// A governor whose server is killed has the next change by another one.
+func TestAKilledServer(t *testing.T) {
+	t.Parallel()
+	folder := t.TempDir()
+	write(t, folder, "orders.json", exampleSettings(t, "first"))
+	writer := start(t, Options{Name: "s0", Folder: folder})
+	var regional []configclient.Server
+	var rigs []*rig
+	for k := range 3 {
+		r := start(t, Options{Name: fmt.Sprintf("s%d", k+1), Region: "r0", Follow: []configclient.Server{at(writer)}})
+		rigs, regional = append(rigs, r), append(regional, at(r))
+	}
+	g := follow(t, "orders", regional...)
+	g.until("first")
+	for k, class := range []string{"second", "third"} {
+		for _, r := range rigs {
+			if w := r.Status().Watchers; len(w) == 1 && w[0].HeardMS < 6000 && r.Status().Counters.Connections == 1 {
+				r.http.Close() // its connections are reset, and nobody listens there any more
+				r.stop()
+				break
+			}
+		}
+		write(t, folder, "orders.json", exampleSettings(t, class))
+		g.until(class)
+		if k == 1 && g.Counts().Failures == 0 {
+			t.Error("no server was lost")
+		}
+	}
+}
+
+// A region that is cut off without a word goes on with what it has; once it is healed it catches up by what changed, and
+// its governors have a change that came meanwhile.
+func TestARegionThatIsCutOff(t *testing.T) {
+	t.Parallel()
+	folder := t.TempDir()
+	for k := range 20 {
+		write(t, folder, fmt.Sprintf("service-%d.json", k), exampleSettings(t, "first"))
+	}
+	writer := start(t, Options{Name: "s0", Folder: folder})
+	way := newGate(t, writer.Address())
+	away := start(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{{Address: way.Addr().String(), Region: "r0"}}})
+	g := follow(t, "service-3", at(away))
+	g.until("first")
+	copies := writer.Status().Counters.Copies
+	way.set(true)
+	write(t, folder, "service-3.json", exampleSettings(t, "second"))
+	peers.Until(t, "the writer does not change", func() bool { return writer.Version().Revision == 21 })
+	late := follow(t, "service-4", at(away)) // starts while the region is cut off
+	late.until("first")
+	peers.Until(t, "the cut is not noticed", func() bool { return away.log.count("configuration server fails") == 1 })
+	if away.Version().Revision != 20 || g.InForce().Revision == 21 {
+		t.Errorf("%s at the server, %s in force", away.Version(), g.InForce())
+	}
+	way.set(false)
+	way.close()
+	g.until("second")
+	if c := writer.Status().Counters; c.Copies != copies || c.Changes == 0 {
+		t.Errorf("caught up by a whole copy: %+v", c)
+	}
+}
+
+// Who takes its answer slowly, or not at all, is cut off, and its place for a whole copy is free again.
+func TestAFollowerThatTakesNothing(t *testing.T) {
+	t.Parallel()
+	folder := t.TempDir()
+	large := strings.Replace(string(exampleSettings(t, "first")), `"domain"`, fmt.Sprintf(`"remark": %q, "domain"`, strings.Repeat("x", 900<<10)), 1)
+	for k := range 8 {
+		write(t, folder, fmt.Sprintf("service-%d.json", k), []byte(large))
+	}
+	writer := start(t, Options{Name: "s0", Folder: folder, Copies: 1})
+	peers.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 8 })
+	conn, err := net.Dial("tcp", writer.Address())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+	fmt.Fprint(conn, "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n") // 7 MB, and nothing is read
+	peers.Until(t, "it gets no copy", func() bool { return writer.Status().Counters.Copies == 1 })
+	g := follow(t, "service-3", at(writer))
+	peers.Until(t, "nobody is sent away", func() bool { return g.Counts().SentAway > 0 })
+	g.until("first")
+	peers.Until(t, "the slow one is not cut off", func() bool { return writer.Status().Counters.WriteErrors == 1 })
+}
+
+// A herd that begins at once is served within the bounds, each by one whole copy.
+func TestAHerd(t *testing.T) {
+	t.Parallel()
+	folder := t.TempDir()
+	write(t, folder, "orders.json", exampleSettings(t, "first"))
+	writer := start(t, Options{Name: "s0", Folder: folder, Copies: 2})
+	const herd = 200
+	var all []*governor
+	for range herd {
+		all = append(all, follow(t, "orders", at(writer)))
+	}
+	for _, g := range all {
+		g.until("first")
+	}
+	c := writer.Status().Counters
+	if c.Copies != herd || c.Connections != herd {
+		t.Errorf("%+v", c)
+	}
+	begun := time.Now()
+	write(t, folder, "orders.json", exampleSettings(t, "second"))
+	for _, g := range all {
+		g.until("second")
+	}
+	t.Logf("%d sent away; a change in force at %d after %v", c.SentAway, herd, time.Since(begun))
+}
--- /dev/null
+++ b/internal/configserver/file.go
@@ -0,0 +1,91 @@
+package configserver
+
+import (
+	"net"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"lilacbend/internal/configclient"
+	"lilacbend/internal/form"
+)
+
+// Bounds of what a server's file may say.
+const (
+	pollLeast, pollMost = 100 * time.Millisecond, time.Hour
+	connectionsMost     = 1 << 20
+	copiesMost          = 1 << 14
+)
+
+// ReadFile reads the file of a server, strictly. The error names file, line and key of all that is wrong.
+func ReadFile(file string) (Options, error) {
+	raw, err := form.Open(file)
+	if err != nil {
+		return Options{}, err
+	}
+	return ParseFile(file, raw)
+}
+
+// ParseFile reads the bytes of a server's file.
+func ParseFile(file string, raw []byte) (Options, error) {
+	f, top, err := form.Parse(file, raw)
+	if err != nil {
+		return Options{}, err
+	}
+	o := Options{PollEvery: PollUsual, Connections: ConnectionsUsual, Copies: CopiesUsual}
+	top.Text("name", &o.Name)
+	top.Text("region", &o.Region)
+	top.Text("listen", &o.Listen)
+	top.Text("folder", &o.Folder)
+	top.Text("state", &o.StateFile)
+	top.Duration("poll", &o.PollEvery, pollLeast, pollMost)
+	top.Whole("connections", &o.Connections, 1, connectionsMost)
+	top.Whole("copies", &o.Copies, 1, copiesMost)
+	o.Follow = Servers(top, "follow")
+	if _, _, err := net.SplitHostPort(o.Listen); err != nil {
+		top.Fault("listen", "is %.40q, want an address of host and port", o.Listen)
+	}
+	switch {
+	case o.Folder == "" && !top.Has("follow"):
+		top.Fault("", "lacks folder or follow: a writer reads a folder, all others follow servers")
+	case o.Folder != "" && top.Has("follow"):
+		top.Fault("follow", "is given beside folder: a writer follows nobody")
+	}
+	o.Folder, o.StateFile = beside(file, o.Folder), beside(file, o.StateFile)
+	top.Done()
+	if err := f.Err(); err != nil {
+		return Options{}, err
+	}
+	return o, nil
+}
+
+// Servers reads a list of servers.
+func Servers(s *form.Section, key string) (all []configclient.Server) {
+	known := map[string]bool{}
+	for _, one := range s.Sections(key) {
+		var server configclient.Server
+		one.Text("address", &server.Address)
+		one.Text("region", &server.Region)
+		if _, _, err := net.SplitHostPort(server.Address); err != nil {
+			one.Fault("address", "is %.40q, want an address of host and port", server.Address)
+		}
+		if known[server.Address] {
+			one.Fault("address", "%s is there twice", server.Address)
+		}
+		known[server.Address] = true
+		one.Done()
+		all = append(all, server)
+	}
+	if s.Has(key) && len(all) == 0 {
+		s.Fault(key, "names no server")
+	}
+	return all
+}
+
+// beside has a relative path begin at the folder of a file.
+func beside(file, path string) string {
+	if strings.TrimSpace(path) == "" || filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(filepath.Dir(file), path)
+}
--- /dev/null
+++ b/internal/configserver/rig_test.go
@@ -0,0 +1,236 @@
+package configserver
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"lilacbend/internal/configclient"
+	"lilacbend/internal/configwatch"
+	"lilacbend/internal/revision"
+	"lilacbend/lab/peers"
+)
+
+// journal is a log that is read while it is written.
+type journal struct {
+	mu   sync.Mutex
+	text bytes.Buffer
+}
+
+func (j *journal) Write(b []byte) (int, error) {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	return j.text.Write(b)
+}
+
+func (j *journal) count(text string) int {
+	j.mu.Lock()
+	defer j.mu.Unlock()
+	return strings.Count(j.text.String(), text)
+}
+
+// rig is a running server.
+type rig struct {
+	*Server
+	t    testing.TB
+	log  *journal
+	stop func()
+}
+
+func start(t testing.TB, o Options) *rig {
+	t.Helper()
+	r := &rig{t: t, log: &journal{}}
+	o.Log = slog.New(slog.NewTextHandler(r.log, nil))
+	if o.Listen == "" {
+		o.Listen = "127.0.0.1:0"
+	}
+	if o.PollEvery == 0 {
+		o.PollEvery = 20 * time.Millisecond
+	}
+	var err error
+	if r.Server, err = New(o); err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- r.Run(ctx) }()
+	var once sync.Once
+	r.stop = func() {
+		once.Do(func() {
+			begun := time.Now()
+			cancel()
+			select {
+			case err := <-ended:
+				if span := time.Since(begun); err != nil || span > 2*partingMost {
+					t.Errorf("%s ended after %v: %v", o.Name, span, err)
+				}
+			case <-time.After(peers.Patience):
+				t.Errorf("%s does not end", o.Name)
+			}
+		})
+	}
+	t.Cleanup(r.stop)
+	return r
+}
+
+// exampleSettings are the example's, with another name of its first traffic class.
+func exampleSettings(t testing.TB, class string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile("../../example/config.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var file struct{ Settings json.RawMessage }
+	if err := json.Unmarshal(raw, &file); err != nil {
+		t.Fatal(err)
+	}
+	return bytes.Replace(file.Settings, []byte(`"lookup"`), []byte(fmt.Sprintf("%q", class)), 1)
+}
+
+func write(t testing.TB, folder, name string, raw []byte) {
+	t.Helper()
+	at := filepath.Join(folder, name)
+	if err := os.WriteFile(at+".new", raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(at+".new", at); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// governor is a follower of one service that puts everything in force but what names the class "refused".
+type governor struct {
+	*configwatch.Watcher
+	t    testing.TB
+	mu   sync.Mutex
+	seen []revision.Version
+	has  string
+}
+
+func follow(t testing.TB, service string, servers ...configclient.Server) *governor {
+	t.Helper()
+	g := &governor{t: t}
+	var err error
+	g.Watcher, err = configwatch.New(configwatch.Options{Instance: "n0", Service: service, Region: "r0", Zone: "a", Servers: servers, Seed: 1, Offer: g.offer})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() { defer close(ended); g.Run(ctx) }()
+	t.Cleanup(func() { cancel(); <-ended })
+	return g
+}
+
+func (g *governor) offer(v revision.Version, settings []byte) {
+	g.mu.Lock()
+	if len(g.seen) > 0 && !v.Newer(g.seen[len(g.seen)-1]) {
+		g.t.Errorf("%s is offered after %s", v, g.seen[len(g.seen)-1])
+	}
+	g.seen = append(g.seen, v)
+	refuse := bytes.Contains(settings, []byte(`"refused"`))
+	if !refuse {
+		g.has = string(settings)
+	}
+	g.mu.Unlock()
+	if refuse {
+		g.Refused(v, fmt.Errorf("setting lanes.0.name is refused"))
+	} else {
+		g.Applied(v)
+	}
+}
+
+// until waits until a class is in force.
+func (g *governor) until(class string) {
+	g.t.Helper()
+	peers.Until(g.t, class+" is not in force", func() bool {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		return strings.Contains(g.has, fmt.Sprintf("%q", class))
+	})
+}
+
+func at(r *rig) configclient.Server { return configclient.Server{Address: r.Address(), Region: "r0"} }
+
+// gate is a way to a server that can be cut without a word: connections stay, and nothing comes through any more.
+type gate struct {
+	net.Listener
+	t  testing.TB
+	to string
+
+	mu    sync.Mutex
+	cut   bool
+	conns []net.Conn
+}
+
+func newGate(t testing.TB, to string) *gate {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	g := &gate{Listener: l, t: t, to: to}
+	go func() {
+		for {
+			conn, err := l.Accept()
+			if err != nil {
+				return
+			}
+			go g.pass(conn)
+		}
+	}()
+	t.Cleanup(func() { l.Close(); g.close() })
+	return g
+}
+
+func (g *gate) pass(from net.Conn) {
+	to, err := net.Dial("tcp", g.to)
+	if err != nil {
+		from.Close()
+		return
+	}
+	g.mu.Lock()
+	g.conns = append(g.conns, from, to)
+	g.mu.Unlock()
+	go g.copy(to, from)
+	go g.copy(from, to)
+}
+
+func (g *gate) copy(to, from net.Conn) {
+	defer to.Close()
+	buffer := make([]byte, 64<<10)
+	for {
+		n, err := from.Read(buffer)
+		if err != nil {
+			return
+		}
+		g.mu.Lock()
+		cut := g.cut
+		g.mu.Unlock()
+		if !cut {
+			to.Write(buffer[:n])
+		}
+	}
+}
+
+func (g *gate) set(cut bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.cut = cut
+}
+
+func (g *gate) close() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, conn := range g.conns {
+		conn.Close()
+	}
+}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -55,9 +55,12 @@
 	at      int64
 }
 
+// neverHeard is how old the last word of the writer is taken to be before the first one.
+const neverHeard = int64(24 * 3600 * 1e9)
+
 // New makes an empty store whose settings have to pass a check.
 func New(check Check) *Store {
-	return &Store{check: check, services: map[string]*service{}, removed: map[string]uint64{}}
+	return &Store{check: check, heard: -neverHeard, services: map[string]*service{}, removed: map[string]uint64{}}
 }
 
 // Version is that of the whole configuration.
