--- a/brain/brain.go
+++ b/brain/brain.go
@@ -531,17 +531,18 @@
 	}
 }
 
+func (l *levels) ranked() []int {
+	return slices.SortedStableFunc(numbers(len(l.Groups)), func(a, b int) int {
+		x, y := l.Groups[a], l.Groups[b]
+		return cmp.Or(cmp.Compare(y.Utility, x.Utility), cmp.Compare(x.LatencyBudget, y.LatencyBudget))
+	})
+}
+
 // judge moves the line of utility. An overloaded fleet is first let less than the most it served lately, then
 // a part less at each look, unless it eases; a calm one a bit more. It harms if answers are late for the way.
 func (l *levels) judge(f fleet, flows map[int]float64) {
 	if l.groups == nil {
-		for g := range l.Groups {
-			l.groups = append(l.groups, g)
-		}
-		slices.SortStableFunc(l.groups, func(a, b int) int {
-			x, y := l.Groups[a], l.Groups[b]
-			return cmp.Or(cmp.Compare(y.Utility, x.Utility), cmp.Compare(x.LatencyBudget, y.LatencyBudget))
-		})
+		l.groups = l.ranked()
 		l.line = float64(len(l.groups)) * (1 - l.past.Weight*(1-l.past.Line))
 	}
 	press := f.answer * float64(second) / strained / float64(l.Groups[l.groups[0]].LatencyBudget)
--- a/brain/mail.go
+++ b/brain/mail.go
@@ -128,6 +128,8 @@
 				g.post(r.box, e)
 				g.post(thePlanner, e)
 			}
+		case control.Reconfigured:
+			g.reconfigure(e)
 		case control.Keep:
 			keep = true
 		case control.Woken:
--- /dev/null
+++ b/brain/reconfigure.go
@@ -0,0 +1,207 @@
+package brain
+
+import (
+	"iter"
+	"maps"
+	"math"
+	"slices"
+
+	"lilacbend/control"
+)
+
+// This file takes over changed settings while a governor runs. It keeps what was learned and laid out, under the new
+// numbers of traffic groups, kinds and zones; tables are dealt anew, and their proxies moved by the ordinary steps, only
+// where the new settings would have dealt them otherwise. It decides nothing: how tables are dealt, proxies put on them and
+// groups ranked is said in brain.go.
+
+// reconfigure puts changed settings in force.
+func (g *Governor) reconfigure(e control.Reconfigured) {
+	p, r, l := g.boxes[thePlanner].part.(*planner), g.boxes[theRoll].part.(*roll), g.boxes[theLevels].part.(*levels)
+	before, tables := g.Provision, p.tables
+	fits := g.keepsRows(e, tables)
+	g.Provision = e.Provision
+	p.renumberKinds(e.NewKinds, before.Kinds)
+	l.renumberGroups(e.NewGroups)
+	g.boxes[thePacer].part.(*pacer).renumberGroups(e.NewGroups)
+	r.renumberZones(e.Proxies)
+	g.listed(control.Listed{Entries: e.Replicas})
+	g.settle()
+	p.same = false
+	if tables > 0 && (!fits || p.tablesUnder(before) != p.tablesUnder(e.Provision)) {
+		p.redeal(tables)
+		r.reseat(tables, p.tablesUnder(e.Provision))
+		g.settle()
+	}
+}
+
+// keepsRows says whether every replica and proxy stays in the row of tables of its zone.
+func (g *Governor) keepsRows(e control.Reconfigured, tables int) bool {
+	if tables == 0 {
+		return true
+	}
+	after := desk{Provision: e.Provision}
+	row := g.rows(tables)
+	if after.rows(tables) != row {
+		return false
+	}
+	for _, entry := range e.Replicas {
+		if r := g.replicas[entry.Replica]; r != nil && r.entry.Zone%row != entry.Zone%row {
+			return false
+		}
+	}
+	here := g.boxes[theRoll].part.(*roll).here
+	for _, joined := range e.Proxies {
+		if c := here[joined.Proxy]; c != nil && c.Zone%row != joined.Zone%row {
+			return false
+		}
+	}
+	return true
+}
+
+// tablesUnder is how many tables a start with some settings would deal.
+func (p *planner) tablesUnder(settings control.Provision) int {
+	trial := &planner{desk: &desk{Provision: settings}, offers: p.offers, own: map[uint32]int{}, laid: map[uint32]int{}}
+	trial.deal(sorted(p.offers))
+	return trial.tables
+}
+
+// redeal has the tables dealt anew with the next draw. Replicas stay where they are as far as their number allows, as
+// after a restart.
+func (p *planner) redeal(tables int) {
+	maps.Copy(p.laid, p.own)
+	p.before = tables
+	p.own, p.tables = map[uint32]int{}, 0
+}
+
+// renumberKinds keeps the calm answer times of each kind, of those that are not named and of all together.
+func (p *planner) renumberKinds(numbers []int, all int) {
+	calm := map[int][]float64{}
+	for kind, answers := range p.calm {
+		switch {
+		case kind == all:
+			calm[p.Kinds] = answers
+		case kind < len(numbers) && numbers[kind] >= 0:
+			calm[numbers[kind]] = answers
+		}
+	}
+	p.calm = calm
+}
+
+// renumberZones takes over the zones of the proxies.
+func (r *roll) renumberZones(proxies []control.Joined) {
+	for _, joined := range proxies {
+		c := r.here[joined.Proxy]
+		if c == nil {
+			continue
+		}
+		if c.Zone = joined.Zone; c.table >= 0 {
+			r.post(thePlanner, *c)
+		}
+	}
+}
+
+// reseat puts the proxies on tables that were dealt anew. Where there are as many as before who is still in its row stays;
+// all others move as in any update, once their new table is laid out.
+func (r *roll) reseat(before, tables int) {
+	load, row := make([]float64, tables), r.rows(tables)
+	old := r.sits
+	r.sits = slices.Collect(numbers(tables))
+	stays := func(c *chair) bool {
+		return before == tables && c.table%row == c.Zone%row
+	}
+	for _, proxy := range sorted(r.here) {
+		if c := r.here[proxy]; c.table >= 0 && stays(c) {
+			load[c.table] += c.Rate
+		}
+	}
+	for _, proxy := range sorted(r.here) {
+		c := r.here[proxy]
+		if c.table < 0 {
+			continue
+		}
+		was := c.table
+		if was < len(old) {
+			was = old[was]
+		}
+		if !stays(c) {
+			c.table = r.least(c.Zone, load)
+			load[c.table] += c.Rate
+		}
+		if c.table != was {
+			r.post(theSequence, control.Bind{Proxy: proxy, Table: c.table})
+		}
+		r.post(thePlanner, *c)
+	}
+}
+
+// renumberGroups keeps sums, usage, orders and the line. The line stays with the groups: who was let in is, where none
+// of more worth is kept out.
+func (l *levels) renumberGroups(numbers []int) {
+	l.came = slices.DeleteFunc(l.came, func(d sums) bool { return number(numbers, d.Group) < 0 })
+	for k := range l.came {
+		l.came[k].Group = number(numbers, l.came[k].Group)
+	}
+	var usage []control.Usage
+	for _, u := range l.past.Usage {
+		if u.Group = number(numbers, u.Group); u.Group >= 0 {
+			usage = append(usage, u)
+		}
+	}
+	l.past.Usage = usage
+	set := map[int]control.Level{}
+	for group, o := range l.set {
+		if o.Group = number(numbers, group); o.Group >= 0 {
+			set[o.Group] = o
+		}
+	}
+	l.set = set
+	if l.groups == nil {
+		return
+	}
+	shares := map[int]float64{}
+	for rank, group := range l.groups {
+		shares[number(numbers, group)] = math.Min(1, math.Max(0, l.line-float64(rank)))
+	}
+	l.groups = l.ranked()
+	l.line = float64(len(l.groups))
+	for rank, group := range l.groups {
+		if share, kept := shares[group]; kept && share < 1 {
+			l.line = float64(rank) + share
+			break
+		}
+	}
+}
+
+// renumberGroups keeps the levels that wait.
+func (p *pacer) renumberGroups(numbers []int) {
+	var urgent []control.Order
+	for _, o := range p.urgent {
+		if level, is := o.(control.Level); is {
+			if level.Group = number(numbers, level.Group); level.Group < 0 {
+				continue
+			}
+			o = level
+		}
+		urgent = append(urgent, o)
+	}
+	p.urgent = urgent
+}
+
+// number is the new number of an old one, below 0 where there is none.
+func number(numbers []int, old int) int {
+	if old < 0 || old >= len(numbers) {
+		return -1
+	}
+	return numbers[old]
+}
+
+// numbers counts from 0.
+func numbers(count int) iter.Seq[int] {
+	return func(yield func(int) bool) {
+		for k := range count {
+			if !yield(k) {
+				return
+			}
+		}
+	}
+}
--- a/control/control.go
+++ b/control/control.go
@@ -195,6 +195,15 @@
 	}
 	// Woken ends a Wake.
 	Woken struct{ Label uint64 }
+	// Reconfigured: the settings have changed, and with them the numbers of traffic groups, kinds and zones. All that
+	// was learned, laid out and bound stays. Events after this one use the new numbers.
+	Reconfigured struct {
+		Provision
+		NewGroups []int    // the new number of each traffic group, below 0: there is none any more
+		NewKinds  []int    // likewise of each kind
+		Replicas  []Entry  // all that are listed, by the new numbers
+		Proxies   []Joined // all that are joined, by the new numbers
+	}
 	// Keep asks for Learned with this turn's orders.
 	Keep struct{}
 	// Recalled tells what an earlier governor knew of a replica that was listed just now, and that has not
--- a/internal/governor/census.go
+++ b/internal/governor/census.go
@@ -21,7 +21,7 @@
 	expiriesMost = 4
 )
 
-// Census says which proxies, zones and traffic groups there are, and which figures can be. It does not change.
+// Census says which proxies, zones and traffic groups there are, and which figures can be. It changes with the settings, as a whole.
 type Census struct {
 	names   settings.Names
 	proxies int
@@ -31,13 +31,18 @@
 	grace   int64 // of drains
 	silence int64 // in which who owes an answer gives it, unless it has vanished
 	bounds  channel.Bounds
+
+	admission control.Admission
+	usual     control.Tries // what proxies do by themselves
+	former    []string      // zones that have left the settings while the governor runs
 }
 
 // NewCensus makes a census of what the provision names.
 func NewCensus(names settings.Names, p control.Provision) Census {
 	c := Census{names: names, proxies: p.Proxies, kinds: p.Kinds, grace: p.DrainGrace,
 		span: max(spanMost, reportsMost*p.ReportEvery), bounds: channel.Bounds{Lines: p.ChannelLimit, Rate: p.ChannelRate,
-			Head: p.MessageHead, Messages: p.MessagesMost, Span: p.MessagesSpan, Transit: p.WorstTransit}}
+			Head: p.MessageHead, Messages: p.MessagesMost, Span: p.MessagesSpan, Transit: p.WorstTransit},
+		admission: p.Admission, usual: p.UsualTries}
 	c.silence = silenceLeast
 	if p.ChannelRate > 0 { // told as left sooner, all of a fleet would join anew by a channel that is full, and fill it again
 		full := int64(float64(p.ChannelLimit) / p.ChannelRate * 1e9)
@@ -71,7 +76,7 @@
 }
 
 func (c Census) met(m Met) bool {
-	return c.zone(m.Zone) && m.Tries <= countMost && m.Missed <= m.Tries &&
+	return (c.zone(m.Zone) || slices.Contains(c.former, m.Zone)) && m.Tries <= countMost && m.Missed <= m.Tries &&
 		m.Answer <= c.answer && m.Span <= c.span
 }
 
--- /dev/null
+++ b/internal/governor/configure.go
@@ -0,0 +1,181 @@
+package governor
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+
+	"lilacbend/control"
+	"lilacbend/internal/revision"
+	"lilacbend/settings"
+)
+
+// This file puts changed settings in force while the governor runs: whole or not at all, between two turns of the module,
+// with all streams, what they were told, the channel's account and what was learned kept.
+
+// formerMost bounds the zones that are remembered after they have left the settings.
+const formerMost = 1 << 10
+
+// Configure is a note: settings to put in force. They have passed the checks of a governor's start; Start makes modules
+// by them.
+type Configure struct {
+	Version  revision.Version
+	Names    settings.Names
+	Settings control.Provision
+	Start    func() Module
+}
+
+// Configured says what became of a Configure: in force, or refused for a reason.
+type Configured struct {
+	Version revision.Version
+	Names   settings.Names
+	Err     error
+}
+
+// configuration is what settings determine.
+type configuration struct {
+	version revision.Version
+	census  Census
+	start   func() Module
+}
+
+// Configuration is the version of the settings in force; zero are those of the start.
+func (c *Core) Configuration() revision.Version { return c.version }
+
+// Topology is the census in force, for those who check joinings before they come here.
+func (c *Core) Topology() Census { return c.Census }
+
+// configure takes over settings with this turn.
+func (c *Core) configure(n Configure) []control.Event {
+	census := NewCensus(n.Names, n.Settings)
+	if err := c.unchangeable(census); err != nil {
+		c.Count.ConfigurationsRefused++
+		c.configured = append(c.configured, Configured{n.Version, n.Names, err})
+		return nil
+	}
+	if c.previous == nil {
+		c.previous = &configuration{c.version, c.Census, c.start}
+	}
+	before := c.names
+	census.names.Zones = sameOrder(before.Zones, n.Names.Zones)
+	census.former = c.formerZones(n.Names.Zones)
+	c.adopt(configuration{n.Version, census, n.Start})
+	c.Count.Configurations++
+	c.configured = append(c.configured, Configured{n.Version, n.Names, nil})
+	groups := renumbered(before.Groups, c.names.Groups)
+	c.renumberLevels(groups, before.Groups)
+	if c.fresh { // nothing was told to it yet
+		c.module = c.start()
+		return nil
+	}
+	event := control.Reconfigured{Provision: n.Settings, NewGroups: groups,
+		NewKinds: append(renumbered(before.Kinds, c.names.Kinds), len(c.names.Kinds)), Replicas: c.standing().Entries}
+	for _, proxy := range sortedKeys(c.seats) {
+		event.Proxies = append(event.Proxies, c.seats[proxy].joined)
+	}
+	return []control.Event{event}
+}
+
+// unchangeable names a setting that cannot change while proxies are joined: what they were told before would mean
+// something else to them.
+func (c *Core) unchangeable(next Census) error {
+	if c.admission != next.admission {
+		return fmt.Errorf("setting domain.admit cannot change while the governor runs: restart it")
+	}
+	return nil
+}
+
+// adopt makes a configuration the one in force, and gives replicas and proxies its numbers.
+func (c *Core) adopt(next configuration) {
+	c.version, c.Census, c.start = next.version, next.census, next.start
+	c.account.Bounds = c.bounds
+	for _, r := range c.roster.known {
+		r.Zone, r.Kind = index(c.names.Zones, r.zone), index(c.names.Kinds, r.kind)
+	}
+	for _, s := range c.seats {
+		s.joined.Zone = index(c.names.Zones, s.zone)
+	}
+}
+
+// renumberLevels keeps what was ordered and told of each traffic group. Of those that are gone proxies are told once more,
+// so that nothing is kept out by a level that nobody will lift.
+func (c *Core) renumberLevels(numbers []int, names []string) {
+	levels := map[tableGroup]control.Level{}
+	for at, level := range c.levels {
+		if level.Group = numbers[at.group]; level.Group >= 0 {
+			levels[tableGroup{at.table, level.Group}] = level
+		}
+	}
+	c.levels = levels
+	for _, proxy := range sortedKeys(c.seats) {
+		s := c.seats[proxy]
+		s.lifted = slices.DeleteFunc(s.lifted, func(l Level) bool { return slices.Contains(c.names.Groups, l.Group) })
+		told := map[int]Level{}
+		for _, group := range sortedKeys(s.level) {
+			if to := numbers[group]; to >= 0 {
+				told[to] = s.level[group]
+				continue
+			}
+			s.lifted = append(s.lifted, Level{Group: names[group], Share: 1, Tries: c.usual})
+			c.due[proxy] = s
+		}
+		s.level = told
+	}
+}
+
+// withdrawConfiguration goes back to the settings of before this turn, as no module runs by the new ones.
+func (c *Core) withdrawConfiguration(failed string) {
+	c.adopt(*c.previous)
+	c.previous = nil
+	for k := range c.configured {
+		if c.configured[k].Err == nil {
+			c.configured[k].Err = fmt.Errorf("the module fails by it: %.200s", failed)
+			c.Count.Configurations--
+			c.Count.ConfigurationsRefused++
+		}
+	}
+}
+
+// formerZones are those that have left the settings while this governor runs: their proxies may still be here, and are
+// reported of.
+func (c *Core) formerZones(now []string) []string {
+	var former []string
+	for _, zone := range append(slices.Clone(c.former), c.names.Zones...) {
+		if zone != "" && !slices.Contains(now, zone) && !slices.Contains(former, zone) {
+			former = append(former, zone)
+		}
+	}
+	return former[max(0, len(former)-formerMost):]
+}
+
+// renumbered says for each old name what its number is among the new ones, below 0 where it is gone.
+func renumbered(before, after []string) []int {
+	numbers := make([]int, 0, len(before)+1)
+	for _, name := range before {
+		numbers = append(numbers, slices.Index(after, name))
+	}
+	return numbers
+}
+
+// sameOrder leaves names that were there before at their numbers if there are as many as before: tables are dealt by the
+// numbers of zones. New ones take the places of those that are gone.
+func sameOrder(before, after []string) []string {
+	if len(before) != len(after) {
+		return after
+	}
+	var fresh []string
+	for _, name := range after {
+		if !slices.Contains(before, name) {
+			fresh = append(fresh, name)
+		}
+	}
+	order := slices.Clone(before)
+	for k, name := range order {
+		if !slices.Contains(after, name) {
+			order[k], fresh = fresh[0], fresh[1:]
+		}
+	}
+	return order
+}
+
+func sortedKeys[V any](m map[int]V) []int { return slices.Sorted(maps.Keys(m)) }
--- a/internal/governor/core.go
+++ b/internal/governor/core.go
@@ -12,6 +12,7 @@
 	"lilacbend/control"
 	"lilacbend/internal/channel"
 	"lilacbend/internal/memory"
+	"lilacbend/internal/revision"
 )
 
 const (
@@ -63,6 +64,10 @@
 	halfLife int64
 	asked    int64
 	settled  int64 // before that it knows less than what was brought
+
+	version    revision.Version // of the settings in force
+	previous   *configuration   // before this turn, if it changed them
+	configured []Configured     // in this turn
 }
 
 // debt is an answer that a stream owes since then; void if it has spoken after.
@@ -77,18 +82,20 @@
 type stream struct {
 	id      Stream
 	joined  control.Joined
-	blank   bool // holds no ordered table, so it shuts nobody out that told does not name
-	table   int  // below 0: what it brought with it
-	whole   bool // a whole table is due
-	anew    bool // as messages were lost
+	zone    string // as it was told
+	blank   bool   // holds no ordered table, so it shuts nobody out that told does not name
+	table   int    // below 0: what it brought with it
+	whole   bool   // a whole table is due
+	anew    bool   // as messages were lost
 	told    map[uint32]bool
 	level   map[int]Level
-	marks   []sent // sent, not answered
-	since   int64  // when it was last bound to nothing
-	briefed bool   // since then it was told of all that is withdrawn
-	held    *held  // what did not fit into the channel yet; nil: nothing
-	owes    int64  // since when it has been silent though it owes an answer; 0: it does not
-	away    bool   // told to the module as having left, as it is silent
+	lifted  []Level // of traffic groups that are gone, to be told once more
+	marks   []sent  // sent, not answered
+	since   int64   // when it was last bound to nothing
+	briefed bool    // since then it was told of all that is withdrawn
+	held    *held   // what did not fit into the channel yet; nil: nothing
+	owes    int64   // since when it has been silent though it owes an answer; 0: it does not
+	away    bool    // told to the module as having left, as it is silent
 }
 
 // sent is a message with a mark, and its number in the channel's account; asked: the mark is the core's own, or that of a
@@ -188,6 +195,12 @@
 		c.Count.Renewed++
 		o = Outcome{Failed: failed, End: o.End}
 		again := c.turn(now, nil, &o) != ""
+		if again && c.previous != nil {
+			c.withdrawConfiguration(failed)
+			c.renew()
+			o = Outcome{Failed: failed, End: o.End}
+			again = c.turn(now, nil, &o) != ""
+		}
 		if again && c.past() != nil { // what was learned may be what it fails by
 			c.last, c.brought = nil, nil
 			c.renew()
@@ -200,6 +213,7 @@
 			o, c.rest = Outcome{Failed: failed, End: o.End}, now+renewPause
 		}
 	}
+	o.Configured, c.configured, c.previous = c.configured, nil, nil
 	if c.rest > now {
 		o.Wake = c.rest
 	}
@@ -367,6 +381,8 @@
 		return append([]control.Event{ev}, c.recalled(c.brought, fresh, now)...)
 	case Recall:
 		c.brought = n.Past
+	case Configure:
+		return c.configure(n)
 	case Spoke:
 		if s := c.streams[n.Stream]; s != nil {
 			return c.heard(s, now)
@@ -406,7 +422,7 @@
 		c.rise(old)
 		c.account.Left(h.Proxy, now)
 	}
-	s := &stream{id: h.Stream, blank: h.Blank, table: -1, told: map[uint32]bool{}, level: map[int]Level{},
+	s := &stream{id: h.Stream, blank: h.Blank, table: -1, zone: h.Zone, told: map[uint32]bool{}, level: map[int]Level{},
 		joined: control.Joined{Proxy: h.Proxy, Zone: index(c.names.Zones, h.Zone), Rate: h.Rate}}
 	c.seats[h.Proxy], c.streams[h.Stream], s.since = s, s, now
 	c.sit(s, -1)
--- a/internal/governor/notes.go
+++ b/internal/governor/notes.go
@@ -102,6 +102,8 @@
 	Failed string // the module panicked: what it said
 	// What the module has learned, now and then. Not to be changed; Governor and Taken are for the caller to fill.
 	Learned *memory.Memory
+	// What became of the settings that came with this turn.
+	Configured []Configured
 }
 
 // Count is what the core has counted so far.
@@ -113,5 +115,6 @@
 	Asks                                                    int64 // marks of the core's own, as answers were missing
 	Held                                                    int64 // messages that waited for room in the channel or under a proxy's cap
 	Channel, Waiting                                        int64 // now: lines charged to the channel, streams with something held
+	Configurations, ConfigurationsRefused                   int64 // put in force, not
 	Bare                                                    int64 // modules renewed once more, without what was learned
 }
--- a/internal/governor/push.go
+++ b/internal/governor/push.go
@@ -332,7 +332,7 @@
 			count += c.tells(s, id)
 		}
 	}
-	return 1 + count + len(c.names.Groups) + 1
+	return 1 + count + len(s.lifted) + len(c.names.Groups) + 1
 }
 
 // tells is a line if a proxy has to be told whether a replica is withdrawn, as it may think otherwise.
@@ -412,6 +412,10 @@
 			}
 		}
 	}
+	if !p.Full { // which replaces all levels
+		p.Levels = append(p.Levels, s.lifted...)
+	}
+	s.lifted = nil
 	for group := range c.names.Groups { // what holds for all goes with every later message
 		l, set := c.level(s.table, group)
 		if told, has := s.level[group]; set && (!has || told != l) {
