--- a/brain/reconfigure.go
+++ b/brain/reconfigure.go
@@ -4,6 +4,7 @@
 	"iter"
 	"maps"
 	"math"
+	"reflect"
 	"slices"
 
 	"lilacbend/control"
@@ -24,16 +25,28 @@
 	l.renumberGroups(e.NewGroups)
 	g.boxes[thePacer].part.(*pacer).renumberGroups(e.NewGroups)
 	r.renumberZones(e.Proxies)
-	g.listed(control.Listed{Entries: e.Replicas})
+	g.listed(control.Listed{Entries: slices.DeleteFunc(e.Replicas, g.asKnown)})
 	g.settle()
-	p.same = false
+	p.same = p.same && drawsAlike(before, e.Provision)
 	if tables > 0 && (!fits || p.tablesUnder(before) != p.tablesUnder(e.Provision)) {
 		p.redeal(tables)
-		r.reseat(tables, p.tablesUnder(e.Provision))
+		r.reseat(tables, p.tablesUnder(e.Provision), g.recallBinds())
 		g.settle()
 	}
 }
 
+// asKnown says whether a replica is listed as it was.
+func (g *Governor) asKnown(e control.Entry) bool {
+	r := g.replicas[e.Replica]
+	return r != nil && r.entry == e
+}
+
+// drawsAlike says whether settings differ in nothing that the draw of tables reads.
+func drawsAlike(a, b control.Provision) bool {
+	a.Groups, b.Groups = nil, nil
+	return reflect.DeepEqual(a, b)
+}
+
 // keepsRows says whether every replica and proxy stays in the row of tables of its zone.
 func (g *Governor) keepsRows(e control.Reconfigured, tables int) bool {
 	if tables == 0 {
@@ -73,6 +86,19 @@
 	p.own, p.tables = map[uint32]int{}, 0
 }
 
+// recallBinds drops the bindings that wait, and says where each proxy is bound; below 0: nowhere yet.
+func (g *Governor) recallBinds() map[int]int {
+	s, p := g.boxes[theSequence].part.(*sequence), g.boxes[thePacer].part.(*pacer)
+	clear(s.moves)
+	waits := func(o control.Order) bool {
+		_, is := o.(control.Bind)
+		return is
+	}
+	p.urgent = slices.DeleteFunc(p.urgent, waits)
+	p.step.orders = slices.DeleteFunc(p.step.orders, waits)
+	return p.bound
+}
+
 // renumberKinds keeps the calm answer times of each kind, of those that are not named and of all together.
 func (p *planner) renumberKinds(numbers []int, all int) {
 	calm := map[int][]float64{}
@@ -101,34 +127,30 @@
 }
 
 // reseat puts the proxies on tables that were dealt anew. Where there are as many as before who is still in its row stays;
-// all others move as in any update, once their new table is laid out.
-func (r *roll) reseat(before, tables int) {
+// all others move as in any update, once their new table is laid out. Bound says where each is bound now.
+func (r *roll) reseat(before, tables int, bound map[int]int) {
 	load, row := make([]float64, tables), r.rows(tables)
-	old := r.sits
 	r.sits = slices.Collect(numbers(tables))
 	stays := func(c *chair) bool {
 		return before == tables && c.table%row == c.Zone%row
 	}
-	for _, proxy := range sorted(r.here) {
-		if c := r.here[proxy]; c.table >= 0 && stays(c) {
+	seated := slices.DeleteFunc(sorted(r.here), func(proxy int) bool { return r.here[proxy].table < 0 })
+	for _, proxy := range seated {
+		if c := r.here[proxy]; stays(c) {
 			load[c.table] += c.Rate
 		}
 	}
-	for _, proxy := range sorted(r.here) {
+	for _, proxy := range seated {
 		c := r.here[proxy]
-		if c.table < 0 {
-			continue
-		}
-		was := c.table
-		if was < len(old) {
-			was = old[was]
-		}
 		if !stays(c) {
 			c.table = r.least(c.Zone, load)
 			load[c.table] += c.Rate
 		}
-		if c.table != was {
-			r.post(theSequence, control.Bind{Proxy: proxy, Table: c.table})
+		switch bind := (control.Bind{Proxy: proxy, Table: c.table}); {
+		case bound[proxy] < 0:
+			r.post(thePacer, bind)
+		case bound[proxy] != c.table:
+			r.post(theSequence, bind)
 		}
 		r.post(thePlanner, *c)
 	}
--- /dev/null
+++ b/brain/reconfigure_test.go
@@ -0,0 +1,181 @@
+package brain
+
+import (
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"testing"
+
+	"lilacbend/control"
+)
+
+// running is a governor of two zones that has heard of all its replicas for a while: one is sick, one is slow.
+func running(t *testing.T) (*Governor, control.Reconfigured) {
+	t.Helper()
+	p := provision()
+	p.Zones, p.Kinds, p.Proxies, p.Governors = 2, 3, 40, 1
+	p.ChannelLimit, p.ChannelRate, p.Admission = 1<<16, 1<<16, control.AdmitShare
+	p.Groups = []control.TrafficGroup{
+		{Utility: 1, LatencyBudget: second, Expiry: 3 * second, Effect: control.Retriable},
+		{Utility: 3, LatencyBudget: second, Expiry: 3 * second, Effect: control.Retriable},
+		{Utility: 2, LatencyBudget: second, Expiry: 3 * second, Effect: control.Retriable}}
+	g := New(p)
+	e := control.Reconfigured{Provision: p, NewGroups: []int{0, 1, 2}, NewKinds: []int{0, 1, 2}}
+	for id := range uint32(60) {
+		e.Replicas = append(e.Replicas, control.Entry{Replica: id + 1, Zone: int(id) % 2, Kind: int(id) / 2 % 2, State: control.Ready, Weight: 1})
+	}
+	events := []control.Event{control.Listed{Full: true, Entries: e.Replicas}}
+	for proxy := range 40 {
+		e.Proxies = append(e.Proxies, control.Joined{Proxy: proxy, Zone: proxy % 2, Rate: 10})
+		events = append(events, e.Proxies[proxy])
+	}
+	for k := range int64(40) {
+		for _, r := range e.Replicas {
+			m := control.Met{Replica: r.Replica, Tries: 20, Answer: second / 10, Span: beat}
+			switch r.Replica {
+			case 1:
+				m.Missed, m.Answer = 20, 0
+			case 2:
+				m.Answer *= 3
+			}
+			events = append(events, m)
+		}
+		events = append(events, control.Demand{Proxy: int(k), Group: int(k) % 3, Flows: 5, Span: second}, control.Woken{})
+		marks := orders[control.Mark](g.Turn(100*second+k*beat, events))
+		if events = nil; len(marks) > 0 {
+			for proxy := range 40 {
+				events = append(events, control.Answered{Proxy: proxy, Mark: marks[0].Number})
+			}
+		}
+	}
+	if g.replicas[1].resting == 0 {
+		t.Fatal("nobody is sick")
+	}
+	return g, e
+}
+
+func (g *Governor) parts() (*planner, *roll, *levels) {
+	return g.boxes[thePlanner].part.(*planner), g.boxes[theRoll].part.(*roll), g.boxes[theLevels].part.(*levels)
+}
+
+// Other figures, and other numbers for the same groups and kinds, leave all that was learned and bound as it was.
+func TestChangedSettingsKeepWhatWasLearned(t *testing.T) {
+	g, e := running(t)
+	p, r, l := g.parts()
+	l.line, l.set[2] = 2.5, control.Level{Table: control.AllTables, Group: 2, Share: 0.5}
+	before := g.learned()
+	own, laid := maps.Clone(p.own), maps.Clone(g.boxes[theSequence].part.(*sequence).laid)
+	e.DrainGrace, e.ReportEvery, e.Proxies = 9*second, second, slices.Clone(e.Proxies)
+	e.Provision.Proxies--
+	e.Groups = []control.TrafficGroup{e.Groups[2], e.Groups[0], e.Groups[1]}
+	e.NewGroups, e.NewKinds = []int{1, 2, 0}, []int{1, 0, 2}
+	for k := range e.Replicas {
+		e.Replicas[k].Kind = 1 - e.Replicas[k].Kind
+	}
+	out := g.Turn(g.now, []control.Event{e})
+	after := g.learned()
+	want(t, "bindings", len(orders[control.Bind](out)), 0)
+	want(t, "tables", reflect.DeepEqual(own, p.own), true)
+	want(t, "lines", reflect.DeepEqual(laid, g.boxes[theSequence].part.(*sequence).laid), true)
+	want(t, "seats", reflect.DeepEqual(before.Seats, after.Seats), true)
+	want(t, "replicas", reflect.DeepEqual(before.Replicas, after.Replicas), true)
+	want(t, "answer times", reflect.DeepEqual([][]float64{before.Calm[1], before.Calm[0]}, after.Calm[:2]), true)
+	want(t, "those of all", reflect.DeepEqual(before.Calm[3], after.Calm[3]), true)
+	want(t, "the line", l.line, 2.5)
+	want(t, "the group under it", l.set[0], control.Level{Table: control.AllTables, Group: 0, Share: 0.5})
+	for k, u := range before.Usage {
+		before.Usage[k].Group = e.NewGroups[u.Group]
+	}
+	slices.SortFunc(before.Usage, func(a, b control.Usage) int { return a.Proxy*3 + a.Group - b.Proxy*3 - b.Group })
+	want(t, "usage", reflect.DeepEqual(before.Usage, after.Usage), true)
+	want(t, "kinds at the replicas", g.replicas[1].entry.Kind, 1)
+	want(t, "proxies", len(r.here), 40)
+}
+
+// The line stays with the groups that it lets in, whichever come and go.
+func TestTheLineStaysWithItsGroups(t *testing.T) {
+	for _, c := range []struct {
+		what       string
+		line, want float64 // of groups of utility 3, 2 and 1, which are 1, 2 and 0
+		numbers    []int
+		utilities  []float64
+	}{
+		{"all let in, one more", 3, 4, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
+		{"the last kept out, one more of most worth", 2, 3, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
+		{"the last kept out, one more of least worth", 2, 2, []int{0, 1, 2}, []float64{1, 3, 2, 0.5}},
+		{"half of the second, the first goes", 1.5, 0.5, []int{0, -1, 1}, []float64{1, 2}},
+		{"half of the second, which goes", 1.5, 1, []int{0, 1, -1}, []float64{1, 3}},
+		{"half of the last, which goes", 2.5, 2, []int{-1, 0, 1}, []float64{3, 2}},
+		{"the last kept out and worth most now", 2, 0, []int{0, 1, 2}, []float64{9, 3, 2}},
+		{"other names altogether", 1.5, 2, []int{-1, -1, -1}, []float64{1, 1}},
+	} {
+		g, e := running(t)
+		_, _, l := g.parts()
+		l.line, e.NewGroups, e.Groups = c.line, c.numbers, nil
+		for _, utility := range c.utilities {
+			e.Groups = append(e.Groups, control.TrafficGroup{Utility: utility, LatencyBudget: second, Expiry: 3 * second})
+		}
+		g.reconfigure(e)
+		want(t, c.what, l.line, c.want)
+		g.Turn(g.now+beat, []control.Event{control.Woken{}, control.Demand{Proxy: 1, Group: len(c.utilities) - 1, Flows: 1, Span: second}})
+	}
+}
+
+// Where a start would deal tables otherwise they are dealt so, and each replica and proxy has one of its zone; nobody is
+// bound to two, and what waited to be bound is not bound to a table that there is not any more.
+func TestTablesAreDealtAsByAStart(t *testing.T) {
+	for what, change := range map[string]func(*control.Reconfigured){
+		"more proxies":   func(e *control.Reconfigured) { e.Provision.Proxies = 400 },
+		"fewer":          func(e *control.Reconfigured) { e.Provision.Proxies = 10 },
+		"more governors": func(e *control.Reconfigured) { e.Governors = 4 },
+		"a zone in front": func(e *control.Reconfigured) {
+			e.Zones = 3
+			for k := range e.Replicas {
+				e.Replicas[k].Zone++
+			}
+			for k := range e.Proxies {
+				e.Proxies[k].Zone++
+			}
+		},
+		"zones change places": func(e *control.Reconfigured) {
+			for k := range e.Replicas {
+				e.Replicas[k].Zone = 1 - e.Replicas[k].Zone
+			}
+			for k := range e.Proxies {
+				e.Proxies[k].Zone = 1 - e.Proxies[k].Zone
+			}
+		},
+		"a zone less": func(e *control.Reconfigured) {
+			e.Zones = 1
+		},
+	} {
+		g, e := running(t)
+		p, r, _ := g.parts()
+		g.boxes[theSequence].part.(*sequence).moves[3] = 1
+		pacer := g.boxes[thePacer].part.(*pacer)
+		pacer.urgent = append(pacer.urgent, control.Bind{Proxy: 5, Table: 1})
+		change(&e)
+		fresh := New(e.Provision)
+		fresh.Turn(g.now, []control.Event{control.Listed{Full: true, Entries: e.Replicas}})
+		events := []control.Event{e}
+		for k := range int64(40) {
+			marks := orders[control.Mark](g.Turn(g.now+k*beat/10, append(events, control.Woken{})))
+			if events = nil; len(marks) > 0 {
+				for proxy := range 40 {
+					events = append(events, control.Answered{Proxy: proxy, Mark: marks[0].Number})
+				}
+			}
+		}
+		want(t, what+": tables", p.tables, fresh.boxes[thePlanner].part.(*planner).tables)
+		row := g.rows(p.tables)
+		for id, table := range p.own {
+			want(t, what+": a replica's row", table%row, g.replicas[id].entry.Zone%row)
+		}
+		for proxy, c := range r.here {
+			want(t, what+": a proxy's row", c.table%row, c.Zone%row)
+			want(t, fmt.Sprintf("%s: the table of proxy %d", what, proxy), pacer.bound[proxy], r.sits[c.table])
+		}
+		want(t, what+": moves left", len(g.boxes[theSequence].part.(*sequence).moves), 0)
+	}
+}
--- /dev/null
+++ b/internal/governor/reconfigure_test.go
@@ -0,0 +1,186 @@
+package governor_test
+
+import (
+	"fmt"
+	"math/rand"
+	"slices"
+	"testing"
+
+	"lilacbend/brain"
+	"lilacbend/control"
+	"lilacbend/internal/governor"
+	"lilacbend/internal/revision"
+	"lilacbend/settings"
+)
+
+// This file changes the settings of core and module together while they run, in the world of the channel's bounds.
+
+// group is a traffic group of the world's by its name.
+func group(name string) control.TrafficGroup {
+	g := control.TrafficGroup{Utility: 1, LatencyBudget: second, Expiry: 3 * second, Effect: control.Retriable}
+	switch name {
+	case "order":
+		g.Utility, g.Effect = 3, control.NonRetriable
+	case "browse":
+		g.Utility = 2
+	}
+	return g
+}
+
+// configure has the world's next turn bring settings, by names.
+func (w *channelWorld) configure(number uint64, p control.Provision, names settings.Names) {
+	p.Zones, p.Kinds, p.Groups = len(names.Zones), len(names.Kinds)+1, nil
+	for _, name := range names.Groups {
+		p.Groups = append(p.Groups, group(name))
+	}
+	w.provision = p
+	w.notes = append(w.notes, governor.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: p,
+		Start: func() governor.Module { return moody{brain.New(p), w} }})
+}
+
+var worldNames = settings.Names{Groups: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
+
+// The bounds of the channel and the rules hold for any sequence of changes, among crowds, releases, faults and a module that
+// fails now and then; after the last change everybody is served as from the start.
+func TestTheRulesHoldThroughChangesOfSettings(t *testing.T) {
+	zones := [][]string{{"a", "b"}, {"b", "a"}, {"a", "b", "c"}, {"c", "b", "a"}, {"b"}, {"a", "c"}, {}}
+	groups := [][]string{{"read", "order"}, {"order", "read"}, {"browse", "read", "order"}, {"order"}, {"read", "browse"}}
+	for seed := range int64(60) { // drawn, and the same every time
+		draw := rand.New(rand.NewSource(seed))
+		proxies := 2 + draw.Intn(39)
+		limit := (20 + draw.Intn(41)) * proxies
+		w := newChannelWorld(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), trueLines)
+		original, number := w.provision, uint64(1)
+		for range 1 + draw.Intn(60) {
+			if draw.Intn(3) == 0 {
+				number++
+				p := original
+				p.Proxies, p.Governors = p.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
+				p.DrainGrace, p.ReportEvery = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
+				p.ChannelLimit, p.MessagesMost = limit+draw.Intn(limit), 12+draw.Intn(4)
+				if w.waits > 0 || len(w.stalled) > 0 { // what waits may be over a bound that has just shrunk
+					p.ChannelLimit, p.MessagesMost = w.provision.ChannelLimit, w.provision.MessagesMost
+				}
+				w.configure(number, p, settings.Names{Groups: groups[draw.Intn(len(groups))], Zones: zones[draw.Intn(len(zones))], Kinds: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
+			}
+			w.step(draw.Intn(8))
+		}
+		wrong := w.broken
+		w.configure(number+1, original, worldNames)
+		w.pass(second)
+		for k := range w.proxies { // those that were refused for their zone among them
+			w.join(k)
+		}
+		if wrong == "" {
+			wrong = w.settle(150 * second)
+		}
+		if version := w.core.Configuration(); wrong == "" && version.Revision != number+1 {
+			wrong = fmt.Sprintf("%s in force, not %d", version, number+1)
+		}
+		if wrong != "" {
+			t.Fatalf("seed %d, %d proxies, %d replicas, %d lines: %s", seed, proxies, len(w.names), limit, wrong)
+		}
+	}
+}
+
+// Settings that say the same in another order change nothing: not one message more, and the same tables at every proxy.
+func TestTheSameSettingsInAnotherOrderChangeNothing(t *testing.T) {
+	for seed := range int64(12) {
+		var worlds []*channelWorld
+		for k := range 2 {
+			w := newChannelWorld(seed, 30, 24, 2, 4000, 4000, trueLines)
+			for at := range w.proxies {
+				w.join(at)
+			}
+			for step := range 40 {
+				if k == 1 && step%8 == 4 {
+					names := settings.Names{Groups: slices.Clone(worldNames.Groups), Zones: slices.Clone(worldNames.Zones), Kinds: worldNames.Kinds}
+					if step%16 == 4 {
+						slices.Reverse(names.Groups)
+						slices.Reverse(names.Zones)
+					}
+					w.configure(uint64(step), w.provision, names)
+				}
+				w.step([]int{3, 5, 5, 5}[step%4])
+			}
+			worlds = append(worlds, w)
+		}
+		a, b := worlds[0], worlds[1]
+		if a.core.Count.Pushes != b.core.Count.Pushes || a.core.Count.LinesSent != b.core.Count.LinesSent || b.core.Count.Configurations != 5 {
+			t.Fatalf("seed %d: %d messages of %d lines, and %d of %d with the changes", seed, a.core.Count.Pushes, a.core.Count.LinesSent, b.core.Count.Pushes, b.core.Count.LinesSent)
+		}
+		for k := range a.proxies {
+			if fmt.Sprint(a.proxies[k].lines, a.proxies[k].shut) != fmt.Sprint(b.proxies[k].lines, b.proxies[k].shut) {
+				t.Fatalf("seed %d, proxy %d: %v and %v", seed, k, a.proxies[k].lines, b.proxies[k].lines)
+			}
+		}
+	}
+}
+
+// calm is a world in which all have joined and been bound, and nothing else happens any more.
+func calm(t testing.TB, proxies, replicas int) *channelWorld {
+	w := newChannelWorld(1, proxies, replicas, 1, 1<<16, 1<<16, trueLines)
+	for k := range w.proxies {
+		w.join(k)
+	}
+	if wrong := w.settle(30 * second); wrong != "" {
+		t.Fatal(wrong)
+	}
+	return w
+}
+
+// A change that moves nobody sends nobody a table: what was laid out stays.
+func TestAChangeOfFiguresSendsNoTables(t *testing.T) {
+	w, control := calm(t, 40, 24), calm(t, 40, 24)
+	p := w.provision
+	p.DrainGrace, p.ReportEvery, p.ChannelRate, p.ChannelLimit, p.WorstTransit, p.Proxies = 5*second, second/2, p.ChannelRate/2, p.ChannelLimit/2, second/3, p.Proxies+1
+	w.configure(2, p, worldNames)
+	if wrong := w.settle(20 * second); wrong != "" || w.core.Configuration().Revision != 2 {
+		t.Error(wrong, w.core.Configuration())
+	}
+	control.settle(20 * second)
+	if got, want := w.core.Count, control.core.Count; got.Whole != want.Whole || got.LinesSent != want.LinesSent {
+		t.Errorf("%d whole tables and %d lines, without the change %d and %d", got.Whole, got.LinesSent, want.Whole, want.LinesSent)
+	}
+}
+
+// Where tables have to be dealt anew nobody is without lines on the way.
+func TestTablesThatAreDealtAnew(t *testing.T) {
+	for name, change := range map[string]func(p *control.Provision, names *settings.Names){
+		"a zone more":         func(_ *control.Provision, names *settings.Names) { names.Zones = []string{"a", "b", "c"} },
+		"one in front":        func(_ *control.Provision, names *settings.Names) { names.Zones = []string{"c", "a", "b"} },
+		"a zone less":         func(_ *control.Provision, names *settings.Names) { names.Zones = []string{"b"} },
+		"no zones":            func(_ *control.Provision, names *settings.Names) { names.Zones = nil },
+		"more proxies":        func(p *control.Provision, _ *settings.Names) { p.Proxies *= 10 },
+		"fewer":               func(p *control.Provision, _ *settings.Names) { p.Proxies /= 4 },
+		"shared by governors": func(p *control.Provision, _ *settings.Names) { p.Governors = 4 },
+	} {
+		t.Run(name, func(t *testing.T) {
+			w := calm(t, 60, 36)
+			for _, m := range w.states { // a third zone's replicas are there already
+				if m.ID >= "s-0024" && m.ID < "s-0030" {
+					m.Zone = "c"
+					w.states[m.ID] = m
+				}
+			}
+			w.list(w.names, true)
+			if wrong := w.settle(30 * second); wrong != "" {
+				t.Fatal(wrong)
+			}
+			p, names := w.provision, worldNames
+			change(&p, &names)
+			w.configure(2, p, names)
+			for range 200 {
+				w.pass(second / 10)
+				for k, proxy := range w.proxies {
+					if len(proxy.lines) == 0 {
+						t.Fatalf("proxy %d has no line", k)
+					}
+				}
+			}
+			if wrong := w.settle(30 * second); wrong != "" || len(w.core.Turn(w.now, nil).End) > 0 {
+				t.Error(wrong)
+			}
+		})
+	}
+}
