--- /dev/null
+++ b/cmd/lilacbend/configuration.go
@@ -0,0 +1,81 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+
+	"lilacbend/brain"
+	"lilacbend/internal/configwatch"
+	"lilacbend/internal/exchange"
+	"lilacbend/internal/governor"
+	"lilacbend/internal/revision"
+	"lilacbend/internal/streams"
+	"lilacbend/settings"
+)
+
+// configurationFollower brings changes of the settings from configuration servers to the core, and the core's verdict back.
+// A nil one follows nothing.
+type configurationFollower struct {
+	watcher  *configwatch.Watcher
+	seed     uint64
+	exchange *exchange.Exchange
+	log      *slog.Logger
+}
+
+// newConfigurationFollower is nil where the operator file has no such section.
+func newConfigurationFollower(c configuration, x *exchange.Exchange, log *slog.Logger) (*configurationFollower, error) {
+	following := c.operator.Configuration
+	if !following.On() {
+		return nil, nil
+	}
+	f := &configurationFollower{seed: c.seed, exchange: x, log: log}
+	var err error
+	f.watcher, err = configwatch.New(configwatch.Options{Instance: c.name, Service: following.Service, Region: following.Region,
+		Zone: following.Zone, Servers: following.Servers, Seed: c.seed, Log: log, Offer: f.offer})
+	return f, err
+}
+
+// run follows the servers until ctx ends.
+func (f *configurationFollower) run(ctx context.Context) {
+	if f != nil {
+		f.watcher.Run(ctx)
+	}
+}
+
+// offer checks settings as at a start and hands them to the core.
+func (f *configurationFollower) offer(v revision.Version, raw []byte) {
+	names, decoded, err := settings.Load(raw, f.seed)
+	if err != nil {
+		f.watcher.Refused(v, err)
+		return
+	}
+	f.exchange.Tell(governor.Configure{Version: v, Names: names, Settings: decoded,
+		Start: func() governor.Module { return brain.New(decoded) }})
+}
+
+// settle passes the core's verdicts on: to the servers, and to those who check and hold what peers send.
+func (f *configurationFollower) settle(configured []governor.Configured, core *governor.Core, server *streams.Server) {
+	for _, c := range configured {
+		if c.Err != nil {
+			f.watcher.Refused(c.Version, c.Err)
+			continue
+		}
+		server.Reconfigure(core.Topology())
+		f.exchange.Expect(notesExpected(c.Settings.Proxies, len(c.Names.Groups)))
+		f.watcher.Applied(c.Version)
+		f.log.Info("configuration in force", "version", c.Version.String(), "proxies", c.Settings.Proxies, "traffic_groups", len(c.Names.Groups))
+	}
+}
+
+// notesExpected is how many proxies' worth of notes the inbox is to hold: each tells its usage of every group.
+func notesExpected(proxies, groups int) int { return proxies * (1 + groups/groupsUsual) }
+
+// figures are the counters of following; none where nothing is followed.
+func (f *configurationFollower) figures(core *governor.Core) slog.Attr {
+	if f == nil {
+		return slog.Attr{}
+	}
+	n, c := f.watcher.Counts(), core.Count
+	return slog.Group("configuration", "version", core.Configuration().String(), "changes", c.Configurations, "refused", n.Refused,
+		"requests", n.Requests, "dials", n.Dials, "failures", n.Failures, "sent_away", n.SentAway, "bytes_in", n.BytesIn, "bytes_out", n.BytesOut)
+}
--- a/cmd/lilacbend/main.go
+++ b/cmd/lilacbend/main.go
@@ -38,7 +38,7 @@
 	}
 	run := func(ctx context.Context, cmd *cli.Command) error {
 		if cmd.Args().Present() {
-			return fmt.Errorf("no command %q: serve, check, state, sidecar, collector or version", cmd.Args().First())
+			return fmt.Errorf("no command %q: serve, check, state, sidecar, collector, configserver or version", cmd.Args().First())
 		}
 		c, err := readConfiguration(opts)
 		if err != nil {
@@ -65,6 +65,9 @@
 						if c.operator.State.Folder != "" {
 							fmt.Printf("%s: state is kept in %s every %v, %d generations\n", opts.operator, c.operator.State.Folder, c.operator.State.Every, c.operator.State.Keep)
 						}
+						if follows := c.operator.Configuration; follows.On() {
+							fmt.Printf("%s: the settings of %s are followed at %d servers\n", opts.operator, follows.Service, len(follows.Servers))
+						}
 						fmt.Printf("%s would start: %s listens on %s, discovery at %s, %d replicas known, %d proxies, "+
 							"%d traffic groups\n", opts.file, or(c.name, "it"), c.listen, c.discovery, len(c.known.Members),
 							c.settings.Proxies, len(c.names.Groups))
@@ -74,6 +77,7 @@
 			stateCommand(&opts, os.Stdout),
 			sidecarCommand(hangups),
 			collectorCommand(),
+			configserverCommand(hangups, os.Stdout),
 			{Name: "version", Usage: "say what was built", Action: func(context.Context, *cli.Command) error {
 				fmt.Println(version())
 				return nil
--- a/cmd/lilacbend/report.go
+++ b/cmd/lilacbend/report.go
@@ -9,7 +9,7 @@
 )
 
 // report prints the counters.
-func report(log *slog.Logger, core *governor.Core, x *exchange.Exchange, kept *archive) {
+func report(log *slog.Logger, core *governor.Core, x *exchange.Exchange, kept *archive, follower *configurationFollower) {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	n, t := core.Count, &x.Tally
@@ -26,6 +26,6 @@
 		slog.Group("errors", "unreadable", t.Unreadable.Load(), "skipped", t.Skipped.Load(), "strange", n.Strange,
 			"writes", t.WriteErrors.Load(), "discovery", t.CallErrors.Load(), "odd", t.Odd.Load(),
 			"timeouts", t.Timeouts.Load(), "misread", t.Misread.Load(), "panics", t.Panics.Load(), "renewed", n.Renewed, "renewed_bare", n.Bare),
-		kept.figures(),
+		kept.figures(), follower.figures(core),
 		slog.Group("now", "proxies", n.Seats, "names", n.Names, "channel", n.Channel, "waiting", n.Waiting, "heap", mem.HeapAlloc, "goroutines", runtime.NumGoroutine()))
 }
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -59,7 +59,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	base, x := clock{time.Now()}, exchange.New()
-	x.Expect(c.settings.Proxies * (1 + len(c.names.Groups)/groupsUsual)) // each tells its usage of every group
+	x.Expect(notesExpected(c.settings.Proxies, len(c.names.Groups)))
 	census := governor.NewCensus(c.names, c.settings)
 	core := governor.New(func() governor.Module { return brain.New(c.settings) }, census)
 	kept := openArchive(c.operator.State, &c, core, x, base, log)
@@ -68,20 +68,26 @@
 	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", c.known.Revision,
 		"replicas", len(c.known.Members), "proxies", c.settings.Proxies)
 
+	follower, err := newConfigurationFollower(c, x, log)
+	if err != nil {
+		return fmt.Errorf("cannot follow a configuration: %w", err)
+	}
 	pool := resp.NewPool(int(buffersPart * float64(c.memory)))
 	var all sync.WaitGroup
 	var broken error
+	server := streams.New(x, pool, log, c.descriptors, census)
 	all.Go(func() {
 		defer stop()
-		broken = streams.New(x, pool, log, c.descriptors, census).Serve(ctx, listener)
+		broken = server.Serve(ctx, listener)
 	})
 	client := discovery.New(c.discovery, c.known.Revision, x, log, base.now, c.seed)
 	all.Go(func() { client.Run(ctx) })
 	all.Go(func() { reload.run(ctx, c, client, x, log) })
-	drive(ctx, core, x, base, asked, kept, log)
+	all.Go(func() { follower.run(ctx) })
+	drive(ctx, core, x, base, asked, kept, follower, server, log)
 	kept.put(core.Last(base.now()))
 	kept.close()
-	report(log, core, x, kept)
+	report(log, core, x, kept, follower)
 	ended := make(chan struct{})
 	go func() { all.Wait(); close(ended) }()
 	select {
@@ -114,7 +120,7 @@
 
 // drive is the one goroutine in which the core runs.
 func drive(ctx context.Context, core *governor.Core, x *exchange.Exchange, base clock,
-	asked <-chan os.Signal, kept *archive, log *slog.Logger) {
+	asked <-chan os.Signal, kept *archive, follower *configurationFollower, server *streams.Server, log *slog.Logger) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -122,7 +128,7 @@
 		case <-ctx.Done():
 			return
 		case <-asked:
-			report(log, core, x, kept)
+			report(log, core, x, kept, follower)
 			continue
 		case <-timer.C: // after a stall it is late, and much waits to be read
 		case <-x.Bell():
@@ -139,6 +145,7 @@
 			log.Info(text)
 		}
 		kept.put(o.Learned)
+		follower.settle(o.Configured, core, server)
 		if o.Failed != "" {
 			log.Error("the module failed, a fresh one goes on", "panic", o.Failed)
 		}
--- a/internal/configserver/file.go
+++ b/internal/configserver/file.go
@@ -41,7 +41,7 @@
 	top.Duration("poll", &o.PollEvery, pollLeast, pollMost)
 	top.Whole("connections", &o.Connections, 1, connectionsMost)
 	top.Whole("copies", &o.Copies, 1, copiesMost)
-	o.Follow = Servers(top, "follow")
+	o.Follow = configclient.ReadServers(top, "follow")
 	if _, _, err := net.SplitHostPort(o.Listen); err != nil {
 		top.Fault("listen", "is %.40q, want an address of host and port", o.Listen)
 	}
@@ -59,29 +59,6 @@
 	return o, nil
 }
 
-// Servers reads a list of servers.
-func Servers(s *form.Section, key string) (all []configclient.Server) {
-	known := map[string]bool{}
-	for _, one := range s.Sections(key) {
-		var server configclient.Server
-		one.Text("address", &server.Address)
-		one.Text("region", &server.Region)
-		if _, _, err := net.SplitHostPort(server.Address); err != nil {
-			one.Fault("address", "is %.40q, want an address of host and port", server.Address)
-		}
-		if known[server.Address] {
-			one.Fault("address", "%s is there twice", server.Address)
-		}
-		known[server.Address] = true
-		one.Done()
-		all = append(all, server)
-	}
-	if s.Has(key) && len(all) == 0 {
-		s.Fault(key, "names no server")
-	}
-	return all
-}
-
 // beside has a relative path begin at the folder of a file.
 func beside(file, path string) string {
 	if strings.TrimSpace(path) == "" || filepath.IsAbs(path) {
--- a/internal/configserver/folder.go
+++ b/internal/configserver/folder.go
@@ -119,3 +119,26 @@
 	}
 	return settings, nil
 }
+
+// CheckFolder says how many services a folder holds, or what is wrong with its files.
+func CheckFolder(path string) (services int, err error) {
+	f := folder{path: path}
+	read, present, err := f.scan(time.Now(), true)
+	if err != nil {
+		return 0, err
+	}
+	store := configstore.New(Check)
+	var faults []error
+	for _, one := range read {
+		if one.err == nil {
+			_, one.err = store.Put(one.service, one.settings, 0)
+		}
+		if one.err != nil {
+			faults = append(faults, fmt.Errorf("file %s: %w", one.name, one.err))
+		}
+	}
+	if len(faults) > 1 {
+		return len(present), fmt.Errorf("%w (and %d more)", faults[0], len(faults)-1)
+	}
+	return len(present), errors.Join(faults...)
+}
--- a/internal/governor/configure.go
+++ b/internal/governor/configure.go
@@ -27,9 +27,8 @@
 
 // Configured says what became of a Configure: in force, or refused for a reason.
 type Configured struct {
-	Version revision.Version
-	Names   settings.Names
-	Err     error
+	Configure
+	Err error
 }
 
 // configuration is what settings determine.
@@ -50,7 +49,7 @@
 	census := NewCensus(n.Names, n.Settings)
 	if err := c.unchangeable(census); err != nil {
 		c.Count.ConfigurationsRefused++
-		c.configured = append(c.configured, Configured{n.Version, n.Names, err})
+		c.configured = append(c.configured, Configured{n, err})
 		return nil
 	}
 	if c.previous == nil {
@@ -61,7 +60,7 @@
 	census.former = c.formerZones(n.Names.Zones)
 	c.adopt(configuration{n.Version, census, n.Start})
 	c.Count.Configurations++
-	c.configured = append(c.configured, Configured{n.Version, n.Names, nil})
+	c.configured = append(c.configured, Configured{n, nil})
 	groups := renumbered(before.Groups, c.names.Groups)
 	c.renumberLevels(groups, before.Groups)
 	if c.fresh { // nothing was told to it yet
--- /dev/null
+++ b/internal/operator/following_test.go
@@ -0,0 +1,39 @@
+package operator
+
+import (
+	"reflect"
+	"strings"
+	"testing"
+
+	"lilacbend/internal/configclient"
+)
+
+func TestFollowingAConfiguration(t *testing.T) {
+	raw := "configuration:\n  service: orders\n  region: r1\n  zone: a\n  servers: [{address: 's0:7000', region: r0}, {address: 's1:7000', region: r1}]\n"
+	book, err := Parse("o.yaml", []byte(raw))
+	want := Following{Service: "orders", Region: "r1", Zone: "a", Servers: []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000", Region: "r1"}}}
+	if err != nil || !reflect.DeepEqual(book.Configuration, want) || !book.Configuration.On() {
+		t.Errorf("%+v %v", book, err)
+	}
+	if off := (Rulebook{}); off.Configuration.On() || !reflect.DeepEqual(off.Differs(book), []string{"configuration"}) || len(book.Differs(book)) != 0 {
+		t.Errorf("%v", off.Differs(book))
+	}
+	for raw, says := range map[string]string{
+		"configuration: {}":                                                             "configuration: lacks service",
+		"configuration: {service: orders}":                                              "configuration: lacks servers",
+		"configuration: {service: a/b, servers: [{address: ':7'}]}":                     `configuration.service: "a/b" is no name of a service`,
+		"configuration: {service: orders, servers: []}":                                 "configuration.servers: names no server",
+		"configuration: {service: orders, servers: [{address: x}]}":                     "configuration.servers[0].address: is \"x\"",
+		"configuration: {service: orders, servers: [{address: ':7'}], regoin: a}":       "configuration.regoin: is not known: did you mean region?",
+		"configuration: {service: orders, servers: [{address: ':7'}, {address: ':7'}]}": "is there twice",
+		"configuration: {service: orders, servers: [{address: ':7'}], zone: [a]}":       "configuration.zone: is a list",
+		"configuration: [orders]":                                                       "configuration: is a list",
+		"configuration: {service: orders, servers: [{address: ':7', adress: ':8'}]}":    "configuration.servers[0].adress: is not known",
+		"configurations: {service: orders, servers: [{address: ':7'}]}":                 "configurations: is not known: did you mean configuration?",
+		"configuration: {service: orders, servers: ['s0:7000']}":                        "configuration.servers: names no server: want a list of sections",
+	} {
+		if _, err := Parse("o.yaml", []byte(raw)); err == nil || !strings.Contains(err.Error(), says) {
+			t.Errorf("%q: %v", raw, err)
+		}
+	}
+}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -4,6 +4,7 @@
 
 import (
 	"path/filepath"
+	"reflect"
 	"strings"
 	"time"
 
@@ -12,8 +13,9 @@
 
 // Rulebook is what an operator file sets.
 type Rulebook struct {
-	File  string
-	State Retention
+	File          string
+	State         Retention
+	Configuration Following
 }
 
 // Retention says how what was learned is kept.
@@ -50,6 +52,9 @@
 	if s := top.Section("state"); s != nil {
 		book.State = retention(file, s)
 	}
+	if s := top.Section("configuration"); s != nil {
+		book.Configuration = following(s)
+	}
 	top.Done()
 	if err := f.Err(); err != nil {
 		return Rulebook{}, err
@@ -80,5 +85,8 @@
 	if b.State != other.State {
 		sections = append(sections, "state")
 	}
+	if !reflect.DeepEqual(b.Configuration, other.Configuration) {
+		sections = append(sections, "configuration")
+	}
 	return sections
 }
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -201,12 +201,12 @@
 	switch f.kind {
 	case "agent":
 		zone := f.zone()
-		if f.fault(p.server.census.Collector(zone)); f.err == nil {
+		if f.fault(p.server.census.Load().Collector(zone)); f.err == nil {
 			f.fault(p.server.name(p, collector, zone))
 		}
 	case "hello":
 		h := hello(f)
-		if f.fault(p.server.census.Proxy(h)); f.err == nil {
+		if f.fault(p.server.census.Load().Proxy(h)); f.err == nil {
 			f.fault(p.server.name(p, proxy, ""))
 		}
 		if f.err == nil {
--- a/internal/streams/server.go
+++ b/internal/streams/server.go
@@ -10,6 +10,7 @@
 	"log/slog"
 	"net"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"lilacbend/internal/exchange"
@@ -36,7 +37,7 @@
 	pool     *resp.Pool
 	log      *slog.Logger
 	most     int
-	census   governor.Census
+	census   atomic.Pointer[governor.Census]
 
 	mu         sync.Mutex
 	peers      map[*peer]struct{}
@@ -49,11 +50,16 @@
 
 // New makes a server that holds no more than so many descriptors.
 func New(x *exchange.Exchange, pool *resp.Pool, log *slog.Logger, descriptors int, census governor.Census) *Server {
-	return &Server{exchange: x, pool: pool, log: log, most: max(1, descriptors-descriptorsKept),
-		census: census, peers: map[*peer]struct{}{}, queue: list.New(), zones: map[string]*peer{},
+	s := &Server{exchange: x, pool: pool, log: log, most: max(1, descriptors-descriptorsKept),
+		peers: map[*peer]struct{}{}, queue: list.New(), zones: map[string]*peer{},
 		complained: map[string]time.Time{}}
+	s.Reconfigure(census)
+	return s
 }
 
+// Reconfigure has those who join from now on checked by another census; who has joined stays.
+func (s *Server) Reconfigure(census governor.Census) { s.census.Store(&census) }
+
 // Serve accepts connections until ctx ends, then ends them all and waits for them.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
