--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -37,6 +37,9 @@
 	ServerWait   = 2 * time.Second
 )
 
+// AnswerLate is how much longer than it was told to wait a server may stay silent: it is given up then.
+const AnswerLate = 2 * time.Second
+
 // Options say who a follower is.
 type Options struct {
 	Instance string
--- a/internal/configwatch/connection.go
+++ b/internal/configwatch/connection.go
@@ -18,9 +18,7 @@
 
 const (
 	// dialMost is how long a connection may take to be made.
-	dialMost = time.Second
-	// lateAfter is how much longer than the server was told to wait nothing may come.
-	lateAfter = time.Second
+	dialMost = 2 * time.Second
 	// bodyLate is how long a body may take in all. A connection that only drips is given up.
 	bodyLate = 10 * time.Second
 	// serviceBody and allBody are the largest answers that are read.
@@ -71,7 +69,7 @@
 
 func (d *deadlined) expect(wait time.Duration) {
 	now := time.Now()
-	d.due, d.until, d.came = now.Add(wait+lateAfter), now.Add(wait+bodyLate), false
+	d.due, d.until, d.came = now.Add(wait+configclient.AnswerLate), now.Add(wait+bodyLate), false
 	d.SetDeadline(d.due)
 }
 
@@ -80,7 +78,7 @@
 	if n > 0 {
 		d.counts.bytesIn.Add(int64(n))
 		d.came = true
-		if later := time.Now().Add(lateAfter); later.After(d.due) && later.Before(d.until) {
+		if later := time.Now().Add(configclient.AnswerLate); later.After(d.due) && later.Before(d.until) {
 			d.due = later
 			d.SetReadDeadline(later)
 		}
