--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"lilacbend/control"
+	"lilacbend/internal/backoff"
 	"lilacbend/internal/configapi"
 	"lilacbend/internal/revision"
 )
@@ -66,7 +67,7 @@
 	asked    *server   // the one whose answer is awaited, or that answered last
 	draws    uint64
 	earliest int64 // nobody is asked before
-	misses   int   // failures in a row, whoever was asked
+	pause    *backoff.Backoff
 
 	inForce  revision.Version
 	settings []byte // those in force
@@ -79,9 +80,11 @@
 	Server
 	failures int   // in a row
 	busy     int   // in a row
+	stale    bool  // it answered, but has not heard of the writer for long, or is behind the follower
 	retryAt  int64 // not asked before, whatever else
 	returnAt int64 // not asked before where another one answers
-	stale    int   // answers in a row by a server that has not heard of the writer for long, or is behind the follower
+	retry    *backoff.Backoff
+	absence  *backoff.Backoff
 }
 
 // New makes a follower that has nothing in force.
@@ -94,13 +97,15 @@
 			o.Wait = ServerWait
 		}
 	}
-	c := &Client{options: o}
+	c := &Client{options: o, pause: backoff.NewJittered(pauseFirst, pauseMost, o.Seed)}
 	order := o.Servers
 	if !o.Ordered {
 		order = Order(o.Instance, o.Region, o.Servers)
 	}
-	for _, s := range order {
-		c.servers = append(c.servers, &server{Server: s})
+	for k, s := range order {
+		seed := o.Seed + uint64(k) + 1
+		c.servers = append(c.servers, &server{Server: s, retry: backoff.NewJittered(retryFirst, retryMost, seed),
+			absence: backoff.NewJittered(returnFirst, returnMost, seed)})
 	}
 	return c, nil
 }
@@ -130,29 +135,35 @@
 		Timeout: c.wait(s, at), Instance: c.options.Instance, Zone: c.options.Zone, Region: c.options.Region}}
 }
 
-// choose picks the first server that is well; else the first failed one that is due; else one that is stale, as it
-// answers at least; else the one that is due soonest.
+// choose picks the first server that is well; else the failed one that has been due for longest; else one that is stale,
+// as it answers at least; else the one that is due soonest.
 func (c *Client) choose(now int64) (*server, int64) {
 	for _, s := range c.servers {
-		well := s.failures == 0 && s.stale == 0
+		well := s.failures == 0 && !s.stale
 		if s.retryAt <= now && (well || s.returnAt <= now) {
 			return s, now
 		}
 	}
-	for _, stale := range []bool{false, true} {
-		for _, s := range c.servers {
-			if (s.stale > 0) == stale && s.retryAt <= now {
-				return s, now
-			}
-		}
+	failed := soonest(c.servers, func(s *server) bool { return !s.stale && s.retryAt <= now })
+	stale := soonest(c.servers, func(s *server) bool { return s.stale && s.retryAt <= now })
+	switch {
+	case failed != nil:
+		return failed, now
+	case stale != nil:
+		return stale, now
 	}
-	soonest := c.servers[0]
-	for _, s := range c.servers[1:] {
-		if s.retryAt < soonest.retryAt {
-			soonest = s
+	next := soonest(c.servers, func(*server) bool { return true })
+	return next, next.retryAt
+}
+
+// soonest is the one among some servers that was due first, so that each has its turn; nil: there is none.
+func soonest(servers []*server, among func(*server) bool) (first *server) {
+	for _, s := range servers {
+		if among(s) && (first == nil || s.retryAt < first.retryAt) {
+			first = s
 		}
 	}
-	return soonest, soonest.retryAt
+	return first
 }
 
 // wait is for how long a server may wait for news: while it is stale no longer than until another one is due.
@@ -161,11 +172,11 @@
 		return 0 // whatever it has is news
 	}
 	wait := c.options.Wait
-	if s.stale == 0 {
+	if !s.stale {
 		return wait
 	}
 	for _, other := range c.servers {
-		if due := time.Duration(other.retryAt - at); other != s && other.stale == 0 {
+		if due := time.Duration(other.retryAt - at); other != s && !other.stale {
 			wait = min(wait, max(due, retryFirst))
 		}
 	}
@@ -175,11 +186,10 @@
 // Failed tells that the server that was asked gave no answer of use.
 func (c *Client) Failed(now int64) {
 	s := c.asked
-	c.misses++
-	s.failures, s.stale, s.busy = s.failures+1, 0, 0
-	s.retryAt = now + int64(c.jitter(backoff(retryFirst, retryMost, s.failures)))
-	s.returnAt = now + int64(c.jitter(backoff(returnFirst, returnMost, s.failures)))
-	c.earliest = now + int64(c.jitter(backoff(pauseFirst, pauseMost, c.misses)))
+	s.failures, s.stale, s.busy = s.failures+1, false, 0
+	s.retryAt = now + int64(s.retry.Next())
+	s.returnAt = now + int64(s.absence.Next())
+	c.earliest = now + int64(c.pause.Next())
 }
 
 // Busy tells that the server that was asked has no room now and says when to come back; 0: it does not say.
@@ -202,7 +212,9 @@
 // which Applied or Refused has to be told. An error means that it is of no use.
 func (c *Client) Answered(now int64, a configapi.Answer) (offer bool, err error) {
 	s := c.asked
-	s.failures, s.busy, c.misses = 0, 0, 0
+	s.failures, s.busy = 0, 0
+	s.retry.Reset()
+	c.pause.Reset()
 	c.judge(s, a, now)
 	if !a.Version.Newer(c.held()) {
 		return false, nil
@@ -223,11 +235,12 @@
 func (c *Client) judge(s *server, a configapi.Answer, now int64) {
 	behind := c.held().Newer(a.Version)
 	if !behind && time.Duration(a.AgeMS)*time.Millisecond <= staleAfter {
-		s.stale, s.returnAt = 0, 0
+		s.stale, s.returnAt = false, 0
+		s.absence.Reset()
 		return
 	}
-	s.stale++
-	s.returnAt = now + int64(c.jitter(backoff(returnFirst, returnMost, s.stale)))
+	s.stale = true
+	s.returnAt = now + int64(s.absence.Next())
 }
 
 // usable says whether an answer that is newer brings what it has to.
@@ -271,19 +284,6 @@
 // Pending says that an offer awaits its verdict: until then nothing is asked.
 func (c *Client) Pending() bool { return !c.offered.IsZero() }
 
-// backoff grows from first, twice as long with each failure, to most.
-func backoff(first, most time.Duration, failures int) time.Duration {
-	for ; failures > 1 && first < most; failures-- {
-		first *= 2
-	}
-	return min(first, most)
-}
-
-// jitter draws from half of a time to all of it.
-func (c *Client) jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(c.chance()*float64(d/2))
-}
-
 func (c *Client) chance() float64 {
 	c.draws++
 	return control.Chance(c.options.Seed, c.draws)
