--- a/internal/configclient/world_test.go
+++ b/internal/configclient/world_test.go
@@ -256,13 +256,13 @@
 		w.reply(c, func() { c.from.client.Unknown(w.now) })
 		return
 	case a.Complete:
-		ok, retryAfter := n.copies.Admit(w.now)
+		ok, retryAfter := n.copies.Admit(1, w.now)
 		if !ok {
 			w.reply(c, func() { c.from.client.Busy(w.now, time.Duration(retryAfter)) })
 			return
 		}
 		took := int64(5 * time.Millisecond)
-		w.after(took, func() { n.copies.Done(took) })
+		w.after(took, func() { n.copies.Done(1, took) })
 	}
 	w.reply(c, func() {
 		if c.from.down() {
--- a/internal/configserver/http.go
+++ b/internal/configserver/http.go
@@ -39,28 +39,47 @@
 		return
 	}
 	a, result, away := s.await(q, r)
+	places := copyPlaces(a)
 	switch {
 	case away.Reason != "":
 		s.counts.sentAway.Add(1)
 		s.write(w, http.StatusServiceUnavailable, away)
 	case result == configstore.Unknown:
 		s.write(w, http.StatusNotFound, configapi.Refusal{Reason: fmt.Sprintf("no service %.40q", q.Service)})
-	case a.Complete:
-		s.counts.copies.Add(1)
+	default:
+		s.count(a, result)
 		begun := s.now()
 		s.write(w, http.StatusOK, a)
-		s.mu.Lock()
-		s.copies.Done(s.now() - begun)
-		s.mu.Unlock()
-	default:
-		if result == configstore.News {
-			s.counts.changes.Add(1)
+		if places > 0 {
+			s.mu.Lock()
+			s.copies.Done(places, s.now()-begun)
+			s.mu.Unlock()
 		}
-		s.write(w, http.StatusOK, a)
 	}
 }
 
-// await waits for something newer. A whole copy that is returned was admitted.
+func (s *Server) count(a configapi.Answer, result configstore.Result) {
+	switch {
+	case a.Complete:
+		s.counts.copies.Add(1)
+	case result == configstore.News:
+		s.counts.changes.Add(1)
+	}
+}
+
+// copyPlaces is how many places an answer takes among the copies under way: none, if it is a small change or no news.
+func copyPlaces(a configapi.Answer) int {
+	bytes := 0
+	for _, service := range a.Services {
+		bytes += len(service.Settings)
+	}
+	if !a.Complete && bytes <= configstore.SettingsMax {
+		return 0
+	}
+	return configstore.Places(bytes)
+}
+
+// await waits for something newer. A copy that is returned was admitted.
 func (s *Server) await(q configapi.Query, r *http.Request) (configapi.Answer, configstore.Result, configapi.Refusal) {
 	over := time.NewTimer(q.Timeout)
 	defer over.Stop()
@@ -92,12 +111,13 @@
 	}
 }
 
-// admit takes a place for a whole copy.
+// admit takes the places for a copy.
 func (s *Server) admit(a configapi.Answer) (away configapi.Refusal) {
-	if !a.Complete {
+	places := copyPlaces(a)
+	if places == 0 {
 		return away
 	}
-	if ok, retryAfter := s.copies.Admit(s.now()); !ok {
+	if ok, retryAfter := s.copies.Admit(places, s.now()); !ok {
 		return configapi.Refusal{Reason: "too many whole copies are under way", RetryAfterMS: retryAfter / int64(time.Millisecond)}
 	}
 	return away
--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -244,7 +244,7 @@
 		}
 	}
 	writer.mu.Lock()
-	writer.copies.Admit(0)
+	writer.copies.Admit(1, 0)
 	writer.mu.Unlock()
 	status, body := get(t, writer, "/configuration?service=orders")
 	var refusal configapi.Refusal
--- a/internal/configstore/copies_test.go
+++ b/internal/configstore/copies_test.go
@@ -9,17 +9,43 @@
 func TestCopiesAreBounded(t *testing.T) {
 	c := NewCopies(2)
 	for k, want := range []bool{true, true, false, false} {
-		ok, retryAfter := c.Admit(0)
+		ok, retryAfter := c.Admit(1, 0)
 		if ok != want || !ok && (retryAfter < retryLeast || retryAfter > retryMost) {
 			t.Errorf("%d: %v, %d", k, ok, retryAfter)
 		}
 	}
-	c.Done(copySpanFirst)
-	if ok, _ := c.Admit(0); !ok || c.Open() != 2 {
+	c.Done(1, copySpanFirst)
+	if ok, _ := c.Admit(1, 0); !ok || c.Open() != 2 {
 		t.Error("a place that is free again is not given")
 	}
 }
 
+// Large copies take as many places as their size; one that is larger than all of them goes alone.
+func TestLargeCopiesTakeMorePlaces(t *testing.T) {
+	for bytes, want := range map[int]int{0: 1, 1: 1, SettingsMax: 1, SettingsMax + 1: 2, 10 * SettingsMax: 10} {
+		if got := Places(bytes); got != want {
+			t.Errorf("%d bytes take %d places, want %d", bytes, got, want)
+		}
+	}
+	c := NewCopies(4)
+	for k, step := range []struct {
+		places int
+		ok     bool
+	}{{3, true}, {2, false}, {1, true}, {1, false}} {
+		if ok, _ := c.Admit(step.places, 0); ok != step.ok {
+			t.Errorf("%d: %v", k, ok)
+		}
+	}
+	c.Done(3, 1)
+	c.Done(1, 1)
+	if ok, _ := c.Admit(9, 0); !ok {
+		t.Error("a copy that is larger than all places never goes")
+	}
+	if ok, _ := c.Admit(1, 0); ok {
+		t.Error("another one goes beside it")
+	}
+}
+
 // arrivals are followers that come at a time.
 type arrivals []int64
 
@@ -48,10 +74,10 @@
 			now := heap.Pop(waiting).(int64)
 			for ends.Len() > 0 && (*ends)[0] <= now {
 				heap.Pop(ends)
-				c.Done(span)
+				c.Done(1, span)
 			}
 			tries++
-			ok, retryAfter := c.Admit(now)
+			ok, retryAfter := c.Admit(1, now)
 			if !ok {
 				heap.Push(waiting, now+retryAfter+draw.Int63n(retryAfter/4))
 				continue
