--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -13,6 +13,7 @@
 
 	"lilacbend/internal/configapi"
 	"lilacbend/internal/configclient"
+	"lilacbend/internal/revision"
 	"lilacbend/lab/peers"
 )
 
@@ -171,6 +172,35 @@
 	}
 }
 
+// A writer whose clock is behind and whose state is lost hears of a later epoch by its first follower, and begins the one
+// after it; once it is followed, a later epoch tells of another writer, and it does not race with that one.
+func TestALaterEpochAtAFollower(t *testing.T) {
+	t.Parallel()
+	folder := t.TempDir()
+	write(t, folder, "orders.json", exampleSettings(t, "first"))
+	writer := start(t, Options{Name: "s0", Folder: folder})
+	peers.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 1 })
+	ahead := revision.Version{Epoch: writer.Version().Epoch + 1000, Revision: 7}
+	if status, body := get(t, writer, "/configuration?service=orders&since="+ahead.String()); status != 200 || !strings.Contains(body, `"first"`) {
+		t.Errorf("%d %.100s", status, body)
+	}
+	own := writer.Version()
+	if own.Epoch != ahead.Epoch+1 || own.Revision != 1 {
+		t.Fatalf("%s after %s", own, ahead)
+	}
+	get(t, writer, "/configuration?service=orders&since="+own.String()) // it is followed
+	for range 2 {
+		get(t, writer, "/configuration?service=orders&since="+revision.Version{Epoch: own.Epoch + 1, Revision: 1}.String())
+	}
+	if writer.Version() != own || writer.log.count("another writer is about") != 1 {
+		t.Errorf("%s, the log: %s", writer.Version(), writer.log.text.String())
+	}
+	get(t, writer, "/configuration?service=orders&since="+revision.Version{Epoch: revision.Max, Revision: 1}.String())
+	if writer.Version() != own {
+		t.Errorf("%s", writer.Version())
+	}
+}
+
 // A bad state file is said and left out; a writer whose files are bad at its start serves those of its state.
 func TestTheStateFile(t *testing.T) {
 	t.Parallel()
