--- a/internal/configserver/http.go
+++ b/internal/configserver/http.go
@@ -1,6 +1,7 @@
 package configserver
 
 import (
+	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -49,7 +50,7 @@
 	default:
 		s.count(a, result)
 		begun := s.now()
-		s.write(w, http.StatusOK, a)
+		s.answer(w, a)
 		if places > 0 {
 			s.mu.Lock()
 			s.copies.Done(places, s.now()-begun)
@@ -69,14 +70,18 @@
 
 // copyPlaces is how many places an answer takes among the copies under way: none, if it is a small change or no news.
 func copyPlaces(a configapi.Answer) int {
-	bytes := 0
-	for _, service := range a.Services {
-		bytes += len(service.Settings)
-	}
-	if !a.Complete && bytes <= configstore.SettingsMax {
+	size := settingsOf(a)
+	if !a.Complete && size <= configstore.SettingsMax {
 		return 0
 	}
-	return configstore.Places(bytes)
+	return configstore.Places(size)
+}
+
+func settingsOf(a configapi.Answer) (size int) {
+	for _, service := range a.Services {
+		size += len(service.Settings)
+	}
+	return size
 }
 
 // await waits for something newer. A copy that is returned was admitted.
@@ -123,11 +128,27 @@
 	return away
 }
 
+// write answers a request that is not served, or with what is small.
 func (s *Server) write(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil { // no such thing is sent
 		status, raw = http.StatusInternalServerError, []byte(`{"error":"not writable as JSON"}`)
 	}
+	s.send(w, status, raw)
+}
+
+// answer writes an answer to a query.
+func (s *Server) answer(w http.ResponseWriter, a configapi.Answer) {
+	var body bytes.Buffer
+	body.Grow(settingsOf(a) + answerHead*(1+len(a.Services)))
+	a.WriteTo(&body) // a buffer takes all
+	s.send(w, http.StatusOK, body.Bytes())
+}
+
+// answerHead is about what an answer has beside its settings, for each service.
+const answerHead = 256
+
+func (s *Server) send(w http.ResponseWriter, status int, raw []byte) {
 	late := writeMost + time.Duration(len(raw)/writeRate)*time.Second
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(late))
 	select {
--- a/internal/configserver/server.go
+++ b/internal/configserver/server.go
@@ -37,8 +37,11 @@
 	idleMost = 2 * time.Minute
 	// SIGKILL may follow 0.7 s after SIGTERM: connections get so long to end.
 	partingMost = 300 * time.Millisecond
-	// saveEvery is the least time between two writes of the state file.
-	saveEvery = time.Second
+	// stateMost is for how much longer the last state is waited for.
+	stateMost = 100 * time.Millisecond
+	// saveEvery is the least time between two writes of the state file, which is all of the configuration. A server that starts
+	// with an older one loses nothing: a writer's epoch is later whatever it holds, and all others catch up.
+	saveEvery = 10 * time.Second
 )
 
 // Options say what a server serves, and where.
@@ -178,8 +181,15 @@
 	if s.http.Shutdown(parting) != nil {
 		s.http.Close()
 	}
-	all.Wait()
-	return broken
+	ended := make(chan struct{})
+	go func() { all.Wait(); close(ended) }()
+	select {
+	case <-ended:
+		return broken
+	case <-time.After(stateMost):
+		s.options.Log.Warn("the state was not written in time")
+		return nil
+	}
 }
 
 // publish wakes those who wait for services.
--- a/internal/configserver/state.go
+++ b/internal/configserver/state.go
@@ -1,6 +1,7 @@
 package configserver
 
 import (
+	"bufio"
 	"context"
 	"encoding/json"
 	"errors"
@@ -88,10 +89,7 @@
 	s.dirty = false
 	a := s.store.Snapshot()
 	s.mu.Unlock()
-	raw, err := json.Marshal(a)
-	if err == nil {
-		err = renameio.WriteFile(s.options.StateFile, raw, 0o600)
-	}
+	err := writeState(s.options.StateFile, a)
 	if err != nil {
 		s.mu.Lock()
 		s.dirty = true
@@ -99,3 +97,20 @@
 	}
 	return err
 }
+
+// writeState replaces the state file as a whole, service by service: a copy of all would be as large as the store.
+func writeState(path string, a configapi.Answer) error {
+	pending, err := renameio.NewPendingFile(path, renameio.WithPermissions(0o600))
+	if err != nil {
+		return err
+	}
+	defer pending.Cleanup()
+	buffered := bufio.NewWriter(pending)
+	if _, err := a.WriteTo(buffered); err != nil {
+		return err
+	}
+	if err := buffered.Flush(); err != nil {
+		return err
+	}
+	return pending.CloseAtomicallyReplace()
+}
