--- /dev/null
+++ b/internal/discovery/capacity_bench_test.go
@@ -0,0 +1,93 @@
+package discovery
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"lilacbend/internal/exchange"
+)
+
+// The bytes of a whole list and the time to read it, by its members: the slope of docs/CAPACITY.md for discovery.
+func BenchmarkListingByMembers(b *testing.B) {
+	for _, members := range []int{1, 33, 655, 9500} {
+		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
+			raw := listing(b, members)
+			for b.Loop() {
+				l, err := Parse(raw)
+				if err != nil || len(l.Members) != members {
+					b.Fatal(len(l.Members), err)
+				}
+			}
+			b.ReportMetric(float64(len(raw)), "B/list")
+		})
+	}
+}
+
+// listing is a whole list in discovery's words, with names as long as a deployment's.
+func listing(b *testing.B, members int) []byte {
+	revision, complete, size := int64(8461), true, 1.0
+	all := make([]memberMessage, members)
+	for k := range all {
+		all[k] = memberMessage{ID: fmt.Sprintf("stock-7c9d4f5b8-%05d", k), HostPort: fmt.Sprintf("10.12.%d.%d:8080", k/250, k%250),
+			Cell: k % 16, Locality: fmt.Sprintf("zone-%02d", k%54), Flavor: "m1", Phase: "Ready", Size: &size, UpSince: 1_790_000_000_000 + float64(k)}
+	}
+	raw, err := json.Marshal(listMessage{&revision, &complete, &all})
+	if err != nil {
+		b.Fatal(err)
+	}
+	return raw
+}
+
+// countingConn counts the bytes of both directions.
+type countingConn struct {
+	net.Conn
+	bytes *atomic.Int64
+}
+
+func (c countingConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.bytes.Add(int64(n))
+	return n, err
+}
+
+func (c countingConn) Write(b []byte) (int, error) {
+	n, err := c.Conn.Write(b)
+	c.bytes.Add(int64(n))
+	return n, err
+}
+
+// A watch that ends without news: its bytes in both directions, heads included, and its time but for the wait.
+func BenchmarkWatchWithoutNews(b *testing.B) {
+	empty := `{"revision":8461,"complete":false,"members":[]}`
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.Header().Set("Content-Type", "application/json")
+		fmt.Fprint(w, empty)
+	}))
+	defer server.Close()
+	address := strings.TrimPrefix(server.URL, "http://")
+	dialed, err := net.Dial("tcp", address)
+	if err != nil {
+		b.Fatal(err)
+	}
+	var bytes atomic.Int64
+	conn := &pacedConn{Conn: countingConn{dialed, &bytes}}
+	defer conn.Close()
+	c := New(address, 8461, exchange.New(), slog.New(slog.DiscardHandler), func() int64 { return time.Now().UnixNano() }, 1)
+	c.synced = true
+	r := bufio.NewReader(conn)
+	for b.Loop() {
+		if got, err := c.call(conn, r); got.changed || !got.keep || err != nil {
+			b.Fatal(got, err)
+		}
+	}
+	b.ReportMetric(float64(bytes.Load())/float64(b.N), "B/watch")
+}
--- /dev/null
+++ b/internal/governor/turn_bench_test.go
@@ -0,0 +1,237 @@
+package governor_test
+
+import (
+	"fmt"
+	"math/rand"
+	"runtime"
+	"slices"
+	"syscall"
+	"testing"
+	"time"
+
+	"lilacbend/brain"
+	"lilacbend/control"
+	"lilacbend/internal/governor"
+	"lilacbend/settings"
+)
+
+// The benchmarks of this file give the slopes of docs/CAPACITY.md: each varies one input of a turn and leaves the others at
+// the shape of one governor of a mean service. They measure the core and the module alone, without sockets.
+
+// The channel of the fleet days: lines that may wait in it, and lines a second.
+const (
+	channelLimit = 49200
+	channelRate  = 1200
+	// wideChannel holds back nothing, so that every table lists every replica.
+	wideChannel = 1 << 20
+)
+
+const (
+	tickInterval   = second / 4
+	reportInterval = second / 500 // between two turns that no tick is due in
+	settlingTurns  = 40
+)
+
+// turnShape is the size of one governor and what each of its turns brings.
+type turnShape struct {
+	replicas, proxies, classes int
+	reports, demands, changes  int
+	interval                   int64
+	wide                       bool
+}
+
+func meanService() turnShape {
+	return turnShape{replicas: 33, proxies: 480, classes: 3, reports: 40, interval: tickInterval}
+}
+
+// sizedWorld is a governor that all of its proxies have joined, behind a channel that delivers at once.
+type sizedWorld struct {
+	*channelWorld
+	shape   turnShape
+	classes []string
+	heap    uint64        // bytes that it holds once it has settled
+	used    time.Duration // processor time of all turns
+	pushes  int
+	lines   int // of all pushes, without heads
+}
+
+func newSizedWorld(shape turnShape) *sizedWorld {
+	before := heapInUse()
+	limit, rate := channelLimit, channelRate
+	if shape.wide {
+		limit, rate = wideChannel, wideChannel
+	}
+	w := &sizedWorld{channelWorld: newChannelWorld(1, shape.proxies, shape.replicas, 5, limit, rate, trueLines), shape: shape}
+	w.provision.Groups = nil
+	for k := range shape.classes {
+		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
+		w.provision.Groups = append(w.provision.Groups, control.TrafficGroup{Utility: 1, LatencyBudget: second, Expiry: 3 * second, Effect: control.Retriable})
+	}
+	names := settings.Names{Groups: w.classes, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
+	w.core = governor.New(func() governor.Module { return brain.New(w.provision) }, governor.NewCensus(names, w.provision))
+	for k := range w.proxies {
+		w.join(k)
+	}
+	for range settlingTurns {
+		w.turn(tickInterval)
+	}
+	w.heap = heapInUse() - before
+	return w
+}
+
+func heapInUse() uint64 {
+	var m runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&m)
+	return m.HeapAlloc
+}
+
+// turn has one turn, says how long it took, and delivers its messages before the next one.
+func (w *sizedWorld) turn(interval int64) time.Duration {
+	w.now += interval
+	events := w.notes
+	w.notes = nil
+	usedBefore, began := threadTime(), time.Now()
+	outcome := w.core.Turn(w.now, events)
+	took := time.Since(began)
+	w.used += threadTime() - usedBefore
+	w.pushes += len(outcome.Pushes)
+	for _, s := range outcome.Pushes {
+		w.lines += trueLines(s.Push)
+		w.notes = append(w.notes, governor.Written{Number: s.Number})
+		w.apply(message{proxy: int(s.Stream) - 1, sent: s}) // streams are numbered from 1 as the proxies join
+	}
+	return took
+}
+
+// threadTime is the processor time of the calling thread. Unlike the wall's time it does not grow when others use the
+// machine. What the garbage collector does on threads of its own is not in it.
+func threadTime() time.Duration {
+	const rusageThread = 1 // RUSAGE_THREAD, which package syscall does not name
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(rusageThread, &usage); err != nil {
+		panic(err)
+	}
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+}
+
+// report adds what one turn of the shape is told.
+func (w *sizedWorld) report() {
+	for range w.shape.reports {
+		m := governor.Met{Zone: "a", Replica: w.names[w.Intn(len(w.names))]}
+		m.Tries, m.Missed, m.Answer, m.Span = 20, w.Intn(2), second/10+int64(w.Intn(int(second/20))), second
+		w.notes = append(w.notes, m)
+	}
+	for range w.shape.demands {
+		proxy := w.Intn(len(w.proxies))
+		w.notes = append(w.notes, governor.Demand{Stream: w.proxies[proxy].stream, Group: w.classes[w.Intn(len(w.classes))],
+			Demand: control.Demand{Proxy: proxy, Flows: 5, Span: second}})
+	}
+	if w.shape.changes > 0 {
+		w.list(w.restarted(w.shape.changes), false)
+	}
+}
+
+// restarted has some replicas start anew, and names them.
+func (w *sizedWorld) restarted(count int) []string {
+	var names []string
+	for range count {
+		m := w.states[w.names[w.Intn(len(w.names))]]
+		m.UpSince = w.now
+		w.states[m.ID] = m
+		names = append(names, m.ID)
+	}
+	return names
+}
+
+func benchmarkTurns(b *testing.B, shape turnShape) {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	w := newSizedWorld(shape)
+	w.used, w.pushes, w.lines = 0, 0, 0
+	var spans []time.Duration
+	for b.Loop() {
+		w.report()
+		spans = append(spans, w.turn(shape.interval))
+	}
+	slices.Sort(spans)
+	b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
+	b.ReportMetric(float64(spans[len(spans)*99/100])/1e6, "p99-ms")
+	b.ReportMetric(float64(w.used)/float64(len(spans))/1e6, "cpu-ms")
+	b.ReportMetric(float64(w.pushes)/float64(len(spans)), "pushes/turn")
+	b.ReportMetric(float64(w.lines)/float64(len(spans)), "lines/turn")
+	b.ReportMetric(float64(w.heap), "heap-B")
+	runtime.KeepAlive(w)
+}
+
+// varying runs the turns of the mean service with one input varied.
+func varying(b *testing.B, input string, values []int, set func(*turnShape, int)) {
+	for _, v := range values {
+		b.Run(fmt.Sprintf("%s=%d", input, v), func(b *testing.B) {
+			shape := meanService()
+			set(&shape, v)
+			benchmarkTurns(b, shape)
+		})
+	}
+}
+
+var replicasListed = []int{33, 100, 200, 655, 1000, 3000, 9500}
+
+func BenchmarkTurnByReplicas(b *testing.B) {
+	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas = v })
+}
+
+func BenchmarkTurnByReplicasWideChannel(b *testing.B) {
+	varying(b, "replicas", []int{200, 1000, 3000, 9500}, func(s *turnShape, v int) { s.replicas, s.wide = v, true })
+}
+
+// Turns between two ticks: one report each, as reports come spread over time.
+func BenchmarkTurnBetweenTicksByReplicas(b *testing.B) {
+	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas, s.reports, s.interval = v, 1, reportInterval })
+}
+
+func BenchmarkTurnByProxies(b *testing.B) {
+	varying(b, "proxies", []int{48, 120, 240, 480, 960, 1920}, func(s *turnShape, v int) { s.proxies = v })
+}
+
+func BenchmarkTurnByReports(b *testing.B) {
+	varying(b, "reports", []int{0, 50, 200, 900, 3000}, func(s *turnShape, v int) { s.reports = v })
+}
+
+func BenchmarkTurnByDemands(b *testing.B) {
+	varying(b, "demands", []int{0, 48, 120, 480}, func(s *turnShape, v int) { s.demands = v })
+}
+
+func BenchmarkTurnByClasses(b *testing.B) {
+	varying(b, "classes", []int{3, 12, 48, 240, 960}, func(s *turnShape, v int) { s.classes = v })
+}
+
+func BenchmarkTurnByChanges(b *testing.B) {
+	varying(b, "changes", []int{0, 1, 10, 100}, func(s *turnShape, v int) { s.changes, s.replicas = v, 655 })
+}
+
+// All proxies join within one turn, at a governor of a mean service behind the channel of the fleet days.
+func BenchmarkTurnThatBindsByProxies(b *testing.B) {
+	for _, proxies := range []int{48, 240, 480, 960, 1920} {
+		b.Run(fmt.Sprintf("proxies=%d", proxies), func(b *testing.B) {
+			var spans []time.Duration
+			for b.Loop() {
+				w := newChannelWorld(1, proxies, 33, 5, channelLimit, channelRate, trueLines)
+				w.Rand = rand.New(rand.NewSource(1))
+				w.core.Turn(w.now, w.notes)
+				w.notes = nil
+				for k := range w.proxies {
+					w.join(k)
+				}
+				began := time.Now()
+				if o := w.core.Turn(w.now+tickInterval, w.notes); len(o.Pushes) == 0 {
+					b.Fatal("nobody is bound")
+				}
+				spans = append(spans, time.Since(began))
+			}
+			slices.Sort(spans)
+			b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
+			b.ReportMetric(0, "ns/op")
+		})
+	}
+}
--- /dev/null
+++ b/internal/steering/capacity_bench_test.go
@@ -0,0 +1,142 @@
+package steering
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"runtime"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"lilacbend/internal/forward"
+	"lilacbend/internal/resp"
+)
+
+// The benchmarks of this file give a collector's costs, and a sidecar's for control, for docs/CAPACITY.md.
+
+// One report of a sidecar at a collector, by the governors that it tells of it.
+func BenchmarkReportHeardByGovernors(b *testing.B) {
+	for _, governors := range []int{1, 6, 110, 400, 1600} {
+		b.Run(fmt.Sprintf("governors=%d", governors), func(b *testing.B) {
+			c := &Collector{}
+			for range governors {
+				c.ledgers = append(c.ledgers, &ledger{totals: map[string]*total{}, since: time.Now(), held: time.Hour})
+			}
+			var reports [][]string
+			for k := range 33 {
+				reports = append(reports, strings.Fields(fmt.Sprintf("met target stock-7c9d4f5b8-%05d count 12 fail 0 mean 47.318", k)))
+			}
+			k := 0
+			for b.Loop() {
+				if err := c.hear(reports[k%len(reports)]); err != nil {
+					b.Fatal(err)
+				}
+				k++
+			}
+		})
+	}
+}
+
+// The memory of a collector for the replicas it holds sums of for one governor.
+func BenchmarkCollectorMemoryByReplicas(b *testing.B) {
+	for _, replicas := range []int{33, 655, 9500} {
+		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
+			var held uint64
+			for b.Loop() {
+				l := &ledger{totals: map[string]*total{}, since: time.Now(), held: time.Hour}
+				before := heapInUse()
+				for k := range replicas {
+					l.add("stock-7c9d4f5b8-"+strconv.Itoa(10000+k), 12, 0, 47.3)
+				}
+				held = heapInUse() - before
+				runtime.KeepAlive(l)
+			}
+			b.ReportMetric(float64(held), "heap-B")
+		})
+	}
+}
+
+func heapInUse() uint64 {
+	var m runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&m)
+	return m.HeapAlloc
+}
+
+// One message written to a socket of loopback that is read at once: the writer's side alone is timed by the processor,
+// both share the wall's time.
+func BenchmarkMessageSent(b *testing.B) {
+	for _, m := range []struct{ name, text string }{
+		{"outcomes", "outcomes site zone-17 target stock-7c9d4f5b8-x2v9q count 118 fail 2 mean 47.318 over 500.112"},
+		{"met", "met target stock-7c9d4f5b8-x2v9q count 12 fail 0 mean 47.318"},
+		{"demand", "demand id 314159 lane checkout-read count 12 fail 0 over 1000.204"},
+		{"probe", "probe"},
+	} {
+		b.Run(m.name, func(b *testing.B) {
+			conn := drained(b)
+			w := &writer{conn: conn, pool: resp.NewPool(1 << 20)}
+			words := strings.Fields(m.text)
+			for b.Loop() {
+				if err := w.say(words...); err != nil {
+					b.Fatal(err)
+				}
+			}
+			size, err := resp.Write(io.Discard, w.pool, words...)
+			if err != nil {
+				b.Fatal(err)
+			}
+			b.ReportMetric(float64(size), "B/message")
+		})
+	}
+}
+
+// drained is a connection whose other end reads all that comes.
+func drained(b *testing.B) net.Conn {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { l.Close() })
+	go func() {
+		if conn, err := l.Accept(); err == nil {
+			io.Copy(io.Discard, conn)
+			conn.Close()
+		}
+	}()
+	conn, err := net.Dial("tcp", l.Addr().String())
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// A push that replaces a sidecar's table, from its words to the core, by its endpoints.
+func BenchmarkPushAppliedByEndpoints(b *testing.B) {
+	for _, endpoints := range []int{1, 10, 51, 655} {
+		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
+			var pairs []string
+			for k := range endpoints {
+				pairs = append(pairs, fmt.Sprintf("stock-7c9d4f5b8-%05d:0.%d", k, 100+k%800))
+			}
+			words := []string{"push", "full", "1", "endpoints", strings.Join(pairs, ","), "nonce_out", "4711"}
+			core, err := forward.New(forward.Plan{Flows: 1, Groups: []forward.Group{{Name: "read"}}})
+			if err != nil {
+				b.Fatal(err)
+			}
+			now := int64(0)
+			for b.Loop() {
+				var p push
+				if err := p.add(words); err != nil {
+					b.Fatal(err)
+				}
+				now++
+				if err := core.Apply(now, p.parts...); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
