--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	root := &cli.Command{Name: "lab", Usage: "measure what a change does", Commands: append(seedsCommands(),
-		restartCommand(), loadCommand(), overheadCommand(), serviceCommand(), baselineCommand())}
+		restartCommand(), loadCommand(), overheadCommand(), serviceCommand(), baselineCommand(), capacityCommand())}
 	if err := root.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "lab:", err)
 		os.Exit(1)
--- /dev/null
+++ b/cmd/lab/points_test.go
@@ -0,0 +1,31 @@
+package main
+
+import (
+	"strings"
+	"testing"
+)
+
+func TestMediansOfBenchmarks(t *testing.T) {
+	output := `goos: linux
+BenchmarkTurn/replicas=33-8   	     100	    334160 ns/op	         0.2955 cpu-ms
+BenchmarkTurn/replicas=33-8   	     100	    534160 ns/op	         0.1955 cpu-ms
+BenchmarkTurn/replicas=33-8   	     100	    234160 ns/op	         0.9955 cpu-ms
+BenchmarkOther-8   	     100	    7 ns/op
+PASS
+`
+	all, err := readBenchmarks(strings.NewReader(output))
+	if err != nil || len(all) != 3 {
+		t.Fatal(all, err)
+	}
+	for k, want := range []struct {
+		name, unit string
+		median     float64
+	}{{"BenchmarkTurn/replicas=33", "ns/op", 334160}, {"BenchmarkTurn/replicas=33", "cpu-ms", 0.2955}, {"BenchmarkOther", "ns/op", 7}} {
+		if got := all[k]; got.name != want.name || got.unit != want.unit || median(got.values) != want.median {
+			t.Errorf("%+v, want %+v", got, want)
+		}
+	}
+	if _, err := readBenchmarks(strings.NewReader("BenchmarkBad-8 100 many ns/op")); err == nil {
+		t.Error("a figure that is none is taken")
+	}
+}
