--- a/internal/streams/capacity_bench_test.go
+++ b/internal/streams/capacity_bench_test.go
@@ -127,9 +127,7 @@
 		if conns[k], err = net.Dial("tcp", l.Addr().String()); err != nil {
 			b.Fatal(err)
 		}
-		hello := "*9\r\n$5\r\nhello\r\n$2\r\nid\r\n$" + strconv.Itoa(len(strconv.Itoa(k))) + "\r\n" + strconv.Itoa(k) +
-			"\r\n$4\r\nsite\r\n$1\r\na\r\n$3\r\nrps\r\n$1\r\n1\r\n$3\r\nnew\r\n$1\r\n1\r\n"
-		if _, err := io.WriteString(conns[k], hello); err != nil {
+		if err := sayHello(conns[k], k); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -142,6 +140,39 @@
 	return held
 }
 
+// sayHello joins as a proxy without an ordered table.
+func sayHello(conn net.Conn, proxy int) error {
+	_, err := resp.Write(conn, helloPool, "hello", "id", strconv.Itoa(proxy), "site", "a", "rps", "1", "new", "1")
+	return err
+}
+
+var helloPool = resp.NewPool(1 << 20)
+
+// A stream opened and joined, and closed again: both sides share the time.
+func BenchmarkStreamOpened(b *testing.B) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	defer serveProxies(b, l, 1)()
+	for b.Loop() {
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			b.Fatal(err)
+		}
+		if err := sayHello(conn, 0); err != nil {
+			b.Fatal(err)
+		}
+		if _, err := resp.Write(conn, helloPool, "probe"); err != nil {
+			b.Fatal(err)
+		}
+		if _, err := io.ReadFull(conn, make([]byte, len("*1\r\n$5\r\nalive\r\n"))); err != nil { // so it has joined
+			b.Fatal(err)
+		}
+		conn.Close()
+	}
+}
+
 func memoryInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
