--- a/cmd/lab/points.go
+++ b/cmd/lab/points.go
@@ -54,7 +54,8 @@
 			}
 			at := slices.IndexFunc(all, func(b benchmarkResult) bool { return b.name == name && b.unit == words[k+1] })
 			if at < 0 {
-				at, all = len(all), append(all, benchmarkResult{name: name, unit: words[k+1]})
+				at = len(all)
+				all = append(all, benchmarkResult{name: name, unit: words[k+1]})
 			}
 			all[at].values = append(all[at].values, value)
 		}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -89,7 +89,8 @@
 		formulas = append(formulas, d.Formula)
 	}
 	for _, p := range m.rows() {
-		formulas, used[p.Bound] = append(formulas, p.Formula), true
+		formulas = append(formulas, p.Formula)
+		used[p.Bound] = true
 	}
 	for _, c := range m.Claims {
 		formulas = append(formulas, c.Formula)
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -30,7 +30,8 @@
 func fit(points [][2]float64) Fit {
 	var x, y, weights []float64
 	for _, p := range points {
-		x, y = append(x, p[0]), append(y, p[1])
+		x = append(x, p[0])
+		y = append(y, p[1])
 		weights = append(weights, 1/(p[1]*p[1]))
 	}
 	f := Fit{points: points}
--- a/internal/governor/turn_bench_test.go
+++ b/internal/governor/turn_bench_test.go
@@ -118,9 +118,12 @@
 // report adds what one turn of the shape is told.
 func (w *sizedWorld) report() {
 	for range w.shape.reports {
-		m := governor.Met{Zone: "a", Replica: w.names[w.Intn(len(w.names))]}
-		m.Tries, m.Missed, m.Answer, m.Span = 20, w.Intn(2), second/10+int64(w.Intn(int(second/20))), second
-		w.notes = append(w.notes, m)
+		w.notes = append(w.notes, governor.Met{Zone: "a", Replica: w.names[w.Intn(len(w.names))], Met: control.Met{
+			Tries:  20,
+			Missed: w.Intn(2),
+			Answer: second/10 + int64(w.Intn(int(second/20))),
+			Span:   second,
+		}})
 	}
 	for range w.shape.demands {
 		proxy := w.Intn(len(w.proxies))
@@ -181,6 +184,7 @@
 	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas = v })
 }
 
+// The same behind a channel that holds back nothing.
 func BenchmarkTurnByReplicasWideChannel(b *testing.B) {
 	varying(b, "replicas", []int{200, 1000, 3000, 9500}, func(s *turnShape, v int) { s.replicas, s.wide = v, true })
 }
