--- a/cmd/lilacbend/configuration.go
+++ b/cmd/lilacbend/configuration.go
@@ -76,6 +76,6 @@
 		return slog.Attr{}
 	}
 	n, c := f.watcher.Counts(), core.Count
-	return slog.Group("configuration", "version", core.Configuration().String(), "changes", c.Configurations, "refused", n.Refused,
+	return slog.Group("configuration", "version", f.watcher.InForce().String(), "changes", c.Configurations, "refused", n.Refused,
 		"requests", n.Requests, "dials", n.Dials, "failures", n.Failures, "sent_away", n.SentAway, "bytes_in", n.BytesIn, "bytes_out", n.BytesOut)
 }
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -6,7 +6,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -277,7 +276,7 @@
 	case len(name) > configapi.NameMax:
 		return fmt.Errorf("%.40q... has %d bytes, at most %d may be", name, len(name), configapi.NameMax)
 	case strings.ContainsFunc(name, unusual):
-		return errors.New(fmt.Sprintf("%.40q", name) + " is no name of a service: letters, digits, dots, dashes and underscores are")
+		return fmt.Errorf("%.40q is no name of a service: letters, digits, dots, dashes and underscores are", name)
 	}
 	return nil
 }
