--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -11,8 +11,9 @@
 )
 
 func main() {
-	root := &cli.Command{Name: "lab", Usage: "measure what a change does", Commands: append(seedsCommands(),
-		restartCommand(), loadCommand(), overheadCommand(), serviceCommand(), baselineCommand(), capacityCommand())}
+	commands := append(seedsCommands(), restartCommand(), loadCommand(), overheadCommand(), serviceCommand(), baselineCommand(), capacityCommand())
+	commands = append(commands, scaleCommands()...)
+	root := &cli.Command{Name: "lab", Usage: "measure what a change does", Commands: commands}
 	if err := root.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "lab:", err)
 		os.Exit(1)
--- /dev/null
+++ b/cmd/lab/scale.go
@@ -0,0 +1,173 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/google/renameio/v2"
+	"github.com/urfave/cli/v3"
+
+	"lilacbend/lab/scale"
+)
+
+// hostCommand is the hidden command by which a scale run starts its processes.
+const hostCommand = "scale-host"
+
+var errFailedChecks = errors.New("checks failed")
+
+// scaleCommands are the scale run and the process that it starts many hollow governors in.
+func scaleCommands() []*cli.Command {
+	var p scale.Plan
+	var out, program string
+	var real bool
+	names := faultNames()
+	count := func(name, usage string, value int, into *int) cli.Flag {
+		return &cli.IntFlag{Name: name, Usage: usage, Value: value, Destination: into}
+	}
+	aDay := func(name, usage string, value float64, into *float64) cli.Flag {
+		return &cli.FloatFlag{Name: name, Usage: usage, Value: value, Destination: into}
+	}
+	span := func(name, usage string, value time.Duration, into *time.Duration) cli.Flag {
+		return &cli.DurationFlag{Name: name, Usage: usage, Value: value, Destination: into}
+	}
+	flags := []cli.Flag{
+		count("governors", "hollow ones", 100, &p.Governors),
+		count("services", "0: in proportion to 290 for 1,600 governors", 0, &p.Services),
+		count("replicas", "0: in proportion to 9,500", 0, &p.Replicas),
+		count("routes", "of all services; 0: in proportion to 14,000", 0, &p.Routes),
+		count("tenants", "of all services; 0: in proportion to 74,000", 0, &p.Tenants),
+		count("zones", "a service has replicas in three of them at most", 54, &p.Zones),
+		count("regions", "over which governors and servers are spread", 23, &p.Regions),
+		count("servers", "of configuration", 8, &p.Servers),
+		count("proxies", "of each hollow governor", 2, &p.Proxies),
+		count("host-size", "hollow governors of one process, at most", 400, &p.HostSize),
+		&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &p.Seed},
+		span("phase", "how long each fault lasts", time.Minute, &p.Phase),
+		&cli.StringSliceFlag{Name: "fault", Usage: "played one after the other", Value: names, Destination: &names},
+		aDay("factor", "by which a day is compressed", 60, &p.Factor),
+		aDay("changes", "of configuration, a day; below 0: in proportion to 8,400", -1, &p.Changes),
+		aDay("failures", "of machines, a day; below 0: in proportion to 39", -1, &p.Failures),
+		aDay("restarts", "of machines, a day; below 0: in proportion to 1,200", -1, &p.Restarts),
+		aDay("invalid", "share of changes that are not valid", 0.05, &p.Invalid),
+		count("at-once", "changes in a burst", 100, &p.AtOnce),
+		count("crowd", "restarts within a minute; 0: in proportion to 1,200", 0, &p.Crowd),
+		span("repair", "until what failed is replaced", 5*time.Second, &p.Repair),
+		span("bound", "in which a change has to be in force at all that are reachable", 18*time.Second, &p.InForce),
+		span("silence", "without a sign of life, at most", 5*time.Second, &p.Silence),
+		&cli.BoolFlag{Name: "real", Usage: "run real governors, collectors and sidecars of one service beside the hollow ones", Value: true, Destination: &real},
+		&cli.StringFlag{Name: "program", Usage: "the product's program, for real processes", Value: programBeside(), Destination: &program},
+		&cli.StringFlag{Name: "out", Usage: "file for the report as JSON", Destination: &out},
+	}
+	run := func(ctx context.Context, _ *cli.Command) error {
+		ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
+		defer stop()
+		p.Faults = nil
+		for _, name := range names {
+			p.Faults = append(p.Faults, scale.Fault(name))
+		}
+		return runScale(ctx, p, program, real, out)
+	}
+	return []*cli.Command{
+		{Name: "scale", Usage: "many hollow governors and real servers on loopback, through changes and faults", Flags: flags, Action: run},
+		{Name: "slopes", Usage: "fit the quiet phases of scale runs over their governors: slopes FILE...", ArgsUsage: "FILE...",
+			Action: func(_ context.Context, cmd *cli.Command) error { return printSlopes(cmd.Args().Slice()) }},
+		{Name: hostCommand, Hidden: true, Action: func(ctx context.Context, _ *cli.Command) error {
+			signal.Ignore(syscall.SIGINT) // the run ends it, by the end of its input
+			return scale.Host(ctx, os.Stdin, os.Stdout, scale.Watch)
+		}},
+	}
+}
+
+func faultNames() (names []string) {
+	for _, f := range scale.Faults {
+		names = append(names, string(f))
+	}
+	return names
+}
+
+// programBeside is the product's program in the folder of this one.
+func programBeside() string {
+	self, err := os.Executable()
+	if err != nil {
+		self = os.Args[0]
+	}
+	return filepath.Join(filepath.Dir(self), "lilacbend")
+}
+
+func runScale(ctx context.Context, p scale.Plan, program string, real bool, out string) error {
+	dir, err := os.MkdirTemp("", "lab-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(dir)
+	options := scale.Options{Launch: scale.LaunchChild(hostCommand), Serve: scale.ServeAs(program, io.Discard), Dir: dir,
+		Log: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "lab: "+format+"\n", args...) }}
+	if real {
+		service, err := startRealService(ctx)
+		if err != nil {
+			return err
+		}
+		defer service.stop()
+		options.Real = service
+	}
+	r, err := scale.Run(ctx, p, options)
+	if err != nil {
+		return err
+	}
+	if err := writeReport(r, os.Stdout, out); err != nil {
+		return err
+	}
+	if r.FailedChecks > 0 {
+		return errFailedChecks
+	}
+	return nil
+}
+
+// printSlopes fits the reports in files.
+func printSlopes(files []string) error {
+	var reports []scale.Report
+	for _, file := range files {
+		raw, err := os.ReadFile(file)
+		if err != nil {
+			return err
+		}
+		var r scale.Report
+		if err := json.Unmarshal(raw, &r); err != nil {
+			return fmt.Errorf("%s: %w", file, err)
+		}
+		reports = append(reports, r)
+	}
+	slopes, err := scale.Slopes(reports)
+	if err != nil {
+		return err
+	}
+	return scale.PrintSlopes(os.Stdout, slopes)
+}
+
+func writeReport(r scale.Report, w io.Writer, out string) error {
+	if out != "" {
+		raw, err := json.MarshalIndent(r, "", "  ")
+		if err != nil {
+			return err
+		}
+		if err := renameio.WriteFile(out, append(raw, '\n'), 0o644); err != nil {
+			return err
+		}
+	}
+	return r.Print(w)
+}
+
+// roleOf is the role of a process by its name in a site.
+func roleOf(name string) string {
+	role, _, _ := strings.Cut(name, "-")
+	return "real " + role
+}
--- /dev/null
+++ b/lab/scale/faulty_test.go
@@ -0,0 +1,143 @@
+package scale
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"lilacbend/internal/revision"
+	"lilacbend/lab/scale/checks"
+)
+
+// The governors of this run that do wrong, each in its own way.
+const (
+	mixes     = 0 // puts the routes of the revision before in force with the rest of the new one
+	goesBack  = 2 // returns to the revision before
+	mendsBad  = 4 // takes what is not valid from the writer's folder, past the servers, and mends it so that it starts
+	staysBack = 6 // ignores all changes
+	fallsDumb = 8 // gives no sign of life after a while
+)
+
+var wrongs = map[int]checks.Rule{mixes: checks.NoMix, goesBack: checks.NoOlder, mendsBad: checks.NoRefused,
+	staysBack: checks.NewestEverywhere, fallsDumb: checks.GoesOn}
+
+// faultySource hands its governor something else than what has arrived.
+type faultySource struct {
+	inner  ConfigurationSource
+	number int
+	shape  ServiceShape
+	file   string // of the service's settings
+}
+
+func (f faultySource) Run(ctx context.Context, apply Apply) {
+	if f.number == mendsBad {
+		go f.mend(ctx, apply)
+	}
+	f.inner.Run(ctx, func(v revision.Version, body []byte, done func(error)) {
+		marker := markerOf(body)
+		switch {
+		case f.number == staysBack:
+			done(nil)
+			return
+		case marker < 2:
+		case f.number == mixes:
+			body = mixed(settingsOf(f.shape, marker-1, true), body)
+		case f.number == goesBack:
+			time.AfterFunc(100*time.Millisecond, func() {
+				if ctx.Err() == nil {
+					apply(v, settingsOf(f.shape, marker-1, true), func(error) {})
+				}
+			})
+		}
+		apply(v, body, done)
+	})
+}
+
+// mend applies what the servers refuse.
+func (f faultySource) mend(ctx context.Context, apply Apply) {
+	for last := checks.Marker(0); ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
+		body, err := os.ReadFile(f.file)
+		if _, refused := readSettings(body, 1); err != nil || refused == nil || markerOf(body) == last {
+			continue
+		}
+		last = markerOf(body)
+		apply(revision.Version{}, settingsOf(f.shape, last, true), func(error) {})
+	}
+}
+
+// mixed has the routes of one revision and the rest of another.
+func mixed(routes, rest []byte) []byte {
+	var from, into map[string]json.RawMessage
+	if json.Unmarshal(routes, &from) != nil || json.Unmarshal(rest, &into) != nil {
+		return rest
+	}
+	into["lanes"] = from["lanes"]
+	raw, _ := json.Marshal(into)
+	return raw
+}
+
+// launchFaulty runs hosts here, and loses the signs of life of one governor once told to.
+func launchFaulty(source SourceOf, dumb *atomic.Bool) Launch {
+	launch := LaunchHere(source)
+	return func(ctx context.Context) (int, io.WriteCloser, io.Reader, func() error, error) {
+		pid, in, out, wait, err := launch(ctx)
+		kept, lines := io.Pipe()
+		go func() {
+			decoder, encoder := json.NewDecoder(out), json.NewEncoder(lines)
+			for r := (report{}); decoder.Decode(&r) == nil; r = (report{}) {
+				if r.Event == nil || r.Event.Governor != fallsDumb || r.Event.Kind != checks.Serving || !dumb.Load() {
+					encoder.Encode(r)
+				}
+			}
+			lines.Close()
+		}()
+		return pid, in, kept, wait, err
+	}
+}
+
+// Each check notices the governor that breaks its rule, and blames no other one.
+func TestEveryCheckNoticesItsFaultyGovernor(t *testing.T) {
+	t.Parallel()
+	plan := Plan{Governors: 10, Services: 5, Replicas: 30, Zones: 2, Regions: 2, Servers: 2, Routes: 20, Tenants: 20, Proxies: 1, HostSize: 10,
+		Seed: 2, Phase: 3 * time.Second, Faults: []Fault{NoFault}, Factor: 1, Changes: 10 * day.Seconds(), Invalid: 0.3,
+		AtOnce: 1, Crowd: 1, Repair: time.Second, InForce: 3 * time.Second, Silence: 2 * time.Second}
+	var dumb atomic.Bool
+	dir := t.TempDir()
+	source := func(g GovernorPlan) ConfigurationSource {
+		if _, wrong := wrongs[g.Number]; wrong && g.Number != fallsDumb {
+			return faultySource{Watch(g), g.Number, g.Shape, filepath.Join(dir, "settings", serviceName(g.Service)+".json")}
+		}
+		return Watch(g)
+	}
+	log := func(string, ...any) { dumb.Store(true) } // the first phase begins
+	r, err := Run(t.Context(), plan, Options{Launch: launchFaulty(source, &dumb), Serve: ServeHere, Dir: dir, Log: log})
+	if err != nil {
+		t.Fatal(err)
+	}
+	broken := map[int][]checks.Rule{}
+	for _, f := range r.failures {
+		broken[f.Governor] = append(broken[f.Governor], f.Rule)
+	}
+	for number, rule := range wrongs {
+		if !slices.Contains(broken[number], rule) {
+			t.Errorf("governor %d: not noticed: %s", number, rule)
+		}
+		delete(broken, number)
+	}
+	if len(broken) > 0 {
+		t.Errorf("these did no wrong: %v", slices.Sorted(maps.Keys(broken)))
+	}
+	var printed bytes.Buffer
+	r.Print(&printed)
+	if r.FailedChecks == 0 || !bytes.HasSuffix(printed.Bytes(), []byte(r.Verdict()+"\n")) {
+		t.Errorf("the last line is not the verdict: %s", printed.String())
+	}
+}
--- /dev/null
+++ b/lab/scale/rig.go
@@ -0,0 +1,211 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"sync"
+	"time"
+
+	"lilacbend/lab/scale/checks"
+)
+
+const (
+	settlePause  = 50 * time.Millisecond
+	memoryPause  = time.Second
+	replaceSteps = 5 // of a repair: each step of a replica's replacement
+	startBound   = 2 * time.Minute
+	restartsSpan = time.Minute // the crowd restarts within it, or within the phase if that is shorter
+)
+
+// rig is one run under way.
+type rig struct {
+	plan      Plan
+	tracker   *tracker
+	servers   *servers
+	network   *network
+	agents    []*agent
+	hosts     []*hostProcess
+	hostOf    map[int]*hostProcess
+	governors []GovernorPlan
+	markers   []checks.Marker // the last published, by service
+	random    *rand.Rand
+	real      RealRoles
+	peak      int64
+
+	repairs sync.WaitGroup
+}
+
+// RealRoles are processes of the product beside the hollow governors.
+type RealRoles interface {
+	// Processes lists the processes of each role.
+	Processes() map[string][]int
+}
+
+// Options say what a run is made of.
+type Options struct {
+	Launch Launch
+	Serve  ServerLaunch
+	Dir    string    // for the servers' files
+	Real   RealRoles // may be nil
+	Log    func(format string, args ...any)
+}
+
+// Run plays a plan and judges it. An error is a fault of the rig; broken rules are counted in the report.
+func Run(ctx context.Context, plan Plan, options Options) (Report, error) {
+	plan.Fill()
+	if err := plan.Check(); err != nil {
+		return Report{}, err
+	}
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	r := &rig{plan: plan, tracker: newTracker(), hostOf: map[int]*hostProcess{}, governors: plan.governors(),
+		markers: make([]checks.Marker, plan.Services), random: rand.New(rand.NewPCG(plan.Seed, 1)), real: options.Real}
+	defer r.close()
+	out := Report{Plan: plan}
+	begun, err := r.begin(ctx, options)
+	if err != nil {
+		return out, err
+	}
+	out.Hosts = len(r.hosts)
+	overMemory := make(chan error, 1)
+	go r.watchMemory(ctx, stop, overMemory)
+	phases := []phaseSpan{begun}
+	for _, fault := range plan.Faults {
+		options.Log("%s", fault)
+		span, err := r.phase(ctx, fault)
+		if err != nil {
+			return out, errors.Join(err, drained(overMemory))
+		}
+		phases = append(phases, span)
+	}
+	r.repairs.Wait()
+	return r.judge(out, phases)
+}
+
+func drained(c <-chan error) error {
+	select {
+	case err := <-c:
+		return err
+	default:
+		return nil
+	}
+}
+
+// begin starts everything at once, which is a phase of its own.
+func (r *rig) begin(ctx context.Context, options Options) (span phaseSpan, err error) {
+	if r.servers, err = newServers(r.plan, options.Serve, options.Dir); err != nil {
+		return span, err
+	}
+	if r.network, err = newNetwork(r.plan, r.servers.addresses); err != nil {
+		return span, err
+	}
+	span = phaseSpan{fault: "start", from: r.tracker.since()}
+	for service := range r.plan.Services {
+		a, err := newAgent(r.plan.shape(service), service)
+		if err != nil {
+			return span, err
+		}
+		r.agents = append(r.agents, a)
+		r.tracker.note(checks.Event{Kind: checks.Published, Service: service, Subject: checks.ReplicaList, Marker: 1, Valid: true})
+		if err := r.publish(service, true); err != nil {
+			return span, err
+		}
+	}
+	if err := r.servers.start(ctx, func(from, to int) string { return r.network.servers[from][to].address() }); err != nil {
+		return span, err
+	}
+	for k := range r.governors {
+		g := &r.governors[k]
+		g.Discovery, g.Servers = r.agents[g.Service].address(), r.network.addresses(g.Region)
+	}
+	for part := range slices.Chunk(r.governors, r.plan.HostSize) {
+		h, err := startHost(ctx, options.Launch, HostPlan{Governors: part}, r.tracker.take)
+		if err != nil {
+			return span, err
+		}
+		r.hosts = append(r.hosts, h)
+		for _, g := range part {
+			r.hostOf[g.Number] = h
+		}
+	}
+	if !r.settle(ctx, startBound) {
+		return span, fmt.Errorf("%d governors do not start", r.tracker.behind(r.plan.Governors))
+	}
+	return r.over(span, 0)
+}
+
+func (r *rig) close() {
+	for _, h := range r.hosts {
+		h.end()
+	}
+	if r.servers != nil {
+		r.servers.stop()
+	}
+	if r.network != nil {
+		r.network.close()
+	}
+	for _, a := range r.agents {
+		a.listener.Close()
+	}
+}
+
+// publish publishes the next revision of a service's settings.
+func (r *rig) publish(service int, valid bool) error {
+	r.markers[service]++
+	marker := r.markers[service]
+	r.tracker.note(checks.Event{Kind: checks.Published, Service: service, Subject: checks.Configuration, Marker: marker, Valid: valid})
+	return r.servers.publish(service, settingsOf(r.plan.shape(service), marker, valid))
+}
+
+// settle waits until all governors hold the newest, or for a bound.
+func (r *rig) settle(ctx context.Context, bound time.Duration) bool {
+	for end := time.Now().Add(bound); ctx.Err() == nil; time.Sleep(settlePause) {
+		if r.tracker.behind(r.plan.Governors) == 0 {
+			return true
+		}
+		if time.Now().After(end) {
+			return false
+		}
+	}
+	return false
+}
+
+func (r *rig) pids() (pids []int) {
+	pids = append(pids, os.Getpid())
+	pids = append(pids, r.servers.pids()...)
+	for _, h := range r.hosts {
+		pids = append(pids, h.pid)
+	}
+	if r.real != nil {
+		for _, of := range r.real.Processes() {
+			pids = append(pids, of...)
+		}
+	}
+	slices.Sort(pids)
+	return slices.Compact(pids)
+}
+
+// watchMemory ends a run that takes more than half of the machine's memory.
+func (r *rig) watchMemory(ctx context.Context, stop context.CancelFunc, over chan<- error) {
+	limit, err := memoryLimit()
+	for err == nil {
+		select {
+		case <-ctx.Done():
+			return
+		case <-time.After(memoryPause):
+		}
+		var sum usage
+		if sum, err = processesUsage(r.pids()); err == nil && sum.resident > limit {
+			err = fmt.Errorf("%d MB are held, over half of the machine's memory", sum.resident>>20)
+		}
+		r.tracker.mu.Lock()
+		r.peak = max(r.peak, sum.resident)
+		r.tracker.mu.Unlock()
+	}
+	over <- err
+	stop()
+}
--- /dev/null
+++ b/lab/scale/servers.go
@@ -0,0 +1,235 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/google/renameio/v2"
+
+	"lilacbend/internal/configclient"
+	"lilacbend/internal/configserver"
+)
+
+const (
+	followedMost = 3 // servers that each other one follows: the writer, and others in its stead
+	listenBound  = 10 * time.Second
+)
+
+func regionName(k int) string  { return fmt.Sprintf("r%d", k) }
+func serviceName(k int) string { return fmt.Sprintf("service-%d", k) }
+
+// servers are the configuration servers of a run; the first one is the writer.
+type servers struct {
+	plan      Plan
+	launch    ServerLaunch
+	folder    string // of settings
+	state     string // folder of the servers' state files
+	addresses []string
+	via       func(from, to int) string
+
+	mu      sync.Mutex
+	running []*runningServer // nil: killed
+	retired []usage          // what each has spent in lives that ended by a kill
+}
+
+// runningServer is one of them. Pid is 0 in this process.
+type runningServer struct {
+	pid  int
+	kill func() error // without a word, and waits
+	end  func()       // orderly, and waits
+}
+
+// ServerLaunch starts a server; ctx ends it.
+type ServerLaunch func(ctx context.Context, options configserver.Options) (*runningServer, error)
+
+// newServers prepares the servers of a plan, with their files in a folder.
+func newServers(p Plan, launch ServerLaunch, dir string) (*servers, error) {
+	s := &servers{plan: p, launch: launch, folder: filepath.Join(dir, "settings"), state: filepath.Join(dir, "state"),
+		running: make([]*runningServer, p.Servers), retired: make([]usage, p.Servers)}
+	for _, folder := range []string{s.folder, s.state} {
+		if err := os.MkdirAll(folder, 0o700); err != nil {
+			return nil, err
+		}
+	}
+	for range p.Servers {
+		address, err := freeAddress()
+		if err != nil {
+			return nil, err
+		}
+		s.addresses = append(s.addresses, address)
+	}
+	return s, nil
+}
+
+// freeAddress is an address of loopback that nobody listens on.
+func freeAddress() (string, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", err
+	}
+	defer l.Close()
+	return l.Addr().String(), nil
+}
+
+func (s *servers) start(ctx context.Context, via func(from, to int) string) error {
+	s.via = via
+	for k := range s.addresses {
+		if err := s.revive(ctx, k); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (s *servers) revive(ctx context.Context, k int) error {
+	r, err := s.launch(ctx, s.options(k))
+	if err != nil {
+		return fmt.Errorf("server %d: %w", k, err)
+	}
+	s.mu.Lock()
+	s.running[k] = r
+	s.mu.Unlock()
+	for end := time.Now().Add(listenBound); ; time.Sleep(settlePause) {
+		conn, err := net.Dial("tcp", s.addresses[k])
+		if err == nil {
+			return conn.Close()
+		}
+		if time.Now().After(end) || ctx.Err() != nil {
+			return fmt.Errorf("server %d: %w", k, err)
+		}
+	}
+}
+
+// options are those of one server: the writer reads the folder, the others follow it and each other.
+func (s *servers) options(k int) configserver.Options {
+	o := configserver.Options{Name: fmt.Sprintf("server-%d", k), Region: regionName(s.plan.serverRegion(k)), Listen: s.addresses[k],
+		StateFile: filepath.Join(s.state, fmt.Sprint(k))}
+	if k == 0 {
+		o.Folder = s.folder
+		return o
+	}
+	for step := range min(followedMost, s.plan.Servers-1) {
+		to := 0
+		if step > 0 { // not itself, and not the writer again
+			to = 1 + (k-1+step)%(s.plan.Servers-1)
+		}
+		o.Follow = append(o.Follow, configclient.Server{Address: s.via(k, to), Region: regionName(s.plan.serverRegion(to))})
+	}
+	return o
+}
+
+func (s *servers) publish(service int, body []byte) error {
+	return renameio.WriteFile(filepath.Join(s.folder, serviceName(service)+".json"), body, 0o600)
+}
+
+func (s *servers) kill(k int) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r := s.running[k]
+	s.running[k] = nil
+	if r == nil {
+		return errors.New("it does not run")
+	}
+	if r.pid > 0 {
+		spent, err := processUsage(r.pid)
+		if err != nil {
+			return err
+		}
+		spent.resident = 0
+		s.retired[k] = s.retired[k].plus(spent)
+	}
+	return r.kill()
+}
+
+// usage is what one server has spent in all its lives, and what it holds if it runs.
+func (s *servers) usage(k int) (usage, error) {
+	s.mu.Lock()
+	r, spent := s.running[k], s.retired[k]
+	s.mu.Unlock()
+	if r == nil || r.pid == 0 {
+		return spent, nil
+	}
+	now, err := processUsage(r.pid)
+	return spent.plus(now), err
+}
+
+// pids lists the processes of servers.
+func (s *servers) pids() (pids []int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, r := range s.running {
+		if r != nil && r.pid > 0 {
+			pids = append(pids, r.pid)
+		}
+	}
+	return pids
+}
+
+func (s *servers) stop() {
+	for _, r := range s.running {
+		if r != nil {
+			r.end()
+		}
+	}
+}
+
+// ServeHere runs servers in this process.
+func ServeHere(ctx context.Context, o configserver.Options) (*runningServer, error) {
+	s, err := configserver.New(o)
+	if err != nil {
+		return nil, err
+	}
+	ctx, stop := context.WithCancel(ctx)
+	ended := make(chan error, 1)
+	go func() { ended <- s.Run(ctx) }()
+	kill := func() error {
+		stop()
+		return <-ended
+	}
+	return &runningServer{kill: kill, end: func() { kill() }}, nil
+}
+
+// ServeAs runs servers as processes of the product's program.
+func ServeAs(program string, log io.Writer) ServerLaunch {
+	return func(ctx context.Context, o configserver.Options) (*runningServer, error) {
+		c := exec.CommandContext(ctx, program, serverArguments(o)...)
+		c.Stderr = log
+		c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) }
+		c.WaitDelay = endMost
+		if err := c.Start(); err != nil {
+			return nil, err
+		}
+		kill := func() error {
+			err := c.Process.Kill()
+			c.Wait() // it was killed, which is an error there
+			return err
+		}
+		end := func() {
+			c.Process.Signal(syscall.SIGTERM)
+			c.Wait()
+		}
+		return &runningServer{pid: c.Process.Pid, kill: kill, end: end}, nil
+	}
+}
+
+func serverArguments(o configserver.Options) []string {
+	arguments := []string{"configserver", "--name", o.Name, "--region", o.Region, "--listen", o.Listen, "--state", o.StateFile}
+	if o.Folder != "" {
+		return append(arguments, "--folder", o.Folder)
+	}
+	var follow []string
+	for _, s := range o.Follow {
+		follow = append(follow, s.Address+"="+s.Region)
+	}
+	return append(arguments, "--follow", strings.Join(follow, ","))
+}
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -8,11 +8,13 @@
 	"errors"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"sync"
 	"syscall"
@@ -221,6 +223,13 @@
 	return 0
 }
 
+// Names lists the processes that run.
+func (s *Site) Names() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Sorted(maps.Keys(s.procs))
+}
+
 // Governor starts one governor, the first time or once more.
 func (s *Site) Governor(ctx context.Context, k int) error {
 	raw, _, _ := s.list()
