--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -112,12 +112,7 @@
 	options := scale.Options{Launch: scale.LaunchChild(hostCommand), Serve: scale.ServeAs(program, io.Discard), Dir: dir,
 		Log: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "lab: "+format+"\n", args...) }}
 	if real {
-		service, err := startRealService(ctx)
-		if err != nil {
-			return err
-		}
-		defer service.stop()
-		options.Real = service
+		options.Real = newRealService(program, dir)
 	}
 	r, err := scale.Run(ctx, p, options)
 	if err != nil {
--- a/cmd/lab/scalereal.go
+++ b/cmd/lab/scalereal.go
@@ -1,11 +1,15 @@
 package main
 
 import (
+	"bytes"
 	"context"
 	"fmt"
-	"os"
+	"regexp"
+	"strings"
+	"sync"
 	"time"
 
+	"lilacbend/internal/configclient"
 	"lilacbend/lab/load"
 	"lilacbend/lab/site"
 )
@@ -24,30 +28,49 @@
 
 // realService is one service of real processes.
 type realService struct {
+	shape site.Shape
+	log   inForceLog
 	site  *site.Site
-	dir   string
 	stops context.CancelFunc
 	ended chan struct{}
 }
 
-func startRealService(ctx context.Context) (*realService, error) {
-	dir, err := os.MkdirTemp("", "lab-")
-	if err != nil {
-		return nil, err
+// newRealService prepares a service with its files in a folder.
+func newRealService(program, dir string) *realService {
+	r := &realService{log: inForceLog{at: map[string]time.Time{}}, ended: make(chan struct{})}
+	r.shape = site.Shape{Zones: realZones, Replicas: realReplicas, Places: 4, Sidecars: realSidecars, Governors: realGovernors,
+		Span: realAnswer, Dir: dir, Steered: true, Program: program, Log: &r.log}
+	r.site = &site.Site{Shape: r.shape}
+	return r
+}
+
+// Settings are a revision of the service's.
+func (r *realService) Settings(revision int) []byte { return []byte(r.site.Settings(revision)) }
+
+// Start starts the service, whose governors follow configuration servers.
+func (r *realService) Start(ctx context.Context, name, region string, servers []configclient.Server) error {
+	var list []string
+	for _, s := range servers {
+		list = append(list, fmt.Sprintf("{address: %q, region: %q}", s.Address, s.Region))
 	}
-	ctx, stop := context.WithCancel(ctx)
-	s, err := site.Start(ctx, site.Shape{Zones: realZones, Replicas: realReplicas, Places: 4, Sidecars: realSidecars,
-		Governors: realGovernors, Span: realAnswer, Dir: dir, Steered: true})
+	r.shape.Operator = fmt.Sprintf("configuration: {service: %q, region: %q, zone: a, servers: [%s]}\n", name, region, strings.Join(list, ", "))
+	ctx, r.stops = context.WithCancel(ctx)
+	s, err := site.Start(ctx, r.shape)
+	r.site = s
 	if err != nil {
-		stop()
-		os.RemoveAll(dir)
-		return nil, fmt.Errorf("the real service: %w", err)
+		close(r.ended)
+		return fmt.Errorf("the real service: %w", err)
 	}
-	r := &realService{site: s, dir: dir, stops: stop, ended: make(chan struct{})}
 	go r.load(ctx)
-	return r, nil
+	return nil
 }
 
+// InForceSince counts the governors at which a configuration has gone in force since a time.
+func (r *realService) InForceSince(at time.Time) int { return r.log.since(at) }
+
+// Governors is how many there are.
+func (r *realService) Governors() int { return realGovernors }
+
 // load sends requests until the service stops.
 func (r *realService) load(ctx context.Context) {
 	defer close(r.ended)
@@ -60,11 +83,14 @@
 	}
 }
 
-func (r *realService) stop() {
+// Stop ends all of it, and waits.
+func (r *realService) Stop() {
+	if r.stops == nil {
+		return
+	}
 	r.stops()
 	<-r.ended
 	r.site.Stop()
-	os.RemoveAll(r.dir)
 }
 
 // Processes lists the service's processes by role.
@@ -77,3 +103,34 @@
 	}
 	return all
 }
+
+// inForceLog reads in the governors' logs when a configuration went in force.
+type inForceLog struct {
+	mu sync.Mutex
+	at map[string]time.Time
+}
+
+var inForceLine = regexp.MustCompile(`msg="configuration in force" governor=(\S+)`)
+
+// Write takes a part of some process's log.
+func (l *inForceLog) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, line := range bytes.Split(b, []byte("\n")) {
+		if found := inForceLine.FindSubmatch(line); found != nil {
+			l.at[string(found[1])] = time.Now()
+		}
+	}
+	return len(b), nil
+}
+
+func (l *inForceLog) since(at time.Time) (count int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, t := range l.at {
+		if t.After(at) {
+			count++
+		}
+	}
+	return count
+}
--- a/lab/scale/phase.go
+++ b/lab/scale/phase.go
@@ -9,6 +9,8 @@
 	"slices"
 	"time"
 
+	"github.com/HdrHistogram/hdrhistogram-go"
+
 	"lilacbend/lab/scale/checks"
 )
 
@@ -19,6 +21,7 @@
 	settled        time.Duration
 	cut, restarted int
 	before, after  map[string]usage
+	real           *hdrhistogram.Histogram // delays of changes to all real governors
 }
 
 // The roles of a run beside the real ones.
@@ -109,7 +112,7 @@
 
 // phase plays one fault over the background, ends it, and waits until all hold the newest.
 func (r *rig) phase(ctx context.Context, fault Fault) (span phaseSpan, err error) {
-	span = phaseSpan{fault: fault}
+	span = phaseSpan{fault: fault, real: newDelays()}
 	if span.before, err = r.readings(); err != nil {
 		return span, err
 	}
@@ -119,6 +122,8 @@
 	if err != nil {
 		return span, fmt.Errorf("%s: %w", fault, err)
 	}
+	realEnded := make(chan error, 1)
+	go func() { realEnded <- r.changeReal(ctx, span.from+r.plan.Phase, span.real) }()
 	for _, a := range actions {
 		if !r.until(ctx, span.from+a.at) {
 			return span, ctx.Err()
@@ -130,6 +135,9 @@
 	if !r.until(ctx, span.from+r.plan.Phase) {
 		return span, ctx.Err()
 	}
+	if err := <-realEnded; err != nil {
+		return span, fmt.Errorf("the real service: %w", err)
+	}
 	if err := end(); err != nil {
 		return span, fmt.Errorf("the end of %s: %w", fault, err)
 	}
@@ -291,6 +299,7 @@
 		return out, fmt.Errorf("%d faults of hosts, the first: %s", len(faults), faults[0])
 	}
 	verdict := checks.Judge(events, end, checks.Bounds{InForce: r.plan.InForce, Silence: r.plan.Silence})
+	verdict.Failures = append(verdict.Failures, r.realFailures...)
 	for _, span := range phases {
 		out.Phases = append(out.Phases, r.phaseReport(span, verdict))
 	}
@@ -318,8 +327,15 @@
 			p.Roles = append(p.Roles, report(role, count))
 		}
 	}
+	from := span.from
+	if span.before == nil { // what all start with was published before they did
+		from = 0
+	}
 	for _, subject := range []checks.Subject{checks.Configuration, checks.ReplicaList} {
-		p.Delays = append(p.Delays, subjectDelays(verdict.Changes, subject, span.from, span.to))
+		p.Delays = append(p.Delays, subjectDelays(verdict.Changes, subject, from, span.to))
+	}
+	if span.real != nil && span.real.TotalCount() > 0 {
+		p.Delays = append(p.Delays, SubjectDelay{Subject: "real governors' configuration", Changes: int(span.real.TotalCount()), AtAll: delaysOf(span.real)})
 	}
 	return p
 }
--- a/lab/scale/rig.go
+++ b/lab/scale/rig.go
@@ -33,24 +33,21 @@
 	governors []GovernorPlan
 	markers   []checks.Marker // the last published, by service
 	random    *rand.Rand
-	real      RealRoles
 	peak      int64
 
-	repairs sync.WaitGroup
-}
+	real         RealService // may be nil
+	realRevision int
+	realFailures []checks.Failure
 
-// RealRoles are processes of the product beside the hollow governors.
-type RealRoles interface {
-	// Processes lists the processes of each role.
-	Processes() map[string][]int
+	repairs sync.WaitGroup
 }
 
 // Options say what a run is made of.
 type Options struct {
 	Launch Launch
 	Serve  ServerLaunch
-	Dir    string    // for the servers' files
-	Real   RealRoles // may be nil
+	Dir    string      // for the servers' files
+	Real   RealService // may be nil
 	Log    func(format string, args ...any)
 }
 
@@ -103,7 +100,6 @@
 	if r.network, err = newNetwork(r.plan, r.servers.addresses); err != nil {
 		return span, err
 	}
-	span = phaseSpan{fault: "start", from: r.tracker.since()}
 	for service := range r.plan.Services {
 		a, err := newAgent(r.plan.shape(service), service)
 		if err != nil {
@@ -118,6 +114,10 @@
 	if err := r.servers.start(ctx, func(from, to int) string { return r.network.servers[from][to].address() }); err != nil {
 		return span, err
 	}
+	if err := r.startReal(ctx); err != nil {
+		return span, err
+	}
+	span = phaseSpan{fault: "start", from: r.tracker.since()}
 	for k := range r.governors {
 		g := &r.governors[k]
 		g.Discovery, g.Servers = r.agents[g.Service].address(), r.network.addresses(g.Region)
@@ -142,6 +142,9 @@
 	for _, h := range r.hosts {
 		h.end()
 	}
+	if r.real != nil {
+		r.real.Stop()
+	}
 	if r.servers != nil {
 		r.servers.stop()
 	}
--- a/lab/scale/servers.go
+++ b/lab/scale/servers.go
@@ -129,7 +129,11 @@
 }
 
 func (s *servers) publish(service int, body []byte) error {
-	return renameio.WriteFile(filepath.Join(s.folder, serviceName(service)+".json"), body, 0o600)
+	return s.publishAs(serviceName(service), body)
+}
+
+func (s *servers) publishAs(name string, body []byte) error {
+	return renameio.WriteFile(filepath.Join(s.folder, name+".json"), body, 0o600)
 }
 
 func (s *servers) kill(k int) error {
--- a/lab/site/site.go
+++ b/lab/site/site.go
@@ -30,6 +30,8 @@
 	Slow                                         float64       // every second replica takes so many times as long; 0: equal
 	H1, H2                                       string        // of the first sidecar; empty: any
 	State                                        bool          // governors keep what they learn
+	Operator                                     string        // further sections of the governors' operator file
+	Program                                      string        // that is built already; empty: it is built
 	Steered                                      bool          // else sidecars have equal tables
 	Dir                                          string
 	Log                                          io.Writer
@@ -64,6 +66,9 @@
 	procs      map[string]*exec.Cmd
 }
 
+// usualBudget is the latency budget of the first traffic group, in milliseconds.
+const usualBudget = 250
+
 func zone(k int) string { return string(rune('a' + k)) }
 
 // Free is an address of loopback that nobody listens on.
@@ -84,9 +89,10 @@
 			s.Stop()
 		}
 	}()
-	s.program = filepath.Join(s.Dir, "lilacbend")
-	if out, err := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", s.program, "lilacbend/cmd/lilacbend").CombinedOutput(); err != nil {
-		return s, fmt.Errorf("building: %w: %s", err, out)
+	if s.program = s.Program; s.program == "" {
+		if err := s.build(ctx); err != nil {
+			return s, err
+		}
 	}
 	for k := range s.Shape.Replicas {
 		if err := s.replica(k); err != nil {
@@ -127,6 +133,15 @@
 	return s, s.ready(ctx)
 }
 
+func (s *Site) build(ctx context.Context) error {
+	s.program = filepath.Join(s.Dir, "lilacbend")
+	out, err := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", s.program, "lilacbend/cmd/lilacbend").CombinedOutput()
+	if err != nil {
+		return fmt.Errorf("building: %w: %s", err, out)
+	}
+	return nil
+}
+
 func (s *Site) replica(k int) error {
 	r, err := standin.NewReplica("127.0.0.1:0", s.Places, nil)
 	if err != nil {
@@ -230,17 +245,25 @@
 	return slices.Sorted(maps.Keys(s.procs))
 }
 
+// Settings are those of the governors, the same but for a latency budget that is so many milliseconds longer.
+func (s *Site) Settings(longer int) string {
+	zones, _ := json.Marshal([]string{"a", "b", "c", "d"}[:s.Zones])
+	return fmt.Sprintf(settingsFile, s.Governors, s.Sidecars, 100*s.Sidecars, zones, usualBudget+longer)
+}
+
 // Governor starts one governor, the first time or once more.
 func (s *Site) Governor(ctx context.Context, k int) error {
 	raw, _, _ := s.list()
-	zones, _ := json.Marshal([]string{"a", "b", "c", "d"}[:s.Zones])
-	file, err := s.file(fmt.Sprintf("governor-%d.json", k), fmt.Sprintf(governorFile, k, s.governors[k], s.discovery.Addr(), time.Now().UnixNano(), raw, s.Governors, s.Sidecars, 100*s.Sidecars, zones))
+	file, err := s.file(fmt.Sprintf("governor-%d.json", k), fmt.Sprintf(governorFile, k, s.governors[k], s.discovery.Addr(), time.Now().UnixNano(), raw, s.Settings(0)))
 	if err != nil {
 		return err
 	}
-	args := []string{"serve", "--config", file}
+	args, operator := []string{"serve", "--config", file}, s.Operator
 	if s.State {
-		rules, err := s.file(fmt.Sprintf("operator-%d.yaml", k), fmt.Sprintf("state: {folder: state-%d, every: 1s}\n", k))
+		operator += fmt.Sprintf("state: {folder: state-%d, every: 1s}\n", k)
+	}
+	if operator != "" {
+		rules, err := s.file(fmt.Sprintf("operator-%d.yaml", k), operator)
 		if err != nil {
 			return err
 		}
@@ -309,13 +332,15 @@
 }
 
 const governorFile = `{"name": "n%d", "listen": %q, "discovery": %q, "seed": "%016x",
-"limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024}, "known": %s,
-"settings": {"balancers": %d, "domain": {"admit": "fraction", "cycle_ms": 500.0, "envelope": 4.0, "pick": "random", "proxy_count": %d,
+"limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024}, "known": %s, "settings": %s}
+`
+
+const settingsFile = `{"balancers": %d, "domain": {"admit": "fraction", "cycle_ms": 500.0, "envelope": 4.0, "pick": "random", "proxy_count": %d,
 "pending_max": %d.0, "push_rate": 1200.0, "pushes_allowed": 30, "reload_span_ms": 10000.0, "shards": 0, "try_factor": 1.0, "usual_how": 1, "worst_transit_ms": 257.5},
 "invariants": {"cold_from": 0.2, "tip_multiple": 3.0, "warm_after_ms": 10000.0}, "kinds": ["m1", "m2"], "zones": %s, "lanes": [
-{"name": "stock", "effect": "read_like", "gain": 1.0, "slo_ms": 250.0, "deadline_ms": 1000.0},
+{"name": "stock", "effect": "read_like", "gain": 1.0, "slo_ms": %d.0, "deadline_ms": 1000.0},
 {"name": "order", "effect": "idempotency_key", "group": "zone", "window_ms": 2500.0, "gain": 3.0, "slo_ms": 250.0, "deadline_ms": 1000.0},
-{"name": "payout", "effect": "non_idempotent", "gain": 3.0, "slo_ms": 250.0, "deadline_ms": 1000.0}]}}
+{"name": "payout", "effect": "non_idempotent", "gain": 3.0, "slo_ms": 250.0, "deadline_ms": 1000.0}]}
 `
 
 const sidecarFile = `name: sidecar-%d
