--- a/lab/scale/phase.go
+++ b/lab/scale/phase.go
@@ -167,8 +167,16 @@
 	switch fault {
 	case ServerKilled:
 		return func() error { return r.servers.revive(ctx, victim) }, r.servers.kill(victim)
+	case WriterKilled: // nothing can be published until it is back
+		r.writerDown.Store(true)
+		revive := func() error {
+			err := r.servers.revive(ctx, 0)
+			r.writerDown.Store(false)
+			return err
+		}
+		return revive, r.servers.kill(0)
 	case RegionCut:
-		return r.cut(r.plan.serverRegion(victim), span), nil
+		return r.cut(r.plan.cutRegions(), span), nil
 	case ManyRestarts:
 		return none, r.crowd(ctx, span)
 	case ManyChanges:
@@ -177,12 +185,15 @@
 	return none, nil
 }
 
-// cut cuts a region off from all others, and returns what heals it.
-func (r *rig) cut(region int, span *phaseSpan) (heal func() error) {
-	links := r.network.across(region)
+// cut cuts regions off from all others, and returns what heals them.
+func (r *rig) cut(regions []int, span *phaseSpan) (heal func() error) {
+	var links []*link
+	for _, region := range regions {
+		links = append(links, r.network.across(region)...)
+	}
 	var inside []int
 	for _, g := range r.governors {
-		if g.Region == region {
+		if slices.Contains(regions, g.Region) {
 			inside = append(inside, g.Number)
 		}
 	}
--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -33,13 +33,14 @@
 const (
 	NoFault      Fault = "quiet"
 	ServerKilled Fault = "server-killed"
+	WriterKilled Fault = "writer-killed"
 	RegionCut    Fault = "region-cut"
 	ManyRestarts Fault = "restarts"
 	ManyChanges  Fault = "burst"
 )
 
 // Faults lists all of them, in the order in which a run plays them.
-var Faults = []Fault{NoFault, ServerKilled, RegionCut, ManyRestarts, ManyChanges}
+var Faults = []Fault{NoFault, ServerKilled, WriterKilled, RegionCut, ManyRestarts, ManyChanges}
 
 // Plan is one run.
 type Plan struct {
@@ -133,6 +134,21 @@
 // region is where a governor of a service stands.
 func (p Plan) region(service, k int) int { return (service + k) % p.Regions }
 
+// cutRegions are those that a cut concerns: the last server's, and one without a server if there is any.
+func (p Plan) cutRegions() []int {
+	var served []int
+	for server := range p.Servers {
+		served = append(served, p.serverRegion(server))
+	}
+	cut := []int{served[p.Servers-1]}
+	for region := range p.Regions {
+		if !slices.Contains(served, region) {
+			return append(cut, region)
+		}
+	}
+	return cut
+}
+
 // serverRegion is where a server stands; the writer is in region 0.
 func (p Plan) serverRegion(server int) int { return server * p.Regions / p.Servers }
 
--- a/lab/scale/real.go
+++ b/lab/scale/real.go
@@ -47,7 +47,7 @@
 // changeReal changes the real service's settings again and again for a phase, one change at a time, and measures how long
 // each takes to all of its governors. That one takes longer than the bound is a failed check.
 func (r *rig) changeReal(ctx context.Context, until time.Duration, delays *hdrhistogram.Histogram) error {
-	for r.real != nil && r.tracker.since() < until && ctx.Err() == nil {
+	for r.real != nil && !r.writerDown.Load() && r.tracker.since() < until && ctx.Err() == nil {
 		r.realRevision++
 		published := time.Now()
 		if err := r.servers.publishAs(realName, r.real.Settings(r.realRevision)); err != nil {
--- a/lab/scale/rig.go
+++ b/lab/scale/rig.go
@@ -8,6 +8,7 @@
 	"os"
 	"slices"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"lilacbend/lab/scale/checks"
@@ -35,6 +36,8 @@
 	random    *rand.Rand
 	peak      int64
 
+	writerDown atomic.Bool // nobody publishes
+
 	real         RealService // may be nil
 	realRevision int
 	realFailures []checks.Failure
@@ -158,6 +161,9 @@
 
 // publish publishes the next revision of a service's settings.
 func (r *rig) publish(service int, valid bool) error {
+	if r.writerDown.Load() {
+		return nil
+	}
 	r.markers[service]++
 	marker := r.markers[service]
 	r.tracker.note(checks.Event{Kind: checks.Published, Service: service, Subject: checks.Configuration, Marker: marker, Valid: valid})
