--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -49,6 +49,7 @@
 		count("regions", "over which governors and servers are spread", 23, &p.Regions),
 		count("servers", "of configuration", 8, &p.Servers),
 		count("proxies", "of each hollow governor", 2, &p.Proxies),
+		count("skew", "times the size of the others that the first service has; 0: the same", 0, &p.Skew),
 		count("host-size", "hollow governors of one process, at most", 400, &p.HostSize),
 		&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &p.Seed},
 		span("phase", "how long each fault lasts", time.Minute, &p.Phase),
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -22,7 +22,7 @@
 
 const (
 	gatherSpan    = 2 * time.Millisecond // as the program: what was sent together is one turn
-	signEvery     = 500 * time.Millisecond
+	signEvery     = time.Second
 	proxyAckDelay = int64(time.Millisecond)
 )
 
@@ -235,7 +235,7 @@
 	if due || !slices.Equal(parts, o.parts) {
 		o.hollow.tell(checks.Event{Kind: checks.Serving, Subject: checks.Configuration, Parts: parts})
 	}
-	if o.list > 0 && (due || o.news) {
+	if o.news {
 		o.hollow.tell(checks.Event{Kind: checks.Serving, Subject: checks.ReplicaList, Parts: []checks.Marker{o.list}})
 	}
 	o.news = false
--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -54,6 +54,7 @@
 	Tenants   int `json:"tenants"`
 	Proxies   int `json:"proxies"`   // of each governor
 	HostSize  int `json:"host_size"` // most governors of one process
+	Skew      int `json:"skew"`      // times the size of the others that the first service has; 0: the same
 
 	Seed     uint64        `json:"seed"`
 	Phase    time.Duration `json:"phase"` // how long each fault lasts
@@ -123,6 +124,9 @@
 	if needs := p.descriptors(); needs > limit.Cur {
 		return fmt.Errorf("needs %d descriptors, and %d are allowed", needs, limit.Cur)
 	}
+	if has := len(p.governors()); has != p.Governors {
+		return fmt.Errorf("%d services of this skew need %d governors", p.Services, has)
+	}
 	return nil
 }
 
@@ -154,7 +158,13 @@
 
 // shape is the size of one service.
 func (p Plan) shape(service int) ServiceShape {
-	share := func(all int) int { return max(1, all*(service+1)/p.Services-all*service/p.Services) }
+	first := max(1, p.Skew)
+	parts := p.Services - 1 + first
+	from, to := first+service-1, first+service
+	if service == 0 {
+		from = 0
+	}
+	share := func(all int) int { return max(1, all*to/parts-all*from/parts) }
 	return ServiceShape{Governors: share(p.Governors), Replicas: share(p.Replicas), Zones: min(zonesEach, p.Zones),
 		Routes: share(p.Routes), Tenants: share(p.Tenants), Proxies: p.Proxies}
 }
--- a/lab/scale/process_test.go
+++ b/lab/scale/process_test.go
@@ -58,6 +58,7 @@
 		"one server to be lost":  func(p *Plan) { p.Servers = 1 },
 		"one region to be cut":   func(p *Plan) { p.Regions = 1 },
 		"too many descriptors":   func(p *Plan) { p.Governors, p.Replicas = 1<<24, 1<<24 },
+		"too much skew":          func(p *Plan) { p.Skew = 1000 },
 		"no service's replica":   func(p *Plan) { p.Replicas = 7 },
 		"hosts without governor": func(p *Plan) { p.HostSize = 0 },
 	} {
@@ -72,3 +73,29 @@
 		}
 	}
 }
+
+// All services together have what the plan says, and a skewed one is so many times as large as the others.
+func TestShapesOfServices(t *testing.T) {
+	for _, skew := range []int{0, 1, 20} {
+		plan := Plan{Governors: 1600, Zones: 54, Regions: 23, Servers: 8, Proxies: 2, HostSize: 400, Skew: skew}
+		plan.Fill()
+		if err := plan.Check(); err != nil {
+			t.Fatal(err)
+		}
+		var sum ServiceShape
+		for service := range plan.Services {
+			s := plan.shape(service)
+			sum.Governors += s.Governors
+			sum.Replicas += s.Replicas
+			sum.Routes += s.Routes
+			sum.Tenants += s.Tenants
+		}
+		if sum.Governors != 1600 || sum.Replicas != 9500 || sum.Routes != 14_000 || sum.Tenants != 74_000 {
+			t.Errorf("skew %d: %+v in all", skew, sum)
+		}
+		first, other := plan.shape(0), plan.shape(1)
+		if times := float64(first.Tenants) / float64(other.Tenants); times < 0.9*float64(max(1, skew)) || times > 1.1*float64(max(1, skew)) {
+			t.Errorf("skew %d: %d tenants and %d", skew, first.Tenants, other.Tenants)
+		}
+	}
+}
