--- a/cmd/lab/scale.go
+++ b/cmd/lab/scale.go
@@ -79,8 +79,7 @@
 	}
 	return []*cli.Command{
 		{Name: "scale", Usage: "many hollow governors and real servers on loopback, through changes and faults", Flags: flags, Action: run},
-		{Name: "slopes", Usage: "fit the quiet phases of scale runs over their governors: slopes FILE...", ArgsUsage: "FILE...",
-			Action: func(_ context.Context, cmd *cli.Command) error { return printSlopes(cmd.Args().Slice()) }},
+		slopesCommand(),
 		{Name: hostCommand, Hidden: true, Action: func(ctx context.Context, _ *cli.Command) error {
 			signal.Ignore(syscall.SIGINT) // the run ends it, by the end of its input
 			return scale.Host(ctx, os.Stdin, os.Stdout, scale.Watch)
@@ -128,27 +127,6 @@
 	return nil
 }
 
-// printSlopes fits the reports in files.
-func printSlopes(files []string) error {
-	var reports []scale.Report
-	for _, file := range files {
-		raw, err := os.ReadFile(file)
-		if err != nil {
-			return err
-		}
-		var r scale.Report
-		if err := json.Unmarshal(raw, &r); err != nil {
-			return fmt.Errorf("%s: %w", file, err)
-		}
-		reports = append(reports, r)
-	}
-	slopes, err := scale.Slopes(reports)
-	if err != nil {
-		return err
-	}
-	return scale.PrintSlopes(os.Stdout, slopes)
-}
-
 func writeReport(r scale.Report, w io.Writer, out string) error {
 	if out != "" {
 		raw, err := json.MarshalIndent(r, "", "  ")
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -241,7 +241,7 @@
 
 // A point far from the others is told by the largest residual, as a share of the point.
 func TestResiduals(t *testing.T) {
-	f := fit([][2]float64{{10, 10}, {100, 100}, {1000, 1500}})
+	f := FitLine([][2]float64{{10, 10}, {100, 100}, {1000, 1500}})
 	if f.Worst < 0.1 || f.Worst > 0.5 {
 		t.Errorf("%+v", f)
 	}
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -25,9 +25,9 @@
 	return math.NaN()
 }
 
-// fit finds the line by least squares of relative residuals: the points span orders of magnitude, and absolute residuals
+// FitLine finds the line by least squares of relative residuals: the points span orders of magnitude, and absolute residuals
 // would leave small sizes to the noise of the largest.
-func fit(points [][2]float64) Fit {
+func FitLine(points [][2]float64) Fit {
 	var x, y, weights []float64
 	for _, p := range points {
 		x = append(x, p[0])
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -64,7 +64,7 @@
 			known[d.Name] = 0.0
 			continue
 		}
-		m.fits[d.Name] = fit(d.Points)
+		m.fits[d.Name] = FitLine(d.Points)
 		known[d.Name] = m.fits[d.Name]
 	}
 	for _, d := range t.Derived {
--- a/lab/scale/slopes.go
+++ b/lab/scale/slopes.go
@@ -5,107 +5,110 @@
 	"fmt"
 	"io"
 	"math"
+	"slices"
 	"text/tabwriter"
 
-	"gonum.org/v1/gonum/stat"
+	"lilacbend/internal/capacity"
+	"lilacbend/lab/scale/checks"
 )
 
-// Slope is a line fitted to one figure over the number of governors.
-type Slope struct {
-	Figure    string    `json:"figure"`
-	Slope     float64   `json:"slope"` // for each governor
-	Intercept float64   `json:"intercept"`
-	Governors []float64 `json:"governors"`
-	Residuals []float64 `json:"residuals"`
-}
-
 // figure is what a slope is fitted to: a total over all of a role, so that its slope is what one governor adds.
 type figure struct {
 	name string
+	text string
+	unit string
 	of   func(Report) float64
 }
 
 // quietTotal is a figure of all of a role in the quiet phase.
 func quietTotal(role string, of func(Spent) float64) func(Report) float64 {
 	return func(r Report) float64 {
-		for _, p := range r.Phases {
-			for _, s := range p.Roles {
-				if p.Fault == NoFault && s.Role == role {
-					return of(s.Spent) * float64(s.Count)
-				}
+		for _, s := range quiet(r).Roles {
+			if s.Role == role {
+				return of(s.Spent) * float64(s.Count)
 			}
 		}
 		return math.NaN()
 	}
 }
 
+// quietDelay is how long changes of configuration took to all governors of their service in the quiet phase.
 func quietDelay(of func(Delays) float64) func(Report) float64 {
 	return func(r Report) float64 {
-		for _, p := range r.Phases {
-			if p.Fault == NoFault {
-				return of(p.Delays[0].AtAll)
+		for _, d := range quiet(r).Delays {
+			if d.Subject == checks.Configuration.String() {
+				return of(d.AtAll)
 			}
 		}
 		return math.NaN()
 	}
 }
 
+// quiet is the quiet phase of a run, empty if it had none.
+func quiet(r Report) PhaseReport {
+	for _, p := range r.Phases {
+		if p.Fault == NoFault {
+			return p
+		}
+	}
+	return PhaseReport{}
+}
+
 func figures() (all []figure) {
-	for _, role := range []string{roleHollow, roleServer, roleRig} {
-		all = append(all,
-			figure{role + "s: % of a core in all", quietTotal(role, func(s Spent) float64 { return s.ProcessorPercent })},
-			figure{role + "s: MB in all", quietTotal(role, func(s Spent) float64 { return s.ResidentMB })},
-			figure{role + "s: B/s in all", quietTotal(role, func(s Spent) float64 { return s.BytesPerSecond })},
-			figure{role + "s: messages/s in all", quietTotal(role, func(s Spent) float64 { return s.MessagesPerSecond })})
+	for _, role := range []struct{ name, role string }{{"governors", roleHollow}, {"servers", roleServer}, {"rig", roleRig}} {
+		add := func(name, text, unit string, of func(Spent) float64) {
+			all = append(all, figure{"scale_" + role.name + "_" + name, text + ", all of: " + role.role, unit, quietTotal(role.role, of)})
+		}
+		add("processor", "processor time", "% of a core", func(s Spent) float64 { return s.ProcessorPercent })
+		add("memory", "resident memory", "MB", func(s Spent) float64 { return s.ResidentMB })
+		add("bytes", "bytes both ways", "B/s", func(s Spent) float64 { return s.BytesPerSecond })
+		add("messages", "messages", "/s", func(s Spent) float64 { return s.MessagesPerSecond })
 	}
-	return append(all, figure{"in force at all, p50 s", quietDelay(func(d Delays) float64 { return d.P50 })},
-		figure{"in force at all, max s", quietDelay(func(d Delays) float64 { return d.Max })})
+	return append(all, figure{"scale_in_force_p50", "a change in force at all governors of its service, p50", "s", quietDelay(func(d Delays) float64 { return d.P50 })},
+		figure{"scale_in_force_max", "the same, max", "s", quietDelay(func(d Delays) float64 { return d.Max })})
 }
 
 var errFewReports = errors.New("a slope needs reports of at least two numbers of governors, each with a quiet phase")
 
-// Slopes fits the quiet phases of reports over their numbers of governors, by least squares.
-func Slopes(reports []Report) ([]Slope, error) {
-	var governors []float64
+// Measurements takes the points of the quiet phases of reports, by their numbers of governors.
+func Measurements(reports []Report) ([]capacity.Measurement, error) {
 	different := map[int]bool{}
 	for _, r := range reports {
-		governors = append(governors, float64(r.Plan.Governors))
 		different[r.Plan.Governors] = true
 	}
 	if len(different) < 2 {
 		return nil, errFewReports
 	}
-	var all []Slope
+	sorted := slices.Clone(reports)
+	slices.SortStableFunc(sorted, func(a, b Report) int { return a.Plan.Governors - b.Plan.Governors })
+	var all []capacity.Measurement
 	for _, f := range figures() {
-		var values []float64
-		for _, r := range reports {
-			values = append(values, f.of(r))
-		}
-		s := Slope{Figure: f.name, Governors: governors}
-		s.Intercept, s.Slope = stat.LinearRegression(governors, values, nil, false)
-		if math.IsNaN(s.Slope) {
-			return nil, fmt.Errorf("%s: %w", f.name, errFewReports)
-		}
-		for k, n := range governors {
-			s.Residuals = append(s.Residuals, values[k]-s.Intercept-s.Slope*n)
+		m := capacity.Measurement{Name: f.name, Text: f.text, X: "governor", Unit: f.unit, Runs: 1}
+		for _, r := range sorted {
+			value := f.of(r)
+			if math.IsNaN(value) {
+				return nil, fmt.Errorf("%s: %w", f.name, errFewReports)
+			}
+			m.Points = append(m.Points, [2]float64{float64(r.Plan.Governors), value})
 		}
-		all = append(all, s)
+		all = append(all, m)
 	}
 	return all, nil
 }
 
-// PrintSlopes writes slopes as a table.
-func PrintSlopes(w io.Writer, slopes []Slope) error {
+// PrintSlopes writes the lines through measurements, as the capacity page fits them, and each point's distance from its line.
+func PrintSlopes(w io.Writer, measurements []capacity.Measurement) error {
 	out := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprint(out, "figure\tslope, a governor\tintercept\tresiduals")
-	for _, n := range slopes[0].Governors {
-		fmt.Fprintf(out, "\tat %.0f", n)
+	fmt.Fprint(out, "figure\tunit\tslope, a governor\tintercept\tresiduals")
+	for _, p := range measurements[0].Points {
+		fmt.Fprintf(out, "\tat %.0f", p[0])
 	}
 	fmt.Fprintln(out)
-	for _, s := range slopes {
-		fmt.Fprintf(out, "%s\t%.5g\t%.5g\t", s.Figure, s.Slope, s.Intercept)
-		for _, r := range s.Residuals {
-			fmt.Fprintf(out, "\t%+.3g", r)
+	for _, m := range measurements {
+		line := capacity.FitLine(m.Points)
+		fmt.Fprintf(out, "%s\t%s\t%.4g\t%.4g\t", m.Name, m.Unit, line.Slope, line.Intercept)
+		for _, p := range m.Points {
+			fmt.Fprintf(out, "\t%+.3g", p[1]-line.Intercept-line.Slope*p[0])
 		}
 		fmt.Fprintln(out)
 	}
--- a/lab/scale/slopes_test.go
+++ b/lab/scale/slopes_test.go
@@ -6,48 +6,43 @@
 	"math"
 	"strings"
 	"testing"
+
+	"lilacbend/internal/capacity"
+	"lilacbend/lab/scale/checks"
 )
 
-// reportOf is a report whose figures grow by a line, but for one of them.
+// reportOf is a report whose figures grow by a line, but for what the servers spend if it is off.
 func reportOf(governors int, off float64) Report {
 	each := Spent{BytesPerSecond: 100, ProcessorPercent: 0.5, ResidentMB: 0.25, MessagesPerSecond: 4}
-	one := Spent{BytesPerSecond: 1000 + 20*float64(governors), ProcessorPercent: 3 + 0.1*float64(governors) + off}
+	one := Spent{BytesPerSecond: 1000 + 20*float64(governors), ProcessorPercent: 3 + 0.1*float64(governors) + off, ResidentMB: 9, MessagesPerSecond: 1}
 	return Report{Plan: Plan{Governors: governors}, Phases: []PhaseReport{{Fault: "start"}, {Fault: NoFault,
 		Roles:  []RoleReport{{roleHollow, governors, each}, {roleServer, 1, one}, {roleRig, 1, one}},
-		Delays: []SubjectDelay{{AtAll: Delays{P50: 0.5, Max: 1 + float64(governors)/1000}}}}}}
+		Delays: []SubjectDelay{{Subject: "other"}, {Subject: checks.Configuration.String(), AtAll: Delays{P50: 0.5, Max: 1 + float64(governors)/1000}}}}}}
 }
 
-func TestSlopesWithTheirResiduals(t *testing.T) {
-	slopes, err := Slopes([]Report{reportOf(100, 0), reportOf(200, 0), reportOf(400, 0.7), reportOf(800, 0)})
+func TestSlopesOverTheSizeOfTheFleet(t *testing.T) {
+	measurements, err := Measurements([]Report{reportOf(800, 0), reportOf(100, 0), reportOf(400, 7), reportOf(200, 0)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := map[string]Slope{}
-	for _, s := range slopes {
-		found[s.Figure] = s
-	}
-	near := func(what string, got, want float64) {
-		if math.Abs(got-want) > 1e-6 {
-			t.Errorf("%s: %v, want %v", what, got, want)
+	found := map[string]capacity.Fit{}
+	for _, m := range measurements {
+		found[m.Name] = capacity.FitLine(m.Points)
+		if len(m.Points) != 4 || m.Points[0][0] != 100 || m.Points[3][0] != 800 || m.X != "governor" || m.Unit == "" {
+			t.Errorf("%+v", m)
 		}
 	}
-	hollow, server := found[roleHollow+"s: % of a core in all"], found[roleServer+"s: B/s in all"]
-	near("a governor's share of a core", hollow.Slope, 0.5)
-	near("without governors", hollow.Intercept, 0)
-	near("a server's bytes for a governor", server.Slope, 20)
-	near("a server's bytes without any", server.Intercept, 1000)
-	near("seconds for a governor", found["in force at all, max s"].Slope, 0.001)
-	off := found[roleServer+"s: % of a core in all"]
-	sum := 0.0
-	for _, r := range off.Residuals {
-		sum += r
+	for name, want := range map[string][2]float64{"scale_governors_processor": {0.5, 0}, "scale_governors_messages": {4, 0},
+		"scale_servers_bytes": {20, 1000}, "scale_servers_memory": {0, 9}, "scale_in_force_max": {0.001, 1}, "scale_in_force_p50": {0, 0.5}} {
+		if got := found[name]; math.Abs(got.Slope-want[0]) > 1e-6 || math.Abs(got.Intercept-want[1]) > 1e-6 || got.Worst > 1e-6 {
+			t.Errorf("%s: %+v, want %v", name, got, want)
+		}
 	}
-	near("residuals in all", sum, 0)
-	if len(off.Residuals) != 4 || off.Residuals[2] < 0.3 {
-		t.Errorf("the point that is off does not show: %v", off.Residuals)
+	if off := found["scale_servers_processor"]; off.Worst < 0.05 {
+		t.Errorf("the point that is off does not show: %+v", off)
 	}
 	var out bytes.Buffer
-	if err := PrintSlopes(&out, slopes); err != nil || !strings.Contains(out.String(), "at 800") {
+	if err := PrintSlopes(&out, measurements); err != nil || !strings.Contains(out.String(), "at 800") {
 		t.Errorf("%v: %s", err, out.String())
 	}
 }
@@ -55,7 +50,7 @@
 func TestSlopesNeedTwoSizes(t *testing.T) {
 	for name, reports := range map[string][]Report{"none": nil, "one size": {reportOf(100, 0), reportOf(100, 1)},
 		"no quiet phase": {reportOf(100, 0), {Plan: Plan{Governors: 200}}}} {
-		if _, err := Slopes(reports); !errors.Is(err, errFewReports) {
+		if _, err := Measurements(reports); !errors.Is(err, errFewReports) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
