--- a/lab/scale/rig.go
+++ b/lab/scale/rig.go
@@ -103,42 +103,59 @@
 	if r.network, err = newNetwork(r.plan, r.servers.addresses); err != nil {
 		return span, err
 	}
+	if err := r.publishFirst(); err != nil {
+		return span, err
+	}
+	if err := r.servers.start(ctx, func(from, to int) string { return r.network.servers[from][to].address() }); err != nil {
+		return span, err
+	}
+	if err := r.startReal(ctx); err != nil {
+		return span, err
+	}
+	span = phaseSpan{fault: "start", from: r.tracker.since()}
+	if err := r.startHosts(ctx, options.Launch); err != nil {
+		return span, err
+	}
+	if !r.settle(ctx, startBound) {
+		return span, errors.Join(ctx.Err(), fmt.Errorf("%d governors do not start", r.tracker.behind(r.plan.Governors)))
+	}
+	return r.over(span, 0)
+}
+
+// publishFirst starts discovery's agents and publishes each service's first settings.
+func (r *rig) publishFirst() error {
 	for service := range r.plan.Services {
 		a, err := newAgent(r.plan.shape(service), service)
 		if err != nil {
-			return span, err
+			return err
 		}
 		r.agents = append(r.agents, a)
 		r.tracker.note(checks.Event{Kind: checks.Published, Service: service, Subject: checks.ReplicaList, Marker: 1, Valid: true})
 		if err := r.publish(service, true); err != nil {
-			return span, err
+			return err
 		}
 	}
-	if err := r.servers.start(ctx, func(from, to int) string { return r.network.servers[from][to].address() }); err != nil {
-		return span, err
-	}
-	if err := r.startReal(ctx); err != nil {
-		return span, err
-	}
-	span = phaseSpan{fault: "start", from: r.tracker.since()}
+	return nil
+}
+
+// startHosts tells all hollow governors where to turn to, and starts them, so many in a process.
+func (r *rig) startHosts(ctx context.Context, launch Launch) error {
 	for k := range r.governors {
 		g := &r.governors[k]
-		g.Discovery, g.Servers = r.agents[g.Service].address(), r.network.addresses(g.Region)
+		g.Discovery = r.agents[g.Service].address()
+		g.Servers = r.network.addresses(g.Region)
 	}
 	for part := range slices.Chunk(r.governors, r.plan.HostSize) {
-		h, err := startHost(ctx, options.Launch, HostPlan{Governors: part}, r.tracker.take)
+		h, err := startHost(ctx, launch, HostPlan{Governors: part}, r.tracker.take)
 		if err != nil {
-			return span, err
+			return err
 		}
 		r.hosts = append(r.hosts, h)
 		for _, g := range part {
 			r.hostOf[g.Number] = h
 		}
 	}
-	if !r.settle(ctx, startBound) {
-		return span, fmt.Errorf("%d governors do not start", r.tracker.behind(r.plan.Governors))
-	}
-	return r.over(span, 0)
+	return nil
 }
 
 func (r *rig) close() {
