--- a/brain/brain.go
+++ b/brain/brain.go
@@ -36,6 +36,8 @@
 	demandSpan, priorSpan, surge          = 8 * second, 4.0, 1.5 // flows of a proxy; a sudden rise
 	faithMost, faithLeft                  = 16.0, 0.5            // tries that a memory counts for; left by a sum
 	doubtPart, doubtMost                  = 0.125, 0.4           // weight of who was sick; of more, none is
+	sharedPart, firstPart, restPart       = 0.375, 0.375, 0.25   // of what the channel sends in a drain's grace
+	firstLeast, keptLeast                 = 3, 0.5               // lines of a part, of which all are restored; less is renewed
 )
 
 var spares = [...]float64{spareGuest, spareGuest, spareIdler} // by control.Pick
@@ -99,20 +101,6 @@
 	}
 }
 
-// lately sums the samples still worth judging; answer is a mean in seconds.
-func (r *replica) lately() (tries, bad, answer float64) {
-	good := 0.0
-	for _, s := range r.met {
-		if s.at > max(r.now-recent, r.trial) {
-			tries, bad = tries+s.tries, bad+s.bad
-			if s.answer > 0 {
-				answer, good = answer+s.answer*(s.tries-s.bad), good+s.tries-s.bad
-			}
-		}
-	}
-	return tries, bad, answer / math.Max(1, good)
-}
-
 // judge moves the replica between well, resting and on trial. Silent, failing, cut-off ones miss most tries
 // and give few good answers; who gives its share is busy. It harms where tries miss by chance.
 func (r *replica) judge() {
@@ -505,18 +493,7 @@
 		l.past, l.since, l.judged, l.served = n, l.now, l.now, append(l.served, n.Weight*n.Served)
 		l.once, l.turned = n.Once && n.Weight >= faithLeft, l.now
 	case fleet:
-		l.came, l.age = slices.DeleteFunc(l.came, func(d sums) bool { return d.at <= l.now-demandSpan }), 0
-		flows, by, fresh, all, missed := map[int]float64{}, map[int]float64{}, map[int]float64{}, 0, 0
-		for _, d := range l.came {
-			l.age += (d.Span - l.ReportEvery) / int64(len(l.came))
-			if by[d.Proxy] += float64(d.Flows); d.at > l.now-l.ReportEvery { // as of so long a time
-				fresh[d.Proxy] += float64(d.Flows) * float64(demandSpan) / float64(max(d.Span, l.ReportEvery, 1))
-			}
-			if d.at > l.now-recent {
-				flows[d.Group] += float64(d.Flows) * float64(second) / float64(recent)
-				all, missed = all+d.Flows, missed+d.Missed
-			}
-		}
+		flows, by, fresh, all, missed := l.sums()
 		if l.now-l.since < recent { // the first sums tell of few of the flows
 			were := map[int]float64{}
 			for _, u := range l.past.Usage {
@@ -695,44 +672,35 @@
 	case control.Bind, control.Level:
 		p.urgent = append(p.urgent, n)
 	case control.Joined:
-		p.seat(n.Proxy, -1) // its cap knows nothing of streams
+		p.join(n) // its cap knows nothing of streams
 	case control.Left:
-		p.unseat(n.Proxy)
+		p.leave(n.Proxy)
+	case forget:
+		delete(p.ejected, n.id)
 	case step:
 		p.step = n
 	case caught: // messages leave in order: an answer clears all that was written before its own
 		p.orphan(n)
-		for len(p.under) > 0 && !n.gone && (p.under[0].mark < n.mark || n.all && p.under[0].mark == n.mark) {
-			p.late = math.Max(1, float64(p.now-p.under[0].at)/float64(p.under[0].due-p.under[0].at))
-			p.under = p.under[1:]
-		}
+		p.clear(n)
 	case closing:
 		p.send()
 	}
 }
 
-// queue is what may still wait in the channel: all that no answer has cleared, so a slow one holds us back.
-func (p *pacer) queue() (sum float64) {
-	lost := func(b batch) bool { return p.now > b.due+lostSpan || b.orphan && p.now > b.due }
-	p.under = slices.DeleteFunc(p.under, lost)
-	for _, b := range p.under {
-		sum += b.lines
-	}
-	return sum
-}
-
 // reach says whom an order reaches and how many lines it costs at each. A withdrawal reaches who holds a line
 // of the replica: an answer awaited from others would never come, and hold the channel's room for ever.
 func (p *pacer) reach(o control.Order) (to []int, lines int) {
 	switch o := o.(type) {
 	case control.Bind:
 		return []int{o.Proxy}, 2*len(p.laid[o.Table]) + len(p.Groups) + 1 // all of its lines may be withdrawn
+	case control.BindPart:
+		return []int{o.Proxy}, len(o.Replicas) + o.Restored + len(p.Groups) + 1
 	case control.SetLine:
-		return p.seated[o.Table], 1
+		return p.holders(o.Table, o.Replica), 1
 	case control.Withdraw:
 		for table, lines := range p.laid {
-			if lines[o.Replica] {
-				to = append(to, p.seated[table]...)
+			if lines[o.Replica] > 0 {
+				to = append(to, p.holders(table, o.Replica)...)
 			}
 		}
 		slices.Sort(to)
@@ -748,8 +716,7 @@
 	for _, proxy := range to {
 		if !p.reached[proxy] {
 			more += float64(p.MessageHead + 1)
-			w := slices.DeleteFunc(p.wrote[proxy], func(at int64) bool { return p.now-at > p.MessagesSpan })
-			if p.wrote[proxy] = w; p.MessagesMost > 0 && float64(len(w)+1) > messages*float64(p.MessagesMost) {
+			if p.MessagesMost > 0 && float64(p.written(proxy)+1) > messages*float64(p.MessagesMost) {
 				return false
 			}
 		}
@@ -763,14 +730,14 @@
 			return !joined
 		}
 		p.seat(o.Proxy, o.Table)
+	case control.BindPart:
+		p.seatPart(o)
 	case control.SetLine:
-		if p.laid[o.Table] == nil {
-			p.laid[o.Table] = map[uint32]bool{}
-		}
-		if p.laid[o.Table][o.Replica] = true; o.Weight == 0 {
-			delete(p.laid[o.Table], o.Replica)
-		}
+		p.lay(o)
+	case control.Level:
+		p.leveled[o.Group] = true
 	case control.Withdraw:
+		p.eject(o)
 		if late := (control.Withdraw{Replica: o.Replica, Out: true}); !o.Out { // must not undo this lift
 			p.urgent = slices.DeleteFunc(p.urgent, func(u control.Order) bool { return u == control.Order(late) })
 		}
@@ -782,11 +749,38 @@
 	return true
 }
 
+// share is how many lines a proxy may get first. All that may come get theirs within three eighths of a drain's grace, and
+// those who come at once share as much again; withdrawals have the rest. Whole tables for a crowd would hold them up.
+func (p *pacer) share() float64 {
+	grace := p.graceLines() * float64(p.ChannelLimit)
+	settled := len(p.bound) - len(p.seated[-1]) - len(p.partial)
+	return firstPart*grace/float64(max(1, p.Proxies-settled)) + math.Max(0, sharedPart*grace-p.waits)/float64(1+len(p.urgent))
+}
+
+// part is what a proxy gets first: its table, or a part of it if that is over its share. The parts of a table weigh
+// alike, and go first to where least is sent, so that all together load each replica as the whole table would.
+func (p *pacer) part(b control.Bind) control.Order {
+	_, whole := p.reach(b)
+	d := p.deal(b.Table, max(firstLeast, int(p.each)-p.MessageHead-2-len(p.leveled)-firstLeast))
+	if len(d.parts) == 0 || p.each > float64(whole+p.MessageHead+1) {
+		return b
+	}
+	return control.BindPart{Proxy: b.Proxy, Table: b.Table, Replicas: d.next(p.rate(b.Proxy)), Restored: firstLeast}
+}
+
 // send writes the turn's messages: the step's lines, then all that is urgent in the room kept for it.
 func (p *pacer) send() {
-	p.waits, p.cost, p.reached = p.queue(), 0, map[int]bool{}
+	p.begin()
 	// Late answers tell of a slow channel: withdrawals must not wait behind weights. It harms if proxies stall.
 	m, overdue, adds := marked{}, len(p.under) > 0 && p.now > p.under[0].due, p.step.adds
+	for _, proxy := range p.incomplete() { // who lacks lines comes first, and of them who has lost most of a part
+		b := control.Bind{Proxy: proxy, Table: p.bound[proxy]}
+		if p.partial[proxy].kept() < keptLeast {
+			p.write(p.part(b), math.Inf(1), math.Inf(1))
+		} else if len(p.urgent) > 0 || !p.write(b, restPart*p.graceLines(), addMsgs) {
+			break
+		}
+	}
 	p.step.orders = slices.DeleteFunc(p.step.orders, func(o control.Order) bool { // one held up stops no other
 		messages, room := addMsgs, ordinaryPart // who lacks lines comes before who has stale ones
 		if adds--; adds < 0 {
@@ -803,6 +797,9 @@
 		if w, is := o.(control.Withdraw); is && w.Out && p.HostHolds { // one capped proxy holds up no other
 			return p.write(o, math.Inf(1), math.Inf(1))
 		}
+		if b, is := o.(control.Bind); is && p.graceLines() > 0 {
+			return p.write(p.part(b), math.Inf(1), math.Inf(1))
+		}
 		return p.write(o, urgentPart, urgentMsgs)
 	})
 	if m.proxies = sorted(p.reached); len(m.proxies) > 0 {
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -435,9 +435,9 @@
 	for proxy := range proxies {
 		p.seat(proxy, 0)
 	}
-	p.laid[0] = map[uint32]bool{}
+	p.laid[0] = map[uint32]float64{}
 	for id := range uint32(20) {
-		p.laid[0][id] = true
+		p.laid[0][id] = 1
 	}
 	return p
 }
@@ -466,7 +466,7 @@
 	g := at(0)
 	g.MessagesMost = 4
 	p := pacing(g, 2)
-	p.laid[1], p.wrote[0] = map[uint32]bool{}, []int64{0, 0, 0}
+	p.laid[1], p.wrote[0] = map[uint32]float64{}, []int64{0, 0, 0}
 	p.seat(1, 1)
 	p.take(step{2, []control.Order{control.SetLine{Replica: 1, Weight: 1},
 		control.SetLine{Table: 1, Replica: 1, Weight: 1}}})
@@ -506,7 +506,7 @@
 func TestAWithdrawalWaitsOnlyForThoseWhoHoldALine(t *testing.T) {
 	g := at(0)
 	p := pacing(g, 2)
-	p.laid[1] = map[uint32]bool{99: true}
+	p.laid[1] = map[uint32]float64{99: 1}
 	p.seat(1, 1)
 	p.take(control.Withdraw{Replica: 99, Out: true})
 	p.send()
@@ -708,7 +708,7 @@
 	p := g.boxes[thePacer].part.(*pacer)
 	p.take(control.Joined{Proxy: 0})
 	p.wrote[0] = []int64{11 * second, 12 * second, 13 * second, 14 * second, 15 * second, 16 * second, 17 * second, 18 * second, 19 * second}
-	p.laid[0] = map[uint32]bool{9: true}
+	p.laid[0] = map[uint32]float64{9: 1}
 	p.reached = map[int]bool{}
 	p.take(control.Left{Proxy: 0})
 	p.take(control.Joined{Proxy: 0})
--- a/brain/mail.go
+++ b/brain/mail.go
@@ -102,8 +102,9 @@
 		theLevels: {part: &levels{desk: d, set: map[int]control.Level{}}},
 		theSequence: {part: &sequence{desk: d, laid: map[line]float64{}, out: map[uint32]bool{},
 			moves: map[int]int{}, open: map[uint64]int64{}}},
-		thePacer: {part: &pacer{desk: d, bound: map[int]int{}, seated: map[int][]int{}, laid: map[int]map[uint32]bool{},
-			wrote: map[int][]int64{}}},
+		thePacer: {part: &pacer{desk: d, bound: map[int]int{}, seated: map[int][]int{}, laid: map[int]map[uint32]float64{},
+			wrote: map[int][]int64{}, partial: map[int]*partial{}, rates: map[int]float64{},
+			ejected: map[uint32]bool{}, leveled: map[int]bool{}}},
 	}
 	return g
 }
@@ -267,6 +268,37 @@
 	}
 }
 
+// begin opens the account of a turn's messages.
+func (p *pacer) begin() {
+	p.waits, p.cost, p.reached = p.queue(), 0, map[int]bool{}
+	p.dealt, p.each = map[int]*dealing{}, p.share()
+}
+
+// clear takes what an answer clears off the account of the channel.
+func (p *pacer) clear(n caught) {
+	for len(p.under) > 0 && !n.gone && (p.under[0].mark < n.mark || n.all && p.under[0].mark == n.mark) {
+		p.late = math.Max(1, float64(p.now-p.under[0].at)/float64(p.under[0].due-p.under[0].at))
+		p.under = p.under[1:]
+	}
+}
+
+// written counts the messages to a proxy within the span of its cap.
+func (p *pacer) written(proxy int) int {
+	past := func(at int64) bool { return p.now-at > p.MessagesSpan }
+	p.wrote[proxy] = slices.DeleteFunc(p.wrote[proxy], past)
+	return len(p.wrote[proxy])
+}
+
+func (p *pacer) join(n control.Joined) {
+	p.seat(n.Proxy, -1)
+	p.rates[n.Proxy] = n.Rate
+}
+
+func (p *pacer) leave(proxy int) {
+	p.unseat(proxy)
+	delete(p.rates, proxy)
+}
+
 // seat puts a joined proxy on a table.
 func (p *pacer) seat(proxy, table int) {
 	p.unseat(proxy)
@@ -280,6 +312,7 @@
 		k, _ := slices.BinarySearch(p.seated[table], proxy)
 		p.seated[table] = slices.Delete(p.seated[table], k, k+1)
 		delete(p.bound, proxy)
+		delete(p.partial, proxy)
 	}
 }
 
@@ -301,3 +334,45 @@
 		}
 	}
 }
+
+// lately sums the samples still worth judging; answer is a mean in seconds.
+func (r *replica) lately() (tries, bad, answer float64) {
+	good := 0.0
+	for _, s := range r.met {
+		if s.at > max(r.now-recent, r.trial) {
+			tries, bad = tries+s.tries, bad+s.bad
+			if s.answer > 0 {
+				answer, good = answer+s.answer*(s.tries-s.bad), good+s.tries-s.bad
+			}
+		}
+	}
+	return tries, bad, answer / math.Max(1, good)
+}
+
+// queue is what may still wait in the channel: all that no answer has cleared, so a slow one holds us back.
+func (p *pacer) queue() (sum float64) {
+	lost := func(b batch) bool { return p.now > b.due+lostSpan || b.orphan && p.now > b.due }
+	p.under = slices.DeleteFunc(p.under, lost)
+	for _, b := range p.under {
+		sum += b.lines
+	}
+	return sum
+}
+
+// sums adds up the demand that is kept: requests a second by traffic class, requests by proxy, the newest by proxy as of
+// the whole span, and how many came and failed lately. It notes by how much reports tell of more than their period.
+func (l *levels) sums() (flows, by, fresh map[int]float64, all, missed int) {
+	l.came, l.age = slices.DeleteFunc(l.came, func(d sums) bool { return d.at <= l.now-demandSpan }), 0
+	flows, by, fresh = map[int]float64{}, map[int]float64{}, map[int]float64{}
+	for _, d := range l.came {
+		l.age += (d.Span - l.ReportEvery) / int64(len(l.came))
+		if by[d.Proxy] += float64(d.Flows); d.at > l.now-l.ReportEvery { // as of so long a time
+			fresh[d.Proxy] += float64(d.Flows) * float64(demandSpan) / float64(max(d.Span, l.ReportEvery, 1))
+		}
+		if d.at > l.now-recent {
+			flows[d.Group] += float64(d.Flows) * float64(second) / float64(recent)
+			all, missed = all+d.Flows, missed+d.Missed
+		}
+	}
+	return flows, by, fresh, all, missed
+}
--- a/brain/reconfigure.go
+++ b/brain/reconfigure.go
@@ -194,8 +194,15 @@
 	}
 }
 
-// renumberGroups keeps the levels that wait.
+// renumberGroups keeps the levels that wait, and those that are in force.
 func (p *pacer) renumberGroups(numbers []int) {
+	leveled := map[int]bool{}
+	for group := range p.leveled {
+		if group = number(numbers, group); group >= 0 {
+			leveled[group] = true
+		}
+	}
+	p.leveled = leveled
 	var urgent []control.Order
 	for _, o := range p.urgent {
 		if level, is := o.(control.Level); is {
--- a/brain/types.go
+++ b/brain/types.go
@@ -156,14 +156,21 @@
 	*desk
 	urgent []control.Order // withdrawals, binds and levels wait here
 	step   step
-	bound  map[int]int             // joined proxies; -1 holds its standing table
-	seated map[int][]int           // the same by table, in order
-	laid   map[int]map[uint32]bool // the lines of each table
+	bound  map[int]int                // joined proxies; -1 holds its standing table
+	seated map[int][]int              // the same by table, in order
+	laid   map[int]map[uint32]float64 // the weights of each table
 	wrote  map[int][]int64
 	under  []batch // sent, and no answer tells that it has left the channel
 	mark   uint64
 	late   float64 // how many times its time the last one took
 
+	partial map[int]*partial // proxies that hold a part of their table
+	dealt   map[int]*dealing // the parts of each table, of this turn
+	each    float64          // lines that a proxy may get first, in this turn
+	rates   map[int]float64  // requests a second of each joined proxy
+	ejected map[uint32]bool
+	leveled map[int]bool // traffic classes with a level
+
 	waits   float64 // in the channel as this turn's messages are written
 	cost    float64 // of this turn's messages
 	reached map[int]bool
--- a/control/control.go
+++ b/control/control.go
@@ -269,6 +269,15 @@
 		Proxy int
 		Table int
 	}
+	// BindPart puts a proxy on a table, of which it gets only some replicas for now. The first Restored of them are told
+	// not to be ejected, if the proxy may hold that they are. A Bind to the same table adds the rest. It is for hosts that
+	// hold messages (Provision.HostHolds).
+	BindPart struct {
+		Proxy    int
+		Table    int
+		Replicas []uint32
+		Restored int
+	}
 	// Withdraw shuts a replica out of all tables, or lets it in again.
 	Withdraw struct {
 		Replica uint32
--- a/internal/channel/account.go
+++ b/internal/channel/account.go
@@ -13,6 +13,9 @@
 	// Messages on their way, and the answers to those before them on theirs, keep the channel busy: so many times the
 	// longest way, there and back and there and back. Urgent ones may fill it twice as long.
 	ways = 4
+	// What is urgent waits behind all that is in the channel: ordinary messages keep it busy for no longer than this part of
+	// the grace, urgent ones twice as long.
+	gracePart = 4
 	// A channel may be slower than stated for a while, to a 24th of its pace. What nobody answers is taken for sent when
 	// that would have sent all that waited with it, and some time more. It is no longer taken for what keeps the channel
 	// busy a good deal earlier, as the answer may be lost.
@@ -33,6 +36,7 @@
 	Messages int     // that one proxy may get within Span; 0: any number
 	Span     int64
 	Transit  int64 // the longest from the channel to a proxy
+	Grace    int64 // in which a proxy has to get what keeps it away from a replica; 0: not known
 }
 
 // Account holds the charges of one governor, over all modules and streams that it has had.
@@ -77,7 +81,11 @@
 // Room says whether the channel takes messages now: a few are enough for it to be busy until answers come, and the rest
 // had better wait outside, where they can be brought up to date.
 func (a *Account) Room(urgent bool) bool {
-	busy := a.Rate * float64(ways*a.Transit) / 1e9
+	span := ways * a.Transit
+	if a.Grace > 0 {
+		span = min(span, a.Grace/gracePart)
+	}
+	busy := a.Rate * float64(span) / 1e9
 	if urgent {
 		busy *= 2
 	}
--- a/internal/governor/budget_test.go
+++ b/internal/governor/budget_test.go
@@ -55,6 +55,7 @@
 	pace      float64 // of the channel, 1 when all is well
 	lost      float64 // of the answers
 	failing   bool    // the module fails now and then
+	prompt    bool    // writers never stall
 	broken    string
 }
 
@@ -184,7 +185,11 @@
 	for _, s := range o.Pushes {
 		for k, p := range w.proxies {
 			if p.stream == s.Stream {
-				p.enters = max(p.enters, w.now+w.Int63n(2)*w.Int63n(second)) // in order on each stream
+				stall := int64(0)
+				if !w.prompt {
+					stall = w.Int63n(2) * w.Int63n(second)
+				}
+				p.enters = max(p.enters, w.now+stall) // in order on each stream
 				w.stalled = append(w.stalled, message{k, w.cost(s.Push) + w.provision.MessageHead, s, p.enters})
 			}
 		}
@@ -320,7 +325,7 @@
 		"heads":     func(p governor.Push) int { return 4 },
 		"lines":     func(p governor.Push) int { return len(p.Lines) },
 		"shut":      func(p governor.Push) int { return len(p.Shut) },
-		"let":       func(p governor.Push) int { return len(p.Let) },
+		"let":       func(p governor.Push) int { return 5 * len(p.Let) },    // of few lines, as a part restores three: five times
 		"levels":    func(p governor.Push) int { return 5 * len(p.Levels) }, // of few lines, five times
 		"once more": func(p governor.Push) int { return map[bool]int{true: trueLines(p)}[p.Anew] },
 		"full marks": func(p governor.Push) int {
--- a/internal/governor/census.go
+++ b/internal/governor/census.go
@@ -41,7 +41,7 @@
 func NewCensus(names settings.Names, p control.Provision) Census {
 	c := Census{names: names, proxies: p.Proxies, kinds: p.Kinds, grace: p.DrainGrace,
 		span: max(spanMost, reportsMost*p.ReportEvery), bounds: channel.Bounds{Lines: p.ChannelLimit, Rate: p.ChannelRate,
-			Head: p.MessageHead, Messages: p.MessagesMost, Span: p.MessagesSpan, Transit: p.WorstTransit},
+			Head: p.MessageHead, Messages: p.MessagesMost, Span: p.MessagesSpan, Transit: p.WorstTransit, Grace: p.DrainGrace},
 		admission: p.Admission, usual: p.UsualTries}
 	c.silence = silenceLeast
 	if p.ChannelRate > 0 { // told as left sooner, all of a fleet would join anew by a channel that is full, and fill it again
--- a/internal/governor/core.go
+++ b/internal/governor/core.go
@@ -82,11 +82,15 @@
 type stream struct {
 	id      Stream
 	joined  control.Joined
-	zone    string // as it was told
-	blank   bool   // holds no ordered table, so it shuts nobody out that told does not name
-	table   int    // below 0: what it brought with it
-	whole   bool   // a whole table is due
-	anew    bool   // as messages were lost
+	zone    string          // as it was told
+	blank   bool            // holds no ordered table, so it shuts nobody out that told does not name
+	table   int             // below 0: what it brought with it
+	whole   bool            // a whole table is due
+	part    map[uint32]bool // the replicas of its table that it has been given; nil: all of them
+	first   []uint32        // the part as it was ordered, the first sure of which are told not to be ejected
+	sure    int
+	rest    bool // the rest of the table is due
+	anew    bool // as messages were lost
 	told    map[uint32]bool
 	level   map[int]Level
 	lifted  []Level // of traffic groups that are gone, to be told once more
@@ -143,6 +147,7 @@
 // sit puts a stream on a table.
 func (c *Core) sit(s *stream, table int) {
 	c.rise(s)
+	s.part, s.rest = nil, false
 	if s.held != nil { // a table's changes are not for another table
 		s.held.lines = map[uint32]bool{}
 	}
--- a/internal/governor/core_test.go
+++ b/internal/governor/core_test.go
@@ -428,7 +428,7 @@
 				t.Fatalf("%d seats of %d", at, len(c.seats))
 			}
 			for proxy, s := range c.seats {
-				if p, reached := c.push(s, &news{wholes: map[int]sheet{}, changes: map[int]sheet{}}); c.rest <= now && (reached || p.lines() > 0 || p.Anew) {
+				if p, reached := c.push(s, &news{wholes: map[int]sheet{}, changes: map[int]sheet{}}, false); c.rest <= now && (reached || p.lines() > 0 || p.Anew) {
 					t.Fatalf("%d is still to be told %+v", proxy, p)
 				}
 			}
--- a/internal/governor/push.go
+++ b/internal/governor/push.go
@@ -56,10 +56,14 @@
 			c.Count.LinesOrdered += int64(len(c.seated[w.Table]))
 		case control.Bind:
 			if s := c.seats[w.Proxy]; s != nil {
-				c.sit(s, w.Table)
-				s.whole = true
+				c.bind(s, w.Table)
 				c.Count.LinesOrdered += int64(c.bindLines(w.Table))
 			}
+		case control.BindPart:
+			if s := c.seats[w.Proxy]; s != nil {
+				c.bindPart(s, w)
+				c.Count.LinesOrdered += int64(len(w.Replicas) + 1)
+			}
 		case control.Withdraw:
 			if c.roster.known[w.Replica] == nil {
 				c.Count.Strange++
@@ -140,7 +144,7 @@
 // holds says whether a withdrawal concerns the stream: what an unbound proxy brought with it is not known.
 func (c *Core) holds(s *stream, id uint32) bool {
 	_, has := c.tables[s.table][id]
-	return has || s.table < 0
+	return has && (s.part == nil || s.part[id]) || s.table < 0
 }
 
 // level is what holds for a group in a table: the lower share, the table's own way of trying again.
@@ -240,11 +244,11 @@
 		queue = &c.urgents
 	}
 	for _, s := range streams {
-		if len(*queue) > 0 || !c.account.Fits(s.joined.Proxy, c.most(s, n), urgent, now) {
+		if len(*queue) > 0 || !c.account.Fits(s.joined.Proxy, c.most(s, n, urgent), urgent, now) {
 			c.hold(s, n)
 			continue
 		}
-		c.put(s, n, now, o)
+		c.put(s, n, urgent, now, o)
 	}
 }
 
@@ -260,18 +264,22 @@
 			break
 		}
 		all := s.held.with(n, s.table)
-		if !c.account.Fits(s.joined.Proxy, c.most(s, all), urgent, now) {
+		if !c.account.Fits(s.joined.Proxy, c.most(s, all, urgent), urgent, now) {
 			stay = append(stay, s)
 			continue
 		}
 		s.held = nil
-		c.put(s, all, now, o)
+		c.put(s, all, urgent, now, o)
 	}
 	*queue = stay
 }
 
-// urgent says whether a message keeps a proxy away from a replica.
+// urgent says whether a message keeps a proxy away from a replica. A whole table, or the first part of one, does: it replaces
+// what the proxy brought, which may name any replica that is withdrawn.
 func (c *Core) urgent(s *stream, turned map[uint32]bool) bool {
+	if s.whole && s.table >= 0 && c.grace > 0 || s.rest && c.bare(s) {
+		return true
+	}
 	for id := range turned {
 		if c.out[id] && !s.told[id] && c.holds(s, id) {
 			return true
@@ -281,8 +289,8 @@
 }
 
 // put makes the message of a stream and charges it.
-func (c *Core) put(s *stream, n *news, now int64, o *Outcome) {
-	p, reached := c.push(s, n)
+func (c *Core) put(s *stream, n *news, urgent bool, now int64, o *Outcome) {
+	p, reached := c.push(s, n, urgent)
 	fresh := reached && n.marked
 	if fresh {
 		p.Marked, p.Mark = true, n.mark
@@ -310,9 +318,12 @@
 }
 
 // most is how many lines a message could have: all levels go with some.
-func (c *Core) most(s *stream, n *news) int {
+func (c *Core) most(s *stream, n *news, urgent bool) int {
 	lines, count := n.lines[s.table], len(n.lines[s.table])
-	if s.whole {
+	switch {
+	case s.whole && s.part != nil:
+		return 1 + len(s.part) + s.sure + len(c.names.Groups) + 1
+	case s.whole || c.restGoes(s, urgent):
 		count = len(c.tables[s.table])
 		for id := range c.tables[s.table] {
 			count += c.tells(s, id)
@@ -384,19 +395,32 @@
 	return lines
 }
 
-func (c *Core) push(s *stream, n *news) (p Push, reached bool) {
-	whole := s.whole
+// push makes the message of a stream. An urgent one leaves out the rest of a table that the stream has a part of, unless nothing
+// else is left to it.
+func (c *Core) push(s *stream, n *news, urgent bool) (p Push, reached bool) {
+	whole, rest := s.whole, c.restGoes(s, urgent)
 	p.Anew, s.anew, s.whole = s.anew, false, false
 	var t sheet
 	if p.Full = whole && s.table >= 0; p.Full {
 		c.Count.Whole++
-		t, s.level = written(c, s.table, c.tables[s.table], n.wholes), map[int]Level{}
-	} else {
+		s.level = map[int]Level{}
+	}
+	switch {
+	case p.Full && c.partLeft(s):
+		t = c.firstPart(s)
+	case p.Full:
+		s.part, s.rest = nil, false
+		t = written(c, s.table, c.tables[s.table], n.wholes)
+	case rest:
+		t = c.remaining(s, n)
+	case s.part != nil:
+		t = c.changed(s, n)
+	default:
 		t = written(c, s.table, n.lines[s.table], n.changes)
 	}
 	p.Lines = t.lines
-	for _, id := range t.ids {
-		if c.tables[s.table][id] > 0 {
+	for k, id := range t.ids {
+		if c.tables[s.table][id] > 0 && (!p.Full || s.part == nil || k < s.sure) {
 			c.tell(s, id, &p)
 		}
 	}
@@ -423,7 +447,11 @@
 			s.level[group] = l
 		}
 	}
-	reached = reached || p.lines() > 0 || len(n.lines[s.table]) > 0 || n.levels[control.AllTables] || n.levels[s.table]
+	concerned := s.part == nil && len(n.lines[s.table]) > 0
+	reached = reached || p.lines() > 0 || concerned || n.levels[control.AllTables] || n.levels[s.table]
+	if s.rest {
+		c.due[s.joined.Proxy] = s
+	}
 	return p, reached
 }
 
