--- a/brain/brain.go
+++ b/brain/brain.go
@@ -131,6 +131,9 @@
 
 // able is the part of its usual work that a cold replica surely can do: as at the slowest warming.
 func (r *replica) able() float64 {
+	if r.resting > 0 {
+		return 0
+	}
 	return r.ColdShare + (1-r.ColdShare)*float64(max(0, r.now-r.entry.Start))/float64(max(1, r.WarmAfter))
 }
 
@@ -191,9 +194,8 @@
 func (p *planner) norms() {
 	type sum struct{ good, answer, count, able float64 }
 	kinds, sizes, ids, all := map[int]sum{}, map[float64]bool{}, sorted(p.offers), p.Kinds
-	shares, work, bears := []float64{}, map[int]float64{}, map[int]float64{} // missed of each; by table
-	missed, tries, serves, quick := 0.0, 0.0, 0.0, math.Inf(1)
-	sent, size, gave, warm := 0.0, 1e-9, 1e-9, 1e-9 // tries, by weight; what the warm gave, by theirs
+	shares, bears, told := []float64{}, 0.0, 1e-9                                      // missed of each; what the cold could bear, and all tries
+	missed, tries, serves, quick, gave, warm := 0.0, 0.0, 0.0, math.Inf(1), 1e-9, 1e-9 // good of the warm
 	for _, calm := range p.calm {
 		quick = min(quick, slices.Min(calm))
 	}
@@ -211,13 +213,10 @@
 	}
 	for _, id := range ids {
 		o := p.offers[id]
-		if o.State == control.Ready {
-			if sent, work[p.own[id]] = sent+o.tries, work[p.own[id]]+o.Weight; o.cold {
-				bears[p.own[id]] += o.Weight * o.able * p.FallMultiple
-			} else {
-				gave, warm = gave+o.tries-o.bad, warm+o.Weight
-			}
-			size += o.Weight
+		if told += o.tries; o.State == control.Ready && o.cold { // what came to the draining comes to the rest
+			bears += o.Weight * o.able * p.FallMultiple
+		} else if o.State == control.Ready {
+			gave, warm = gave+o.tries-o.bad, warm+o.Weight
 		}
 		if sizes[o.Weight] = true; !o.sick && !o.trial && !p.out[id] && o.State == control.Ready {
 			missed, tries, serves = missed+o.bad, tries+o.tries, serves+1
@@ -242,8 +241,9 @@
 		o := p.offers[id]
 		k := kinds[o.Kind]
 		n := norm{math.Inf(1), k.good / math.Max(1, k.count), 1, bad, 0}
-		// The cold of a table who could bear all that is tried hear of no loss: the warm would drown.
-		if bears[p.own[id]] < work[p.own[id]]*math.Max(1, sent/size/gave*warm) {
+		// Cold ones who together could bear all that is tried hear of no loss: the warm would drown. All or none:
+		// those of one table would be guests of every other, and get what comes to the cold that are kept out.
+		if bears < told/gave*warm {
 			n.lost = max(bad, p.demand.lost)
 		}
 		good, late := o.tries-o.bad, o.answer/math.Max(1e-9, k.answer/math.Max(1, k.good))
@@ -632,12 +632,12 @@
 	for l := range lines {
 		want, has, kind := s.want.lines[l], s.laid[l], overwrite
 		switch {
+		case has == 0 || s.out[l.id] && !s.want.out[l.id]: // who is let in is picked by its lines as they stand
+			kind = add
 		case want == 0:
 			kind = remove
-		case has == 0 || s.out[l.id] && !s.want.out[l.id]:
-			kind = add
 		}
-		if kind == at && want >= 0 && want != has && (kind == add || size(l) >= changeWorth) {
+		if kind == at && want >= 0 && want != has && (has == 0 || size(l) >= changeWorth) {
 			ls = append(ls, l)
 			sums[l.table] = math.Max(sums[l.table], size(l))
 		}
@@ -772,7 +772,7 @@
 func (p *pacer) send() {
 	p.begin()
 	// Late answers tell of a slow channel: withdrawals must not wait behind weights. It harms if proxies stall.
-	m, overdue, adds := marked{}, len(p.under) > 0 && p.now > p.under[0].due, p.step.adds
+	m, stale, overdue, adds := marked{}, map[uint32]bool{}, len(p.under) > 0 && p.now > p.under[0].due, p.step.adds
 	for _, proxy := range p.incomplete() { // who lacks lines comes first, and of them who has lost most of a part
 		b := control.Bind{Proxy: proxy, Table: p.bound[proxy]}
 		if p.partial[proxy].kept() < keptLeast {
@@ -786,9 +786,12 @@
 		if adds--; adds < 0 {
 			messages, room = ordinaryMsgs, ordinaryPart/math.Max(1, p.late)
 		}
-		sent := (adds >= 0 || !overdue) && p.write(o, room, messages)
-		if sent {
+		lift, is := o.(control.Withdraw)
+		sent := (adds >= 0 || !overdue) && !(is && stale[lift.Replica]) && p.write(o, room, messages)
+		if l, is := o.(control.SetLine); sent {
 			m.orders = append(m.orders, o)
+		} else if is { // nobody is let in by lines of an earlier weight: it may have been warm then
+			stale[l.Replica] = true
 		}
 		return sent
 	})
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -1,6 +1,7 @@
 package brain
 
 import (
+	"fmt"
 	"math"
 	"reflect"
 	"testing"
@@ -139,28 +140,30 @@
 }
 
 // A few cold ones would be pushed over by all the tries of a collapse, and more of them by those of an overload. But where
-// most of a table have just been replaced, to give them less leaves all work to the few that are warm, which drown for as
-// long as it goes on.
+// most have just been replaced, to give them less leaves all work to the few that are warm, which drown for as long as it
+// goes on. The cold of one table do not count alone, however much of it they could bear: all proxies may sit at another, which
+// takes them as guests, and what its own cold would get if they were not kept out comes to them.
 func TestLossesCountForTheColdUnlessTheyCouldBearAllThatIsTried(t *testing.T) {
 	for _, c := range []struct {
-		cold  int // of ten, each half warm
-		tries float64
-		bear  bool
-	}{{1, 10, false}, {4, 10, false}, {6, 10, true}, {9, 10, true}, {6, 15, false}, {9, 15, true}, {9, 40, false}} {
+		cold, others int // of ten each of two tables, half warm
+		tries        float64
+		bear         bool
+	}{{1, 0, 10, false}, {4, 4, 10, false}, {6, 6, 10, true}, {9, 9, 10, true}, {6, 6, 15, false}, {9, 9, 15, true}, {9, 9, 40, false},
+		{10, 1, 10, true}, {10, 0, 12, false}, {0, 10, 12, false}, {10, 2, 15, false}, {10, 6, 15, true}} {
 		g := at(10 * second)
 		g.FallMultiple = 4
 		p := planning(g)
-		for id := uint32(1); id <= 20; id++ { // the second ten are another table's
+		for id := uint32(1); id <= 20; id++ {
 			o := offered(id, 0, false, control.Ready)
-			o.cold, o.able, o.tries, o.bad = int(id) <= c.cold, 0.5, c.tries, c.tries-10 // each gives ten good answers
+			o.cold, o.able, o.tries, o.bad = int(id) <= c.cold || id > 10 && int(id) <= 10+c.others, 0.5, c.tries, c.tries-10 // each gives ten good answers
 			p.own[id] = int(id-1) / 10
 			planning(g, o)
 		}
 		planning(g, offered(21, 0, false, control.Gone)) // no work of anybody's
 		p.take(demand{lost: 0.8})
 		p.norms()
-		for box, lost := range map[int]float64{parts: map[bool]float64{false: 0.8}[c.bear], parts + 19: 0.8} {
-			if got := mail[norm](g, box)[0].lost; got != lost {
+		for _, box := range []int{parts, parts + 19} {
+			if got, lost := mail[norm](g, box)[0].lost, map[bool]float64{false: 0.8}[c.bear]; got != lost {
 				t.Errorf("%+v: replica %d hears of %v lost, want %v", c, box-parts+1, got, lost)
 			}
 		}
@@ -351,8 +354,65 @@
 	want(t, "removals come", s.at, remove)
 }
 
+// What was tried at a replica that has begun to drain is tried at the others next.
+func TestTriesAtTheDrainingCountForTheCold(t *testing.T) {
+	for state, lost := range map[control.State]float64{control.Ready: 0, control.Draining: 0.8} {
+		g := at(10 * second)
+		g.FallMultiple = 4
+		p := planning(g)
+		for id := uint32(1); id <= 10; id++ {
+			o := offered(id, 0, false, control.Ready)
+			if o.tries, o.bad = 10, 0; id > 5 {
+				o.cold, o.able, o.tries = true, 0.5, 0
+			}
+			planning(g, o)
+		}
+		gone := offered(11, 0, false, state)
+		gone.tries, gone.bad = 51, 0
+		if state == control.Ready { // one of the warm, which gave as much
+			gone.tries = 10
+		}
+		planning(g, gone)
+		p.take(demand{lost: 0.8})
+		p.norms()
+		want(t, "lost", mail[norm](g, parts+9)[0].lost, lost)
+	}
+}
+
+func TestASickColdOneBearsNothing(t *testing.T) {
+	r := met(at(100*second), 0, 0, 0)
+	r.entry.Start = r.now - second
+	want(t, "well", r.able() > 0, true)
+	r.resting = r.now + second
+	want(t, "silent", r.able(), 0.0)
+}
+
+// A replica that was withdrawn still has lines, of when it was warm: proxies pick by them from the moment that it is let in.
+func TestNobodyIsLetInByLinesOfAnEarlierWeight(t *testing.T) {
+	g := at(0)
+	s := steering(g, map[line]float64{{0, 1}: 1, {1, 1}: 1, {2, 1}: 0.21}, map[line]float64{{0, 1}: 0.2, {2, 1}: 0.2}, map[uint32]bool{1: true})
+	orders := s.orders(add)
+	want(t, "its lines go with it, those it has to lose too, but for what is as good", fmt.Sprint(orders), fmt.Sprint([]control.Order{
+		control.SetLine{Table: 1, Replica: 1}, control.SetLine{Table: 0, Replica: 1, Weight: 0.2}, control.Withdraw{Replica: 1}}))
+	p := g.boxes[thePacer].part.(*pacer)
+	for proxy := range 2 {
+		p.seat(proxy, proxy)
+		p.laid[proxy] = map[uint32]float64{1: 1}
+	}
+	g.MessagesMost, g.MessagesSpan = 4, 10*second
+	p.wrote[0] = []int64{0, 0, 0} // may take no more
+	p.step = step{len(orders), orders}
+	p.send()
+	for _, o := range g.out {
+		if _, is := o.(control.Withdraw); is {
+			t.Errorf("let in by the weight of before: %v", g.out)
+		}
+	}
+}
+
 func TestARemovalOfWhoIsBackNeverLeaves(t *testing.T) {
 	s := steering(at(0), map[line]float64{{0, 1}: 1}, map[line]float64{}, map[uint32]bool{1: true})
+	s.want.out[1] = true // gone, and not back yet
 	want(t, "queued", len(s.orders(remove)), 1)
 	s.take(target{map[line]float64{{0, 1}: 1}, map[uint32]bool{}})
 	want(t, "dropped", len(s.orders(remove)), 0)
