--- a/lab/seeds/seeds_test.go
+++ b/lab/seeds/seeds_test.go
@@ -1,6 +1,7 @@
 package seeds
 
 import (
+	"fmt"
 	"reflect"
 	"runtime"
 	"testing"
@@ -37,6 +38,21 @@
 	})
 }
 
+// Two releases of six in ten replicas, one in the other's warm-up, in an overload: sums are late, proxies avoid the warm, and what
+// comes to the cold that are in must stay what they can bear.
+func TestNoColdReplicaIsPushedOverInAnOverload(t *testing.T) {
+	p := Profiles["overload"]
+	releases := []emulator.Fault{{At: 10 * second, Kind: "release", Span: 4 * second}, {At: 18 * second, Kind: "release", Span: 4 * second}}
+	for _, seed := range []int64{4, 5, 10} { // before, each broke rule 4
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
+			if r := p.Play(seed, releases, nil); len(r.Breaches) > 0 {
+				t.Error(r.Breaches)
+			}
+		})
+	}
+}
+
 // rash gives whoever has just started many times the weight that the module orders.
 type rash struct {
 	governor.Module
