--- a/cmd/lilacbend/sidecar.go
+++ b/cmd/lilacbend/sidecar.go
@@ -90,12 +90,12 @@
 			&cli.StringFlag{Name: "zone", Usage: "whose sidecars", Required: true, Destination: &c.Zone},
 			&cli.StringFlag{Name: "listen", Usage: "where sidecars connect, as host:port", Required: true, Destination: &listen},
 			&cli.StringSliceFlag{Name: "governor", Usage: "whom to tell, as host:port; any number", Required: true, Destination: &c.Governors},
-			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "between two tellings", Destination: &c.Every},
-			&cli.IntFlag{Name: "sidecars", Value: 10000, Usage: "at the most", Destination: &c.Most},
+			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "between two tellings", Destination: &c.Interval},
+			&cli.IntFlag{Name: "sidecars", Value: 10000, Usage: "at the most", Destination: &c.MaxSidecars},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			if c.Every < 50*time.Millisecond || c.Most < 1 {
-				return fmt.Errorf("--every is %v, want 50ms or more; --sidecars is %d, want 1 or more", c.Every, c.Most)
+			if c.Interval < 50*time.Millisecond || c.MaxSidecars < 1 {
+				return fmt.Errorf("--every is %v, want 50ms or more; --sidecars is %d, want 1 or more", c.Interval, c.MaxSidecars)
 			}
 			for _, g := range c.Governors {
 				if _, _, err := net.SplitHostPort(g); err != nil {
@@ -111,7 +111,7 @@
 			c.Log = slog.New(slog.NewTextHandler(book, nil)).With("collector", c.Zone)
 			c.Log.Info("collector serves", "listen", listen, "governors", c.Governors)
 			c.Serve(ctx, l)
-			c.Log.Info("collector ends", "heard", c.Heard.Load(), "told", c.Told.Load(), "skipped", c.Skipped.Load())
+			c.Log.Info("collector ends", "heard", c.Received.Load(), "told", c.Reported.Load(), "skipped", c.Skipped.Load())
 			return nil
 		}}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -40,7 +40,7 @@
 	pool     *upstream.Pool
 	server   *front.Server
 	client   *steering.Client
-	teller   *steering.Teller
+	teller   *steering.Reporter
 	lists    *exchange.Exchange
 	flows    atomic.Int64
 
@@ -66,8 +66,8 @@
 		log.Error("panic in a flow", "panic", text)
 	}
 	s.server = front.New(m.Bounds, s.relay.Serve, m.Classify(), log, s.record)
-	s.client = &steering.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Groups: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
-	s.teller = &steering.Teller{To: m.Collector, Every: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*forward.Sum) {
+	s.client = &steering.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
+	s.teller = &steering.Reporter{Collector: m.Collector, Interval: m.Report, Sums: func() (all map[string]*forward.Sum) {
 		s.relay.With(func(_ int64, d *forward.Desk) { all = d.Sums() })
 		return all
 	}}
@@ -260,12 +260,12 @@
 	s.relay.With(func(_ int64, d *forward.Desk) {
 		f.Core, f.Tables, f.InHand = d.Count.Clone(), d.Tables(), d.InHand()
 	})
-	c, t := &s.server.Count, &s.client.Count
+	c, t := &s.server.Count, &s.client.Counters
 	f.Clients = map[string]int64{"accepted": c.Accepted.Load(), "refused": c.Refused.Load(), "open": c.Open.Load(), "flows": c.Flows.Load(),
 		"in_hand": c.InHand.Load(), "bad_requests": c.BadRequests.Load(), "unclassified": c.Unclassified.Load(), "resets": c.Resets.Load(),
 		"floods": c.Floods.Load(), "stalls": c.Stalls.Load(), "lost": c.Lost.Load(), "panics": c.Panics.Load()}
-	f.Steering = map[string]int64{"dials": t.Dials.Load(), "streams": t.Streams.Load(), "broken": t.Broken.Load(), "pushes": t.Pushes.Load(),
-		"marks": t.Marks.Load(), "unusable": t.Unusable.Load(), "demands": t.Demands.Load(), "sums_lost": s.teller.Lost.Load()}
+	f.Steering = map[string]int64{"dials": t.Dials.Load(), "streams": t.Streams.Load(), "broken": t.Broken.Load(), "pushes": t.Updates.Load(),
+		"marks": t.Acks.Load(), "unusable": t.Unusable.Load(), "demands": t.Demands.Load(), "sums_lost": s.teller.Lost.Load()}
 	return f
 }
 
--- a/internal/steering/capacity_bench_test.go
+++ b/internal/steering/capacity_bench_test.go
@@ -22,7 +22,7 @@
 		b.Run(fmt.Sprintf("governors=%d", governors), func(b *testing.B) {
 			c := &Collector{}
 			for range governors {
-				c.ledgers = append(c.ledgers, &ledger{totals: map[string]*total{}, since: time.Now(), held: time.Hour})
+				c.pending = append(c.pending, &pendingOutcomes{sums: map[string]*outcomeSum{}, since: time.Now(), maxAge: time.Hour})
 			}
 			var reports [][]string
 			for k := range 33 {
@@ -30,7 +30,7 @@
 			}
 			k := 0
 			for b.Loop() {
-				if err := c.hear(reports[k%len(reports)]); err != nil {
+				if err := c.receive(reports[k%len(reports)]); err != nil {
 					b.Fatal(err)
 				}
 				k++
@@ -45,10 +45,10 @@
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
 			var held uint64
 			for b.Loop() {
-				l := &ledger{totals: map[string]*total{}, since: time.Now(), held: time.Hour}
+				l := &pendingOutcomes{sums: map[string]*outcomeSum{}, since: time.Now(), maxAge: time.Hour}
 				before := heapInUse()
 				for k := range replicas {
-					l.add("stock-7c9d4f5b8-"+strconv.Itoa(10000+k), 12, 0, 47.3)
+					l.add(outcomeReport{"stock-7c9d4f5b8-" + strconv.Itoa(10000+k), 12, 0, 47.3})
 				}
 				held = heapInUse() - before
 				runtime.KeepAlive(l)
@@ -76,10 +76,10 @@
 	} {
 		b.Run(m.name, func(b *testing.B) {
 			conn := drained(b)
-			w := &writer{conn: conn, pool: resp.NewPool(1 << 20)}
+			w := &messageWriter{conn: conn, pool: resp.NewPool(1 << 20)}
 			words := strings.Fields(m.text)
 			for b.Loop() {
-				if err := w.say(words...); err != nil {
+				if err := w.send(words...); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -128,8 +128,8 @@
 			}
 			now := int64(0)
 			for b.Loop() {
-				var p push
-				if err := p.add(words); err != nil {
+				var p updateMessage
+				if err := p.addPart(words); err != nil {
 					b.Fatal(err)
 				}
 				now++
--- a/internal/steering/client.go
+++ b/internal/steering/client.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"os"
 	"runtime/debug"
 	"strconv"
 	"sync"
@@ -19,71 +18,69 @@
 )
 
 const (
-	dialMost = time.Second
+	dialTimeout = time.Second
 	// The waits after failed streams, with jitter: all sidecars of a governor that dies come to the others, and not at once.
 	backoffInitial = 50 * time.Millisecond
 	backoffLimit   = 2 * time.Second
 	// A stream that has lasted so long was a good one: the next wait is the initial one again.
 	goodStreamAge = 5 * time.Second
-	// A governor that vanished says nothing: it is asked this often, and given up after that.
-	probeEvery, silenceMost = time.Second, 4 * time.Second
-	writeMost               = 2 * time.Second
-	demandEvery             = time.Second
+	// The requests that came are reported, and the governor is probed, this often. One that has vanished says nothing, and is
+	// given up after the timeout.
+	reportInterval = time.Second
+	silenceTimeout = 4 * time.Second
+	// clientPoolSize bounds the buffers for long messages of one client, in bytes.
+	clientPoolSize = 2 << 20
 )
 
-// Core is what a push is applied to, and what tells what came.
+// Core is what updates are applied to, and what counts the requests that came.
 type Core interface {
 	Apply(parts []forward.Push) error
-	Blank() bool
+	Blank() bool // no update was applied yet
 	Usage() []forward.Usage
 }
 
-// Count is what a client has counted.
-type Count struct{ Dials, Streams, Broken, Pushes, Marks, Unusable, Demands atomic.Int64 }
+// Counters are what a client has counted.
+type Counters struct{ Dials, Streams, Broken, Updates, Acks, Unusable, Demands atomic.Int64 }
 
 // Client holds a stream to one of several governors. While none answers, the core goes on with what it has.
 type Client struct {
-	Count     Count
+	Counters  Counters
 	Governors []string
-	ID        int
+	ID        int // of the proxy
 	Zone      string
-	Groups    []string
-	Rate      float64 // a rough figure of flows a second
+	Classes   []string
+	Rate      float64 // a rough figure of requests a second
 	Core      Core
 	Seed      uint64
 	Log       *slog.Logger
 
-	pool    *resp.Pool
-	counted time.Time // when what came was last taken from the core
-	steered atomic.Bool
-	now     atomic.Pointer[string]
+	pool        *resp.Pool
+	demandSince time.Time // when the requests that came were last taken from the core
+	connected   atomic.Bool
+	current     atomic.Pointer[string]
 }
 
-// Governor is the one that the stream is to; empty: none.
+// Governor is the address of the governor that the stream is to; empty: there is none.
 func (c *Client) Governor() string {
-	if at := c.now.Load(); at != nil {
-		return *at
+	if address := c.current.Load(); address != nil {
+		return *address
 	}
 	return ""
 }
 
-// Run holds a stream until ctx ends.
+// Run holds a stream until ctx ends, to one governor after another. Clients begin at different ones, by their id.
 func (c *Client) Run(ctx context.Context) {
-	c.pool, c.counted = resp.NewPool(2<<20), time.Now()
+	c.pool = resp.NewPool(clientPoolSize)
+	c.demandSince = time.Now()
 	retry := backoff.NewJittered(backoffInitial, backoffLimit, c.Seed)
-	at := c.ID % max(1, len(c.Governors)) // sidecars begin at different ones
+	at := c.ID % max(1, len(c.Governors))
 	for ctx.Err() == nil && len(c.Governors) > 0 {
 		began := time.Now()
-		err := c.stream(ctx, c.Governors[at])
+		err := c.followGovernor(ctx, c.Governors[at])
 		if ctx.Err() != nil {
 			return
 		}
-		if c.steered.Swap(false) {
-			c.Log.Warn("no governor, the tables stay", "lost", c.Governors[at], "error", err)
-		}
-		none := ""
-		c.now.Store(&none)
-		c.Count.Broken.Add(1)
+		c.streamLost(c.Governors[at], err)
 		at = (at + 1) % len(c.Governors)
 		if time.Since(began) > goodStreamAge {
 			retry.Reset()
@@ -92,16 +89,26 @@
 	}
 }
 
-// stream talks to one governor until it ends.
-func (c *Client) stream(ctx context.Context, to string) (err error) {
+// streamLost counts a stream that has ended, and logs it if updates came by it.
+func (c *Client) streamLost(address string, err error) {
+	if c.connected.Swap(false) {
+		c.Log.Warn("no governor, the tables stay", "lost", address, "error", err)
+	}
+	none := ""
+	c.current.Store(&none)
+	c.Counters.Broken.Add(1)
+}
+
+// followGovernor opens a stream to one governor and applies its updates until the stream ends.
+func (c *Client) followGovernor(ctx context.Context, address string) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = fmt.Errorf("panic: %v at %s", v, debug.Stack())
 		}
 	}()
-	c.Count.Dials.Add(1)
-	dialer := net.Dialer{Timeout: dialMost}
-	conn, err := dialer.DialContext(ctx, "tcp", to)
+	c.Counters.Dials.Add(1)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial: %w", err)
 	}
@@ -112,71 +119,92 @@
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	w := &writer{conn: conn, pool: c.pool}
+	w := &messageWriter{conn: conn, pool: c.pool}
+	if err := c.sendHello(w); err != nil {
+		return fmt.Errorf("hello: %w", err)
+	}
+	c.Counters.Streams.Add(1)
+	all.Go(func() { c.reportDemand(ctx, w) })
+	return c.readUpdates(w, address)
+}
+
+// sendHello says who the proxy is.
+func (c *Client) sendHello(w *messageWriter) error {
 	blank := "0"
 	if c.Core.Blank() {
 		blank = "1"
 	}
-	if err := w.say("hello", "id", strconv.Itoa(c.ID), "site", c.Zone, "rps", number(c.Rate), "new", blank); err != nil {
-		return fmt.Errorf("hello: %w", err)
-	}
-	c.Count.Streams.Add(1)
-	all.Go(func() { c.report(ctx, w, conn) })
-	r := resp.NewReader(conn, c.pool)
-	for p := (push{}); ; {
-		conn.SetReadDeadline(time.Now().Add(silenceMost))
-		words, err := r.Next()
+	return w.send("hello", "id", strconv.Itoa(c.ID), "site", c.Zone, "rps", formatNumber(c.Rate), "new", blank)
+}
+
+// readUpdates applies the updates of a stream, and returns why it has ended.
+func (c *Client) readUpdates(w *messageWriter, address string) error {
+	reader := resp.NewReader(w.conn, c.pool)
+	for message := (updateMessage{}); ; {
+		words, err := readMessage(w.conn, reader)
 		if err != nil {
-			return fmt.Errorf("hearing: %w", err)
+			return err
 		}
 		if len(words) > 0 && words[0] == "alive" {
 			continue
 		}
-		if len(words) > 0 && words[0] == "error" {
-			return fmt.Errorf("sent away: %q", words[1:])
-		}
-		if err := p.add(words); err != nil {
-			c.Count.Unusable.Add(1)
+		if err := message.addPart(words); err != nil {
+			c.Counters.Unusable.Add(1)
 			return err
 		}
-		if p.open {
+		if message.unfinished {
 			continue
 		}
-		if err := c.take(w, p); err != nil {
+		if err := c.apply(w, message); err != nil {
 			return err
 		}
-		if !c.steered.Swap(true) {
-			c.Log.Info("steered", "governor", to)
+		if !c.connected.Swap(true) {
+			c.Log.Info("steered", "governor", address)
 		}
-		c.now.Store(&to)
-		p = push{}
+		c.current.Store(&address)
+		message = updateMessage{}
+	}
+}
+
+// readMessage reads one message of a governor. It fails if none comes in time, or if the governor refuses the proxy.
+func readMessage(conn net.Conn, reader *resp.Reader) ([]string, error) {
+	conn.SetReadDeadline(time.Now().Add(silenceTimeout))
+	words, err := reader.Next()
+	if err != nil {
+		return nil, fmt.Errorf("hearing: %w", err)
 	}
+	if len(words) > 0 && words[0] == "error" {
+		return nil, fmt.Errorf("sent away: %q", words[1:])
+	}
+	return words, nil
 }
 
-// take applies a message and answers its mark.
-func (c *Client) take(w *writer, p push) error {
+// apply applies an update and acks it.
+func (c *Client) apply(w *messageWriter, message updateMessage) error {
 	began := time.Now()
-	if err := c.Core.Apply(p.parts); err != nil {
+	if err := c.Core.Apply(message.parts); err != nil {
 		if errors.Is(err, forward.ErrUnusable) {
-			c.Count.Unusable.Add(1)
+			c.Counters.Unusable.Add(1)
 		}
 		return err
 	}
-	c.Count.Pushes.Add(1)
-	if !p.marked {
+	c.Counters.Updates.Add(1)
+	if !message.wantsAck {
 		return nil
 	}
-	c.Count.Marks.Add(1)
-	return w.say("ack", "id", strconv.Itoa(c.ID), "seq", strconv.FormatUint(p.mark, 10), "ms", number(ms(time.Since(began))))
+	c.Counters.Acks.Add(1)
+	return w.send("ack", "id", strconv.Itoa(c.ID), "seq", strconv.FormatUint(message.nonce, 10),
+		"ms", formatNumber(millis(time.Since(began))))
 }
 
-// report tells what came, and asks whether the governor is there.
-func (c *Client) report(ctx context.Context, w *writer, conn net.Conn) {
-	tick := time.NewTicker(demandEvery)
+// reportDemand reports the requests that came, and probes the governor, until ctx ends or a write fails; then it closes the
+// connection.
+func (c *Client) reportDemand(ctx context.Context, w *messageWriter) {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
-	if time.Since(c.counted) > heldMost { // what came while there was no governor tells nothing of now
+	if time.Since(c.demandSince) > maxReportAge { // what came while there was no governor tells nothing of now
 		c.Core.Usage()
-		c.counted = time.Now()
+		c.demandSince = time.Now()
 	}
 	for {
 		select {
@@ -184,50 +212,28 @@
 			return
 		case <-tick.C:
 		}
-		// Not since this stream began: flows also came between the last one's end and this one, and told as those of a
-		// second they would be many times what comes.
-		span := time.Since(c.counted)
-		c.counted = c.counted.Add(span)
-		for g, u := range c.Core.Usage() {
-			if u.Flows == 0 && u.Missed == 0 {
-				continue
-			}
-			c.Count.Demands.Add(1)
-			if w.say("demand", "id", strconv.Itoa(c.ID), "lane", c.Groups[g], "count", strconv.Itoa(u.Flows), "fail", strconv.Itoa(u.Missed),
-				"over", number(ms(span))) != nil {
-				conn.Close()
-				return
-			}
-		}
-		if w.say("probe") != nil {
-			conn.Close()
+		if c.sendDemand(w) != nil || w.send("probe") != nil {
+			w.conn.Close()
 			return
 		}
 	}
 }
 
-// writer writes whole messages of several goroutines.
-type writer struct {
-	mu   sync.Mutex
-	conn net.Conn
-	pool *resp.Pool
-}
-
-func (w *writer) say(words ...string) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.conn.SetWriteDeadline(time.Now().Add(writeMost))
-	_, err := resp.Write(w.conn, w.pool, words...)
-	return err
-}
-
-// over says whether the other side, which says nothing, has ended the connection.
-func (w *writer) over() bool {
-	w.conn.SetReadDeadline(time.Now().Add(time.Millisecond)) // over the time a look takes; an end that is there is seen at once
-	_, err := w.conn.Read(make([]byte, 1))
-	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+// sendDemand reports the requests since the last report. That may have gone to another governor: requests also came between
+// the last stream's end and this one, and reported as those of a second they would be many times what comes.
+func (c *Client) sendDemand(w *messageWriter) error {
+	period := time.Since(c.demandSince)
+	c.demandSince = c.demandSince.Add(period)
+	for class, usage := range c.Core.Usage() {
+		if usage.Flows == 0 && usage.Missed == 0 {
+			continue
+		}
+		c.Counters.Demands.Add(1)
+		err := w.send("demand", "id", strconv.Itoa(c.ID), "lane", c.Classes[class], "count", strconv.Itoa(usage.Flows),
+			"fail", strconv.Itoa(usage.Missed), "over", formatNumber(millis(period)))
+		if err != nil {
+			return err
+		}
+	}
+	return nil
 }
-
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
-func number(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
--- a/internal/steering/collector.go
+++ b/internal/steering/collector.go
@@ -14,125 +14,82 @@
 	"time"
 
 	"lilacbend/internal/backoff"
-	"lilacbend/internal/forward"
 	"lilacbend/internal/resp"
 )
 
 const (
 	// A sidecar that says nothing for so long has vanished.
-	sidecarSilence = 30 * time.Second
-	// Replicas of which sums are held for one governor; more are made up.
-	targetsMost = 1 << 14
-	// Sums for a governor that is not there are held for so long, or for two reports if that is more: older ones tell
-	// nothing of now.
-	heldMost = 10 * time.Second
+	sidecarTimeout = 30 * time.Second
+	// A listener that cannot accept tries again after this.
+	acceptRetry = 20 * time.Millisecond
+	// collectorPoolSize bounds the buffers for long messages of a collector, in bytes.
+	collectorPoolSize = 4 << 20
 )
 
-// total sums what was met at one replica.
-type total struct {
-	tries, missed int
-	answers       float64 // ms, together
-}
-
-// ledger holds what one governor has not been told yet.
-type ledger struct {
-	mu     sync.Mutex
-	totals map[string]*total
-	since  time.Time
-	held   time.Duration
-}
-
-// fade drops what is too old to tell, so that a governor that comes back hears of now alone; the ledger is locked.
-func (l *ledger) fade(now time.Time) {
-	if now.Sub(l.since) > l.held {
-		clear(l.totals)
-		l.since = now
-	}
-}
-
-func (l *ledger) add(target string, tries, missed int, mean float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.fade(time.Now())
-	t := l.totals[target]
-	if t == nil {
-		if len(l.totals) >= targetsMost {
-			return
-		}
-		t = &total{}
-		l.totals[target] = t
-	}
-	t.tries, t.missed, t.answers = t.tries+tries, t.missed+missed, t.answers+mean*float64(tries-missed)
-}
-
-func (l *ledger) take() (all map[string]*total, span time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := time.Now()
-	l.fade(now)
-	all, span = l.totals, now.Sub(l.since)
-	l.totals, l.since = map[string]*total{}, now
-	return all, span
-}
-
-// Collector takes the sums of a zone's sidecars and forwards them to governors.
+// Collector sums the outcomes that a zone's sidecars report, and reports them to governors.
 type Collector struct {
-	Zone      string
-	Governors []string
-	Every     time.Duration
-	Log       *slog.Logger
-	Most      int // sidecars
-	Heard     atomic.Int64
-	Skipped   atomic.Int64
-	Told      atomic.Int64
-
-	pool    *resp.Pool
-	ledgers []*ledger
-	open    atomic.Int64
+	Zone        string
+	Governors   []string
+	Interval    time.Duration // between two reports
+	Log         *slog.Logger
+	MaxSidecars int
+	Received    atomic.Int64 // reports of sidecars
+	Skipped     atomic.Int64 // messages that could not be used
+	Reported    atomic.Int64 // messages to governors
+
+	pool        *resp.Pool
+	pending     []*pendingOutcomes // by governor
+	connections atomic.Int64
 }
 
-// Serve takes sidecars in until ctx ends, and forwards what they tell.
+// Serve takes sidecars in until ctx ends, and reports what they report.
 func (c *Collector) Serve(ctx context.Context, l net.Listener) {
-	c.pool = resp.NewPool(4 << 20)
+	c.pool = resp.NewPool(collectorPoolSize)
 	var all sync.WaitGroup
 	defer all.Wait()
-	for k, to := range c.Governors {
-		l := &ledger{totals: map[string]*total{}, since: time.Now(), held: max(heldMost, 2*c.Every)}
-		c.ledgers = append(c.ledgers, l)
-		all.Go(func() { c.forward(ctx, to, l, uint64(k)) })
+	for k, address := range c.Governors {
+		pending := newPendingOutcomes(max(maxReportAge, 2*c.Interval))
+		c.pending = append(c.pending, pending)
+		all.Go(func() { c.followGovernor(ctx, address, pending, uint64(k)) })
 	}
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
 	for {
 		conn, err := l.Accept()
-		if err != nil {
-			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
-				return
-			}
-			time.Sleep(20 * time.Millisecond)
-			continue
-		}
-		if c.open.Add(1) > int64(c.Most) {
-			c.open.Add(-1)
-			conn.Close()
-			continue
+		switch {
+		case err == nil:
+			c.admit(ctx, conn, &all)
+		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
+			return
+		default:
+			time.Sleep(acceptRetry)
 		}
-		all.Go(func() {
-			defer c.open.Add(-1)
-			defer conn.Close()
-			end := context.AfterFunc(ctx, func() { conn.Close() })
-			defer end()
-			err := c.attend(conn)
-			c.Log.Debug("sidecar left", "from", conn.RemoteAddr(), "error", err)
-		})
 	}
 }
 
-// attend reads the sums of one sidecar until its connection ends, and returns why; a message that cannot be used is skipped.
-func (c *Collector) attend(conn net.Conn) error {
-	for r := resp.NewReader(conn, c.pool); ; {
-		conn.SetReadDeadline(time.Now().Add(sidecarSilence))
-		words, err := r.Next()
+// admit serves a connection in a goroutine of its own, or closes it if there are too many.
+func (c *Collector) admit(ctx context.Context, conn net.Conn, all *sync.WaitGroup) {
+	if c.connections.Add(1) > int64(c.MaxSidecars) {
+		c.connections.Add(-1)
+		conn.Close()
+		return
+	}
+	all.Go(func() {
+		defer c.connections.Add(-1)
+		defer conn.Close()
+		stop := context.AfterFunc(ctx, func() { conn.Close() })
+		defer stop()
+		err := c.readSidecar(conn)
+		c.Log.Debug("sidecar left", "from", conn.RemoteAddr(), "error", err)
+	})
+}
+
+// readSidecar reads the reports of one sidecar until its connection ends, and returns why. A message that cannot be used is
+// skipped.
+func (c *Collector) readSidecar(conn net.Conn) error {
+	for reader := resp.NewReader(conn, c.pool); ; {
+		conn.SetReadDeadline(time.Now().Add(sidecarTimeout))
+		words, err := reader.Next()
 		if errors.Is(err, resp.ErrNotWords) {
 			c.Skipped.Add(1)
 			continue
@@ -140,160 +97,105 @@
 		if err != nil {
 			return err
 		}
-		if err := c.hear(words); err != nil {
+		if err := c.receive(words); err != nil {
 			c.Skipped.Add(1)
 			c.Log.Debug("message skipped", "from", conn.RemoteAddr(), "error", err)
 		}
 	}
 }
 
-func (c *Collector) hear(words []string) error {
-	if len(words) != 9 || words[0] != "met" || words[1] != "target" || words[3] != "count" || words[5] != "fail" || words[7] != "mean" {
-		return fmt.Errorf("%d words, want met target T count N fail N mean MS", len(words))
-	}
-	tries, err1 := strconv.Atoi(words[4])
-	missed, err2 := strconv.Atoi(words[6])
-	mean, err3 := strconv.ParseFloat(words[8], 64)
-	if err := errors.Join(err1, err2, err3); err != nil {
+// receive adds a report to what is pending for each governor.
+func (c *Collector) receive(words []string) error {
+	report, err := parseOutcomeReport(words)
+	if err != nil {
 		return err
 	}
-	if words[2] == "" || len(words[2]) > 128 || tries < 0 || tries > 1<<24 || missed < 0 || missed > tries || !(mean >= 0) || mean > 1e7 {
-		return fmt.Errorf("figures that cannot be: %q", words)
-	}
-	c.Heard.Add(1)
-	for _, l := range c.ledgers {
-		l.add(words[2], tries, missed, mean)
+	c.Received.Add(1)
+	for _, pending := range c.pending {
+		pending.add(report)
 	}
 	return nil
 }
 
-// forward tells one governor, dialing again with growing waits.
-func (c *Collector) forward(ctx context.Context, to string, l *ledger, seed uint64) {
+// followGovernor reports to one governor until ctx ends, on one connection after another.
+func (c *Collector) followGovernor(ctx context.Context, address string, pending *pendingOutcomes, seed uint64) {
 	retry := backoff.NewJittered(backoffInitial, backoffLimit, seed)
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := c.tell(ctx, to, l)
+		err := c.reportTo(ctx, address, pending)
 		if ctx.Err() != nil {
 			return
 		}
 		if time.Since(began) > goodStreamAge {
-			c.Log.Warn("governor lost", "governor", to, "error", err)
+			c.Log.Warn("governor lost", "governor", address, "error", err)
 			retry.Reset()
 		}
 		backoff.Sleep(ctx, retry.Next())
 	}
 }
 
-func (c *Collector) tell(ctx context.Context, to string, l *ledger) error {
-	dialer := net.Dialer{Timeout: dialMost}
-	conn, err := dialer.DialContext(ctx, "tcp", to)
+// reportTo reports to a governor on one connection until that ends. The end of ctx does not wait for a governor that reads
+// nothing.
+func (c *Collector) reportTo(ctx context.Context, address string, pending *pendingOutcomes) error {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return fmt.Errorf("dial: %w", err)
 	}
 	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { conn.Close() })() // the end does not wait for a governor that reads nothing
-	w := &writer{conn: conn, pool: c.pool}
-	if err := w.say("agent", "site", c.Zone); err != nil {
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	defer stop()
+	w := &messageWriter{conn: conn, pool: c.pool}
+	if err := w.send("agent", "site", c.Zone); err != nil {
 		return fmt.Errorf("joining: %w", err)
 	}
-	gone := make(chan struct{})
-	go func() { // nothing is ever written to a collector but answers to probes and the word that it is sent away
-		defer close(gone)
-		for r := resp.NewReader(conn, c.pool); ; {
-			if words, err := r.Next(); err != nil || len(words) > 0 && words[0] == "error" {
-				return
-			}
-		}
+	closed := make(chan struct{})
+	go func() {
+		defer close(closed)
+		c.awaitEnd(conn)
+	}()
+	defer func() {
+		conn.Close()
+		<-closed
 	}()
-	defer func() { conn.Close(); <-gone }()
-	tick := time.NewTicker(c.Every)
+	tick := time.NewTicker(c.Interval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-gone:
+		case <-closed:
 			return errors.New("the governor ended the connection")
 		case <-tick.C:
 		}
-		all, span := l.take()
-		for _, target := range slices.Sorted(maps.Keys(all)) {
-			t := all[target]
-			mean := 0.0
-			if good := t.tries - t.missed; good > 0 {
-				mean = t.answers / float64(good)
-			}
-			if err := w.say("outcomes", "site", c.Zone, "target", target, "count", strconv.Itoa(t.tries), "fail", strconv.Itoa(t.missed),
-				"mean", number(mean), "over", number(ms(span))); err != nil {
-				return fmt.Errorf("telling: %w", err)
-			}
-			c.Told.Add(1)
+		if err := c.sendOutcomes(w, pending); err != nil {
+			return fmt.Errorf("telling: %w", err)
 		}
 	}
 }
 
-// Teller sends a sidecar's sums to its zone's collector.
-type Teller struct {
-	To    string
-	Every time.Duration
-	Sums  func() map[string]*forward.Sum
-	Seed  uint64
-	Lost  atomic.Int64 // sums that no collector took
-
-	conn atomic.Pointer[net.Conn] // that is told on now, or was last
-}
-
-// Run tells until ctx ends.
-func (t *Teller) Run(ctx context.Context) {
-	pool := resp.NewPool(1 << 20)
-	var w *writer
-	defer func() {
-		if w != nil {
-			w.conn.Close()
-		}
-	}()
-	defer context.AfterFunc(ctx, func() {
-		if at := t.conn.Load(); at != nil {
-			(*at).Close() // the end does not wait for a collector that reads nothing
-		}
-	})()
-	tick := time.NewTicker(t.Every)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
+// awaitEnd reads until a governor ends the connection or refuses the collector. It writes nothing else to a collector but
+// answers to probes.
+func (c *Collector) awaitEnd(conn net.Conn) {
+	for reader := resp.NewReader(conn, c.pool); ; {
+		words, err := reader.Next()
+		if err != nil || len(words) > 0 && words[0] == "error" {
 			return
-		case <-tick.C:
-		}
-		sums := t.Sums()
-		if w != nil && w.over() { // it would take the first words without an error, and nobody would read them
-			w.conn.Close()
-			w = nil
-		}
-		if w == nil { // one try for each telling: sums of now are due again soon
-			dialer := net.Dialer{Timeout: t.Every}
-			if conn, err := dialer.DialContext(ctx, "tcp", t.To); err == nil {
-				w = &writer{conn: conn, pool: pool}
-				if t.conn.Store(&conn); ctx.Err() != nil { // it ended as the connection came up
-					conn.Close()
-				}
-			}
-		}
-		if w == nil {
-			t.Lost.Add(int64(len(sums)))
-			continue
 		}
-		for k, id := range slices.Sorted(maps.Keys(sums)) {
-			s, mean := sums[id], 0.0
-			if good := s.Tries - s.Missed; good > 0 {
-				mean = float64(s.Answers) / float64(good) / 1e6
-			}
-			if w.say("met", "target", id, "count", strconv.Itoa(s.Tries), "fail", strconv.Itoa(s.Missed), "mean", number(mean)) != nil {
-				t.Lost.Add(int64(len(sums) - k))
-				w.conn.Close()
-				w = nil
-				break
-			}
+	}
+}
+
+// sendOutcomes sends what is pending for a governor, a message for each replica.
+func (c *Collector) sendOutcomes(w *messageWriter, pending *pendingOutcomes) error {
+	sums, period := pending.take()
+	for _, replica := range slices.Sorted(maps.Keys(sums)) {
+		sum := sums[replica]
+		err := w.send("outcomes", "site", c.Zone, "target", replica, "count", strconv.Itoa(sum.attempts),
+			"fail", strconv.Itoa(sum.failures), "mean", formatNumber(sum.meanMillis()), "over", formatNumber(millis(period)))
+		if err != nil {
+			return err
 		}
+		c.Reported.Add(1)
 	}
+	return nil
 }
--- a/internal/steering/crossings_test.go
+++ b/internal/steering/crossings_test.go
@@ -17,7 +17,7 @@
 
 // steered runs a client towards listeners until the test ends.
 func steered(t *testing.T, c Core, to ...*peers.Listener) *Client {
-	cl := &Client{Zone: "a", Groups: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
+	cl := &Client{Zone: "a", Classes: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
 	for _, l := range to {
 		cl.Governors = append(cl.Governors, l.At())
 	}
@@ -100,7 +100,7 @@
 	gap := time.Since(began)
 	text := stream.Hears("demand id 0 lane x count 7 fail 0 over ")
 	over, err := strconv.ParseFloat(text[strings.LastIndex(text, " ")+1:], 64)
-	if least := ms(gap + demandEvery - 100*time.Millisecond); err != nil || over < least {
+	if least := millis(gap + reportInterval - 100*time.Millisecond); err != nil || over < least {
 		t.Errorf("%q, though the first flow came %v before the hello", text, gap)
 	}
 }
@@ -108,7 +108,7 @@
 // collects runs a collector until the test ends or stops it, which takes no longer than a governor may take to end.
 func collects(t *testing.T, every time.Duration, to ...*peers.Listener) (c *Collector, at string, stop func()) {
 	l := peers.Listen(t)
-	c = &Collector{Zone: "a", Every: every, Most: 10, Log: slog.New(slog.DiscardHandler)}
+	c = &Collector{Zone: "a", Interval: every, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	for _, g := range to {
 		c.Governors = append(c.Governors, g.At())
 	}
@@ -147,7 +147,7 @@
 func TestSumsWaitForAGovernorThatIsAway(t *testing.T) {
 	there, away := peers.Listen(t), peers.Free(t)
 	l := peers.Listen(t)
-	c := &Collector{Zone: "a", Governors: []string{there.At(), away}, Every: 50 * time.Millisecond, Most: 10, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Governors: []string{there.At(), away}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Serve(ctx, l.Listener); close(ended) }()
@@ -164,13 +164,13 @@
 
 // Sums are kept for a governor that is away for so long and no longer, and never told as if they were of now.
 func TestOldSumsFade(t *testing.T) {
-	l := &ledger{totals: map[string]*total{}, since: time.Now().Add(-time.Second), held: 2 * time.Second}
-	l.add("b", 3, 0, 1)
+	l := &pendingOutcomes{sums: map[string]*outcomeSum{}, since: time.Now().Add(-time.Second), maxAge: 2 * time.Second}
+	l.add(outcomeReport{"b", 3, 0, 1})
 	l.since = l.since.Add(-2 * time.Second)
 	if all, span := l.take(); len(all) != 0 || span > time.Second {
 		t.Errorf("%d told over %v", len(all), span)
 	}
-	l.add("b", 3, 0, 1)
+	l.add(outcomeReport{"b", 3, 0, 1})
 	l.since = l.since.Add(-time.Second)
 	if all, span := l.take(); len(all) != 1 || span < time.Second {
 		t.Errorf("%d told over %v", len(all), span)
@@ -193,13 +193,13 @@
 			case <-feed:
 				return
 			default:
-				c.hear([]string{"met", "target", long + strconv.Itoa(k%targetsMost), "count", "1", "fail", "0", "mean", "1"})
+				c.receive([]string{"met", "target", long + strconv.Itoa(k%maxReplicas), "count", "1", "fail", "0", "mean", "1"})
 			}
 		}
 	}()
 	told, since := int64(0), time.Now()
 	peers.Until(t, "it is never held up", func() bool {
-		if now := c.Told.Load(); now != told || now == 0 {
+		if now := c.Reported.Load(); now != told || now == 0 {
 			told, since = now, time.Now()
 		}
 		return time.Since(since) > 300*time.Millisecond // six reports are due, and none goes on
@@ -213,7 +213,7 @@
 func TestACollectorIsStartedAgainBetweenTwoReports(t *testing.T) {
 	l := peers.Listen(t)
 	due, taken := make(chan int), atomic.Int64{}
-	teller := &Teller{To: l.At(), Every: 10 * time.Millisecond, Sums: func() map[string]*forward.Sum {
+	teller := &Reporter{Collector: l.At(), Interval: 10 * time.Millisecond, Sums: func() map[string]*forward.Sum {
 		n, ok := <-due
 		if !ok {
 			return nil
@@ -244,11 +244,11 @@
 func TestATellerEndsThoughItsCollectorReadsNothing(t *testing.T) {
 	l := peers.Listen(t)
 	sums := map[string]*forward.Sum{}
-	for k := range targetsMost {
+	for k := range maxReplicas {
 		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &forward.Sum{Tries: 1}
 	}
 	calls := atomic.Int64{}
-	teller := &Teller{To: l.At(), Every: 10 * time.Millisecond, Sums: func() map[string]*forward.Sum { calls.Add(1); return sums }}
+	teller := &Reporter{Collector: l.At(), Interval: 10 * time.Millisecond, Sums: func() map[string]*forward.Sum { calls.Add(1); return sums }}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { teller.Run(ctx); close(ended) }()
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -20,37 +20,37 @@
 func TestPartsBecomeOnePush(t *testing.T) {
 	for _, c := range []struct {
 		parts []string
-		want  push
+		want  updateMessage
 		fail  string
 	}{
 		{[]string{"push full 1 endpoints a:1.5,b:0.2 continued 1", "push eject a,b continued 1", "push restore c continued 1", "push routes x+y admit 0.9 policy 2 nonce_out 905"},
-			push{parts: []forward.Push{{Full: true, Lines: map[string]float64{"a": 1.5, "b": 0.2}}, {Shut: []string{"a", "b"}}, {Let: []string{"c"}},
-				{Groups: []string{"x", "y"}, Levels: []forward.Level{{Share: 0.9, Tries: control.TryAgain}}}}, marked: true, mark: 905}, ""},
-		{[]string{"push nonce_out 0"}, push{parts: []forward.Push{{}}, marked: true}, ""},
-		{[]string{"push later 7 full 0"}, push{parts: []forward.Push{{}}}, ""}, // a field of a later protocol
-		{[]string{"push endpoints a:1 continued 2"}, push{}, "continued"},
-		{[]string{"push endpoints a"}, push{}, "endpoints"}, {[]string{"push endpoints :1"}, push{}, "endpoints"}, {[]string{"push endpoints a:x"}, push{}, "endpoints"},
-		{[]string{"push admit 1"}, push{}, "admit and policy"}, {[]string{"push admit 1 policy x"}, push{}, "policy"}, {[]string{"push nonce_out -1"}, push{}, "nonce_out"},
-		{[]string{"push full"}, push{}, "unreadable"}, {[]string{"pull"}, push{}, "unreadable"}, {[]string{""}, push{}, "unreadable"},
+			updateMessage{parts: []forward.Push{{Full: true, Lines: map[string]float64{"a": 1.5, "b": 0.2}}, {Shut: []string{"a", "b"}}, {Let: []string{"c"}},
+				{Groups: []string{"x", "y"}, Levels: []forward.Level{{Share: 0.9, Tries: control.TryAgain}}}}, wantsAck: true, nonce: 905}, ""},
+		{[]string{"push nonce_out 0"}, updateMessage{parts: []forward.Push{{}}, wantsAck: true}, ""},
+		{[]string{"push later 7 full 0"}, updateMessage{parts: []forward.Push{{}}}, ""}, // a field of a later protocol
+		{[]string{"push endpoints a:1 continued 2"}, updateMessage{}, "continued"},
+		{[]string{"push endpoints a"}, updateMessage{}, "endpoints"}, {[]string{"push endpoints :1"}, updateMessage{}, "endpoints"}, {[]string{"push endpoints a:x"}, updateMessage{}, "endpoints"},
+		{[]string{"push admit 1"}, updateMessage{}, "admit and policy"}, {[]string{"push admit 1 policy x"}, updateMessage{}, "policy"}, {[]string{"push nonce_out -1"}, updateMessage{}, "nonce_out"},
+		{[]string{"push full"}, updateMessage{}, "unreadable"}, {[]string{"pull"}, updateMessage{}, "unreadable"}, {[]string{""}, updateMessage{}, "unreadable"},
 	} {
-		var p push
+		var p updateMessage
 		var err error
 		for _, part := range c.parts {
-			if err = p.add(strings.Fields(part)); err != nil {
+			if err = p.addPart(strings.Fields(part)); err != nil {
 				break
 			}
 		}
 		if c.fail != "" {
-			if !errors.Is(err, errPart) || !strings.Contains(err.Error(), c.fail) {
+			if !errors.Is(err, errMalformed) || !strings.Contains(err.Error(), c.fail) {
 				t.Errorf("%q: %v", c.parts, err)
 			}
 		} else if err != nil || !reflect.DeepEqual(p, c.want) {
 			t.Errorf("%q: %+v %v", c.parts, p, err)
 		}
 	}
-	p := push{}
-	for k := range partsMost + 1 {
-		if err := p.add([]string{"push", "continued", "1"}); (err != nil) != (k == partsMost) {
+	p := updateMessage{}
+	for k := range maxParts + 1 {
+		if err := p.addPart([]string{"push", "continued", "1"}); (err != nil) != (k == maxParts) {
 			t.Errorf("part %d: %v", k, err)
 		}
 	}
@@ -59,8 +59,8 @@
 func FuzzPush(f *testing.F) {
 	f.Add("push full 1 endpoints a:1.5,b:0.2 continued 1 admit 1 policy 2")
 	f.Fuzz(func(t *testing.T, text string) {
-		var p push
-		if err := p.add(strings.Split(text, " ")); err == nil {
+		var p updateMessage
+		if err := p.addPart(strings.Split(text, " ")); err == nil {
 			d, _ := forward.New(forward.Plan{Flows: 1, Groups: []forward.Group{{Name: "x"}}})
 			d.Apply(1, p.parts...)
 		} else if len(p.parts) != 0 {
@@ -155,7 +155,7 @@
 }
 
 func client(t *testing.T, c *core, to ...*governor) *Client {
-	cl := &Client{ID: 0, Zone: "a", Groups: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
+	cl := &Client{ID: 0, Zone: "a", Classes: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
 	for _, g := range to {
 		cl.Governors = append(cl.Governors, g.Addr().String())
 	}
@@ -196,7 +196,7 @@
 	conn = <-g.conns
 	g.says(t, conn, "error reason none")
 	g.hears(t, "gone")
-	if n := cl.Count.Unusable.Load(); n != 2 {
+	if n := cl.Counters.Unusable.Load(); n != 2 {
 		t.Errorf("%d could not be used", n)
 	}
 }
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Collector{Zone: "a", Governors: []string{g.Addr().String()}, Every: 300 * time.Millisecond, Most: 2, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Governors: []string{g.Addr().String()}, Interval: 300 * time.Millisecond, MaxSidecars: 2, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Serve(ctx, l); close(ended) }()
@@ -244,13 +244,13 @@
 		}
 	}
 	for k := range 2 {
-		teller := &Teller{To: l.Addr().String(), Every: 20 * time.Millisecond, Sums: once(map[string]*forward.Sum{"b": {Tries: 10 + k, Missed: 1, Answers: int64(9+k) * 40e6}, "c": {Tries: 1, Missed: 1}})}
+		teller := &Reporter{Collector: l.Addr().String(), Interval: 20 * time.Millisecond, Sums: once(map[string]*forward.Sum{"b": {Tries: 10 + k, Missed: 1, Answers: int64(9+k) * 40e6}, "c": {Tries: 1, Missed: 1}})}
 		go teller.Run(ctx)
 	}
 	g.hears(t, "outcomes site a target b count 21 fail 2 mean 40.000 over ")
 	g.hears(t, "outcomes site a target c count 2 fail 2 mean 0.000 over ")
 	for _, bad := range []string{"met", "met target b count -1 fail 0 mean 1", "met target b count 1 fail 2 mean 1", "met target b count 1 fail 0 mean NaN", "met target  count 1 fail 0 mean 1", "hello id 1"} {
-		if err := c.hear(strings.Split(bad, " ")); err == nil {
+		if err := c.receive(strings.Split(bad, " ")); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
--- /dev/null
+++ b/internal/steering/update.go
@@ -0,0 +1,127 @@
+// Package steering is the client side of the control protocol: a sidecar's stream to a governor, a collector that sums the
+// reports of a zone's sidecars, and a sidecar's reports to it. It reads and writes messages; what an update does is up to the
+// sidecar's core.
+package steering
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"lilacbend/control"
+	"lilacbend/internal/forward"
+)
+
+// maxParts bounds the parts of one message.
+const maxParts = 64
+
+// errMalformed: a part that cannot be read; the stream is of no further use.
+var errMalformed = errors.New("unreadable push")
+
+// updateMessage is one message of a governor, put together from its parts.
+type updateMessage struct {
+	parts      []forward.Push
+	wantsAck   bool
+	nonce      uint64
+	unfinished bool // more parts follow
+}
+
+// addPart reads one more part.
+func (m *updateMessage) addPart(words []string) error {
+	if len(m.parts) >= maxParts {
+		return fmt.Errorf("%w: more than %d parts", errMalformed, maxParts)
+	}
+	if len(words) == 0 || words[0] != "push" || len(words)%2 == 0 {
+		return fmt.Errorf("%w: %.60q", errMalformed, strings.Join(words, " "))
+	}
+	m.unfinished = false
+	part := partFields{}
+	for k := 1; k < len(words); k += 2 {
+		key, value := words[k], words[k+1]
+		if err := m.setField(&part, key, value); err != nil {
+			return fmt.Errorf("%w: %s=%.40q: %w", errMalformed, key, value, err)
+		}
+	}
+	admission, err := part.admission()
+	if err != nil {
+		return err
+	}
+	part.Levels = admission
+	m.parts = append(m.parts, part.Push)
+	return nil
+}
+
+// partFields are the fields of one part. The two of an admission rate may come in either order.
+type partFields struct {
+	forward.Push
+	admit  string
+	policy string
+}
+
+// setField takes over one field of a part. Fields of later versions of the protocol are ignored.
+func (m *updateMessage) setField(part *partFields, key, value string) (err error) {
+	switch key {
+	case "routes":
+		part.Groups = strings.Split(value, "+")
+	case "full":
+		part.Full, err = parseFlag(value)
+	case "endpoints":
+		part.Lines, err = parseEndpoints(value)
+	case "admit":
+		part.admit = value
+	case "policy":
+		part.policy = value
+	case "eject":
+		part.Shut = strings.Split(value, ",")
+	case "restore":
+		part.Let = strings.Split(value, ",")
+	case "nonce_out":
+		m.wantsAck = true
+		m.nonce, err = strconv.ParseUint(value, 10, 64)
+	case "continued":
+		m.unfinished, err = parseFlag(value)
+	}
+	return err
+}
+
+// admission reads the admission rate of a part and its retry policy, which come together; nil if neither is there.
+func (p partFields) admission() ([]forward.Level, error) {
+	if (p.admit == "") != (p.policy == "") {
+		return nil, fmt.Errorf("%w: admit and policy come together", errMalformed)
+	}
+	if p.admit == "" {
+		return nil, nil
+	}
+	share, shareErr := strconv.ParseFloat(p.admit, 64)
+	policy, policyErr := strconv.Atoi(p.policy)
+	if errors.Join(shareErr, policyErr) != nil {
+		return nil, fmt.Errorf("%w: admit=%.40q policy=%.40q", errMalformed, p.admit, p.policy)
+	}
+	return []forward.Level{{Share: share, Tries: control.Tries(policy)}}, nil
+}
+
+// parseFlag reads 0 or 1.
+func parseFlag(value string) (bool, error) {
+	if value != "0" && value != "1" {
+		return false, errors.New("neither 0 nor 1")
+	}
+	return value == "1", nil
+}
+
+// parseEndpoints reads id:weight pairs, joined by commas. There may be none.
+func parseEndpoints(value string) (map[string]float64, error) {
+	endpoints := map[string]float64{}
+	if value == "" {
+		return endpoints, nil
+	}
+	for pair := range strings.SplitSeq(value, ",") {
+		id, text, found := strings.Cut(pair, ":")
+		weight, err := strconv.ParseFloat(text, 64)
+		if !found || err != nil || id == "" {
+			return nil, fmt.Errorf("line %.40q", pair)
+		}
+		endpoints[id] = weight
+	}
+	return endpoints, nil
+}
--- /dev/null
+++ b/internal/steering/writer.go
@@ -0,0 +1,44 @@
+package steering
+
+import (
+	"errors"
+	"net"
+	"os"
+	"strconv"
+	"sync"
+	"time"
+
+	"lilacbend/internal/resp"
+)
+
+const (
+	writeTimeout = 2 * time.Second
+	// closedCheckTime is more than a look at a connection takes; an end that is there is seen at once.
+	closedCheckTime = time.Millisecond
+)
+
+// messageWriter writes whole messages, also from several goroutines.
+type messageWriter struct {
+	mu   sync.Mutex
+	conn net.Conn
+	pool *resp.Pool
+}
+
+func (w *messageWriter) send(words ...string) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := resp.Write(w.conn, w.pool, words...)
+	return err
+}
+
+// peerClosed says whether the other side, which sends nothing, has ended the connection.
+func (w *messageWriter) peerClosed() bool {
+	w.conn.SetReadDeadline(time.Now().Add(closedCheckTime))
+	_, err := w.conn.Read(make([]byte, 1))
+	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
