--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -164,7 +164,7 @@
 				under++
 			}
 		}
-		fmt.Fprintf(&b, "- %s (%s): %d rows have no mechanism; %d are over their bound (%s); %d hold.\n", r.Name, r.Text, none, len(over),
+		fmt.Fprintf(&b, "- %s (%s): rows without a mechanism %d; over their bound %d (%s); within it %d.\n", r.Name, r.Text, none, len(over),
 			strings.Join(over, ", "), under)
 	}
 	all, err := m.tolerances()
--- a/internal/governor/turn_bench_test.go
+++ b/internal/governor/turn_bench_test.go
@@ -12,6 +12,7 @@
 	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/governor"
+	"lilacbend/internal/revision"
 	"lilacbend/settings"
 )
 
@@ -67,8 +68,7 @@
 		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
 		w.provision.Groups = append(w.provision.Groups, control.TrafficGroup{Utility: 1, LatencyBudget: second, Expiry: 3 * second, Effect: control.Retriable})
 	}
-	names := settings.Names{Groups: w.classes, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
-	w.core = governor.New(func() governor.Module { return brain.New(w.provision) }, governor.NewCensus(names, w.provision))
+	w.core = governor.New(func() governor.Module { return brain.New(w.provision) }, governor.NewCensus(w.settingNames(), w.provision))
 	for k := range w.proxies {
 		w.join(k)
 	}
@@ -79,6 +79,10 @@
 	return w
 }
 
+func (w *sizedWorld) settingNames() settings.Names {
+	return settings.Names{Groups: w.classes, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
+}
+
 func heapInUse() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -214,6 +218,34 @@
 	varying(b, "changes", []int{0, 1, 10, 100}, func(s *turnShape, v int) { s.changes, s.replicas = v, 655 })
 }
 
+// A turn that puts changed settings in force: one class has another timeout.
+func BenchmarkTurnThatConfiguresByClasses(b *testing.B) {
+	for _, classes := range []int{3, 48, 240, 960} {
+		b.Run(fmt.Sprintf("classes=%d", classes), func(b *testing.B) {
+			shape := meanService()
+			shape.classes = classes
+			shape.interval = reportInterval // so that few of them have a tick
+			w := newSizedWorld(shape)
+			version := revision.Version{Epoch: 1}
+			var spans []time.Duration
+			for b.Loop() {
+				changed := w.provision
+				changed.Groups = slices.Clone(changed.Groups)
+				changed.Groups[0].Expiry += int64(len(spans)%2) * second
+				version.Revision++
+				w.notes = append(w.notes, governor.Configure{Version: version, Names: w.settingNames(), Settings: changed,
+					Start: func() governor.Module { return brain.New(changed) }})
+				spans = append(spans, w.turn(shape.interval))
+				if w.core.Configuration() != version {
+					b.Fatal("not in force")
+				}
+			}
+			slices.Sort(spans)
+			b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
+		})
+	}
+}
+
 // All proxies join within one turn, at a governor of a mean service behind the channel of the fleet days.
 func BenchmarkTurnThatBindsByProxies(b *testing.B) {
 	for _, proxies := range []int{48, 240, 480, 960, 1920} {
