--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -51,15 +51,21 @@
 // Sections are the generated parts of the page by name.
 func (m *Model) Sections() (map[string]string, error) {
 	sections := map[string]string{"sizes": m.sizesTable(), "constants": m.constantsTable(), "measurements": m.measurementsTable()}
-	for name, print := range map[string]func() (string, error){"readings": m.readingsTable, "claims": m.claimsTable,
-		"summary": m.summary, "ranking": m.rankingTable, "services": m.servicesTable} {
+	services, err := m.tolerances()
+	if err != nil {
+		return nil, err
+	}
+	sections["services"] = m.servicesTable(services)
+	if sections["summary"], err = m.summary(services); err != nil {
+		return nil, err
+	}
+	for name, print := range map[string]func() (string, error){"readings": m.readingsTable, "claims": m.claimsTable, "ranking": m.rankingTable} {
 		text, err := print()
 		if err != nil {
 			return nil, err
 		}
 		sections[name] = text
 	}
-	var err error
 	for _, role := range distinct(m.Paths, func(p Path) string { return p.Role }) {
 		if sections["role-"+role], err = m.rowsTable(filter(m.Paths, func(p Path) bool { return p.Role == role })); err != nil {
 			return nil, err
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -122,11 +122,7 @@
 }
 
 // servicesTable prints up to which size of one service each row of the target's fleet holds.
-func (m *Model) servicesTable() (string, error) {
-	all, err := m.tolerances()
-	if err != nil {
-		return "", err
-	}
+func (m *Model) servicesTable(all []tolerated) string {
 	target := m.sizes(m.size(governorsSize).Target)
 	var rows [][]string
 	for _, h := range all {
@@ -141,11 +137,11 @@
 		}
 		rows = append(rows, row)
 	}
-	return markdownTable([]string{"role or event", "path", "times the mean service", "its governors", "its replicas"}, rows), nil
+	return markdownTable([]string{"role or event", "path", "times the mean service", "its governors", "its replicas"}, rows)
 }
 
 // summary says in few lines how many rows hold in each reading, and up to which size of one service.
-func (m *Model) summary() (string, error) {
+func (m *Model) summary(all []tolerated) (string, error) {
 	values, err := m.atTarget()
 	if err != nil {
 		return "", err
@@ -167,10 +163,6 @@
 		fmt.Fprintf(&b, "- %s (%s): rows without a mechanism %d; over their bound %d (%s); within it %d.\n", r.Name, r.Text, none, len(over),
 			strings.Join(over, ", "), under)
 	}
-	all, err := m.tolerances()
-	if err != nil {
-		return "", err
-	}
 	first := slices.IndexFunc(all, func(h tolerated) bool { return h.service > 0 })
 	var next []string
 	for _, h := range all[first:min(first+3, len(all))] {
