--- a/lab/scale/phase.go
+++ b/lab/scale/phase.go
@@ -34,6 +34,9 @@
 
 // readings reads what each role has spent since its start.
 func (r *rig) readings() (map[string]usage, error) {
+	if err := allRun(r.pids()); err != nil {
+		return nil, err
+	}
 	all := map[string]usage{}
 	var pids []int
 	hollow := usage{}
--- a/lab/scale/servers.go
+++ b/lab/scale/servers.go
@@ -2,20 +2,24 @@
 
 import (
 	"context"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
 	"github.com/google/renameio/v2"
 
+	"lilacbend/internal/configapi"
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/configserver"
 )
@@ -71,14 +75,26 @@
 	return s, nil
 }
 
+// Ports of servers are below those that the kernel gives to who asks for any: a server that is killed gets its port again.
+const (
+	serverPortLeast = 10_240
+	serverPorts     = 20_000
+)
+
+var portsTried atomic.Int64
+
 // freeAddress is an address of loopback that nobody listens on.
 func freeAddress() (string, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", err
+	var failed error
+	for range serverPorts {
+		port := serverPortLeast + (int64(os.Getpid())*101+portsTried.Add(1))%serverPorts
+		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
+		if err == nil {
+			return l.Addr().String(), l.Close()
+		}
+		failed = err
 	}
-	defer l.Close()
-	return l.Addr().String(), nil
+	return "", failed
 }
 
 func (s *servers) start(ctx context.Context, via func(from, to int) string) error {
@@ -100,9 +116,9 @@
 	s.running[k] = r
 	s.mu.Unlock()
 	for end := time.Now().Add(listenBound); ; time.Sleep(settlePause) {
-		conn, err := net.Dial("tcp", s.addresses[k])
+		err := s.answers(ctx, k)
 		if err == nil {
-			return conn.Close()
+			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
 			return fmt.Errorf("server %d: %w", k, err)
@@ -110,9 +126,35 @@
 	}
 }
 
+func serverName(k int) string { return fmt.Sprintf("server-%d", k) }
+
+// answers asks a server for its status, and says if it is another one that answers at its address.
+func (s *servers) answers(ctx context.Context, k int) error {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.addresses[k]+configapi.StatusPath, nil)
+	if err != nil {
+		return err
+	}
+	response, err := statusClient.Do(request)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	var status configapi.Status
+	if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
+		return err
+	}
+	if status.Server != serverName(k) {
+		return fmt.Errorf("%q answers at its address", status.Server)
+	}
+	return nil
+}
+
+// statusClient keeps no connection, which would hold an end up.
+var statusClient = &http.Client{Timeout: listenBound, Transport: &http.Transport{DisableKeepAlives: true}}
+
 // options are those of one server: the writer reads the folder, the others follow it and each other.
 func (s *servers) options(k int) configserver.Options {
-	o := configserver.Options{Name: fmt.Sprintf("server-%d", k), Region: regionName(s.plan.serverRegion(k)), Listen: s.addresses[k],
+	o := configserver.Options{Name: serverName(k), Region: regionName(s.plan.serverRegion(k)), Listen: s.addresses[k],
 		StateFile: filepath.Join(s.state, fmt.Sprint(k))}
 	if k == 0 {
 		o.Folder = s.folder
--- a/lab/scale/usage.go
+++ b/lab/scale/usage.go
@@ -22,6 +22,9 @@
 	return usage{u.processor + o.processor, u.resident + o.resident, u.heap + o.heap, u.bytes + o.bytes, u.messages + o.messages}
 }
 
+// errEnded says that a process has ended, and nobody has waited for it yet.
+var errEnded = errors.New("it has ended")
+
 // processUsage reads the kernel's account of a process. Its bytes and messages are those of its read and write calls,
 // files and log included.
 func processUsage(pid int) (usage, error) {
@@ -33,6 +36,9 @@
 	if err != nil {
 		return usage{}, err
 	}
+	if stat.State == "Z" {
+		return usage{}, errEnded
+	}
 	io, err := process.IO()
 	if err != nil {
 		return usage{}, err
@@ -45,7 +51,7 @@
 func processesUsage(pids []int) (sum usage, err error) {
 	for _, pid := range pids {
 		u, err := processUsage(pid)
-		if errors.Is(err, os.ErrNotExist) {
+		if errors.Is(err, os.ErrNotExist) || errors.Is(err, errEnded) {
 			continue
 		}
 		if err != nil {
@@ -56,6 +62,16 @@
 	return sum, nil
 }
 
+// allRun says which of some processes does not run any more.
+func allRun(pids []int) error {
+	for _, pid := range pids {
+		if _, err := processUsage(pid); err != nil {
+			return fmt.Errorf("process %d: %w", pid, err)
+		}
+	}
+	return nil
+}
+
 // memoryLimit is half of the machine's memory, which a run stays under.
 func memoryLimit() (int64, error) {
 	fs, err := procfs.NewDefaultFS()
