--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -151,6 +151,22 @@
 	}
 }
 
+// No row is below nothing at the target's size, as a line could be that is drawn out past its points.
+func TestNoResultIsNegative(t *testing.T) {
+	m := defaultModel(t)
+	values, err := m.atTarget()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for k, reading := range m.Readings {
+		for name, v := range values[k] {
+			if v < 0 {
+				t.Errorf("%s, %s: %v", reading.Name, name, v)
+			}
+		}
+	}
+}
+
 func TestReadingsOfTheTarget(t *testing.T) {
 	m := defaultModel(t)
 	for reading, want := range map[string]Values{
