--- a/lab/scale/slopes.go
+++ b/lab/scale/slopes.go
@@ -20,6 +20,9 @@
 	of   func(Report) float64
 }
 
+// megabyte is that of reports, which is 2^20 bytes, in those of the capacity page.
+const megabyte = float64(1<<20) / 1e6
+
 // quietTotal is a figure of all of a role in the quiet phase.
 func quietTotal(role string, of func(Spent) float64) func(Report) float64 {
 	return func(r Report) float64 {
@@ -60,7 +63,7 @@
 			all = append(all, figure{"scale_" + role.name + "_" + name, text + ", all of: " + role.role, unit, quietTotal(role.role, of)})
 		}
 		add("processor", "processor time", "% of a core", func(s Spent) float64 { return s.ProcessorPercent })
-		add("memory", "resident memory", "MB", func(s Spent) float64 { return s.ResidentMB })
+		add("memory", "resident memory", "MB", func(s Spent) float64 { return s.ResidentMB * megabyte })
 		add("bytes", "bytes both ways", "B/s", func(s Spent) float64 { return s.BytesPerSecond })
 		add("messages", "messages", "/s", func(s Spent) float64 { return s.MessagesPerSecond })
 	}
--- a/lab/scale/slopes_test.go
+++ b/lab/scale/slopes_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	for name, want := range map[string][2]float64{"scale_governors_processor": {0.5, 0}, "scale_governors_messages": {4, 0},
-		"scale_servers_bytes": {20, 1000}, "scale_servers_memory": {0, 9}, "scale_in_force_max": {0.001, 1}, "scale_in_force_p50": {0, 0.5}} {
+		"scale_servers_bytes": {20, 1000}, "scale_servers_memory": {0, 9 * megabyte}, "scale_in_force_max": {0.001, 1}, "scale_in_force_p50": {0, 0.5}} {
 		if got := found[name]; math.Abs(got.Slope-want[0]) > 1e-6 || math.Abs(got.Intercept-want[1]) > 1e-6 || got.Worst > 1e-6 {
 			t.Errorf("%s: %+v, want %v", name, got, want)
 		}
