--- a/brain/brain.go
+++ b/brain/brain.go
@@ -357,6 +357,7 @@
 			lay(table, id, part)
 		}
 	}
+	p.post(thePacer, p.coldest(ids))
 	p.post(theRoll, seats)
 	p.post(theSequence, t)
 }
@@ -677,6 +678,8 @@
 		p.leave(n.Proxy)
 	case forget:
 		delete(p.ejected, n.id)
+	case coldSet:
+		p.cold = n
 	case step:
 		p.step = n
 	case caught: // messages leave in order: an answer clears all that was written before its own
@@ -742,9 +745,7 @@
 			p.urgent = slices.DeleteFunc(p.urgent, func(u control.Order) bool { return u == control.Order(late) })
 		}
 	}
-	for _, proxy := range to {
-		p.reached[proxy] = true
-	}
+	p.touch(to)
 	p.cost, p.out = p.cost+more, append(p.out, o)
 	return true
 }
@@ -758,7 +759,7 @@
 }
 
 // part is what a proxy gets first: its table, or a part of it if that is over its share. The parts of a table weigh
-// alike, and go first to where least is sent, so that all together load each replica as the whole table would.
+// alike and go where least is sent: all together load a table evenly, but for the cold while the warm are half of it.
 func (p *pacer) part(b control.Bind) control.Order {
 	_, whole := p.reach(b)
 	d := p.deal(b.Table, max(firstLeast, int(p.each)-p.MessageHead-2-len(p.leveled)-firstLeast))
@@ -811,9 +812,7 @@
 		p.out = append(p.out, control.Mark{Number: m.mark & marksMask})
 		due := p.now + beat + p.WorstTransit + int64((p.waits+p.cost)/p.ChannelRate*float64(second))
 		p.under = append(p.under, batch{mark: m.mark, lines: p.cost, at: p.now, due: due})
-		for _, proxy := range m.proxies {
-			p.wrote[proxy] = append(p.wrote[proxy], p.now)
-		}
+		p.count(m.proxies)
 		p.post(theRoll, m)
 	}
 	p.post(theSequence, m)
--- a/brain/mail.go
+++ b/brain/mail.go
@@ -274,6 +274,20 @@
 	p.dealt, p.each = map[int]*dealing{}, p.share()
 }
 
+// touch notes whom this turn's messages reach.
+func (p *pacer) touch(proxies []int) {
+	for _, proxy := range proxies {
+		p.reached[proxy] = true
+	}
+}
+
+// count notes a message to each proxy, for its cap.
+func (p *pacer) count(proxies []int) {
+	for _, proxy := range proxies {
+		p.wrote[proxy] = append(p.wrote[proxy], p.now)
+	}
+}
+
 // clear takes what an answer clears off the account of the channel.
 func (p *pacer) clear(n caught) {
 	for len(p.under) > 0 && !n.gone && (p.under[0].mark < n.mark || n.all && p.under[0].mark == n.mark) {
--- a/brain/parts.go
+++ b/brain/parts.go
@@ -56,7 +56,7 @@
 	if d := p.dealt[table]; d != nil {
 		return d
 	}
-	d := &dealing{parts: split(p.laid[table], p.ejected, size)}
+	d := &dealing{parts: split(p.partible(table), p.ejected, size)}
 	d.loads = make([]float64, len(d.parts))
 	partOf := map[uint32]int{}
 	for k, part := range d.parts {
@@ -166,3 +166,34 @@
 	slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(p.partial[a].kept(), p.partial[b].kept()) })
 	return all
 }
+
+// coldest are the replicas that are cold.
+func (p *planner) coldest(ids []uint32) coldSet {
+	all := coldSet{}
+	for _, id := range ids {
+		if p.offers[id].cold {
+			all[id] = true
+		}
+	}
+	return all
+}
+
+// partible are the lines of a table of which parts are made: the warm, where they weigh half of it, else all.
+func (p *pacer) partible(table int) map[uint32]float64 {
+	warm, warmWeight, weight := map[uint32]float64{}, 0.0, 0.0
+	for _, id := range sorted(p.laid[table]) {
+		if p.ejected[id] {
+			continue
+		}
+		line := p.laid[table][id]
+		weight += line
+		if !p.cold[id] {
+			warm[id] = line
+			warmWeight += line
+		}
+	}
+	if warmWeight < weight/2 {
+		return p.laid[table]
+	}
+	return warm
+}
--- a/brain/parts_test.go
+++ b/brain/parts_test.go
@@ -124,3 +124,18 @@
 	want(t, "some get the rest", whole > 0 && whole < 160, true)
 	want(t, "the others wait", len(p.partial), 160-whole)
 }
+
+// The cold get nothing from parts while the warm weigh half of their table: a part of which some is withdrawn, or a proxy
+// that sends more than it said, would push over a cold one that the whole table does not.
+func TestPartsAreOfTheWarmWhileTheyAreHalf(t *testing.T) {
+	_, p := crowded(20, 200, 0)
+	p.cold = coldSet{}
+	for id := range uint32(10) {
+		p.cold[id] = true
+	}
+	want(t, "the warm", len(p.partible(0)), 10)
+	p.ejected[15] = true
+	want(t, "all, as the warm that are in are less than half", len(p.partible(0)), 20)
+	p.ejected[3] = true
+	want(t, "the warm that are in", len(p.partible(0)), 9)
+}
--- a/brain/types.go
+++ b/brain/types.go
@@ -33,7 +33,8 @@
 		lost         float64
 		flows, fresh map[int]float64 // in the last few seconds; the newest, as of so long
 	}
-	step struct { // sequence to pacer: what the open step still has to send
+	coldSet map[uint32]bool // planner to pacer: the replicas that are cold
+	step    struct {        // sequence to pacer: what the open step still has to send
 		adds   int // the first so many are additions
 		orders []control.Order
 	}
@@ -169,6 +170,7 @@
 	each    float64          // lines that a proxy may get first, in this turn
 	rates   map[int]float64  // requests a second of each joined proxy
 	ejected map[uint32]bool
+	cold    coldSet
 	leveled map[int]bool // traffic classes with a level
 
 	waits   float64 // in the channel as this turn's messages are written
