--- a/wire/codec.go
+++ b/wire/codec.go
@@ -178,30 +178,30 @@
 		}
 		rec.Event = ev
 	case codeStreamDown:
-		rec.Event = control.Left{Proxy: int(c.u16())}
+		rec.Event = control.StreamClosed{Proxy: int(c.u16())}
 	case codeConnected:
-		rec.Event = control.Joined{Proxy: int(c.u16()), Zone: int(c.u8()), Rate: c.f32()}
+		rec.Event = control.StreamOpened{Proxy: int(c.u16()), Zone: int(c.u8()), Rate: c.f32()}
 	case codeReport:
-		var m control.Met
-		m.Missed, m.Answer, m.Tries = int(c.u32()), c.ms(), int(c.u32())
-		m.Replica, m.Zone, m.Span = c.u32(), int(c.u8()), c.ms()
+		var m control.Outcomes
+		m.Failures, m.ResponseTime, m.Attempts = int(c.u32()), c.ms(), int(c.u32())
+		m.Replica, m.Zone, m.Period = c.u32(), int(c.u8()), c.ms()
 		held, err := report(c)
-		m.Held = held
+		m.InFlight = held
 		if err != nil {
 			return rec, err
 		}
 		rec.Event = m
 	case codeDemand:
 		var d control.Demand
-		d.Span, d.Group, d.Proxy, d.Flows, d.Missed = c.ms(), int(c.u16()), int(c.u16()), int(c.u32()), int(c.u32())
+		d.Period, d.Class, d.Proxy, d.Requests, d.Failures = c.ms(), int(c.u16()), int(c.u16()), int(c.u32()), int(c.u32())
 		rec.Event = d
 	case codeCaughtUp:
 		took := c.ms()
-		rec.Event = control.Answered{Took: took, Proxy: int(c.u16()), Mark: c.u64()}
+		rec.Event = control.Ack{Delay: took, Proxy: int(c.u16()), Nonce: c.u64()}
 	case codeReminder:
-		rec.Event = control.Woken{Label: c.u64()}
+		rec.Event = control.TimerFired{Timer: c.u64()}
 	case codeStatusBack:
-		p := control.Probed{Replica: c.u32(), Good: c.u16() == 1, Took: c.ms()}
+		p := control.ProbeFinished{Replica: c.u32(), Succeeded: c.u16() == 1, Delay: c.ms()}
 		if _, err := report(c); err != nil {
 			return rec, err
 		}
@@ -222,13 +222,13 @@
 	return c.f32(), nil
 }
 
-func listed(c *cursor) (control.Listed, error) {
+func listed(c *cursor) (control.ReplicasListed, error) {
 	c.u64() // the list's version: events come in order, none is missing
 	mode, n := c.u8(), uint64(c.u32())
 	if n*entryBytes > uint64(len(c.b)) {
-		return control.Listed{}, fmt.Errorf("%d list entries pass the record's end", n)
+		return control.ReplicasListed{}, fmt.Errorf("%d list entries pass the record's end", n)
 	}
-	ev := control.Listed{Full: mode != backendsDelta, Failed: mode == backendsFailed}
+	ev := control.ReplicasListed{Full: mode != backendsDelta, Failed: mode == backendsFailed}
 	for ; n > 0; n-- {
 		var e control.Entry
 		e.Replica, e.Zone, e.Kind = c.u32(), int(c.u8()), int(c.u8())
@@ -287,11 +287,11 @@
 }
 
 // Add writes one order of an instance.
-func (r *Reply) Add(instance uint32, order control.Order) {
+func (r *Reply) Add(instance uint32, order control.Command) {
 	begin := func(code uint16) int { return r.begin(code, instance) }
 	var at int
 	switch o := order.(type) {
-	case control.SetLine:
+	case control.SetEndpoint:
 		at = begin(outSetLine)
 		r.f32(o.Weight)
 		r.u16(o.Table)
@@ -301,27 +301,27 @@
 		r.u16(o.Proxy)
 		r.u16(o.Table)
 		r.u16(0)
-	case control.Withdraw:
+	case control.SetEjected:
 		at = begin(outWithdraw)
-		r.flag(o.Out)
+		r.flag(o.Ejected)
 		r.u32(o.Replica)
-	case control.Level:
+	case control.SetAdmission:
 		at = begin(outValve)
 		r.u16(o.Table)
-		r.u16(1 << o.Group)
+		r.u16(1 << o.Class)
 		r.f32(o.Share)
-		r.u8(uint8(o.Tries))
-	case control.Mark:
+		r.u8(uint8(o.Retries))
+	case control.RequestAck:
 		at = begin(outBarrier)
 		r.flag(false)
-		r.u64(o.Number)
+		r.u64(o.Nonce)
 	case control.Probe:
 		at = begin(outHealthCheck)
 		r.u32(o.Replica)
-	case control.Wake:
+	case control.SetTimer:
 		at = begin(outNotifyMe)
-		r.u64(o.Label)
-		r.u64(math.Float64bits(float64(o.After) / control.Milli))
+		r.u64(o.Timer)
+		r.u64(math.Float64bits(float64(o.After) / control.NanosPerMilli))
 	case control.Log:
 		at = begin(outEmit)
 		r.words(o.Text)
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -36,9 +36,9 @@
 		t.Fatalf("%v %+v", err, b)
 	}
 	wanted := []Record{
-		{3, control.Met{Replica: 0x03124a07, Tries: 14, Missed: 1, Answer: 48250000, Span: 1e9, Held: -1}},
-		{3, control.Woken{Label: 77}},
-		{5, control.Left{Proxy: 41}},
+		{3, control.Outcomes{Replica: 0x03124a07, Attempts: 14, Failures: 1, ResponseTime: 48250000, Period: 1e9, InFlight: -1}},
+		{3, control.TimerFired{Timer: 77}},
+		{5, control.StreamClosed{Proxy: 41}},
 	}
 	for k, w := range wanted {
 		if b.Records[k] != w {
@@ -49,8 +49,8 @@
 
 func TestOrdersOfTheNote(t *testing.T) {
 	var r Reply
-	r.Add(3, control.SetLine{Table: 117, Replica: 0x2c9011f2, Weight: 0.75})
-	r.Add(3, control.Wake{Label: 77, After: 500e6})
+	r.Add(3, control.SetEndpoint{Table: 117, Replica: 0x2c9011f2, Weight: 0.75})
+	r.Add(3, control.SetTimer{Timer: 77, After: 500e6})
 	r.Add(5, control.Log{Text: "two servers known"})
 	if got := r.Frame(); !bytes.Equal(got, frame(t, ordersHex)) {
 		t.Errorf("got  %x\nwant %s", got, ordersHex)
