--- a/cmd/lilacbend/config.go
+++ b/cmd/lilacbend/config.go
@@ -33,7 +33,7 @@
 	seed        uint64
 	memory      int64 // bytes
 	descriptors int
-	known       governor.Listing // the replicas to start with
+	known       governor.ReplicaList // the replicas to start with
 	names       settings.Names
 	settings    control.Settings
 	operator    operator.Rulebook
@@ -134,7 +134,7 @@
 	if err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
-	known.Whole = true
+	known.Complete = true
 	c.known = known
 	return nil
 }
--- a/cmd/lilacbend/config_test.go
+++ b/cmd/lilacbend/config_test.go
@@ -14,7 +14,7 @@
 		t.Fatal(err)
 	}
 	c, err := parseConfiguration(good, options{listen: "127.0.0.1:9"})
-	if err != nil || c.listen != "127.0.0.1:9" || c.seed == 0 || len(c.names.Classes) != len(c.settings.Classes) || !c.known.Whole {
+	if err != nil || c.listen != "127.0.0.1:9" || c.seed == 0 || len(c.names.Classes) != len(c.settings.Classes) || !c.known.Complete {
 		t.Errorf("%+v %v", c, err)
 	}
 	for _, w := range [][3]string{{"", "", "[]"}, {`"seed": "8`, `"seed": "9`, "[]"}, {`"memory_mb": `, `"memory_mb": 1`, "[limits]"},
--- a/cmd/lilacbend/configuration.go
+++ b/cmd/lilacbend/configuration.go
@@ -60,7 +60,7 @@
 			f.watcher.Refused(c.Version, c.Err)
 			continue
 		}
-		server.Reconfigure(core.Topology())
+		server.Reconfigure(core.CurrentTopology())
 		f.exchange.Expect(notesExpected(c.Settings.Proxies, len(c.Names.Classes)))
 		f.watcher.Applied(c.Version)
 		f.log.Info("configuration in force", "version", c.Version.String(), "proxies", c.Settings.Proxies, "traffic_groups", len(c.Names.Classes))
@@ -75,7 +75,7 @@
 	if f == nil {
 		return slog.Attr{}
 	}
-	n, c := f.watcher.Counts(), core.Count
+	n, c := f.watcher.Counts(), core.Counters
 	return slog.Group("configuration", "version", f.watcher.InForce().String(), "changes", c.Configurations, "refused", n.Refused,
 		"requests", n.Requests, "dials", n.Dials, "failures", n.Failures, "sent_away", n.SentAway, "bytes_in", n.BytesIn, "bytes_out", n.BytesOut)
 }
--- a/cmd/lilacbend/report.go
+++ b/cmd/lilacbend/report.go
@@ -12,20 +12,20 @@
 func report(log *slog.Logger, core *governor.Core, x *exchange.Exchange, kept *archive, follower *configurationFollower) {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
-	n, t := core.Count, &x.Tally
+	n, t := core.Counters, &x.Tally
 	log.Info("counters",
 		slog.Group("in", "accepted", t.Accepted.Load(), "ended", t.Ended.Load(), "joins", n.Joins, "leaves", n.Leaves,
-			"answers", n.Answers, "met", n.Met, "demands", n.Demands, "listings", n.Listings, "turns", n.Turns,
+			"answers", n.Answers, "met", n.Outcomes, "demands", n.Demands, "listings", n.Lists, "turns", n.Turns,
 			"reloads", t.Reloads.Load()),
-		slog.Group("sent", "pushes", n.Pushes, "written", t.Pushes.Load(), "bytes", t.PushBytes.Load(),
-			"lines", n.LinesSent, "lines_ordered", n.LinesOrdered, "marks", n.Marks, "whole", n.Whole, "held", n.Held, "asks", n.Asks,
+		slog.Group("sent", "pushes", n.Updates, "written", t.Pushes.Load(), "bytes", t.PushBytes.Load(),
+			"lines", n.LinesSent, "lines_ordered", n.LinesOrdered, "marks", n.AckRequests, "whole", n.FullTables, "held", n.Enqueued, "asks", n.OwnAckRequests,
 			"calls", t.Calls.Load(), "dials", t.Dials.Load()),
 		slog.Group("answered", "alive", t.Alive.Load(), "discovery", t.Answers.Load()),
 		slog.Group("lost", "notes", t.Lost.Load(), "emptied", t.Emptied.Load(), "stale", n.Stale, "silent", n.Silent, "replaced", n.Replaced,
 			"refused", t.Refused.Load(), "strangers", t.Strangers.Load(), "late", t.Late.Load(), "evicted", t.Evicted.Load()),
 		slog.Group("errors", "unreadable", t.Unreadable.Load(), "skipped", t.Skipped.Load(), "strange", n.Strange,
 			"writes", t.WriteErrors.Load(), "discovery", t.CallErrors.Load(), "odd", t.Odd.Load(),
-			"timeouts", t.Timeouts.Load(), "misread", t.Misread.Load(), "panics", t.Panics.Load(), "renewed", n.Renewed, "renewed_bare", n.Bare),
+			"timeouts", t.Timeouts.Load(), "misread", t.Misread.Load(), "panics", t.Panics.Load(), "renewed", n.Restarts, "renewed_bare", n.BareRestarts),
 		kept.figures(), follower.figures(core),
-		slog.Group("now", "proxies", n.Seats, "names", n.Names, "channel", n.Channel, "waiting", n.Waiting, "heap", mem.HeapAlloc, "goroutines", runtime.NumGoroutine()))
+		slog.Group("now", "proxies", n.Proxies, "names", n.Names, "channel", n.Channel, "waiting", n.Waiting, "heap", mem.HeapAlloc, "goroutines", runtime.NumGoroutine()))
 }
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -60,7 +60,7 @@
 	defer stop()
 	base, x := clock{time.Now()}, exchange.New()
 	x.Expect(notesExpected(c.settings.Proxies, len(c.names.Classes)))
-	census := governor.NewCensus(c.names, c.settings)
+	census := governor.NewTopology(c.names, c.settings)
 	core := governor.New(func() governor.Module { return brain.New(c.settings) }, census)
 	kept := openArchive(c.operator.State, &c, core, x, base, log)
 	c.known.At, c.known.Wall = base.now(), base.start.UnixNano()
@@ -85,7 +85,7 @@
 	all.Go(func() { reload.run(ctx, c, client, x, log) })
 	all.Go(func() { follower.run(ctx) })
 	drive(ctx, core, x, base, asked, kept, follower, server, log)
-	kept.put(core.Last(base.now()))
+	kept.put(core.FinalSnapshot(base.now()))
 	kept.close()
 	report(log, core, x, kept, follower)
 	ended := make(chan struct{})
@@ -135,22 +135,22 @@
 		}
 		time.Sleep(gatherSpan)
 		o := core.Turn(base.now(), x.Take())
-		for _, s := range o.Pushes {
+		for _, s := range o.Updates {
 			x.Send(s)
 		}
-		for _, s := range o.End {
+		for _, s := range o.CloseStreams {
 			x.End(s)
 		}
 		for _, text := range o.Logs {
 			log.Info(text)
 		}
-		kept.put(o.Learned)
+		kept.put(o.Snapshot)
 		follower.settle(o.Configured, core, server)
-		if o.Failed != "" {
-			log.Error("the module failed, a fresh one goes on", "panic", o.Failed)
+		if o.Panic != "" {
+			log.Error("the module failed, a fresh one goes on", "panic", o.Panic)
 		}
-		if o.Wake > 0 {
-			timer.Reset(time.Duration(max(0, o.Wake-base.now())))
+		if o.NextTurn > 0 {
+			timer.Reset(time.Duration(max(0, o.NextTurn-base.now())))
 		}
 	}
 }
--- a/cmd/lilacbend/shapes_test.go
+++ b/cmd/lilacbend/shapes_test.go
@@ -99,8 +99,8 @@
 		}
 	}
 	for k := range c.settings.Governors {
-		if n := w.Core(k).Count; n.Renewed > 0 || n.Strange > 0 {
-			said = append(said, fmt.Sprintf("governor %d: %d modules failed, %d notes were strange", k, n.Renewed, n.Strange))
+		if n := w.Core(k).Counters; n.Restarts > 0 || n.Strange > 0 {
+			said = append(said, fmt.Sprintf("governor %d: %d modules failed, %d notes were strange", k, n.Restarts, n.Strange))
 		}
 	}
 	return said
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -174,13 +174,13 @@
 		return false, err
 	}
 	switch {
-	case list.Revision < c.revision && (!list.Whole || c.staleAnswers+1 < staleAnswersLimit):
+	case list.Revision < c.revision && (!list.Complete || c.staleAnswers+1 < staleAnswersLimit):
 		c.staleAnswers++
 		c.synced = false // ask for all of it
 		return false, fmt.Errorf("revision %d is older than ours, %d", list.Revision, c.revision)
-	case !list.Whole && !c.synced:
+	case !list.Complete && !c.synced:
 		return false, errors.New("changes where the whole list was asked for")
-	case list.Revision == c.revision && !list.Whole:
+	case list.Revision == c.revision && !list.Complete:
 		return false, nil
 	}
 	changed = list.Revision != c.revision || !c.synced
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -31,7 +31,7 @@
 func TestParse(t *testing.T) {
 	l, err := Parse([]byte(someList))
 	want := governor.Member{ID: "s-1", Zone: "a", Kind: "m2", Address: "h:1", Cell: "3", Weight: 1.5, UpSince: 2e6}
-	if err != nil || l.Revision != 41 || !l.Whole || len(l.Members) != 1 || l.Members[0] != want {
+	if err != nil || l.Revision != 41 || !l.Complete || len(l.Members) != 1 || l.Members[0] != want {
 		t.Errorf("%+v %v", l, err)
 	}
 	for _, c := range []struct {
@@ -46,7 +46,7 @@
 		{`{"id":"` + strings.Repeat("s", maxIDLength+1) + `","phase":"Ready"}`, 0, true},
 	} {
 		l, err := Parse([]byte(`{"revision":1,"complete":false,"members":[` + c.member + `]}`))
-		if err != nil || l.Members[0].State != c.state || l.Members[0].Odd != c.odd {
+		if err != nil || l.Members[0].State != c.state || l.Members[0].Unusable != c.odd {
 			t.Errorf("%s: %+v %v", c.member, l, err)
 		}
 	}
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -77,7 +77,7 @@
 			expectRequest(t, conn, wholeListLine)
 			conn.Raw(list(45, true, "Terminating"))
 			expectRequest(t, conn, fmt.Sprintf(watchLine, 45))
-			if l := nextListing(t, x); l.Revision != 45 || !l.Whole {
+			if l := nextListing(t, x); l.Revision != 45 || !l.Complete {
 				t.Errorf("told %+v", l)
 			}
 			if log.count("discovery fails") != 1 || log.count("discovery answers") != 0 {
@@ -164,7 +164,7 @@
 	conn.Raw(unchanged(41)) // and now 42 is made
 	expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
 	conn.Raw(list(42, false, "Terminating"))
-	if l := nextListing(t, x); l.Revision != 42 || l.Whole || len(l.Members) != 1 {
+	if l := nextListing(t, x); l.Revision != 42 || l.Complete || len(l.Members) != 1 {
 		t.Errorf("told %+v", l)
 	}
 	expectRequest(t, conn, fmt.Sprintf(watchLine, 42))
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -72,7 +72,7 @@
 }
 
 // nextListing waits for the next listing.
-func nextListing(t *testing.T, x *exchange.Exchange) governor.Listing {
+func nextListing(t *testing.T, x *exchange.Exchange) governor.ReplicaList {
 	t.Helper()
 	select {
 	case <-x.Bell():
@@ -80,7 +80,7 @@
 		t.Fatal("nothing is told")
 	}
 	notes := x.Take()
-	return notes[len(notes)-1].(governor.Listing)
+	return notes[len(notes)-1].(governor.ReplicaList)
 }
 
 // expectRequest reads a request, which must begin with this line.
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -43,15 +43,15 @@
 const defaultWeight = 1.0
 
 // Parse decodes an answer of discovery. A member that cannot be used stays in the listing, marked as odd.
-func Parse(raw []byte) (governor.Listing, error) {
+func Parse(raw []byte) (governor.ReplicaList, error) {
 	var message listMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
-		return governor.Listing{}, fmt.Errorf("not a list: %w", err)
+		return governor.ReplicaList{}, fmt.Errorf("not a list: %w", err)
 	}
 	if message.Revision == nil || message.Complete == nil || message.Members == nil {
-		return governor.Listing{}, errors.New("not a list: no revision, no members, or not said whether they are all")
+		return governor.ReplicaList{}, errors.New("not a list: no revision, no members, or not said whether they are all")
 	}
-	list := governor.Listing{Revision: *message.Revision, Whole: *message.Complete}
+	list := governor.ReplicaList{Revision: *message.Revision, Complete: *message.Complete}
 	for _, member := range *message.Members {
 		list.Members = append(list.Members, member.decode())
 	}
@@ -67,15 +67,15 @@
 	}
 	usable := known && validID(m.ID) && weight >= 0 && m.UpSince >= 0
 	return governor.Member{
-		ID:      m.ID,
-		Zone:    m.Locality,
-		Kind:    m.Flavor,
-		Address: m.HostPort,
-		Cell:    fmt.Sprint(m.Cell),
-		State:   state,
-		Odd:     !usable,
-		Weight:  weight,
-		UpSince: control.Nanos(m.UpSince),
+		ID:       m.ID,
+		Zone:     m.Locality,
+		Kind:     m.Flavor,
+		Address:  m.HostPort,
+		Cell:     fmt.Sprint(m.Cell),
+		State:    state,
+		Unusable: !usable,
+		Weight:   weight,
+		UpSince:  control.Nanos(m.UpSince),
 	}
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -63,7 +63,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch note.(type) {
-	case governor.Met, governor.Demand, governor.Answered, governor.Spoke:
+	case governor.Outcomes, governor.Demand, governor.Ack, governor.StreamActive:
 		if len(x.notes) >= x.most {
 			x.Tally.Lost.Add(1)
 			return
@@ -78,7 +78,7 @@
 func (x *Exchange) Written(number uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.notes = append(x.notes, governor.Written{Number: number})
+	x.notes = append(x.notes, governor.MessageSent{Number: number})
 }
 
 func ring(bell chan struct{}) {
@@ -110,11 +110,11 @@
 }
 
 // Send puts a push into the outbox of its stream, if there is still one.
-func (x *Exchange) Send(s governor.Sent) {
+func (x *Exchange) Send(s governor.OutgoingUpdate) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if b := x.outs[s.Stream]; b != nil {
-		b.put(Item{Push: s.Push, Number: s.Number})
+		b.put(Item{Update: s.Update, Number: s.Number})
 	}
 }
 
@@ -131,7 +131,7 @@
 
 // Item is what goes out on a stream: a push, or the word that the governor is there.
 type Item struct {
-	governor.Push
+	governor.Update
 	Number uint64 // of the push in the channel's account
 	Alive  bool
 }
@@ -151,7 +151,7 @@
 
 func (b *Outbox) put(i Item) {
 	switch {
-	case b.emptied && !i.Anew:
+	case b.emptied && !i.Resync:
 		return
 	case len(b.items) >= itemsMost:
 		b.items, b.emptied, b.asked = nil, true, false
@@ -194,7 +194,7 @@
 		b.asked = b.asked || ask
 		b.exchange.mu.Unlock()
 		if ask {
-			b.exchange.Tell(governor.Room{Stream: b.stream})
+			b.exchange.Tell(governor.OutboxDrained{Stream: b.stream})
 		}
 		select {
 		case <-b.bell:
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -6,17 +6,17 @@
 	"lilacbend/internal/governor"
 )
 
-func mark(n uint64) governor.Push { return governor.Push{Marked: true, Mark: n} }
+func mark(n uint64) governor.Update { return governor.Update{WantsAck: true, Nonce: n} }
 
 func TestAFullInboxLosesSumsOnly(t *testing.T) {
 	x := New()
 	for range notesMost + 3 {
-		x.Tell(governor.Met{})
+		x.Tell(governor.Outcomes{})
 	}
-	x.Tell(governor.Left{Stream: 1})
-	x.Tell(governor.Answered{Stream: 1})
+	x.Tell(governor.StreamClosed{Stream: 1})
+	x.Tell(governor.Ack{Stream: 1})
 	<-x.Bell()
-	if notes := x.Take(); len(notes) != notesMost+1 || notes[notesMost] != (governor.Left{Stream: 1}) || x.Tally.Lost.Load() != 4 {
+	if notes := x.Take(); len(notes) != notesMost+1 || notes[notesMost] != (governor.StreamClosed{Stream: 1}) || x.Tally.Lost.Load() != 4 {
 		t.Errorf("%d notes, %d lost", len(notes), x.Tally.Lost.Load())
 	}
 	if notes := x.Take(); notes != nil {
@@ -24,7 +24,7 @@
 	}
 	x.Expect(2400) // all of them answer while the core stands still
 	for range notesMost + 16*2400 {
-		x.Tell(governor.Answered{Stream: 1})
+		x.Tell(governor.Ack{Stream: 1})
 	}
 	if lost := x.Tally.Lost.Load(); lost != 4 {
 		t.Errorf("%d lost with room for a fleet", lost-4)
@@ -36,21 +36,21 @@
 	x := New()
 	out, done := x.Open(3, nil), make(chan struct{})
 	for n := range uint64(itemsMost + 2) {
-		x.Send(governor.Sent{Stream: 3, Push: mark(n)})
+		x.Send(governor.OutgoingUpdate{Stream: 3, Update: mark(n)})
 	}
 	if len(out.items) != 0 || x.Tally.Emptied.Load() != 1 {
 		t.Errorf("%d items wait", len(out.items))
 	}
-	go func() { <-x.Bell(); x.Send(governor.Sent{Stream: 3, Push: governor.Push{Anew: true}}) }()
-	x.Send(governor.Sent{Stream: 4, Push: mark(1)}) // nobody's
-	if i, ok := out.Next(done); !ok || !i.Anew {
+	go func() { <-x.Bell(); x.Send(governor.OutgoingUpdate{Stream: 3, Update: governor.Update{Resync: true}}) }()
+	x.Send(governor.OutgoingUpdate{Stream: 4, Update: mark(1)}) // nobody's
+	if i, ok := out.Next(done); !ok || !i.Resync {
 		t.Errorf("got %+v", i)
 	}
-	if notes := x.Take(); len(notes) != 1 || notes[0] != (governor.Room{Stream: 3}) {
+	if notes := x.Take(); len(notes) != 1 || notes[0] != (governor.OutboxDrained{Stream: 3}) {
 		t.Errorf("notes %+v", notes)
 	}
-	x.Send(governor.Sent{Stream: 3, Push: mark(9)})
-	if i, ok := out.Next(done); !ok || i.Mark != 9 {
+	x.Send(governor.OutgoingUpdate{Stream: 3, Update: mark(9)})
+	if i, ok := out.Next(done); !ok || i.Nonce != 9 {
 		t.Errorf("got %+v", i)
 	}
 }
@@ -59,7 +59,7 @@
 	x := New()
 	ended := 0
 	out, done := x.Open(3, func() { ended++ }), make(chan struct{})
-	x.Send(governor.Sent{Stream: 3, Push: mark(1)})
+	x.Send(governor.OutgoingUpdate{Stream: 3, Update: mark(1)})
 	x.End(3)
 	x.End(4)
 	if _, ok := out.Next(done); ok || ended != 1 {
@@ -93,7 +93,7 @@
 	out, done := x.Open(3, nil), make(chan struct{})
 	out.Alive()
 	for n := range uint64(itemsMost + 1) {
-		x.Send(governor.Sent{Stream: 3, Push: mark(n)})
+		x.Send(governor.OutgoingUpdate{Stream: 3, Update: mark(n)})
 	}
 	out.Alive()
 	if !out.emptied || len(out.items) != 0 {
@@ -104,8 +104,8 @@
 			t.Errorf("got %+v", i)
 		}
 	}
-	go func() { <-x.Bell(); x.Send(governor.Sent{Stream: 3, Push: governor.Push{Anew: true}}) }()
-	if i, ok := out.Next(done); !ok || !i.Anew {
+	go func() { <-x.Bell(); x.Send(governor.OutgoingUpdate{Stream: 3, Update: governor.Update{Resync: true}}) }()
+	if i, ok := out.Next(done); !ok || !i.Resync {
 		t.Errorf("got %+v", i)
 	}
 }
--- a/internal/governor/budget_test.go
+++ b/internal/governor/budget_test.go
@@ -33,7 +33,7 @@
 // message is one that is on its way to the channel, or waits in it.
 type message struct {
 	proxy, lines int
-	sent         governor.Sent
+	sent         governor.OutgoingUpdate
 	enters       int64
 }
 
@@ -41,7 +41,7 @@
 	*rand.Rand
 	provision control.Settings
 	core      *governor.Core
-	cost      func(governor.Push) int // true lines beside the head
+	cost      func(governor.Update) int // true lines beside the head
 	proxies   []*forwarder
 	states    map[string]governor.Member
 	names     []string
@@ -72,18 +72,18 @@
 	return m.Module.Turn(now, events)
 }
 
-func trueLines(p governor.Push) int {
-	lines := len(p.Lines) + len(p.Shut) + len(p.Let) + len(p.Levels)
+func trueLines(p governor.Update) int {
+	lines := len(p.Endpoints) + len(p.Ejected) + len(p.Restored) + len(p.Admissions)
 	if p.Full {
 		lines++
 	}
-	if p.Marked {
+	if p.WantsAck {
 		lines++
 	}
 	return lines
 }
 
-func newChannelWorld(seed int64, proxies, replicas, governors, limit, rate int, cost func(governor.Push) int) *channelWorld {
+func newChannelWorld(seed int64, proxies, replicas, governors, limit, rate int, cost func(governor.Update) int) *channelWorld {
 	w := &channelWorld{Rand: rand.New(rand.NewSource(seed)), cost: cost, states: map[string]governor.Member{}, now: second, pace: 1}
 	w.provision = control.Settings{Seed: uint64(seed), Governors: governors, Zones: 2, Kinds: 2, Proxies: proxies * governors, ChannelRate: float64(rate),
 		ChannelLimit: limit, MessageHead: 4, MaxTransit: second / 4, DrainGrace: 8 * second, MaxMessages: 12, MessageWindow: 10 * second, HostQueues: true, ReportInterval: second,
@@ -91,7 +91,7 @@
 		Classes: []control.TrafficClass{{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable},
 			{Utility: 3, LatencyBudget: second, Timeout: 3 * second, Effect: control.NonRetriable}}}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
-	w.core = governor.New(func() governor.Module { return moody{brain.New(w.provision), w} }, governor.NewCensus(names, w.provision))
+	w.core = governor.New(func() governor.Module { return moody{brain.New(w.provision), w} }, governor.NewTopology(names, w.provision))
 	for k := range replicas {
 		w.names = append(w.names, fmt.Sprintf("s-%04d", k))
 		w.states[w.names[k]] = governor.Member{ID: w.names[k], Zone: names.Zones[k%2], Kind: "m1", Weight: 1}
@@ -104,7 +104,7 @@
 }
 
 func (w *channelWorld) list(names []string, whole bool) {
-	l := governor.Listing{Whole: whole, At: w.now, Wall: w.now}
+	l := governor.ReplicaList{Complete: whole, At: w.now, Wall: w.now}
 	for _, name := range names {
 		l.Members = append(l.Members, w.states[name])
 	}
@@ -115,7 +115,7 @@
 	p := w.proxies[k]
 	w.streams++
 	p.stream, p.joined, p.got = w.streams, w.now, nil
-	w.notes = append(w.notes, governor.Joined{Stream: p.stream, Proxy: k, Zone: p.zone, Rate: 1, Blank: len(p.lines)+len(p.shut) == 0})
+	w.notes = append(w.notes, governor.StreamOpened{Stream: p.stream, Proxy: k, Zone: p.zone, Rate: 1, Blank: len(p.lines)+len(p.shut) == 0})
 }
 
 // step lets one thing happen, and then some time go by with a turn at its end.
@@ -129,7 +129,7 @@
 	case 2: // a crowd goes
 		for range some {
 			if p := w.proxies[w.Intn(len(w.proxies))]; p.stream != 0 {
-				w.notes = append(w.notes, governor.Left{Stream: p.stream})
+				w.notes = append(w.notes, governor.StreamClosed{Stream: p.stream})
 				p.stream = 0
 			}
 		}
@@ -147,14 +147,14 @@
 		w.list(names, false)
 	case 5: // sums: some fail
 		for range 20 {
-			m := governor.Met{Zone: "a", Replica: w.names[w.Intn(len(w.names))]}
+			m := governor.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))]}
 			m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, 20*w.Intn(2), second/10, second
 			w.notes = append(w.notes, m)
 		}
 	case 6: // outboxes were emptied
 		for range some {
 			if p := w.proxies[w.Intn(len(w.proxies))]; p.stream != 0 {
-				w.notes = append(w.notes, governor.Room{Stream: p.stream})
+				w.notes = append(w.notes, governor.OutboxDrained{Stream: p.stream})
 			}
 		}
 	case 7:
@@ -177,12 +177,12 @@
 	}
 	for k, p := range w.proxies { // they tell their usage
 		if p.stream != 0 && w.Intn(4) == 0 {
-			w.notes = append(w.notes, governor.Demand{Stream: p.stream, Group: "read", Demand: control.Demand{Proxy: k, Requests: 5, Period: second}})
+			w.notes = append(w.notes, governor.Demand{Stream: p.stream, Class: "read", Demand: control.Demand{Proxy: k, Requests: 5, Period: second}})
 		}
 	}
 	o := w.core.Turn(w.now, w.notes)
 	w.notes = nil
-	for _, s := range o.Pushes {
+	for _, s := range o.Updates {
 		for k, p := range w.proxies {
 			if p.stream == s.Stream {
 				stall := int64(0)
@@ -190,7 +190,7 @@
 					stall = w.Int63n(2) * w.Int63n(second)
 				}
 				p.enters = max(p.enters, w.now+stall) // in order on each stream
-				w.stalled = append(w.stalled, message{k, w.cost(s.Push) + w.provision.MessageHead, s, p.enters})
+				w.stalled = append(w.stalled, message{k, w.cost(s.Update) + w.provision.MessageHead, s, p.enters})
 			}
 		}
 	}
@@ -206,7 +206,7 @@
 }
 
 func (w *channelWorld) enter(p *forwarder, m message) {
-	w.notes = append(w.notes, governor.Written{Number: m.sent.Number})
+	w.notes = append(w.notes, governor.MessageSent{Number: m.sent.Number})
 	w.queue, w.waits = append(w.queue, m), w.waits+m.lines
 	if w.waits > w.provision.ChannelLimit && w.broken == "" {
 		w.broken = fmt.Sprintf("%d lines wait, %d may", w.waits, w.provision.ChannelLimit)
@@ -218,34 +218,34 @@
 	if len(p.got) > w.provision.MaxMessages && w.broken == "" {
 		w.broken = fmt.Sprintf("%d messages in a span for proxy %d", len(p.got), m.proxy)
 	}
-	for _, l := range m.sent.Push.Levels {
-		if l.Group == "order" && l.Tries > control.RetryIfNotExecuted {
+	for _, l := range m.sent.Update.Admissions {
+		if l.Class == "order" && l.Retries > control.RetryIfNotExecuted {
 			w.broken = "a try that could act twice"
 		}
 	}
 }
 
 func (w *channelWorld) apply(m message) {
-	p, push := w.proxies[m.proxy], m.sent.Push
+	p, push := w.proxies[m.proxy], m.sent.Update
 	if p.stream != m.sent.Stream {
 		return
 	}
 	if push.Full {
 		clear(p.lines)
 	}
-	for _, l := range push.Lines {
+	for _, l := range push.Endpoints {
 		if p.lines[l.Replica] = l.Weight; l.Weight == 0 {
 			delete(p.lines, l.Replica)
 		}
 	}
-	for _, id := range push.Shut {
+	for _, id := range push.Ejected {
 		p.shut[id] = true
 	}
-	for _, id := range push.Let {
+	for _, id := range push.Restored {
 		delete(p.shut, id)
 	}
-	if push.Marked && w.Float64() >= w.lost {
-		w.notes = append(w.notes, governor.Answered{Stream: p.stream, Mark: push.Mark})
+	if push.WantsAck && w.Float64() >= w.lost {
+		w.notes = append(w.notes, governor.Ack{Stream: p.stream, Nonce: push.Nonce})
 	}
 }
 
@@ -320,21 +320,21 @@
 // Each part of what a message costs is needed: with any one taken out, which is as if the channel counted it once more,
 // some of the same sequences break the bound.
 func TestEachChargeIsNeeded(t *testing.T) {
-	for what, more := range map[string]func(governor.Push) int{
-		"nothing":   func(p governor.Push) int { return 0 },
-		"heads":     func(p governor.Push) int { return 4 },
-		"lines":     func(p governor.Push) int { return len(p.Lines) },
-		"shut":      func(p governor.Push) int { return len(p.Shut) },
-		"let":       func(p governor.Push) int { return 5 * len(p.Let) },    // of few lines, as a part restores three: five times
-		"levels":    func(p governor.Push) int { return 5 * len(p.Levels) }, // of few lines, five times
-		"once more": func(p governor.Push) int { return map[bool]int{true: trueLines(p)}[p.Anew] },
-		"full marks": func(p governor.Push) int {
-			return 5 * (map[bool]int{true: 1}[p.Full] + map[bool]int{true: 1}[p.Marked])
+	for what, more := range map[string]func(governor.Update) int{
+		"nothing":   func(p governor.Update) int { return 0 },
+		"heads":     func(p governor.Update) int { return 4 },
+		"lines":     func(p governor.Update) int { return len(p.Endpoints) },
+		"shut":      func(p governor.Update) int { return len(p.Ejected) },
+		"let":       func(p governor.Update) int { return 5 * len(p.Restored) },   // of few lines, as a part restores three: five times
+		"levels":    func(p governor.Update) int { return 5 * len(p.Admissions) }, // of few lines, five times
+		"once more": func(p governor.Update) int { return map[bool]int{true: trueLines(p)}[p.Resync] },
+		"full marks": func(p governor.Update) int {
+			return 5 * (map[bool]int{true: 1}[p.Full] + map[bool]int{true: 1}[p.WantsAck])
 		}, // as levels
 	} {
 		broke := 0
 		for seed := range int64(40) {
-			w := newChannelWorld(seed, 30, 24, 2, 600, 4800, func(p governor.Push) int { return trueLines(p) + more(p) })
+			w := newChannelWorld(seed, 30, 24, 2, 600, 4800, func(p governor.Update) int { return trueLines(p) + more(p) })
 			w.pace, w.lost = 0.005, 0.9
 			for k := range w.proxies {
 				w.join(k)
@@ -366,7 +366,7 @@
 						w.join(k)
 					}
 					b.StartTimer()
-					if o := w.core.Turn(w.now+second/4, w.notes); len(o.Pushes) == 0 {
+					if o := w.core.Turn(w.now+second/4, w.notes); len(o.Updates) == 0 {
 						b.Fatal("nobody is bound")
 					}
 				}
@@ -396,7 +396,7 @@
 			allocs := uint64(0)
 			for b.Loop() {
 				for range 40 { // of a hundred and fifty lines a second
-					m := governor.Met{Zone: "a", Replica: w.names[w.Intn(len(w.names))]}
+					m := governor.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))]}
 					m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, w.Intn(2), second/10+int64(w.Intn(int(second/20))), second
 					w.notes = append(w.notes, m)
 				}
--- a/internal/governor/capped_test.go
+++ b/internal/governor/capped_test.go
@@ -20,9 +20,9 @@
 		SlowStartShare: 0.2, SlowStartTime: 10 * second, OverloadMultiple: 3, Admission: control.AdmitShare, AttemptTimeoutFactor: 1, DefaultRetries: control.RetryIfNotExecuted,
 		Classes: []control.TrafficClass{{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable}}}
 	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, Kinds: []string{"m1"}}
-	core := governor.New(func() governor.Module { return brain.New(p) }, governor.NewCensus(names, p))
-	list := func(drains string) governor.Listing {
-		l := governor.Listing{Whole: true, At: second, Wall: second}
+	core := governor.New(func() governor.Module { return brain.New(p) }, governor.NewTopology(names, p))
+	list := func(drains string) governor.ReplicaList {
+		l := governor.ReplicaList{Complete: true, At: second, Wall: second}
 		for k := range 6 {
 			m := governor.Member{ID: fmt.Sprint("s-", k), Zone: "a", Kind: "m1", Weight: 1}
 			if m.ID == drains {
@@ -33,10 +33,10 @@
 		return l
 	}
 	stream, owner, left := governor.Stream(0), map[governor.Stream]int{}, map[int]bool{}
-	join := func(proxy int) governor.Joined {
+	join := func(proxy int) governor.StreamOpened {
 		stream++
 		owner[stream] = proxy
-		return governor.Joined{Stream: stream, Proxy: proxy, Zone: "a", Rate: 10, Blank: true}
+		return governor.StreamOpened{Stream: stream, Proxy: proxy, Zone: "a", Rate: 10, Blank: true}
 	}
 	notes := []any{list("")}
 	for proxy := range p.Proxies {
@@ -46,11 +46,11 @@
 	for now := second; now < 12*second; now += second / 10 {
 		o := core.Turn(now, notes)
 		notes = nil
-		for _, s := range o.Pushes {
-			if s.Push.Marked && s.Stream > 0 {
-				notes = append(notes, governor.Written{Number: s.Number}, governor.Answered{Stream: s.Stream, Mark: s.Push.Mark})
+		for _, s := range o.Updates {
+			if s.Update.WantsAck && s.Stream > 0 {
+				notes = append(notes, governor.MessageSent{Number: s.Number}, governor.Ack{Stream: s.Stream, Nonce: s.Update.Nonce})
 			}
-			drops := slices.Contains(s.Push.Lines, governor.Line{Replica: "s-0"}) || slices.Contains(s.Push.Shut, "s-0")
+			drops := slices.Contains(s.Update.Endpoints, governor.WeightedEndpoint{Replica: "s-0"}) || slices.Contains(s.Update.Ejected, "s-0")
 			if told > 0 && drops && now <= told+grace {
 				left[owner[s.Stream]] = true
 			}
--- a/internal/governor/configure.go
+++ b/internal/governor/configure.go
@@ -13,10 +13,10 @@
 // This file puts changed settings in force while the governor runs: whole or not at all, between two turns of the module,
 // with all streams, what they were told, the channel's account and what was learned kept.
 
-// formerMost bounds the zones that are remembered after they have left the settings.
-const formerMost = 1 << 10
+// maxFormerZones bounds the zones that are remembered after they have left the settings.
+const maxFormerZones = 1 << 10
 
-// Configure is a note: settings to put in force. They have passed the checks of a governor's start; Start makes modules
+// Configure is an input: settings to put in force. They have passed the checks of a governor's start; Start makes modules
 // by them.
 type Configure struct {
 	Version  revision.Version
@@ -33,51 +33,51 @@
 
 // configuration is what settings determine.
 type configuration struct {
-	version revision.Version
-	census  Census
-	start   func() Module
+	version  revision.Version
+	topology Topology
+	start    func() Module
 }
 
 // Configuration is the version of the settings in force; zero are those of the start.
 func (c *Core) Configuration() revision.Version { return c.version }
 
-// Topology is the census in force, for those who check joinings before they come here.
-func (c *Core) Topology() Census { return c.Census }
+// CurrentTopology is the topology in force, for those who check streams before they come here.
+func (c *Core) CurrentTopology() Topology { return c.Topology }
 
 // configure takes over settings with this turn.
 func (c *Core) configure(n Configure) []control.Event {
-	census := NewCensus(n.Names, n.Settings)
+	census := NewTopology(n.Names, n.Settings)
 	if err := c.unchangeable(census); err != nil {
-		c.Count.ConfigurationsRefused++
+		c.Counters.ConfigurationsRefused++
 		c.configured = append(c.configured, Configured{n, err})
 		return nil
 	}
 	if c.previous == nil {
-		c.previous = &configuration{c.version, c.Census, c.start}
+		c.previous = &configuration{c.version, c.Topology, c.newModule}
 	}
 	before := c.names
 	census.names.Zones = sameOrder(before.Zones, n.Names.Zones)
 	census.former = c.formerZones(n.Names.Zones)
 	c.adopt(configuration{n.Version, census, n.Start})
-	c.Count.Configurations++
+	c.Counters.Configurations++
 	c.configured = append(c.configured, Configured{n, nil})
-	groups := renumbered(before.Classes, c.names.Classes)
-	c.renumberLevels(groups, before.Classes)
+	classes := renumbered(before.Classes, c.names.Classes)
+	c.renumberAdmissions(classes, before.Classes)
 	if c.fresh { // nothing was told to it yet
-		c.module = c.start()
+		c.module = c.newModule()
 		return nil
 	}
-	event := control.SettingsChanged{Settings: n.Settings, NewClasses: groups,
-		NewKinds: append(renumbered(before.Kinds, c.names.Kinds), len(c.names.Kinds)), Replicas: c.standing().Entries}
-	for _, proxy := range sortedKeys(c.seats) {
-		event.Proxies = append(event.Proxies, c.seats[proxy].joined)
+	event := control.SettingsChanged{Settings: n.Settings, NewClasses: classes,
+		NewKinds: append(renumbered(before.Kinds, c.names.Kinds), len(c.names.Kinds)), Replicas: c.currentList().Entries}
+	for _, proxy := range sortedKeys(c.proxies) {
+		event.Proxies = append(event.Proxies, c.proxies[proxy].opened)
 	}
 	return []control.Event{event}
 }
 
 // unchangeable names a setting that cannot change while proxies are joined: what they were told before would mean
 // something else to them.
-func (c *Core) unchangeable(next Census) error {
+func (c *Core) unchangeable(next Topology) error {
 	if c.admission != next.admission {
 		return fmt.Errorf("setting domain.admit cannot change while the governor runs: restart it")
 	}
@@ -86,39 +86,39 @@
 
 // adopt makes a configuration the one in force, and gives replicas and proxies its numbers.
 func (c *Core) adopt(next configuration) {
-	c.version, c.Census, c.start = next.version, next.census, next.start
+	c.version, c.Topology, c.newModule = next.version, next.topology, next.start
 	c.account.Bounds = c.bounds
-	for _, r := range c.roster.known {
-		r.Zone, r.Kind = index(c.names.Zones, r.zone), index(c.names.Kinds, r.kind)
+	for _, r := range c.replicas.known {
+		r.Zone, r.Kind = indexOrLast(c.names.Zones, r.zone), indexOrLast(c.names.Kinds, r.kind)
 	}
-	for _, s := range c.seats {
-		s.joined.Zone = index(c.names.Zones, s.zone)
+	for _, s := range c.proxies {
+		s.opened.Zone = indexOrLast(c.names.Zones, s.zone)
 	}
 }
 
-// renumberLevels keeps what was ordered and told of each traffic group. Of those that are gone proxies are told once more,
-// so that nothing is kept out by a level that nobody will lift.
-func (c *Core) renumberLevels(numbers []int, names []string) {
-	levels := map[tableGroup]control.SetAdmission{}
-	for at, level := range c.levels {
-		if level.Class = numbers[at.group]; level.Class >= 0 {
-			levels[tableGroup{at.table, level.Class}] = level
+// renumberAdmissions keeps what was set and told of each traffic class. Of those that are gone proxies are told once more,
+// so that nothing is rejected by an admission that nobody will lift.
+func (c *Core) renumberAdmissions(numbers []int, names []string) {
+	levels := map[tableClass]control.SetAdmission{}
+	for at, level := range c.admissions {
+		if level.Class = numbers[at.class]; level.Class >= 0 {
+			levels[tableClass{at.table, level.Class}] = level
 		}
 	}
-	c.levels = levels
-	for _, proxy := range sortedKeys(c.seats) {
-		s := c.seats[proxy]
-		s.lifted = slices.DeleteFunc(s.lifted, func(l Level) bool { return slices.Contains(c.names.Classes, l.Group) })
-		told := map[int]Level{}
-		for _, group := range sortedKeys(s.level) {
-			if to := numbers[group]; to >= 0 {
-				told[to] = s.level[group]
+	c.admissions = levels
+	for _, proxy := range sortedKeys(c.proxies) {
+		s := c.proxies[proxy]
+		s.lifted = slices.DeleteFunc(s.lifted, func(l Admission) bool { return slices.Contains(c.names.Classes, l.Class) })
+		told := map[int]Admission{}
+		for _, class := range sortedKeys(s.toldAdmissions) {
+			if to := numbers[class]; to >= 0 {
+				told[to] = s.toldAdmissions[class]
 				continue
 			}
-			s.lifted = append(s.lifted, Level{Group: names[group], Share: 1, Tries: c.usual})
+			s.lifted = append(s.lifted, Admission{Class: names[class], Share: 1, Retries: c.defaultRetries})
 			c.due[proxy] = s
 		}
-		s.level = told
+		s.toldAdmissions = told
 	}
 }
 
@@ -129,8 +129,8 @@
 	for k := range c.configured {
 		if c.configured[k].Err == nil {
 			c.configured[k].Err = fmt.Errorf("the module fails by it: %.200s", failed)
-			c.Count.Configurations--
-			c.Count.ConfigurationsRefused++
+			c.Counters.Configurations--
+			c.Counters.ConfigurationsRefused++
 		}
 	}
 }
@@ -144,7 +144,7 @@
 			former = append(former, zone)
 		}
 	}
-	return former[max(0, len(former)-formerMost):]
+	return former[max(0, len(former)-maxFormerZones):]
 }
 
 // renumbered says for each old name what its number is among the new ones, below 0 where it is gone.
--- a/internal/governor/configure_test.go
+++ b/internal/governor/configure_test.go
@@ -32,28 +32,28 @@
 // Names keep their meaning whatever becomes of their order: levels, tables, reports and usage go by names.
 func TestNamesThatMoveKeepTheirMeaning(t *testing.T) {
 	c, s := core()
-	turn := func(notes []any, orders ...control.Command) Outcome {
+	turn := func(notes []any, orders ...control.Command) TurnResult {
 		t.Helper()
 		s.turns = [][]control.Command{append([]control.Command{}, orders...)}
 		if len(orders) == 0 {
 			s.turns = nil
 		}
-		o := c.Turn(c.swept, notes)
-		if o.Failed != "" {
-			t.Fatal(o.Failed)
+		o := c.Turn(c.lastSweep, notes)
+		if o.Panic != "" {
+			t.Fatal(o.Panic)
 		}
 		return o
 	}
-	turn([]any{list(true, "xr", "yr"), Joined{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, Joined{Stream: 2, Proxy: 5, Zone: "a", Blank: true}},
+	turn([]any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", Blank: true}},
 		line(0, 1, 1), line(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
 		control.SetAdmission{Table: control.AllTables, Class: 1, Share: 0.5}, control.SetAdmission{Table: 0, Class: 0, Share: 0.7})
 	o := turn([]any{
-		Demand{Stream: 1, Group: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // by the old numbers yet
+		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // by the old numbers yet
 		changed(2, namesOf("order,new,read", "b,a", "m0,m2"), s),
-		Demand{Stream: 1, Group: "order", Demand: control.Demand{Proxy: 4, Requests: 2}},
-		Met{Zone: "a", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
+		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 2}},
+		Outcomes{Zone: "a", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
 	})
-	if len(o.Pushes) != 0 || len(o.End) != 0 || len(o.Configured) != 1 || o.Configured[0].Err != nil || c.Configuration().Revision != 2 {
+	if len(o.Updates) != 0 || len(o.CloseStreams) != 0 || len(o.Configured) != 1 || o.Configured[0].Err != nil || c.Configuration().Revision != 2 {
 		t.Errorf("%s, %+v", text(o), o.Configured)
 	}
 	var told control.SettingsChanged
@@ -86,12 +86,12 @@
 // A traffic group that leaves is let in again at every proxy that was told otherwise, once.
 func TestAGroupThatLeavesIsLetIn(t *testing.T) {
 	c, s := core([]control.Command{line(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Share: 0.5}})
-	c.Turn(0, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, Joined{Stream: 2, Proxy: 5, Zone: "a", Blank: true}})
+	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", Blank: true}})
 	if got := text(c.Turn(1, []any{changed(2, namesOf("read", "a,b", "m1,m2"), s)})); got != "1: order~1/1; 2: order~1/1" {
 		t.Error(got)
 	}
-	if got := text(c.Turn(2, []any{Demand{Stream: 1, Group: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Count.Strange != 1 {
-		t.Errorf("%q, %d strange", got, c.Count.Strange)
+	if got := text(c.Turn(2, []any{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Strange != 1 {
+		t.Errorf("%q, %d strange", got, c.Counters.Strange)
 	}
 	if got := text(c.Turn(3, []any{changed(3, namesOf("order,read", "a,b", "m1,m2"), s)})); got != "" {
 		t.Error(got)
@@ -101,16 +101,16 @@
 // Proxies of a zone that has left stay, are reported of, and are not let in anew; a zone that comes back is theirs again.
 func TestAZoneThatLeaves(t *testing.T) {
 	c, s := core()
-	c.Turn(0, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "b"}})
-	o := c.Turn(1, []any{changed(2, namesOf("read,order", "a", "m1,m2"), s), Met{Zone: "b", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
-		Joined{Stream: 2, Proxy: 5, Zone: "b"}, Met{Zone: "c", Replica: "x"}})
-	if len(o.End) != 1 || o.End[0] != 2 || c.Count.Strange != 2 || c.Count.Seats != 1 {
-		t.Errorf("%v ended, %d strange, %d joined", o.End, c.Count.Strange, c.Count.Seats)
+	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	o := c.Turn(1, []any{changed(2, namesOf("read,order", "a", "m1,m2"), s), Outcomes{Zone: "b", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
+		StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, Outcomes{Zone: "c", Replica: "x"}})
+	if len(o.CloseStreams) != 1 || o.CloseStreams[0] != 2 || c.Counters.Strange != 2 || c.Counters.Proxies != 1 {
+		t.Errorf("%v ended, %d strange, %d joined", o.CloseStreams, c.Counters.Strange, c.Counters.Proxies)
 	}
 	if met, is := s.told[1].(control.Outcomes); !is || met.Zone != 1 {
 		t.Errorf("told %+v", s.told)
 	}
-	if err := c.Topology().Collector("b"); err == nil {
+	if err := c.CurrentTopology().CheckCollector("b"); err == nil {
 		t.Error("a collector of the zone may come")
 	}
 	c.Turn(2, []any{changed(3, namesOf("read,order", "a,c,b", "m1,m2"), s)})
@@ -122,12 +122,12 @@
 // What cannot change while the governor runs is refused with its key, and nothing of it is taken.
 func TestWhatNeedsARestartIsRefused(t *testing.T) {
 	c, s := core()
-	c.Turn(0, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "b"}})
+	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	next := changed(2, namesOf("read", "a", "m1"), s)
 	next.Settings.Admission = control.AdmitRate
 	o := c.Turn(1, []any{next})
 	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "domain.admit") ||
-		len(s.told) != 0 || len(c.names.Zones) != 2 || !c.Configuration().IsZero() || c.Count.ConfigurationsRefused != 1 {
+		len(s.told) != 0 || len(c.names.Zones) != 2 || !c.Configuration().IsZero() || c.Counters.ConfigurationsRefused != 1 {
 		t.Errorf("%+v %+v", o.Configured, s.told)
 	}
 }
@@ -141,13 +141,13 @@
 // runs, though the running one failed to take them over, are in force.
 func TestSettingsByWhichTheModuleFails(t *testing.T) {
 	c, s := core()
-	c.Turn(0, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "b"}})
+	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	s.turns = [][]control.Command{panics}
 	o := c.Turn(1, []any{changed(2, namesOf("read", "a", "m1"), pit{})})
 	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "the module fails by it") {
 		t.Fatalf("%+v", o.Configured)
 	}
-	if !c.Configuration().IsZero() || len(c.names.Zones) != 2 || c.seats[4].joined.Zone != 1 || c.roster.known[1].Zone != 1 || len(o.End) != 0 {
+	if !c.Configuration().IsZero() || len(c.names.Zones) != 2 || c.proxies[4].opened.Zone != 1 || c.replicas.known[1].Zone != 1 || len(o.CloseStreams) != 0 {
 		t.Errorf("not as before: %s %v", c.Configuration(), c.names)
 	}
 	if _, again := s.told[len(s.told)-1].(control.StreamOpened); !again {
@@ -155,7 +155,7 @@
 	}
 	s.turns = [][]control.Command{panics}
 	o = c.Turn(2, []any{changed(3, namesOf("read", "a", "m1"), s)})
-	if len(o.Configured) != 1 || o.Configured[0].Err != nil || c.Configuration().Revision != 3 || c.seats[4].joined.Zone != 1 || c.Count.Configurations != 1 {
+	if len(o.Configured) != 1 || o.Configured[0].Err != nil || c.Configuration().Revision != 3 || c.proxies[4].opened.Zone != 1 || c.Counters.Configurations != 1 {
 		t.Errorf("%+v %s", o.Configured, c.Configuration())
 	}
 }
@@ -165,7 +165,7 @@
 	c, _ := core()
 	next, s := changed(2, namesOf("read", "a", "m1"), nil), &script{}
 	next.Start = func() Module { return s }
-	c.Turn(0, []any{next, list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "a"}})
+	c.Turn(0, []any{next, list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
 	if len(s.told) != 2 || c.Configuration().Revision != 2 {
 		t.Errorf("told %+v", s.told)
 	}
@@ -176,7 +176,7 @@
 	if o := c.Turn(1, []any{next}); len(o.Configured) != 1 || o.Configured[0].Err != nil || s2.told != nil {
 		t.Errorf("%+v, told %+v", o.Configured, s2.told)
 	}
-	if c.Turn(renewPause+1, nil); len(s2.told) != 1 {
+	if c.Turn(restartDelay+1, nil); len(s2.told) != 1 {
 		t.Errorf("told %+v", s2.told)
 	}
 }
--- a/internal/governor/core_test.go
+++ b/internal/governor/core_test.go
@@ -43,40 +43,40 @@
 func core(turns ...[]control.Command) (*Core, *script) {
 	s := &script{turns: turns}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
-	return New(func() Module { return s }, NewCensus(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}}})), s
+	return New(func() Module { return s }, NewTopology(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}}})), s
 }
 
-func list(whole bool, members ...string) Listing {
-	l := Listing{Whole: whole, At: 1000e9, Wall: 1000e9}
+func list(whole bool, members ...string) ReplicaList {
+	l := ReplicaList{Complete: whole, At: 1000e9, Wall: 1000e9}
 	for _, m := range members { // the name, and a letter of its state: r, t, g, or ? for odd
-		l.Members = append(l.Members, Member{ID: m[:len(m)-1], Zone: "b", Kind: "m2", Weight: 1, Odd: m[len(m)-1] == '?',
+		l.Members = append(l.Members, Member{ID: m[:len(m)-1], Zone: "b", Kind: "m2", Weight: 1, Unusable: m[len(m)-1] == '?',
 			State: control.State(max(0, strings.IndexByte("rtg", m[len(m)-1])))})
 	}
 	return l
 }
 
 // text writes what goes out in one line a push.
-func text(o Outcome) string {
+func text(o TurnResult) string {
 	var out []string
-	for _, s := range o.Pushes {
+	for _, s := range o.Updates {
 		line := fmt.Sprintf("%d:", s.Stream)
-		if s.Push.Full {
+		if s.Update.Full {
 			line += " full"
 		}
-		for _, l := range s.Push.Lines {
+		for _, l := range s.Update.Endpoints {
 			line += fmt.Sprintf(" %s=%v", l.Replica, l.Weight)
 		}
-		for _, id := range s.Push.Shut {
+		for _, id := range s.Update.Ejected {
 			line += " -" + id
 		}
-		for _, id := range s.Push.Let {
+		for _, id := range s.Update.Restored {
 			line += " +" + id
 		}
-		for _, l := range s.Push.Levels {
-			line += fmt.Sprintf(" %s~%v/%d", l.Group, l.Share, l.Tries)
+		for _, l := range s.Update.Admissions {
+			line += fmt.Sprintf(" %s~%v/%d", l.Class, l.Share, l.Retries)
 		}
-		if s.Push.Marked {
-			line += fmt.Sprintf(" #%d", s.Push.Mark)
+		if s.Update.WantsAck {
+			line += fmt.Sprintf(" #%d", s.Update.Nonce)
 		}
 		out = append(out, line)
 	}
@@ -96,7 +96,7 @@
 		orders orders
 		want   string
 	}{
-		{[]any{list(true, "xr", "yr", "zr"), Joined{Stream: 1, Proxy: 4, Zone: "a", Blank: true}, Joined{Stream: 2, Proxy: 5, Zone: "b"}},
+		{[]any{list(true, "xr", "yr", "zr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}},
 			orders{line(0, 1, 1), line(0, 2, 0.5), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, "1: full x=1 y=0.5 #1"},
 		{nil, orders{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // may shut who knows whom
 		{nil, orders{line(0, 2, 0.7), control.RequestAck{Nonce: 3}}, "1: y=0.7 #3; 2: y=0.7 #3"},
@@ -110,16 +110,16 @@
 		{nil, orders{control.SetAdmission{Table: 0, Class: 1, Share: 0.7, Retries: 2}}, "1: order~0.5/2; 2: order~0.5/2"},
 		{nil, orders{control.Bind{Proxy: 4, Table: 1}}, "1: full z=1 order~0.5/1"},
 		{nil, orders{line(0, 2, 0.7), control.RequestAck{Nonce: 7}}, "2: y=0.7 #7"},
-		{[]any{Left{1}}, orders{line(1, 3, 2)}, ""},
+		{[]any{StreamClosed{1}}, orders{line(1, 3, 2)}, ""},
 		{nil, orders{control.SetEjected{Replica: 1, Ejected: true}}, "2: -x"},
-		{[]any{Joined{Stream: 3, Proxy: 4, Zone: "b"}}, orders{control.Bind{Proxy: 4, Table: 0}}, "3: full x=1 y=0.7 z=2 -x +y +z order~0.5/2"},
-		{[]any{Joined{Stream: 4, Proxy: 5, Zone: "b"}}, nil, "4: order~0.5/1"},
+		{[]any{StreamOpened{Stream: 3, Proxy: 4, Zone: "b"}}, orders{control.Bind{Proxy: 4, Table: 0}}, "3: full x=1 y=0.7 z=2 -x +y +z order~0.5/2"},
+		{[]any{StreamOpened{Stream: 4, Proxy: 5, Zone: "b"}}, nil, "4: order~0.5/1"},
 		{nil, orders{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 8}}, "3: -y #8; 4: -y #8"}, // 4 is bound to nothing yet
-		{[]any{Room{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
-		{[]any{Answered{Stream: 3, Mark: 8}, Room{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
-		{[]any{Room{4}}, nil, "4: -x -y order~0.5/1 #8"},
-		{[]any{Left{3}, Left{4}, Joined{Stream: 5, Proxy: 4, Zone: "b", Blank: true}}, nil, "5: order~0.5/1"},
-		{[]any{Room{5}}, nil, "5: -x -y order~0.5/1"},
+		{[]any{OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
+		{[]any{Ack{Stream: 3, Nonce: 8}, OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
+		{[]any{OutboxDrained{4}}, nil, "4: -x -y order~0.5/1 #8"},
+		{[]any{StreamClosed{3}, StreamClosed{4}, StreamOpened{Stream: 5, Proxy: 4, Zone: "b", Blank: true}}, nil, "5: order~0.5/1"},
+		{[]any{OutboxDrained{5}}, nil, "5: -x -y order~0.5/1"},
 		{nil, orders{control.Bind{Proxy: 7}, control.Bind{Proxy: 4, Table: 1}, line(1, 3, 0)}, "5: full order~0.5/1"},
 	}
 	c, s := core()
@@ -134,9 +134,9 @@
 // Who has nothing to be told is told so all the same, as its outbox takes nothing else before.
 func TestAnEmptiedOutboxIsAlwaysAnswered(t *testing.T) {
 	c, _ := core()
-	c.Turn(0, []any{Joined{Stream: 1, Proxy: 4, Zone: "b"}})
-	if o := c.Turn(1, []any{Room{1}}); len(o.Pushes) != 1 || !o.Pushes[0].Push.Anew || c.Count.Pushes != 0 {
-		t.Errorf("%+v", o.Pushes)
+	c.Turn(0, []any{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	if o := c.Turn(1, []any{OutboxDrained{1}}); len(o.Updates) != 1 || !o.Updates[0].Update.Resync || c.Counters.Updates != 0 {
+		t.Errorf("%+v", o.Updates)
 	}
 }
 
@@ -145,10 +145,10 @@
 	c, _ := core(orders{line(0, 1, 1), line(0, 2, 1), control.SetAdmission{Table: control.AllTables, Share: 0.5},
 		control.SetEjected{Replica: 2, Ejected: true}, control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}},
 		orders{line(0, 1, 2), control.RequestAck{Nonce: 2}})
-	c.Turn(0, []any{list(true, "xr", "yr"), Joined{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, Joined{Stream: 2, Proxy: 5, Zone: "b", Blank: true}})
+	c.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Blank: true}})
 	c.Turn(1, nil)
 	// A bind: itself, two lines, one level, one withdrawn; each with its mark; then a line and a mark each.
-	if n := c.Count; n.LinesSent != 2*(5+1)+2*2 || n.Marks != 4 || n.Whole != 2 {
+	if n := c.Counters; n.LinesSent != 2*(5+1)+2*2 || n.AckRequests != 4 || n.FullTables != 2 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -160,32 +160,32 @@
 		want  []control.Event
 		end   []Stream
 	}{
-		"joined":          {[]any{Joined{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
-		"no such proxy":   {[]any{Joined{Stream: 2, Proxy: 9, Zone: "b"}, Joined{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []Stream{2, 3}},
-		"again":           {[]any{Joined{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
-		"a newer stream":  {[]any{Joined{Stream: 2, Proxy: 4, Zone: "b"}, Left{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []Stream{1}},
-		"an older stream": {[]any{Joined{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []Stream{0}},
-		"left":            {[]any{Left{1}, Left{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
-		"answered":        {[]any{Answered{Stream: 1, Mark: 7, Took: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
-		"answered twice":  {[]any{Answered{Stream: 1, Mark: 7}, Answered{Stream: 1, Mark: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
-		"another's mark":  {[]any{Answered{Stream: 1, Mark: 8}, Answered{Stream: 3, Mark: 7}}, nil, nil},
-		"an old mark":     {[]any{Joined{Stream: 2, Proxy: 4, Zone: "b"}, Answered{Stream: 2, Mark: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []Stream{1}},
+		"joined":          {[]any{StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
+		"no such proxy":   {[]any{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []Stream{2, 3}},
+		"again":           {[]any{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
+		"a newer stream":  {[]any{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []Stream{1}},
+		"an older stream": {[]any{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []Stream{0}},
+		"left":            {[]any{StreamClosed{1}, StreamClosed{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
+		"answered":        {[]any{Ack{Stream: 1, Nonce: 7, Delay: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
+		"answered twice":  {[]any{Ack{Stream: 1, Nonce: 7}, Ack{Stream: 1, Nonce: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
+		"another's mark":  {[]any{Ack{Stream: 1, Nonce: 8}, Ack{Stream: 3, Nonce: 7}}, nil, nil},
+		"an old mark":     {[]any{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []Stream{1}},
 		"usage":           {[]any{Demand{1, "order", usage}, Demand{0, "read", usage}}, []control.Event{control.Demand{Proxy: 4, Class: 1, Requests: 3}, usage}, nil},
 		"usage of old":    {[]any{Demand{3, "order", usage}, Demand{1, "no such", usage}, Demand{0, "read", control.Demand{Proxy: 8}}}, nil, nil},
-		"sums":            {[]any{Met{"b", "y", control.Outcomes{Attempts: 2}}, Met{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
-		"spoilt sums": {[]any{Met{"q", "y", control.Outcomes{Attempts: 2}}, Met{"b", "y", control.Outcomes{Attempts: 2, Failures: 3}},
-			Met{"b", "y", control.Outcomes{Attempts: countMost + 1}}, Met{"b", "y", control.Outcomes{ResponseTime: expiriesMost*2e9 + 1}},
-			Met{"b", "y", control.Outcomes{Period: spanMost + 1}}}, nil, nil},
-		"spoilt usage": {[]any{Demand{1, "order", control.Demand{Proxy: 4, Requests: countMost + 1}},
-			Demand{1, "order", control.Demand{Proxy: 4, Failures: countMost + 1}}, Demand{0, "read", control.Demand{Proxy: 4, Period: spanMost + 1}}}, nil, nil},
-		"a spoilt answer":   {[]any{Answered{Stream: 1, Mark: 7, Took: spanMost + 1}}, nil, nil},
+		"sums":            {[]any{Outcomes{"b", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
+		"spoilt sums": {[]any{Outcomes{"q", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "y", control.Outcomes{Attempts: 2, Failures: 3}},
+			Outcomes{"b", "y", control.Outcomes{Attempts: maxReportCount + 1}}, Outcomes{"b", "y", control.Outcomes{ResponseTime: maxTimeouts*2e9 + 1}},
+			Outcomes{"b", "y", control.Outcomes{Period: maxReportPeriod + 1}}}, nil, nil},
+		"spoilt usage": {[]any{Demand{1, "order", control.Demand{Proxy: 4, Requests: maxReportCount + 1}},
+			Demand{1, "order", control.Demand{Proxy: 4, Failures: maxReportCount + 1}}, Demand{0, "read", control.Demand{Proxy: 4, Period: maxReportPeriod + 1}}}, nil, nil},
+		"a spoilt answer":   {[]any{Ack{Stream: 1, Nonce: 7, Delay: maxReportPeriod + 1}}, nil, nil},
 		"something unknown": {[]any{"rain"}, nil, nil},
 	} {
 		c0, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
-		c0.Turn(0, []any{list(true, "xr", "yr"), Joined{Stream: 1, Proxy: 4, Zone: "b"}})
+		c0.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 		o := c0.Turn(1, c.notes)
-		if !reflect.DeepEqual(s.told, c.want) || !reflect.DeepEqual(o.End, c.end) {
-			t.Errorf("%s: told %+v, ends %v", name, s.told, o.End)
+		if !reflect.DeepEqual(s.told, c.want) || !reflect.DeepEqual(o.CloseStreams, c.end) {
+			t.Errorf("%s: told %+v, ends %v", name, s.told, o.CloseStreams)
 		}
 	}
 }
@@ -200,7 +200,7 @@
 func TestTheListKeepsItsNumbers(t *testing.T) {
 	c, s := core()
 	for k, step := range []struct {
-		l    Listing
+		l    ReplicaList
 		want string
 		odd  int64
 	}{
@@ -210,14 +210,14 @@
 		{list(false, "yg", "xr"), "2g1r", 3},
 	} {
 		c.Turn(int64(k), []any{step.l})
-		if got := states(s.told[0]); got != step.want || c.Count.Strange != step.odd {
-			t.Errorf("list %d: %s, %d odd", k, got, c.Count.Strange)
+		if got := states(s.told[0]); got != step.want || c.Counters.Strange != step.odd {
+			t.Errorf("list %d: %s, %d odd", k, got, c.Counters.Strange)
 		}
 	}
-	if l := c.standing(); !l.Full || states(l) != "1r3r" {
+	if l := c.currentList(); !l.Full || states(l) != "1r3r" {
 		t.Errorf("standing list %+v", l)
 	}
-	if k := c.roster.known[1].Kind; k != 1 || index(c.names.Kinds, "new kind") != 2 {
+	if k := c.replicas.known[1].Kind; k != 1 || indexOrLast(c.names.Kinds, "new kind") != 2 {
 		t.Errorf("kinds %d", k)
 	}
 }
@@ -226,7 +226,7 @@
 func TestStartsStayThroughStepsOfTheWallClock(t *testing.T) {
 	c, s := core()
 	at := func(wall, up int64) int64 {
-		c.Turn(wall, []any{Listing{At: 500e9, Wall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: up}}}})
+		c.Turn(wall, []any{ReplicaList{At: 500e9, Wall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: up}}}})
 		return s.told[0].(control.ReplicasListed).Entries[0].Start
 	}
 	for k, step := range [][3]int64{{1000e9, 990e9, 490e9}, {5000e9, 990e9, 490e9}, {5000e9, 4999e9, 499e9},
@@ -244,19 +244,19 @@
 	}{
 		"nobody":   {func(*Core) {}, false},
 		"a table":  {func(c *Core) { c.tables[3] = map[uint32]float64{1: 1} }, true},
-		"a stream": {func(c *Core) { c.seats[4].told[1] = true }, false},
+		"a stream": {func(c *Core) { c.proxies[4].toldEjected[1] = true }, false},
 	} {
 		g, _ := core()
-		g.Turn(0, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "b"}})
+		g.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 		g.Turn(1, []any{list(true, "yr")})
-		g.out[1] = true
+		g.ejected[1] = true
 		c.held(g)
-		g.sweep(nameKept)
-		if g.roster.known[1] == nil {
+		g.sweep(nameRetention)
+		if g.replicas.known[1] == nil {
 			t.Errorf("%s: forgotten early", name)
 		}
-		g.sweep(nameKept + 1)
-		if _, kept := g.roster.numbers["x"]; kept != c.kept || g.out[1] != c.kept || g.roster.known[2] == nil {
+		g.sweep(nameRetention + 1)
+		if _, kept := g.replicas.numbers["x"]; kept != c.kept || g.ejected[1] != c.kept || g.replicas.known[2] == nil {
 			t.Errorf("%s: kept %v", name, kept)
 		}
 	}
@@ -264,22 +264,22 @@
 
 // Streams hold no names for ever, yet who is back after it was forgotten is let in where it was shut out.
 func TestWhoWasForgottenIsLetInAgain(t *testing.T) {
-	for _, others := range []int{0, shutMost} {
+	for _, others := range []int{0, maxForgottenEjections} {
 		c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}}, orders{control.SetEjected{Replica: 1, Ejected: true}, line(0, 1, 0)})
-		joined := Joined{Stream: 1, Proxy: 4, Zone: "b", Blank: true}
+		joined := StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}
 		c.Turn(0, []any{list(true, "xr"), joined})
 		c.Turn(1, []any{list(true)})
-		c.seats[4].told[1] = true
+		c.proxies[4].toldEjected[1] = true
 		for k := range others {
-			c.roster.known[uint32(100+k)] = &member{name: fmt.Sprint("o", k), Entry: control.Entry{State: control.Gone}}
-			c.seats[4].told[uint32(100+k)] = true
+			c.replicas.known[uint32(100+k)] = &replica{name: fmt.Sprint("o", k), Entry: control.Entry{State: control.Gone}}
+			c.proxies[4].toldEjected[uint32(100+k)] = true
 		}
-		c.sweep(nameKept + 2)
-		if len(c.roster.known) != 0 || len(c.seats[4].told) != 0 || len(c.roster.shut) > shutMost {
-			t.Errorf("%d names, %d told, %d shut", len(c.roster.known), len(c.seats[4].told), len(c.roster.shut))
+		c.sweep(nameRetention + 2)
+		if len(c.replicas.known) != 0 || len(c.proxies[4].toldEjected) != 0 || len(c.replicas.forgottenEjections) > maxForgottenEjections {
+			t.Errorf("%d names, %d told, %d shut", len(c.replicas.known), len(c.proxies[4].toldEjected), len(c.replicas.forgottenEjections))
 		}
 		s.turns = []orders{{line(0, 2, 1)}}
-		if got := text(c.Turn(nameKept+3, []any{list(true, "xr")})); got != "1: x=1 +x" {
+		if got := text(c.Turn(nameRetention+3, []any{list(true, "xr")})); got != "1: x=1 +x" {
 			t.Errorf("after %d others: %s", others, got)
 		}
 	}
@@ -288,23 +288,23 @@
 func TestAPanicStartsAFreshModule(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.SetEjected{Replica: 1, Ejected: true}}, panics,
 		orders{line(0, 2, 1), line(0, 1, 1), control.Bind{Proxy: 4}}, panics, panics)
-	c.Turn(0, []any{list(true, "xr", "yr"), Joined{Stream: 1, Proxy: 4, Zone: "a", Rate: 3}})
+	c.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Rate: 3}})
 	o := c.Turn(1, []any{list(false, "yt")})
-	want := []control.Event{c.standing(), control.StreamOpened{Proxy: 4, Zone: 0, Rate: 3}}
-	if !strings.HasPrefix(o.Failed, "scripted at") || !reflect.DeepEqual(s.told, want) || c.Count.Renewed != 1 {
-		t.Errorf("told %+v after %.40q", s.told, o.Failed)
+	want := []control.Event{c.currentList(), control.StreamOpened{Proxy: 4, Zone: 0, Rate: 3}}
+	if !strings.HasPrefix(o.Panic, "scripted at") || !reflect.DeepEqual(s.told, want) || c.Counters.Restarts != 1 {
+		t.Errorf("told %+v after %.40q", s.told, o.Panic)
 	}
 	if got := text(o); got != "1: full x=1 y=1 +x +y" { // what the last module had withdrawn is let in again
 		t.Errorf("pushes %s", got)
 	}
-	if o = c.Turn(2, nil); o.Failed == "" || o.Wake != 2+renewPause {
+	if o = c.Turn(2, nil); o.Panic == "" || o.NextTurn != 2+restartDelay {
 		t.Errorf("a module that fails at once: %+v", o)
 	}
 	s.turns, s.told = []orders{{control.SetEjected{Replica: 1, Ejected: true}}}, nil
-	if o = c.Turn(3, []any{Joined{Stream: 2, Proxy: 5, Zone: "b"}}); s.told != nil || o.Wake != 2+renewPause {
+	if o = c.Turn(3, []any{StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}}); s.told != nil || o.NextTurn != 2+restartDelay {
 		t.Errorf("asked while it rests: %+v", o)
 	}
-	if o = c.Turn(2+renewPause, nil); len(s.told) != 3 || text(o) != "1: -x; 2: -x" {
+	if o = c.Turn(2+restartDelay, nil); len(s.told) != 3 || text(o) != "1: -x; 2: -x" {
 		t.Errorf("told %+v, pushes %s", s.told, text(o))
 	}
 }
@@ -314,7 +314,7 @@
 func TestWhoOwesAnAnswerInSilenceHasLeft(t *testing.T) {
 	mark := control.RequestAck{Nonce: 1}
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, mark})
-	c.Turn(5, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "b"}, Joined{Stream: 2, Proxy: 5, Zone: "b"}, Joined{Stream: 3, Proxy: 6, Zone: "b"}})
+	c.Turn(5, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 6, Zone: "b"}})
 	for _, step := range []struct {
 		at     int64
 		notes  []any
@@ -322,20 +322,20 @@
 		told   []control.Event
 		want   string
 	}{
-		{4 + silenceLeast/2, []any{Spoke{3}}, nil, nil, ""},
-		{5 + silenceLeast/2, []any{Demand{2, "read", control.Demand{Proxy: 5}}}, nil, []control.Event{control.Demand{Proxy: 5}}, ""},
-		{5 + silenceLeast, nil, nil, nil, ""},
-		{6 + silenceLeast, nil, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
-		{7 + silenceLeast, nil, orders{control.SetEjected{Replica: 1, Ejected: true}, mark}, nil, "1: -x #1; 2: -x #1; 3: -x #1"},
-		{8 + silenceLeast, []any{Answered{Stream: 1, Mark: 1}}, nil, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, ""},
-		{9 + silenceLeast, []any{Answered{Stream: 2, Mark: 1}, Answered{Stream: 3, Mark: 1}}, nil,
+		{4 + minSilenceTimeout/2, []any{StreamActive{3}}, nil, nil, ""},
+		{5 + minSilenceTimeout/2, []any{Demand{2, "read", control.Demand{Proxy: 5}}}, nil, []control.Event{control.Demand{Proxy: 5}}, ""},
+		{5 + minSilenceTimeout, nil, nil, nil, ""},
+		{6 + minSilenceTimeout, nil, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
+		{7 + minSilenceTimeout, nil, orders{control.SetEjected{Replica: 1, Ejected: true}, mark}, nil, "1: -x #1; 2: -x #1; 3: -x #1"},
+		{8 + minSilenceTimeout, []any{Ack{Stream: 1, Nonce: 1}}, nil, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, ""},
+		{9 + minSilenceTimeout, []any{Ack{Stream: 2, Nonce: 1}, Ack{Stream: 3, Nonce: 1}}, nil,
 			[]control.Event{control.Ack{Proxy: 5, Nonce: 1}, control.Ack{Proxy: 6, Nonce: 1}}, ""},
-		{9 + 2*silenceLeast, nil, orders{mark}, nil, ""},
-		{9 + 9*silenceLeast, []any{Left{1}}, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
+		{9 + 2*minSilenceTimeout, nil, orders{mark}, nil, ""},
+		{9 + 9*minSilenceTimeout, []any{StreamClosed{1}}, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
 	} {
 		s.turns = []orders{step.orders}
 		o := c.Turn(step.at, step.notes)
-		o.Pushes = slices.DeleteFunc(o.Pushes, func(s Sent) bool { return s.Push.Mark >= asksFrom }) // see ask
+		o.Updates = slices.DeleteFunc(o.Updates, func(s OutgoingUpdate) bool { return s.Update.Nonce >= ownNonceOffset }) // see ask
 		if got := text(o); got != step.want || !reflect.DeepEqual(s.told, step.told) {
 			t.Errorf("at %d: told %+v, pushes %s", step.at, s.told, got)
 		}
@@ -353,17 +353,17 @@
 func TestLateTimersDoNotPileUp(t *testing.T) {
 	wake := control.SetTimer{Timer: 3, After: 10}
 	c, s := core(orders{wake, control.SetTimer{Timer: 3, After: 20}, control.SetTimer{After: 50}}, orders{wake}, nil, nil)
-	if o := c.Turn(0, nil); o.Wake != 10 {
-		t.Errorf("due at %d", o.Wake)
+	if o := c.Turn(0, nil); o.NextTurn != 10 {
+		t.Errorf("due at %d", o.NextTurn)
 	}
-	if o := c.Turn(9, nil); o.Wake != 10 || len(s.told) != 0 {
-		t.Errorf("due at %d, told %v", o.Wake, s.told)
+	if o := c.Turn(9, nil); o.NextTurn != 10 || len(s.told) != 0 {
+		t.Errorf("due at %d, told %v", o.NextTurn, s.told)
 	}
 	if c.Turn(1000, nil); !slices.Equal(s.told, []control.Event{control.TimerFired{}, control.TimerFired{Timer: 3}}) {
 		t.Errorf("told %v", s.told)
 	}
-	if o := c.Turn(1001, nil); o.Wake != 0 || len(s.told) != 0 {
-		t.Errorf("due at %d, told %v", o.Wake, s.told)
+	if o := c.Turn(1001, nil); o.NextTurn != 0 || len(s.told) != 0 {
+		t.Errorf("due at %d, told %v", o.NextTurn, s.told)
 	}
 }
 
@@ -383,13 +383,13 @@
 				switch draw("note", 5) {
 				case 0, 1:
 					stream++
-					notes = append(notes, Joined{Stream: stream, Proxy: proxy, Zone: "b", Blank: draw("blank", 1) == 0})
+					notes = append(notes, StreamOpened{Stream: stream, Proxy: proxy, Zone: "b", Blank: draw("blank", 1) == 0})
 				case 2:
-					notes = append(notes, Left{Stream(draw("stream", int(stream)))})
+					notes = append(notes, StreamClosed{Stream(draw("stream", int(stream)))})
 				case 3:
-					notes = append(notes, Room{Stream(draw("stream", int(stream)))})
+					notes = append(notes, OutboxDrained{Stream(draw("stream", int(stream)))})
 				case 4:
-					notes = append(notes, Spoke{Stream(draw("stream", int(stream)))})
+					notes = append(notes, StreamActive{Stream(draw("stream", int(stream)))})
 				default:
 					notes = append(notes, list(false, string("xyz"[draw("member", 2)])+string("rtg"[draw("state", 2)])))
 				}
@@ -417,18 +417,18 @@
 			now += int64(draw("span", 6)) * 2e9
 			c.Turn(now, notes)
 			at := 0
-			for table, seats := range c.seated {
+			for table, seats := range c.bound {
 				for proxy, s := range seats {
-					if at++; c.seats[proxy] != s || s.table != table {
+					if at++; c.proxies[proxy] != s || s.table != table {
 						t.Fatalf("%d sits at %d, not at %d", proxy, s.table, table)
 					}
 				}
 			}
-			if at != len(c.seats) {
-				t.Fatalf("%d seats of %d", at, len(c.seats))
+			if at != len(c.proxies) {
+				t.Fatalf("%d seats of %d", at, len(c.proxies))
 			}
-			for proxy, s := range c.seats {
-				if p, reached := c.push(s, &news{wholes: map[int]sheet{}, changes: map[int]sheet{}}, false); c.rest <= now && (reached || p.lines() > 0 || p.Anew) {
+			for proxy, s := range c.proxies {
+				if p, reached := c.buildUpdate(s, &turnChanges{fullTables: map[int]endpointList{}, changedTables: map[int]endpointList{}}, false); c.pausedUntil <= now && (reached || p.lineCount() > 0 || p.Resync) {
 					t.Fatalf("%d is still to be told %+v", proxy, p)
 				}
 			}
@@ -447,7 +447,7 @@
 // it is by then, once answers make room.
 func TestWhatTheChannelHasNoRoomForWaitsAndGoes(t *testing.T) {
 	c, s := tight(28, 0, orders{line(0, 1, 1), line(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}})
-	joined := []any{list(true, "xr", "yr"), Joined{Stream: 1, Proxy: 4, Zone: "a", Blank: true}, Joined{Stream: 2, Proxy: 5, Zone: "b", Blank: true}}
+	joined := []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Blank: true}}
 	steps := []struct {
 		notes  []any
 		orders orders
@@ -457,9 +457,9 @@
 		{nil, orders{line(0, 1, 2), control.RequestAck{Nonce: 2}}, "1: x=2 #2"},
 		{nil, orders{line(0, 1, 3), line(0, 2, 0.5), control.RequestAck{Nonce: 3}}, ""},
 		{nil, orders{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 4}}, ""},
-		{[]any{Answered{Stream: 1, Mark: 1}}, nil, "1: x=3 y=0.5 -y #4"},
-		{[]any{Answered{Stream: 2, Mark: 1}}, nil, "2: x=3 y=0.5 -y #4"},
-		{[]any{Answered{Stream: 1, Mark: 4}, Answered{Stream: 2, Mark: 4}}, nil, ""},
+		{[]any{Ack{Stream: 1, Nonce: 1}}, nil, "1: x=3 y=0.5 -y #4"},
+		{[]any{Ack{Stream: 2, Nonce: 1}}, nil, "2: x=3 y=0.5 -y #4"},
+		{[]any{Ack{Stream: 1, Nonce: 4}, Ack{Stream: 2, Nonce: 4}}, nil, ""},
 	}
 	for k, step := range steps {
 		s.turns = []orders{step.orders}
@@ -467,8 +467,8 @@
 			t.Errorf("turn %d: got  %s\nwant %s", k, got, step.want)
 		}
 	}
-	if c.account.Waits() != 0 || c.Count.Held == 0 {
-		t.Errorf("%d lines wait, %d were held", c.account.Waits(), c.Count.Held)
+	if c.account.Waits() != 0 || c.Counters.Enqueued == 0 {
+		t.Errorf("%d lines wait, %d were held", c.account.Waits(), c.Counters.Enqueued)
 	}
 }
 
@@ -478,12 +478,12 @@
 	c, s := tight(0, 3)
 	notes, sent := []any{list(true, "xr")}, 0
 	for k := range 40 {
-		notes = append(notes, Joined{Stream: Stream(k/10 + 1), Proxy: 4, Zone: "a"}, Room{Stream(k/10 + 1)})
+		notes = append(notes, StreamOpened{Stream: Stream(k/10 + 1), Proxy: 4, Zone: "a"}, OutboxDrained{Stream(k/10 + 1)})
 		s.turns = []orders{{line(0, 1, float64(k+1)), control.Bind{Proxy: 4}, control.RequestAck{Nonce: uint64(k)}}}
 		if k%7 == 3 {
 			s.turns = []orders{panics}
 		}
-		sent, notes = sent+len(c.Turn(int64(k)*1e7, notes).Pushes), nil
+		sent, notes = sent+len(c.Turn(int64(k)*1e7, notes).Updates), nil
 	}
 	if sent != 3 {
 		t.Errorf("%d messages in 10 s", sent)
@@ -498,14 +498,14 @@
 func TestWhoIsHeldIsStillNamed(t *testing.T) {
 	c, s := tight(11, 0, orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, orders{line(0, 1, 0), control.RequestAck{Nonce: 2}})
 	c.account.Rate = 1 // so slow that what is not answered is charged for a minute
-	c.Turn(1, []any{list(true, "xr", "yr"), Joined{Stream: 1, Proxy: 4, Zone: "a", Blank: true}})
+	c.Turn(1, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Blank: true}})
 	if got := text(c.Turn(2, []any{list(true, "yr")})); got != "" || len(s.turns) > 0 {
 		t.Fatalf("got %s", got)
 	}
-	for at := sweepPause; at <= nameKept+4*sweepPause; at += sweepPause { // it lives, but does not answer
-		c.Turn(at, []any{Spoke{1}})
+	for at := sweepInterval; at <= nameRetention+4*sweepInterval; at += sweepInterval { // it lives, but does not answer
+		c.Turn(at, []any{StreamActive{1}})
 	}
-	if got := text(c.Turn(nameKept+5*sweepPause, []any{Answered{Stream: 1, Mark: 1}})); got != "1: x=0 #2" {
+	if got := text(c.Turn(nameRetention+5*sweepInterval, []any{Ack{Stream: 1, Nonce: 1}})); got != "1: x=0 #2" {
 		t.Errorf("got %s", got)
 	}
 }
@@ -517,7 +517,7 @@
 	c.account = channel.New(channel.Bounds{Lines: 1 << 20, Rate: 100, Head: 4, Transit: 1e7}) // busy from 4 lines on
 	notes := []any{list(true, "xr", "yr")}
 	for proxy := 1; proxy <= 3; proxy++ {
-		notes = append(notes, Joined{Stream: Stream(proxy), Proxy: proxy, Zone: "a", Blank: true})
+		notes = append(notes, StreamOpened{Stream: Stream(proxy), Proxy: proxy, Zone: "a", Blank: true})
 	}
 	got := []string{text(c.Turn(1, notes))}
 	for k := range 100 {
@@ -528,9 +528,9 @@
 		t.Fatalf("while the channel is busy: %s", sent)
 	}
 	for _, step := range []struct {
-		answer Answered
+		answer Ack
 		want   string
-	}{{Answered{Stream: 1, Mark: 1}, "2: full x=99 #101"}, {Answered{Stream: 2, Mark: 101}, "3: full x=99 #101"}, {Answered{Stream: 3, Mark: 101}, "1: x=99 #101"}} {
+	}{{Ack{Stream: 1, Nonce: 1}, "2: full x=99 #101"}, {Ack{Stream: 2, Nonce: 101}, "3: full x=99 #101"}, {Ack{Stream: 3, Nonce: 101}, "1: x=99 #101"}} {
 		s.turns = nil
 		if got := text(c.Turn(1e9, []any{step.answer})); got != step.want {
 			t.Errorf("got %s, want %s", got, step.want)
@@ -543,15 +543,15 @@
 func TestMissingAnswersAreAskedFor(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
 	c.account = channel.New(channel.Bounds{Lines: 40, Rate: 100, Head: 4, Messages: 2, Span: 10e9, Transit: 1e8})
-	c.Turn(1e9, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "b"}})
-	if got := text(c.Turn(3e9, []any{Spoke{1}})); got != "" {
+	c.Turn(1e9, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	if got := text(c.Turn(3e9, []any{StreamActive{1}})); got != "" {
 		t.Errorf("after 2 s %s", got)
 	}
 	if got := text(c.Turn(3e9+1, nil)) + text(c.Turn(6e9, nil)); got != "1: #32775" {
 		t.Errorf("after more, once for all under a cap of 2: %s", got)
 	}
-	c.Turn(7e9, []any{Answered{Stream: 1, Mark: 32775}})
-	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.told, want) || c.account.Waits() != 0 || len(c.seats[4].marks) != 0 {
+	c.Turn(7e9, []any{Ack{Stream: 1, Nonce: 32775}})
+	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.told, want) || c.account.Waits() != 0 || len(c.proxies[4].unacked) != 0 {
 		t.Errorf("told %+v, %d lines wait", s.told, c.account.Waits())
 	}
 }
--- a/internal/governor/crossings_test.go
+++ b/internal/governor/crossings_test.go
@@ -20,11 +20,11 @@
 	} {
 		c, _ := core()
 		c.Turn(7, lists)
-		if l := c.standing(); len(l.Entries) != 1 || c.roster.known[l.Entries[0].Replica].name != "y" {
+		if l := c.currentList(); len(l.Entries) != 1 || c.replicas.known[l.Entries[0].Replica].name != "y" {
 			t.Errorf("%s: a fresh module is told of %+v", name, l.Entries)
 		}
-		if c.sweep(8 + nameKept); c.roster.numbers["x"] != 0 || c.roster.numbers["y"] == 0 {
-			t.Errorf("%s: names kept %v", name, c.roster.numbers)
+		if c.sweep(8 + nameRetention); c.replicas.numbers["x"] != 0 || c.replicas.numbers["y"] == 0 {
+			t.Errorf("%s: names kept %v", name, c.replicas.numbers)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 	up := func(m Member, since int64) Member { m.UpSince = since; return m }
 	x := list(false, "xr").Members[0]
 	gone := list(false, "xg").Members[0]
-	for name, lists := range map[string][]Listing{
+	for name, lists := range map[string][]ReplicaList{
 		"one list":  {{Members: []Member{gone, up(x, 900e9)}}},
 		"two lists": {{Members: []Member{gone}}, {Members: []Member{up(x, 900e9)}}},
 	} {
@@ -52,7 +52,7 @@
 				last = entry
 			}
 		}
-		if want := (control.Entry{Replica: 1, Zone: 1, Kind: 1, Weight: 1, Start: 900e9}); last != want || c.roster.known[1].State != control.Ready {
+		if want := (control.Entry{Replica: 1, Zone: 1, Kind: 1, Weight: 1, Start: 900e9}); last != want || c.replicas.known[1].State != control.Ready {
 			t.Errorf("%s: the module is told %+v last", name, last)
 		}
 	}
@@ -64,14 +64,14 @@
 	mark := func(n uint64) control.RequestAck { return control.RequestAck{Nonce: n} }
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, mark(2)}, orders{line(0, 1, 2), mark(3)}, panics,
 		orders{line(0, 1, 1), control.Bind{Proxy: 4}, mark(2)})
-	c.Turn(0, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "a", Blank: true}})
+	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Blank: true}})
 	c.Turn(1, nil)
-	if c.Turn(2, nil); c.Count.Renewed != 1 || c.account.Waits() == 0 {
-		t.Fatalf("renewed %d, %d lines wait", c.Count.Renewed, c.account.Waits())
+	if c.Turn(2, nil); c.Counters.Restarts != 1 || c.account.Waits() == 0 {
+		t.Fatalf("renewed %d, %d lines wait", c.Counters.Restarts, c.account.Waits())
 	}
 	for k, want := range [][]control.Event{nil, nil, {control.Ack{Proxy: 4, Nonce: 2}}} { // the old 2 and 3, then the new 2
 		at := uint64([]int{2, 3, 2}[k])
-		if c.Turn(int64(3+k), []any{Answered{Stream: 1, Mark: at}}); !reflect.DeepEqual(s.told, want) {
+		if c.Turn(int64(3+k), []any{Ack{Stream: 1, Nonce: at}}); !reflect.DeepEqual(s.told, want) {
 			t.Errorf("answer %d to mark %d: told %+v", k, at, s.told)
 		}
 	}
@@ -84,25 +84,27 @@
 // and tells the module nothing.
 func TestAnAnswerByAStreamThatWasReplaced(t *testing.T) {
 	bind := orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}
-	joined := func(stream Stream) Joined { return Joined{Stream: stream, Proxy: 4, Zone: "a", Blank: true} }
+	joined := func(stream Stream) StreamOpened {
+		return StreamOpened{Stream: stream, Proxy: 4, Zone: "a", Blank: true}
+	}
 	c, s := core(bind, orders{control.Bind{Proxy: 4}, control.RequestAck{Nonce: 2}})
 	c.Turn(0, []any{list(true, "xr"), joined(1)})
 	o := c.Turn(1, []any{joined(2)})
-	if waits := c.account.Waits(); len(o.End) != 1 || o.End[0] != 1 || text(o) != "2: full x=1 #2" || waits == 0 {
-		t.Fatalf("ended %v, %s", o.End, text(o))
+	if waits := c.account.Waits(); len(o.CloseStreams) != 1 || o.CloseStreams[0] != 1 || text(o) != "2: full x=1 #2" || waits == 0 {
+		t.Fatalf("ended %v, %s", o.CloseStreams, text(o))
 	}
-	for _, n := range []any{Answered{Stream: 1, Mark: 1}, Answered{Stream: 1, Mark: 2}, Left{1}} {
+	for _, n := range []any{Ack{Stream: 1, Nonce: 1}, Ack{Stream: 1, Nonce: 2}, StreamClosed{1}} {
 		waits := c.account.Waits()
-		if c.Turn(2, []any{n}); s.told != nil || c.account.Waits() != waits || c.seats[4] == nil || c.seats[4].id != 2 {
+		if c.Turn(2, []any{n}); s.told != nil || c.account.Waits() != waits || c.proxies[4] == nil || c.proxies[4].id != 2 {
 			t.Errorf("%+v: told %+v, %d lines of %d wait", n, s.told, c.account.Waits(), waits)
 		}
 	}
 	// Its end before the joining of the next, all in one turn, in either order: one proxy, by the later stream.
-	for _, notes := range [][]any{{Left{2}, joined(3)}, {joined(4), Left{3}}, {joined(6), joined(5)}, {Left{4}, Left{6}, joined(7), Left{7}, joined(8)}} {
+	for _, notes := range [][]any{{StreamClosed{2}, joined(3)}, {joined(4), StreamClosed{3}}, {joined(6), joined(5)}, {StreamClosed{4}, StreamClosed{6}, joined(7), StreamClosed{7}, joined(8)}} {
 		c.Turn(3, notes)
 	}
-	if len(c.streams) != 1 || len(c.seats) != 1 || c.seats[4].id != 8 {
-		t.Errorf("seats %v, streams %v", c.seats, c.streams)
+	if len(c.streams) != 1 || len(c.proxies) != 1 || c.proxies[4].id != 8 {
+		t.Errorf("seats %v, streams %v", c.proxies, c.streams)
 	}
 }
 
@@ -118,9 +120,9 @@
 	}{{1800, 1200, 250e6, 10e9, "10 s are enough"}, {4000, 1000, 500e6, 23e9, "4 s of lines, five times as slow, there and back, and a stall"}} {
 		s := &script{turns: []orders{{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}}}
 		names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, Kinds: []string{"m1"}}
-		c := New(func() Module { return s }, NewCensus(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}},
+		c := New(func() Module { return s }, NewTopology(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}},
 			ChannelLimit: w.lines, ChannelRate: w.rate, MaxTransit: w.transit}))
-		c.Turn(5, []any{list(true, "xr"), Joined{Stream: 1, Proxy: 4, Zone: "a"}})
+		c.Turn(5, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
 		if c.Turn(5+w.longest, nil); s.told != nil {
 			t.Errorf("%s: told %+v in time", w.description, s.told)
 		}
--- /dev/null
+++ b/internal/governor/messages.go
@@ -0,0 +1,122 @@
+package governor
+
+import (
+	"lilacbend/control"
+	"lilacbend/internal/memory"
+)
+
+// This file holds what comes in and what goes out, with names as the peers write them.
+
+// Stream is one connection of one proxy, numbered by whoever took it in.
+type Stream uint64
+
+// Inputs of a turn.
+type (
+	// StreamOpened: a proxy has joined by this stream; Blank: it holds no assigned table.
+	StreamOpened struct {
+		Stream Stream
+		Proxy  int
+		Zone   string
+		Rate   float64
+		Blank  bool
+	}
+	// StreamClosed: the stream has ended.
+	StreamClosed struct{ Stream Stream }
+	// Ack: the proxy of the stream has applied all up to the nonce.
+	Ack struct {
+		Stream Stream
+		Nonce  uint64
+		Delay  int64
+	}
+	// Outcomes sums the attempts of a zone's proxies at a replica.
+	Outcomes struct {
+		Zone, Replica string
+		control.Outcomes
+	}
+	// Demand sums the requests that came to a proxy; Stream is 0 when a collector told it.
+	Demand struct {
+		Stream Stream
+		Class  string
+		control.Demand
+	}
+	// ReplicaList is an answer of discovery, read at a time that both clocks showed as At and Wall.
+	ReplicaList struct {
+		Revision int64
+		Complete bool
+		Members  []Member
+		At, Wall int64
+	}
+	// Member is one replica of a list.
+	Member struct {
+		ID, Zone, Kind string
+		Address, Cell  string // not for the core
+		State          control.State
+		Unusable       bool // its state could not be read
+		Weight         float64
+		UpSince        int64 // by the wall clock; 0: long ago
+	}
+	// StreamActive: something came on the stream that could not be used.
+	StreamActive struct{ Stream Stream }
+	// MessageSent: all of the message of so many has gone out on the stream.
+	MessageSent struct{ Number uint64 }
+	// OutboxDrained: a stream's outbox was full, and has been emptied.
+	OutboxDrained struct{ Stream Stream }
+)
+
+// Update is one message to one proxy. A full one replaces the table and all admissions.
+type Update struct {
+	Full       bool
+	Resync     bool               // the whole state, as earlier updates were lost
+	Endpoints  []WeightedEndpoint // shared between updates: not to be changed
+	Ejected    []string
+	Restored   []string
+	Admissions []Admission
+	WantsAck   bool
+	Nonce      uint64
+}
+
+// WeightedEndpoint is a replica in the table of a proxy. Weight 0 removes it.
+type WeightedEndpoint struct {
+	Replica string
+	Weight  float64
+}
+
+// Admission is how much of a traffic class a proxy admits, and when it retries.
+type Admission struct {
+	Class   string
+	Share   float64
+	Retries control.RetryPolicy
+}
+
+// OutgoingUpdate is an update, the stream it is for, and its number in the channel's account.
+type OutgoingUpdate struct {
+	Stream Stream
+	Update Update
+	Number uint64
+}
+
+// TurnResult is what a turn asks for.
+type TurnResult struct {
+	Updates      []OutgoingUpdate
+	CloseStreams []Stream // replaced by newer streams of the same proxies
+	NextTurn     int64    // when the next turn is due at the latest, if above 0
+	Logs         []string
+	Panic        string // the module panicked: what it said
+	// What the module has learned, now and then. Not to be changed; Governor and Taken are for the caller to fill.
+	Snapshot *memory.Memory
+	// What became of the settings that came with this turn.
+	Configured []Configured
+}
+
+// Counters is what the core has counted so far.
+type Counters struct {
+	Turns, Joins, Leaves, Answers, Outcomes, Demands, Lists    int64 // taken in
+	Updates, LinesOrdered, LinesSent, AckRequests, FullTables  int64 // sent; FullTables: as bindings or once more
+	Strange, Stale, Silent, Replaced, Restarts, Names, Proxies int64
+	Restored                                                   int64 // replicas of which something was remembered
+	OwnAckRequests                                             int64 // nonces of the core's own, as answers were missing
+	Enqueued                                                   int64 // messages that waited for room in the channel or under a proxy's cap
+	Channel, Waiting                                           int64 // now: lines charged to the channel, streams with pending changes
+	Configurations, ConfigurationsRefused                      int64 // put in force, not
+	BareRestarts                                               int64 // modules started once more, without what was learned
+}
--- a/internal/governor/partial.go
+++ b/internal/governor/partial.go
@@ -7,36 +7,36 @@
 	"lilacbend/control"
 )
 
-// This file keeps streams that have been given a part of their table. Which part, and when the rest follows, is ordered by
+// This file keeps streams that have been given a part of their table. Which part, and when the rest follows, is decided by
 // the module.
 
-// bind puts a stream on a table, or orders the rest of the table that it has a part of.
+// bind binds a stream to a table, or has the rest sent of the table that it has a part of.
 func (c *Core) bind(s *stream, table int) {
-	if s.table == table && s.part != nil && !s.whole {
-		s.rest = true
-		c.due[s.joined.Proxy] = s
+	if s.table == table && s.partial != nil && !s.needsFull {
+		s.restDue = true
+		c.due[s.opened.Proxy] = s
 		return
 	}
-	c.sit(s, table)
-	s.whole = true
+	c.attach(s, table)
+	s.needsFull = true
 }
 
-// bindPart puts a stream on a part of a table.
+// bindPart binds a stream to a part of a table.
 func (c *Core) bindPart(s *stream, order control.BindPart) {
-	c.sit(s, order.Table)
-	s.whole, s.first, s.sure = true, order.Replicas, order.Restored
-	s.part = map[uint32]bool{}
+	c.attach(s, order.Table)
+	s.needsFull, s.partOrder, s.restoredCount = true, order.Replicas, order.Restored
+	s.partial = map[uint32]bool{}
 	for _, id := range order.Replicas {
-		s.part[id] = true
+		s.partial[id] = true
 	}
 }
 
-// usable says whether a replica has a line in the stream's table and is not withdrawn.
-func (c *Core) usable(s *stream, id uint32) bool { return c.tables[s.table][id] > 0 && !c.out[id] }
+// usable says whether a replica is in the stream's table and is not ejected.
+func (c *Core) usable(s *stream, id uint32) bool { return c.tables[s.table][id] > 0 && !c.ejected[id] }
 
-// partLeft says whether a stream has a part of its table of which something can still be used.
-func (c *Core) partLeft(s *stream) bool {
-	for id := range s.part {
+// partUsable says whether a stream has a part of its table of which something can still be used.
+func (c *Core) partUsable(s *stream) bool {
+	for id := range s.partial {
 		if c.usable(s, id) {
 			return true
 		}
@@ -44,59 +44,61 @@
 	return false
 }
 
-// bare says whether nothing is left to a stream of the part that it has.
-func (c *Core) bare(s *stream) bool { return s.part != nil && !c.partLeft(s) }
+// partUnusable says whether nothing is left to a stream of the part that it has.
+func (c *Core) partUnusable(s *stream) bool { return s.partial != nil && !c.partUsable(s) }
 
-// restGoes says whether the rest of a table goes with the next message.
-func (c *Core) restGoes(s *stream, urgent bool) bool { return s.rest && (!urgent || c.bare(s)) }
+// sendsRest says whether the rest of a table goes with the next message.
+func (c *Core) sendsRest(s *stream, urgent bool) bool {
+	return s.restDue && (!urgent || c.partUnusable(s))
+}
 
-// firstPart makes the first message of a part, in the order in which it was given: what has been withdrawn or removed
+// firstOfPart makes the first message of a part, in the order in which it was given: what has been ejected or removed
 // since is left out.
-func (c *Core) firstPart(s *stream) sheet {
+func (c *Core) firstOfPart(s *stream) endpointList {
 	var usable []uint32
-	s.part = map[uint32]bool{}
-	for _, id := range s.first {
+	s.partial = map[uint32]bool{}
+	for _, id := range s.partOrder {
 		if c.usable(s, id) {
 			usable = append(usable, id)
-			s.part[id] = true
+			s.partial[id] = true
 		}
 	}
-	return c.sheetOf(s.table, usable)
+	return c.endpointsIn(s.table, usable)
 }
 
-// remaining makes the rest of a table, with what is new of the part; from then on the stream has the whole table.
-func (c *Core) remaining(s *stream, n *news) sheet {
+// restOfTable makes the rest of a table, with what is new of the part; from then on the stream has the whole table.
+func (c *Core) restOfTable(s *stream, n *turnChanges) endpointList {
 	ids := map[uint32]bool{}
 	for id := range c.tables[s.table] {
-		if _, sure := s.told[id]; !s.part[id] || n.lines[s.table][id] || !sure && !s.blank {
+		if _, sure := s.toldEjected[id]; !s.partial[id] || n.endpoints[s.table][id] || !sure && !s.blank {
 			ids[id] = true
 		}
 	}
-	for id := range n.lines[s.table] {
-		if s.part[id] {
+	for id := range n.endpoints[s.table] {
+		if s.partial[id] {
 			ids[id] = true
 		}
 	}
-	s.part, s.rest = nil, false
-	return c.sheetOf(s.table, slices.Sorted(maps.Keys(ids)))
+	s.partial, s.restDue = nil, false
+	return c.endpointsIn(s.table, slices.Sorted(maps.Keys(ids)))
 }
 
-// changed makes what is new of a part.
-func (c *Core) changed(s *stream, n *news) sheet {
+// changesOfPart makes what is new of a part.
+func (c *Core) changesOfPart(s *stream, n *turnChanges) endpointList {
 	ids := map[uint32]bool{}
-	for id := range n.lines[s.table] {
-		if s.part[id] {
+	for id := range n.endpoints[s.table] {
+		if s.partial[id] {
 			ids[id] = true
 		}
 	}
-	return c.sheetOf(s.table, slices.Sorted(maps.Keys(ids)))
+	return c.endpointsIn(s.table, slices.Sorted(maps.Keys(ids)))
 }
 
-// sheetOf lists replicas with their weights in a table.
-func (c *Core) sheetOf(table int, ids []uint32) sheet {
-	t := sheet{ids: ids}
+// endpointsIn lists replicas with their weights in a table.
+func (c *Core) endpointsIn(table int, ids []uint32) endpointList {
+	t := endpointList{ids: ids}
 	for _, id := range ids {
-		t.lines = append(t.lines, Line{c.roster.known[id].name, c.tables[table][id]})
+		t.endpoints = append(t.endpoints, WeightedEndpoint{c.replicas.known[id].name, c.tables[table][id]})
 	}
 	return t
 }
--- a/internal/governor/partial_test.go
+++ b/internal/governor/partial_test.go
@@ -13,7 +13,7 @@
 		orders orders
 		want   string
 	}{
-		{[]any{list(true, "xr", "yr", "zr", "vr"), Joined{Stream: 1, Proxy: 4, Zone: "a"}},
+		{[]any{list(true, "xr", "yr", "zr", "vr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}},
 			orders{line(0, 1, 1), line(0, 2, 0.5), line(0, 3, 2), line(0, 4, 1),
 				control.BindPart{Proxy: 4, Replicas: []uint32{2, 1}, Restored: 1}, control.RequestAck{Nonce: 1}}, "1: full y=0.5 x=1 +y #1"},
 		{nil, orders{line(0, 3, 3), control.RequestAck{Nonce: 2}}, ""},
--- a/internal/governor/reconfigure_test.go
+++ b/internal/governor/reconfigure_test.go
@@ -106,8 +106,8 @@
 			worlds = append(worlds, w)
 		}
 		a, b := worlds[0], worlds[1]
-		if a.core.Count.Pushes != b.core.Count.Pushes || a.core.Count.LinesSent != b.core.Count.LinesSent || b.core.Count.Configurations != 5 {
-			t.Fatalf("seed %d: %d messages of %d lines, and %d of %d with the changes", seed, a.core.Count.Pushes, a.core.Count.LinesSent, b.core.Count.Pushes, b.core.Count.LinesSent)
+		if a.core.Counters.Updates != b.core.Counters.Updates || a.core.Counters.LinesSent != b.core.Counters.LinesSent || b.core.Counters.Configurations != 5 {
+			t.Fatalf("seed %d: %d messages of %d lines, and %d of %d with the changes", seed, a.core.Counters.Updates, a.core.Counters.LinesSent, b.core.Counters.Updates, b.core.Counters.LinesSent)
 		}
 		for k := range a.proxies {
 			if fmt.Sprint(a.proxies[k].lines, a.proxies[k].shut) != fmt.Sprint(b.proxies[k].lines, b.proxies[k].shut) {
@@ -139,8 +139,8 @@
 		t.Error(wrong, w.core.Configuration())
 	}
 	control.settle(20 * second)
-	if got, want := w.core.Count, control.core.Count; got.Whole != want.Whole || got.LinesSent != want.LinesSent {
-		t.Errorf("%d whole tables and %d lines, without the change %d and %d", got.Whole, got.LinesSent, want.Whole, want.LinesSent)
+	if got, want := w.core.Counters, control.core.Counters; got.FullTables != want.FullTables || got.LinesSent != want.LinesSent {
+		t.Errorf("%d whole tables and %d lines, without the change %d and %d", got.FullTables, got.LinesSent, want.FullTables, want.LinesSent)
 	}
 }
 
@@ -178,7 +178,7 @@
 					}
 				}
 			}
-			if wrong := w.settle(30 * second); wrong != "" || len(w.core.Turn(w.now, nil).End) > 0 {
+			if wrong := w.settle(30 * second); wrong != "" || len(w.core.Turn(w.now, nil).CloseStreams) > 0 {
 				t.Error(wrong)
 			}
 		})
--- a/internal/governor/remember.go
+++ b/internal/governor/snapshot.go
@@ -10,44 +10,44 @@
 
 // This file turns what the module has learned into a memory by names, and a memory into what a module is told.
 
-// keepEvery is how often the module is asked what it has learned where nothing else is said: a fresh module
+// defaultSnapshotInterval is how often the module is asked what it has learned where nothing else is said: a fresh module
 // after a panic starts from there, and a few seconds cost it little of what it knows.
-const keepEvery = int64(5 * 1e9)
+const defaultSnapshotInterval = int64(5 * 1e9)
 
-// settleSpan is for how long a governor that began from a memory leaves that one in place: until its proxies have
-// joined and a span of their flows has come, what it could say instead would know less. One that is killed again and
+// settleTime is for how long a governor that began from a memory leaves that one in place: until its proxies have
+// joined and a span of their requests has come, what it could say instead would know less. One that is killed again and
 // again then goes on from the last whole one, at its true age.
-const settleSpan = int64(10 * 1e9)
+const settleTime = int64(10 * 1e9)
 
-// halfLifeUsual is that of what was learned where nothing else is said: most troubles of a replica pass in minutes.
-const halfLifeUsual = int64(60 * 1e9)
+// defaultHalfLife is that of what was learned where nothing else is said: most troubles of a replica pass in minutes.
+const defaultHalfLife = int64(60 * 1e9)
 
-// Recall is a note: what an earlier governor had learned, fitted to this place. It comes before the first list.
-type Recall struct{ Past *memory.Past }
+// SnapshotRestored is an input: what an earlier governor had learned, fitted to this place. It comes before the first list.
+type SnapshotRestored struct{ Snapshot *memory.Past }
 
 // Place is what a memory has to fit.
-func (c Census) Place() memory.Place {
+func (c Topology) Place() memory.Place {
 	return memory.Place{Groups: c.names.Classes, Kinds: c.names.Kinds, Proxies: c.proxies}
 }
 
 // Remember has the module asked for what it has learned every so long; halfLife is that of what is learned.
-func (c *Core) Remember(every, halfLife int64) { c.every, c.halfLife = every, halfLife }
+func (c *Core) Remember(every, halfLife int64) { c.snapshotInterval, c.halfLife = every, halfLife }
 
-// past is what a fresh module is told: what its predecessor here had learned, or what was brought.
-func (c *Core) past() *memory.Past {
-	if c.last != nil {
-		return c.last
+// lastLearned is what a fresh module is told: what its predecessor here had learned, or what was brought.
+func (c *Core) lastLearned() *memory.Past {
+	if c.lastSnapshot != nil {
+		return c.lastSnapshot
 	}
-	return c.brought
+	return c.restored
 }
 
-// recalled tells what is known of the replicas of a list.
-func (c *Core) recalled(past *memory.Past, entries []control.Entry, now int64) (all []control.Event) {
+// restoredReplicas tells what is known of the replicas of a list.
+func (c *Core) restoredReplicas(past *memory.Past, entries []control.Entry, now int64) (all []control.Event) {
 	if past == nil {
 		return nil
 	}
 	for _, e := range entries {
-		m := c.roster.known[e.Replica]
+		m := c.replicas.known[e.Replica]
 		if m == nil || e.State == control.Gone {
 			continue
 		}
@@ -55,22 +55,22 @@
 		if weight == 0 {
 			continue
 		}
-		c.Count.Recalled++
+		c.Counters.Restored++
 		all = append(all, control.ReplicaRestored{Weight: weight, Age: age, LearnedReplica: control.LearnedReplica{Replica: e.Replica, Table: r.Table,
 			Ticket: r.Ticket, Speed: r.Speed, SampleCount: r.Evidence, EjectedFor: r.Rest, Probation: r.Trial, Ejections: r.Relapses, SinceLastSample: r.Idle}})
 	}
 	return all
 }
 
-// fleet tells what is known of all together.
-func (c *Core) fleet(past *memory.Past, now int64) []control.Event {
+// restoredFleet tells what is known of all together.
+func (c *Core) restoredFleet(past *memory.Past, now int64) []control.Event {
 	if past == nil || past.Weight(now) == 0 {
 		return nil
 	}
 	f := control.LearnedFleet{Tables: past.Tables, Bindings: past.Seats, AdmissionThreshold: past.Line, MaxSuccessRate: past.Served, RetriesStopped: past.Once,
 		UsualResponseTimes: make([][]float64, c.kinds+1)}
 	for _, calm := range past.Calm {
-		if k := c.kind(calm.Kind); k >= 0 {
+		if k := c.kindIndex(calm.Kind); k >= 0 {
 			f.UsualResponseTimes[k] = calm.Answers
 		}
 	}
@@ -82,21 +82,21 @@
 	return []control.Event{control.FleetRestored{LearnedFleet: f, Weight: past.Weight(now)}}
 }
 
-// kind is the number of a kind in the order of LearnedFleet.UsualResponseTimes, below 0 where there is no such kind.
-func (c Census) kind(name string) int {
+// kindIndex is the number of a kind in the order of LearnedFleet.UsualResponseTimes, below 0 where there is no such kind.
+func (c Topology) kindIndex(name string) int {
 	if name == "" {
 		return c.kinds
 	}
 	return slices.Index(c.names.Kinds, name)
 }
 
-// learned turns what the module has learned into a memory, adds what was brought of replicas that are not
+// snapshot turns what the module has learned into a memory, adds what was brought of replicas that are not
 // listed, and keeps it for a fresh module.
-func (c *Core) learned(l control.Snapshot, now int64) memory.Memory {
+func (c *Core) snapshot(l control.Snapshot, now int64) memory.Memory {
 	m := memory.Memory{Revision: c.revision, Groups: c.names.Classes, Tables: l.Tables, Seats: l.Bindings, Line: l.AdmissionThreshold,
 		Served: l.MaxSuccessRate, Once: l.RetriesStopped}
 	for _, k := range l.Replicas {
-		r := c.roster.known[k.Replica]
+		r := c.replicas.known[k.Replica]
 		if r == nil || r.State == control.Gone {
 			continue
 		}
@@ -117,16 +117,16 @@
 			m.Usage = append(m.Usage, memory.Usage{Proxy: u.Proxy, Group: c.names.Classes[u.Class], Rate: u.Rate})
 		}
 	}
-	if c.brought != nil {
-		m = memory.Merge(m, c.brought.Memory, c.brought.Age(now), c.halfLife)
+	if c.restored != nil {
+		m = memory.Merge(m, c.restored.Memory, c.restored.Age(now), c.halfLife)
 	}
-	c.last = memory.NewPast(m, now, 0, c.halfLife)
+	c.lastSnapshot = memory.NewPast(m, now, 0, c.halfLife)
 	return m
 }
 
-// ListFrom makes a listing of the members of a memory, for a start at which discovery may not answer.
-func ListFrom(m memory.Memory) Listing {
-	l := Listing{Revision: m.Revision, Whole: true}
+// ListFromSnapshot makes a list of the members of a memory, for a start at which discovery may not answer.
+func ListFromSnapshot(m memory.Memory) ReplicaList {
+	l := ReplicaList{Revision: m.Revision, Complete: true}
 	for _, r := range m.Replicas {
 		if r.State != control.Gone {
 			l.Members = append(l.Members, Member{ID: r.ID, Zone: r.Zone, Kind: r.Kind, State: r.State, Weight: r.Size, UpSince: r.UpSince})
@@ -135,12 +135,12 @@
 	return l
 }
 
-// Last is what the module has learned, asked for once more at the end; nil where it fails, or knows less than what
+// FinalSnapshot is what the module has learned, asked for once more at the end; nil where it fails, or knows less than what
 // it began from.
-func (c *Core) Last(now int64) *memory.Memory {
-	if now < c.settled {
+func (c *Core) FinalSnapshot(now int64) *memory.Memory {
+	if now < c.settledAt {
 		return nil
 	}
-	c.asked = now - c.every
-	return c.Turn(now, nil).Learned
+	c.snapshotRequestedAt = now - c.snapshotInterval
+	return c.Turn(now, nil).Snapshot
 }
--- a/internal/governor/remember_test.go
+++ b/internal/governor/snapshot_test.go
@@ -11,7 +11,7 @@
 func past(at, age int64, replicas ...memory.Replica) *memory.Past {
 	m := memory.Memory{Tables: 2, Line: 0.5, Replicas: replicas, Calm: []memory.Calm{{Kind: "m2", Answers: []float64{0.1}}, {Answers: []float64{0.2}}, {Kind: "m9", Answers: []float64{9}}},
 		Usage: []memory.Usage{{Proxy: 4, Group: "order", Rate: 3}}, Seats: []control.Binding{{Proxy: 4, Table: 1}}}
-	return memory.NewPast(m, at, age, halfLifeUsual)
+	return memory.NewPast(m, at, age, defaultHalfLife)
 }
 
 func learned(speed float64) orders {
@@ -40,24 +40,24 @@
 func TestWhatWasBroughtIsToldOnceAReplicaIsListed(t *testing.T) {
 	c, s := remembering()
 	x := memory.Replica{ID: "x", Zone: "b", Kind: "m2", Speed: 0.5, Evidence: 9, Table: 1}
-	c.Turn(100e9, []any{Recall{past(100e9, halfLifeUsual, x)}, list(true, "yr")})
+	c.Turn(100e9, []any{SnapshotRestored{past(100e9, defaultHalfLife, x)}, list(true, "yr")})
 	all, fleet := recalledIn(s.told)
 	if _, first := s.told[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
 		!reflect.DeepEqual(fleet[0].UsualResponseTimes, [][]float64{nil, {0.1}, nil, {0.2}}) || !reflect.DeepEqual(fleet[0].Usage, []control.ClassRate{{Proxy: 4, Class: 1, Rate: 3}}) {
 		t.Errorf("told %+v", s.told)
 	}
-	c.Turn(100e9+halfLifeUsual, []any{list(false, "xr")}) // ages meanwhile
+	c.Turn(100e9+defaultHalfLife, []any{list(false, "xr")}) // ages meanwhile
 	all, _ = recalledIn(s.told)
-	want := []control.ReplicaRestored{{LearnedReplica: control.LearnedReplica{Replica: 2, Speed: 0.5, SampleCount: 9, Table: 1}, Weight: 0.25, Age: 2 * halfLifeUsual}}
+	want := []control.ReplicaRestored{{LearnedReplica: control.LearnedReplica{Replica: 2, Speed: 0.5, SampleCount: 9, Table: 1}, Weight: 0.25, Age: 2 * defaultHalfLife}}
 	if !reflect.DeepEqual(all, want) {
 		t.Errorf("told %+v", s.told)
 	}
 	again := list(false, "xt")
-	if c.Turn(100e9+halfLifeUsual, []any{again}); len(s.told) != 1 {
+	if c.Turn(100e9+defaultHalfLife, []any{again}); len(s.told) != 1 {
 		t.Errorf("told once more: %+v", s.told)
 	}
 	again.Members[0].UpSince = 999e9 // it has started since
-	if c.Turn(100e9+halfLifeUsual, []any{again}); len(s.told) != 1 || c.Count.Recalled != 1 {
+	if c.Turn(100e9+defaultHalfLife, []any{again}); len(s.told) != 1 || c.Counters.Restored != 1 {
 		t.Errorf("another start is taken for the remembered one: %+v", s.told)
 	}
 }
@@ -66,19 +66,19 @@
 	c, s := remembering(nil, nil, learned(0.25), panics)
 	x := memory.Replica{ID: "x", Zone: "b", Kind: "m2", Speed: 0.5, Evidence: 9}
 	z := memory.Replica{ID: "z", Zone: "b", Kind: "m2", Speed: 4, Evidence: 9}
-	c.Turn(100e9, []any{Recall{past(100e9, 0, x, z)}, list(true, "xr", "yr")})
-	if o := c.Turn(100e9+keepEvery, nil); o.Learned != nil || c.Last(100e9+settleSpan-1) != nil {
+	c.Turn(100e9, []any{SnapshotRestored{past(100e9, 0, x, z)}, list(true, "xr", "yr")})
+	if o := c.Turn(100e9+defaultSnapshotInterval, nil); o.Snapshot != nil || c.FinalSnapshot(100e9+settleTime-1) != nil {
 		t.Error("what was brought is overwritten by one who knows less")
 	}
-	o := c.Turn(100e9+settleSpan, nil)
-	if o.Learned == nil || len(o.Learned.Replicas) != 2 || o.Learned.Replicas[0].Speed != 0.25 || o.Learned.Replicas[1].ID != "z" ||
-		o.Learned.Replicas[1].Idle != settleSpan || len(o.Learned.Usage) != 1 || len(o.Learned.Calm) != 2 {
-		t.Fatalf("learned %+v", o.Learned)
+	o := c.Turn(100e9+settleTime, nil)
+	if o.Snapshot == nil || len(o.Snapshot.Replicas) != 2 || o.Snapshot.Replicas[0].Speed != 0.25 || o.Snapshot.Replicas[1].ID != "z" ||
+		o.Snapshot.Replicas[1].Idle != settleTime || len(o.Snapshot.Usage) != 1 || len(o.Snapshot.Calm) != 2 {
+		t.Fatalf("learned %+v", o.Snapshot)
 	}
-	o = c.Turn(100e9+settleSpan+halfLifeUsual, nil)
+	o = c.Turn(100e9+settleTime+defaultHalfLife, nil)
 	all, fleet := recalledIn(s.told)
-	if o.Failed == "" || len(all) != 1 || all[0].Speed != 0.25 || all[0].Weight != 0.5 || len(fleet) != 1 {
-		t.Errorf("told %+v after %.20q", s.told, o.Failed)
+	if o.Panic == "" || len(all) != 1 || all[0].Speed != 0.25 || all[0].Weight != 0.5 || len(fleet) != 1 {
+		t.Errorf("told %+v after %.20q", s.told, o.Panic)
 	}
 }
 
@@ -86,17 +86,17 @@
 func TestAModuleThatFailsByWhatItIsToldStartsBare(t *testing.T) {
 	c, s := remembering(nil, panics, panics, nil)
 	x := memory.Replica{ID: "x", Zone: "b", Kind: "m2", Speed: 0.5, Evidence: 9}
-	c.Turn(100e9, []any{Recall{past(100e9, 0, x)}, list(true, "xr")})
+	c.Turn(100e9, []any{SnapshotRestored{past(100e9, 0, x)}, list(true, "xr")})
 	o := c.Turn(101e9, nil)
-	if all, fleet := recalledIn(s.told); len(all)+len(fleet) != 0 || len(s.told) != 1 || c.Count.Bare != 1 || o.Wake != 0 {
-		t.Errorf("told %+v, %d bare, due %d", s.told, c.Count.Bare, o.Wake)
+	if all, fleet := recalledIn(s.told); len(all)+len(fleet) != 0 || len(s.told) != 1 || c.Counters.BareRestarts != 1 || o.NextTurn != 0 {
+		t.Errorf("told %+v, %d bare, due %d", s.told, c.Counters.BareRestarts, o.NextTurn)
 	}
 }
 
 func TestTheListOfAMemory(t *testing.T) {
 	m := memory.Memory{Revision: 7, Replicas: []memory.Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, Size: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
-	want := Listing{Revision: 7, Whole: true, Members: []Member{{ID: "x", Zone: "a", Kind: "m1", State: control.Draining, Weight: 2, UpSince: 5}}}
-	if got := ListFrom(m); !reflect.DeepEqual(got, want) {
+	want := ReplicaList{Revision: 7, Complete: true, Members: []Member{{ID: "x", Zone: "a", Kind: "m1", State: control.Draining, Weight: 2, UpSince: 5}}}
+	if got := ListFromSnapshot(m); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/governor/turn_bench_test.go
+++ b/internal/governor/turn_bench_test.go
@@ -68,7 +68,7 @@
 		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
 		w.provision.Classes = append(w.provision.Classes, control.TrafficClass{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable})
 	}
-	w.core = governor.New(func() governor.Module { return brain.New(w.provision) }, governor.NewCensus(w.settingNames(), w.provision))
+	w.core = governor.New(func() governor.Module { return brain.New(w.provision) }, governor.NewTopology(w.settingNames(), w.provision))
 	for k := range w.proxies {
 		w.join(k)
 	}
@@ -99,10 +99,10 @@
 	outcome := w.core.Turn(w.now, events)
 	took := time.Since(began)
 	w.used += threadTime() - usedBefore
-	w.pushes += len(outcome.Pushes)
-	for _, s := range outcome.Pushes {
-		w.lines += trueLines(s.Push)
-		w.notes = append(w.notes, governor.Written{Number: s.Number})
+	w.pushes += len(outcome.Updates)
+	for _, s := range outcome.Updates {
+		w.lines += trueLines(s.Update)
+		w.notes = append(w.notes, governor.MessageSent{Number: s.Number})
 		w.apply(message{proxy: int(s.Stream) - 1, sent: s}) // streams are numbered from 1 as the proxies join
 	}
 	return took
@@ -122,7 +122,7 @@
 // report adds what one turn of the shape is told.
 func (w *sizedWorld) report() {
 	for range w.shape.reports {
-		w.notes = append(w.notes, governor.Met{Zone: "a", Replica: w.names[w.Intn(len(w.names))], Outcomes: control.Outcomes{
+		w.notes = append(w.notes, governor.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))], Outcomes: control.Outcomes{
 			Attempts:     20,
 			Failures:     w.Intn(2),
 			ResponseTime: second/10 + int64(w.Intn(int(second/20))),
@@ -131,7 +131,7 @@
 	}
 	for range w.shape.demands {
 		proxy := w.Intn(len(w.proxies))
-		w.notes = append(w.notes, governor.Demand{Stream: w.proxies[proxy].stream, Group: w.classes[w.Intn(len(w.classes))],
+		w.notes = append(w.notes, governor.Demand{Stream: w.proxies[proxy].stream, Class: w.classes[w.Intn(len(w.classes))],
 			Demand: control.Demand{Proxy: proxy, Requests: 5, Period: second}})
 	}
 	if w.shape.changes > 0 {
@@ -260,7 +260,7 @@
 					w.join(k)
 				}
 				began := time.Now()
-				if o := w.core.Turn(w.now+tickInterval, w.notes); len(o.Pushes) == 0 {
+				if o := w.core.Turn(w.now+tickInterval, w.notes); len(o.Updates) == 0 {
 					b.Fatal("nobody is bound")
 				}
 				spans = append(spans, time.Since(began))
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -198,17 +198,17 @@
 		case <-s.lists.Bell():
 		}
 		for _, note := range s.lists.Take() {
-			l, ok := note.(governor.Listing)
+			l, ok := note.(governor.ReplicaList)
 			if !ok {
 				continue
 			}
 			members := map[string]forward.Listed{}
 			for _, m := range l.Members {
-				if !m.Odd {
+				if !m.Unusable {
 					members[m.ID] = forward.Listed{Zone: m.Zone, Cell: m.Cell, Address: m.Address, State: m.State}
 				}
 			}
-			s.list(l.Whole, members)
+			s.list(l.Complete, members)
 		}
 	}
 }
--- a/internal/streams/capacity_bench_test.go
+++ b/internal/streams/capacity_bench_test.go
@@ -77,9 +77,9 @@
 func BenchmarkPushWrittenByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{1, 10, 51, 655} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
-			p := governor.Push{Marked: true, Mark: 4711}
+			p := governor.Update{WantsAck: true, Nonce: 4711}
 			for k := range endpoints {
-				p.Lines = append(p.Lines, governor.Line{Replica: fmt.Sprintf("stock-7c9d4f5b8-%05d", k), Weight: 0.25 + float64(k%97)/101})
+				p.Endpoints = append(p.Endpoints, governor.WeightedEndpoint{Replica: fmt.Sprintf("stock-7c9d4f5b8-%05d", k), Weight: 0.25 + float64(k%97)/101})
 			}
 			pool, sent := resp.NewPool(1<<20), 0
 			for b.Loop() {
@@ -203,7 +203,7 @@
 
 func serveProxies(b *testing.B, l net.Listener, count int) (stop func()) {
 	p := control.Settings{Proxies: count, Classes: []control.TrafficClass{{Timeout: 3e9}}}
-	census := governor.NewCensus(settings.Names{Classes: []string{"read"}, Zones: []string{"a"}}, p)
+	census := governor.NewTopology(settings.Names{Classes: []string{"read"}, Zones: []string{"a"}}, p)
 	s := New(exchange.New(), resp.NewPool(24<<20), slog.New(slog.DiscardHandler), 4*count+100, census)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -162,7 +162,7 @@
 	p.server.exchange.Tally.Ended.Add(1)
 	if p.out != nil {
 		p.out.Close()
-		p.server.exchange.Tell(governor.Left{Stream: p.stream})
+		p.server.exchange.Tell(governor.StreamClosed{Stream: p.stream})
 	}
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
@@ -201,12 +201,12 @@
 	switch f.kind {
 	case "agent":
 		zone := f.zone()
-		if f.fault(p.server.census.Load().Collector(zone)); f.err == nil {
+		if f.fault(p.server.census.Load().CheckCollector(zone)); f.err == nil {
 			f.fault(p.server.name(p, collector, zone))
 		}
 	case "hello":
 		h := hello(f)
-		if f.fault(p.server.census.Load().Proxy(h)); f.err == nil {
+		if f.fault(p.server.census.Load().CheckProxy(h)); f.err == nil {
 			f.fault(p.server.name(p, proxy, ""))
 		}
 		if f.err == nil {
@@ -254,7 +254,7 @@
 	p.server.exchange.Tally.Skipped.Add(1)
 	p.server.complain("message skipped", err, "peer", p.role, "from", p.conn.RemoteAddr())
 	if p.role == proxy {
-		p.server.exchange.Tell(governor.Spoke{Stream: p.stream})
+		p.server.exchange.Tell(governor.StreamActive{Stream: p.stream})
 	}
 }
 
@@ -283,7 +283,7 @@
 		}
 		messages := [][]string{{"alive"}}
 		if !item.Alive {
-			messages = parts(item.Push)
+			messages = parts(item.Update)
 			tally.Pushes.Add(1)
 		}
 		for k, words := range messages {
--- a/internal/streams/server.go
+++ b/internal/streams/server.go
@@ -37,7 +37,7 @@
 	pool     *resp.Pool
 	log      *slog.Logger
 	most     int
-	census   atomic.Pointer[governor.Census]
+	census   atomic.Pointer[governor.Topology]
 
 	mu         sync.Mutex
 	peers      map[*peer]struct{}
@@ -49,7 +49,7 @@
 }
 
 // New makes a server that holds no more than so many descriptors.
-func New(x *exchange.Exchange, pool *resp.Pool, log *slog.Logger, descriptors int, census governor.Census) *Server {
+func New(x *exchange.Exchange, pool *resp.Pool, log *slog.Logger, descriptors int, census governor.Topology) *Server {
 	s := &Server{exchange: x, pool: pool, log: log, most: max(1, descriptors-descriptorsKept),
 		peers: map[*peer]struct{}{}, queue: list.New(), zones: map[string]*peer{},
 		complained: map[string]time.Time{}}
@@ -57,8 +57,8 @@
 	return s
 }
 
-// Reconfigure has those who join from now on checked by another census; who has joined stays.
-func (s *Server) Reconfigure(census governor.Census) { s.census.Store(&census) }
+// Reconfigure has those who join from now on checked by another topology; who has joined stays.
+func (s *Server) Reconfigure(census governor.Topology) { s.census.Store(&census) }
 
 // Serve accepts connections until ctx ends, then ends them all and waits for them.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
--- a/internal/streams/words.go
+++ b/internal/streams/words.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-// zone reads where a peer stands. It may be left out, as there are deployments without zones: the census knows.
+// zone reads where a peer stands. It may be left out, as there are deployments without zones: the topology knows.
 func (f *fields) zone() string {
 	name, _ := f.has("site")
 	return name
@@ -93,17 +93,17 @@
 
 func (f *fields) ms(name string) int64 { return control.Nanos(f.number(name)) }
 
-func hello(f *fields) governor.Joined {
+func hello(f *fields) governor.StreamOpened {
 	blank, _ := f.has("new")
-	return governor.Joined{Proxy: f.whole("id"), Zone: f.zone(), Rate: f.perhaps("rps"), Blank: blank == "1"}
+	return governor.StreamOpened{Proxy: f.whole("id"), Zone: f.zone(), Rate: f.perhaps("rps"), Blank: blank == "1"}
 }
 
-func ack(f *fields) governor.Answered {
-	return governor.Answered{Mark: uint64(f.whole("seq")), Took: control.Nanos(f.perhaps("ms"))}
+func ack(f *fields) governor.Ack {
+	return governor.Ack{Nonce: uint64(f.whole("seq")), Delay: control.Nanos(f.perhaps("ms"))}
 }
 
-func met(f *fields) governor.Met {
-	m := governor.Met{Zone: f.zone(), Replica: f.text("target")}
+func met(f *fields) governor.Outcomes {
+	m := governor.Outcomes{Zone: f.zone(), Replica: f.text("target")}
 	m.Attempts, m.Failures, m.ResponseTime, m.Period = f.whole("count"), f.whole("fail"), f.ms("mean"), f.ms("over")
 	m.InFlight = -1
 	if report, ok := f.has("util"); ok {
@@ -117,7 +117,7 @@
 }
 
 func demand(f *fields) governor.Demand {
-	d := governor.Demand{Group: f.text("lane")}
+	d := governor.Demand{Class: f.text("lane")}
 	d.Proxy, d.Requests, d.Failures, d.Period = f.whole("id"), f.whole("count"), f.whole("fail"), f.ms("over")
 	return d
 }
@@ -130,27 +130,27 @@
 
 // alike puts levels that say the same into one part each, in the order of the first: a part for every traffic group could
 // be more than a message may have, and shares and ways of trying again are few.
-func alike(levels []governor.Level) (all []governor.Level) {
-	at := map[governor.Level]int{}
+func alike(levels []governor.Admission) (all []governor.Admission) {
+	at := map[governor.Admission]int{}
 	for _, l := range levels {
-		name := l.Group
-		l.Group = ""
+		name := l.Class
+		l.Class = ""
 		k, seen := at[l]
 		if !seen {
 			k = len(all)
 			at[l], all = k, append(all, l)
-			all[k].Group = name
+			all[k].Class = name
 			continue
 		}
-		all[k].Group += "+" + name
+		all[k].Class += "+" + name
 	}
 	return all
 }
 
 // parts writes a push as the messages that make it up, the mark with the last.
-func parts(p governor.Push) [][]string {
+func parts(p governor.Update) [][]string {
 	var out [][]string
-	full, lines, shut, let := p.Full, p.Lines, p.Shut, p.Let
+	full, lines, shut, let := p.Full, p.Endpoints, p.Ejected, p.Restored
 	for full || len(lines)+len(shut)+len(let) > 0 {
 		part := []string{"push"}
 		if full {
@@ -169,19 +169,19 @@
 		}
 		out = append(out, part)
 	}
-	levels := p.Levels
+	levels := p.Admissions
 	if len(out)+len(levels) > partsMost {
 		levels = alike(levels)
 	}
 	for _, l := range levels {
-		out = append(out, []string{"push", "routes", l.Group, "admit", figure(l.Share), "policy", strconv.Itoa(int(l.Tries))})
+		out = append(out, []string{"push", "routes", l.Class, "admit", figure(l.Share), "policy", strconv.Itoa(int(l.Retries))})
 	}
-	if p.Marked {
+	if p.WantsAck {
 		if len(out) == 0 {
 			out = append(out, []string{"push"})
 		}
 		last := len(out) - 1
-		out[last] = append(out[last], "nonce_out", strconv.FormatUint(p.Mark, 10))
+		out[last] = append(out[last], "nonce_out", strconv.FormatUint(p.Nonce, 10))
 	}
 	for k := range len(out) - 1 {
 		out[k] = append(out[k], "continued", "1")
--- a/internal/streams/words_test.go
+++ b/internal/streams/words_test.go
@@ -17,16 +17,16 @@
 
 // A part for each traffic group would be more than a message may have: levels that say the same share one.
 func TestLevelsOfManyGroupsFitOneMessage(t *testing.T) {
-	p := governor.Push{Full: true, Lines: []governor.Line{{Replica: "x", Weight: 1}}, Marked: true, Mark: 7}
+	p := governor.Update{Full: true, Endpoints: []governor.WeightedEndpoint{{Replica: "x", Weight: 1}}, WantsAck: true, Nonce: 7}
 	for k := range 200 {
-		l := governor.Level{Group: fmt.Sprintf("g-%d", k), Share: 1, Tries: control.RetryIfNotExecuted}
+		l := governor.Admission{Class: fmt.Sprintf("g-%d", k), Share: 1, Retries: control.RetryIfNotExecuted}
 		if l.Share = 1; k > 150 {
 			l.Share = 0
 		}
 		if k == 150 {
 			l.Share = 0.35
 		}
-		p.Levels = append(p.Levels, l)
+		p.Admissions = append(p.Admissions, l)
 	}
 	messages := parts(p)
 	var named []string
@@ -38,8 +38,8 @@
 		if routes, has := f.has("routes"); has {
 			for _, name := range strings.Split(routes, "+") {
 				share, _ := f.has("admit")
-				at := slices.IndexFunc(p.Levels, func(l governor.Level) bool { return l.Group == name })
-				if share != figure(p.Levels[at].Share) {
+				at := slices.IndexFunc(p.Admissions, func(l governor.Admission) bool { return l.Class == name })
+				if share != figure(p.Admissions[at].Share) {
 					t.Errorf("%s gets %s", name, share)
 				}
 				named = append(named, name)
@@ -50,7 +50,7 @@
 	if named = slices.Compact(named); len(named) != 200 || len(messages) > partsMost {
 		t.Errorf("%d groups in %d parts", len(named), len(messages))
 	}
-	if p.Levels = p.Levels[:partsMost-1]; len(parts(p)) != partsMost { // as many as fit go as ever
+	if p.Admissions = p.Admissions[:partsMost-1]; len(parts(p)) != partsMost { // as many as fit go as ever
 		t.Errorf("%d parts", len(parts(p)))
 	}
 }
@@ -66,17 +66,17 @@
 // A deployment without zones: peers may leave out where they stand.
 func TestPeersThatNameNoZone(t *testing.T) {
 	x := exchange.New()
-	census := governor.NewCensus(settings.Names{Classes: []string{"a"}},
+	census := governor.NewTopology(settings.Names{Classes: []string{"a"}},
 		control.Settings{Proxies: 2, Classes: []control.TrafficClass{{Timeout: 1e9}}})
 	s := New(x, resp.NewPool(1<<20), slog.New(slog.DiscardHandler), 99, census)
 	at := running(t, s)
 	call(t, at, "agent", "outcomes target x count 1 fail 0 mean 1 over 1000")
-	want := governor.Met{Replica: "x", Outcomes: control.Outcomes{Attempts: 1, ResponseTime: 1e6, Period: 1e9, InFlight: -1}}
+	want := governor.Outcomes{Replica: "x", Outcomes: control.Outcomes{Attempts: 1, ResponseTime: 1e6, Period: 1e9, InFlight: -1}}
 	if notes := told(t, s, 1); notes[0] != want {
 		t.Errorf("%+v", notes)
 	}
 	call(t, at, "hello id 1 new 1", "probe").hears(t, "alive")
-	if notes := told(t, s, 1); notes[0] != (governor.Joined{Stream: 2, Proxy: 1, Blank: true}) {
+	if notes := told(t, s, 1); notes[0] != (governor.StreamOpened{Stream: 2, Proxy: 1, Blank: true}) {
 		t.Errorf("%+v", notes)
 	}
 }
--- a/lab/emulator/overload.go
+++ b/lab/emulator/overload.go
@@ -30,7 +30,7 @@
 	w.after(refusalTime, func() {
 		missed(s)()
 		w.failed(f.p, r)
-		if level, told := f.p.levels[w.Site.Names.Classes[f.group]]; f.again || told && level.Tries == control.NoRetry {
+		if level, told := f.p.levels[w.Site.Names.Classes[f.group]]; f.again || told && level.Retries == control.NoRetry {
 			w.end(f, false)
 			return
 		}
--- a/lab/emulator/rules.go
+++ b/lab/emulator/rules.go
@@ -106,9 +106,9 @@
 }
 
 // queued checks rule 5 as a message enters the channel, and says when it has left it.
-func (w *World) queued(p *proxy, push governor.Push) (left int64) {
+func (w *World) queued(p *proxy, push governor.Update) (left int64) {
 	prov := w.Site.Provision
-	lines := len(push.Lines) + len(push.Shut) + len(push.Let) + len(push.Levels) + prov.MessageHead + 1
+	lines := len(push.Endpoints) + len(push.Ejected) + len(push.Restored) + len(push.Admissions) + prov.MessageHead + 1
 	t := w.towers[p.tower]
 	t.free = max(t.free, w.now) + int64(float64(lines)/prov.ChannelRate*float64(second))
 	if waits := float64(t.free-w.now) / float64(second) * prov.ChannelRate; waits > float64(prov.ChannelLimit) {
--- a/lab/emulator/steer.go
+++ b/lab/emulator/steer.go
@@ -28,11 +28,11 @@
 // report is a line that waits for the intake; what comes for the same adds up.
 type report struct {
 	of     any
-	met    governor.Met
+	met    governor.Outcomes
 	demand governor.Demand // of no group: it is what was met
 }
 
-func (r *report) add(m governor.Met, d governor.Demand) {
+func (r *report) add(m governor.Outcomes, d governor.Demand) {
 	if good, came := int64(r.met.Attempts-r.met.Failures), int64(m.Attempts-m.Failures); good+came > 0 {
 		r.met.ResponseTime = (r.met.ResponseTime*good + m.ResponseTime*came) / (good + came)
 	}
@@ -41,7 +41,7 @@
 }
 
 func (r *report) note() any {
-	if r.demand.Group != "" {
+	if r.demand.Class != "" {
 		return r.demand
 	}
 	return r.met
@@ -70,9 +70,9 @@
 			return w.Spoil(brain.New(p))
 		}
 		return brain.New(p)
-	}, governor.NewCensus(w.Site.Names, p))
+	}, governor.NewTopology(w.Site.Names, p))
 	if past != nil {
-		t.tell(governor.Recall{Past: past})
+		t.tell(governor.SnapshotRestored{Snapshot: past})
 	}
 	w.list(t)
 	core := t.core
@@ -89,7 +89,7 @@
 		if len(w.towers) > 1 {
 			w.after(3*second+w.chance.Int63n(9*second), func() {
 				if t.core == core && w.cut[p.zone] == 0 && p.stream != 0 && p.tower != t.number {
-					w.towers[p.tower].tell(governor.Left{Stream: p.stream})
+					w.towers[p.tower].tell(governor.StreamClosed{Stream: p.stream})
 					p.tower = t.number
 					w.join(p)
 				}
@@ -102,7 +102,7 @@
 func (w *World) join(p *proxy) {
 	w.streams++
 	p.stream, p.joined, p.bare = w.streams, w.now, 0
-	w.towers[p.tower].tell(governor.Joined{Stream: p.stream, Proxy: p.id, Zone: p.zone, Blank: len(p.lines) == 0, Rate: 1})
+	w.towers[p.tower].tell(governor.StreamOpened{Stream: p.stream, Proxy: p.id, Zone: p.zone, Blank: len(p.lines) == 0, Rate: 1})
 	w.look(p)
 }
 
@@ -157,7 +157,7 @@
 }
 
 func (w *World) list(t *tower) {
-	l := governor.Listing{Revision: 1, Whole: true, At: w.now, Wall: w.now}
+	l := governor.ReplicaList{Revision: 1, Complete: true, At: w.now, Wall: w.now}
 	for _, r := range w.Replicas {
 		l.Members = append(l.Members, r.Member)
 	}
@@ -198,31 +198,31 @@
 	if w.Clock != nil {
 		w.Turns = append(w.Turns, w.Clock()-begun)
 	}
-	if o.Learned != nil {
-		t.learned = o.Learned
+	if o.Snapshot != nil {
+		t.learned = o.Snapshot
 		t.learned.Taken = memory.Moment{Wall: w.now}
 		w.Learned = w.towers[0].learned
 	}
-	for _, s := range o.Pushes {
+	for _, s := range o.Updates {
 		k := slices.IndexFunc(w.proxies, func(p *proxy) bool { return p.stream == s.Stream })
 		if k < 0 {
 			continue
 		}
 		p := w.proxies[k]
 		if w.Trace != nil {
-			w.Trace("%d push %d %+v", w.now, p.id, s.Push)
+			w.Trace("%d push %d %+v", w.now, p.id, s.Update)
 		}
-		left := w.queued(p, s.Push)
-		t.notes = append(t.notes, governor.Written{Number: s.Number})
+		left := w.queued(p, s.Update)
+		t.notes = append(t.notes, governor.MessageSent{Number: s.Number})
 		p.applied = max(p.applied, left+transit, p.stalled) // in order, after a stall
 		w.at(p.applied, func() { w.apply(p, s) })
 	}
-	if o.Wake > 0 {
-		t.wake(o.Wake)
+	if o.NextTurn > 0 {
+		t.wake(o.NextTurn)
 	}
 }
 
-func (w *World) apply(p *proxy, s governor.Sent) {
+func (w *World) apply(p *proxy, s governor.OutgoingUpdate) {
 	if p.stream != s.Stream || w.cut[p.zone] > 0 { // lost with its stream
 		return
 	}
@@ -233,30 +233,30 @@
 	}
 	p.picks = nil
 	defer w.look(p)
-	if s.Push.Full {
+	if s.Update.Full {
 		clear(p.lines)
 		clear(p.levels)
 	}
-	for _, l := range s.Push.Lines {
+	for _, l := range s.Update.Endpoints {
 		if p.lines[l.Replica] = l.Weight; l.Weight == 0 {
 			delete(p.lines, l.Replica)
 		}
 	}
-	for _, id := range s.Push.Shut {
+	for _, id := range s.Update.Ejected {
 		p.shut[id] = true
 	}
-	for _, id := range s.Push.Let {
+	for _, id := range s.Update.Restored {
 		delete(p.shut, id)
 	}
-	for _, l := range s.Push.Levels {
-		p.levels[l.Group] = l
+	for _, l := range s.Update.Admissions {
+		p.levels[l.Class] = l
 	}
-	if s.Push.Marked {
+	if s.Update.WantsAck {
 		w.after(transit, func() {
 			if w.cut[p.zone] > 0 {
 				return
 			}
-			w.towers[p.tower].tell(governor.Answered{Stream: s.Stream, Mark: s.Push.Mark, Took: transit})
+			w.towers[p.tower].tell(governor.Ack{Stream: s.Stream, Nonce: s.Update.Nonce, Delay: transit})
 		})
 	}
 }
@@ -270,7 +270,7 @@
 			if s == nil || s.tries == 0 {
 				continue
 			}
-			met := governor.Met{Zone: zone, Replica: r.Member.ID, Outcomes: control.Outcomes{Attempts: s.tries, Failures: s.missed, Period: second, InFlight: -1}}
+			met := governor.Outcomes{Zone: zone, Replica: r.Member.ID, Outcomes: control.Outcomes{Attempts: s.tries, Failures: s.missed, Period: second, InFlight: -1}}
 			if good := s.tries - s.missed; good > 0 {
 				met.ResponseTime = s.answers / int64(good)
 			}
@@ -285,16 +285,16 @@
 func (w *World) usage(p *proxy) {
 	for g, name := range w.Site.Names.Classes {
 		if p.came[g] > 0 && p.stream != 0 && w.cut[p.zone] == 0 {
-			d := governor.Demand{Stream: p.stream, Group: name, Demand: control.Demand{Proxy: p.id, Requests: p.came[g], Failures: p.missed[g], Period: second}}
+			d := governor.Demand{Stream: p.stream, Class: name, Demand: control.Demand{Proxy: p.id, Requests: p.came[g], Failures: p.missed[g], Period: second}}
 			t := w.towers[p.tower]
-			w.after(transit, func() { t.hear([2]any{p.stream, name}, governor.Met{}, d) })
+			w.after(transit, func() { t.hear([2]any{p.stream, name}, governor.Outcomes{}, d) })
 		}
 		p.came[g], p.missed[g] = 0, 0
 	}
 }
 
 // hear takes in a line of a report, or lets it wait for the intake.
-func (t *tower) hear(of any, met governor.Met, d governor.Demand) {
+func (t *tower) hear(of any, met governor.Outcomes, d governor.Demand) {
 	for k := range t.reports {
 		if t.reports[k].of == of {
 			t.reports[k].add(met, d)
--- a/lab/emulator/world.go
+++ b/lab/emulator/world.go
@@ -62,7 +62,7 @@
 	tower  int // it is joined to, or was last
 	lines  map[string]float64
 	shut   map[string]bool
-	levels map[string]governor.Level
+	levels map[string]governor.Admission
 	came   []int // by group
 	missed []int
 	picks  []weighed // what may be picked; nil: to be worked out
@@ -200,7 +200,7 @@
 	}
 	rate := able * site.Load / float64(site.Proxies)
 	for k := range site.Proxies {
-		p := &proxy{id: k, zone: zones[k%len(zones)], lines: map[string]float64{}, shut: map[string]bool{}, levels: map[string]governor.Level{},
+		p := &proxy{id: k, zone: zones[k%len(zones)], lines: map[string]float64{}, shut: map[string]bool{}, levels: map[string]governor.Admission{},
 			failures: map[string]int{}, avoided: map[string]bool{},
 			wrote: map[int][]int64{}, came: make([]int, len(site.Names.Classes)), missed: make([]int, len(site.Names.Classes))}
 		w.proxies = append(w.proxies, p)
@@ -343,7 +343,7 @@
 	case Failing: // proof that it never ran: one more try
 		w.after(5*milli, func() {
 			missed(sum)()
-			if l, told := f.p.levels[w.Site.Names.Classes[f.group]]; f.again || told && l.Tries == control.NoRetry {
+			if l, told := f.p.levels[w.Site.Names.Classes[f.group]]; f.again || told && l.Retries == control.NoRetry {
 				w.end(f, false)
 				return
 			}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -143,7 +143,7 @@
 
 // drive is the loop of the program, with an eye on what is in force.
 func (h *hollow) drive(ctx context.Context, first serviceSettings) {
-	core := governor.New(h.starting(first), governor.NewCensus(first.names, first.provision))
+	core := governor.New(h.starting(first), governor.NewTopology(first.names, first.provision))
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	seen := &observer{hollow: h}
@@ -160,16 +160,16 @@
 		outcome := core.Turn(now(), notes)
 		h.count.turns.Add(1)
 		h.count.notes.Add(int64(len(notes)))
-		h.count.pushes.Add(int64(len(outcome.Pushes)))
-		for _, s := range outcome.Pushes {
+		h.count.pushes.Add(int64(len(outcome.Updates)))
+		for _, s := range outcome.Updates {
 			h.exchange.Send(s)
 		}
 		for _, c := range outcome.Configured {
 			h.verdict(c)
 		}
 		seen.told(h.parts(core))
-		if outcome.Wake > 0 {
-			timer.Reset(time.Duration(max(0, outcome.Wake-now())))
+		if outcome.NextTurn > 0 {
+			timer.Reset(time.Duration(max(0, outcome.NextTurn-now())))
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	defer out.Close()
 	random := rand.New(rand.NewPCG(h.plan.Seed, uint64(k)))
 	zone := zoneName(random.IntN(max(1, h.plan.Shape.Zones)))
-	h.exchange.Tell(governor.Joined{Stream: stream, Proxy: k, Zone: zone, Rate: 1, Blank: true})
+	h.exchange.Tell(governor.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, Blank: true})
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() { h.report(ctx, stream, k, random) })
@@ -191,8 +191,8 @@
 			return
 		}
 		h.exchange.Written(item.Number)
-		if item.Marked {
-			h.exchange.Tell(governor.Answered{Stream: stream, Mark: item.Mark, Took: proxyAckDelay})
+		if item.WantsAck {
+			h.exchange.Tell(governor.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
 		}
 	}
 }
@@ -206,7 +206,7 @@
 		case <-time.After(pause):
 		}
 		route := fmt.Sprintf("route-%d", random.IntN(h.plan.Shape.Routes))
-		h.exchange.Tell(governor.Demand{Stream: stream, Group: route,
+		h.exchange.Tell(governor.Demand{Stream: stream, Class: route,
 			Demand: control.Demand{Proxy: proxy, Requests: 1, Period: int64(time.Second)}})
 	}
 }
@@ -222,7 +222,7 @@
 
 func (o *observer) take(notes []any) {
 	for _, note := range notes {
-		if l, is := note.(governor.Listing); is {
+		if l, is := note.(governor.ReplicaList); is {
 			o.news = true
 			o.list = checks.Marker(l.Revision)
 		}
