--- a/lab/scale/plan.go
+++ b/lab/scale/plan.go
@@ -169,6 +169,14 @@
 		Routes: share(p.Routes), Tenants: share(p.Tenants), Proxies: p.Proxies}
 }
 
+// A governor that is cut off for a phase has to give a sign of life in it, so it gives several, and one a second at least.
+const (
+	signsAPhase  = 8
+	signInterval = time.Second
+)
+
+func (p Plan) signEvery() time.Duration { return min(signInterval, p.Phase/signsAPhase) }
+
 // governors lists who stands where, without addresses.
 func (p Plan) governors() []GovernorPlan {
 	var all []GovernorPlan
@@ -176,7 +184,7 @@
 		shape := p.shape(service)
 		for k := range shape.Governors {
 			all = append(all, GovernorPlan{Number: len(all), Service: service, Region: p.region(service, k), Shape: shape,
-				Seed: p.Seed ^ uint64(len(all)+1)*0x9e3779b97f4a7c15})
+				Seed: p.Seed ^ uint64(len(all)+1)*0x9e3779b97f4a7c15, SignEvery: p.signEvery()})
 		}
 	}
 	return all
