--- a/internal/configapi/configapi.go
+++ b/internal/configapi/configapi.go
@@ -117,8 +117,11 @@
 
 // Check says what is wrong with an answer to a query, whatever its settings mean.
 func (a Answer) Check(q Query) error {
-	if !a.Valid() || a.AgeMS < 0 {
+	switch {
+	case !a.Valid() || a.AgeMS < 0:
 		return fmt.Errorf("version %s or age %d ms is out of range", a.Version, a.AgeMS)
+	case a.Epoch == 0: // a server without any configuration, or something else that speaks JSON
+		return fmt.Errorf("version %s has no epoch", a.Version)
 	}
 	for _, s := range a.Services {
 		switch {
--- a/internal/configapi/configapi_test.go
+++ b/internal/configapi/configapi_test.go
@@ -44,8 +44,9 @@
 func TestAnswersThatCannotBe(t *testing.T) {
 	one := Query{Service: "orders"}
 	for text, says := range map[string]string{
-		`{"epoch":9007199254740993,"revision":1}`:                                                               "out of range",
-		`{"epoch":1,"revision":1,"age_ms":-1}`:                                                                  "out of range",
+		`{"epoch":9007199254740993,"revision":1}`: "out of range",
+		`{"revision":7}`:                       "has no epoch",
+		`{"epoch":1,"revision":1,"age_ms":-1}`: "out of range",
 		`{"epoch":1,"revision":1,"services":[{"name":"","epoch":1,"revision":1,"settings":{}}]}`:                "is called",
 		`{"epoch":1,"revision":1,"services":[{"name":"payouts","epoch":1,"revision":1,"settings":{}}]}`:         "was asked for, not payouts",
 		`{"epoch":1,"revision":1,"services":[{"name":"orders","epoch":1,"revision":2,"settings":{}}]}`:          "has version 1.2",
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -27,6 +27,12 @@
 	// Between two tries after failures there is a pause, from pauseFirst up to pauseMost: the followers of a server that
 	// fails come to the others spread out, and where all fail nobody tries them without rest.
 	pauseFirst, pauseMost = 250 * time.Millisecond, time.Second
+	// No two queries of a follower begin sooner one after the other than paceLeast, whatever is answered. A writer looks at
+	// its folder once a second, so none of its changes waits for that.
+	paceLeast = 100 * time.Millisecond
+	// After an answer without news that did not wait for any, the next query waits for earlyFirst, then for twice as long each
+	// time, up to earlyMost: a server that ends answers so once, one that cannot wait always.
+	earlyFirst, earlyMost = paceLeast, retryMost
 	// So many times in a row a busy server is waited for before others are tried.
 	busyMost = 3
 )
@@ -63,11 +69,14 @@
 // Client is the state of one follower.
 type Client struct {
 	options  Options
-	servers  []*server // in the order in which they are preferred
-	asked    *server   // the one whose answer is awaited, or that answered last
+	servers  []*server     // in the order in which they are preferred
+	asked    *server       // the one whose answer is awaited, or that answered last
+	askedAt  int64         // when
+	waits    time.Duration // for how long it may wait for news
 	draws    uint64
 	earliest int64 // nobody is asked before
 	pause    *backoff.Backoff
+	early    *backoff.Backoff
 
 	inForce  revision.Version
 	settings []byte // those in force
@@ -97,7 +106,7 @@
 			o.Wait = ServerWait
 		}
 	}
-	c := &Client{options: o, pause: backoff.NewJittered(pauseFirst, pauseMost, o.Seed)}
+	c := &Client{options: o, pause: backoff.NewJittered(pauseFirst, pauseMost, o.Seed), early: backoff.NewJittered(earlyFirst, earlyMost, o.Seed)}
 	order := o.Servers
 	if !o.Ordered {
 		order = Order(o.Instance, o.Region, o.Servers)
@@ -129,10 +138,11 @@
 // Next says whom to ask next, when and what.
 func (c *Client) Next(now int64) Ask {
 	s, at := c.choose(now)
-	c.asked = s
 	at = max(at, c.earliest, now)
+	c.asked, c.askedAt, c.waits = s, at, c.wait(s, at)
+	c.earliest = at + int64(paceLeast)
 	return Ask{At: at, Server: s.Server, Query: configapi.Query{Service: c.options.Service, Since: c.inForce, Refused: c.refused,
-		Timeout: c.wait(s, at), Instance: c.options.Instance, Zone: c.options.Zone, Region: c.options.Region}}
+		Timeout: c.waits, Instance: c.options.Instance, Zone: c.options.Zone, Region: c.options.Region}}
 }
 
 // choose picks the first server that is well; else the failed one that has been due for longest; else one that is stale,
@@ -189,7 +199,12 @@
 	s.failures, s.stale, s.busy = s.failures+1, false, 0
 	s.retryAt = now + int64(s.retry.Next())
 	s.returnAt = now + int64(s.absence.Next())
-	c.earliest = now + int64(c.pause.Next())
+	c.delay(now, c.pause.Next())
+}
+
+// delay has nobody asked before a wait is over.
+func (c *Client) delay(now int64, wait time.Duration) {
+	c.earliest = max(c.earliest, now+int64(wait))
 }
 
 // Busy tells that the server that was asked has no room now and says when to come back; 0: it does not say.
@@ -200,7 +215,7 @@
 		return
 	}
 	retryAfter = min(max(retryAfter, retryFirst), returnMost)
-	c.earliest = now + int64(retryAfter) + int64(c.chance()*float64(retryAfter)/4)
+	c.delay(now, retryAfter+time.Duration(c.chance()*float64(retryAfter)/4))
 }
 
 // Unknown tells that the server that was asked has no such service: another one may.
@@ -209,18 +224,26 @@
 }
 
 // Answered takes an answer of the server that was asked. Offer says that it brings something to be put in force, about
-// which Applied or Refused has to be told. An error means that it is of no use.
+// which Applied or Refused has to be told. An error means that it is of no use, which Failed has to be told of.
 func (c *Client) Answered(now int64, a configapi.Answer) (offer bool, err error) {
+	news := a.Version.Newer(c.held())
+	if news {
+		if err := c.usable(a); err != nil {
+			return false, err
+		}
+	}
 	s := c.asked
 	s.failures, s.busy = 0, 0
-	s.retry.Reset()
-	c.pause.Reset()
 	c.judge(s, a, now)
-	if !a.Version.Newer(c.held()) {
+	if !news && c.tooSoon(now) {
+		c.delay(now, c.early.Next())
 		return false, nil
 	}
-	if err := c.usable(a); err != nil {
-		return false, err
+	s.retry.Reset()
+	c.pause.Reset()
+	c.early.Reset()
+	if !news {
+		return false, nil
 	}
 	if c.options.Service != "" && bytes.Equal(a.Services[0].Settings, c.settings) && !c.inForce.IsZero() {
 		c.inForce = a.Version // another name for what is in force
@@ -231,6 +254,11 @@
 	return true, nil
 }
 
+// tooSoon says whether an answer without news comes well before the server should have ended its wait for them.
+func (c *Client) tooSoon(now int64) bool {
+	return c.waits == 0 || now-c.askedAt < int64(c.waits)/2
+}
+
 // judge notes whether a server that answers is worth staying with.
 func (c *Client) judge(s *server, a configapi.Answer, now int64) {
 	behind := c.held().Newer(a.Version)
--- a/internal/configclient/world_test.go
+++ b/internal/configclient/world_test.go
@@ -268,6 +268,10 @@
 		if c.from.down() {
 			return
 		}
+		if a.Check(c.query) != nil { // of a server that has nothing yet
+			c.from.client.Failed(w.now)
+			return
+		}
 		offer, err := c.from.client.Answered(w.now, a)
 		if err != nil {
 			w.t.Errorf("%+v: %v", c.query, err)
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -126,6 +126,7 @@
 		"no JSON":         response("503 Service Unavailable", "busy"),
 		"long refusal":    response("503 Service Unavailable", strings.Repeat(" ", refusalBody)),
 		"cut off":         news(1, `{}`)[:100],
+		"no epoch":        response("200 OK", `{"revision":7}`),
 		"no answer":       response("200 OK", "<html>"),
 		"another service": strings.Replace(news(1, `{}`), "orders", "stocks", 1),
 		"no settings":     strings.Replace(news(1, `{}`), `"settings"`, `"setting_"`, 1),
@@ -246,3 +247,24 @@
 		t.Errorf("%d taken, %s in force", len(taken), w.InForce())
 	}
 }
+
+// A server that answers every watch at once, without news, is not asked without rest.
+func TestAServerThatDoesNotWait(t *testing.T) {
+	server := peers.Listen(t)
+	w, offers := watching(t, server)
+	conn := server.Take()
+	conn.Request()
+	conn.Raw(news(1, `{}`))
+	w.Applied(take(t, offers))
+	begun := time.Now()
+	const answers = 4
+	for range answers {
+		conn.Request()
+		conn.Raw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":0,"services":[]}`))
+	}
+	conn.Request()
+	// At least the pace, then halves of 0.1, 0.2, 0.4 and 0.8 s.
+	if span := time.Since(begun); span < 700*time.Millisecond {
+		t.Errorf("%d answers without news were asked for within %v", answers, span)
+	}
+}
