--- a/internal/configwatch/connection.go
+++ b/internal/configwatch/connection.go
@@ -112,6 +112,7 @@
 		c.end(err)
 		return a, err
 	}
+	c.close()
 	if err := c.dial(ctx, ask.Server.Address); err != nil {
 		return configapi.Answer{}, err
 	}
@@ -132,8 +133,9 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
+// dial replaces the connection. The one before is kept if no other can be made: while a lost server is tried now and again,
+// the one that answers meanwhile need not be connected to anew each time.
 func (c *connection) dial(ctx context.Context, address string) error {
-	c.close()
 	c.counts.dials.Add(1)
 	soon, done := context.WithTimeout(ctx, dialMost)
 	defer done()
@@ -141,6 +143,7 @@
 	if err != nil {
 		return &Failure{"dial", err}
 	}
+	c.close()
 	c.address, c.conn = address, &deadlined{Conn: conn, counts: c.counts}
 	c.reader = bufio.NewReaderSize(c.conn, readBuffer)
 	return nil
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -268,3 +268,31 @@
 		t.Errorf("%d answers without news were asked for within %v", answers, span)
 	}
 }
+
+// While a lost server is tried now and again, the connection to the one that answers meanwhile is kept.
+func TestTriesOfALostServerKeepTheConnection(t *testing.T) {
+	server := peers.Listen(t)
+	lost, regional := configclient.Server{Address: peers.Free(t)}, configclient.Server{Address: server.At()}
+	offers := make(chan revision.Version, 1)
+	w, err := New(Options{Instance: "n0", Service: "orders", Servers: []configclient.Server{lost, regional}, Ordered: true, Seed: 1,
+		Offer: func(v revision.Version, _ []byte) { offers <- v }})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	go func() { defer close(ended); w.Run(ctx) }()
+	t.Cleanup(func() { stop(); <-ended })
+	conn := server.Take()
+	conn.Request()
+	conn.Raw(news(1, `{}`))
+	w.Applied(take(t, offers))
+	for tries := w.Counts().Failures; w.Counts().Failures < tries+3; {
+		conn.Request()
+		conn.Raw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":60000,"services":[]}`))
+	}
+	conn.Request()
+	if c := w.Counts(); c.Dials != c.Failures+1 {
+		t.Errorf("%d connections beside %d that were refused", c.Dials-c.Failures, c.Failures)
+	}
+}
