--- a/internal/configserver/failures_test.go
+++ b/internal/configserver/failures_test.go
@@ -121,3 +121,19 @@
 	}
 	t.Logf("%d sent away; a change in force at %d after %v", c.SentAway, herd, time.Since(begun))
 }
+
+// Servers that begin without any configuration while the writer is lost do not ask each other without rest.
+func TestServersThatHaveNothing(t *testing.T) {
+	t.Parallel()
+	lost := configclient.Server{Address: peers.Free(t)}
+	one, two := peers.Free(t), peers.Free(t)
+	first := start(t, Options{Name: "s1", Listen: one, Follow: []configclient.Server{lost, {Address: two}}})
+	second := start(t, Options{Name: "s2", Listen: two, Follow: []configclient.Server{lost, {Address: one}}})
+	const seconds, paceMost = 2, 10 // queries a second
+	time.Sleep(seconds * time.Second)
+	for _, r := range []*rig{first, second} {
+		if asked := r.Status().Counters.Requests; asked == 0 || asked > seconds*paceMost {
+			t.Errorf("%s was asked %d times in %d s", r.Status().Server, asked, seconds)
+		}
+	}
+}
