--- a/brain/brain.go
+++ b/brain/brain.go
@@ -638,7 +638,7 @@
 		case want == 0:
 			kind = remove
 		}
-		if kind == at && want >= 0 && want != has && (has == 0 || size(l) >= changeWorth) {
+		if kind == at && want >= 0 && want != has && (kind == add || size(l) >= changeWorth) {
 			ls = append(ls, l)
 			sums[l.table] = math.Max(sums[l.table], size(l))
 		}
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -392,8 +392,9 @@
 	g := at(0)
 	s := steering(g, map[line]float64{{0, 1}: 1, {1, 1}: 1, {2, 1}: 0.21}, map[line]float64{{0, 1}: 0.2, {2, 1}: 0.2}, map[uint32]bool{1: true})
 	orders := s.orders(add)
-	want(t, "its lines go with it, those it has to lose too, but for what is as good", fmt.Sprint(orders), fmt.Sprint([]control.Command{
-		control.SetEndpoint{Table: 1, Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.2}, control.SetEjected{Replica: 1}}))
+	want(t, "all of its lines that differ go with it, those it has to lose too", fmt.Sprint(orders), fmt.Sprint([]control.Command{
+		control.SetEndpoint{Table: 1, Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.2},
+		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.2}, control.SetEjected{Replica: 1}}))
 	p := g.boxes[thePacer].part.(*pacer)
 	for proxy := range 2 {
 		p.seat(proxy, proxy)
