--- a/internal/governor/partial.go
+++ b/internal/governor/partial.go
@@ -68,14 +68,9 @@
 
 // restOfTable makes the rest of a table, with what is new of the part; from then on the stream has the whole table.
 func (c *Core) restOfTable(s *stream, n *turnChanges) endpointList {
-	ids := map[uint32]bool{}
+	ids := changedInPart(s, n)
 	for id := range c.tables[s.table] {
-		if _, sure := s.toldEjected[id]; !s.partial[id] || n.endpoints[s.table][id] || !sure && !s.blank {
-			ids[id] = true
-		}
-	}
-	for id := range n.endpoints[s.table] {
-		if s.partial[id] {
+		if _, sure := s.toldEjected[id]; !s.partial[id] || !sure && !s.blank {
 			ids[id] = true
 		}
 	}
@@ -85,13 +80,18 @@
 
 // changesOfPart makes what is new of a part.
 func (c *Core) changesOfPart(s *stream, n *turnChanges) endpointList {
+	return c.endpointsIn(s.table, slices.Sorted(maps.Keys(changedInPart(s, n))))
+}
+
+// changedInPart are the replicas of a stream's part whose lines have changed or were removed.
+func changedInPart(s *stream, n *turnChanges) map[uint32]bool {
 	ids := map[uint32]bool{}
 	for id := range n.endpoints[s.table] {
 		if s.partial[id] {
 			ids[id] = true
 		}
 	}
-	return c.endpointsIn(s.table, slices.Sorted(maps.Keys(ids)))
+	return ids
 }
 
 // endpointsIn lists replicas with their weights in a table.
