--- a/cmd/lilacbend/configuration.go
+++ b/cmd/lilacbend/configuration.go
@@ -5,12 +5,12 @@
 	"log/slog"
 	"sync"
 
-	"lilacbend/brain"
 	"lilacbend/internal/configwatch"
 	"lilacbend/internal/exchange"
 	"lilacbend/internal/governor"
 	"lilacbend/internal/revision"
 	"lilacbend/internal/streams"
+	"lilacbend/policy"
 	"lilacbend/settings"
 )
 
@@ -78,7 +78,7 @@
 		return
 	}
 	f.exchange.Publish(governor.Configure{Version: v, Names: names, Settings: decoded,
-		Start: func() governor.Module { return brain.New(decoded) }})
+		Start: func() governor.Module { return policy.New(decoded) }})
 }
 
 // settle passes the core's verdicts on: to the servers, and to those who check and hold what peers send.
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -13,12 +13,12 @@
 	"syscall"
 	"time"
 
-	"lilacbend/brain"
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/exchange"
 	"lilacbend/internal/governor"
 	"lilacbend/internal/resp"
 	"lilacbend/internal/streams"
+	"lilacbend/policy"
 )
 
 const (
@@ -66,7 +66,7 @@
 		return fmt.Errorf("cannot follow a configuration: %w", err)
 	}
 	topology := follower.topology(own)
-	core := governor.New(func() governor.Module { return brain.New(c.settings) }, own)
+	core := governor.New(func() governor.Module { return policy.New(c.settings) }, own)
 	kept := openArchive(ctx, c.operator.State, &c, topology, core, x, base, log)
 	c.known.At, c.known.Wall = base.now(), base.start.UnixNano()
 	x.Publish(c.known)
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -10,8 +10,8 @@
 	"os"
 	"sort"
 
-	"lilacbend/brain"
 	"lilacbend/control"
+	"lilacbend/policy"
 	"lilacbend/settings"
 	"lilacbend/wire"
 )
@@ -45,11 +45,11 @@
 }
 
 type host struct {
-	governors map[uint32]*brain.Governor
+	governors map[uint32]*policy.Governor
 	reply     wire.Reply
 }
 
-func newHost() *host { return &host{governors: map[uint32]*brain.Governor{}} }
+func newHost() *host { return &host{governors: map[uint32]*policy.Governor{}} }
 
 func (h *host) turn(batch wire.Batch) {
 	events := map[uint32][]any{}
@@ -87,7 +87,7 @@
 				h.reply.Fault(id, "cannot start: "+err.Error())
 				return
 			}
-			h.governors[id] = brain.New(p)
+			h.governors[id] = policy.New(p)
 			told = nil
 		default:
 			told = append(told, ev)
--- a/internal/governor/budget_test.go
+++ b/internal/governor/budget_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/governor"
+	"lilacbend/policy"
 	"lilacbend/settings"
 )
 
@@ -91,7 +91,7 @@
 		Classes: []control.TrafficClass{{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable},
 			{Utility: 3, LatencyBudget: second, Timeout: 3 * second, Effect: control.NonRetriable}}}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
-	w.core = governor.New(func() governor.Module { return moody{brain.New(w.provision), w} }, governor.NewTopology(names, w.provision))
+	w.core = governor.New(func() governor.Module { return moody{policy.New(w.provision), w} }, governor.NewTopology(names, w.provision))
 	for k := range replicas {
 		w.names = append(w.names, fmt.Sprintf("s-%04d", k))
 		w.states[w.names[k]] = governor.Member{ID: w.names[k], Zone: names.Zones[k%2], Kind: "m1", Weight: 1}
--- a/internal/governor/capped_test.go
+++ b/internal/governor/capped_test.go
@@ -5,9 +5,9 @@
 	"slices"
 	"testing"
 
-	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/governor"
+	"lilacbend/policy"
 	"lilacbend/settings"
 )
 
@@ -30,7 +30,7 @@
 	p := cappedSettings(grace, 6)
 	p.ChannelRate, p.ChannelLimit = 1200, 1800
 	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, Kinds: []string{"m1"}}
-	core := governor.New(func() governor.Module { return brain.New(p) }, governor.NewTopology(names, p))
+	core := governor.New(func() governor.Module { return policy.New(p) }, governor.NewTopology(names, p))
 	list := func(drains string) governor.ReplicaList {
 		l := governor.ReplicaList{Complete: true, At: second, Wall: second}
 		for k := range 6 {
@@ -90,7 +90,7 @@
 	p := cappedSettings(grace, 30)
 	p.ChannelRate, p.ChannelLimit = 20000, 6000
 	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, Kinds: []string{"m1"}}
-	core := governor.New(func() governor.Module { return brain.New(p) }, governor.NewTopology(names, p))
+	core := governor.New(func() governor.Module { return policy.New(p) }, governor.NewTopology(names, p))
 	list := governor.ReplicaList{Complete: true, At: second, Wall: second}
 	for k := range replicas {
 		list.Members = append(list.Members, governor.Member{ID: fmt.Sprint("s-", k), Zone: "a", Kind: "m1", Weight: 1})
--- a/internal/governor/crowd_test.go
+++ b/internal/governor/crowd_test.go
@@ -5,9 +5,9 @@
 	"math/rand"
 	"testing"
 
-	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/governor"
+	"lilacbend/policy"
 	"lilacbend/settings"
 )
 
@@ -37,7 +37,7 @@
 	w.provision.MaxTransit = second / 4
 	c := &crowd{channelWorld: w, told: map[string]int64{}, bare: map[int]int64{}, successor: replicas}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
-	w.core = governor.New(func() governor.Module { return brain.New(w.provision) }, governor.NewTopology(names, w.provision))
+	w.core = governor.New(func() governor.Module { return policy.New(w.provision) }, governor.NewTopology(names, w.provision))
 	return c
 }
 
--- a/internal/governor/reconfigure_test.go
+++ b/internal/governor/reconfigure_test.go
@@ -6,10 +6,10 @@
 	"slices"
 	"testing"
 
-	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/governor"
 	"lilacbend/internal/revision"
+	"lilacbend/policy"
 	"lilacbend/settings"
 )
 
@@ -35,7 +35,7 @@
 	}
 	w.provision = p
 	w.notes = append(w.notes, governor.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: p,
-		Start: func() governor.Module { return moody{brain.New(p), w} }})
+		Start: func() governor.Module { return moody{policy.New(p), w} }})
 }
 
 var worldNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
--- a/internal/governor/turn_bench_test.go
+++ b/internal/governor/turn_bench_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/governor"
 	"lilacbend/internal/revision"
+	"lilacbend/policy"
 	"lilacbend/settings"
 )
 
@@ -68,7 +68,7 @@
 		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
 		w.provision.Classes = append(w.provision.Classes, control.TrafficClass{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable})
 	}
-	w.core = governor.New(func() governor.Module { return brain.New(w.provision) }, governor.NewTopology(w.settingNames(), w.provision))
+	w.core = governor.New(func() governor.Module { return policy.New(w.provision) }, governor.NewTopology(w.settingNames(), w.provision))
 	for k := range w.proxies {
 		w.join(k)
 	}
@@ -234,7 +234,7 @@
 				changed.Classes[0].Timeout += int64(len(spans)%2) * second
 				version.Revision++
 				w.notes = append(w.notes, governor.Configure{Version: version, Names: w.settingNames(), Settings: changed,
-					Start: func() governor.Module { return brain.New(changed) }})
+					Start: func() governor.Module { return policy.New(changed) }})
 				spans = append(spans, w.turn(shape.interval))
 				if w.core.Configuration() != version {
 					b.Fatal("not in force")
--- a/lab/emulator/steer.go
+++ b/lab/emulator/steer.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/governor"
 	"lilacbend/internal/memory"
+	"lilacbend/policy"
 )
 
 // This file is what stands between the flows and the governor: sums, usage, lists, messages and answers.
@@ -67,9 +67,9 @@
 	t.up = w.now
 	t.core = governor.New(func() governor.Module {
 		if w.Spoil != nil {
-			return w.Spoil(brain.New(p))
+			return w.Spoil(policy.New(p))
 		}
-		return brain.New(p)
+		return policy.New(p)
 	}, governor.NewTopology(w.Site.Names, p))
 	if past != nil {
 		t.tell(governor.SnapshotRestored{Snapshot: past})
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -10,7 +10,6 @@
 	"sync/atomic"
 	"time"
 
-	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/discovery"
@@ -18,6 +17,7 @@
 	"lilacbend/internal/governor"
 	"lilacbend/internal/revision"
 	"lilacbend/lab/scale/checks"
+	"lilacbend/policy"
 )
 
 const (
@@ -46,7 +46,7 @@
 	source ConfigurationSource
 
 	exchange *exchange.Exchange
-	module   *brain.Governor // the last that was started; for the goroutine of the core
+	module   *policy.Governor // the last that was started; for the goroutine of the core
 
 	mu      sync.Mutex
 	offered map[revision.Version]offer
@@ -116,7 +116,7 @@
 // starting starts modules by settings.
 func (h *hollow) starting(s serviceSettings) func() governor.Module {
 	return func() governor.Module {
-		h.module = brain.New(s.provision)
+		h.module = policy.New(s.provision)
 		return h.module
 	}
 }
--- a/brain/brain.go
+++ b/policy/brain.go
@@ -1,8 +1,8 @@
-// Package brain decides where forwarders (proxies) send flows: a governor sees no flow and steers by tables.
+// Package policy decides where forwarders (proxies) send flows: a governor sees no flow and steers by tables.
 // Call New with the control.Settings of the deployment, then Turn with each batch of events; it returns the
 // orders to carry out. Package control is the whole interface. No clock is kept: same events, same orders.
 // The ordinary path is a reverse-order update (docs/design.md). Parts talk only through queues.
-package brain
+package policy
 
 import (
 	"cmp"
--- a/brain/mail.go
+++ b/policy/mail.go
@@ -1,4 +1,4 @@
-package brain
+package policy
 
 import (
 	"cmp"
