--- a/cmd/lilacbend/configuration.go
+++ b/cmd/lilacbend/configuration.go
@@ -7,7 +7,7 @@
 
 	"lilacbend/internal/configwatch"
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/revision"
 	"lilacbend/internal/streams"
 	"lilacbend/policy"
@@ -20,12 +20,12 @@
 	watcher  *configwatch.Watcher
 	kept     *keptConfiguration // nil: nothing is kept
 	seed     uint64
-	exchange *exchange.Exchange
+	exchange *eventloop.Exchange
 	log      *slog.Logger
 }
 
 // newConfigurationFollower is nil where the operator file has no such section.
-func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, x *exchange.Exchange, log *slog.Logger) (*configurationFollower, error) {
+func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, x *eventloop.Exchange, log *slog.Logger) (*configurationFollower, error) {
 	following := c.operator.Configuration
 	if !following.On() {
 		return nil, nil
--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -9,7 +9,7 @@
 
 	"lilacbend/internal/backoff"
 	"lilacbend/internal/discovery"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 )
 
 // A file that cannot be used is one that is still being written, which takes milliseconds, or one that waits for a hand. It is
@@ -64,7 +64,7 @@
 
 // run reads the configuration again whenever that is asked for, until ctx ends. Discovery moves; all else that a configuration
 // holds is for the next start. A configuration that cannot be used is logged and counted once.
-func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, x *exchange.Exchange, log *slog.Logger) {
+func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, x *eventloop.Exchange, log *slog.Logger) {
 	reloadOnHangup(ctx, r.hangups, func(signalled bool) error {
 		next, err := r.read()
 		if err != nil {
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lilacbend/internal/discovery"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/lab/peers"
 )
 
@@ -99,8 +99,8 @@
 }
 
 // reloading runs the part of a governor that reads its configuration again; a signal is sent when follow takes it.
-func reloading(t *testing.T, file, address string) (chan<- os.Signal, *exchange.Exchange, *lines) {
-	c, x, out := exampleConfiguration(t, "127.0.0.1:1"), exchange.New(), &lines{}
+func reloading(t *testing.T, file, address string) (chan<- os.Signal, *eventloop.Exchange, *lines) {
+	c, x, out := exampleConfiguration(t, "127.0.0.1:1"), eventloop.New(), &lines{}
 	asked, log := make(chan os.Signal), slog.New(slog.NewTextHandler(out, nil))
 	ctx, stop := context.WithCancel(context.Background())
 	client := discovery.New(address, 0, x, log, func() int64 { return 1 }, 1)
@@ -144,7 +144,7 @@
 // In virtual time: a file that is not whole for long is read once in rereadLimit, and taken over by then.
 func TestAFileThatIsWaitedForLong(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		file, x, asked := filepath.Join(t.TempDir(), "config.json"), exchange.New(), make(chan os.Signal)
+		file, x, asked := filepath.Join(t.TempDir(), "config.json"), eventloop.New(), make(chan os.Signal)
 		c, log := exampleConfiguration(t, "127.0.0.1:1"), slog.New(slog.DiscardHandler)
 		client := discovery.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
 		read := make(chan struct{})
--- a/cmd/lilacbend/report.go
+++ b/cmd/lilacbend/report.go
@@ -5,11 +5,11 @@
 	"runtime"
 
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 )
 
 // report prints the counters.
-func report(log *slog.Logger, core *controller.Core, x *exchange.Exchange, kept *archive, follower *configurationFollower) {
+func report(log *slog.Logger, core *controller.Core, x *eventloop.Exchange, kept *archive, follower *configurationFollower) {
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	n, t := core.Counters, &x.Tally
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -15,7 +15,7 @@
 
 	"lilacbend/internal/controller"
 	"lilacbend/internal/discovery"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
 	"lilacbend/internal/streams"
 	"lilacbend/policy"
@@ -58,7 +58,7 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	base, x := clock{time.Now()}, exchange.New()
+	base, x := clock{time.Now()}, eventloop.New()
 	x.Expect(notesExpected(c.settings.Proxies, len(c.names.Classes)))
 	own := controller.NewTopology(c.names, c.settings)
 	follower, err := newConfigurationFollower(ctx, c, own, x, log)
@@ -117,7 +117,7 @@
 }
 
 // drive is the one goroutine in which the core runs.
-func drive(ctx context.Context, core *controller.Core, x *exchange.Exchange, base clock,
+func drive(ctx context.Context, core *controller.Core, x *eventloop.Exchange, base clock,
 	asked <-chan os.Signal, kept *archive, follower *configurationFollower, server *streams.Server, log *slog.Logger) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lilacbend/internal/discovery"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
 	"lilacbend/lab/peers"
 )
@@ -121,7 +121,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c, file, x := exampleConfiguration(t, "127.0.0.1:1"), filepath.Join(t.TempDir(), "config.json"), exchange.New()
+	c, file, x := exampleConfiguration(t, "127.0.0.1:1"), filepath.Join(t.TempDir(), "config.json"), eventloop.New()
 	asked, log := make(chan os.Signal), slog.New(slog.DiscardHandler)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/cmd/lilacbend/state.go
+++ b/cmd/lilacbend/state.go
@@ -15,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/memory"
 	"lilacbend/internal/operator"
 	"lilacbend/internal/vault"
@@ -39,7 +39,7 @@
 
 // openArchive holds the folder, tells the core of the newest whole generation that fits, and begins to keep. What
 // goes wrong with the folder is logged, and the governor goes on without. The list is the one to start with.
-func openArchive(ctx context.Context, r operator.Retention, c *configuration, topology controller.Topology, core *controller.Core, x *exchange.Exchange, base clock, log *slog.Logger) *archive {
+func openArchive(ctx context.Context, r operator.Retention, c *configuration, topology controller.Topology, core *controller.Core, x *eventloop.Exchange, base clock, log *slog.Logger) *archive {
 	if r.Folder == "" {
 		return nil
 	}
@@ -67,7 +67,7 @@
 	return a
 }
 
-func (a *archive) recall(folder vault.Folder, r operator.Retention, c *configuration, topology controller.Topology, x *exchange.Exchange, base clock) {
+func (a *archive) recall(folder vault.Folder, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Exchange, base clock) {
 	g, found, refused, err := vault.Latest(folder)
 	if a.refuse = len(refused); err != nil {
 		a.log.Warn("state cannot be read", "folder", r.Folder, "error", err)
--- a/internal/discovery/capacity_bench_test.go
+++ b/internal/discovery/capacity_bench_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 )
 
 // The bytes of a whole list and the time to read it, by its members: the slope of docs/CAPACITY.md for discovery.
@@ -81,7 +81,7 @@
 	var bytes atomic.Int64
 	conn := &pacedConn{Conn: countingConn{dialed, &bytes}}
 	defer conn.Close()
-	c := New(address, 8461, exchange.New(), slog.New(slog.DiscardHandler), func() int64 { return time.Now().UnixNano() }, 1)
+	c := New(address, 8461, eventloop.New(), slog.New(slog.DiscardHandler), func() int64 { return time.Now().UnixNano() }, 1)
 	c.synced = true
 	r := bufio.NewReader(conn)
 	for b.Loop() {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lilacbend/internal/backoff"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 )
 
 const (
@@ -51,7 +51,7 @@
 	address  string
 	dial     dialFunc
 	moves    chan string // to another address, the newest alone
-	exchange *exchange.Exchange
+	exchange *eventloop.Exchange
 	log      *slog.Logger
 	clock    func() int64 // nanoseconds, for the time of a listing
 	retry    *backoff.Backoff
@@ -64,7 +64,7 @@
 }
 
 // New makes a client that holds the list of a revision already. The seed is for the jitter of its retries.
-func New(address string, revision int64, x *exchange.Exchange, log *slog.Logger, clock func() int64, seed uint64) *Client {
+func New(address string, revision int64, x *eventloop.Exchange, log *slog.Logger, clock func() int64, seed uint64) *Client {
 	return &Client{
 		address:  address,
 		dial:     new(net.Dialer).DialContext,
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -17,14 +17,14 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 )
 
 const someList = `{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"h:1","locality":"a","flavor":"m2",` +
 	`"cell":3,"phase":"Ready","size":1.5,"up_since_ms":2}]}`
 
-func client(known int64) (*Client, *exchange.Exchange) {
-	x := exchange.New()
+func client(known int64) (*Client, *eventloop.Exchange) {
+	x := eventloop.New()
 	return New("", known, x, slog.New(slog.DiscardHandler), func() int64 { return 7 }, 1), x
 }
 
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/lab/peers"
 )
 
@@ -16,13 +16,13 @@
 func TestAnAnswerAndTheCloseOfItsConnection(t *testing.T) {
 	for name, way := range map[string]struct {
 		text  func(string) string
-		close func(*peers.Conn, *exchange.Exchange)
+		close func(*peers.Conn, *eventloop.Exchange)
 	}{
-		"said":            {withClose, func(c *peers.Conn, _ *exchange.Exchange) { c.Ends() }},
-		"said and done":   {withClose, func(c *peers.Conn, _ *exchange.Exchange) { c.Close() }},
-		"not said":        {strings.Clone, func(c *peers.Conn, _ *exchange.Exchange) { c.Close() }},
-		"more than asked": {func(a string) string { return a + "HTTP/1.1" }, func(c *peers.Conn, _ *exchange.Exchange) { c.Close() }},
-		"reset under the next call": {strings.Clone, func(c *peers.Conn, _ *exchange.Exchange) {
+		"said":            {withClose, func(c *peers.Conn, _ *eventloop.Exchange) { c.Ends() }},
+		"said and done":   {withClose, func(c *peers.Conn, _ *eventloop.Exchange) { c.Close() }},
+		"not said":        {strings.Clone, func(c *peers.Conn, _ *eventloop.Exchange) { c.Close() }},
+		"more than asked": {func(a string) string { return a + "HTTP/1.1" }, func(c *peers.Conn, _ *eventloop.Exchange) { c.Close() }},
+		"reset under the next call": {strings.Clone, func(c *peers.Conn, _ *eventloop.Exchange) {
 			c.Request()
 			c.Reset()
 		}},
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/lab/peers"
 )
 
@@ -61,8 +61,8 @@
 }
 
 // startClient runs a client that holds the list of a revision, until the end of the test.
-func startClient(t *testing.T, address string, known int64) (*Client, *exchange.Exchange, *logBuffer) {
-	x, log := exchange.New(), &logBuffer{}
+func startClient(t *testing.T, address string, known int64) (*Client, *eventloop.Exchange, *logBuffer) {
+	x, log := eventloop.New(), &logBuffer{}
 	c := New(address, known, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -72,7 +72,7 @@
 }
 
 // nextListing waits for the next listing.
-func nextListing(t *testing.T, x *exchange.Exchange) controller.ReplicaList {
+func nextListing(t *testing.T, x *eventloop.Exchange) controller.ReplicaList {
 	t.Helper()
 	select {
 	case <-x.Ready():
@@ -113,8 +113,8 @@
 
 // startClientWithDialer runs a client in a bubble of virtual time until its test ends.
 func startClientWithDialer(t *testing.T, seed uint64, dial dialFunc) (
-	*Client, *exchange.Exchange, *logBuffer) {
-	x, log := exchange.New(), &logBuffer{}
+	*Client, *eventloop.Exchange, *logBuffer) {
+	x, log := eventloop.New(), &logBuffer{}
 	c := New("agent:1", 40, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, seed)
 	c.dial = dial
 	ended := make(chan struct{})
--- a/internal/exchange/exchange.go
+++ b/internal/eventloop/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange is where the server side, the client side and the core meet: an inbox of events for the
+// Package eventloop is where the server side, the client side and the core meet: an inbox of events for the
 // core, and an outbox of pushes for each stream. Nothing here waits for a peer.
-package exchange
+package eventloop
 
 import (
 	"sync"
--- a/internal/exchange/exchange_test.go
+++ b/internal/eventloop/exchange_test.go
@@ -1,4 +1,4 @@
-package exchange
+package eventloop
 
 import (
 	"testing"
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -17,7 +17,7 @@
 	"lilacbend/control"
 	"lilacbend/internal/controller"
 	"lilacbend/internal/discovery"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/forward"
 	"lilacbend/internal/front"
 	"lilacbend/internal/relay"
@@ -41,7 +41,7 @@
 	server   *front.Server
 	client   *steering.Client
 	teller   *steering.Reporter
-	lists    *exchange.Exchange
+	lists    *eventloop.Exchange
 	flows    atomic.Int64
 
 	listeners map[string]net.Listener
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Sidecar{manifest: m, log: log, began: time.Now(), lists: exchange.New(), listeners: map[string]net.Listener{},
+	s := &Sidecar{manifest: m, log: log, began: time.Now(), lists: eventloop.New(), listeners: map[string]net.Listener{},
 		pool: upstream.NewPool(m.Connections, m.IdleConns, m.IdleSpan, m.ReplicaStall)}
 	var once []bool
 	var names []string
--- a/internal/streams/capacity_bench_test.go
+++ b/internal/streams/capacity_bench_test.go
@@ -15,7 +15,7 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
 	"lilacbend/settings"
 )
@@ -43,7 +43,7 @@
 					b.Fatal(err)
 				}
 			}
-			events := exchange.New()
+			events := eventloop.New()
 			for b.Loop() {
 				r := resp.NewReader(bytes.NewReader(raw.Bytes()), pool)
 				for range messagesEach {
@@ -204,7 +204,7 @@
 func serveProxies(b *testing.B, l net.Listener, count int) (stop func()) {
 	p := control.Settings{Proxies: count, Classes: []control.TrafficClass{{Timeout: 3e9}}}
 	topology := controller.NewTopology(settings.Names{Classes: []string{"read"}, Zones: []string{"a"}}, p)
-	s := New(exchange.New(), resp.NewPool(24<<20), slog.New(slog.DiscardHandler), 4*count+100, topology)
+	s := New(eventloop.New(), resp.NewPool(24<<20), slog.New(slog.DiscardHandler), 4*count+100, topology)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve(ctx, l) }()
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
 )
 
@@ -51,7 +51,7 @@
 	zone   string        // of a collector
 	role   role
 	id     int // of a proxy
-	out    *exchange.Outbox
+	out    *eventloop.Outbox
 	late   int           // bytes that a stranger may still be read after its deadline; 0: it has not passed
 	done   chan struct{} // closed when nothing more is read
 }
--- a/internal/streams/peer_test.go
+++ b/internal/streams/peer_test.go
@@ -11,14 +11,14 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
 	"lilacbend/settings"
 )
 
 func server(descriptors int) *Server {
 	topology := controller.NewTopology(settings.Names{Classes: []string{"lookup"}, Zones: []string{"a", "b"}}, control.Settings{Proxies: 20})
-	return New(exchange.New(), resp.NewPool(8<<20), slog.New(slog.DiscardHandler), descriptors, topology)
+	return New(eventloop.New(), resp.NewPool(8<<20), slog.New(slog.DiscardHandler), descriptors, topology)
 }
 
 func TestWhatAPeerSaysBecomesOneNote(t *testing.T) {
--- a/internal/streams/server.go
+++ b/internal/streams/server.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
 )
 
@@ -33,7 +33,7 @@
 
 // Server serves one listener.
 type Server struct {
-	exchange *exchange.Exchange
+	exchange *eventloop.Exchange
 	pool     *resp.Pool
 	log      *slog.Logger
 	most     int
@@ -49,7 +49,7 @@
 }
 
 // New makes a server that holds no more than so many descriptors.
-func New(x *exchange.Exchange, pool *resp.Pool, log *slog.Logger, descriptors int, topology controller.Topology) *Server {
+func New(x *eventloop.Exchange, pool *resp.Pool, log *slog.Logger, descriptors int, topology controller.Topology) *Server {
 	s := &Server{exchange: x, pool: pool, log: log, most: max(1, descriptors-reservedDescriptors),
 		peers: map[*peer]struct{}{}, queue: list.New(), zones: map[string]*peer{},
 		lastWarning: map[string]time.Time{}}
--- a/internal/streams/words_test.go
+++ b/internal/streams/words_test.go
@@ -10,7 +10,7 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/controller"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
 	"lilacbend/settings"
 )
@@ -65,7 +65,7 @@
 
 // A deployment without zones: peers may leave out where they stand.
 func TestPeersThatNameNoZone(t *testing.T) {
-	x := exchange.New()
+	x := eventloop.New()
 	topology := controller.NewTopology(settings.Names{Classes: []string{"a"}},
 		control.Settings{Proxies: 2, Classes: []control.TrafficClass{{Timeout: 1e9}}})
 	s := New(x, resp.NewPool(1<<20), slog.New(slog.DiscardHandler), 99, topology)
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -14,7 +14,7 @@
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/controller"
 	"lilacbend/internal/discovery"
-	"lilacbend/internal/exchange"
+	"lilacbend/internal/eventloop"
 	"lilacbend/internal/revision"
 	"lilacbend/lab/scale/checks"
 	"lilacbend/policy"
@@ -45,7 +45,7 @@
 	count  *messageCount
 	source ConfigurationSource
 
-	exchange *exchange.Exchange
+	exchange *eventloop.Exchange
 	module   *policy.Governor // the last that was started; for the goroutine of the core
 
 	mu      sync.Mutex
@@ -70,7 +70,7 @@
 	if err != nil {
 		return fmt.Errorf("governor %d: %w", h.plan.Number, err)
 	}
-	h.exchange = exchange.New()
+	h.exchange = eventloop.New()
 	h.exchange.Expect(first.provision.Proxies)
 	h.offered = map[revision.Version]offer{{}: {marker: 1, done: func(error) {}}}
 	h.tell(checks.Event{Kind: checks.Started, Resumes: true})
