--- a/cmd/lilacbend/configuration.go
+++ b/cmd/lilacbend/configuration.go
@@ -7,9 +7,9 @@
 
 	"lilacbend/internal/configwatch"
 	"lilacbend/internal/controller"
+	"lilacbend/internal/controlserver"
 	"lilacbend/internal/eventloop"
 	"lilacbend/internal/revision"
-	"lilacbend/internal/streams"
 	"lilacbend/policy"
 	"lilacbend/settings"
 )
@@ -82,7 +82,7 @@
 }
 
 // settle passes the core's verdicts on: to the servers, and to those who check and hold what peers send.
-func (f *configurationFollower) settle(configured []controller.Configured, core *controller.Core, server *streams.Server) {
+func (f *configurationFollower) settle(configured []controller.Configured, core *controller.Core, server *controlserver.Server) {
 	for _, c := range configured {
 		server.Reconfigure(core.CurrentTopology())
 		if c.Err != nil {
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"lilacbend/internal/controller"
+	"lilacbend/internal/controlserver"
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
-	"lilacbend/internal/streams"
 	"lilacbend/policy"
 )
 
@@ -77,7 +77,7 @@
 	pool := resp.NewPool(int(buffersPart * float64(c.memory)))
 	var all sync.WaitGroup
 	var broken error
-	server := streams.New(x, pool, log, c.descriptors, topology)
+	server := controlserver.New(x, pool, log, c.descriptors, topology)
 	all.Go(func() {
 		defer stop()
 		broken = server.Serve(ctx, listener)
@@ -118,7 +118,7 @@
 
 // drive is the one goroutine in which the core runs.
 func drive(ctx context.Context, core *controller.Core, x *eventloop.Exchange, base clock,
-	asked <-chan os.Signal, kept *archive, follower *configurationFollower, server *streams.Server, log *slog.Logger) {
+	asked <-chan os.Signal, kept *archive, follower *configurationFollower, server *controlserver.Server, log *slog.Logger) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
--- a/internal/streams/peer.go
+++ b/internal/controlserver/peer.go
@@ -1,4 +1,4 @@
-package streams
+package controlserver
 
 import (
 	"container/list"
--- a/internal/streams/server.go
+++ b/internal/controlserver/server.go
@@ -1,6 +1,6 @@
-// Package streams is the server side: it listens, tells collectors, proxies, probes and strangers apart, puts
+// Package controlserver is the server side: it listens, tells collectors, proxies, probes and strangers apart, puts
 // what they say into the exchange and writes to each proxy what waits in its outbox.
-package streams
+package controlserver
 
 import (
 	"container/list"
