--- a/cmd/lilacbend/sidecar.go
+++ b/cmd/lilacbend/sidecar.go
@@ -13,8 +13,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"lilacbend/internal/controlclient"
 	"lilacbend/internal/sidecar"
-	"lilacbend/internal/steering"
 )
 
 // sidecarCommand runs a sidecar, or checks its file.
@@ -83,7 +83,7 @@
 
 // collectorCommand runs the collector of a zone.
 func collectorCommand() *cli.Command {
-	c := &steering.Collector{}
+	c := &controlclient.Collector{}
 	var listen string
 	return &cli.Command{Name: "collector", Usage: "sum what a zone's sidecars met, and tell governors",
 		Flags: []cli.Flag{
--- a/internal/steering/collector_conn.go
+++ b/internal/controlclient/collector_conn.go
@@ -1,4 +1,4 @@
-package steering
+package controlclient
 
 import (
 	"context"
--- a/internal/steering/update.go
+++ b/internal/controlclient/update.go
@@ -1,7 +1,7 @@
-// Package steering is the client side of the control protocol: a sidecar's stream to a governor, a collector that sums the
+// Package controlclient is the client side of the control protocol: a sidecar's stream to a governor, a collector that sums the
 // reports of a zone's sidecars, and a sidecar's reports to it. It reads and writes messages; what an update does is up to the
 // sidecar's core.
-package steering
+package controlclient
 
 import (
 	"errors"
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -15,13 +15,13 @@
 	"time"
 
 	"lilacbend/control"
+	"lilacbend/internal/controlclient"
 	"lilacbend/internal/controller"
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/eventloop"
 	"lilacbend/internal/forward"
 	"lilacbend/internal/front"
 	"lilacbend/internal/relay"
-	"lilacbend/internal/steering"
 	"lilacbend/internal/upstream"
 )
 
@@ -39,8 +39,8 @@
 	relay    *relay.Relay
 	pool     *upstream.Pool
 	server   *front.Server
-	client   *steering.Client
-	teller   *steering.Reporter
+	client   *controlclient.Client
+	teller   *controlclient.Reporter
 	lists    *eventloop.Exchange
 	flows    atomic.Int64
 
@@ -66,8 +66,8 @@
 		log.Error("panic in a flow", "panic", text)
 	}
 	s.server = front.New(m.Bounds, s.relay.Serve, m.Classify(), log, s.record)
-	s.client = &steering.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
-	s.teller = &steering.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*forward.Sum) {
+	s.client = &controlclient.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
+	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*forward.Sum) {
 		s.relay.With(func(_ int64, d *forward.Desk) { all = d.Sums() })
 		return all
 	}}
