--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -10,9 +10,9 @@
 	"slices"
 
 	"lilacbend/control"
-	"lilacbend/internal/channel"
 	"lilacbend/internal/memory"
 	"lilacbend/internal/revision"
+	"lilacbend/internal/sendbudget"
 )
 
 const (
@@ -38,7 +38,7 @@
 	newModule func() Module
 	Topology
 	module      Module
-	account     *channel.Account // outlives modules and streams
+	account     *sendbudget.Account // outlives modules and streams
 	replicas    replicaSet
 	proxies     map[int]*stream // by proxy
 	streams     map[Stream]*stream
@@ -120,7 +120,7 @@
 
 // New makes a core whose modules are started by start.
 func New(start func() Module, census Topology) *Core {
-	c := &Core{newModule: start, Topology: census, account: channel.New(census.bounds), replicas: newReplicaSet(),
+	c := &Core{newModule: start, Topology: census, account: sendbudget.New(census.bounds), replicas: newReplicaSet(),
 		proxies: map[int]*stream{}, streams: map[Stream]*stream{}, bound: map[int]map[int]*stream{}, due: map[int]*stream{}, snapshotInterval: defaultSnapshotInterval, halfLife: defaultHalfLife}
 	c.restartModule()
 	return c
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"lilacbend/control"
-	"lilacbend/internal/channel"
+	"lilacbend/internal/sendbudget"
 	"lilacbend/settings"
 )
 
@@ -439,7 +439,7 @@
 // tight is a core with a channel of so many lines, and a cap of so many messages a proxy in 10 s; a replica x in table 0.
 func tight(lines, messages int, turns ...[]control.Command) (*Core, *script) {
 	c, s := core(turns...)
-	c.account = channel.New(channel.Bounds{Lines: lines, Rate: 100, Head: 4, Messages: messages, Span: 10e9, Transit: 1e8})
+	c.account = sendbudget.New(sendbudget.Bounds{Lines: lines, Rate: 100, Head: 4, Messages: messages, Span: 10e9, Transit: 1e8})
 	return c, s
 }
 
@@ -517,7 +517,7 @@
 // ever: who has waited longest comes first.
 func TestABusyChannelGetsMessagesThatAreNew(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 1}, control.Bind{Proxy: 2}, control.Bind{Proxy: 3}, control.RequestAck{Nonce: 1}})
-	c.account = channel.New(channel.Bounds{Lines: 1 << 20, Rate: 100, Head: 4, Transit: 1e7}) // busy from 4 lines on
+	c.account = sendbudget.New(sendbudget.Bounds{Lines: 1 << 20, Rate: 100, Head: 4, Transit: 1e7}) // busy from 4 lines on
 	notes := []any{list(true, "xr", "yr")}
 	for proxy := 1; proxy <= 3; proxy++ {
 		notes = append(notes, StreamOpened{Stream: Stream(proxy), Proxy: proxy, Zone: "a", Blank: true})
@@ -545,7 +545,7 @@
 // answer speaks for the module's as well.
 func TestMissingAnswersAreAskedFor(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
-	c.account = channel.New(channel.Bounds{Lines: 40, Rate: 100, Head: 4, Messages: 2, Span: 10e9, Transit: 1e8})
+	c.account = sendbudget.New(sendbudget.Bounds{Lines: 40, Rate: 100, Head: 4, Messages: 2, Span: 10e9, Transit: 1e8})
 	c.Turn(1e9, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	if got := text(c.Turn(3e9, []any{StreamActive{1}})); got != "" {
 		t.Errorf("after 2 s %s", got)
--- a/internal/controller/topology.go
+++ b/internal/controller/topology.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"lilacbend/control"
-	"lilacbend/internal/channel"
+	"lilacbend/internal/sendbudget"
 	"lilacbend/settings"
 )
 
@@ -30,7 +30,7 @@
 	maxPeriod       int64 // the longest time that sums can tell of
 	drainGrace      int64
 	silenceTimeout  int64 // in which who owes an answer gives it, unless it has vanished
-	bounds          channel.Bounds
+	bounds          sendbudget.Bounds
 
 	admission      control.Admission
 	defaultRetries control.RetryPolicy // what proxies do by themselves
@@ -40,7 +40,7 @@
 // NewTopology makes a topology of what the settings name.
 func NewTopology(names settings.Names, p control.Settings) Topology {
 	c := Topology{names: names, proxies: p.Proxies, kinds: p.Kinds, drainGrace: p.DrainGrace,
-		maxPeriod: max(maxReportPeriod, maxReportIntervals*p.ReportInterval), bounds: channel.Bounds{Lines: p.ChannelLimit, Rate: p.ChannelRate,
+		maxPeriod: max(maxReportPeriod, maxReportIntervals*p.ReportInterval), bounds: sendbudget.Bounds{Lines: p.ChannelLimit, Rate: p.ChannelRate,
 			Head: p.MessageHead, Messages: p.MaxMessages, Span: p.MessageWindow, Transit: p.MaxTransit, Grace: p.DrainGrace},
 		admission: p.Admission, defaultRetries: p.DefaultRetries}
 	c.silenceTimeout = minSilenceTimeout
--- a/internal/channel/account.go
+++ b/internal/sendbudget/account.go
@@ -1,8 +1,8 @@
-// Package channel is the account of a governor's channel. Every message is charged to it, and to the proxy that it is for,
+// Package sendbudget is the account of a governor's channel. Every message is charged to it, and to the proxy that it is for,
 // before it leaves, and only what shows that it has left the channel takes the charge back: so its bounds hold whatever
 // the channel, the proxies or the governor's own pace do. It has no I/O, no clock and no goroutine, and it decides nothing
 // but whether a message fits. Times are nanoseconds of any one clock.
-package channel
+package sendbudget
 
 import "slices"
 
--- a/internal/channel/account_test.go
+++ b/internal/sendbudget/account_test.go
@@ -1,4 +1,4 @@
-package channel
+package sendbudget
 
 import (
 	"testing"
