--- a/internal/controlclient/outcomes.go
+++ b/internal/controlclient/outcomes.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"lilacbend/internal/aggregate"
+	"lilacbend/internal/loadreport"
 )
 
 const (
@@ -57,8 +57,8 @@
 }
 
 // sum is the report as a sum.
-func (r outcomeReport) sum() aggregate.Sum {
-	return aggregate.Sum{
+func (r outcomeReport) sum() loadreport.Sum {
+	return loadreport.Sum{
 		Attempts:       r.attempts,
 		Failures:       r.failures,
 		ResponseMillis: r.meanMillis * float64(r.attempts-r.failures),
@@ -69,18 +69,18 @@
 type pendingOutcomes struct {
 	mu       sync.Mutex
 	interval time.Duration
-	outcomes *aggregate.Aggregator
+	outcomes *loadreport.Aggregator
 }
 
 // newPendingOutcomes makes one that is told each interval, in so many bytes a second; 0: without a limit.
 func newPendingOutcomes(interval time.Duration, bytesPerSecond int) *pendingOutcomes {
-	limits := aggregate.Limits{
+	limits := loadreport.Limits{
 		BytesPerSecond: bytesPerSecond,
 		Interval:       interval,
 		MaxAge:         max(maxReportAge, 2*interval),
 		MaxKeys:        maxReplicas,
 	}
-	return &pendingOutcomes{interval: interval, outcomes: aggregate.New(limits, monotonicNow())}
+	return &pendingOutcomes{interval: interval, outcomes: loadreport.New(limits, monotonicNow())}
 }
 
 // add adds a report. It came since the last round, or if there was none for a while, since no longer than a round takes.
@@ -107,7 +107,7 @@
 }
 
 // next gives the next report of the round; false: there is none, or no more is allowed.
-func (p *pendingOutcomes) next() (aggregate.Report, bool) {
+func (p *pendingOutcomes) next() (loadreport.Report, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.outcomes.Next(monotonicNow())
--- a/internal/aggregate/aggregate.go
+++ b/internal/loadreport/aggregate.go
@@ -1,7 +1,7 @@
-// Package aggregate sums outcomes by key, and chooses which sums are reported first where a budget of bytes does not allow all
+// Package loadreport sums outcomes by key, and chooses which sums are reported first where a budget of bytes does not allow all
 // of them. Nothing is lost by the choice: what is not reported yet is summed on. The package has no I/O, no clock and no
 // goroutine: times (nanoseconds of any one clock) and outcomes go in, reports come out.
-package aggregate
+package loadreport
 
 import (
 	"cmp"
--- a/internal/aggregate/aggregate_test.go
+++ b/internal/loadreport/aggregate_test.go
@@ -1,4 +1,4 @@
-package aggregate
+package loadreport
 
 import (
 	"fmt"
