--- a/cmd/lilacbend/state.go
+++ b/cmd/lilacbend/state.go
@@ -16,7 +16,7 @@
 
 	"lilacbend/internal/controller"
 	"lilacbend/internal/eventloop"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/operator"
 	"lilacbend/internal/vault"
 )
@@ -86,18 +86,18 @@
 		return
 	}
 	age := g.Memory.Taken.Age(vault.Now())
-	m, dropped := memory.Fit(g.Memory, topology.Place(), age, r.HalfLife.Nanoseconds())
+	m, dropped := learnedstate.Fit(g.Memory, topology.Place(), age, r.HalfLife.Nanoseconds())
 	if m.Lists(c.known.Revision, age) {
 		c.known = controller.ListFromSnapshot(m)
 	}
 	a.read, a.age = g.Name, time.Duration(age)
-	x.Publish(controller.SnapshotRestored{Snapshot: memory.NewPast(m, base.now(), age, r.HalfLife.Nanoseconds())})
-	a.log.Info("state read", "file", g.Name, "age", a.age.Round(time.Millisecond), "weight", fmt.Sprintf("%.2f", memory.Weight(age, r.HalfLife.Nanoseconds())),
+	x.Publish(controller.SnapshotRestored{Snapshot: learnedstate.NewPast(m, base.now(), age, r.HalfLife.Nanoseconds())})
+	a.log.Info("state read", "file", g.Name, "age", a.age.Round(time.Millisecond), "weight", fmt.Sprintf("%.2f", learnedstate.Weight(age, r.HalfLife.Nanoseconds())),
 		"replicas", len(m.Replicas), "list", c.known.Revision, "unfit", dropped.Replicas, "too_old", dropped.Old, "usage_dropped", dropped.Usage, "groups_changed", dropped.Classes)
 }
 
 // put hands over what was learned.
-func (a *archive) put(m *memory.Memory) {
+func (a *archive) put(m *learnedstate.Memory) {
 	if a != nil && m != nil {
 		kept := *m
 		kept.Governor, kept.Taken = a.name, vault.Now()
@@ -217,7 +217,7 @@
 	return g, err
 }
 
-func export(out io.Writer, m memory.Memory) error {
+func export(out io.Writer, m learnedstate.Memory) error {
 	raw, err := vault.Export(m)
 	if err == nil {
 		_, err = out.Write(raw)
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/operator"
 	"lilacbend/internal/resp"
 	"lilacbend/internal/vault"
@@ -116,7 +116,7 @@
 
 // Whatever is found in the folder, a governor serves; what it could not use it names, and leaves.
 func TestAGovernorServesWhateverItFinds(t *testing.T) {
-	whole, _ := vault.Encode(memory.Memory{Governor: "n9", Taken: vault.Now()}, 1)
+	whole, _ := vault.Encode(learnedstate.Memory{Governor: "n9", Taken: vault.Now()}, 1)
 	for name, c := range map[string]struct{ raw, says string }{
 		"state-0000000000000001.lbs": {string(whole), `it is \"n9\"'s`},
 		"state-0000000000000002.lbs": {string(whole), "it holds generation 1"},
@@ -164,7 +164,7 @@
 
 func TestStateCommands(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "s")
-	m := memory.Memory{Governor: "n0", Taken: vault.Now(), Classes: []string{"read"}, AdmissionThreshold: 1, Replicas: []memory.Replica{{ID: "box-2", Zone: "a", Speed: 0.5, EjectedFor: 3e9, Ejections: 1}}}
+	m := learnedstate.Memory{Governor: "n0", Taken: vault.Now(), Classes: []string{"read"}, AdmissionThreshold: 1, Replicas: []learnedstate.Replica{{ID: "box-2", Zone: "a", Speed: 0.5, EjectedFor: 3e9, Ejections: 1}}}
 	paper, err := vault.Export(m)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -10,7 +10,7 @@
 	"slices"
 
 	"lilacbend/control"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/revision"
 	"lilacbend/internal/sendbudget"
 )
@@ -57,10 +57,10 @@
 	pausedUntil int64 // no turns until then
 	lastSweep   int64
 
-	revision            int64        // of the list
-	restored            *memory.Past // by an earlier governor
-	lastSnapshot        *memory.Past // what the module here had learned when it was last asked
-	snapshotInterval    int64        // that it is asked, with a half-life for what it says
+	revision            int64              // of the list
+	restored            *learnedstate.Past // by an earlier governor
+	lastSnapshot        *learnedstate.Past // what the module here had learned when it was last asked
+	snapshotInterval    int64              // that it is asked, with a half-life for what it says
 	halfLife            int64
 	snapshotRequestedAt int64
 	settledAt           int64 // before that it knows less than what was brought
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -2,7 +2,7 @@
 
 import (
 	"lilacbend/control"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 )
 
 // This file holds what comes in and what goes out, with names as the peers write them.
@@ -103,7 +103,7 @@
 	Logs         []string
 	Panic        string // the module panicked: what it said
 	// What the module has learned, now and then. Not to be changed; Governor and Taken are for the caller to fill.
-	Snapshot *memory.Memory
+	Snapshot *learnedstate.Memory
 	// What became of the settings that came with this turn.
 	Configured []Configured
 }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"lilacbend/control"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 )
 
 // This file turns what the module has learned into a memory by names, and a memory into what a module is told.
@@ -23,18 +23,18 @@
 const defaultHalfLife = int64(60 * 1e9)
 
 // SnapshotRestored is an input: what an earlier governor had learned, fitted to this place. It comes before the first list.
-type SnapshotRestored struct{ Snapshot *memory.Past }
+type SnapshotRestored struct{ Snapshot *learnedstate.Past }
 
 // Place is what a memory has to fit.
-func (c Topology) Place() memory.Place {
-	return memory.Place{Classes: c.names.Classes, Kinds: c.names.Kinds, Proxies: c.proxies}
+func (c Topology) Place() learnedstate.Place {
+	return learnedstate.Place{Classes: c.names.Classes, Kinds: c.names.Kinds, Proxies: c.proxies}
 }
 
 // Remember has the module asked for what it has learned every so long; halfLife is that of what is learned.
 func (c *Core) Remember(every, halfLife int64) { c.snapshotInterval, c.halfLife = every, halfLife }
 
 // lastLearned is what a fresh module is told: what its predecessor here had learned, or what was brought.
-func (c *Core) lastLearned() *memory.Past {
+func (c *Core) lastLearned() *learnedstate.Past {
 	if c.lastSnapshot != nil {
 		return c.lastSnapshot
 	}
@@ -42,7 +42,7 @@
 }
 
 // restoredReplicas tells what is known of the replicas of a list.
-func (c *Core) restoredReplicas(past *memory.Past, entries []control.Entry, now int64) (all []control.Event) {
+func (c *Core) restoredReplicas(past *learnedstate.Past, entries []control.Entry, now int64) (all []control.Event) {
 	if past == nil {
 		return nil
 	}
@@ -63,7 +63,7 @@
 }
 
 // restoredFleet tells what is known of all together.
-func (c *Core) restoredFleet(past *memory.Past, now int64) []control.Event {
+func (c *Core) restoredFleet(past *learnedstate.Past, now int64) []control.Event {
 	if past == nil || past.Weight(now) == 0 {
 		return nil
 	}
@@ -92,40 +92,40 @@
 
 // snapshot turns what the module has learned into a memory, adds what was brought of replicas that are not
 // listed, and keeps it for a fresh module.
-func (c *Core) snapshot(l control.Snapshot, now int64) memory.Memory {
-	m := memory.Memory{Revision: c.revision, Classes: c.names.Classes, Tables: l.Tables, Bindings: l.Bindings, AdmissionThreshold: l.AdmissionThreshold,
+func (c *Core) snapshot(l control.Snapshot, now int64) learnedstate.Memory {
+	m := learnedstate.Memory{Revision: c.revision, Classes: c.names.Classes, Tables: l.Tables, Bindings: l.Bindings, AdmissionThreshold: l.AdmissionThreshold,
 		MaxSuccessRate: l.MaxSuccessRate, RetriesStopped: l.RetriesStopped}
 	for _, k := range l.Replicas {
 		r := c.replicas.known[k.Replica]
 		if r == nil || r.State == control.Gone {
 			continue
 		}
-		m.Replicas = append(m.Replicas, memory.Replica{ID: r.name, Zone: r.zone, Kind: r.kind, UpSince: r.upSince, State: r.State,
+		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: r.name, Zone: r.zone, Kind: r.kind, UpSince: r.upSince, State: r.State,
 			Weight: r.Weight, Speed: k.Speed, SampleCount: k.SampleCount, Ticket: k.Ticket, Table: k.Table, EjectedFor: k.EjectedFor, Probation: k.Probation,
 			Ejections: k.Ejections, SinceLastSample: k.SinceLastSample})
 	}
-	slices.SortFunc(m.Replicas, func(a, b memory.Replica) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(m.Replicas, func(a, b learnedstate.Replica) int { return strings.Compare(a.ID, b.ID) })
 	for k, answers := range l.UsualResponseTimes {
 		if len(answers) > 0 && k == c.kinds {
-			m.UsualResponses = append(m.UsualResponses, memory.KindResponses{Times: answers})
+			m.UsualResponses = append(m.UsualResponses, learnedstate.KindResponses{Times: answers})
 		} else if len(answers) > 0 && k < len(c.names.Kinds) {
-			m.UsualResponses = append(m.UsualResponses, memory.KindResponses{Kind: c.names.Kinds[k], Times: answers})
+			m.UsualResponses = append(m.UsualResponses, learnedstate.KindResponses{Kind: c.names.Kinds[k], Times: answers})
 		}
 	}
 	for _, u := range l.Usage {
 		if u.Class >= 0 && u.Class < len(c.names.Classes) {
-			m.Usage = append(m.Usage, memory.Usage{Proxy: u.Proxy, Class: c.names.Classes[u.Class], Rate: u.Rate})
+			m.Usage = append(m.Usage, learnedstate.Usage{Proxy: u.Proxy, Class: c.names.Classes[u.Class], Rate: u.Rate})
 		}
 	}
 	if c.restored != nil {
-		m = memory.Merge(m, c.restored.Memory, c.restored.Age(now), c.halfLife)
+		m = learnedstate.Merge(m, c.restored.Memory, c.restored.Age(now), c.halfLife)
 	}
-	c.lastSnapshot = memory.NewPast(m, now, 0, c.halfLife)
+	c.lastSnapshot = learnedstate.NewPast(m, now, 0, c.halfLife)
 	return m
 }
 
 // ListFromSnapshot makes a list of the members of a memory, for a start at which discovery may not answer.
-func ListFromSnapshot(m memory.Memory) ReplicaList {
+func ListFromSnapshot(m learnedstate.Memory) ReplicaList {
 	l := ReplicaList{Revision: m.Revision, Complete: true}
 	for _, r := range m.Replicas {
 		if r.State != control.Gone {
@@ -137,7 +137,7 @@
 
 // FinalSnapshot is what the module has learned, asked for once more at the end; nil where it fails, or knows less than what
 // it began from.
-func (c *Core) FinalSnapshot(now int64) *memory.Memory {
+func (c *Core) FinalSnapshot(now int64) *learnedstate.Memory {
 	if now < c.settledAt {
 		return nil
 	}
--- a/internal/memory/memory.go
+++ b/internal/learnedstate/memory.go
@@ -1,7 +1,7 @@
-// Package memory is what a governor has learned, as a value that outlives it: by the names of replicas, zones,
+// Package learnedstate is what a governor has learned, as a value that outlives it: by the names of replicas, zones,
 // kinds and traffic groups, since their numbers are new with each start. Here it is merged, aged and judged for
 // fitness; whether and how far a remembered thing is believed the decision module says. No I/O, no clock.
-package memory
+package learnedstate
 
 import (
 	"cmp"
--- a/internal/memory/memory_test.go
+++ b/internal/learnedstate/memory_test.go
@@ -1,4 +1,4 @@
-package memory
+package learnedstate
 
 import (
 	"math"
--- a/internal/memory/moment.go
+++ b/internal/learnedstate/moment.go
@@ -1,4 +1,4 @@
-package memory
+package learnedstate
 
 // Past is a memory that serves a running governor: it goes on ageing by that governor's own clock.
 type Past struct {
--- a/internal/vault/bench_test.go
+++ b/internal/vault/bench_test.go
@@ -5,19 +5,19 @@
 	"testing"
 
 	"lilacbend/control"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 )
 
 // large is the memory of 1,000 replicas and 10,000 proxies with three traffic groups.
-func large() memory.Memory {
-	m := memory.Memory{Governor: "n0", Classes: []string{"read", "order", "payout"}, Tables: 40, AdmissionThreshold: 1}
+func large() learnedstate.Memory {
+	m := learnedstate.Memory{Governor: "n0", Classes: []string{"read", "order", "payout"}, Tables: 40, AdmissionThreshold: 1}
 	for k := range 1000 {
-		m.Replicas = append(m.Replicas, memory.Replica{ID: fmt.Sprintf("s-%08x", k*2654435761), Zone: "a", Kind: "m1", UpSince: 1_700_000_000e9 + int64(k),
+		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: fmt.Sprintf("s-%08x", k*2654435761), Zone: "a", Kind: "m1", UpSince: 1_700_000_000e9 + int64(k),
 			Weight: 1, Speed: 0.7 + float64(k)/3e3, SampleCount: 16, Ticket: float64(k) / 1001, Table: k % 40, SinceLastSample: int64(k) * 1e6})
 	}
 	for k := range 10000 {
 		for g, name := range m.Classes {
-			m.Usage = append(m.Usage, memory.Usage{Proxy: k, Class: name, Rate: float64(k%97)/8.1 + float64(g)})
+			m.Usage = append(m.Usage, learnedstate.Usage{Proxy: k, Class: name, Rate: float64(k%97)/8.1 + float64(g)})
 		}
 		m.Bindings = append(m.Bindings, control.Binding{Proxy: k, Table: k % 40})
 	}
--- a/internal/vault/codec.go
+++ b/internal/vault/codec.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lilacbend/control"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 )
 
 // A generation is a head of 40 bytes, whose layout holds for all formats, and a body in CBOR:
@@ -109,7 +109,7 @@
 var (
 	writes = must(cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode())
 	// A body may name little more than a memory may hold, so that a crafted length asks for nothing.
-	reads = must(cbor.DecOptions{MaxArrayElements: 2 * memory.MaxReplicas, MaxMapPairs: 4 * memory.MaxReplicas, MaxNestedLevels: 8,
+	reads = must(cbor.DecOptions{MaxArrayElements: 2 * learnedstate.MaxReplicas, MaxMapPairs: 4 * learnedstate.MaxReplicas, MaxNestedLevels: 8,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
 )
 
@@ -121,11 +121,11 @@
 }
 
 // Encode writes a memory as a generation.
-func Encode(m memory.Memory, generation uint64) ([]byte, error) {
+func Encode(m learnedstate.Memory, generation uint64) ([]byte, error) {
 	return seal(bodyOf(m), Format, generation)
 }
 
-func bodyOf(m memory.Memory) body2 {
+func bodyOf(m learnedstate.Memory) body2 {
 	b := body2{Governor: m.Governor, Wall: m.Taken.Wall, Boot: m.Taken.Boot, Up: m.Taken.Up, Revision: m.Revision,
 		Classes: m.Classes, Tables: m.Tables, AdmissionThreshold: m.AdmissionThreshold, MaxSuccessRate: m.MaxSuccessRate, RetriesStopped: m.RetriesStopped,
 		Replicas: make([]replica2, 0, len(m.Replicas)), Usage: map[int][]float64{}, Bindings: map[int]int{}}
@@ -174,7 +174,7 @@
 
 // Decode reads a generation that is whole, or says what it is instead: ErrStrange, ErrDamaged, ErrNewer or
 // ErrTooLarge.
-func Decode(raw []byte) (m memory.Memory, generation uint64, format int, err error) {
+func Decode(raw []byte) (m learnedstate.Memory, generation uint64, format int, err error) {
 	body, generation, format, err := open(raw)
 	if err != nil {
 		return m, generation, format, err
@@ -185,7 +185,7 @@
 		m, err = second(body)
 	}
 	if err != nil {
-		return memory.Memory{}, generation, format, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return learnedstate.Memory{}, generation, format, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return m, generation, format, nil
 }
@@ -218,7 +218,7 @@
 	return body, generation, format, nil
 }
 
-func second(body []byte) (m memory.Memory, err error) {
+func second(body []byte) (m learnedstate.Memory, err error) {
 	var b body2
 	if err := reads.Unmarshal(body, &b); err != nil {
 		return m, err
@@ -226,21 +226,21 @@
 	return b.memory()
 }
 
-func (b body2) memory() (memory.Memory, error) {
-	m := memory.Memory{Governor: b.Governor, Taken: memory.Moment{Wall: b.Wall, Boot: b.Boot, Up: b.Up}, Revision: b.Revision,
+func (b body2) memory() (learnedstate.Memory, error) {
+	m := learnedstate.Memory{Governor: b.Governor, Taken: learnedstate.Moment{Wall: b.Wall, Boot: b.Boot, Up: b.Up}, Revision: b.Revision,
 		Classes: b.Classes, Tables: b.Tables, AdmissionThreshold: b.AdmissionThreshold, MaxSuccessRate: b.MaxSuccessRate, RetriesStopped: b.RetriesStopped}
 	for _, r := range b.Replicas {
-		m.Replicas = append(m.Replicas, memory.Replica{ID: r.ID, Zone: r.Zone, Kind: r.Kind, UpSince: r.UpSince,
+		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: r.ID, Zone: r.Zone, Kind: r.Kind, UpSince: r.UpSince,
 			State: control.State(r.State), Weight: r.Weight, Speed: r.Speed, SampleCount: r.SampleCount, Ticket: r.Ticket, Table: r.Table,
 			EjectedFor: r.EjectedFor, Probation: r.Probation, Ejections: r.Ejections, SinceLastSample: r.SinceLastSample})
 	}
 	for _, c := range b.UsualResponses {
-		m.UsualResponses = append(m.UsualResponses, memory.KindResponses(c))
+		m.UsualResponses = append(m.UsualResponses, learnedstate.KindResponses(c))
 	}
 	for _, proxy := range sortedKeys(b.Usage) {
 		for k, rate := range b.Usage[proxy] {
 			if k < len(b.Classes) && rate != 0 {
-				m.Usage = append(m.Usage, memory.Usage{Proxy: proxy, Class: b.Classes[k], Rate: rate})
+				m.Usage = append(m.Usage, learnedstate.Usage{Proxy: proxy, Class: b.Classes[k], Rate: rate})
 			}
 		}
 	}
@@ -252,14 +252,14 @@
 
 // first reads format 1. It had one rate a proxy, which is taken as shared evenly by the groups; a rest left was
 // not told, and a sick replica gets the shortest; tickets were not told, so that tables are drawn anew.
-func first(body []byte) (m memory.Memory, err error) {
+func first(body []byte) (m learnedstate.Memory, err error) {
 	var b body1
 	if err := reads.Unmarshal(body, &b); err != nil {
 		return m, err
 	}
-	m = memory.Memory{Governor: b.Governor, Taken: memory.Moment{Wall: b.Wall}, Revision: b.Revision, Classes: b.Classes, AdmissionThreshold: b.AdmissionThreshold}
+	m = learnedstate.Memory{Governor: b.Governor, Taken: learnedstate.Moment{Wall: b.Wall}, Revision: b.Revision, Classes: b.Classes, AdmissionThreshold: b.AdmissionThreshold}
 	for _, r := range b.Replicas {
-		n := memory.Replica{ID: r.ID, Zone: r.Zone, Kind: r.Kind, UpSince: r.UpSince, Weight: r.Weight, Speed: r.Speed,
+		n := learnedstate.Replica{ID: r.ID, Zone: r.Zone, Kind: r.Kind, UpSince: r.UpSince, Weight: r.Weight, Speed: r.Speed,
 			SampleCount: r.SampleCount, Ejections: r.Ejections, SinceLastSample: r.SinceLastSample, Probation: r.Verdict == "trial"}
 		if r.Draining {
 			n.State = control.Draining
@@ -270,11 +270,11 @@
 		m.Replicas = append(m.Replicas, n)
 	}
 	for _, kind := range sortedKeys(b.UsualResponses) {
-		m.UsualResponses = append(m.UsualResponses, memory.KindResponses{Kind: kind, Times: []float64{b.UsualResponses[kind]}})
+		m.UsualResponses = append(m.UsualResponses, learnedstate.KindResponses{Kind: kind, Times: []float64{b.UsualResponses[kind]}})
 	}
 	for _, proxy := range sortedKeys(b.Rates) {
 		for _, g := range b.Classes {
-			m.Usage = append(m.Usage, memory.Usage{Proxy: proxy, Class: g, Rate: b.Rates[proxy] / float64(len(b.Classes))})
+			m.Usage = append(m.Usage, learnedstate.Usage{Proxy: proxy, Class: g, Rate: b.Rates[proxy] / float64(len(b.Classes))})
 		}
 	}
 	return m, bounded(m)
@@ -283,9 +283,9 @@
 // firstEjection stands for the rest that format 1 did not tell.
 const firstEjection = int64(3 * 1e9)
 
-func bounded(m memory.Memory) error {
-	if len(m.Replicas) > memory.MaxReplicas || len(m.Usage) > memory.MaxUsage || len(m.UsualResponses) > memory.MaxNames ||
-		len(m.Classes) > memory.MaxNames || m.Taken.Wall < math.MinInt64/2 || m.Taken.Wall > math.MaxInt64/2 {
+func bounded(m learnedstate.Memory) error {
+	if len(m.Replicas) > learnedstate.MaxReplicas || len(m.Usage) > learnedstate.MaxUsage || len(m.UsualResponses) > learnedstate.MaxNames ||
+		len(m.Classes) > learnedstate.MaxNames || m.Taken.Wall < math.MinInt64/2 || m.Taken.Wall > math.MaxInt64/2 {
 		return fmt.Errorf("%d replicas, %d flows of proxies, %d groups: more than there can be", len(m.Replicas), len(m.Usage), len(m.Classes))
 	}
 	return nil
--- a/internal/vault/keeper.go
+++ b/internal/vault/keeper.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 )
 
 // While writes fail they are tried less and less often, down to once in so long: a full disk is not made
@@ -30,20 +30,20 @@
 	every time.Duration
 	again func() error // holds the folder once more, when it had vanished
 	log   *slog.Logger
-	slot  chan memory.Memory
+	slot  chan learnedstate.Memory
 	ended chan struct{}
 }
 
 // NewKeeper makes a keeper of so many generations that writes no oftener than every so long; again is called
 // after the folder had vanished.
 func NewKeeper(d Disk, keep int, every time.Duration, again func() error, log *slog.Logger) *Keeper {
-	return &Keeper{disk: d, keep: keep, every: every, again: again, log: log, slot: make(chan memory.Memory, 1),
+	return &Keeper{disk: d, keep: keep, every: every, again: again, log: log, slot: make(chan learnedstate.Memory, 1),
 		ended: make(chan struct{})}
 }
 
 // Offer hands over a memory, which must not change any more. The newest offered is written; it never waits. One
 // goroutine may offer.
-func (k *Keeper) Offer(m memory.Memory) {
+func (k *Keeper) Offer(m learnedstate.Memory) {
 	k.Tally.Offered.Add(1)
 	select {
 	case <-k.slot:
@@ -93,7 +93,7 @@
 	}
 }
 
-func (k *Keeper) write(m memory.Memory) error {
+func (k *Keeper) write(m learnedstate.Memory) error {
 	begun := time.Now()
 	g, err := Write(k.disk, m, k.keep)
 	if errors.Is(err, fs.ErrNotExist) && k.again != nil {
--- a/internal/vault/vault.go
+++ b/internal/vault/vault.go
@@ -18,7 +18,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 )
 
 const (
@@ -163,7 +163,7 @@
 	Number uint64
 	Format int
 	Bytes  int
-	Memory memory.Memory
+	Memory learnedstate.Memory
 }
 
 func fileName(generation uint64) string { return fmt.Sprintf("%s%016d%s", prefix, generation, suffix) }
@@ -242,7 +242,7 @@
 
 // Write writes the next generation and removes all whole ones but the newest keep. Damaged ones go with those of
 // their age; what a newer program wrote stays untouched. Left over halves of writes go as well.
-func Write(d Disk, m memory.Memory, keep int) (g Generation, err error) {
+func Write(d Disk, m learnedstate.Memory, keep int) (g Generation, err error) {
 	all, err := names(d)
 	if err != nil {
 		return g, err
@@ -316,7 +316,7 @@
 			refused = append(refused, r)
 			continue
 		}
-		g.Memory = memory.Memory{} // a folder of many would be held at once
+		g.Memory = learnedstate.Memory{} // a folder of many would be held at once
 		whole = append(whole, g)
 	}
 	return whole, refused, nil
--- a/internal/vault/vault_test.go
+++ b/internal/vault/vault_test.go
@@ -23,16 +23,16 @@
 	"pgregory.net/rapid"
 
 	"lilacbend/control"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 )
 
-func sample(k int) memory.Memory {
-	m := memory.Memory{Governor: "n0", Taken: memory.Moment{Wall: 1_700_000_000e9 + int64(k), Boot: "b", Up: 5e9}, Revision: int64(k),
+func sample(k int) learnedstate.Memory {
+	m := learnedstate.Memory{Governor: "n0", Taken: learnedstate.Moment{Wall: 1_700_000_000e9 + int64(k), Boot: "b", Up: 5e9}, Revision: int64(k),
 		Classes: []string{"read", "order"}, Tables: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true,
-		Replicas: []memory.Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, Ticket: 0.3, Table: 1,
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, Ticket: 0.3, Table: 1,
 			EjectedFor: 2e9, Ejections: 2, SinceLastSample: 1e9}, {ID: "y", Zone: "b", Kind: "m2", Weight: 1, Speed: 2, SampleCount: 16, Ticket: 0.4, Probation: true}},
-		UsualResponses: []memory.KindResponses{{Kind: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
-		Usage:          []memory.Usage{{Proxy: 1, Class: "read", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
+		UsualResponses: []learnedstate.KindResponses{{Kind: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
+		Usage:          []learnedstate.Usage{{Proxy: 1, Class: "read", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
 		Bindings:       []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}}
 	return m
 }
@@ -41,7 +41,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := sample(rapid.IntRange(0, 1<<40).Draw(t, "k"))
 		for k := range rapid.IntRange(0, 50).Draw(t, "replicas") {
-			m.Replicas = append(m.Replicas, memory.Replica{ID: fmt.Sprint("r", k), Zone: rapid.String().Draw(t, "zone"),
+			m.Replicas = append(m.Replicas, learnedstate.Replica{ID: fmt.Sprint("r", k), Zone: rapid.String().Draw(t, "zone"),
 				Speed: rapid.Float64().Draw(t, "speed"), SinceLastSample: rapid.Int64().Draw(t, "idle"), Probation: rapid.Bool().Draw(t, "trial")})
 		}
 		raw, err := Encode(m, 7)
@@ -139,11 +139,11 @@
 
 // Files as programs wrote them: testdata/format1.lbs and format2.lbs are never written anew.
 func TestKeptFilesOfEachFormatAreRead(t *testing.T) {
-	for format, want := range map[int]memory.Memory{1: {Governor: "n0", Taken: memory.Moment{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
-		Replicas: []memory.Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, EjectedFor: firstEjection, Ejections: 2, SinceLastSample: 1e9},
+	for format, want := range map[int]learnedstate.Memory{1: {Governor: "n0", Taken: learnedstate.Moment{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, EjectedFor: firstEjection, Ejections: 2, SinceLastSample: 1e9},
 			{ID: "y", Zone: "b", Kind: "m2", Weight: 2, Speed: 2, SampleCount: 16, Probation: true}},
-		UsualResponses: []memory.KindResponses{{Times: []float64{0.125}}, {Kind: "m1", Times: []float64{0.25}}},
-		Usage:          []memory.Usage{{Proxy: 3, Class: "read", Rate: 10}, {Proxy: 3, Class: "order", Rate: 10}}}, 2: sample(41)} {
+		UsualResponses: []learnedstate.KindResponses{{Times: []float64{0.125}}, {Kind: "m1", Times: []float64{0.25}}},
+		Usage:          []learnedstate.Usage{{Proxy: 3, Class: "read", Rate: 10}, {Proxy: 3, Class: "order", Rate: 10}}}, 2: sample(41)} {
 		raw, err := os.ReadFile(fmt.Sprintf("testdata/format%d.lbs", format))
 		if err != nil {
 			t.Fatal(err)
@@ -350,7 +350,7 @@
 		for k := 1; ; k++ {
 			big := sample(k)
 			for n := range 2000 {
-				big.Replicas = append(big.Replicas, memory.Replica{ID: fmt.Sprint("r", n), Speed: float64(k)})
+				big.Replicas = append(big.Replicas, learnedstate.Replica{ID: fmt.Sprint("r", n), Speed: float64(k)})
 			}
 			if _, err := Write(Folder(at), big, 2); err != nil {
 				fmt.Fprintln(os.Stderr, err)
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -7,7 +7,7 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/controller"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 )
 
 // Fault is one thing that goes wrong at a time, for a span.
@@ -100,9 +100,9 @@
 			if t.core != nil {
 				return
 			}
-			var past *memory.Past
+			var past *learnedstate.Past
 			if f.Kind == "governor-kept" && learned != nil {
-				past = memory.NewPast(*learned, w.now, learned.Taken.Age(memory.Moment{Wall: w.now}), 60*second)
+				past = learnedstate.NewPast(*learned, w.now, learned.Taken.Age(learnedstate.Moment{Wall: w.now}), 60*second)
 			}
 			w.up(t, past)
 		})
--- a/lab/emulator/steer.go
+++ b/lab/emulator/steer.go
@@ -5,7 +5,7 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/controller"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 	"lilacbend/policy"
 )
 
@@ -20,7 +20,7 @@
 	turn    int64 // when the next is due; 0: none
 	free    int64 // when its channel has nothing more to send
 	up      int64 // since when it is there
-	learned *memory.Memory
+	learned *learnedstate.Memory
 	reports []report // that wait, the oldest first
 	credit  float64  // lines that may be told
 }
@@ -48,7 +48,7 @@
 }
 
 // Up starts all governors; the past is told to the first.
-func (w *World) Up(past *memory.Past) {
+func (w *World) Up(past *learnedstate.Past) {
 	for _, t := range w.towers {
 		w.up(t, past)
 		past = nil
@@ -61,7 +61,7 @@
 // up starts a governor. It is told of the list, of the past if there is one, and of the proxies as they join: those that
 // have no governor within a third of a second, those of its own that others have, some seconds later. They keep the tables
 // that they have.
-func (w *World) up(t *tower, past *memory.Past) {
+func (w *World) up(t *tower, past *learnedstate.Past) {
 	p := w.Site.Provision
 	p.Seed = uint64(w.chance.Int63())
 	t.up = w.now
@@ -200,7 +200,7 @@
 	}
 	if o.Snapshot != nil {
 		t.learned = o.Snapshot
-		t.learned.Taken = memory.Moment{Wall: w.now}
+		t.learned.Taken = learnedstate.Moment{Wall: w.now}
 		w.Learned = w.towers[0].learned
 	}
 	for _, s := range o.Updates {
--- a/lab/emulator/world.go
+++ b/lab/emulator/world.go
@@ -11,7 +11,7 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/controller"
-	"lilacbend/internal/memory"
+	"lilacbend/internal/learnedstate"
 	"lilacbend/settings"
 )
 
@@ -114,8 +114,8 @@
 type World struct {
 	Site     Site
 	Replicas []*Replica
-	Learned  *memory.Memory // the last that the first governor has told
-	Turns    []int64        // real nanoseconds of each turn, if Clock is set
+	Learned  *learnedstate.Memory // the last that the first governor has told
+	Turns    []int64              // real nanoseconds of each turn, if Clock is set
 	Clock    func() int64
 
 	proxies []*proxy
