--- a/cmd/lilacbend/hold.go
+++ b/cmd/lilacbend/hold.go
@@ -5,15 +5,15 @@
 	"errors"
 	"time"
 
-	"lilacbend/internal/vault"
+	"lilacbend/internal/snapshot"
 )
 
 // holdFolder holds a folder for this process. One that is held is waited for, as whoever held it before a restart may still be
 // ending: until ctx ends, and no longer than that may take.
-func holdFolder(ctx context.Context, folder vault.Folder, who string) (lock *vault.Lock, err error) {
+func holdFolder(ctx context.Context, folder snapshot.Folder, who string) (lock *snapshot.Lock, err error) {
 	err = whileInUse(ctx, func() (inUse bool, err error) {
 		lock, err = folder.Take(who)
-		var held *vault.Held
+		var held *snapshot.Held
 		return errors.As(err, &held), err
 	})
 	return lock, err
--- a/cmd/lilacbend/kept.go
+++ b/cmd/lilacbend/kept.go
@@ -8,7 +8,7 @@
 	"lilacbend/internal/configcache"
 	"lilacbend/internal/controller"
 	"lilacbend/internal/revision"
-	"lilacbend/internal/vault"
+	"lilacbend/internal/snapshot"
 	"lilacbend/settings"
 )
 
@@ -17,7 +17,7 @@
 	service string
 	digest  configcache.Digest // of the settings in the governor's own file
 	keeper  *configcache.Keeper
-	lock    *vault.Lock
+	lock    *snapshot.Lock
 
 	record   *configcache.Record // of before the restart; nil: there is none that can be used
 	topology controller.Topology // of its settings
@@ -30,7 +30,7 @@
 	if following.Folder == "" {
 		return nil
 	}
-	folder := vault.Folder(following.Folder)
+	folder := snapshot.Folder(following.Folder)
 	lock, err := holdFolder(ctx, folder, or(c.name, "a governor"))
 	if err != nil {
 		log.Warn("the configuration in force is neither read nor kept", "folder", following.Folder, "error", err)
--- a/cmd/lilacbend/state.go
+++ b/cmd/lilacbend/state.go
@@ -18,7 +18,7 @@
 	"lilacbend/internal/eventloop"
 	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/operator"
-	"lilacbend/internal/vault"
+	"lilacbend/internal/snapshot"
 )
 
 // lastWrite is how long the last state may take to be written at the end: with the parting of connections and
@@ -28,8 +28,8 @@
 // archive keeps what a governor has learned, as its operator file says; a nil one keeps nothing.
 type archive struct {
 	name   string
-	keeper *vault.Keeper
-	lock   *vault.Lock
+	keeper *snapshot.Keeper
+	lock   *snapshot.Lock
 	stop   context.CancelFunc
 	log    *slog.Logger
 	read   string // the generation that the start began with
@@ -43,7 +43,7 @@
 	if r.Folder == "" {
 		return nil
 	}
-	folder := vault.Folder(r.Folder)
+	folder := snapshot.Folder(r.Folder)
 	lock, err := holdFolder(ctx, folder, or(c.name, "a governor"))
 	if err != nil {
 		log.Warn("state is neither read nor kept", "folder", r.Folder, "error", err)
@@ -60,15 +60,15 @@
 		}
 		return err
 	}
-	a.keeper = vault.NewKeeper(folder, r.Keep, r.Every, again, log)
+	a.keeper = snapshot.NewKeeper(folder, r.Keep, r.Every, again, log)
 	keeping, stop := context.WithCancel(context.Background())
 	a.stop = stop
 	go a.keeper.Run(keeping)
 	return a
 }
 
-func (a *archive) recall(folder vault.Folder, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Exchange, base clock) {
-	g, found, refused, err := vault.Latest(folder)
+func (a *archive) recall(folder snapshot.Folder, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Exchange, base clock) {
+	g, found, refused, err := snapshot.Latest(folder)
 	if a.refuse = len(refused); err != nil {
 		a.log.Warn("state cannot be read", "folder", r.Folder, "error", err)
 		return
@@ -85,7 +85,7 @@
 		a.refuse++
 		return
 	}
-	age := g.Memory.Taken.Age(vault.Now())
+	age := g.Memory.Taken.Age(snapshot.Now())
 	m, dropped := learnedstate.Fit(g.Memory, topology.Place(), age, r.HalfLife.Nanoseconds())
 	if m.Lists(c.known.Revision, age) {
 		c.known = controller.ListFromSnapshot(m)
@@ -100,7 +100,7 @@
 func (a *archive) put(m *learnedstate.Memory) {
 	if a != nil && m != nil {
 		kept := *m
-		kept.Governor, kept.Taken = a.name, vault.Now()
+		kept.Governor, kept.Taken = a.name, snapshot.Now()
 		a.keeper.Offer(kept)
 	}
 }
@@ -142,10 +142,10 @@
 		}
 		return book.State.Folder, err
 	}
-	newest := func(cmd *cli.Command) (vault.Generation, error) {
+	newest := func(cmd *cli.Command) (snapshot.Generation, error) {
 		at, err := where(cmd, 0)
 		if err != nil {
-			return vault.Generation{}, err
+			return snapshot.Generation{}, err
 		}
 		return readState(at)
 	}
@@ -199,15 +199,15 @@
 }
 
 // readState reads a file, or the newest whole generation of a folder.
-func readState(at string) (vault.Generation, error) {
+func readState(at string) (snapshot.Generation, error) {
 	info, err := os.Stat(at)
 	if err != nil {
-		return vault.Generation{}, err
+		return snapshot.Generation{}, err
 	}
 	if !info.IsDir() {
-		return vault.Read(vault.Folder(filepath.Dir(at)), filepath.Base(at))
+		return snapshot.Read(snapshot.Folder(filepath.Dir(at)), filepath.Base(at))
 	}
-	g, found, refused, err := vault.Latest(vault.Folder(at))
+	g, found, refused, err := snapshot.Latest(snapshot.Folder(at))
 	if err == nil && !found {
 		err = fmt.Errorf("%s: no whole generation among %d files", at, len(refused))
 		if len(refused) > 0 {
@@ -218,7 +218,7 @@
 }
 
 func export(out io.Writer, m learnedstate.Memory) error {
-	raw, err := vault.Export(m)
+	raw, err := snapshot.Export(m)
 	if err == nil {
 		_, err = out.Write(raw)
 	}
@@ -237,7 +237,7 @@
 		}
 		return err
 	}
-	whole, refused, err := vault.Survey(vault.Folder(at))
+	whole, refused, err := snapshot.Survey(snapshot.Folder(at))
 	switch {
 	case err != nil:
 		return err
@@ -259,16 +259,16 @@
 		return err
 	}
 	defer file.Close()
-	m, err := vault.Import(file)
+	m, err := snapshot.Import(file)
 	if err != nil {
 		return fmt.Errorf("%s: %w", from, err)
 	}
-	lock, err := vault.Folder(at).Take("import")
+	lock, err := snapshot.Folder(at).Take("import")
 	if err != nil {
 		return fmt.Errorf("%s: %w: end it first", at, err)
 	}
 	defer lock.Release()
-	g, err := vault.Write(vault.Folder(at), m, 1<<20)
+	g, err := snapshot.Write(snapshot.Folder(at), m, 1<<20)
 	if err == nil {
 		fmt.Fprintf(out, "%s: generation %d, %d replicas\n", filepath.Join(at, g.Name), g.Number, len(m.Replicas))
 	}
@@ -282,19 +282,19 @@
 	if _, err := os.Stat(at); err != nil {
 		return err
 	}
-	lock, err := vault.Folder(at).Take("prune")
+	lock, err := snapshot.Folder(at).Take("prune")
 	if err != nil {
 		return fmt.Errorf("%s: %w: a governor prunes its own folder", at, err)
 	}
 	defer lock.Release()
-	removed, err := vault.Prune(vault.Folder(at), keep)
+	removed, err := snapshot.Prune(snapshot.Folder(at), keep)
 	fmt.Fprintf(out, "%s: removed %d files\n", at, len(removed))
 	return err
 }
 
 // show prints a generation for a person; ages are as of now.
-func show(out io.Writer, g vault.Generation) error {
-	m, age := g.Memory, time.Duration(g.Memory.Taken.Age(vault.Now()))
+func show(out io.Writer, g snapshot.Generation) error {
+	m, age := g.Memory, time.Duration(g.Memory.Taken.Age(snapshot.Now()))
 	fmt.Fprintf(out, "%s: generation %d, format %d, %d bytes\n", g.Name, g.Number, g.Format, g.Bytes)
 	fmt.Fprintf(out, "governor %s, taken %s, %v ago; list %d\n", m.Governor, time.Unix(0, m.Taken.Wall).UTC().Format(time.RFC3339), age.Round(time.Second), m.Revision)
 	fmt.Fprintf(out, "traffic groups %s; let in %.0f%%; one try only %v; %d tables, %d proxies bound, %d flows of proxies\n\n",
--- a/internal/vault/keeper.go
+++ b/internal/snapshot/keeper.go
@@ -1,4 +1,4 @@
-package vault
+package snapshot
 
 import (
 	"context"
--- a/internal/vault/vault.go
+++ b/internal/snapshot/vault.go
@@ -1,6 +1,6 @@
-// Package vault keeps the generations of a governor's memory in a folder: each versioned, checksummed and whole,
+// Package snapshot keeps the generations of a governor's memory in a folder: each versioned, checksummed and whole,
 // or not there. It decides nothing; what is believed of a memory is not its matter.
-package vault
+package snapshot
 
 import (
 	"cmp"
--- a/lab/restart/restart.go
+++ b/lab/restart/restart.go
@@ -8,7 +8,7 @@
 	"slices"
 
 	"lilacbend/internal/learnedstate"
-	"lilacbend/internal/vault"
+	"lilacbend/internal/snapshot"
 	"lilacbend/lab/emulator"
 )
 
@@ -81,11 +81,11 @@
 	if m == None || learned == nil {
 		return nil, nil
 	}
-	raw, err := vault.Encode(*learned, 1)
+	raw, err := snapshot.Encode(*learned, 1)
 	if err != nil {
 		return nil, err
 	}
-	kept, _, _, err := vault.Decode(raw)
+	kept, _, _, err := snapshot.Decode(raw)
 	if err != nil {
 		return nil, fmt.Errorf("what was kept is not read: %w", err)
 	}
