--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"lilacbend/internal/backoff"
-	"lilacbend/internal/forward"
+	"lilacbend/internal/dispatch"
 	"lilacbend/internal/resp"
 )
 
@@ -34,9 +34,9 @@
 
 // Core is what updates are applied to, and what counts the requests that came.
 type Core interface {
-	Apply(parts []forward.Push) error
+	Apply(parts []dispatch.Push) error
 	Blank() bool // no update was applied yet
-	Usage() []forward.Usage
+	Usage() []dispatch.Usage
 }
 
 // Counters are what a client has counted.
@@ -183,7 +183,7 @@
 func (c *Client) apply(w *messageWriter, message updateMessage) error {
 	began := time.Now()
 	if err := c.Core.Apply(message.parts); err != nil {
-		if errors.Is(err, forward.ErrUnusable) {
+		if errors.Is(err, dispatch.ErrUnusable) {
 			c.Counters.Unusable.Add(1)
 		}
 		return err
--- a/internal/controlclient/crossings_test.go
+++ b/internal/controlclient/crossings_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/internal/forward"
+	"lilacbend/internal/dispatch"
 	"lilacbend/lab/peers"
 )
 
@@ -87,7 +87,7 @@
 // time in which it came, not over the second since that stream began.
 func TestWhatCameBetweenStreamsIsToldOverItsTime(t *testing.T) {
 	g := peers.Listen(t)
-	core := &core{usage: []forward.Usage{{Flows: 7}}}
+	core := &core{usage: []dispatch.Usage{{Flows: 7}}}
 	began := time.Now()
 	steered(t, core, g)
 	for range 4 {
@@ -221,13 +221,13 @@
 func TestACollectorIsStartedAgainBetweenTwoReports(t *testing.T) {
 	l := peers.Listen(t)
 	due, taken := make(chan int), atomic.Int64{}
-	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*forward.Sum {
+	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Sum {
 		n, ok := <-due
 		if !ok {
 			return nil
 		}
 		taken.Add(1)
-		return map[string]*forward.Sum{"b": {Tries: n}, "c": {Tries: n}}
+		return map[string]*dispatch.Sum{"b": {Tries: n}, "c": {Tries: n}}
 	}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -251,12 +251,12 @@
 // A collector that reads nothing holds up no end of a sidecar.
 func TestATellerEndsThoughItsCollectorReadsNothing(t *testing.T) {
 	l := peers.Listen(t)
-	sums := map[string]*forward.Sum{}
+	sums := map[string]*dispatch.Sum{}
 	for k := range maxReplicas {
-		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &forward.Sum{Tries: 1}
+		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Sum{Tries: 1}
 	}
 	calls := atomic.Int64{}
-	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*forward.Sum { calls.Add(1); return sums }}
+	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Sum { calls.Add(1); return sums }}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { teller.Run(ctx); close(ended) }()
--- a/internal/controlclient/reporter.go
+++ b/internal/controlclient/reporter.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
+	"lilacbend/internal/dispatch"
 	"lilacbend/internal/failover"
-	"lilacbend/internal/forward"
 	"lilacbend/internal/resp"
 )
 
@@ -21,7 +21,7 @@
 type Reporter struct {
 	Collectors  []string // in the order in which they are preferred
 	Interval    time.Duration
-	Sums        func() map[string]*forward.Sum // since it was last called, by replica
+	Sums        func() map[string]*dispatch.Sum // since it was last called, by replica
 	Seed        uint64
 	Lost        atomic.Int64 // sums that no collector took
 	Unconfirmed atomic.Int64 // sums that were sent on a connection that has ended since, and may have been lost with it
@@ -170,7 +170,7 @@
 }
 
 // sendSum sends the sum of one replica.
-func (c *collectorConn) sendSum(replica string, sum *forward.Sum) error {
+func (c *collectorConn) sendSum(replica string, sum *dispatch.Sum) error {
 	mean := 0.0
 	if succeeded := sum.Tries - sum.Missed; succeeded > 0 {
 		mean = float64(sum.Answers) / float64(succeeded) / float64(time.Millisecond)
--- a/internal/controlclient/update.go
+++ b/internal/controlclient/update.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"lilacbend/control"
-	"lilacbend/internal/forward"
+	"lilacbend/internal/dispatch"
 )
 
 // maxParts bounds the parts of one message.
@@ -21,7 +21,7 @@
 
 // updateMessage is one message of a governor, put together from its parts.
 type updateMessage struct {
-	parts      []forward.Push
+	parts      []dispatch.Push
 	wantsAck   bool
 	nonce      uint64
 	unfinished bool // more parts follow
@@ -54,7 +54,7 @@
 
 // partFields are the fields of one part. The two of an admission rate may come in either order.
 type partFields struct {
-	forward.Push
+	dispatch.Push
 	admit  string
 	policy string
 }
@@ -86,7 +86,7 @@
 }
 
 // admission reads the admission rate of a part and its retry policy, which come together; nil if neither is there.
-func (p partFields) admission() ([]forward.Level, error) {
+func (p partFields) admission() ([]dispatch.Level, error) {
 	if (p.admit == "") != (p.policy == "") {
 		return nil, fmt.Errorf("%w: admit and policy come together", errMalformed)
 	}
@@ -98,7 +98,7 @@
 	if errors.Join(shareErr, policyErr) != nil {
 		return nil, fmt.Errorf("%w: admit=%.40q policy=%.40q", errMalformed, p.admit, p.policy)
 	}
-	return []forward.Level{{Share: share, Tries: control.RetryPolicy(policy)}}, nil
+	return []dispatch.Level{{Share: share, Tries: control.RetryPolicy(policy)}}, nil
 }
 
 // parseFlag reads 0 or 1.
--- a/internal/forward/flow_test.go
+++ b/internal/dispatch/flow_test.go
@@ -1,4 +1,4 @@
-package forward
+package dispatch
 
 import (
 	"errors"
--- a/internal/forward/sums.go
+++ b/internal/dispatch/sums.go
@@ -1,4 +1,4 @@
-package forward
+package dispatch
 
 // Sum is what was met at one replica since it was last told.
 type Sum struct {
--- a/internal/forward/table.go
+++ b/internal/dispatch/table.go
@@ -1,8 +1,8 @@
-// Package forward is the core of a sidecar: at a time, with what a flow has met so far, it says what is to be done
+// Package dispatch is the core of a sidecar: at a time, with what a flow has met so far, it says what is to be done
 // next, and always ends in one final answer. It holds the tables that a governor has pushed, picks lines, shuns
 // replicas by its own failures, bounds repeats, and lets flows in by level and by limits. No I/O, no clock, no
 // goroutine; chance from a seed. It is not safe for several goroutines at once.
-package forward
+package dispatch
 
 import (
 	"cmp"
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"lilacbend/internal/forward"
+	"lilacbend/internal/dispatch"
 	"lilacbend/internal/upstream"
 )
 
@@ -45,7 +45,7 @@
 // Result is what became of a flow, for the log.
 type Result struct {
 	Status  int
-	Reason  forward.Reason
+	Reason  dispatch.Reason
 	Replica string // the last that was tried
 	Tries   int
 	Broken  bool // the answer ended before its end
@@ -68,7 +68,7 @@
 // Relay passes flows on.
 type Relay struct {
 	mu       sync.Mutex
-	desk     *forward.Desk
+	desk     *dispatch.Desk
 	places   chan struct{} // closed when a place is free, if any flow waits
 	waits    int
 	pool     *upstream.Pool
@@ -79,7 +79,7 @@
 }
 
 // New makes a relay round a core. Refusals are statuses by which replicas say that a flow did not run.
-func New(desk *forward.Desk, pool *upstream.Pool, clock func() int64, refusals []int, onlyOnce []bool) *Relay {
+func New(desk *dispatch.Desk, pool *upstream.Pool, clock func() int64, refusals []int, onlyOnce []bool) *Relay {
 	r := &Relay{desk: desk, places: make(chan struct{}), pool: pool, clock: clock, refusals: map[int]bool{}, onlyOnce: onlyOnce,
 		Panics: func(string) {}}
 	for _, s := range refusals {
@@ -89,7 +89,7 @@
 }
 
 // With runs something on the core, between the steps of flows.
-func (r *Relay) With(do func(now int64, d *forward.Desk)) {
+func (r *Relay) With(do func(now int64, d *dispatch.Desk)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do(r.clock(), r.desk)
@@ -110,7 +110,7 @@
 	relay  *Relay
 	leash  *upstream.Leash
 	out    Answerer
-	flow   *forward.Flow
+	flow   *dispatch.Flow
 	up     upstream.Request
 	buffer *[]byte       // holds a small body, to be sent any number of times
 	again  rereader      // of it
@@ -158,14 +158,14 @@
 		return
 	}
 	small := h.Body == nil || h.buffer != nil
-	step := h.ask(func(now int64, d *forward.Desk) (s forward.Step) {
+	step := h.ask(func(now int64, d *dispatch.Desk) (s dispatch.Step) {
 		h.flow, s = d.Begin(now, h.Group, small)
 		return s
 	})
 	for !h.begun {
 		switch {
 		case step.Final:
-			if h.res.Reason = step.Reason; step.Reason == forward.Gone {
+			if h.res.Reason = step.Reason; step.Reason == dispatch.Gone {
 				h.gone()
 				return
 			}
@@ -177,7 +177,7 @@
 				h.gone()
 				return
 			}
-			step = h.ask(func(now int64, d *forward.Desk) forward.Step { return d.Again(now, h.flow) })
+			step = h.ask(func(now int64, d *dispatch.Desk) dispatch.Step { return d.Again(now, h.flow) })
 		default:
 			h.res.Replica, h.res.Tries = step.Try, h.res.Tries+1
 			step = h.try(step)
@@ -187,7 +187,7 @@
 
 // gone: nobody is there to be answered.
 func (h *hop) gone() {
-	h.res.Reason, h.res.Broken = forward.Gone, true
+	h.res.Reason, h.res.Broken = dispatch.Gone, true
 	h.out.Break()
 }
 
@@ -276,7 +276,7 @@
 
 // ask asks the core. Who is to wait for a place is among those that are told of one before any other step of the core:
 // a place that is freed right then is not missed.
-func (h *hop) ask(do func(now int64, d *forward.Desk) forward.Step) forward.Step {
+func (h *hop) ask(do func(now int64, d *dispatch.Desk) dispatch.Step) dispatch.Step {
 	r := h.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -308,7 +308,7 @@
 }
 
 // ended tells the core how a try ended.
-func (h *hop) ended(how forward.Outcome) forward.Step {
+func (h *hop) ended(how dispatch.Outcome) dispatch.Step {
 	r := h.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -321,7 +321,7 @@
 }
 
 // try makes one try. Once the head of an answer has gone to the client it is the last.
-func (h *hop) try(s forward.Step) forward.Step {
+func (h *hop) try(s dispatch.Step) dispatch.Step {
 	r := h.relay
 	left := time.Duration(s.Until - r.clock())
 	h.up = upstream.Request{Method: h.Method, Target: h.Target, Host: h.Host, Header: h.Header, Length: h.Length, Trailer: h.Trailer,
@@ -338,16 +338,16 @@
 	if err != nil {
 		var body *upstream.BodyError
 		if h.leash.IsCut() || errors.As(err, &body) { // neither says anything of the replica
-			return forward.Step{Final: true, Reason: forward.Gone}
+			return dispatch.Step{Final: true, Reason: dispatch.Gone}
 		}
 		return h.ended(outcome(err))
 	}
 	defer a.Close()
-	var next forward.Step
+	var next dispatch.Step
 	if a.StatusCode >= 500 {
-		how := forward.Broke
+		how := dispatch.Broke
 		if r.refusals[a.StatusCode] {
-			how = forward.NeverRan
+			how = dispatch.NeverRan
 		}
 		if h.up.Halt != nil { // it may be read at this moment, and whether it was decides what is next
 			h.up.Halt()
@@ -373,25 +373,25 @@
 	var up *upstream.Failure
 	switch {
 	case err == nil:
-		next = h.ended(forward.Good)
+		next = h.ended(dispatch.Good)
 	case errors.As(err, &up) && !h.leash.IsCut():
-		next = h.ended(forward.Broke)
+		next = h.ended(dispatch.Broke)
 	default: // the client went, not the replica: abandoned at the end
-		next = forward.Step{Final: true, Reason: forward.Gone}
+		next = dispatch.Step{Final: true, Reason: dispatch.Gone}
 	}
 	h.res.Reason = next.Reason
 	return next
 }
 
-func outcome(err error) forward.Outcome {
+func outcome(err error) dispatch.Outcome {
 	var f *upstream.Failure
 	switch {
 	case errors.As(err, &f) && f.Reach == upstream.Unsent:
-		return forward.NeverRan
+		return dispatch.NeverRan
 	case errors.Is(err, context.DeadlineExceeded):
-		return forward.Late
+		return dispatch.Late
 	}
-	return forward.Broke
+	return dispatch.Broke
 }
 
 // pass copies an answer to the client. A Failure is the replica's, any other error the client's.
@@ -419,7 +419,7 @@
 }
 
 // refuse is the final answer of a flow that has got none from a replica.
-func refuse(out Answerer, why forward.Reason) error {
+func refuse(out Answerer, why dispatch.Reason) error {
 	text := string(why) + "\n"
 	h := http.Header{"Retry-After": {retryAfter}, ReasonField: {string(why)}, "Content-Type": {"text/plain; charset=utf-8"}}
 	if err := out.Head(http.StatusServiceUnavailable, h, int64(len(text))); err != nil {
--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/addresses.go
@@ -4,8 +4,8 @@
 	"net"
 	"slices"
 
+	"lilacbend/internal/dispatch"
 	"lilacbend/internal/form"
-	"lilacbend/internal/forward"
 )
 
 // isAddress says whether a text is host:port.
@@ -91,7 +91,7 @@
 // replicas reads the replicas of a sidecar without discovery.
 func (m *Manifest) replicas(top *form.Section) {
 	listed := top.Sections("replicas")
-	m.Replicas = map[string]forward.Listed{}
+	m.Replicas = map[string]dispatch.Listed{}
 	if len(listed) > 0 && m.Discovery != "" {
 		top.Fault("replicas", "are listed by discovery as well: give one of the two")
 	}
@@ -106,7 +106,7 @@
 // replica reads one of them.
 func (m *Manifest) replica(s *form.Section) {
 	var id string
-	var r forward.Listed
+	var r dispatch.Listed
 	s.Text("id", &id)
 	s.Text("zone", &r.Zone)
 	s.Text("cell", &r.Cell)
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"lilacbend/internal/forward"
+	"lilacbend/internal/dispatch"
 	"lilacbend/lab/peers"
 	"lilacbend/lab/standin"
 )
@@ -126,7 +126,7 @@
 	replica.Ends()
 	last.Ends()
 	nothingInHand(t, s)
-	if f := s.Figures().Core; f.Dropped[forward.Gone] != 5 {
+	if f := s.Figures().Core; f.Dropped[dispatch.Gone] != 5 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -142,7 +142,7 @@
 		client.Data(1, true, []byte("buy"))
 		replica := one.Take()
 		replica.Request()
-		s.list(false, map[string]forward.Listed{"r1": {Zone: "a", Address: two.At()}})
+		s.list(false, map[string]dispatch.Listed{"r1": {Zone: "a", Address: two.At()}})
 		if resetFirst {
 			client.Reset(1)
 			replica.Ends() // it has been heard
@@ -159,7 +159,7 @@
 		if resetFirst {
 			tries = 1
 		}
-		if f := s.Figures().Core; f.Tries != tries || f.Dropped[forward.Gone] != 1 {
+		if f := s.Figures().Core; f.Tries != tries || f.Dropped[dispatch.Gone] != 1 {
 			t.Errorf("reset first %v: %+v", resetFirst, f)
 		}
 	}
--- a/internal/sidecar/manifest.go
+++ b/internal/sidecar/manifest.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lilacbend/control"
+	"lilacbend/internal/dispatch"
 	"lilacbend/internal/form"
-	"lilacbend/internal/forward"
 	"lilacbend/internal/front"
 )
 
@@ -23,9 +23,9 @@
 	Governors              []string
 	Collectors             []string // in the order in which they are preferred
 	Discovery              string
-	Replicas               map[string]forward.Listed // instead of discovery
+	Replicas               map[string]dispatch.Listed // instead of discovery
 	Rules                  []Rule
-	Plan                   forward.Plan
+	Plan                   dispatch.Plan
 	Bounds                 front.Bounds
 	Refusals               []int
 	Connections, IdleConns int // to one replica
@@ -60,7 +60,7 @@
 	}
 	m := Manifest{File: file, Connections: 64, IdleConns: 16, IdleSpan: 30 * time.Second, ReplicaStall: 30 * time.Second, Report: time.Second,
 		Bounds: front.Bounds{Connections: 10000, Idle: time.Minute, Head: 10 * time.Second, Stall: 10 * time.Second, Streams: 100, Drain: 10 * time.Second},
-		Plan: forward.Plan{Pick: control.PickRandom, Admission: control.AdmitShare, TryFactor: 1, Usual: control.RetryIfNotExecuted, Strikes: 5, Shun: 4e9,
+		Plan: dispatch.Plan{Pick: control.PickRandom, Admission: control.AdmitShare, TryFactor: 1, Usual: control.RetryIfNotExecuted, Strikes: 5, Shun: 4e9,
 			RepeatShare: 0.1, RepeatBurst: 10, Flows: 1000, WaitMost: 200, WaitSpan: 5e8}}
 	m.identity(top)
 	m.groups(top)
@@ -78,7 +78,7 @@
 func (m *Manifest) groups(top *form.Section) {
 	sections := top.Sections("groups")
 	for _, s := range sections {
-		g := forward.Group{}
+		g := dispatch.Group{}
 		var budget, expiry, window time.Duration
 		s.Text("name", &g.Name)
 		form.Choice(s, "effect", &g.Effect, effects)
@@ -93,7 +93,7 @@
 		}
 		deduped := g.Effect == control.Deduplicated && s.Has("effect")
 		switch {
-		case slices.ContainsFunc(m.Plan.Groups, func(o forward.Group) bool { return o.Name == g.Name }):
+		case slices.ContainsFunc(m.Plan.Groups, func(o dispatch.Group) bool { return o.Name == g.Name }):
 			s.Fault("name", "is %q, as an earlier group is", g.Name)
 		case strings.ContainsAny(g.Name, "+, \t") || s.Has("name") && g.Name == "":
 			s.Fault("name", "is %.40q, want a word without + and ,", g.Name)
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
+	"lilacbend/internal/dispatch"
 	"lilacbend/internal/form"
-	"lilacbend/internal/forward"
 	"lilacbend/internal/front"
 )
 
@@ -94,7 +94,7 @@
 			fields[textproto.CanonicalMIMEHeaderKey(name)] = value
 		}
 		r.Fields = fields
-		rules = append(rules, rule{r, slices.IndexFunc(m.Plan.Groups, func(g forward.Group) bool { return g.Name == r.Group }), prefix, open})
+		rules = append(rules, rule{r, slices.IndexFunc(m.Plan.Groups, func(g dispatch.Group) bool { return g.Name == r.Group }), prefix, open})
 	}
 	return func(method, host, path string, h http.Header) int {
 		for _, r := range rules {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -18,8 +18,8 @@
 	"lilacbend/internal/controlclient"
 	"lilacbend/internal/controller"
 	"lilacbend/internal/discovery"
+	"lilacbend/internal/dispatch"
 	"lilacbend/internal/eventloop"
-	"lilacbend/internal/forward"
 	"lilacbend/internal/front"
 	"lilacbend/internal/relay"
 	"lilacbend/internal/upstream"
@@ -49,7 +49,7 @@
 
 // New puts a sidecar together.
 func New(m Manifest, log *slog.Logger) (*Sidecar, error) {
-	desk, err := forward.New(m.Plan)
+	desk, err := dispatch.New(m.Plan)
 	if err != nil {
 		return nil, err
 	}
@@ -67,8 +67,8 @@
 	}
 	s.server = front.New(m.Bounds, s.relay.Serve, m.Classify(), log, s.record)
 	s.client = &controlclient.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
-	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*forward.Sum) {
-		s.relay.With(func(_ int64, d *forward.Desk) { all = d.Sums() })
+	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*dispatch.Sum) {
+		s.relay.With(func(_ int64, d *dispatch.Desk) { all = d.Sums() })
 		return all
 	}}
 	if len(m.Replicas) > 0 {
@@ -82,25 +82,25 @@
 // core is the sidecar's core as the conversation with a governor sees it.
 type core struct{ *Sidecar }
 
-func (c core) Apply(parts []forward.Push) (err error) {
-	c.relay.With(func(now int64, d *forward.Desk) { err = d.Apply(now, parts...) })
+func (c core) Apply(parts []dispatch.Push) (err error) {
+	c.relay.With(func(now int64, d *dispatch.Desk) { err = d.Apply(now, parts...) })
 	return err
 }
 
 func (c core) Blank() (blank bool) {
-	c.relay.With(func(_ int64, d *forward.Desk) { blank = d.Blank() })
+	c.relay.With(func(_ int64, d *dispatch.Desk) { blank = d.Blank() })
 	return blank
 }
 
-func (c core) Usage() (all []forward.Usage) {
-	c.relay.With(func(_ int64, d *forward.Desk) { all = d.Usage() })
+func (c core) Usage() (all []dispatch.Usage) {
+	c.relay.With(func(_ int64, d *dispatch.Desk) { all = d.Usage() })
 	return all
 }
 
 // list takes over who there is. While no governor has pushed a table, all of them have one line each: a sidecar that
 // starts while governors are away serves.
-func (s *Sidecar) list(whole bool, members map[string]forward.Listed) {
-	s.relay.With(func(now int64, d *forward.Desk) {
+func (s *Sidecar) list(whole bool, members map[string]dispatch.Listed) {
+	s.relay.With(func(now int64, d *dispatch.Desk) {
 		d.List(whole, members)
 		d.Even(now)
 	})
@@ -202,10 +202,10 @@
 			if !ok {
 				continue
 			}
-			members := map[string]forward.Listed{}
+			members := map[string]dispatch.Listed{}
 			for _, m := range l.Members {
 				if !m.Unusable {
-					members[m.ID] = forward.Listed{Zone: m.Zone, Cell: m.Cell, Address: m.Address, State: m.State}
+					members[m.ID] = dispatch.Listed{Zone: m.Zone, Cell: m.Cell, Address: m.Address, State: m.State}
 				}
 			}
 			s.list(l.Complete, members)
@@ -248,7 +248,7 @@
 	Governor string
 	Tables   map[string]int
 	InHand   int
-	Core     forward.Count
+	Core     dispatch.Count
 	Replicas upstream.Count
 	Clients  map[string]int64
 	Steering map[string]int64
@@ -257,7 +257,7 @@
 // Figures tells the counters as of now.
 func (s *Sidecar) Figures() Figures {
 	f := Figures{Governor: s.client.Governor(), Replicas: s.pool.Figures()}
-	s.relay.With(func(_ int64, d *forward.Desk) {
+	s.relay.With(func(_ int64, d *dispatch.Desk) {
 		f.Core, f.Tables, f.InHand = d.Count.Clone(), d.Tables(), d.InHand()
 	})
 	c, t := &s.server.Count, &s.client.Counters
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/internal/forward"
+	"lilacbend/internal/dispatch"
 	"lilacbend/lab/peers"
 	"lilacbend/lab/standin"
 )
@@ -367,7 +367,7 @@
 	if f := s.Figures().Core; f.Dropped["client-gone"] != 2 {
 		t.Errorf("%+v", f)
 	}
-	s.relay.With(func(_ int64, d *forward.Desk) {
+	s.relay.With(func(_ int64, d *dispatch.Desk) {
 		for id, sum := range d.Sums() {
 			if sum.Missed != 0 {
 				t.Errorf("%s is blamed for its clients: %+v", id, sum)
@@ -430,34 +430,34 @@
 	one, two := replica(t, nil), replica(t, nil)
 	one.Span.Store(int64(200 * time.Millisecond))
 	s := start(t, nil, one.Addr, two.Addr)
-	apply := func(parts ...forward.Push) {
+	apply := func(parts ...dispatch.Push) {
 		if err := (core{s.Sidecar}).Apply(parts); err != nil {
 			t.Error(err)
 		}
 	}
-	apply(forward.Push{Full: true, Lines: map[string]float64{"r0": 1}})
+	apply(dispatch.Push{Full: true, Lines: map[string]float64{"r0": 1}})
 	answers := make(chan string)
 	get := "GET /stock HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 	go func() { answers <- says(t, s.h1, get) }()
 	for one.Serves.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	apply(forward.Push{Shut: []string{"r0"}}) // the replica in use
+	apply(dispatch.Push{Shut: []string{"r0"}}) // the replica in use
 	if got := says(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
 		t.Errorf("all shut out: %q", got)
 	}
-	apply(forward.Push{Full: true, Lines: map[string]float64{"r1": 1}})
+	apply(dispatch.Push{Full: true, Lines: map[string]float64{"r1": 1}})
 	if got := says(t, s.h1, get); !strings.Contains(got, two.Addr) {
 		t.Errorf("another table: %q", got)
 	}
-	apply(forward.Push{Groups: []string{"stock"}, Full: true}) // empties one group alone
+	apply(dispatch.Push{Groups: []string{"stock"}, Full: true}) // empties one group alone
 	if got := says(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
 		t.Errorf("an empty table: %q", got)
 	}
 	if got := says(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, two.Addr) {
 		t.Errorf("another group: %q", got)
 	}
-	apply(forward.Push{Groups: []string{"order"}, Levels: []forward.Level{{Share: 0}}})
+	apply(dispatch.Push{Groups: []string{"order"}, Levels: []dispatch.Level{{Share: 0}}})
 	if got := says(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "Lilacbend-Reason: level") || !strings.Contains(got, "Retry-After: ") {
 		t.Errorf("a closed level: %q", got)
 	}
