--- a/internal/front/front.go
+++ b/internal/ingress/front.go
@@ -1,7 +1,7 @@
-// Package front is the client side of a sidecar: HTTP/1.1 on one port and HTTP/2 cleartext by prior knowledge on
+// Package ingress is the client side of a sidecar: HTTP/1.1 on one port and HTTP/2 cleartext by prior knowledge on
 // another. It reads flows, hands them to the relay and writes the one answer of each. What a client can make it
 // hold is bounded, and it decides nothing but whether a message can be used.
-package front
+package ingress
 
 import (
 	"errors"
--- a/internal/front/h2_answer.go
+++ b/internal/ingress/h2_answer.go
@@ -1,4 +1,4 @@
-package front
+package ingress
 
 import (
 	"errors"
--- a/internal/sidecar/manifest.go
+++ b/internal/sidecar/manifest.go
@@ -12,7 +12,7 @@
 	"lilacbend/control"
 	"lilacbend/internal/dispatch"
 	"lilacbend/internal/form"
-	"lilacbend/internal/front"
+	"lilacbend/internal/ingress"
 )
 
 // Manifest is what a sidecar's file sets.
@@ -26,7 +26,7 @@
 	Replicas               map[string]dispatch.Listed // instead of discovery
 	Rules                  []Rule
 	Plan                   dispatch.Plan
-	Bounds                 front.Bounds
+	Bounds                 ingress.Bounds
 	Refusals               []int
 	Connections, IdleConns int // to one replica
 	IdleSpan, ReplicaStall time.Duration
@@ -59,7 +59,7 @@
 		return Manifest{}, err
 	}
 	m := Manifest{File: file, Connections: 64, IdleConns: 16, IdleSpan: 30 * time.Second, ReplicaStall: 30 * time.Second, Report: time.Second,
-		Bounds: front.Bounds{Connections: 10000, Idle: time.Minute, Head: 10 * time.Second, Stall: 10 * time.Second, Streams: 100, Drain: 10 * time.Second},
+		Bounds: ingress.Bounds{Connections: 10000, Idle: time.Minute, Head: 10 * time.Second, Stall: 10 * time.Second, Streams: 100, Drain: 10 * time.Second},
 		Plan: dispatch.Plan{Pick: control.PickRandom, Admission: control.AdmitShare, TryFactor: 1, Usual: control.RetryIfNotExecuted, Strikes: 5, Shun: 4e9,
 			RepeatShare: 0.1, RepeatBurst: 10, Flows: 1000, WaitMost: 200, WaitSpan: 5e8}}
 	m.identity(top)
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -9,7 +9,7 @@
 
 	"lilacbend/internal/dispatch"
 	"lilacbend/internal/form"
-	"lilacbend/internal/front"
+	"lilacbend/internal/ingress"
 )
 
 // Rule sends flows to a traffic group. What it does not name it does not ask for; the first that fits holds.
@@ -79,7 +79,7 @@
 }
 
 // Classify says which group the first rule that fits names.
-func (m Manifest) Classify() front.Classify {
+func (m Manifest) Classify() ingress.Classify {
 	type rule struct {
 		Rule
 		group  int
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -20,7 +20,7 @@
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/dispatch"
 	"lilacbend/internal/eventloop"
-	"lilacbend/internal/front"
+	"lilacbend/internal/ingress"
 	"lilacbend/internal/relay"
 	"lilacbend/internal/upstream"
 )
@@ -38,7 +38,7 @@
 	began    time.Time
 	relay    *relay.Relay
 	pool     *upstream.Pool
-	server   *front.Server
+	server   *ingress.Server
 	client   *controlclient.Client
 	teller   *controlclient.Reporter
 	lists    *eventloop.Exchange
@@ -65,7 +65,7 @@
 		s.server.Count.Panics.Add(1)
 		log.Error("panic in a flow", "panic", text)
 	}
-	s.server = front.New(m.Bounds, s.relay.Serve, m.Classify(), log, s.record)
+	s.server = ingress.New(m.Bounds, s.relay.Serve, m.Classify(), log, s.record)
 	s.client = &controlclient.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
 	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*dispatch.Sum) {
 		s.relay.With(func(_ int64, d *dispatch.Desk) { all = d.Sums() })
