--- a/internal/ingress/crossings_test.go
+++ b/internal/ingress/crossings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/internal/relay"
+	"lilacbend/internal/proxy"
 	"lilacbend/internal/upstream"
 	"lilacbend/lab/peers"
 )
@@ -82,14 +82,14 @@
 		reads:    make(chan struct{}, 100),
 	}
 	s := New(Bounds{Connections: 1, Idle: time.Minute, Head: time.Minute, Stall: time.Minute, Streams: 1, Drain: time.Minute},
-		func(_ *upstream.Leash, _ *relay.Request, out relay.Answerer) relay.Result {
+		func(_ *upstream.Leash, _ *proxy.Request, out proxy.Answerer) proxy.Result {
 			out.Head(http.StatusOK, http.Header{}, 2)
 			io.WriteString(out, "ok")
 			out.End(nil)
-			return relay.Result{}
+			return proxy.Result{}
 		},
 		func(string, string, string, http.Header) int { return 0 }, slog.New(slog.DiscardHandler),
-		func(string, string, string, string, int, relay.Result) {})
+		func(string, string, string, string, int, proxy.Result) {})
 	served := make(chan struct{})
 	go func() { s.Serve(h, false); close(served) }()
 	client := peers.Dial(t, h.Addr().String())
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"lilacbend/internal/relay"
+	"lilacbend/internal/proxy"
 	"lilacbend/internal/upstream"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // Serve passes a flow on and puts its answer into out.
-type Serve func(l *upstream.Leash, q *relay.Request, out relay.Answerer) relay.Result
+type Serve func(l *upstream.Leash, q *proxy.Request, out proxy.Answerer) proxy.Result
 
 // Classify says which traffic group a flow belongs to, below 0: none.
 type Classify func(method, host, path string, h http.Header) int
@@ -55,7 +55,7 @@
 	serve    Serve
 	classify atomic.Pointer[Classify]
 	log      *slog.Logger
-	record   func(protocol, method, host, path string, group int, r relay.Result)
+	record   func(protocol, method, host, path string, group int, r proxy.Result)
 
 	mu       sync.Mutex
 	conns    map[client]struct{}
@@ -72,7 +72,7 @@
 }
 
 // New makes a server. Record is told of each flow that has ended; it must not wait.
-func New(b Bounds, serve Serve, classify Classify, log *slog.Logger, record func(protocol, method, host, path string, group int, r relay.Result)) *Server {
+func New(b Bounds, serve Serve, classify Classify, log *slog.Logger, record func(protocol, method, host, path string, group int, r proxy.Result)) *Server {
 	s := &Server{Bounds: b, serve: serve, log: log, record: record, conns: map[client]struct{}{}, draining: make(chan struct{})}
 	s.Reclassify(classify)
 	return s
@@ -180,16 +180,16 @@
 }
 
 // flow serves one flow that has been read.
-func (s *Server) flow(l *upstream.Leash, protocol string, q *relay.Request, out relay.Answerer) {
+func (s *Server) flow(l *upstream.Leash, protocol string, q *proxy.Request, out proxy.Answerer) {
 	path, _, _ := cut(q.Target)
 	q.Group = (*s.classify.Load())(q.Method, q.Host, path, q.Header)
 	s.Count.Flows.Add(1)
 	s.Count.InHand.Add(1)
 	defer s.Count.InHand.Add(-1)
-	var r relay.Result
+	var r proxy.Result
 	if q.Group < 0 {
 		s.Count.Unclassified.Add(1)
-		r = relay.Result{Status: http.StatusNotFound, Reason: "no-group"}
+		r = proxy.Result{Status: http.StatusNotFound, Reason: "no-group"}
 		r.Broken = answer(out, http.StatusNotFound, "no-group") != nil
 	} else {
 		r = s.serve(l, q, out)
@@ -198,8 +198,8 @@
 }
 
 // answer is an answer of our own.
-func answer(out relay.Answerer, status int, reason string) error {
-	h := http.Header{relay.ReasonField: {reason}, "Content-Type": {"text/plain; charset=utf-8"}}
+func answer(out proxy.Answerer, status int, reason string) error {
+	h := http.Header{proxy.ReasonField: {reason}, "Content-Type": {"text/plain; charset=utf-8"}}
 	if err := out.Head(status, h, int64(len(reason)+1)); err != nil {
 		return err
 	}
--- a/internal/ingress/h1.go
+++ b/internal/ingress/h1.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"lilacbend/internal/relay"
+	"lilacbend/internal/proxy"
 	"lilacbend/internal/upstream"
 )
 
@@ -37,7 +37,7 @@
 	out     patientWriter
 	leash   upstream.Leash
 	answer  h1Answer
-	q       relay.Request
+	q       proxy.Request
 	done    chan bool // the watch has ended; false: the client has gone
 	read    bool      // all of the flow
 	watched bool      // there is a watch
@@ -135,7 +135,7 @@
 		return c.refuse(w, bad("%v", err))
 	}
 	q, out := &c.q, &c.answer
-	*q = relay.Request{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: req.Header, Length: req.ContentLength}
+	*q = proxy.Request{Method: req.Method, Target: req.RequestURI, Host: req.Host, Header: req.Header, Length: req.ContentLength}
 	*out = h1Answer{w: w, conn: c, method: req.Method, old: req.ProtoMinor == 0, last: req.Close || c.server.Parting()}
 	if req.Body != http.NoBody {
 		q.Body, q.Trailer = &endingBody{req.Body, c, r}, func() http.Header { return req.Trailer }
@@ -154,7 +154,7 @@
 			return w.Flush()
 		}
 	}
-	relay.Clean(q.Header)
+	proxy.Clean(q.Header)
 	c.leash.Reset()
 	if c.ended.Load() {
 		return false
@@ -363,7 +363,7 @@
 		return
 	}
 	a.line(status)
-	relay.Clean(h).Write(a.w)
+	proxy.Clean(h).Write(a.w)
 	a.w.WriteString("\r\n")
 	a.w.Flush()
 }
--- a/internal/ingress/h2_answer.go
+++ b/internal/ingress/h2_answer.go
@@ -11,7 +11,7 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
-	"lilacbend/internal/relay"
+	"lilacbend/internal/proxy"
 	"lilacbend/internal/upstream"
 )
 
@@ -30,7 +30,7 @@
 	begun  bool
 }
 
-func (a *h2Answer) Inform(status int, h http.Header) { a.inform(status, relay.Clean(h)) }
+func (a *h2Answer) Inform(status int, h http.Header) { a.inform(status, proxy.Clean(h)) }
 
 func (a *h2Answer) inform(status int, h http.Header) error {
 	a.mu.Lock()
--- a/internal/ingress/h2_streams.go
+++ b/internal/ingress/h2_streams.go
@@ -9,7 +9,7 @@
 	"golang.org/x/net/http/httpguts"
 	"golang.org/x/net/http2"
 
-	"lilacbend/internal/relay"
+	"lilacbend/internal/proxy"
 	"lilacbend/internal/upstream"
 )
 
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (c *h2) handle(s *stream, q *relay.Request, out *h2Answer) {
+func (c *h2) handle(s *stream, q *proxy.Request, out *h2Answer) {
 	defer c.handlers.Done()
 	defer c.finish(s)
 	if q == nil {
@@ -186,7 +186,7 @@
 	c.mu.Lock()
 	short := s.length >= 0 && s.got != s.length
 	if !bad && !short {
-		s.trailer, s.ended = relay.Clean(h), true
+		s.trailer, s.ended = proxy.Clean(h), true
 		c.arrive(s)
 	}
 	c.mu.Unlock()
@@ -197,8 +197,8 @@
 }
 
 // requestOf reads a request, refusing what HTTP/1.1 would read differently.
-func requestOf(f *http2.MetaHeadersFrame) (*relay.Request, error) {
-	q := &relay.Request{Method: f.PseudoValue("method"), Target: f.PseudoValue("path"), Host: f.PseudoValue("authority"), Header: http.Header{}, Length: -1}
+func requestOf(f *http2.MetaHeadersFrame) (*proxy.Request, error) {
+	q := &proxy.Request{Method: f.PseudoValue("method"), Target: f.PseudoValue("path"), Host: f.PseudoValue("authority"), Header: http.Header{}, Length: -1}
 	if f.PseudoValue("scheme") == "" || !httpguts.ValidHeaderFieldName(q.Method) {
 		return nil, bad("scheme or method")
 	}
--- a/internal/relay/fields.go
+++ b/internal/proxy/fields.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net/http"
--- a/internal/relay/relay.go
+++ b/internal/proxy/relay.go
@@ -1,6 +1,6 @@
-// Package relay is where the client side of a sidecar, its replica side and its core meet: a front hands over a
+// Package proxy is where the client side of a sidecar, its replica side and its core meet: a front hands over a
 // flow as it has read it, and somewhere to put the answer. What is to be done the core says.
-package relay
+package proxy
 
 import (
 	"context"
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -21,7 +21,7 @@
 	"lilacbend/internal/dispatch"
 	"lilacbend/internal/eventloop"
 	"lilacbend/internal/ingress"
-	"lilacbend/internal/relay"
+	"lilacbend/internal/proxy"
 	"lilacbend/internal/upstream"
 )
 
@@ -36,7 +36,7 @@
 	manifest Manifest
 	log      *slog.Logger
 	began    time.Time
-	relay    *relay.Relay
+	relay    *proxy.Relay
 	pool     *upstream.Pool
 	server   *ingress.Server
 	client   *controlclient.Client
@@ -60,7 +60,7 @@
 	for _, g := range m.Plan.Groups {
 		once, names = append(once, g.Effect == control.NonRetriable), append(names, g.Name)
 	}
-	s.relay = relay.New(desk, s.pool, s.now, m.Refusals, once)
+	s.relay = proxy.New(desk, s.pool, s.now, m.Refusals, once)
 	s.relay.Panics = func(text string) {
 		s.server.Count.Panics.Add(1)
 		log.Error("panic in a flow", "panic", text)
@@ -231,7 +231,7 @@
 }
 
 // record is told of each flow that has ended.
-func (s *Sidecar) record(protocol, method, host, path string, group int, r relay.Result) {
+func (s *Sidecar) record(protocol, method, host, path string, group int, r proxy.Result) {
 	if n := s.flows.Add(1); s.manifest.LogEvery == 0 || n%int64(s.manifest.LogEvery) != 0 {
 		return
 	}
