--- a/cmd/lab/seeds.go
+++ b/cmd/lab/seeds.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/urfave/cli/v3"
 
-	"lilacbend/internal/form"
+	"lilacbend/internal/strictyaml"
 	"lilacbend/lab/seeds"
 )
 
@@ -114,7 +114,7 @@
 				if file == "" {
 					return errors.New("name the file of a script")
 				}
-				raw, err := form.Open(file)
+				raw, err := strictyaml.Open(file)
 				if err != nil {
 					return err
 				}
--- a/internal/configclient/servers.go
+++ b/internal/configclient/servers.go
@@ -3,11 +3,11 @@
 import (
 	"net"
 
-	"lilacbend/internal/form"
+	"lilacbend/internal/strictyaml"
 )
 
 // ReadServers reads the list of servers under a key of a file.
-func ReadServers(s *form.Section, key string) (all []Server) {
+func ReadServers(s *strictyaml.Section, key string) (all []Server) {
 	known := map[string]bool{}
 	for _, one := range s.Sections(key) {
 		var server Server
--- a/internal/configserver/file.go
+++ b/internal/configserver/file.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lilacbend/internal/configclient"
-	"lilacbend/internal/form"
+	"lilacbend/internal/strictyaml"
 )
 
 // Bounds of what a server's file may say.
@@ -19,7 +19,7 @@
 
 // ReadFile reads the file of a server, strictly. The error names file, line and key of all that is wrong.
 func ReadFile(file string) (Options, error) {
-	raw, err := form.Open(file)
+	raw, err := strictyaml.Open(file)
 	if err != nil {
 		return Options{}, err
 	}
@@ -28,7 +28,7 @@
 
 // ParseFile reads the bytes of a server's file.
 func ParseFile(file string, raw []byte) (Options, error) {
-	f, top, err := form.Parse(file, raw)
+	f, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
 		return Options{}, err
 	}
--- a/internal/operator/following.go
+++ b/internal/operator/following.go
@@ -3,7 +3,7 @@
 import (
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/configstore"
-	"lilacbend/internal/form"
+	"lilacbend/internal/strictyaml"
 )
 
 // Following says from where a governor gets changes of its configuration.
@@ -18,7 +18,7 @@
 // On says whether a configuration is followed.
 func (f Following) On() bool { return f.Service != "" }
 
-func following(file string, s *form.Section) (f Following) {
+func following(file string, s *strictyaml.Section) (f Following) {
 	s.Text("service", &f.Service)
 	s.Text("region", &f.Region)
 	s.Text("zone", &f.Zone)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"lilacbend/internal/form"
+	"lilacbend/internal/strictyaml"
 )
 
 // Rulebook is what an operator file sets.
@@ -35,7 +35,7 @@
 	if file == "" {
 		return Rulebook{}, nil
 	}
-	raw, err := form.Open(file)
+	raw, err := strictyaml.Open(file)
 	if err != nil {
 		return Rulebook{}, err
 	}
@@ -44,7 +44,7 @@
 
 // Parse reads the bytes of an operator file.
 func Parse(file string, raw []byte) (Rulebook, error) {
-	f, top, err := form.Parse(file, raw)
+	f, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
 		return Rulebook{}, err
 	}
@@ -65,7 +65,7 @@
 	return book, nil
 }
 
-func retention(file string, s *form.Section) Retention {
+func retention(file string, s *strictyaml.Section) Retention {
 	r := usual
 	s.Duration("every", &r.Every, 100*time.Millisecond, time.Hour)
 	s.Duration("half_life", &r.HalfLife, time.Second, 24*time.Hour)
@@ -79,7 +79,7 @@
 }
 
 // readFolder reads a folder of this governor's own, which may be left out. One that is relative is beside the file.
-func readFolder(file string, s *form.Section, folder *string) {
+func readFolder(file string, s *strictyaml.Section, folder *string) {
 	s.Text("folder", folder)
 	switch {
 	case !s.Has("folder"):
--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/addresses.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"lilacbend/internal/dispatch"
-	"lilacbend/internal/form"
+	"lilacbend/internal/strictyaml"
 )
 
 // isAddress says whether a text is host:port.
@@ -15,7 +15,7 @@
 }
 
 // address reads one address, which may be left out.
-func address(s *form.Section, key string, v *string) {
+func address(s *strictyaml.Section, key string, v *string) {
 	s.Text(key, v)
 	if *v != "" && !isAddress(*v) {
 		s.Fault(key, "is %.60q, want host:port", *v)
@@ -23,7 +23,7 @@
 }
 
 // addresses reads a list of addresses.
-func addresses(s *form.Section, key string, v *[]string) {
+func addresses(s *strictyaml.Section, key string, v *[]string) {
 	s.Words(key, v)
 	for k, text := range *v {
 		if !isAddress(text) {
@@ -33,7 +33,7 @@
 }
 
 // identity reads who the sidecar is, whom it serves, and whom it talks to.
-func (m *Manifest) identity(top *form.Section) {
+func (m *Manifest) identity(top *strictyaml.Section) {
 	top.Text("name", &m.Name)
 	top.Text("zone", &m.Zone)
 	top.Whole("proxy", &m.Proxy, 0, 1<<20)
@@ -50,7 +50,7 @@
 }
 
 // listeners reads where clients are served.
-func (m *Manifest) listeners(top *form.Section) {
+func (m *Manifest) listeners(top *strictyaml.Section) {
 	if l := top.Section("listen"); l != nil {
 		address(l, "http1", &m.H1)
 		address(l, "http2", &m.H2)
@@ -70,7 +70,7 @@
 }
 
 // collectors reads one collector, or several in the order in which they are preferred.
-func (m *Manifest) collectors(top *form.Section) {
+func (m *Manifest) collectors(top *strictyaml.Section) {
 	var one string
 	address(top, "collector", &one)
 	addresses(top, "collectors", &m.Collectors)
@@ -89,7 +89,7 @@
 }
 
 // replicas reads the replicas of a sidecar without discovery.
-func (m *Manifest) replicas(top *form.Section) {
+func (m *Manifest) replicas(top *strictyaml.Section) {
 	listed := top.Sections("replicas")
 	m.Replicas = map[string]dispatch.Listed{}
 	if len(listed) > 0 && m.Discovery != "" {
@@ -104,7 +104,7 @@
 }
 
 // replica reads one of them.
-func (m *Manifest) replica(s *form.Section) {
+func (m *Manifest) replica(s *strictyaml.Section) {
 	var id string
 	var r dispatch.Listed
 	s.Text("id", &id)
--- a/internal/sidecar/manifest.go
+++ b/internal/sidecar/manifest.go
@@ -11,8 +11,8 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/dispatch"
-	"lilacbend/internal/form"
 	"lilacbend/internal/ingress"
+	"lilacbend/internal/strictyaml"
 )
 
 // Manifest is what a sidecar's file sets.
@@ -45,7 +45,7 @@
 
 // Read reads a sidecar's file. The error names file, line and key of all that is wrong.
 func Read(file string) (Manifest, error) {
-	raw, err := form.Open(file)
+	raw, err := strictyaml.Open(file)
 	if err != nil {
 		return Manifest{}, err
 	}
@@ -54,7 +54,7 @@
 
 // Parse reads the bytes of a sidecar's file.
 func Parse(file string, raw []byte) (Manifest, error) {
-	f, top, err := form.Parse(file, raw)
+	f, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
 		return Manifest{}, err
 	}
@@ -75,14 +75,14 @@
 	return m, nil
 }
 
-func (m *Manifest) groups(top *form.Section) {
+func (m *Manifest) groups(top *strictyaml.Section) {
 	sections := top.Sections("groups")
 	for _, s := range sections {
 		g := dispatch.Group{}
 		var budget, expiry, window time.Duration
 		s.Text("name", &g.Name)
-		form.Choice(s, "effect", &g.Effect, effects)
-		form.Choice(s, "scope", &g.Scope, scopes)
+		strictyaml.Choice(s, "effect", &g.Effect, effects)
+		strictyaml.Choice(s, "scope", &g.Scope, scopes)
 		s.Duration("window", &window, time.Millisecond, 24*time.Hour)
 		s.Duration("latency_budget", &budget, time.Millisecond, time.Hour)
 		s.Duration("expiry", &expiry, time.Millisecond, time.Hour)
@@ -113,15 +113,15 @@
 	}
 }
 
-func (m *Manifest) tries(top *form.Section) {
-	form.Choice(top, "pick", &m.Plan.Pick, picks)
-	form.Choice(top, "admission", &m.Plan.Admission, admissions)
+func (m *Manifest) tries(top *strictyaml.Section) {
+	strictyaml.Choice(top, "pick", &m.Plan.Pick, picks)
+	strictyaml.Choice(top, "admission", &m.Plan.Admission, admissions)
 	s := top.Section("tries")
 	if s == nil {
 		return
 	}
 	shun := time.Duration(m.Plan.Shun)
-	form.Choice(s, "usual", &m.Plan.Usual, retries)
+	strictyaml.Choice(s, "usual", &m.Plan.Usual, retries)
 	s.Number("factor", &m.Plan.TryFactor, 0.1, 100)
 	s.Whole("strikes", &m.Plan.Strikes, 0, 1000)
 	s.Duration("shun", &shun, time.Millisecond, time.Hour)
@@ -140,7 +140,7 @@
 	s.Done()
 }
 
-func (m *Manifest) limits(top *form.Section) {
+func (m *Manifest) limits(top *strictyaml.Section) {
 	s := top.Section("limits")
 	wait := time.Duration(m.Plan.WaitSpan)
 	if s != nil {
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -8,8 +8,8 @@
 	"strings"
 
 	"lilacbend/internal/dispatch"
-	"lilacbend/internal/form"
 	"lilacbend/internal/ingress"
+	"lilacbend/internal/strictyaml"
 )
 
 // Rule sends flows to a traffic group. What it does not name it does not ask for; the first that fits holds.
@@ -19,7 +19,7 @@
 }
 
 // rules reads which flows belong to which traffic group.
-func (m *Manifest) rules(top *form.Section) {
+func (m *Manifest) rules(top *strictyaml.Section) {
 	var names []string
 	for _, g := range m.Plan.Groups {
 		names = append(names, g.Name)
@@ -32,7 +32,7 @@
 		s.Text("path", &r.Path)
 		s.Pairs("fields", &r.Fields)
 		if !slices.Contains(names, r.Group) {
-			if near := form.Nearest(r.Group, names); near != "" {
+			if near := strictyaml.Nearest(r.Group, names); near != "" {
 				s.Fault("group", "is %q, which is no traffic group: did you mean %s?", r.Group, near)
 			} else {
 				s.Fault("group", "is %q, want one of %s", r.Group, strings.Join(names, ", "))
--- a/internal/form/form.go
+++ b/internal/strictyaml/form.go
@@ -1,7 +1,7 @@
-// Package form reads the program's own settings, strictly: YAML in which every key is known, given once and of
+// Package strictyaml reads the program's own settings, strictly: YAML in which every key is known, given once and of
 // the right type. Each fault names its file, line, column and the path of its key and says what would do; all
 // faults of a file are found in one reading. It knows no meaning of any key.
-package form
+package strictyaml
 
 import (
 	"bytes"
--- a/internal/form/nearest.go
+++ b/internal/strictyaml/nearest.go
@@ -1,4 +1,4 @@
-package form
+package strictyaml
 
 import "github.com/agnivade/levenshtein"
 
--- a/lab/seeds/script.go
+++ b/lab/seeds/script.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"lilacbend/internal/form"
+	"lilacbend/internal/strictyaml"
 	"lilacbend/lab/emulator"
 )
 
@@ -21,7 +21,7 @@
 
 // ReadScript reads a script. The error names file, line and key of all that is wrong.
 func ReadScript(file string, raw []byte) (Script, error) {
-	f, top, err := form.Parse(file, raw)
+	f, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
 		return Script{}, err
 	}
@@ -33,7 +33,7 @@
 	for _, kind := range slices.Concat(emulator.Kinds, emulator.Crowds) {
 		kinds[kind] = kind
 	}
-	form.Choice(top, "profile", &s.Profile, profiles)
+	strictyaml.Choice(top, "profile", &s.Profile, profiles)
 	top.Whole("seed", &seed, 0, math.MaxInt32)
 	for _, one := range top.Sections("faults") {
 		var at, span time.Duration
@@ -41,7 +41,7 @@
 		if !one.Has("kind") {
 			one.Fault("", "lacks kind: one of %s", strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 		}
-		form.Choice(one, "kind", &fault.Kind, kinds)
+		strictyaml.Choice(one, "kind", &fault.Kind, kinds)
 		one.Duration("at", &at, 0, time.Hour)
 		one.Duration("span", &span, 0, time.Hour)
 		one.Whole("who", &fault.Who, 0, math.MaxInt32)
