--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -11,9 +11,9 @@
 	"sort"
 
 	"lilacbend/control"
+	"lilacbend/internal/simwire"
 	"lilacbend/policy"
 	"lilacbend/settings"
-	"lilacbend/wire"
 )
 
 func main() {
@@ -27,7 +27,7 @@
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriter(out)
 	h := newHost()
 	for {
-		batch, err := wire.ReadBatch(r)
+		batch, err := simwire.ReadBatch(r)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -46,12 +46,12 @@
 
 type host struct {
 	governors map[uint32]*policy.Governor
-	reply     wire.Reply
+	reply     simwire.Reply
 }
 
 func newHost() *host { return &host{governors: map[uint32]*policy.Governor{}} }
 
-func (h *host) turn(batch wire.Batch) {
+func (h *host) turn(batch simwire.Batch) {
 	events := map[uint32][]any{}
 	var order []uint32
 	for _, rec := range batch.Records {
@@ -77,10 +77,10 @@
 	var told []control.Event
 	for _, ev := range events {
 		switch e := ev.(type) {
-		case wire.Killed:
+		case simwire.Killed:
 			delete(h.governors, id)
 			told = nil
-		case wire.Configure:
+		case simwire.Configure:
 			p, err := settings.ParseLines(e.Text).Decode(e.Seed)
 			if err != nil {
 				delete(h.governors, id)
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -6,13 +6,13 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/internal/simwire"
 	"lilacbend/policy"
-	"lilacbend/wire"
 )
 
 func TestAnInstanceThatCannotStartSaysSo(t *testing.T) {
 	h := newHost()
-	h.turn(wire.Batch{Records: []wire.Record{{Instance: 4, Event: wire.Configure{Text: "balancers=x"}}}})
+	h.turn(simwire.Batch{Records: []simwire.Record{{Instance: 4, Event: simwire.Configure{Text: "balancers=x"}}}})
 	if got := string(h.reply.Frame()); !strings.Contains(got, `setting balancers="x" is not a number`) {
 		t.Errorf("reply %q", got)
 	}
@@ -34,8 +34,8 @@
 
 func TestKilledAndUnknownInstancesStaySilent(t *testing.T) {
 	h := newHost()
-	h.turn(wire.Batch{Records: []wire.Record{
-		{Instance: 4, Event: control.StreamClosed{}}, {Instance: 4, Event: wire.Killed{}},
+	h.turn(simwire.Batch{Records: []simwire.Record{
+		{Instance: 4, Event: control.StreamClosed{}}, {Instance: 4, Event: simwire.Killed{}},
 		{Instance: 4, Event: control.StreamClosed{}}}})
 	if got := h.reply.Frame(); !bytes.Equal(got, []byte{4, 0, 0, 0}) {
 		t.Errorf("reply %x", got)
--- a/wire/codec.go
+++ b/internal/simwire/codec.go
@@ -1,7 +1,7 @@
-// Package wire speaks the simulator's frames: little-endian records without
+// Package simwire speaks the simulator's frames: little-endian records without
 // padding, read as control events and written from control orders. It holds
 // no decision.
-package wire
+package simwire
 
 import (
 	"encoding/binary"
--- a/wire/codec_test.go
+++ b/internal/simwire/codec_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
