--- a/cmd/lab/load.go
+++ b/cmd/lab/load.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
+	"lilacbend/lab/installation"
 	"lilacbend/lab/load"
-	"lilacbend/lab/site"
 )
 
 func loadCommand() *cli.Command {
@@ -96,12 +96,12 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s, err := site.Start(ctx, site.Shape{Zones: 1, Replicas: 2, Sidecars: 1, Dir: dir})
+	s, err := installation.Start(ctx, installation.Shape{Zones: 1, Replicas: 2, Sidecars: 1, Dir: dir})
 	if err != nil {
 		return err
 	}
 	defer s.Stop()
-	at, args := site.Free(), []string{"baseline"}
+	at, args := installation.Free(), []string{"baseline"}
 	for _, r := range s.Replicas {
 		args = append(args, "--to", r.Addr)
 	}
--- a/cmd/lab/scalereal.go
+++ b/cmd/lab/scalereal.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lilacbend/internal/configclient"
+	"lilacbend/lab/installation"
 	"lilacbend/lab/load"
-	"lilacbend/lab/site"
 )
 
 // The real service beside the hollow governors has the size of the mean service: 5 governors, 33 replicas. Its requests are
@@ -28,9 +28,9 @@
 
 // realService is one service of real processes.
 type realService struct {
-	shape site.Shape
+	shape installation.Shape
 	log   inForceLog
-	site  *site.Site
+	site  *installation.Site
 	stops context.CancelFunc
 	ended chan struct{}
 }
@@ -38,9 +38,9 @@
 // newRealService prepares a service with its files in a folder.
 func newRealService(program, dir string) *realService {
 	r := &realService{log: inForceLog{at: map[string]time.Time{}}, ended: make(chan struct{})}
-	r.shape = site.Shape{Zones: realZones, Replicas: realReplicas, Places: 4, Sidecars: realSidecars, Governors: realGovernors,
+	r.shape = installation.Shape{Zones: realZones, Replicas: realReplicas, Places: 4, Sidecars: realSidecars, Governors: realGovernors,
 		Span: realAnswer, Dir: dir, Steered: true, Program: program, Log: &r.log}
-	r.site = &site.Site{Shape: r.shape}
+	r.site = &installation.Site{Shape: r.shape}
 	return r
 }
 
@@ -55,7 +55,7 @@
 	}
 	r.shape.Operator = fmt.Sprintf("configuration: {service: %q, region: %q, zone: a, servers: [%s]}\n", name, region, strings.Join(list, ", "))
 	ctx, r.stops = context.WithCancel(ctx)
-	s, err := site.Start(ctx, r.shape)
+	s, err := installation.Start(ctx, r.shape)
 	r.site = s
 	if err != nil {
 		close(r.ended)
--- a/cmd/lab/service.go
+++ b/cmd/lab/service.go
@@ -11,8 +11,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"lilacbend/lab/installation"
 	"lilacbend/lab/load"
-	"lilacbend/lab/site"
 )
 
 // serviceCommand measures the whole product against sidecars with an equal table and no governor.
@@ -59,7 +59,7 @@
 	defer os.RemoveAll(dir)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	s, err := site.Start(ctx, site.Shape{Zones: 2, Replicas: 20, Places: 4, Sidecars: 4, Governors: 2, Span: 20 * time.Millisecond, Slow: 2,
+	s, err := installation.Start(ctx, installation.Shape{Zones: 2, Replicas: 20, Places: 4, Sidecars: 4, Governors: 2, Span: 20 * time.Millisecond, Slow: 2,
 		Dir: dir, Steered: steered, State: trouble == "restart-state", Standby: trouble == "collector-failover", ReportBudget: budget, Log: logOf()})
 	if err != nil {
 		return load.Result{}, 0, err
@@ -93,7 +93,7 @@
 	return r, twice, err
 }
 
-func inflict(ctx context.Context, s *site.Site, trouble string) {
+func inflict(ctx context.Context, s *installation.Site, trouble string) {
 	switch trouble {
 	case "silent": // one in ten takes flows and answers none
 		s.Replicas[3].Silent.Store(true)
@@ -114,9 +114,9 @@
 		inflict(ctx, s, "slow")
 	case "release": // a third is replaced, one after the other, and comes back cold: five times slower for 5 s
 		for k := 0; k < len(s.Replicas); k += 3 {
-			s.Change(k, func(m *site.Member) { m.Phase = "Terminating" })
+			s.Change(k, func(m *installation.Member) { m.Phase = "Terminating" })
 			time.Sleep(300 * time.Millisecond)
-			s.Change(k, func(m *site.Member) { m.Phase, m.UpSince = "Ready", time.Now().UnixMilli() })
+			s.Change(k, func(m *installation.Member) { m.Phase, m.UpSince = "Ready", time.Now().UnixMilli() })
 			r, span := s.Replicas[k], s.Replicas[k].Span.Load()
 			r.Span.Store(5 * span)
 			time.AfterFunc(5*time.Second, func() { r.Span.Store(span) })
--- a/example/shop/main.go
+++ b/example/shop/main.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"lilacbend/lab/site"
+	"lilacbend/lab/installation"
 )
 
 func main() {
@@ -29,7 +29,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s, err := site.Start(ctx, site.Shape{Zones: 2, Replicas: 6, Places: 8, Sidecars: 2, Governors: 1, Span: 20 * time.Millisecond, Slow: 2,
+	s, err := installation.Start(ctx, installation.Shape{Zones: 2, Replicas: 6, Places: 8, Sidecars: 2, Governors: 1, Span: 20 * time.Millisecond, Slow: 2,
 		H1: "127.0.0.1:18080", H2: "127.0.0.1:18081", State: true, Steered: true, Dir: dir, Log: os.Stderr})
 	if err != nil {
 		return err
--- a/lab/site/site.go
+++ b/lab/installation/site.go
@@ -1,6 +1,6 @@
-// Package site starts a whole installation on loopback: the product's own program as governors, collectors and
+// Package installation starts a whole installation on loopback: the product's own program as governors, collectors and
 // sidecars, and stand-ins for discovery and replicas. The example and the laboratory use it.
-package site
+package installation
 
 import (
 	"context"
