--- a/cmd/lilacbend/child_test.go
+++ b/cmd/lilacbend/child_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // asProgram has the test's own program be lilacbend: signals and exit codes are those of a real process.
@@ -65,7 +65,7 @@
 // until waits for a line of the log.
 func (c *child) until(text string) *child {
 	c.t.Helper()
-	peers.Until(c.t, "the log does not say "+text, func() bool { return c.says(text) })
+	scriptedpeer.Until(c.t, "the log does not say "+text, func() bool { return c.says(text) })
 	return c
 }
 
@@ -86,7 +86,7 @@
 		if span := time.Since(begun); err != nil || len(signals) > 0 && span > partingLimit {
 			c.t.Errorf("ended after %v: %v: %s", span, err, c.out)
 		}
-	case <-time.After(peers.Patience):
+	case <-time.After(scriptedpeer.Patience):
 		c.t.Error("it does not end")
 	}
 }
--- a/cmd/lilacbend/configuration_test.go
+++ b/cmd/lilacbend/configuration_test.go
@@ -12,7 +12,7 @@
 	"testing"
 
 	"lilacbend/internal/configstore"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // exampleSettings are the example's settings as a server would send them, with some changes: each text is followed by what takes
@@ -42,7 +42,7 @@
 // configservers starts a writer and a server that follows it.
 func configservers(t *testing.T, folder string) (writer, follower *child, at []string) {
 	t.Helper()
-	at = []string{peers.Free(t), peers.Free(t)}
+	at = []string{scriptedpeer.Free(t), scriptedpeer.Free(t)}
 	writer = program(t, nil, "configserver", "--name", "s0", "--region", "r0", "--listen", at[0], "--folder", folder, "--poll", "50ms").until("serving configuration")
 	follower = program(t, nil, "configserver", "--name", "s1", "--region", "r1", "--listen", at[1], "--follow", at[0]+"=r0").until("serving configuration")
 	return writer, follower, at
@@ -76,19 +76,19 @@
 	settingsFile(t, folder, "orders")
 	settingsFile(t, folder, "stock")
 	writer, follower, at := configservers(t, folder)
-	agent, listen := peers.Listen(t), peers.Free(t)
+	agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen, "name": "n7"})
 	governor := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", operatorFile(t, at)).until("configuration in force")
-	first := peers.DialWhenUp(t, listen)
+	first := scriptedpeer.DialWhenUp(t, listen)
 	first.Raw("*9\r\n$5\r\nhello\r\n$2\r\nid\r\n$1\r\n3\r\n$4\r\nsite\r\n$1\r\na\r\n$3\r\nrps\r\n$2\r\n20\r\n$3\r\nnew\r\n$1\r\n1\r\n")
 	governor.until("version=")
 
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":5`, `"zones":["a","b"]`, `"zones":["b","a","c"]`)
 	governor.until("proxies=5")
-	second := peers.DialWhenUp(t, listen)
+	second := scriptedpeer.DialWhenUp(t, listen)
 	second.Raw("*9\r\n$5\r\nhello\r\n$2\r\nid\r\n$1\r\n4\r\n$4\r\nsite\r\n$1\r\nc\r\n$3\r\nrps\r\n$2\r\n20\r\n$3\r\nnew\r\n$1\r\n1\r\n")
 	head := make([]byte, 1)
-	for _, conn := range []*peers.Conn{first, second} { // both get their table
+	for _, conn := range []*scriptedpeer.Conn{first, second} { // both get their table
 		if _, err := conn.Read.Read(head); err != nil || head[0] != '*' {
 			t.Errorf("%q %v", head, err)
 		}
@@ -98,13 +98,13 @@
 	writer.until("setting domain.push_rate=-1 is not above 0")
 	settingsFile(t, folder, "orders", `"admit":"fraction"`, `"admit":"silent"`) // well for a start, but not for who runs
 	governor.until("setting domain.admit cannot change while the governor runs")
-	peers.Until(t, "the refusal is not known to the servers", func() bool {
+	scriptedpeer.Until(t, "the refusal is not known to the servers", func() bool {
 		s := status(t, at)
 		return len(s.Lagging) == 1 && s.Lagging[0].Instance == "n7" && s.Lagging[0].Refused == s.Services[0].Version
 	})
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":6`)
 	governor.until("proxies=6")
-	peers.Until(t, "somebody lags", func() bool {
+	scriptedpeer.Until(t, "somebody lags", func() bool {
 		s := status(t, at)
 		return len(s.Lagging) == 0 && len(s.Services) == 2 && len(s.Services[0].Zones) == 1 && s.Services[0].Zones[0].InForce[0].Governors == 1
 	})
@@ -117,7 +117,7 @@
 
 // Without its section a governor follows nothing, and says nothing of it.
 func TestWithoutTheSectionNothingIsFollowed(t *testing.T) {
-	agent, listen := peers.Listen(t), peers.Free(t)
+	agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen})
 	governor := run(t, file).until("serving")
 	governor.tell(syscall.SIGUSR1)
--- a/cmd/lilacbend/fleet_test.go
+++ b/cmd/lilacbend/fleet_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"lilacbend/internal/resp"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // fleetConfiguration is the example's with the sizes of a full fleet: so many governors and replicas, and all proxies at this one.
@@ -48,7 +48,7 @@
 // them some read nothing, and some connect again and again.
 func TestAllProxiesOfAFleetComeAtOnce(t *testing.T) {
 	const governors, replicas, proxies = 350, 1024, 400
-	at := peers.Free(t)
+	at := scriptedpeer.Free(t)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
--- a/cmd/lilacbend/kept_test.go
+++ b/cmd/lilacbend/kept_test.go
@@ -15,7 +15,7 @@
 	"lilacbend/internal/configcache"
 	"lilacbend/internal/revision"
 	"lilacbend/internal/snapshot"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // keepingFile is an operator file of a governor that keeps what it follows. A server that is not to answer is a listener of the
@@ -34,7 +34,7 @@
 // hello joins as a proxy and waits for the first byte of its table.
 func hello(t *testing.T, listen string, proxy int) {
 	t.Helper()
-	conn := peers.DialWhenUp(t, listen)
+	conn := scriptedpeer.DialWhenUp(t, listen)
 	conn.Say(fmt.Sprintf("hello id %d site a rps 20 new 1", proxy))
 	head := make([]byte, 1)
 	if _, err := conn.Read.Read(head); err != nil || head[0] != '*' {
@@ -48,14 +48,14 @@
 	folder, kept := t.TempDir(), filepath.Join(t.TempDir(), "kept")
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":6`)
 	writer, follower, at := configservers(t, folder)
-	agent, listen := peers.Listen(t), peers.Free(t)
+	agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen, "name": "n7"})
 	operator := keepingFile(t, kept, at...)
 	first := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", operator).until("configuration in force")
 	if first.says("kept configuration") {
 		t.Errorf("there was nothing to keep: %s", first.out)
 	}
-	peers.Until(t, "it is not kept", func() bool { _, found, _ := configcache.Load(snapshot.Folder(kept)); return found })
+	scriptedpeer.Until(t, "it is not kept", func() bool { _, found, _ := configcache.Load(snapshot.Folder(kept)); return found })
 	for _, p := range []*child{follower, writer, first} {
 		p.ends(syscall.SIGTERM)
 	}
@@ -109,9 +109,9 @@
 				t.Fatal(err)
 			}
 			write(t, filepath.Join(folder, "settings"), c.file)
-			agent, listen := peers.Listen(t), peers.Free(t)
+			agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 			file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen, "name": "n7"})
-			governor := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", keepingFile(t, folder, peers.Listen(t).At())).until("serving").until(c.says)
+			governor := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", keepingFile(t, folder, scriptedpeer.Listen(t).At())).until("serving").until(c.says)
 			hello(t, listen, 3)
 			if c.used {
 				governor.until("version=5.2")
@@ -156,10 +156,10 @@
 
 // Two governors on one folder: the second keeps nothing and serves all the same. A folder that others may write to is not used.
 func TestAFolderThatIsNotItsOwn(t *testing.T) {
-	agent := peers.Listen(t)
+	agent := scriptedpeer.Listen(t)
 	begin := func(folder string) *child {
-		file := configured(t, map[string]any{"discovery": agent.At(), "listen": peers.Free(t), "name": "n7"})
-		return program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", keepingFile(t, folder, peers.Listen(t).At())).until("serving")
+		file := configured(t, map[string]any{"discovery": agent.At(), "listen": scriptedpeer.Free(t), "name": "n7"})
+		return program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", keepingFile(t, folder, scriptedpeer.Listen(t).At())).until("serving")
 	}
 	shared, open := filepath.Join(t.TempDir(), "kept"), filepath.Join(t.TempDir(), "open")
 	if err := os.Mkdir(open, 0o700); err != nil {
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -15,7 +15,7 @@
 
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/eventloop"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 const wholeList = "GET /registry/instances HTTP/1.1"
@@ -62,9 +62,9 @@
 		"missing":      func(file string, _ []byte) { os.Remove(file) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			file, before, after := filepath.Join(t.TempDir(), "config.json"), peers.Listen(t), peers.Listen(t)
+			file, before, after := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 			write(t, file, exampleAt(t, before.At()))
-			p := launch(t, file, peers.Free(t))
+			p := launch(t, file, scriptedpeer.Free(t))
 			if got := before.Take().Request(); got != wholeList {
 				t.Errorf("asked %q", got)
 			}
@@ -87,7 +87,7 @@
 
 // SIGHUP round the end changes nothing of it: while a file is waited for, together with SIGTERM, and after it.
 func TestSIGHUPWhileItEnds(t *testing.T) {
-	file, agent, at := filepath.Join(t.TempDir(), "config.json"), peers.Listen(t), peers.Free(t)
+	file, agent, at := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	write(t, file, exampleAt(t, agent.At()))
 	p := launch(t, file, at)
 	agent.Take().Request()
@@ -95,7 +95,7 @@
 	p.tell(syscall.SIGHUP)
 	p.until("cannot be used")
 	p.ends(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP)
-	peers.ListenOn(t, at) // it is free for the successor
+	scriptedpeer.ListenOn(t, at) // it is free for the successor
 }
 
 // reloading runs the part of a governor that reads its configuration again; a signal is sent when follow takes it.
@@ -116,14 +116,14 @@
 
 // Twice at once, to the same address, and from A to B and back to A: the last file read is the one that counts.
 func TestSIGHUPThereAndBack(t *testing.T) {
-	file, a, b := filepath.Join(t.TempDir(), "config.json"), peers.Listen(t), peers.Listen(t)
+	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	asked, x, _ := reloading(t, file, a.At())
 	first := a.Take()
 	first.Request()
 	write(t, file, exampleAt(t, a.At()))
 	asked <- syscall.SIGHUP // to where it is
 	asked <- syscall.SIGHUP // taken once the first has been read
-	peers.Until(t, "not read twice", func() bool { return x.Tally.Reloads.Load() == 2 })
+	scriptedpeer.Until(t, "not read twice", func() bool { return x.Tally.Reloads.Load() == 2 })
 	if dials := x.Tally.Dials.Load(); dials != 1 {
 		t.Errorf("%d dials", dials)
 	}
@@ -168,12 +168,12 @@
 
 // A second SIGHUP while a file is waited for is answered at once; each that finds it of no use is a line.
 func TestSIGHUPWhileAFileIsWaitedFor(t *testing.T) {
-	file, a, b := filepath.Join(t.TempDir(), "config.json"), peers.Listen(t), peers.Listen(t)
+	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	asked, x, out := reloading(t, file, a.At())
 	a.Take().Request()
 	asked <- syscall.SIGHUP
 	asked <- syscall.SIGHUP
-	peers.Until(t, "not read twice", func() bool { return x.Tally.Misread.Load() == 2 })
+	scriptedpeer.Until(t, "not read twice", func() bool { return x.Tally.Misread.Load() == 2 })
 	replace(t, file, exampleAt(t, b.At()))
 	asked <- syscall.SIGHUP
 	if got := b.Take().Request(); got != wholeList {
@@ -187,14 +187,14 @@
 // The list of the configuration is out of date: it serves the proxies that come before discovery has answered, which is
 // asked for the whole list; who drains by then is withdrawn.
 func TestProxiesThatComeBeforeDiscoveryHasAnswered(t *testing.T) {
-	agent, at := peers.Listen(t), peers.Free(t)
+	agent, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	c := exampleConfiguration(t, at)
 	c.discovery = agent.At()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- serve(ctx, c, reloader{}, slog.New(slog.DiscardHandler)) }()
 	defer func() { stop(); <-ended }()
-	proxy := peers.DialWhenUp(t, at)
+	proxy := scriptedpeer.DialWhenUp(t, at)
 	proxy.Say("hello id 3 site a rps 20 new 1")
 	first := proxy.Hears("push full 1 endpoints box-")
 	conn := agent.Take()
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -16,7 +16,7 @@
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 type lines struct {
@@ -50,7 +50,7 @@
 
 // A governor serves from its known list while discovery refuses, and ends soon after it is told to.
 func TestServingFromTheKnownList(t *testing.T) {
-	at, out := peers.Free(t), &lines{}
+	at, out := scriptedpeer.Free(t), &lines{}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
--- a/cmd/lilacbend/shutdown_test.go
+++ b/cmd/lilacbend/shutdown_test.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"testing"
 
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // Ends and starts that cross with something else, in real processes: docs/crossings.md.
@@ -16,17 +16,17 @@
 // address once it is free.
 func TestToldToEndWhileTheAddressIsInUse(t *testing.T) {
 	for name, end := range map[string][]syscall.Signal{"term": {syscall.SIGTERM}, "hangup, term, term": {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM}} {
-		l := peers.Listen(t)
+		l := scriptedpeer.Listen(t)
 		c := run(t, configured(t, map[string]any{"listen": l.At(), "discovery": "127.0.0.1:1"})).until("the address is in use")
 		c.ends(end...)
 		if c.says("msg=serving") {
 			t.Errorf("%s: it serves", name)
 		}
 	}
-	l := peers.Listen(t)
+	l := scriptedpeer.Listen(t)
 	c := run(t, configured(t, map[string]any{"listen": l.At(), "discovery": "127.0.0.1:1"})).until("the address is in use")
 	l.Close()
-	conn := peers.DialWhenUp(t, l.At())
+	conn := scriptedpeer.DialWhenUp(t, l.At())
 	conn.Say("probe")
 	conn.Hears("alive")
 	c.ends(syscall.SIGTERM)
@@ -36,7 +36,7 @@
 // collector in the middle of a report, discovery in the middle of a body, and a second and third signal. The address is free
 // for the successor at once.
 func TestTheEndOfAProcessWithAllInFlight(t *testing.T) {
-	disco, at := peers.Listen(t), peers.Free(t)
+	disco, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	var members []map[string]any
 	for k := range 3000 {
 		members = append(members, map[string]any{"id": fmt.Sprint(strings.Repeat("replica-", 12), k), "host_port": "127.0.0.1:9", "locality": "a",
@@ -48,9 +48,9 @@
 		call := disco.Take()
 		call.Request()
 		call.Raw("HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{\"revision\":2,")
-		var open []*peers.Conn
+		var open []*scriptedpeer.Conn
 		for id, says := range []string{"hello id 0 site a rps 2 new 1", "hello id 1 site a rps 2 new 1", "agent site a", "nonsense"} {
-			conn := peers.DialWhenUp(t, at)
+			conn := scriptedpeer.DialWhenUp(t, at)
 			if open = append(open, conn); id == 0 {
 				conn.Narrow()
 			}
@@ -80,12 +80,12 @@
 // tells of reaches them at once. The acks are of marks of an earlier life. The governor may read that of mark 1 before or after it
 // has written a mark 1 of its own; its proxy counts as bound in the second case, and hears of the drain as a weight of 0.
 func TestProxiesComeBackBeforeDiscoveryHasAnswered(t *testing.T) {
-	disco, at := peers.Listen(t), peers.Free(t)
+	disco, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := configured(t, map[string]any{"listen": at, "discovery": disco.At()})
 	c := run(t, file)
 	call := disco.Take()
 	call.Request()
-	proxy := peers.DialWhenUp(t, at)
+	proxy := scriptedpeer.DialWhenUp(t, at)
 	proxy.Say("hello id 3 site a rps 20 new 0", "ack id 3 seq 1 ms 1", "ack id 3 seq 77 ms 1", "demand id 3 lane lookup count 9 fail 0 over 500")
 	if text := proxy.Hears("push"); !strings.Contains(text, "endpoints") || !strings.Contains(text, "box-2:") {
 		t.Errorf("told %q", text)
--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // shop writes a sidecar's file with one replica.
@@ -30,18 +30,18 @@
 
 // A file that is missing or half written when SIGHUP comes is taken over once it is whole, without a second SIGHUP.
 func TestASidecarsFileIsWaitedFor(t *testing.T) {
-	listen, file := peers.Free(t), filepath.Join(t.TempDir(), "shop.yaml")
+	listen, file := scriptedpeer.Free(t), filepath.Join(t.TempDir(), "shop.yaml")
 	shop(t, file, listen, "127.0.0.1:9")
 	c := program(t, nil, "sidecar", "--manifest", file)
-	peers.DialWhenUp(t, listen)
+	scriptedpeer.DialWhenUp(t, listen)
 	for k, spoil := range []func() error{func() error { return os.Remove(file) }, func() error { return os.WriteFile(file, []byte("name: sh"), 0o600) }} {
 		if err := spoil(); err != nil {
 			t.Fatal(err)
 		}
 		c.tell(syscall.SIGHUP)
-		peers.Until(t, "it is not said", func() bool { return c.out.times("cannot be used") == k+1 })
+		scriptedpeer.Until(t, "it is not said", func() bool { return c.out.times("cannot be used") == k+1 })
 		shop(t, file, listen, "127.0.0.1:9")
-		peers.Until(t, "it is not taken over", func() bool { return c.out.times("rules taken over") == k+1 })
+		scriptedpeer.Until(t, "it is not taken over", func() bool { return c.out.times("rules taken over") == k+1 })
 	}
 	if c.ends(syscall.SIGTERM); c.out.times("cannot be used") != 2 {
 		t.Error(c.out)
@@ -51,11 +51,11 @@
 // SIGTERM finds a flow in flight, and comes once more during the drain, with a SIGHUP: the flow has its whole answer, that
 // says that it was the last, and the exit is a clean one.
 func TestASidecarIsToldToEndTwiceWithAFlowInFlight(t *testing.T) {
-	replica, listen := peers.Listen(t), peers.Free(t)
+	replica, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := filepath.Join(t.TempDir(), "shop.yaml")
 	shop(t, file, listen, replica.At())
 	c := program(t, nil, "sidecar", "--manifest", file)
-	client := peers.DialWhenUp(t, listen)
+	client := scriptedpeer.DialWhenUp(t, listen)
 	client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
 	flow := replica.Take()
 	flow.Request()
@@ -75,9 +75,9 @@
 
 // SIGTERM finds a collector with sidecars and with a governor that is not there: the exit is clean, and soon.
 func TestACollectorIsToldToEnd(t *testing.T) {
-	listen := peers.Free(t)
-	c := program(t, nil, "collector", "--zone", "a", "--listen", listen, "--governor", peers.Free(t), "--every", "50ms")
-	sidecar := peers.DialWhenUp(t, listen)
+	listen := scriptedpeer.Free(t)
+	c := program(t, nil, "collector", "--zone", "a", "--listen", listen, "--governor", scriptedpeer.Free(t), "--every", "50ms")
+	sidecar := scriptedpeer.DialWhenUp(t, listen)
 	sidecar.Say("met target b count 3 fail 1 mean 10")
 	c.ends(syscall.SIGTERM)
 	sidecar.Ends()
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -17,11 +17,11 @@
 	"lilacbend/internal/operator"
 	"lilacbend/internal/resp"
 	"lilacbend/internal/snapshot"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 func stateful(t *testing.T, folder string) configuration {
-	c := exampleConfiguration(t, peers.Free(t))
+	c := exampleConfiguration(t, scriptedpeer.Free(t))
 	c.operator = operator.Rulebook{State: operator.Retention{Folder: folder, Every: 20 * time.Millisecond, HalfLife: time.Minute, Keep: 2}}
 	return c
 }
@@ -88,7 +88,7 @@
 	if !out.has("no state to begin with") || !out.has("state.failed=0") {
 		t.Errorf("first: %s", out)
 	}
-	c.listen = peers.Free(t)
+	c.listen = scriptedpeer.Free(t)
 	out, stop = start(t, c)
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
@@ -105,7 +105,7 @@
 			t.Fatalf("told %q %v", heard, err)
 		}
 	}
-	other, end := start(t, func() configuration { second := c; second.listen = peers.Free(t); return second }())
+	other, end := start(t, func() configuration { second := c; second.listen = scriptedpeer.Free(t); return second }())
 	if end(); !other.has("state is neither read nor kept") || !other.has(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
 		t.Errorf("two on one folder: %s", other)
 	}
--- a/internal/configserver/failures_test.go
+++ b/internal/configserver/failures_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lilacbend/internal/configclient"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // A governor whose server is killed has the next change by another one.
@@ -57,10 +57,10 @@
 	copies := writer.Status().Counters.Copies
 	way.set(true)
 	write(t, folder, "service-3.json", exampleSettings(t, "second"))
-	peers.Until(t, "the writer does not change", func() bool { return writer.Version().Revision == 21 })
+	scriptedpeer.Until(t, "the writer does not change", func() bool { return writer.Version().Revision == 21 })
 	late := follow(t, "service-4", at(away)) // starts while the region is cut off
 	late.until("first")
-	peers.Until(t, "the cut is not noticed", func() bool { return away.log.count("configuration server fails") == 1 })
+	scriptedpeer.Until(t, "the cut is not noticed", func() bool { return away.log.count("configuration server fails") == 1 })
 	if away.Version().Revision != 20 || g.InForce().Revision == 21 {
 		t.Errorf("%s at the server, %s in force", away.Version(), g.InForce())
 	}
@@ -81,7 +81,7 @@
 		write(t, folder, fmt.Sprintf("service-%d.json", k), []byte(large))
 	}
 	writer := start(t, Options{Name: "s0", Folder: folder, Copies: 1})
-	peers.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 8 })
+	scriptedpeer.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 8 })
 	conn, err := net.Dial("tcp", writer.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -89,11 +89,11 @@
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	fmt.Fprint(conn, "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n") // 7 MB, and nothing is read
-	peers.Until(t, "it gets no copy", func() bool { return writer.Status().Counters.Copies == 1 })
+	scriptedpeer.Until(t, "it gets no copy", func() bool { return writer.Status().Counters.Copies == 1 })
 	g := follow(t, "service-3", at(writer))
-	peers.Until(t, "nobody is sent away", func() bool { return g.Counts().SentAway > 0 })
+	scriptedpeer.Until(t, "nobody is sent away", func() bool { return g.Counts().SentAway > 0 })
 	g.until("first")
-	peers.Until(t, "the slow one is not cut off", func() bool { return writer.Status().Counters.WriteErrors == 1 })
+	scriptedpeer.Until(t, "the slow one is not cut off", func() bool { return writer.Status().Counters.WriteErrors == 1 })
 }
 
 // A herd that begins at once is served within the bounds, each by one whole copy.
@@ -125,8 +125,8 @@
 // Servers that begin without any configuration while the writer is lost do not ask each other without rest.
 func TestServersThatHaveNothing(t *testing.T) {
 	t.Parallel()
-	lost := configclient.Server{Address: peers.Free(t)}
-	one, two := peers.Free(t), peers.Free(t)
+	lost := configclient.Server{Address: scriptedpeer.Free(t)}
+	one, two := scriptedpeer.Free(t), scriptedpeer.Free(t)
 	first := start(t, Options{Name: "s1", Listen: one, Follow: []configclient.Server{lost, {Address: two}}})
 	second := start(t, Options{Name: "s2", Listen: two, Follow: []configclient.Server{lost, {Address: one}}})
 	const seconds, paceMost = 2, 10 // queries a second
--- a/internal/configserver/rig_test.go
+++ b/internal/configserver/rig_test.go
@@ -17,7 +17,7 @@
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/configwatch"
 	"lilacbend/internal/revision"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // journal is a log that is read while it is written.
@@ -73,7 +73,7 @@
 				if span := time.Since(begun); err != nil || span > 2*partingMost {
 					t.Errorf("%s ended after %v: %v", o.Name, span, err)
 				}
-			case <-time.After(peers.Patience):
+			case <-time.After(scriptedpeer.Patience):
 				t.Errorf("%s does not end", o.Name)
 			}
 		})
@@ -152,7 +152,7 @@
 // until waits until a class is in force.
 func (g *governor) until(class string) {
 	g.t.Helper()
-	peers.Until(g.t, class+" is not in force", func() bool {
+	scriptedpeer.Until(g.t, class+" is not in force", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return strings.Contains(g.has, fmt.Sprintf("%q", class))
--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -14,7 +14,7 @@
 	"lilacbend/internal/configapi"
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/revision"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // A change of a file is in force at a governor of another region's server; one that is refused leaves the last good one.
@@ -31,19 +31,19 @@
 	g.until("second")
 
 	write(t, folder, "orders.json", []byte(strings.Replace(string(exampleSettings(t, "third")), "push_rate", "rate", 1)))
-	peers.Until(t, "a bad file is not refused", func() bool { return len(writer.Status().Faults) == 1 })
+	scriptedpeer.Until(t, "a bad file is not refused", func() bool { return len(writer.Status().Faults) == 1 })
 	fault := writer.Status().Faults[0]
 	if fault.File != "orders.json" || !strings.Contains(fault.Reason, "setting domain.push_rate is missing") {
 		t.Errorf("%+v", fault)
 	}
 	write(t, folder, "payouts.json", exampleSettings(t, "another"))
-	peers.Until(t, "the other service does not change", func() bool { return follower.Version() == writer.Version() && writer.Version().Revision == 4 })
+	scriptedpeer.Until(t, "the other service does not change", func() bool { return follower.Version() == writer.Version() && writer.Version().Revision == 4 })
 	if got := len(g.seen); got != 2 || writer.log.count("file refused") != 1 {
 		t.Errorf("%d versions seen, the log: %s", got, writer.log.text.String())
 	}
 
 	write(t, folder, "orders.json", exampleSettings(t, "refused")) // by the governor alone
-	peers.Until(t, "a refusal is not told", func() bool {
+	scriptedpeer.Until(t, "a refusal is not told", func() bool {
 		w := follower.Status().Watchers
 		return len(w) == 1 && w[0].Refused.Revision == 5 && w[0].InForce.Revision == 3
 	})
@@ -77,22 +77,22 @@
 		"no name of a serv": func() { write(t, folder, "a b.json", whole) },
 	} {
 		spoil()
-		peers.Until(t, says+" is not said", func() bool {
+		scriptedpeer.Until(t, says+" is not said", func() bool {
 			all := writer.Status().Faults
 			return len(all) == 1 && strings.Contains(all[0].Reason, says)
 		})
 		os.Remove(filepath.Join(folder, "shop.json"))
 		os.Remove(filepath.Join(folder, "a b.json"))
 		write(t, folder, "orders.json", whole)
-		peers.Until(t, says+": still a fault", func() bool { return len(writer.Status().Faults) == 0 })
+		scriptedpeer.Until(t, says+": still a fault", func() bool { return len(writer.Status().Faults) == 0 })
 	}
 	if writer.Version().Epoch != before.Epoch {
 		t.Errorf("another epoch: %s", writer.Version())
 	}
 	os.Rename(folder, folder+"-away")
-	peers.Until(t, "a folder that is away is not noticed", func() bool { return len(writer.Status().Faults) == 1 })
+	scriptedpeer.Until(t, "a folder that is away is not noticed", func() bool { return len(writer.Status().Faults) == 1 })
 	os.Mkdir(folder, 0o700)
-	peers.Until(t, "an empty folder is not refused", func() bool {
+	scriptedpeer.Until(t, "an empty folder is not refused", func() bool {
 		all := writer.Status().Faults
 		return len(all) == 1 && all[0].Reason == errGone.Error()
 	})
@@ -134,12 +134,12 @@
 	t.Parallel()
 	folder, state := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
-	listen := peers.Free(t)
+	listen := scriptedpeer.Free(t)
 	writer := start(t, Options{Name: "s0", Folder: folder, StateFile: state, Listen: listen})
 	follower := start(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{at(writer)}})
 	g := follow(t, "orders", at(follower))
 	g.until("first")
-	peers.Until(t, "no state is kept", func() bool { _, err := os.Stat(state); return err == nil })
+	scriptedpeer.Until(t, "no state is kept", func() bool { _, err := os.Stat(state); return err == nil })
 	backup, err := os.ReadFile(state)
 	if err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder})
-	peers.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 1 })
+	scriptedpeer.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 1 })
 	ahead := revision.Version{Epoch: writer.Version().Epoch + 1000, Revision: 7}
 	if status, body := get(t, writer, "/configuration?service=orders&since="+ahead.String()); status != 200 || !strings.Contains(body, `"first"`) {
 		t.Errorf("%d %.100s", status, body)
@@ -207,7 +207,7 @@
 	folder, state := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder, StateFile: state})
-	peers.Until(t, "no state is kept", func() bool { _, err := os.Stat(state); return err == nil })
+	scriptedpeer.Until(t, "no state is kept", func() bool { _, err := os.Stat(state); return err == nil })
 	writer.stop()
 	write(t, folder, "orders.json", []byte("{"))
 	writer = start(t, Options{Name: "s0", Folder: folder, StateFile: state})
@@ -225,7 +225,7 @@
 			t.Fatal(err)
 		}
 		writer = start(t, Options{Name: "s0", Folder: folder, StateFile: state})
-		peers.Until(t, says+" is not said", func() bool { return writer.log.count("state refused") == 1 && writer.log.count(says) > 0 })
+		scriptedpeer.Until(t, says+" is not said", func() bool { return writer.log.count("state refused") == 1 && writer.log.count(says) > 0 })
 		writer.stop()
 	}
 	for _, o := range []Options{{}, {Folder: folder, Follow: []configclient.Server{{Address: "127.0.0.1:1"}}}} {
@@ -254,7 +254,7 @@
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder, Copies: 1})
-	peers.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 1 })
+	scriptedpeer.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 1 })
 	v := writer.Version().String()
 	for _, c := range []struct {
 		query, says string
@@ -293,7 +293,7 @@
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder, Connections: 3})
 	second := start(t, Options{Name: "s1", Follow: []configclient.Server{at(writer)}})
-	peers.Until(t, "nothing is served", func() bool { return second.Version().Revision == 1 }) // one of the three
+	scriptedpeer.Until(t, "nothing is served", func() bool { return second.Version().Revision == 1 }) // one of the three
 	var held []net.Conn
 	for range 2 {
 		conn, err := net.Dial("tcp", writer.Address())
@@ -303,7 +303,7 @@
 		defer conn.Close()
 		held = append(held, conn)
 	}
-	peers.Until(t, "they are not taken in", func() bool { return writer.Status().Counters.Connections == 3 })
+	scriptedpeer.Until(t, "they are not taken in", func() bool { return writer.Status().Counters.Connections == 3 })
 	g := follow(t, "orders", at(writer), configclient.Server{Address: second.Address(), Region: "far"})
 	g.until("first")
 	if c := writer.Status().Counters; c.Connections != 3 || c.Refused == 0 || g.Counts().Failures == 0 {
@@ -312,7 +312,7 @@
 	for _, conn := range held {
 		conn.Close()
 	}
-	peers.Until(t, "places are not given free", func() bool { return writer.Status().Counters.Connections <= 2 })
+	scriptedpeer.Until(t, "places are not given free", func() bool { return writer.Status().Counters.Connections <= 2 })
 }
 
 // Told to end, a server ends at once though hundreds watch, and they are told.
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -13,7 +13,7 @@
 	"lilacbend/internal/configapi"
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/revision"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // instance is the name of this process's watchers. Other tests' clients go on asking servers that have ended, whose ports may
@@ -21,7 +21,7 @@
 var instance = fmt.Sprintf("watcher-%d", os.Getpid())
 
 // takeOwn accepts the next connection of a watcher of this process, and reads its request.
-func takeOwn(t *testing.T, l *peers.Listener) *peers.Conn {
+func takeOwn(t *testing.T, l *scriptedpeer.Listener) *scriptedpeer.Conn {
 	t.Helper()
 	for {
 		conn := l.Take()
@@ -33,7 +33,7 @@
 }
 
 // watching runs a watcher of orders until the end of the test; offers come on the channel.
-func watching(t *testing.T, servers ...*peers.Listener) (*Watcher, chan revision.Version) {
+func watching(t *testing.T, servers ...*scriptedpeer.Listener) (*Watcher, chan revision.Version) {
 	t.Helper()
 	var all []configclient.Server
 	for _, l := range servers {
@@ -70,7 +70,7 @@
 }
 
 // resuming runs a watcher that begins with version 1.4 until the end of the test; that one is the first offer.
-func resuming(t *testing.T, server *peers.Listener, inForce func(revision.Version, []byte)) (w *Watcher, kept revision.Version, offers chan revision.Version) {
+func resuming(t *testing.T, server *scriptedpeer.Listener, inForce func(revision.Version, []byte)) (w *Watcher, kept revision.Version, offers chan revision.Version) {
 	t.Helper()
 	kept = revision.Version{Epoch: 1, Revision: 4}
 	offers = make(chan revision.Version, 10)
@@ -97,7 +97,7 @@
 	select {
 	case v := <-offers:
 		return v
-	case <-time.After(peers.Patience):
+	case <-time.After(scriptedpeer.Patience):
 		t.Fatal("nothing is offered")
 		return revision.Version{}
 	}
@@ -105,7 +105,7 @@
 
 // One connection is kept from watch to watch; since says what is in force, and nothing is asked while a verdict is awaited.
 func TestAWatchGoesOnOnOneConnection(t *testing.T) {
-	server := peers.Listen(t)
+	server := scriptedpeer.Listen(t)
 	w, offers := watching(t, server)
 	conn := server.Take()
 	if got := conn.Request(); got != "GET /configuration?instance="+instance+"&service=orders&zone=a HTTP/1.1" {
@@ -141,7 +141,7 @@
 		version  revision.Version
 		settings string
 	}
-	server := peers.Listen(t)
+	server := scriptedpeer.Listen(t)
 	var verdicts []told
 	inForce := make(chan told, 10)
 	w, kept, offers := resuming(t, server, func(v revision.Version, settings []byte) { inForce <- told{v, string(settings)} })
@@ -171,7 +171,7 @@
 
 // What was in force before is refused now: the newest is asked for, and it is not offered again.
 func TestAFollowerWhoseFormerSettingsAreRefused(t *testing.T) {
-	server := peers.Listen(t)
+	server := scriptedpeer.Listen(t)
 	w, _, offers := resuming(t, server, func(v revision.Version, _ []byte) { t.Errorf("%s is said to be in force", v) })
 	w.Refused(take(t, offers), errors.New("setting a is 4"))
 	conn := server.Take()
@@ -189,7 +189,7 @@
 
 // A kept connection that its server has closed is no failure; one that says that it closes is not used again.
 func TestAClosedConnectionIsNoFailure(t *testing.T) {
-	server := peers.Listen(t)
+	server := scriptedpeer.Listen(t)
 	w, offers := watching(t, server)
 	conn := server.Take()
 	conn.Request()
@@ -228,7 +228,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			first, second := peers.Listen(t), peers.Listen(t)
+			first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 			w, offers := watching(t, first, second)
 			conn := takeOwn(t, first)
 			go func() { conn.Write([]byte(text)); conn.Close() }()
@@ -245,7 +245,7 @@
 func TestServersThatTakeTheirTime(t *testing.T) {
 	t.Run("silent", func(t *testing.T) {
 		t.Parallel()
-		first, second := peers.Listen(t), peers.Listen(t)
+		first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 		_, offers := watching(t, first, second)
 		begun := time.Now()
 		takeOwn(t, first)
@@ -258,7 +258,7 @@
 	})
 	t.Run("dripping", func(t *testing.T) {
 		t.Parallel()
-		first, second := peers.Listen(t), peers.Listen(t)
+		first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 		_, offers := watching(t, first, second)
 		conn := takeOwn(t, first)
 		go func() {
@@ -272,7 +272,7 @@
 	})
 	t.Run("busy", func(t *testing.T) {
 		t.Parallel()
-		server := peers.Listen(t)
+		server := scriptedpeer.Listen(t)
 		w, offers := watching(t, server)
 		conn := server.Take()
 		conn.Request()
@@ -292,7 +292,7 @@
 
 // A follower of all services takes answers over itself; what it cannot take is not asked for again.
 func TestAFollowerOfAllServices(t *testing.T) {
-	server := peers.Listen(t)
+	server := scriptedpeer.Listen(t)
 	taken, heard := make(chan configapi.Answer, 10), make(chan int64, 10)
 	w, err := New(Options{Instance: "s1", Servers: []configclient.Server{{Address: server.At()}}, Seed: 1,
 		Heard: func(a configapi.Answer) { heard <- a.AgeMS },
@@ -336,7 +336,7 @@
 
 // A server that answers every watch at once, without news, is not asked without rest.
 func TestAServerThatDoesNotWait(t *testing.T) {
-	server := peers.Listen(t)
+	server := scriptedpeer.Listen(t)
 	w, offers := watching(t, server)
 	conn := server.Take()
 	conn.Request()
@@ -357,8 +357,8 @@
 
 // While a lost server is tried now and again, the connection to the one that answers meanwhile is kept.
 func TestTriesOfALostServerKeepTheConnection(t *testing.T) {
-	server := peers.Listen(t)
-	lost, regional := configclient.Server{Address: peers.Free(t)}, configclient.Server{Address: server.At()}
+	server := scriptedpeer.Listen(t)
+	lost, regional := configclient.Server{Address: scriptedpeer.Free(t)}, configclient.Server{Address: server.At()}
 	offers := make(chan revision.Version, 1)
 	w, err := New(Options{Instance: instance, Service: "orders", Servers: []configclient.Server{lost, regional}, Ordered: true, Seed: 1,
 		Offer: func(v revision.Version, _ []byte) { offers <- v }})
--- a/internal/controlclient/budget_test.go
+++ b/internal/controlclient/budget_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // reported is what a governor has heard of a collector.
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.bytes += len(peers.Message(text))
+	r.bytes += len(scriptedpeer.Message(text))
 	r.attempts[words[4]] += attempts
 }
 
@@ -40,11 +40,11 @@
 		replicas = 60
 		failing  = "replica-41"
 	)
-	l := peers.Listen(t)
+	l := scriptedpeer.Listen(t)
 	_, at, _ := collectsWithin(t, every, budget, l)
 	governor := l.Take()
 	governor.Hears("agent site a")
-	sidecar := peers.Dial(t, at)
+	sidecar := scriptedpeer.Dial(t, at)
 	began := time.Now()
 	told := map[string]int{}
 	tell := func(failures int) {
@@ -98,11 +98,11 @@
 // A governor that comes back is told first of what fails, though the one before it knew.
 func TestAGovernorThatIsStartedAnewHearsFirstOfWhatFails(t *testing.T) {
 	const every = 50 * time.Millisecond
-	l := peers.Listen(t)
+	l := scriptedpeer.Listen(t)
 	c, at, _ := collectsWithin(t, every, 0, l)
 	governor := l.Take()
 	governor.Hears("agent site a")
-	sidecar := peers.Dial(t, at)
+	sidecar := scriptedpeer.Dial(t, at)
 	for range 3 {
 		sidecar.Say("met target b count 10 fail 10 mean 0")
 		governor.Hears("outcomes site a target b count 10 fail 10 ")
@@ -118,5 +118,5 @@
 	}
 	governor.Reset()
 	l.Take().Hears("agent site a")
-	peers.Until(t, "the new governor is taken to know", func() bool { return known() == 0 })
+	scriptedpeer.Until(t, "the new governor is taken to know", func() bool { return known() == 0 })
 }
--- a/internal/controlclient/collectors_test.go
+++ b/internal/controlclient/collectors_test.go
@@ -12,7 +12,7 @@
 	"lilacbend/internal/dispatch"
 	"lilacbend/internal/failover"
 	"lilacbend/internal/resp"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // reports runs a reporter, of one try at one replica for each interval, until the test ends or stops it.
@@ -32,14 +32,14 @@
 
 // scripted serves a collector's connections: it counts tries, and answers probes while it is told to.
 type scripted struct {
-	*peers.Listener
+	*scriptedpeer.Listener
 	tries   atomic.Int64
 	open    atomic.Int64
 	dials   atomic.Int64
 	answers atomic.Bool
 }
 
-func script(t *testing.T, l *peers.Listener, answers bool) *scripted {
+func script(t *testing.T, l *scriptedpeer.Listener, answers bool) *scripted {
 	s := &scripted{Listener: l}
 	s.answers.Store(answers)
 	pool := resp.NewPool(1 << 20)
@@ -83,7 +83,7 @@
 // a governor hears of the zone again within a few intervals. Without a second one it never would.
 func TestTheNextCollectorTakesOver(t *testing.T) {
 	const interval = 50 * time.Millisecond
-	governor := peers.Listen(t)
+	governor := scriptedpeer.Listen(t)
 	_, first, stop := collects(t, interval, governor)
 	one := governor.Take()
 	_, second, _ := collects(t, interval, governor)
@@ -109,12 +109,12 @@
 // answer has been missing for the timeout, and what it was sent meanwhile is counted.
 func TestASilentCollectorIsGivenUp(t *testing.T) {
 	const interval = 50 * time.Millisecond
-	first, second := script(t, peers.Listen(t), true), script(t, peers.Listen(t), true)
+	first, second := script(t, scriptedpeer.Listen(t), true), script(t, scriptedpeer.Listen(t), true)
 	r, _, _ := reports(t, interval, first.At(), second.At())
-	peers.Until(t, "the first is not used", func() bool { return first.tries.Load() > 3 })
+	scriptedpeer.Until(t, "the first is not used", func() bool { return first.tries.Load() > 3 })
 	first.answers.Store(false)
 	began := time.Now()
-	peers.Until(t, "the second is not used", func() bool { return second.tries.Load() > 0 })
+	scriptedpeer.Until(t, "the second is not used", func() bool { return second.tries.Load() > 0 })
 	if took := time.Since(began); took < silenceTimeout || took > silenceTimeout+20*interval {
 		t.Errorf("given up after %v", took)
 	}
@@ -128,24 +128,24 @@
 // the other one has them all. One that takes connections and answers nothing does not get them.
 func TestReportsGoBackToThePreferredCollector(t *testing.T) {
 	const interval = 20 * time.Millisecond
-	l := peers.Listen(t)
+	l := scriptedpeer.Listen(t)
 	address := l.At()
 	l.Close()
-	second := script(t, peers.Listen(t), true)
+	second := script(t, scriptedpeer.Listen(t), true)
 	r, told, stop := reports(t, interval, address, second.At())
-	peers.Until(t, "the second is not used", func() bool { return second.tries.Load() > 3 })
-	first := script(t, peers.ListenOn(t, address), false)
-	peers.Until(t, "the first is not tried again", func() bool { return first.dials.Load() > 0 })
+	scriptedpeer.Until(t, "the second is not used", func() bool { return second.tries.Load() > 3 })
+	first := script(t, scriptedpeer.ListenOn(t, address), false)
+	scriptedpeer.Until(t, "the first is not tried again", func() bool { return first.dials.Load() > 0 })
 	before := second.tries.Load()
-	peers.Until(t, "the second has no more", func() bool { return second.tries.Load() > before+10 })
+	scriptedpeer.Until(t, "the second has no more", func() bool { return second.tries.Load() > before+10 })
 	if first.tries.Load() > 0 {
 		t.Error("the first has reports though it has answered nothing")
 	}
 	first.answers.Store(true)
-	peers.Until(t, "the first has no reports", func() bool { return first.tries.Load() > 3 })
-	peers.Until(t, "the connection to the second stays", func() bool { return second.open.Load() == 0 })
+	scriptedpeer.Until(t, "the first has no reports", func() bool { return first.tries.Load() > 3 })
+	scriptedpeer.Until(t, "the connection to the second stays", func() bool { return second.open.Load() == 0 })
 	stop()
-	peers.Until(t, "a sum is nowhere", func() bool {
+	scriptedpeer.Until(t, "a sum is nowhere", func() bool {
 		return first.tries.Load()+second.tries.Load()+r.Lost.Load() == told.Load()
 	})
 	if r.Lost.Load() > 1 {
@@ -157,12 +157,12 @@
 // interval.
 func TestACollectorThatIsFull(t *testing.T) {
 	const interval = 20 * time.Millisecond
-	full := peers.Listen(t)
+	full := scriptedpeer.Listen(t)
 	var dials atomic.Int64
 	full.Serve(func(net.Conn) { dials.Add(1) })
-	second := script(t, peers.Listen(t), true)
+	second := script(t, scriptedpeer.Listen(t), true)
 	reports(t, interval, full.At(), second.At())
-	peers.Until(t, "the second is not used", func() bool { return second.tries.Load() > 50 })
+	scriptedpeer.Until(t, "the second is not used", func() bool { return second.tries.Load() > 50 })
 	if n := dials.Load(); n > 3 {
 		t.Errorf("dialed %d times in %v", n, 50*interval)
 	}
@@ -171,25 +171,25 @@
 // A collector of an earlier version answers no probe. Where it is the only one it is kept.
 func TestTheOnlyCollectorIsKeptThoughItAnswersNothing(t *testing.T) {
 	const interval = 50 * time.Millisecond
-	only := script(t, peers.Listen(t), false)
+	only := script(t, scriptedpeer.Listen(t), false)
 	r, told, stop := reports(t, interval, only.At())
-	peers.Until(t, "it is not used", func() bool { return told.Load() > int64((silenceTimeout+time.Second)/interval) })
+	scriptedpeer.Until(t, "it is not used", func() bool { return told.Load() > int64((silenceTimeout+time.Second)/interval) })
 	stop()
 	if n := only.dials.Load(); n != 1 || r.Lost.Load() > 1 { // one as it is stopped
 		t.Errorf("%d connections, %d sums lost", n, r.Lost.Load())
 	}
-	peers.Until(t, "a sum is nowhere", func() bool { return only.tries.Load()+r.Lost.Load() == told.Load() })
+	scriptedpeer.Until(t, "a sum is nowhere", func() bool { return only.tries.Load()+r.Lost.Load() == told.Load() })
 }
 
 // All collectors of a zone are away: each interval tries each once, and the first that is back has the reports.
 func TestAllCollectorsAreAway(t *testing.T) {
 	const interval = 50 * time.Millisecond
-	one, two := peers.Free(t), peers.Free(t)
+	one, two := scriptedpeer.Free(t), scriptedpeer.Free(t)
 	r, _, _ := reports(t, interval, one, two)
-	peers.Until(t, "nothing is lost", func() bool { return r.Lost.Load() > 5 })
-	back := script(t, peers.ListenOn(t, two), true)
+	scriptedpeer.Until(t, "nothing is lost", func() bool { return r.Lost.Load() > 5 })
+	back := script(t, scriptedpeer.ListenOn(t, two), true)
 	began := time.Now()
-	peers.Until(t, "it is not found", func() bool { return back.tries.Load() > 0 })
+	scriptedpeer.Until(t, "it is not found", func() bool { return back.tries.Load() > 0 })
 	if took := time.Since(began); took > failover.AbsenceInitial/2 {
 		t.Errorf("found after %v", took)
 	}
@@ -198,7 +198,7 @@
 // A collector answers a probe once it has read all before it, and nothing else.
 func TestACollectorAnswersProbes(t *testing.T) {
 	c, at, _ := collects(t, time.Hour)
-	sidecar := peers.Dial(t, at)
+	sidecar := scriptedpeer.Dial(t, at)
 	sidecar.Say("met target b count 1 fail 0 mean 1", "met target b", "probe")
 	sidecar.Hears("alive")
 	if c.Received.Load() != 1 || c.Skipped.Load() != 1 {
--- a/internal/controlclient/crossings_test.go
+++ b/internal/controlclient/crossings_test.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"lilacbend/internal/dispatch"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // steered runs a client towards listeners until the test ends.
-func steered(t *testing.T, c Core, to ...*peers.Listener) *Client {
+func steered(t *testing.T, c Core, to ...*scriptedpeer.Listener) *Client {
 	cl := &Client{Zone: "a", Classes: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
 	for _, l := range to {
 		cl.Governors = append(cl.Governors, l.At())
@@ -32,14 +32,14 @@
 // comes next, another or the same one again, begins a message of its own: no half is taken for a whole, none is put
 // together of two streams, and no mark of the earlier stream is answered on the new one.
 func TestAGovernorIsLostInTheMiddleOfAMessage(t *testing.T) {
-	whole := peers.Message("push full 1 endpoints a:1,b:1 nonce_out 5")
+	whole := scriptedpeer.Message("push full 1 endpoints a:1,b:1 nonce_out 5")
 	for name, c := range map[string]struct {
 		first   string
 		applied int // of the first stream
 	}{
-		"between two parts":         {peers.Message("push full 1 endpoints a:1 continued 1"), 0},
+		"between two parts":         {scriptedpeer.Message("push full 1 endpoints a:1 continued 1"), 0},
 		"in the middle of a part":   {whole[:len(whole)-4], 0},
-		"with a part and a half":    {peers.Message("push full 1 endpoints a:1 continued 1") + whole[:20], 0},
+		"with a part and a half":    {scriptedpeer.Message("push full 1 endpoints a:1 continued 1") + whole[:20], 0},
 		"as its mark is answered":   {whole, 1},
 		"behind a message, in half": {whole + whole[:30], 1},
 	} {
@@ -47,16 +47,16 @@
 			t.Run(fmt.Sprint(name, ", same ", same), func(t *testing.T) {
 				t.Parallel()
 				core := &core{}
-				one := peers.Listen(t)
+				one := scriptedpeer.Listen(t)
 				next := one
 				if !same {
-					next = peers.Listen(t)
+					next = scriptedpeer.Listen(t)
 				}
 				steered(t, core, one, next)
 				stream := one.Take()
 				stream.Hears("hello id 0 site a rps 0.000 new 1")
 				stream.Raw(c.first)
-				peers.Until(t, "not applied", func() bool { return core.pushes() == c.applied })
+				scriptedpeer.Until(t, "not applied", func() bool { return core.pushes() == c.applied })
 				stream.Reset() // with an answer under way, or unread
 				stream = next.Take()
 				stream.Hears(fmt.Sprint("hello id 0 site a rps 0.000 new ", 1-c.applied))
@@ -86,7 +86,7 @@
 // Flows come while governors end one stream after the other. What the next one that stays is told counts over all of the
 // time in which it came, not over the second since that stream began.
 func TestWhatCameBetweenStreamsIsToldOverItsTime(t *testing.T) {
-	g := peers.Listen(t)
+	g := scriptedpeer.Listen(t)
 	core := &core{usage: []dispatch.Usage{{Flows: 7}}}
 	began := time.Now()
 	steered(t, core, g)
@@ -106,13 +106,13 @@
 }
 
 // collects runs a collector until the test ends or stops it, which takes no longer than a governor may take to end.
-func collects(t *testing.T, every time.Duration, to ...*peers.Listener) (c *Collector, at string, stop func()) {
+func collects(t *testing.T, every time.Duration, to ...*scriptedpeer.Listener) (c *Collector, at string, stop func()) {
 	return collectsWithin(t, every, 0, to...)
 }
 
 // collectsWithin runs a collector that keeps to a budget of bytes a second for each governor; 0: no limit.
-func collectsWithin(t *testing.T, every time.Duration, budget int, to ...*peers.Listener) (c *Collector, at string, stop func()) {
-	l := peers.Listen(t)
+func collectsWithin(t *testing.T, every time.Duration, budget int, to ...*scriptedpeer.Listener) (c *Collector, at string, stop func()) {
+	l := scriptedpeer.Listen(t)
 	c = &Collector{Zone: "a", Interval: every, Budget: budget, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	for _, g := range to {
 		c.Governors = append(c.Governors, g.At())
@@ -134,11 +134,11 @@
 
 // A governor ends a collector's connection between two reports: the next sums go over the next connection, and once.
 func TestAGovernorEndsAConnectionBetweenTwoReports(t *testing.T) {
-	there := peers.Listen(t)
+	there := scriptedpeer.Listen(t)
 	_, at, _ := collects(t, 50*time.Millisecond, there)
 	governor := there.Take()
 	governor.Hears("agent site a")
-	sidecar := peers.Dial(t, at)
+	sidecar := scriptedpeer.Dial(t, at)
 	sidecar.Say("met target b count 3 fail 1 mean 10")
 	governor.Hears("outcomes site a target b count 3 fail 1 mean 10.000 over ")
 	governor.Reset() // between two reports
@@ -150,20 +150,20 @@
 
 // Two governors, one of which is not there when sidecars tell: it hears the sums once it is, over the time in which they came.
 func TestSumsWaitForAGovernorThatIsAway(t *testing.T) {
-	there, away := peers.Listen(t), peers.Free(t)
-	l := peers.Listen(t)
+	there, away := scriptedpeer.Listen(t), scriptedpeer.Free(t)
+	l := scriptedpeer.Listen(t)
 	c := &Collector{Zone: "a", Governors: []string{there.At(), away}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Serve(ctx, l.Listener); close(ended) }()
 	defer func() { stop(); <-ended }()
-	sidecar := peers.Dial(t, l.At())
+	sidecar := scriptedpeer.Dial(t, l.At())
 	governor := there.Take()
 	for _, count := range []int{3, 4} {
 		sidecar.Say(fmt.Sprint("met target b count ", count, " fail 1 mean 10"))
 		governor.Hears(fmt.Sprint("outcomes site a target b count ", count, " fail 1 mean 10.000 over "))
 	}
-	back := peers.ListenOn(t, away).Take()
+	back := scriptedpeer.ListenOn(t, away).Take()
 	back.Hears("outcomes site a target b count 7 fail 2 mean 10.000 over ")
 }
 
@@ -187,7 +187,7 @@
 
 // A governor reads nothing, so a report is written in half when the collector is told to end: it ends at once.
 func TestACollectorEndsWithAReportHalfWritten(t *testing.T) {
-	g := peers.Listen(t)
+	g := scriptedpeer.Listen(t)
 	c, _, stop := collects(t, 50*time.Millisecond, g)
 	governor := g.Take()
 	governor.Narrow()
@@ -206,7 +206,7 @@
 		}
 	}()
 	told, since := int64(0), time.Now()
-	peers.Until(t, "it is never held up", func() bool {
+	scriptedpeer.Until(t, "it is never held up", func() bool {
 		if now := c.Reported.Load(); now != told || now == 0 {
 			told, since = now, time.Now()
 		}
@@ -219,7 +219,7 @@
 
 // A collector is started again between two reports of a sidecar: each sum that is told arrives or is counted as lost.
 func TestACollectorIsStartedAgainBetweenTwoReports(t *testing.T) {
-	l := peers.Listen(t)
+	l := scriptedpeer.Listen(t)
 	due, taken := make(chan int), atomic.Int64{}
 	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Sum {
 		n, ok := <-due
@@ -250,7 +250,7 @@
 
 // A collector that reads nothing holds up no end of a sidecar.
 func TestATellerEndsThoughItsCollectorReadsNothing(t *testing.T) {
-	l := peers.Listen(t)
+	l := scriptedpeer.Listen(t)
 	sums := map[string]*dispatch.Sum{}
 	for k := range maxReplicas {
 		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Sum{Tries: 1}
@@ -262,7 +262,7 @@
 	go func() { teller.Run(ctx); close(ended) }()
 	l.Take().Narrow()
 	told, since := int64(0), time.Now()
-	peers.Until(t, "it is never held up", func() bool {
+	scriptedpeer.Until(t, "it is never held up", func() bool {
 		if now := calls.Load(); now != told {
 			told, since = now, time.Now()
 		}
--- a/internal/controlserver/crossings_test.go
+++ b/internal/controlserver/crossings_test.go
@@ -9,7 +9,7 @@
 
 	"lilacbend/internal/controller"
 	"lilacbend/internal/resp"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // Crossings at a connection, each in an order that is forced: docs/crossings.md.
@@ -35,12 +35,12 @@
 	for _, joins := range []string{"hello id 1 site a rps 2 new 1", "agent site a"} {
 		s := server(reservedDescriptors + 3)
 		running(t, s)
-		l := peers.Listen(t)
-		first := peers.Dial(t, l.At())
+		l := scriptedpeer.Listen(t)
+		first := scriptedpeer.Dial(t, l.At())
 		s.admit(l.Take().Conn)
 		first.Say("agent site a", "outcomes site a target s-5 count 1 fail 0 mean 1 over 1")
 		told(t, s, 1)
-		second := peers.Dial(t, l.At())
+		second := scriptedpeer.Dial(t, l.At())
 		s.admit(&atRead{l.Take().Conn, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -50,7 +50,7 @@
 		}})
 		second.Say(joins)
 		second.Ends()
-		peers.Until(t, "the connection is not over", func() bool { return s.exchange.Tally.Ended.Load() == 1 })
+		scriptedpeer.Until(t, "the connection is not over", func() bool { return s.exchange.Tally.Ended.Load() == 1 })
 		first.Say("outcomes site a target s-5 count 2 fail 0 mean 1 over 1")
 		if notes := told(t, s, 1); len(notes) != 1 || notes[0].(controller.Outcomes).Attempts != 2 {
 			t.Errorf("%s: told %+v", joins, notes)
@@ -70,8 +70,8 @@
 	at := running(t, s)
 	more := strings.Repeat("*1\r\n$4\r\nnope\r\n", 4*resp.BufferSize/14)
 	for range 10 {
-		c := peers.Dial(t, at)
-		c.Raw(peers.Message("probe") + "what is this\r\n" + more)
+		c := scriptedpeer.Dial(t, at)
+		c.Raw(scriptedpeer.Message("probe") + "what is this\r\n" + more)
 		if text, _ := c.Next(); text != "alive" {
 			t.Errorf("a probe is answered %q", text)
 		}
@@ -83,7 +83,7 @@
 		}
 		c.Close()
 	}
-	peers.Until(t, "strangers stay", func() bool { return s.exchange.Tally.Ended.Load() == 10 })
+	scriptedpeer.Until(t, "strangers stay", func() bool { return s.exchange.Tally.Ended.Load() == 10 })
 }
 
 // The end of the program waits for nobody who lingers, reads nothing, or is in the middle of a message.
@@ -94,13 +94,13 @@
 	defer stop()
 	ended := make(chan error)
 	go func() { ended <- s.Serve(ctx, l) }()
-	stranger := peers.Dial(t, at)
+	stranger := scriptedpeer.Dial(t, at)
 	stranger.Raw("nonsense\r\n")
 	stranger.Hears("error") // and it goes on
-	half := peers.Dial(t, at)
+	half := scriptedpeer.Dial(t, at)
 	half.Say("hello id 1 site a rps 2 new 1")
 	half.Raw("*3\r\n$3\r\nack\r\n$2\r\ni")
-	deaf := peers.Dial(t, at)
+	deaf := scriptedpeer.Dial(t, at)
 	deaf.Narrow()
 	deaf.Say("hello id 2 site a rps 2 new 1")
 	told(t, s, 2)
@@ -119,14 +119,14 @@
 	for range 16 { // some megabytes: more than any kernel keeps for it
 		s.exchange.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Full: true, Endpoints: lines}})
 	}
-	peers.Until(t, "nothing is written", func() bool { return s.exchange.Tally.Pushes.Load() > 0 })
+	scriptedpeer.Until(t, "nothing is written", func() bool { return s.exchange.Tally.Pushes.Load() > 0 })
 	stop() // with all of them open
 	select {
 	case err := <-ended:
 		if err != nil || s.pool.Lent() != 0 || len(s.peers) != 0 {
 			t.Errorf("left behind: %d buffers, %d peers, %v", s.pool.Lent(), len(s.peers), err)
 		}
-	case <-time.After(peers.Patience):
+	case <-time.After(scriptedpeer.Patience):
 		t.Error("it does not end")
 	}
 }
@@ -136,9 +136,9 @@
 func TestAStreamEndsBetweenTwoParts(t *testing.T) {
 	s := server(100)
 	running(t, s)
-	l := peers.Listen(t)
-	join := func() (*peers.Conn, controller.Stream) {
-		c := peers.Dial(t, l.At()).Narrow()
+	l := scriptedpeer.Listen(t)
+	join := func() (*scriptedpeer.Conn, controller.Stream) {
+		c := scriptedpeer.Dial(t, l.At()).Narrow()
 		s.admit(l.Take().Narrow().Conn)
 		c.Say("hello id 1 site a rps 2 new 1")
 		return c, told(t, s, 1)[0].(controller.StreamOpened).Stream
@@ -148,9 +148,9 @@
 		lines = append(lines, controller.WeightedEndpoint{Replica: strings.Repeat("s", 100), Weight: 1})
 	}
 	message := controller.Update{Full: true, Endpoints: lines, WantsAck: true, Nonce: 7}
-	for name, end := range map[string]func(*peers.Conn, controller.Stream){
-		"ended by us": func(_ *peers.Conn, stream controller.Stream) { s.exchange.End(stream) },
-		"reset":       func(c *peers.Conn, _ controller.Stream) { c.Reset() },
+	for name, end := range map[string]func(*scriptedpeer.Conn, controller.Stream){
+		"ended by us": func(_ *scriptedpeer.Conn, stream controller.Stream) { s.exchange.End(stream) },
+		"reset":       func(c *scriptedpeer.Conn, _ controller.Stream) { c.Reset() },
 	} {
 		c, stream := join()
 		s.exchange.Send(controller.OutgoingUpdate{Stream: stream, Number: 1, Update: message})
@@ -189,8 +189,8 @@
 func TestSmallestPiecesAndAResetInTheMiddle(t *testing.T) {
 	s := server(100)
 	at := running(t, s)
-	c := peers.Dial(t, at)
-	c.Drip(peers.Message("probe") + peers.Message("hello id 3 site b rps 2 new 0") + peers.Message("ack id 3 seq 9 ms 1.5"))
+	c := scriptedpeer.Dial(t, at)
+	c.Drip(scriptedpeer.Message("probe") + scriptedpeer.Message("hello id 3 site b rps 2 new 0") + scriptedpeer.Message("ack id 3 seq 9 ms 1.5"))
 	c.Hears("alive")
 	notes := told(t, s, 2)
 	if notes[0].(controller.StreamOpened).Proxy != 3 || notes[1].(controller.Ack).Nonce != 9 {
@@ -207,11 +207,11 @@
 func TestAPanicOfTheWriterEndsItsConnectionAlone(t *testing.T) {
 	s := server(100)
 	at := running(t, s)
-	good := peers.Dial(t, at)
+	good := scriptedpeer.Dial(t, at)
 	good.Say("hello id 1 site a rps 2 new 1")
 	first := told(t, s, 1)[0].(controller.StreamOpened).Stream
-	l := peers.Listen(t)
-	bad := peers.Dial(t, l.At())
+	l := scriptedpeer.Listen(t)
+	bad := scriptedpeer.Dial(t, l.At())
 	s.admit(failing{l.Take().Conn})
 	bad.Say("hello id 2 site a rps 2 new 1")
 	second := told(t, s, 1)[0].(controller.StreamOpened).Stream
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"lilacbend/internal/eventloop"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // Agents that close each connection with its answer, in every way, are followed without a gap: the watch goes on at once
@@ -16,19 +16,19 @@
 func TestAnAnswerAndTheCloseOfItsConnection(t *testing.T) {
 	for name, way := range map[string]struct {
 		text  func(string) string
-		close func(*peers.Conn, *eventloop.Exchange)
+		close func(*scriptedpeer.Conn, *eventloop.Exchange)
 	}{
-		"said":            {withClose, func(c *peers.Conn, _ *eventloop.Exchange) { c.Ends() }},
-		"said and done":   {withClose, func(c *peers.Conn, _ *eventloop.Exchange) { c.Close() }},
-		"not said":        {strings.Clone, func(c *peers.Conn, _ *eventloop.Exchange) { c.Close() }},
-		"more than asked": {func(a string) string { return a + "HTTP/1.1" }, func(c *peers.Conn, _ *eventloop.Exchange) { c.Close() }},
-		"reset under the next call": {strings.Clone, func(c *peers.Conn, _ *eventloop.Exchange) {
+		"said":            {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) { c.Ends() }},
+		"said and done":   {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) { c.Close() }},
+		"not said":        {strings.Clone, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) { c.Close() }},
+		"more than asked": {func(a string) string { return a + "HTTP/1.1" }, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) { c.Close() }},
+		"reset under the next call": {strings.Clone, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) {
 			c.Request()
 			c.Reset()
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			agent := peers.Listen(t)
+			agent := scriptedpeer.Listen(t)
 			_, x, log := startClient(t, agent.At(), 40)
 			conn := agent.Take()
 			expectRequest(t, conn, wholeListLine)
@@ -46,7 +46,7 @@
 			}
 			agent.Close()
 			conn.Reset() // it is gone
-			peers.Until(t, "a discovery that is gone is not noticed", func() bool { return log.count("discovery fails") == 1 })
+			scriptedpeer.Until(t, "a discovery that is gone is not noticed", func() bool { return log.count("discovery fails") == 1 })
 		})
 	}
 }
@@ -65,7 +65,7 @@
 		"older":     list(40, false, "Ready"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			agent := peers.Listen(t)
+			agent := scriptedpeer.Listen(t)
 			_, x, log := startClient(t, agent.At(), 40)
 			conn := agent.Take()
 			expectRequest(t, conn, wholeListLine)
@@ -84,7 +84,7 @@
 				t.Errorf("log: %s", log.text.String())
 			}
 			conn.Raw(unchanged(45))
-			peers.Until(t, "a watch that is answered again is not noticed", func() bool { return log.count("discovery answers") == 1 })
+			scriptedpeer.Until(t, "a watch that is answered again is not noticed", func() bool { return log.count("discovery answers") == 1 })
 		})
 	}
 }
@@ -92,7 +92,7 @@
 // What the old discovery is still delivering when it is moved from changes nothing, and what it has just delivered does not
 // outrank the new one, which counts from a lower revision.
 func TestTheOldDiscoveryDeliversWhileItIsMovedFrom(t *testing.T) {
-	before, after := peers.Listen(t), peers.Listen(t)
+	before, after := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	c, x, _ := startClient(t, before.At(), 40)
 	old := before.Take()
 	expectRequest(t, old, wholeListLine)
@@ -132,7 +132,7 @@
 
 // There and back before anybody has answered: the last address alone counts, and it is asked for the whole list.
 func TestMovingThereAndBack(t *testing.T) {
-	home, away := peers.Listen(t), peers.Listen(t)
+	home, away := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	c, x, _ := startClient(t, home.At(), 40)
 	first := home.Take()
 	expectRequest(t, first, wholeListLine)
@@ -154,7 +154,7 @@
 
 // A change that is made between an answer and the next call comes with that call.
 func TestAChangeBetweenTwoCalls(t *testing.T) {
-	agent := peers.Listen(t)
+	agent := scriptedpeer.Listen(t)
 	_, x, _ := startClient(t, agent.At(), 40)
 	conn := agent.Take()
 	expectRequest(t, conn, wholeListLine)
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -16,7 +16,7 @@
 
 	"lilacbend/internal/controller"
 	"lilacbend/internal/eventloop"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // What the client asks for; watchLine has a place for the revision.
@@ -76,7 +76,7 @@
 	t.Helper()
 	select {
 	case <-x.Ready():
-	case <-time.After(peers.Patience):
+	case <-time.After(scriptedpeer.Patience):
 		t.Fatal("nothing is told")
 	}
 	notes := x.Take()
@@ -84,7 +84,7 @@
 }
 
 // expectRequest reads a request, which must begin with this line.
-func expectRequest(t *testing.T, conn *peers.Conn, want string) {
+func expectRequest(t *testing.T, conn *scriptedpeer.Conn, want string) {
 	t.Helper()
 	if got := conn.Request(); got != want {
 		t.Errorf("asked %q, want %q", got, want)
--- a/internal/ingress/crossings_test.go
+++ b/internal/ingress/crossings_test.go
@@ -11,7 +11,7 @@
 
 	"lilacbend/internal/proxy"
 	"lilacbend/internal/upstream"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // held is a listener whose connections hold back the deadline by which an idle one is ended at a drain, and tell of
@@ -65,7 +65,7 @@
 	t.Helper()
 	select {
 	case <-event:
-	case <-time.After(peers.Patience):
+	case <-time.After(scriptedpeer.Patience):
 		t.Fatal(missing)
 	}
 }
@@ -74,7 +74,7 @@
 // head. The flow is read on and answered, with the word that it was the last.
 func TestAFlowThatComesAsItsConnectionIsEnded(t *testing.T) {
 	h := &held{
-		Listener: peers.Listen(t).Listener,
+		Listener: scriptedpeer.Listen(t).Listener,
 		drains:   make(chan struct{}),
 		holds:    make(chan struct{}),
 		release:  make(chan struct{}),
@@ -92,7 +92,7 @@
 		func(string, string, string, string, int, proxy.Result) {})
 	served := make(chan struct{})
 	go func() { s.Serve(h, false); close(served) }()
-	client := peers.Dial(t, h.Addr().String())
+	client := scriptedpeer.Dial(t, h.Addr().String())
 	// Before its first read it would be the connection itself that finds the drain and sets the deadline.
 	await(t, h.idles, "the connection is not read")
 	close(h.drains)
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 	"lilacbend/lab/standin"
 )
 
@@ -23,7 +23,7 @@
 // nothingInHand waits until no flow, place or connection of a replica is held.
 func nothingInHand(t *testing.T, s running) {
 	t.Helper()
-	peers.Until(t, "something stays in hand", func() bool {
+	scriptedpeer.Until(t, "something stays in hand", func() bool {
 		f := s.Figures()
 		return f.InHand == 0 && f.Clients["in_hand"] == 0 && f.Replicas.Open == f.Replicas.Idle
 	})
@@ -34,24 +34,24 @@
 func TestAFlowIsGivenUpWhileItsClientSendsNoMore(t *testing.T) {
 	const some = 20_000
 	for name, c := range map[string]struct {
-		end  func(replica *peers.Conn)
+		end  func(replica *scriptedpeer.Conn)
 		want string
 	}{
-		"its replica resets":      {(*peers.Conn).Reset, "503 unclear"},
-		"its replica closes":      {func(r *peers.Conn) { r.Close() }, "503 unclear"},
-		"its time is over":        {func(*peers.Conn) {}, "503 expired"},
-		"it is answered early":    {func(r *peers.Conn) { r.Raw("HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n") }, "413 "},
-		"the replica's own error": {func(r *peers.Conn) { r.Raw("HTTP/1.1 500 No\r\nContent-Length: 3\r\n\r\nno\n") }, "500 "},
+		"its replica resets":      {(*scriptedpeer.Conn).Reset, "503 unclear"},
+		"its replica closes":      {func(r *scriptedpeer.Conn) { r.Close() }, "503 unclear"},
+		"its time is over":        {func(*scriptedpeer.Conn) {}, "503 expired"},
+		"it is answered early":    {func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n") }, "413 "},
+		"the replica's own error": {func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 500 No\r\nContent-Length: 3\r\n\r\nno\n") }, "500 "},
 	} {
 		for _, protocol := range []string{"h1", "h2"} {
 			t.Run(name+" "+protocol, func(t *testing.T) {
 				t.Parallel()
-				at := peers.Listen(t)
+				at := scriptedpeer.Listen(t)
 				s := start(t, patient("expiry: 2s", "expiry: 500ms"), at.At())
 				answered := make(chan string, 1)
 				switch protocol {
 				case "h1":
-					client := peers.Dial(t, s.h1)
+					client := scriptedpeer.Dial(t, s.h1)
 					client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", some))
 					go func() {
 						resp, err := http.ReadResponse(client.Read, nil)
@@ -67,7 +67,7 @@
 					client.Data(1, false, make([]byte, 10_000))
 					client.Data(1, false, make([]byte, 10_000))
 					go func() {
-						client.Wait(peers.Patience, done(1))
+						client.Wait(scriptedpeer.Patience, done(1))
 						got := client.Of(1)
 						answered <- got.Status + " " + got.Fields["lilacbend-reason"]
 					}()
@@ -90,7 +90,7 @@
 func TestANextTryHasAWholeBodyOrIsNotMade(t *testing.T) {
 	const size = 40_000
 	for _, head := range []string{fmt.Sprintf("Content-Length: %d\r\n\r\n", size), "Transfer-Encoding: chunked\r\n\r\n"} {
-		busy := peers.Listen(t)
+		busy := scriptedpeer.Listen(t)
 		busy.Serve(func(conn net.Conn) {
 			io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 			io.Copy(io.Discard, conn)
@@ -107,7 +107,7 @@
 		}
 		again := 0
 		for range 100 {
-			client := peers.Dial(t, s.h1)
+			client := scriptedpeer.Dial(t, s.h1)
 			client.Raw("POST /orders HTTP/1.1\r\nHost: x\r\n" + head)
 			go io.WriteString(client, body)
 			resp, err := http.ReadResponse(client.Read, nil)
@@ -134,14 +134,14 @@
 // A replica answers before it has read anything, so that its answer comes as the client is asked for the body: the
 // client reads the asking whole, or none of it, and then the answer.
 func TestABodyIsNotAskedForOnceAnAnswerHasBegun(t *testing.T) {
-	early := peers.Listen(t)
+	early := scriptedpeer.Listen(t)
 	early.Serve(func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n")
 		io.Copy(io.Discard, conn)
 	})
 	s := start(t, patient("replica_stall", "replica_idle: 0, replica_stall"), early.At())
 	for range 100 {
-		client := peers.Dial(t, s.h1)
+		client := scriptedpeer.Dial(t, s.h1)
 		client.Raw("POST /orders HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 40000\r\n\r\n")
 		text := client.Request()
 		if text == "HTTP/1.1 100 Continue" {
@@ -156,7 +156,7 @@
 	two := dialH2(t, s, 1<<20)
 	for id := uint32(1); id < 200; id += 2 {
 		two.Open(id, "POST", "/orders", true, "expect", "100-continue")
-		two.Wait(peers.Patience, func(c *standin.H2) bool { return c.Streams[id] != nil && c.Streams[id].Done() })
+		two.Wait(scriptedpeer.Patience, func(c *standin.H2) bool { return c.Streams[id] != nil && c.Streams[id].Done() })
 		if got := two.Of(id); got.Status != "413" || got.Answers != 1 || string(got.Body) != "no\n" {
 			t.Fatalf("%d: %+v", id, got)
 		}
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/net/http2/hpack"
 
 	"lilacbend/internal/dispatch"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 	"lilacbend/lab/standin"
 )
 
@@ -25,25 +25,25 @@
 // final answer at once and is never sent twice, and the next flow has a connection of its own.
 func TestAKeptConnectionEndsUnderAFlow(t *testing.T) {
 	long := strings.Repeat("x", 100_000)
-	close := func(r *peers.Conn) { r.Close() }
+	close := func(r *scriptedpeer.Conn) { r.Close() }
 	for name, c := range map[string]struct {
-		before, end func(r *peers.Conn) // before the flow is written, and once its head has come
+		before, end func(r *scriptedpeer.Conn) // before the flow is written, and once its head has come
 		body, want  string
 	}{
 		"before it is written":             {close, nil, "pay", "200"},
-		"with bytes that nobody asked for": {func(r *peers.Conn) { r.Raw("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n") }, nil, "pay", "200"},
-		"in the middle of its body":        {nil, (*peers.Conn).Reset, long, "503 unclear"},
+		"with bytes that nobody asked for": {func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n") }, nil, "pay", "200"},
+		"in the middle of its body":        {nil, (*scriptedpeer.Conn).Reset, long, "503 unclear"},
 		"after all of it":                  {nil, close, "pay", "503 unclear"},
-		"after all of it, by a reset":      {nil, (*peers.Conn).Reset, "pay", "503 unclear"},
-		"after the first of an answer":     {nil, func(r *peers.Conn) { r.Raw("HTTP/1.1 200 OK\r\nCont"); r.Close() }, "pay", "503 unclear"},
-		"in the middle of an answer":       {nil, func(r *peers.Conn) { r.Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"); r.Close() }, "pay", "200 broken off"},
-		"after an answer, with bytes left": {nil, func(r *peers.Conn) { r.Raw(okAnswer + okAnswer) }, "pay", "200"},
+		"after all of it, by a reset":      {nil, (*scriptedpeer.Conn).Reset, "pay", "503 unclear"},
+		"after the first of an answer":     {nil, func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 200 OK\r\nCont"); r.Close() }, "pay", "503 unclear"},
+		"in the middle of an answer":       {nil, func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"); r.Close() }, "pay", "200 broken off"},
+		"after an answer, with bytes left": {nil, func(r *scriptedpeer.Conn) { r.Raw(okAnswer + okAnswer) }, "pay", "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			at := peers.Listen(t)
+			at := scriptedpeer.Listen(t)
 			s := start(t, patient("usual: again", "usual: twice-more"), at.At())
-			client := peers.Dial(t, s.h1)
+			client := scriptedpeer.Dial(t, s.h1)
 			pay := func(body string) {
 				go fmt.Fprintf(client.Conn, "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			}
@@ -73,7 +73,7 @@
 				t.Errorf("two flows were tried %d times", n)
 			}
 			if c.end != nil {
-				client = peers.Dial(t, s.h1)
+				client = scriptedpeer.Dial(t, s.h1)
 				pay("pay")
 				next := at.Take()
 				next.Request()
@@ -90,12 +90,12 @@
 // A client leaves while its flow waits for a place, while its replica is silent (also for longer than a client may be
 // silent in the middle of a flow), or ends its half alone, which is read as leaving: what the flow held is given back.
 func TestAClientLeavesInTheMiddleOfItsFlow(t *testing.T) {
-	at := peers.Listen(t)
+	at := scriptedpeer.Listen(t)
 	s := start(t, patient(" stall: 1m", " stall: 100ms", "limits: {", "limits: {waiting: 10, wait: 1m, ", "flows: 500", "flows: 1", "expiry: 2s", "expiry: 1m"), at.At())
 	const flow = "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n"
 	for _, pay := range []string{"POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay", // with a body that has come whole
 		"POST /payouts HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\npay\r\n0\r\n\r\n"} {
-		client := peers.Dial(t, s.h1)
+		client := scriptedpeer.Dial(t, s.h1)
 		client.Raw(pay)
 		replica := at.Take()
 		replica.Request()
@@ -103,22 +103,22 @@
 		replica.Ends()
 		nothingInHand(t, s)
 	}
-	first := peers.Dial(t, s.h1)
+	first := scriptedpeer.Dial(t, s.h1)
 	first.Raw(flow)
 	replica := at.Take()
 	replica.Request()
-	waits := peers.Dial(t, s.h1)
+	waits := scriptedpeer.Dial(t, s.h1)
 	waits.Raw(flow)
-	peers.Until(t, "the second does not wait", func() bool { return s.Figures().InHand == 2 })
-	half := peers.Dial(t, s.h1) // is ended for its silence: so long have the others been silent as well
+	scriptedpeer.Until(t, "the second does not wait", func() bool { return s.Figures().InHand == 2 })
+	half := scriptedpeer.Dial(t, s.h1) // is ended for its silence: so long have the others been silent as well
 	half.Raw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
 	half.Ends()
 	waits.Close()
-	peers.Until(t, "a place is kept for who waited and left", func() bool { return s.Figures().InHand == 1 })
+	scriptedpeer.Until(t, "a place is kept for who waited and left", func() bool { return s.Figures().InHand == 1 })
 	first.Close()
 	replica.Ends()
 	nothingInHand(t, s)
-	last := peers.Dial(t, s.h1)
+	last := scriptedpeer.Dial(t, s.h1)
 	last.Raw(flow)
 	replica = at.Take()
 	replica.Request()
@@ -135,7 +135,7 @@
 // way, and ends with the reset, and is the last.
 func TestAResetAgainstANextTry(t *testing.T) {
 	for _, resetFirst := range []bool{true, false} {
-		one, two := peers.Listen(t), peers.Listen(t)
+		one, two := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 		s := start(t, patient("usual: again", "usual: twice-more", "expiry: 2s", "expiry: 1m", "latency_budget: 500ms", "latency_budget: 30s", "window: 2500ms", "window: 10m"), one.At())
 		client := dialH2(t, s, 1<<20)
 		client.Open(1, "POST", "/orders", true, "content-length", "3")
@@ -172,9 +172,9 @@
 		"a body":         "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay",
 		"another behind": "GET /stock HTTP/1.1\r\nHost: x\r\n\r\nGET /stock HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
-		at := peers.Listen(t)
+		at := scriptedpeer.Listen(t)
 		s := start(t, patient("drain: 2s", "drain: 50ms", "expiry: 2s", "expiry: 1m"), at.At())
-		client := peers.Dial(t, s.h1)
+		client := scriptedpeer.Dial(t, s.h1)
 		client.Raw(text)
 		replica := at.Take()
 		replica.Request()
@@ -182,7 +182,7 @@
 		go func() { s.stop(); close(ended) }()
 		select {
 		case <-ended:
-		case <-time.After(peers.Patience):
+		case <-time.After(scriptedpeer.Patience):
 			t.Fatalf("%s: the sidecar goes on", name)
 		}
 		client.Ends()
@@ -196,9 +196,9 @@
 // the sidecar closes the connection with bytes unread.
 func TestAnAnswerIsNotDestroyedByWhatItsClientStillSends(t *testing.T) {
 	const size = 1 << 20
-	at := peers.Listen(t)
+	at := scriptedpeer.Listen(t)
 	s := start(t, patient(), at.At())
-	client := peers.Dial(t, s.h1)
+	client := scriptedpeer.Dial(t, s.h1)
 	client.Raw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\n\r\n")
 	go io.CopyN(client.Conn, zeros{}, 10_000_000)
 	replica := at.Take()
@@ -216,7 +216,7 @@
 
 // frames is an HTTP/2 client in the hands of a test, that reads a frame when it is told to.
 type frames struct {
-	*peers.Conn
+	*scriptedpeer.Conn
 	*http2.Framer
 	block bytes.Buffer
 	enc   *hpack.Encoder
@@ -224,7 +224,7 @@
 }
 
 func dialFrames(t *testing.T, s running, window, connection uint32) *frames {
-	c := &frames{Conn: peers.Dial(t, s.h2), room: 65535}
+	c := &frames{Conn: scriptedpeer.Dial(t, s.h2), room: 65535}
 	c.Framer = http2.NewFramer(c.Conn.Conn, c.Conn.Read)
 	c.enc = hpack.NewEncoder(&c.block)
 	c.Raw(http2.ClientPreface)
@@ -312,7 +312,7 @@
 	c := dialFrames(t, s, 1<<30, 1<<30)
 	c.Narrow()
 	c.open(1, "GET", "/stock", true)
-	peers.Until(t, "the connection stays", func() bool {
+	scriptedpeer.Until(t, "the connection stays", func() bool {
 		f := s.Figures()
 		return f.Clients["flows"] == 1 && f.Clients["open"] == 0
 	})
@@ -340,10 +340,10 @@
 				}
 				opened = id
 				if id%16 == 1 { // not many more than can be answered
-					c.Wait(peers.Patience, func(c *standin.H2) bool { return over(c) || c.Streams[id] != nil && c.Streams[id].Done() })
+					c.Wait(scriptedpeer.Patience, func(c *standin.H2) bool { return over(c) || c.Streams[id] != nil && c.Streams[id].Done() })
 				}
 			}
-			if !c.Wait(peers.Patience, func(c *standin.H2) bool { return c.Ended && len(c.GoAways) == 2 }) {
+			if !c.Wait(scriptedpeer.Patience, func(c *standin.H2) bool { return c.Ended && len(c.GoAways) == 2 }) {
 				t.Errorf("ended %v, %d words of going away", c.Ended, len(c.GoAways))
 				return
 			}
@@ -361,7 +361,7 @@
 	for range 8 {
 		<-began
 	}
-	peers.Until(t, "not all are taken in", func() bool { return s.Figures().Clients["open"] == 8 })
+	scriptedpeer.Until(t, "not all are taken in", func() bool { return s.Figures().Clients["open"] == 8 })
 	s.stop()
 	all.Wait()
 }
@@ -375,7 +375,7 @@
 	s := start(t, patient("drain: 2s", "drain: 1m"), r.Addr)
 	c := dialFrames(t, s, 1<<30, 1<<30)
 	c.open(1, "GET", "/stock", true)
-	peers.Until(t, "the answer is not written", func() bool {
+	scriptedpeer.Until(t, "the answer is not written", func() bool {
 		f := s.Figures()
 		return f.Clients["flows"] == 1 && f.Clients["in_hand"] == 0 && f.InHand == 0
 	})
@@ -395,7 +395,7 @@
 			got += len(f.Data())
 			c.WriteWindowUpdate(0, uint32(max(64, len(f.Data()))))
 			if words == 0 { // the sidecar has hung up: what it had to say has all been written
-				peers.Until(t, "it does not drain", s.server.Parting)
+				scriptedpeer.Until(t, "it does not drain", s.server.Parting)
 				time.Sleep(3 * 50 * time.Millisecond) // over its pauses: it would have closed
 				words++
 			}
@@ -412,23 +412,23 @@
 
 // A drain with a flow in hand: from its first moment /health says that no flow should come here.
 func TestHealthDuringADrain(t *testing.T) {
-	at, local := peers.Listen(t), peers.Free(t)
+	at, local := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	s := start(t, patient("drain: 2s", "drain: 1m", "listen: {", "listen: {local: \""+local+"\", "), at.At())
 	health := func() string {
-		c := peers.Dial(t, local)
+		c := scriptedpeer.Dial(t, local)
 		c.Raw("GET /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 		return heard(c)
 	}
 	if got := health(); got != "200" {
 		t.Errorf("before: %q", got)
 	}
-	client := peers.Dial(t, s.h1)
+	client := scriptedpeer.Dial(t, s.h1)
 	client.Raw("GET /stock HTTP/1.1\r\nHost: x\r\n\r\n")
 	replica := at.Take()
 	replica.Request()
 	ended := make(chan struct{})
 	go func() { s.stop(); close(ended) }()
-	peers.Until(t, "it does not drain", s.server.Parting)
+	scriptedpeer.Until(t, "it does not drain", s.server.Parting)
 	if got := health(); got != "503" {
 		t.Errorf("during: %q", got)
 	}
--- a/internal/sidecar/places_test.go
+++ b/internal/sidecar/places_test.go
@@ -9,11 +9,11 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/dispatch"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // heard is the next answer on a client's connection, as status, reason, and whether it was whole.
-func heard(c *peers.Conn) string {
+func heard(c *scriptedpeer.Conn) string {
 	resp, err := http.ReadResponse(c.Read, nil)
 	if err != nil {
 		return err.Error()
@@ -38,7 +38,7 @@
 				"usual: again", "usual: once", "expiry: 2s", "expiry: 1m"), r.Addr)
 			var all sync.WaitGroup
 			for range clients {
-				client := peers.Dial(t, s.h1)
+				client := scriptedpeer.Dial(t, s.h1)
 				all.Go(func() {
 					for range flows {
 						client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
@@ -76,7 +76,7 @@
 			}
 		}
 	}()
-	client := peers.Dial(t, s.h1)
+	client := scriptedpeer.Dial(t, s.h1)
 	got := map[string]int{}
 	for range 500 {
 		client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"lilacbend/internal/dispatch"
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 	"lilacbend/lab/standin"
 )
 
@@ -98,7 +98,7 @@
 
 // raw is a replica that does with each connection as it is told.
 func raw(t testing.TB, attend func(conn net.Conn, r *bufio.Reader)) string {
-	l := peers.Listen(t)
+	l := scriptedpeer.Listen(t)
 	l.Serve(func(conn net.Conn) { attend(conn, bufio.NewReader(conn)) })
 	return l.At()
 }
@@ -277,7 +277,7 @@
 // Nobody listens there: proof that nothing ran, so even a payout goes to the next one.
 func TestARefusedConnectionIsTriedElsewhere(t *testing.T) {
 	good := replica(t, nil)
-	s := start(t, func(f string) string { return strings.Replace(f, "usual: again", "usual: never-ran", 1) }, peers.Free(t), good.Addr)
+	s := start(t, func(f string) string { return strings.Replace(f, "usual: again", "usual: never-ran", 1) }, scriptedpeer.Free(t), good.Addr)
 	for path, body := range map[string]string{"/payouts": "", "/orders": "small", "/orders?long": strings.Repeat("x", 50_000)} {
 		if got := counts(t, s, 10, "POST", path, body); got["200"] != 10 {
 			t.Errorf("%s: %v", path, got)
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/peers"
+	"lilacbend/lab/scriptedpeer"
 )
 
 // A replica may have one connection, and it is in use: who comes then waits for it, for as long as his flow has, and takes
 // it as it comes back. That is no failure of the replica.
 func TestWhoFindsAllConnectionsInUseWaitsForOne(t *testing.T) {
-	at := peers.Listen(t)
+	at := scriptedpeer.Listen(t)
 	go func() {
 		replica := at.Take()
 		for range 2 {
@@ -30,13 +30,13 @@
 		return p.Do(l, until, at.At(), &Request{Method: "GET", Target: "/", Host: "x"})
 	}
 	waiting := func(n int) {
-		peers.Until(t, "nobody waits for a connection", func() bool {
+		scriptedpeer.Until(t, "nobody waits for a connection", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.waits == n
 		})
 	}
-	far := time.Now().Add(peers.Patience)
+	far := time.Now().Add(scriptedpeer.Patience)
 	first, err := do(&Leash{}, far)
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 // Idle connections are ended for their time as they are picked: one that is picked is not ended, one that is ended is not
 // picked, and no flow fails of it.
 func TestIdleConnectionsEndAsTheyArePicked(t *testing.T) {
-	at := peers.Listen(t)
+	at := scriptedpeer.Listen(t)
 	at.Serve(func(conn net.Conn) {
 		for r := bufio.NewReader(conn); ; {
 			if _, err := http.ReadRequest(r); err != nil {
@@ -103,7 +103,7 @@
 	for range 8 {
 		all.Go(func() {
 			for range 50 {
-				a, err := p.Do(&Leash{}, time.Now().Add(peers.Patience), at.At(), &Request{Method: "POST", Target: "/", Host: "x", Fresh: true})
+				a, err := p.Do(&Leash{}, time.Now().Add(scriptedpeer.Patience), at.At(), &Request{Method: "POST", Target: "/", Host: "x", Fresh: true})
 				if err != nil {
 					t.Error(err)
 					return
--- a/lab/peers/peers.go
+++ b/lab/scriptedpeer/peers.go
@@ -1,7 +1,7 @@
-// Package peers has what tests of crossings need of the other side of a connection: peers on loopback that hold bytes
+// Package scriptedpeer has what tests of crossings need of the other side of a connection: peers on loopback that hold bytes
 // back, reset, stop reading, or close at a given instant. An order of events is forced by what a peer has seen, never by
 // a pause. Whatever does not come within Patience fails the test.
-package peers
+package scriptedpeer
 
 import (
 	"bufio"
