--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
+	"lilacbend/lab/replica"
 	"lilacbend/lab/scriptedpeer"
-	"lilacbend/lab/standin"
 )
 
 // patient is a sidecar that waits for its clients for longer than any test does.
@@ -96,7 +96,7 @@
 			io.Copy(io.Discard, conn)
 		})
 		got := make(chan string, 1)
-		good := replica(t, func(w http.ResponseWriter, req *http.Request) {
+		good := startReplica(t, func(w http.ResponseWriter, req *http.Request) {
 			n, err := io.Copy(io.Discard, req.Body)
 			got <- fmt.Sprint(n, " ", err)
 		})
@@ -156,7 +156,7 @@
 	two := dialH2(t, s, 1<<20)
 	for id := uint32(1); id < 200; id += 2 {
 		two.Open(id, "POST", "/orders", true, "expect", "100-continue")
-		two.Wait(scriptedpeer.Patience, func(c *standin.H2) bool { return c.Streams[id] != nil && c.Streams[id].Done() })
+		two.Wait(scriptedpeer.Patience, func(c *replica.H2) bool { return c.Streams[id] != nil && c.Streams[id].Done() })
 		if got := two.Of(id); got.Status != "413" || got.Answers != 1 || string(got.Body) != "no\n" {
 			t.Fatalf("%d: %+v", id, got)
 		}
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -15,8 +15,8 @@
 	"golang.org/x/net/http2/hpack"
 
 	"lilacbend/internal/dispatch"
+	"lilacbend/lab/replica"
 	"lilacbend/lab/scriptedpeer"
-	"lilacbend/lab/standin"
 )
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -261,7 +261,7 @@
 // Bodies that are thrown away, since they are not as long as they say, leave room on their connection all the same: it
 // carries any number of them.
 func TestWhatIsThrownAwayLeavesRoomOnItsConnection(t *testing.T) {
-	s := start(t, patient(), replica(t, nil).Addr)
+	s := start(t, patient(), startReplica(t, nil).Addr)
 	c := dialFrames(t, s, 1<<20, 1<<20)
 	piece := make([]byte, 16<<10)
 	for k := range uint32(60) {
@@ -280,7 +280,7 @@
 
 // A head of which some fields were too many goes nowhere: what is missing could be what it is told apart by.
 func TestAnHTTP2HeadThatIsTooLargeGoesNowhere(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	s := start(t, patient(), r.Addr)
 	c := dialFrames(t, s, 1<<20, 1<<20)
 	c.Framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
@@ -306,7 +306,7 @@
 // A client opens its windows and takes nothing: once a write has failed in the middle of a frame its connection is over,
 // and no flow that it still sends runs unanswered.
 func TestAConnectionOfWhichAWriteFailedIsOver(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Size.Store(64 << 20)
 	s := start(t, patient(" stall: 1m", " stall: 100ms"), r.Addr)
 	c := dialFrames(t, s, 1<<30, 1<<30)
@@ -322,7 +322,7 @@
 // A drain says that it goes away while its client opens streams without a pause: each one up to the last that it names has
 // its answer, and none above it has run unanswered.
 func TestStreamsThatCrossTheWordOfGoingAway(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	s := start(t, patient("streams: 100", "streams: 10000", "flows: 500", "flows: 10000", "waiting: 200", "waiting: 10000"), r.Addr)
 	var all sync.WaitGroup
 	began := make(chan struct{}, 8)
@@ -330,7 +330,7 @@
 		c := dialH2(t, s, 1<<20)
 		all.Go(func() {
 			opened := uint32(0)
-			over := func(c *standin.H2) bool { return c.Ended || len(c.GoAways) >= 2 }
+			over := func(c *replica.H2) bool { return c.Ended || len(c.GoAways) >= 2 }
 			for id := uint32(1); id < 40_000; id += 2 {
 				if id == 1 {
 					began <- struct{}{}
@@ -340,10 +340,10 @@
 				}
 				opened = id
 				if id%16 == 1 { // not many more than can be answered
-					c.Wait(scriptedpeer.Patience, func(c *standin.H2) bool { return over(c) || c.Streams[id] != nil && c.Streams[id].Done() })
+					c.Wait(scriptedpeer.Patience, func(c *replica.H2) bool { return over(c) || c.Streams[id] != nil && c.Streams[id].Done() })
 				}
 			}
-			if !c.Wait(scriptedpeer.Patience, func(c *standin.H2) bool { return c.Ended && len(c.GoAways) == 2 }) {
+			if !c.Wait(scriptedpeer.Patience, func(c *replica.H2) bool { return c.Ended && len(c.GoAways) == 2 }) {
 				t.Errorf("ended %v, %d words of going away", c.Ended, len(c.GoAways))
 				return
 			}
@@ -370,7 +370,7 @@
 // only once it has been read, so no reset destroys it.
 func TestAnAnswerThatIsReadAsTheSidecarEnds(t *testing.T) {
 	const size = 1 << 20
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Size.Store(size)
 	s := start(t, patient("drain: 2s", "drain: 1m"), r.Addr)
 	c := dialFrames(t, s, 1<<30, 1<<30)
--- a/internal/sidecar/h2_test.go
+++ b/internal/sidecar/h2_test.go
@@ -12,13 +12,13 @@
 
 	"golang.org/x/net/http2"
 
-	"lilacbend/lab/standin"
+	"lilacbend/lab/replica"
 )
 
 const moment = 5 * time.Second
 
-func dialH2(t testing.TB, s running, window uint32) *standin.H2 {
-	c, err := standin.DialH2(s.h2, window)
+func dialH2(t testing.TB, s running, window uint32) *replica.H2 {
+	c, err := replica.DialH2(s.h2, window)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,8 +26,8 @@
 	return c
 }
 
-func done(ids ...uint32) func(*standin.H2) bool {
-	return func(c *standin.H2) bool {
+func done(ids ...uint32) func(*replica.H2) bool {
+	return func(c *replica.H2) bool {
 		for _, id := range ids {
 			if s := c.Streams[id]; s == nil || !s.Done() {
 				return false
@@ -38,7 +38,7 @@
 }
 
 func TestH2AnswersPassThroughAsTheyAre(t *testing.T) {
-	r := replica(t, func(w http.ResponseWriter, req *http.Request) {
+	r := startReplica(t, func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		switch req.URL.Path {
 		case "/empty":
@@ -90,10 +90,10 @@
 
 // A client that never opens its window: its streams end after the stated time, its neighbours keep their pace.
 func TestAWindowThatNeverOpens(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Size.Store(4 << 20)
 	s := start(t, nil, r.Addr)
-	quick := replica(t, nil)
+	quick := startReplica(t, nil)
 	_ = quick
 	c, neighbour := dialH2(t, s, 0), dialH2(t, s, 1<<20)
 	var before, after runtime.MemStats
@@ -131,7 +131,7 @@
 
 // A reset before, while and after a payout is sent to its replica: it runs at most once, and nothing is left over.
 func TestAResetInTheMiddleOfAPayout(t *testing.T) {
-	one, two := replica(t, nil), replica(t, nil)
+	one, two := startReplica(t, nil), startReplica(t, nil)
 	one.Span.Store(int64(20 * time.Millisecond))
 	two.Span.Store(int64(20 * time.Millisecond))
 	s := start(t, nil, one.Addr, two.Addr)
@@ -139,7 +139,7 @@
 	id := uint32(1)
 	var all []uint32
 	for k := range 90 {
-		c.Open(id, "POST", "/payouts", true, append(standin.Key(k), "content-length", "4")...)
+		c.Open(id, "POST", "/payouts", true, append(replica.Key(k), "content-length", "4")...)
 		c.Data(id, false, []byte("pa"))
 		switch k % 3 {
 		case 0:
@@ -180,7 +180,7 @@
 
 // The users' proof: 100 streams, some stalled, some reset, each of the others one final answer; then a drain.
 func TestAHundredStreamsAndADrain(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Span.Store(int64(300 * time.Millisecond))
 	r.Size.Store(10_000)
 	s := start(t, nil, r.Addr)
@@ -196,21 +196,21 @@
 			c.Open(id, "GET", "/stock", false)
 			c.Reset(id)
 		default:
-			c.Open(id, "GET", "/stock", false, standin.Key(k)...)
+			c.Open(id, "GET", "/stock", false, replica.Key(k)...)
 			good = append(good, id)
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
 	ended := make(chan struct{})
 	go func() { s.stop(); close(ended) }()
-	c.Wait(moment, func(c *standin.H2) bool { return len(c.GoAways) >= 1 })
+	c.Wait(moment, func(c *replica.H2) bool { return len(c.GoAways) >= 1 })
 	c.Open(201, "GET", "/stock", false) // sent after the first word, before the second
 	good = append(good, 201)
 	if !c.Wait(moment, done(append(good, stalled...)...)) {
 		t.Error("not all ended")
 	}
 	<-ended
-	if !c.Wait(moment, func(c *standin.H2) bool { return c.Ended }) {
+	if !c.Wait(moment, func(c *replica.H2) bool { return c.Ended }) {
 		t.Error("the connection stays")
 	}
 	for _, id := range good {
@@ -230,7 +230,7 @@
 
 // A drain that flows outlast: each open stream is told, and counted as lost.
 func TestADrainThatIsOver(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Silent.Store(true)
 	s := start(t, func(f string) string { return strings.Replace(f, "drain: 2s", "drain: 200ms", 1) }, r.Addr)
 	c := dialH2(t, s, 1<<20)
@@ -249,7 +249,7 @@
 }
 
 func TestH2HeadsThatHTTP1WouldReadDifferently(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	s := start(t, nil, r.Addr)
 	c := dialH2(t, s, 1<<20)
 	id := uint32(1)
@@ -288,39 +288,39 @@
 
 // Each way of keeping a sidecar busy ends its own connection, and costs no other.
 func TestFloods(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Span.Store(int64(5 * time.Millisecond))
 	s := start(t, nil, r.Addr)
 	neighbour := dialH2(t, s, 1<<20)
-	for name, say := range map[string]func(c *standin.H2, k uint32) error{
-		"resets": func(c *standin.H2, k uint32) error { c.Open(2*k+1, "GET", "/stock", false); return c.Reset(2*k + 1) },
-		"pings": func(c *standin.H2, k uint32) error {
+	for name, say := range map[string]func(c *replica.H2, k uint32) error{
+		"resets": func(c *replica.H2, k uint32) error { c.Open(2*k+1, "GET", "/stock", false); return c.Reset(2*k + 1) },
+		"pings": func(c *replica.H2, k uint32) error {
 			return c.Say(func() error { return c.Framer.WritePing(false, [8]byte{}) })
 		},
-		"settings": func(c *standin.H2, k uint32) error { return c.Say(func() error { return c.Framer.WriteSettings() }) },
-		"priorities": func(c *standin.H2, k uint32) error {
+		"settings": func(c *replica.H2, k uint32) error { return c.Say(func() error { return c.Framer.WriteSettings() }) },
+		"priorities": func(c *replica.H2, k uint32) error {
 			return c.Say(func() error { return c.Framer.WritePriority(2*k+1, http2.PriorityParam{}) })
 		},
-		"empty pieces": func(c *standin.H2, k uint32) error {
+		"empty pieces": func(c *replica.H2, k uint32) error {
 			if k == 0 {
 				c.Open(1, "POST", "/orders", true)
 			}
 			return c.Data(1, false, nil)
 		},
-		"single bytes": func(c *standin.H2, k uint32) error {
+		"single bytes": func(c *replica.H2, k uint32) error {
 			if k == 0 {
 				c.Open(1, "POST", "/orders", true)
 			}
 			return c.Data(1, false, []byte("x"))
 		},
-		"tiny windows": func(c *standin.H2, k uint32) error {
+		"tiny windows": func(c *replica.H2, k uint32) error {
 			return c.Say(func() error { return c.Framer.WriteWindowUpdate(0, 1) })
 		},
-		"bad heads": func(c *standin.H2, k uint32) error { return c.Open(2*k+1, "GET", "/stock", false, "connection", "x") },
-		"header bombs": func(c *standin.H2, k uint32) error {
+		"bad heads": func(c *replica.H2, k uint32) error { return c.Open(2*k+1, "GET", "/stock", false, "connection", "x") },
+		"header bombs": func(c *replica.H2, k uint32) error {
 			return c.Open(2*k+1, "GET", "/stock", false, "a", strings.Repeat("x", 4000), "a", strings.Repeat("x", 4000), "a", strings.Repeat("x", 4000), "a", strings.Repeat("x", 4000), "a", strings.Repeat("x", 4000))
 		},
-		"continuations": func(c *standin.H2, k uint32) error {
+		"continuations": func(c *replica.H2, k uint32) error {
 			return c.Say(func() error {
 				if k == 0 {
 					return c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: 1, BlockFragment: []byte{0x82}})
@@ -334,10 +334,10 @@
 		for k := uint32(0); k < 20000 && !ended; k++ {
 			ended = say(c, k) != nil
 			if k%500 == 0 {
-				ended = ended || c.Wait(0, func(c *standin.H2) bool { return c.Ended })
+				ended = ended || c.Wait(0, func(c *replica.H2) bool { return c.Ended })
 			}
 		}
-		if !c.Wait(moment, func(c *standin.H2) bool { return c.Ended }) {
+		if !c.Wait(moment, func(c *replica.H2) bool { return c.Ended }) {
 			t.Errorf("%s: the connection goes on", name)
 		}
 	}
@@ -350,7 +350,7 @@
 
 // A connection that waits for an answer is not idle; one that has none is told before it ends.
 func TestH2Idle(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Span.Store(int64(400 * time.Millisecond))
 	s := start(t, func(f string) string { return strings.Replace(f, "idle: 5s", "idle: 100ms", 1) }, r.Addr)
 	c := dialH2(t, s, 1<<20)
@@ -358,13 +358,13 @@
 	if !c.Wait(moment, done(1)) || c.Of(1).Status != "200" {
 		t.Errorf("%+v", c.Of(1))
 	}
-	if !c.Wait(moment, func(c *standin.H2) bool { return c.Ended }) || len(c.GoAways) != 1 || c.GoAways[0].LastStreamID != 1 || c.GoAways[0].ErrCode != http2.ErrCodeNo {
+	if !c.Wait(moment, func(c *replica.H2) bool { return c.Ended }) || len(c.GoAways) != 1 || c.GoAways[0].LastStreamID != 1 || c.GoAways[0].ErrCode != http2.ErrCodeNo {
 		t.Errorf("ended %v, %+v", c.Ended, c.GoAways)
 	}
 }
 
 func TestOverTheLimitOfStreamsIsRefusedAndMayComeAgain(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Span.Store(int64(200 * time.Millisecond))
 	s := start(t, func(f string) string { return strings.Replace(f, "streams: 100", "streams: 3", 1) }, r.Addr)
 	c := dialH2(t, s, 1<<20)
--- a/internal/sidecar/manifest_test.go
+++ b/internal/sidecar/manifest_test.go
@@ -98,7 +98,7 @@
 }
 
 func TestAReloadTakesRulesOverAndNamesTheRest(t *testing.T) {
-	s := start(t, nil, replica(t, nil).Addr)
+	s := start(t, nil, startReplica(t, nil).Addr)
 	text := func(old, new string) Manifest {
 		f := strings.NewReplacer("H1", `"127.0.0.1:0"`, "H2", `"127.0.0.1:00"`, "REPLICAS", `{id: r0, zone: a, address: "`+s.manifest.Replicas["r0"].Address+`"}`).Replace(file)
 		m, err := Parse("t.yaml", []byte(strings.Replace(f, old, new, 1)))
--- a/internal/sidecar/places_test.go
+++ b/internal/sidecar/places_test.go
@@ -31,7 +31,7 @@
 // One place, one connection, and many flows: whoever waits for the place has it as it is freed, with the connection.
 func TestAPlaceThatIsFreedIsTakenAtOnce(t *testing.T) {
 	const clients, flows = 8, 60
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	for name, limit := range map[string]string{"flows at once": "flows: 1, waiting: 1000, wait: 1m", "connections": "replica_connections: 1, waiting: 1000, wait: 1m"} {
 		t.Run(name, func(t *testing.T) {
 			s := start(t, patient("limits: {", "limits: {"+limit+", ", ", flows: 500, replica_connections: 300", map[bool]string{true: ", replica_connections: 300", false: ", flows: 500"}[name == "flows at once"],
@@ -58,7 +58,7 @@
 // A replica leaves the list at any moment, also between the pick and the sending: a flow goes where it was picked for, or
 // is told that there is nobody. It is not held against a replica that it has no address any more.
 func TestAReplicaLeavesTheListAsItIsPicked(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	s := start(t, patient("usual: again", "usual: once"), r.Addr)
 	if err := (core{s.Sidecar}).Apply([]dispatch.Push{{Full: true, Lines: map[string]float64{"r0": 1}}}); err != nil {
 		t.Fatal(err)
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"lilacbend/internal/dispatch"
+	"lilacbend/lab/replica"
 	"lilacbend/lab/scriptedpeer"
-	"lilacbend/lab/standin"
 )
 
 const file = `
@@ -87,8 +87,8 @@
 	return r
 }
 
-func replica(t testing.TB, handler http.HandlerFunc) *standin.Replica {
-	r, err := standin.NewReplica("127.0.0.1:0", 0, handler)
+func startReplica(t testing.TB, handler http.HandlerFunc) *replica.Replica {
+	r, err := replica.NewReplica("127.0.0.1:0", 0, handler)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 }
 
 func TestAnswersPassThroughAsTheyAre(t *testing.T) {
-	r := replica(t, func(w http.ResponseWriter, req *http.Request) {
+	r := startReplica(t, func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		h := w.Header()
 		h.Set("Connection", "X-Hop")
@@ -174,7 +174,7 @@
 
 // What two readers could understand differently is refused, and its connection ended.
 func TestNoRequestIsSmuggled(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	s := start(t, nil, r.Addr)
 	const get, post = "GET / HTTP/1.1\r\nHost: x\r\n", "POST /orders HTTP/1.1\r\nHost: x\r\n"
 	for _, text := range []string{
@@ -248,7 +248,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			good := replica(t, nil)
+			good := startReplica(t, nil)
 			bad := raw(t, c.attend)
 			s := start(t, nil, bad, good.Addr)
 			for path, want := range map[string]string{"/stock": c.stock, "/orders": c.order, "/payouts": c.payout} {
@@ -276,7 +276,7 @@
 
 // Nobody listens there: proof that nothing ran, so even a payout goes to the next one.
 func TestARefusedConnectionIsTriedElsewhere(t *testing.T) {
-	good := replica(t, nil)
+	good := startReplica(t, nil)
 	s := start(t, func(f string) string { return strings.Replace(f, "usual: again", "usual: never-ran", 1) }, scriptedpeer.Free(t), good.Addr)
 	for path, body := range map[string]string{"/payouts": "", "/orders": "small", "/orders?long": strings.Repeat("x", 50_000)} {
 		if got := counts(t, s, 10, "POST", path, body); got["200"] != 10 {
@@ -349,7 +349,7 @@
 
 // Clients that send or take a byte now and then hold their own flow, for a stated time, and nobody else's.
 func TestSlowClients(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Size.Store(50 << 20)
 	s := start(t, nil, r.Addr)
 	began := time.Now()
@@ -395,7 +395,7 @@
 // machine's limit on descriptors lets.)
 func TestIdleConnectionsCostLittle(t *testing.T) {
 	const many = 400
-	s := start(t, nil, replica(t, nil).Addr)
+	s := start(t, nil, startReplica(t, nil).Addr)
 	memory := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -427,7 +427,7 @@
 
 // What governors do while flows are under way: replicas shut out, tables emptied, no table at all.
 func TestTablesThatChangeUnderFlows(t *testing.T) {
-	one, two := replica(t, nil), replica(t, nil)
+	one, two := startReplica(t, nil), startReplica(t, nil)
 	one.Span.Store(int64(200 * time.Millisecond))
 	s := start(t, nil, one.Addr, two.Addr)
 	apply := func(parts ...dispatch.Push) {
@@ -468,7 +468,7 @@
 
 // HTTP/1.1 drains: the answer in hand says that it was the last, idle connections end, new ones find nobody.
 func TestHTTP1Drains(t *testing.T) {
-	r := replica(t, nil)
+	r := startReplica(t, nil)
 	r.Span.Store(int64(300 * time.Millisecond))
 	s := start(t, nil, r.Addr)
 	idle, err := net.Dial("tcp", s.h1)
--- a/lab/installation/site.go
+++ b/lab/installation/site.go
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"lilacbend/lab/standin"
+	"lilacbend/lab/replica"
 )
 
 // Shape is how large a site is, and where it listens.
@@ -54,7 +54,7 @@
 // Site is a running one.
 type Site struct {
 	Shape
-	Replicas []*standin.Replica
+	Replicas []*replica.Replica
 	H1s, H2s []string // of the sidecars
 
 	program    string
@@ -163,7 +163,7 @@
 }
 
 func (s *Site) replica(k int) error {
-	r, err := standin.NewReplica("127.0.0.1:0", s.Places, nil)
+	r, err := replica.NewReplica("127.0.0.1:0", s.Places, nil)
 	if err != nil {
 		return err
 	}
--- a/lab/standin/h2client.go
+++ b/lab/replica/h2client.go
@@ -1,4 +1,4 @@
-package standin
+package replica
 
 import (
 	"bytes"
--- a/lab/standin/replica.go
+++ b/lab/replica/replica.go
@@ -1,6 +1,6 @@
-// Package standin has scripted peers for tests and the laboratory: a replica, and an HTTP/2 client that says any
+// Package replica has scripted peers for tests and the laboratory: a replica, and an HTTP/2 client that says any
 // frame. They listen on loopback alone.
-package standin
+package replica
 
 import (
 	"fmt"
