--- a/cmd/experiment/load.go
+++ b/cmd/experiment/load.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"lilacbend/lab/installation"
-	"lilacbend/lab/load"
+	"lilacbend/experiment/installation"
+	"lilacbend/experiment/load"
 )
 
 func loadCommand() *cli.Command {
--- a/cmd/experiment/restart.go
+++ b/cmd/experiment/restart.go
@@ -11,8 +11,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"lilacbend/lab/emulator"
-	"lilacbend/lab/restart"
+	"lilacbend/experiment/emulator"
+	"lilacbend/experiment/restart"
 )
 
 func restartCommand() *cli.Command {
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -16,7 +16,7 @@
 	"github.com/google/renameio/v2"
 	"github.com/urfave/cli/v3"
 
-	"lilacbend/lab/scale"
+	"lilacbend/experiment/scale"
 )
 
 // hostCommand is the hidden command by which a scale run starts its processes.
--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
+	"lilacbend/experiment/installation"
+	"lilacbend/experiment/load"
 	"lilacbend/internal/configclient"
-	"lilacbend/lab/installation"
-	"lilacbend/lab/load"
 )
 
 // The real service beside the hollow governors has the size of the mean service: 5 governors, 33 replicas. Its requests are
--- a/cmd/experiment/seeds.go
+++ b/cmd/experiment/seeds.go
@@ -14,8 +14,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/urfave/cli/v3"
 
+	"lilacbend/experiment/seeds"
 	"lilacbend/internal/strictyaml"
-	"lilacbend/lab/seeds"
 )
 
 var errBroken = errors.New("something broke")
--- a/cmd/experiment/service.go
+++ b/cmd/experiment/service.go
@@ -11,8 +11,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"lilacbend/lab/installation"
-	"lilacbend/lab/load"
+	"lilacbend/experiment/installation"
+	"lilacbend/experiment/load"
 )
 
 // serviceCommand measures the whole product against sidecars with an equal table and no governor.
--- a/cmd/experiment/slopes.go
+++ b/cmd/experiment/slopes.go
@@ -9,8 +9,8 @@
 	"github.com/urfave/cli/v3"
 	"go.yaml.in/yaml/v3"
 
+	"lilacbend/experiment/scale"
 	"lilacbend/internal/capacity"
-	"lilacbend/lab/scale"
 )
 
 // slopesCommand fits scale runs of several sizes, for the capacity page.
--- a/cmd/lilacbend/child_test.go
+++ b/cmd/lilacbend/child_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/scriptedpeer"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 // asProgram has the test's own program be lilacbend: signals and exit codes are those of a real process.
--- a/cmd/lilacbend/configuration_test.go
+++ b/cmd/lilacbend/configuration_test.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"testing"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/configstore"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // exampleSettings are the example's settings as a server would send them, with some changes: each text is followed by what takes
--- a/cmd/lilacbend/fleet_test.go
+++ b/cmd/lilacbend/fleet_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/resp"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // fleetConfiguration is the example's with the sizes of a full fleet: so many governors and replicas, and all proxies at this one.
--- a/cmd/lilacbend/kept_test.go
+++ b/cmd/lilacbend/kept_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/configcache"
 	"lilacbend/internal/revision"
 	"lilacbend/internal/snapshot"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // keepingFile is an operator file of a governor that keeps what it follows. A server that is not to answer is a listener of the
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -13,9 +13,9 @@
 	"testing/synctest"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/eventloop"
-	"lilacbend/lab/scriptedpeer"
 )
 
 const wholeList = "GET /registry/instances HTTP/1.1"
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -13,10 +13,10 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/eventloop"
 	"lilacbend/internal/resp"
-	"lilacbend/lab/scriptedpeer"
 )
 
 type lines struct {
--- a/cmd/lilacbend/shapes_test.go
+++ b/cmd/lilacbend/shapes_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"lilacbend/lab/emulator"
+	"lilacbend/experiment/emulator"
 )
 
 // This file holds the start to settings of odd but permitted shapes: it takes them, and core and module keep rules 1, 3
--- a/cmd/lilacbend/shutdown_test.go
+++ b/cmd/lilacbend/shutdown_test.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"testing"
 
-	"lilacbend/lab/scriptedpeer"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 // Ends and starts that cross with something else, in real processes: docs/crossings.md.
--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"testing"
 
-	"lilacbend/lab/scriptedpeer"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 // shop writes a sidecar's file with one replica.
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/operator"
 	"lilacbend/internal/resp"
 	"lilacbend/internal/snapshot"
-	"lilacbend/lab/scriptedpeer"
 )
 
 func stateful(t *testing.T, folder string) configuration {
--- a/example/shop/main.go
+++ b/example/shop/main.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"lilacbend/lab/installation"
+	"lilacbend/experiment/installation"
 )
 
 func main() {
--- a/lab/installation/site.go
+++ b/experiment/installation/site.go
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"lilacbend/lab/replica"
+	"lilacbend/experiment/replica"
 )
 
 // Shape is how large a site is, and where it listens.
--- a/lab/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -7,9 +7,9 @@
 	"math/rand"
 	"slices"
 
+	"lilacbend/experiment/emulator"
 	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/snapshot"
-	"lilacbend/lab/emulator"
 )
 
 const second = int64(1e9)
--- a/lab/restart/restart_test.go
+++ b/experiment/restart/restart_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/emulator"
+	"lilacbend/experiment/emulator"
 )
 
 // One run at the size of a deployment: the cost of turns, for profiles.
--- a/lab/scale/discovery.go
+++ b/experiment/scale/discovery.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"lilacbend/lab/scale/checks"
+	"lilacbend/experiment/scale/checks"
 )
 
 // member is one replica as discovery lists it.
--- a/lab/scale/faulty_test.go
+++ b/experiment/scale/faulty_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scale/checks"
 	"lilacbend/internal/configcache"
 	"lilacbend/internal/revision"
-	"lilacbend/lab/scale/checks"
 )
 
 // The governors of this run that do wrong, each in its own way.
--- a/lab/scale/hollow.go
+++ b/experiment/scale/hollow.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"lilacbend/control"
+	"lilacbend/experiment/scale/checks"
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/controller"
 	"lilacbend/internal/discovery"
 	"lilacbend/internal/eventloop"
 	"lilacbend/internal/revision"
-	"lilacbend/lab/scale/checks"
 	"lilacbend/policy"
 )
 
--- a/lab/scale/host.go
+++ b/experiment/scale/host.go
@@ -10,7 +10,7 @@
 	"runtime"
 	"sync"
 
-	"lilacbend/lab/scale/checks"
+	"lilacbend/experiment/scale/checks"
 )
 
 // HostPlan is the first line that a host reads: the hollow governors that share its process.
--- a/lab/scale/link_test.go
+++ b/experiment/scale/link_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/scriptedpeer"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 // echo answers each line with itself until the test ends.
--- a/lab/scale/phase.go
+++ b/experiment/scale/phase.go
@@ -11,7 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lilacbend/lab/scale/checks"
+	"lilacbend/experiment/scale/checks"
 )
 
 // phaseSpan is when a phase was, and what had been spent at its start and its end.
--- a/lab/scale/real.go
+++ b/experiment/scale/real.go
@@ -7,8 +7,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"lilacbend/experiment/scale/checks"
 	"lilacbend/internal/configclient"
-	"lilacbend/lab/scale/checks"
 )
 
 // RealService is one service of real processes beside the hollow governors.
--- a/lab/scale/report.go
+++ b/experiment/scale/report.go
@@ -10,7 +10,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lilacbend/lab/scale/checks"
+	"lilacbend/experiment/scale/checks"
 )
 
 // Report is what a run has measured.
--- a/lab/scale/rig.go
+++ b/experiment/scale/rig.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"lilacbend/lab/scale/checks"
+	"lilacbend/experiment/scale/checks"
 )
 
 const (
--- a/lab/scale/servers_test.go
+++ b/experiment/scale/servers_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/scriptedpeer"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 // Another one that listens at a server's address is not taken for it.
--- a/lab/scale/settings.go
+++ b/experiment/scale/settings.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"lilacbend/control"
-	"lilacbend/lab/scale/checks"
+	"lilacbend/experiment/scale/checks"
 	"lilacbend/settings"
 )
 
--- a/lab/scale/slopes.go
+++ b/experiment/scale/slopes.go
@@ -8,8 +8,8 @@
 	"slices"
 	"text/tabwriter"
 
+	"lilacbend/experiment/scale/checks"
 	"lilacbend/internal/capacity"
-	"lilacbend/lab/scale/checks"
 )
 
 // figure is what a slope is fitted to: a total over all of a role, so that its slope is what one governor adds.
--- a/lab/scale/slopes_test.go
+++ b/experiment/scale/slopes_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"lilacbend/experiment/scale/checks"
 	"lilacbend/internal/capacity"
-	"lilacbend/lab/scale/checks"
 )
 
 // reportOf is a report whose figures grow by a line, but for what the servers spend if it is off.
--- a/lab/scale/tracker.go
+++ b/experiment/scale/tracker.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"lilacbend/lab/scale/checks"
+	"lilacbend/experiment/scale/checks"
 )
 
 // tracker keeps the events of a run, and knows who does not hold the newest yet.
--- a/lab/seeds/script.go
+++ b/experiment/seeds/script.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"lilacbend/experiment/emulator"
 	"lilacbend/internal/strictyaml"
-	"lilacbend/lab/emulator"
 )
 
 // Script is what a file tells to play: faults of its own, at a profile's size, with a seed's chance.
--- a/lab/seeds/seeds.go
+++ b/experiment/seeds/seeds.go
@@ -11,8 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"lilacbend/experiment/emulator"
 	"lilacbend/internal/controller"
-	"lilacbend/lab/emulator"
 )
 
 const (
--- a/lab/seeds/seeds_test.go
+++ b/experiment/seeds/seeds_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/experiment/emulator"
 	"lilacbend/internal/controller"
-	"lilacbend/lab/emulator"
 )
 
 // Fixed seeds hold all rules, and are the same runs whatever else goes on.
--- a/internal/configserver/failures_test.go
+++ b/internal/configserver/failures_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/configclient"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // A governor whose server is killed has the next change by another one.
--- a/internal/configserver/rig_test.go
+++ b/internal/configserver/rig_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/configwatch"
 	"lilacbend/internal/revision"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // journal is a log that is read while it is written.
--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/configapi"
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/revision"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // A change of a file is in force at a governor of another region's server; one that is refused leaves the last good one.
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/configapi"
 	"lilacbend/internal/configclient"
 	"lilacbend/internal/revision"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // instance is the name of this process's watchers. Other tests' clients go on asking servers that have ended, whose ports may
--- a/internal/controlclient/budget_test.go
+++ b/internal/controlclient/budget_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/scriptedpeer"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 // reported is what a governor has heard of a collector.
--- a/internal/controlclient/collectors_test.go
+++ b/internal/controlclient/collectors_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/dispatch"
 	"lilacbend/internal/failover"
 	"lilacbend/internal/resp"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // reports runs a reporter, of one try at one replica for each interval, until the test ends or stops it.
--- a/internal/controlclient/crossings_test.go
+++ b/internal/controlclient/crossings_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/dispatch"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // steered runs a client towards listeners until the test ends.
--- a/internal/controlserver/crossings_test.go
+++ b/internal/controlserver/crossings_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/controller"
 	"lilacbend/internal/resp"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // Crossings at a connection, each in an order that is forced: docs/crossings.md.
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/eventloop"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // Agents that close each connection with its answer, in every way, are followed without a gap: the watch goes on at once
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/controller"
 	"lilacbend/internal/eventloop"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // What the client asks for; watchLine has a place for the revision.
--- a/internal/ingress/crossings_test.go
+++ b/internal/ingress/crossings_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/proxy"
 	"lilacbend/internal/upstream"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // held is a listener whose connections hold back the deadline by which an idle one is ended at a drain, and tell of
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"lilacbend/lab/replica"
-	"lilacbend/lab/scriptedpeer"
+	"lilacbend/experiment/replica"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 // patient is a sidecar that waits for its clients for longer than any test does.
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -14,9 +14,9 @@
 	"golang.org/x/net/http2"
 	"golang.org/x/net/http2/hpack"
 
+	"lilacbend/experiment/replica"
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/dispatch"
-	"lilacbend/lab/replica"
-	"lilacbend/lab/scriptedpeer"
 )
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
--- a/internal/sidecar/h2_test.go
+++ b/internal/sidecar/h2_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/net/http2"
 
-	"lilacbend/lab/replica"
+	"lilacbend/experiment/replica"
 )
 
 const moment = 5 * time.Second
--- a/internal/sidecar/places_test.go
+++ b/internal/sidecar/places_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/dispatch"
-	"lilacbend/lab/scriptedpeer"
 )
 
 // heard is the next answer on a client's connection, as status, reason, and whether it was whole.
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
+	"lilacbend/experiment/replica"
+	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/dispatch"
-	"lilacbend/lab/replica"
-	"lilacbend/lab/scriptedpeer"
 )
 
 const file = `
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lilacbend/lab/scriptedpeer"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 // A replica may have one connection, and it is in use: who comes then waits for it, for as long as his flow has, and takes
