--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,4 +1,4 @@
-// Command lab measures what a change of the governor does, in virtual time or on loopback. All of its figures
+// Command experiment measures what a change of the governor does, in virtual time or on loopback. All of its figures
 // are simulated. It is no part of the product.
 package main
 
@@ -13,9 +13,9 @@
 func main() {
 	commands := append(seedsCommands(), restartCommand(), loadCommand(), overheadCommand(), serviceCommand(), baselineCommand(), capacityCommand())
 	commands = append(commands, scaleCommands()...)
-	root := &cli.Command{Name: "lab", Usage: "measure what a change does", Commands: commands}
+	root := &cli.Command{Name: "experiment", Usage: "measure what a change does", Commands: commands}
 	if err := root.Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "lab:", err)
+		fmt.Fprintln(os.Stderr, "experiment:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost runs any number of governors on the simulator's wire: batches on standard input, one
+// Command simadapter runs any number of governors on the simulator's wire: batches on standard input, one
 // reply for each on standard output.
 package main
 
@@ -18,7 +18,7 @@
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -53,7 +53,7 @@
 func TestThePageIsWhatTheTableGives(t *testing.T) {
 	where, err := Difference(page(t), sections(t))
 	if err != nil || where != "" {
-		t.Errorf("docs/CAPACITY.md: %v %s\nrun: bin/lab capacity --write docs/CAPACITY.md", err, where)
+		t.Errorf("docs/CAPACITY.md: %v %s\nrun: bin/experiment capacity --write docs/CAPACITY.md", err, where)
 	}
 }
 
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -27,7 +27,7 @@
 	minSilenceTimeout = int64(10 * 1e9)
 )
 
-// Module makes the decisions. brain.Governor implements it.
+// Module makes the decisions. policy.Governor implements it.
 type Module interface {
 	Turn(now int64, events []control.Event) []control.Command
 }
