--- a/cmd/lilacbend/shapes_test.go
+++ b/cmd/lilacbend/shapes_test.go
@@ -98,7 +98,7 @@
 			said = append(said, b.String())
 		}
 	}
-	for k := range c.settings.Governors {
+	for k := range c.settings.Controllers {
 		if n := w.Core(k).Counters; n.Restarts > 0 || n.Strange > 0 {
 			said = append(said, fmt.Sprintf("governor %d: %d modules failed, %d notes were strange", k, n.Restarts, n.Strange))
 		}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -89,8 +89,8 @@
 			}
 			h.governors[id] = policy.New(p)
 			told = nil
-		default:
-			told = append(told, ev)
+		case control.Event:
+			told = append(told, e)
 		}
 	}
 	if g := h.governors[id]; g != nil {
--- a/control/control.go
+++ b/control/control.go
@@ -1,6 +1,6 @@
 // Package control is the interface of the decision module: the settings that it reads before its first turn, the events that
-// it is told and the commands that it gives. It decides nothing. Times and durations are whole nanoseconds; replicas, proxies,
-// zones, kinds and traffic classes are known by number.
+// it receives and the commands that it returns. It decides nothing. Times and durations are whole nanoseconds; replicas, proxies,
+// zones, hardware classes and traffic classes are known by number.
 package control
 
 import (
--- a/control/settings.go
+++ b/control/settings.go
@@ -1,49 +1,49 @@
 package control
 
-// Effect says whether a request may be executed more than once.
-type Effect int
+// Idempotency says whether a request may be executed more than once.
+type Idempotency int
 
-// The effects of requests.
+// The degrees of idempotency.
 const (
-	NonRetriable Effect = iota
-	Deduplicated        // replicas drop a repeat for a while
-	Retriable
+	NotIdempotent   Idempotency = iota
+	IdempotentByKey             // replicas drop a duplicate within TrafficClass.DeduplicationWindow
+	Idempotent
 )
 
-// Scope names the replicas that know of each other's deduplicated requests.
-type Scope int
+// DeduplicationScope names the replicas that know each other's idempotency keys.
+type DeduplicationScope int
 
 // The scopes of deduplication.
 const (
-	ScopeCell Scope = iota
+	ScopeCell DeduplicationScope = iota
 	ScopeZone
 	ScopeAll
 )
 
-// Admission says how proxies follow admission rates.
-type Admission int
+// AdmissionMode says how proxies follow admission rates.
+type AdmissionMode int
 
-// The ways in which proxies admit requests.
+// The modes of admission.
 const (
-	AdmitAll   Admission = iota // admission rates are not followed
-	AdmitShare                  // the rate is the part of the requests that is admitted
-	AdmitRate                   // the rate is in requests a second, at each proxy
+	AdmitAll      AdmissionMode = iota // admission rates are not followed
+	AdmitFraction                      // the rate is the fraction of the requests that is admitted
+	AdmitRate                          // the rate is in requests a second, at each proxy
 )
 
-// Pick is how a proxy picks an endpoint of its table.
-type Pick int
+// PickPolicy is how a proxy picks an endpoint of its table.
+type PickPolicy int
 
-// The ways of picking, all of them by weight.
+// The pick policies, all of them by weight.
 const (
-	PickRandom     Pick = iota
-	PickRoundRobin      // in turn
-	PickLessLoaded      // of two drawn, the one with fewer requests of this proxy in flight
+	PickRandom     PickPolicy = iota
+	PickRoundRobin            // one after another
+	PickPowerOfTwo            // of two random endpoints, the one with fewer requests of this proxy in flight
 )
 
-// RetryPolicy says when a proxy tries another replica after a failure.
+// RetryPolicy says when a proxy makes another attempt at another replica after a failure.
 type RetryPolicy int
 
-// The retry policies.
+// The retry policies, from the strictest to the most generous.
 const (
 	NoRetry            RetryPolicy = iota
 	RetryIfNotExecuted             // once, after proof that the first attempt was not executed
@@ -53,41 +53,41 @@
 
 // TrafficClass is one kind of request.
 type TrafficClass struct {
-	Utility             float64 // of a request that succeeds within its latency budget
-	LatencyBudget       int64
-	Timeout             int64 // the client gives up after it
-	Effect              Effect
-	Scope               Scope // of deduplication
-	DeduplicationWindow int64 // how long a repeat of a deduplicated request is dropped
+	PriorityWeight      float64 // of a request that succeeds within its latency objective
+	LatencyObjective    int64   // nanoseconds
+	Timeout             int64   // after which the client gives up, in nanoseconds
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow int64 // how long a duplicate with the same idempotency key is dropped, in nanoseconds
 }
 
-// Settings are what a governor is told before its first turn.
+// Settings are what the decision module is given before its first turn.
 type Settings struct {
-	Seed      uint64
-	Governors int
-	Zones     int
-	Kinds     int
-	Proxies   int // over all governors
-	Classes   []TrafficClass
+	Seed            uint64 // of all random choices
+	Controllers     int
+	Zones           int
+	HardwareClasses int
+	Proxies         int // of all controllers together
+	Classes         []TrafficClass
 
-	ChannelRate   float64 // lines a second when all is well
-	ChannelLimit  int     // lines that may wait
-	MessageHead   int     // lines that each message costs beside its own
-	MaxTransit    int64   // of a message to a proxy
-	MaxMessages   int     // to one proxy within MessageWindow; 0 is no limit
-	MessageWindow int64
-	// HostQueues: what the channel or a proxy's cap has no room for is queued by the host, for that proxy alone, and
-	// ejections go first. Else each command goes out as it is given.
+	ChannelRate     float64 // cost units a second that the channel to the proxies sends
+	ChannelLimit    int     // cost units that may wait in the channel
+	MessageOverhead int     // cost units of each message besides its content
+	MaxTransit      int64   // of a message to a proxy, in nanoseconds
+	MaxMessages     int     // to one proxy within MessageWindow; 0: no limit
+	MessageWindow   int64   // nanoseconds
+	// HostQueues says that the controller queues what the channel or a proxy's message cap has no capacity for, for that
+	// proxy alone and ejections first. Otherwise each command is sent as it is given.
 	HostQueues     bool
-	ReportInterval int64
+	ReportInterval int64 // between load reports, in nanoseconds
 
-	DrainGrace       int64   // after the news of its end nobody may send to a replica any more; 0: not known
-	SlowStartShare   float64 // least part of its capacity a replica starts with
-	SlowStartTime    int64   // until it has all of its capacity
-	OverloadMultiple float64 // of what it can do, at which a replica falls over
+	DrainGrace        int64   // after the notice of a replica's end, when requests to it must have stopped, in nanoseconds; 0: not known
+	SlowStartFraction float64 // least fraction of its capacity that a replica starts with
+	SlowStartTime     int64   // until a replica has its full capacity, in nanoseconds
+	OverloadMultiple  float64 // of its capacity, at which a replica fails
 
-	Pick                 Pick
-	Admission            Admission
-	AttemptTimeoutFactor float64 // latency budgets that an attempt waits where a further one may follow
+	Pick                 PickPolicy
+	Admission            AdmissionMode
+	AttemptTimeoutFactor float64 // latency objectives that an attempt may take where a retry may follow
 	DefaultRetries       RetryPolicy
 }
--- a/experiment/emulator/rules.go
+++ b/experiment/emulator/rules.go
@@ -47,7 +47,7 @@
 		return 1
 	}
 	p := w.Site.Provision
-	return p.SlowStartShare + (1-p.SlowStartShare)*float64(age)/float64(p.SlowStartTime)
+	return p.SlowStartFraction + (1-p.SlowStartFraction)*float64(age)/float64(p.SlowStartTime)
 }
 
 // warm says whether any replica is listed as ready and no longer cold, and has been for so long.
@@ -108,7 +108,7 @@
 // queued checks rule 5 as a message enters the channel, and says when it has left it.
 func (w *World) queued(p *proxy, push controller.Update) (left int64) {
 	prov := w.Site.Provision
-	lines := len(push.Endpoints) + len(push.Ejected) + len(push.Restored) + len(push.Admissions) + prov.MessageHead + 1
+	lines := len(push.Endpoints) + len(push.Ejected) + len(push.Restored) + len(push.Admissions) + prov.MessageOverhead + 1
 	t := w.towers[p.tower]
 	t.free = max(t.free, w.now) + int64(float64(lines)/prov.ChannelRate*float64(second))
 	if waits := float64(t.free-w.now) / float64(second) * prov.ChannelRate; waits > float64(prov.ChannelLimit) {
--- a/experiment/emulator/world.go
+++ b/experiment/emulator/world.go
@@ -162,12 +162,12 @@
 func NewSite(replicas, proxies int, load float64) Site {
 	return Site{Replicas: replicas, Proxies: proxies, Load: load,
 		Names: settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}},
-		Provision: control.Settings{Seed: 7, Governors: 1, Zones: 2, Kinds: 3, Proxies: proxies, ChannelRate: 20000,
-			ChannelLimit: 40 * proxies, MessageHead: 4, MaxTransit: second / 2, MaxMessages: 30, MessageWindow: 10 * second, HostQueues: true,
-			ReportInterval: second, SlowStartShare: 0.2, SlowStartTime: 20 * second, OverloadMultiple: 3, Admission: control.AdmitShare,
+		Provision: control.Settings{Seed: 7, Controllers: 1, Zones: 2, HardwareClasses: 3, Proxies: proxies, ChannelRate: 20000,
+			ChannelLimit: 40 * proxies, MessageOverhead: 4, MaxTransit: second / 2, MaxMessages: 30, MessageWindow: 10 * second, HostQueues: true,
+			ReportInterval: second, SlowStartFraction: 0.2, SlowStartTime: 20 * second, OverloadMultiple: 3, Admission: control.AdmitFraction,
 			AttemptTimeoutFactor: 1.5, DefaultRetries: control.RetryIfNotExecuted, Classes: []control.TrafficClass{
-				{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable},
-				{Utility: 3, LatencyBudget: second, Timeout: 3 * second, Effect: control.NonRetriable}}}}
+				{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent},
+				{PriorityWeight: 3, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.NotIdempotent}}}}
 }
 
 // zones are the site's, or one without a name where there are none.
@@ -210,7 +210,7 @@
 	for _, zone := range zones {
 		w.every(second, func() { w.sums(zone) })
 	}
-	for k := range max(1, site.Provision.Governors) {
+	for k := range max(1, site.Provision.Controllers) {
 		w.towers = append(w.towers, &tower{world: w, number: k})
 	}
 	if site.Intake > 0 {
@@ -293,7 +293,7 @@
 	case !good:
 		f.p.missed[f.group]++
 		w.count(f, func(o *Outcome) { o.Lost++ })
-	case w.now-f.came > w.Site.Provision.Classes[f.group].LatencyBudget:
+	case w.now-f.came > w.Site.Provision.Classes[f.group].LatencyObjective:
 		w.count(f, func(o *Outcome) { o.Late++ })
 	default:
 		w.count(f, func(o *Outcome) { o.Good++ })
--- a/experiment/scale/settings.go
+++ b/experiment/scale/settings.go
@@ -78,7 +78,7 @@
 func partsOf(p control.Settings) []checks.Marker {
 	found := []int64{p.DrainGrace/control.NanosPerMilli - drainGraceBase, p.MessageWindow/control.NanosPerMilli - messageSpanBase}
 	for _, g := range p.Classes {
-		found = append(found, g.LatencyBudget/control.NanosPerMilli-latencyBudgetBase, g.Timeout/control.NanosPerMilli-timeoutBase)
+		found = append(found, g.LatencyObjective/control.NanosPerMilli-latencyBudgetBase, g.Timeout/control.NanosPerMilli-timeoutBase)
 	}
 	var parts []checks.Marker
 	for _, marker := range found {
--- a/experiment/seeds/seeds.go
+++ b/experiment/seeds/seeds.go
@@ -50,7 +50,7 @@
 // sums: they add up for seconds.
 func fleet() emulator.Site {
 	s := emulator.NewSite(60, 150, 0.5)
-	s.Provision.Governors, s.Provision.DrainGrace, s.Intake = 5, 2*second, 40
+	s.Provision.Controllers, s.Provision.DrainGrace, s.Intake = 5, 2*second, 40
 	return s
 }
 
@@ -59,8 +59,8 @@
 func overload() emulator.Site {
 	s := emulator.NewSite(60, 150, 1)
 	s.Names.Zones, s.Provision.Zones = []string{"a", "b", "c"}, 3
-	s.Provision.Governors, s.Provision.DrainGrace, s.Intake = 5, 2*second, 60
-	s.Provision.SlowStartTime, s.Provision.SlowStartShare, s.Provision.OverloadMultiple = 18*second, 0.16, 2.5
+	s.Provision.Controllers, s.Provision.DrainGrace, s.Intake = 5, 2*second, 60
+	s.Provision.SlowStartTime, s.Provision.SlowStartFraction, s.Provision.OverloadMultiple = 18*second, 0.16, 2.5
 	s.Overload = emulator.Overload{QueueLimit: 30, ClientTries: 2, AvoidAfter: 8, AvoidSpan: 5 * second, ZoneGovernor: true}
 	return s
 }
--- a/internal/controller/budget_test.go
+++ b/internal/controller/budget_test.go
@@ -85,11 +85,11 @@
 
 func newChannelWorld(seed int64, proxies, replicas, governors, limit, rate int, cost func(controller.Update) int) *channelWorld {
 	w := &channelWorld{Rand: rand.New(rand.NewSource(seed)), cost: cost, states: map[string]controller.Member{}, now: second, pace: 1}
-	w.provision = control.Settings{Seed: uint64(seed), Governors: governors, Zones: 2, Kinds: 2, Proxies: proxies * governors, ChannelRate: float64(rate),
-		ChannelLimit: limit, MessageHead: 4, MaxTransit: second / 4, DrainGrace: 8 * second, MaxMessages: 12, MessageWindow: 10 * second, HostQueues: true, ReportInterval: second,
-		SlowStartShare: 0.2, SlowStartTime: 20 * second, OverloadMultiple: 3, Admission: control.AdmitShare, AttemptTimeoutFactor: 1, DefaultRetries: control.RetryIfNotExecuted,
-		Classes: []control.TrafficClass{{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable},
-			{Utility: 3, LatencyBudget: second, Timeout: 3 * second, Effect: control.NonRetriable}}}
+	w.provision = control.Settings{Seed: uint64(seed), Controllers: governors, Zones: 2, HardwareClasses: 2, Proxies: proxies * governors, ChannelRate: float64(rate),
+		ChannelLimit: limit, MessageOverhead: 4, MaxTransit: second / 4, DrainGrace: 8 * second, MaxMessages: 12, MessageWindow: 10 * second, HostQueues: true, ReportInterval: second,
+		SlowStartFraction: 0.2, SlowStartTime: 20 * second, OverloadMultiple: 3, Admission: control.AdmitFraction, AttemptTimeoutFactor: 1, DefaultRetries: control.RetryIfNotExecuted,
+		Classes: []control.TrafficClass{{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent},
+			{PriorityWeight: 3, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.NotIdempotent}}}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
 	w.core = controller.New(func() controller.Module { return moody{policy.New(w.provision), w} }, controller.NewTopology(names, w.provision))
 	for k := range replicas {
@@ -190,7 +190,7 @@
 					stall = w.Int63n(2) * w.Int63n(second)
 				}
 				p.enters = max(p.enters, w.now+stall) // in order on each stream
-				w.stalled = append(w.stalled, message{k, w.cost(s.Update) + w.provision.MessageHead, s, p.enters})
+				w.stalled = append(w.stalled, message{k, w.cost(s.Update) + w.provision.MessageOverhead, s, p.enters})
 			}
 		}
 	}
--- a/internal/controller/capped_test.go
+++ b/internal/controller/capped_test.go
@@ -14,12 +14,12 @@
 // cappedSettings are those of six proxies, each of which gets so many messages in 10 s. The channel's are left to the test.
 func cappedSettings(grace int64, messages int) control.Settings {
 	return control.Settings{
-		Seed: 5, Governors: 1, Zones: 1, Kinds: 2, Proxies: 6,
-		MessageHead: 4, MaxTransit: second / 4, DrainGrace: grace,
+		Seed: 5, Controllers: 1, Zones: 1, HardwareClasses: 2, Proxies: 6,
+		MessageOverhead: 4, MaxTransit: second / 4, DrainGrace: grace,
 		MaxMessages: messages, MessageWindow: 10 * second, HostQueues: true, ReportInterval: second / 2,
-		SlowStartShare: 0.2, SlowStartTime: 10 * second, OverloadMultiple: 3,
-		Admission: control.AdmitShare, AttemptTimeoutFactor: 1, DefaultRetries: control.RetryIfNotExecuted,
-		Classes: []control.TrafficClass{{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable}},
+		SlowStartFraction: 0.2, SlowStartTime: 10 * second, OverloadMultiple: 3,
+		Admission: control.AdmitFraction, AttemptTimeoutFactor: 1, DefaultRetries: control.RetryIfNotExecuted,
+		Classes: []control.TrafficClass{{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}},
 	}
 }
 
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -58,7 +58,7 @@
 			c.bind(s, w.Table)
 			c.Counters.LinesOrdered += int64(c.fullTableLines(w.Table))
 		}
-	case control.BindPart:
+	case control.BindSubset:
 		if s := c.proxies[w.Proxy]; s != nil {
 			c.bindPart(s, w)
 			c.Counters.LinesOrdered += int64(len(w.Replicas) + 1)
@@ -176,12 +176,12 @@
 func (c *Core) admissionOf(table, class int) (Admission, bool) {
 	own, mine := c.admissions[tableClass{table, class}]
 	all, everywhere := c.admissions[tableClass{control.AllTables, class}]
-	l := Admission{Class: c.names.Classes[class], Share: own.Share, Retries: own.Retries}
+	l := Admission{Class: c.names.Classes[class], Share: own.Fraction, Retries: own.Retries}
 	switch {
 	case mine && everywhere:
-		l.Share = math.Min(own.Share, all.Share)
+		l.Share = math.Min(own.Fraction, all.Fraction)
 	case everywhere:
-		l.Share, l.Retries = all.Share, all.Retries
+		l.Share, l.Retries = all.Fraction, all.Retries
 	}
 	return l, mine || everywhere
 }
--- a/internal/controller/configure.go
+++ b/internal/controller/configure.go
@@ -68,7 +68,7 @@
 		return nil
 	}
 	event := control.SettingsChanged{Settings: n.Settings, NewClasses: classes,
-		NewKinds: append(renumbered(before.Kinds, c.names.Kinds), len(c.names.Kinds)), Replicas: c.currentList().Entries}
+		NewHardwareClasses: append(renumbered(before.Kinds, c.names.Kinds), len(c.names.Kinds)), Replicas: c.currentList().Entries}
 	for _, proxy := range sortedKeys(c.proxies) {
 		event.Proxies = append(event.Proxies, c.proxies[proxy].opened)
 	}
@@ -89,7 +89,7 @@
 	c.version, c.Topology, c.newModule = next.version, next.topology, next.start
 	c.account.Bounds = c.bounds
 	for _, r := range c.replicas.known {
-		r.Zone, r.Kind = indexOrLast(c.names.Zones, r.zone), indexOrLast(c.names.Kinds, r.kind)
+		r.Zone, r.HardwareClass = indexOrLast(c.names.Zones, r.zone), indexOrLast(c.names.Kinds, r.kind)
 	}
 	for _, s := range c.proxies {
 		s.opened.Zone = indexOrLast(c.names.Zones, s.zone)
--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -22,7 +22,7 @@
 
 // changed are settings of the scripted core with other names.
 func changed(number uint64, names settings.Names, module Module) Configure {
-	p := control.Settings{Proxies: 9, Zones: len(names.Zones), Kinds: len(names.Kinds) + 1, DefaultRetries: control.RetryIfNotExecuted}
+	p := control.Settings{Proxies: 9, Zones: len(names.Zones), HardwareClasses: len(names.Kinds) + 1, DefaultRetries: control.RetryIfNotExecuted}
 	for range names.Classes {
 		p.Classes = append(p.Classes, control.TrafficClass{Timeout: 2e9})
 	}
@@ -46,7 +46,7 @@
 	}
 	turn([]any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", Blank: true}},
 		line(0, 1, 1), line(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
-		control.SetAdmission{Table: control.AllTables, Class: 1, Share: 0.5}, control.SetAdmission{Table: 0, Class: 0, Share: 0.7})
+		control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}, control.SetAdmission{Table: 0, Class: 0, Fraction: 0.7})
 	o := turn([]any{
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // by the old numbers yet
 		changed(2, namesOf("order,new,read", "b,a", "m0,m2"), s),
@@ -71,21 +71,21 @@
 			told = e
 		}
 	}
-	if !slices.Equal(told.NewClasses, []int{2, 0}) || !slices.Equal(told.NewKinds, []int{-1, 1, 2}) || len(told.Replicas) != 2 || told.Replicas[0].Kind != 1 ||
+	if !slices.Equal(told.NewClasses, []int{2, 0}) || !slices.Equal(told.NewHardwareClasses, []int{-1, 1, 2}) || len(told.Replicas) != 2 || told.Replicas[0].HardwareClass != 1 ||
 		told.Replicas[0].Zone != 1 || len(told.Proxies) != 2 || told.Proxies[0].Zone != 1 {
 		t.Errorf("told %+v", told)
 	}
-	if got := text(turn(nil, control.SetAdmission{Table: 0, Class: 2, Share: 0.6})); got != "1: read~0.6/0; 2: read~0.6/0" {
+	if got := text(turn(nil, control.SetAdmission{Table: 0, Class: 2, Fraction: 0.6})); got != "1: read~0.6/0; 2: read~0.6/0" {
 		t.Error(got)
 	}
-	if got := text(turn(nil, control.SetAdmission{Table: control.AllTables, Class: 0, Share: 0.5}, control.SetAdmission{Table: control.AllTables, Class: 1, Share: 1})); got != "1: new~1/0; 2: new~1/0" {
+	if got := text(turn(nil, control.SetAdmission{Table: control.AllTables, Class: 0, Fraction: 0.5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 1})); got != "1: new~1/0; 2: new~1/0" {
 		t.Error(got) // order is at 0.5 as it was
 	}
 }
 
 // A traffic group that leaves is let in again at every proxy that was told otherwise, once.
 func TestAGroupThatLeavesIsLetIn(t *testing.T) {
-	c, s := core([]control.Command{line(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Share: 0.5}})
+	c, s := core([]control.Command{line(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}})
 	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", Blank: true}})
 	if got := text(c.Turn(1, []any{changed(2, namesOf("read", "a,b", "m1,m2"), s)})); got != "1: order~1/1; 2: order~1/1" {
 		t.Error(got)
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -106,8 +106,8 @@
 		{nil, orders{line(0, 3, 1)}, "1: z=1 -z; 2: z=1 -z"}, // laid for who is withdrawn already
 		{nil, orders{control.SetEjected{Replica: 1}, line(0, 3, 0), control.RequestAck{Nonce: 6}}, "1: z=0 +x #6; 2: z=0 +x #6"},
 		{nil, orders{control.SetEjected{Replica: 3}, line(0, 3, 2)}, "1: z=2 +z; 2: z=2 +z"},
-		{nil, orders{control.SetAdmission{Table: all, Class: 1, Share: 0.5, Retries: 1}}, "1: order~0.5/1; 2: order~0.5/1"},
-		{nil, orders{control.SetAdmission{Table: 0, Class: 1, Share: 0.7, Retries: 2}}, "1: order~0.5/2; 2: order~0.5/2"},
+		{nil, orders{control.SetAdmission{Table: all, Class: 1, Fraction: 0.5, Retries: 1}}, "1: order~0.5/1; 2: order~0.5/1"},
+		{nil, orders{control.SetAdmission{Table: 0, Class: 1, Fraction: 0.7, Retries: 2}}, "1: order~0.5/2; 2: order~0.5/2"},
 		{nil, orders{control.Bind{Proxy: 4, Table: 1}}, "1: full z=1 order~0.5/1"},
 		{nil, orders{line(0, 2, 0.7), control.RequestAck{Nonce: 7}}, "2: y=0.7 #7"},
 		{[]any{StreamClosed{1}}, orders{line(1, 3, 2)}, ""},
@@ -142,7 +142,7 @@
 
 // The lines the module's channel is charged are those that go out, as long as nothing is said twice.
 func TestLinesAreCountedAsOrdered(t *testing.T) {
-	c, _ := core(orders{line(0, 1, 1), line(0, 2, 1), control.SetAdmission{Table: control.AllTables, Share: 0.5},
+	c, _ := core(orders{line(0, 1, 1), line(0, 2, 1), control.SetAdmission{Table: control.AllTables, Fraction: 0.5},
 		control.SetEjected{Replica: 2, Ejected: true}, control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}},
 		orders{line(0, 1, 2), control.RequestAck{Nonce: 2}})
 	c.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Blank: true}})
@@ -217,7 +217,7 @@
 	if l := c.currentList(); !l.Full || states(l) != "1r3r" {
 		t.Errorf("standing list %+v", l)
 	}
-	if k := c.replicas.known[1].Kind; k != 1 || indexOrLast(c.names.Kinds, "new kind") != 2 {
+	if k := c.replicas.known[1].HardwareClass; k != 1 || indexOrLast(c.names.Kinds, "new kind") != 2 {
 		t.Errorf("kinds %d", k)
 	}
 }
@@ -271,7 +271,7 @@
 		c.Turn(1, []any{list(true)})
 		c.proxies[4].toldEjected[1] = true
 		for k := range others {
-			c.replicas.known[uint32(100+k)] = &replica{name: fmt.Sprint("o", k), Entry: control.Entry{State: control.Gone}}
+			c.replicas.known[uint32(100+k)] = &replica{name: fmt.Sprint("o", k), ListedReplica: control.ListedReplica{State: control.Gone}}
 			c.proxies[4].toldEjected[uint32(100+k)] = true
 		}
 		c.sweep(nameRetention + 2)
@@ -405,7 +405,7 @@
 				case 2:
 					given = append(given, control.SetEjected{Replica: id, Ejected: draw("out", 1) == 0})
 				case 3:
-					given = append(given, control.SetAdmission{Table: []int{0, 1, control.AllTables}[table], Class: draw("group", 1), Share: float64(draw("share", 4)) / 4})
+					given = append(given, control.SetAdmission{Table: []int{0, 1, control.AllTables}[table], Class: draw("group", 1), Fraction: float64(draw("share", 4)) / 4})
 				default:
 					given = append(given, control.RequestAck{Nonce: uint64(now)})
 				}
--- a/internal/controller/crossings_test.go
+++ b/internal/controller/crossings_test.go
@@ -46,13 +46,13 @@
 			notes = append(notes, l)
 		}
 		c.Turn(2, notes)
-		var last control.Entry
+		var last control.ListedReplica
 		for _, e := range s.told {
 			for _, entry := range e.(control.ReplicasListed).Entries {
 				last = entry
 			}
 		}
-		if want := (control.Entry{Replica: 1, Zone: 1, Kind: 1, Weight: 1, Start: 900e9}); last != want || c.replicas.known[1].State != control.Ready {
+		if want := (control.ListedReplica{Replica: 1, Zone: 1, HardwareClass: 1, Weight: 1, Start: 900e9}); last != want || c.replicas.known[1].State != control.Ready {
 			t.Errorf("%s: the module is told %+v last", name, last)
 		}
 	}
--- a/internal/controller/crowd_test.go
+++ b/internal/controller/crowd_test.go
@@ -32,7 +32,7 @@
 	w := newChannelWorld(seed, proxies, replicas, governors, limit, rate, trueLines)
 	w.prompt = true
 	w.provision.Proxies, w.provision.MaxMessages = proxies, 30
-	must := timesOver * float64(proxies) * (float64(w.provision.MessageHead) + mustGo) / float64(rate)
+	must := timesOver * float64(proxies) * (float64(w.provision.MessageOverhead) + mustGo) / float64(rate)
 	w.provision.DrainGrace = max(2*second, int64(must*float64(second)))
 	w.provision.MaxTransit = second / 4
 	c := &crowd{channelWorld: w, told: map[string]int64{}, bare: map[int]int64{}, successor: replicas}
--- a/internal/controller/partial.go
+++ b/internal/controller/partial.go
@@ -22,9 +22,9 @@
 }
 
 // bindPart binds a stream to a part of a table.
-func (c *Core) bindPart(s *stream, order control.BindPart) {
+func (c *Core) bindPart(s *stream, order control.BindSubset) {
 	c.attach(s, order.Table)
-	s.needsFull, s.partOrder, s.restoredCount = true, order.Replicas, order.Restored
+	s.needsFull, s.partOrder, s.restoredCount = true, order.Replicas, order.Unejected
 	s.partial = map[uint32]bool{}
 	for _, id := range order.Replicas {
 		s.partial[id] = true
--- a/internal/controller/reconfigure_test.go
+++ b/internal/controller/reconfigure_test.go
@@ -17,19 +17,19 @@
 
 // group is a traffic group of the world's by its name.
 func group(name string) control.TrafficClass {
-	g := control.TrafficClass{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable}
+	g := control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}
 	switch name {
 	case "order":
-		g.Utility, g.Effect = 3, control.NonRetriable
+		g.PriorityWeight, g.Idempotency = 3, control.NotIdempotent
 	case "browse":
-		g.Utility = 2
+		g.PriorityWeight = 2
 	}
 	return g
 }
 
 // configure has the world's next turn bring settings, by names.
 func (w *channelWorld) configure(number uint64, p control.Settings, names settings.Names) {
-	p.Zones, p.Kinds, p.Classes = len(names.Zones), len(names.Kinds)+1, nil
+	p.Zones, p.HardwareClasses, p.Classes = len(names.Zones), len(names.Kinds)+1, nil
 	for _, name := range names.Classes {
 		p.Classes = append(p.Classes, group(name))
 	}
@@ -56,7 +56,7 @@
 			if draw.Intn(3) == 0 {
 				number++
 				p := original
-				p.Proxies, p.Governors = p.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
+				p.Proxies, p.Controllers = p.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
 				p.DrainGrace, p.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
 				p.ChannelLimit, p.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
 				if w.waits > 0 || len(w.stalled) > 0 { // what waits may be over a bound that has just shrunk
@@ -154,7 +154,7 @@
 		"no zones":            func(_ *control.Settings, names *settings.Names) { names.Zones = nil },
 		"more proxies":        func(p *control.Settings, _ *settings.Names) { p.Proxies *= 10 },
 		"fewer":               func(p *control.Settings, _ *settings.Names) { p.Proxies /= 4 },
-		"shared by governors": func(p *control.Settings, _ *settings.Names) { p.Governors = 4 },
+		"shared by governors": func(p *control.Settings, _ *settings.Names) { p.Controllers = 4 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := calm(t, 60, 36)
--- a/internal/controller/replicaset.go
+++ b/internal/controller/replicaset.go
@@ -29,7 +29,7 @@
 }
 
 type replica struct {
-	control.Entry
+	control.ListedReplica
 	name    string
 	zone    string // as listed
 	kind    string
@@ -51,7 +51,7 @@
 
 // applyList takes in an answer of discovery and returns it as an event, with the entries that were not known before or have
 // started or moved since, and how many of its members could not be used.
-func (c *Core) applyList(l ReplicaList, now int64) (event control.ReplicasListed, fresh []control.Entry, odd int) {
+func (c *Core) applyList(l ReplicaList, now int64) (event control.ReplicasListed, fresh []control.ListedReplica, odd int) {
 	event.Full = l.Complete
 	c.revision = l.Revision
 	c.replicas.listCount++
@@ -65,11 +65,11 @@
 		case m.Unusable:
 			odd++
 		case c.update(r, m, l):
-			fresh = append(fresh, r.Entry)
+			fresh = append(fresh, r.ListedReplica)
 		}
 		r.seen = now
 		r.list = c.replicas.listCount
-		event.Entries = append(event.Entries, r.Entry)
+		event.Entries = append(event.Entries, r.ListedReplica)
 	}
 	if l.Complete {
 		c.replicas.markUnlistedGone()
@@ -101,7 +101,7 @@
 		r.Start = startTime(m.UpSince, l)
 	}
 	r.Zone = indexOrLast(c.names.Zones, m.Zone)
-	r.Kind = indexOrLast(c.names.Kinds, m.Kind)
+	r.HardwareClass = indexOrLast(c.names.Kinds, m.Kind)
 	r.State = m.State
 	r.Weight = m.Weight
 	return another
@@ -119,7 +119,7 @@
 // add gives a new name the next number.
 func (r *replicaSet) add(name string) *replica {
 	r.last++
-	added := &replica{Entry: control.Entry{Replica: r.last}, name: name, upSince: -1}
+	added := &replica{ListedReplica: control.ListedReplica{Replica: r.last}, name: name, upSince: -1}
 	r.numbers[name] = r.last
 	r.known[r.last] = added
 	return added
@@ -139,7 +139,7 @@
 	ev := control.ReplicasListed{Full: true}
 	for _, id := range slices.Sorted(maps.Keys(c.replicas.known)) {
 		if r := c.replicas.known[id]; r.State != control.Gone {
-			ev.Entries = append(ev.Entries, r.Entry)
+			ev.Entries = append(ev.Entries, r.ListedReplica)
 		}
 	}
 	return ev
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -42,7 +42,7 @@
 }
 
 // restoredReplicas tells what is known of the replicas of a list.
-func (c *Core) restoredReplicas(past *learnedstate.Past, entries []control.Entry, now int64) (all []control.Event) {
+func (c *Core) restoredReplicas(past *learnedstate.Past, entries []control.ListedReplica, now int64) (all []control.Event) {
 	if past == nil {
 		return nil
 	}
@@ -57,7 +57,7 @@
 		}
 		c.Counters.Restored++
 		all = append(all, control.ReplicaRestored{Weight: weight, Age: age, LearnedReplica: control.LearnedReplica{Replica: e.Replica, Table: r.Table,
-			Ticket: r.Ticket, Speed: r.Speed, SampleCount: r.SampleCount, EjectedFor: r.EjectedFor, Probation: r.Probation, Ejections: r.Ejections, SinceLastSample: r.SinceLastSample}})
+			PlacementKey: r.Ticket, Speed: r.Speed, SampleCount: r.SampleCount, EjectedFor: r.EjectedFor, Probation: r.Probation, Ejections: r.Ejections, SinceLastSample: r.SinceLastSample}})
 	}
 	return all
 }
@@ -68,15 +68,15 @@
 		return nil
 	}
 	f := control.LearnedFleet{Tables: past.Tables, Bindings: past.Bindings, AdmissionThreshold: past.AdmissionThreshold, MaxSuccessRate: past.MaxSuccessRate, RetriesStopped: past.RetriesStopped,
-		UsualResponseTimes: make([][]float64, c.kinds+1)}
+		BaselineResponseTimes: make([][]float64, c.kinds+1)}
 	for _, calm := range past.UsualResponses {
 		if k := c.kindIndex(calm.Kind); k >= 0 {
-			f.UsualResponseTimes[k] = calm.Times
+			f.BaselineResponseTimes[k] = calm.Times
 		}
 	}
 	for _, u := range past.Usage {
 		if g := slices.Index(c.names.Classes, u.Class); g >= 0 {
-			f.Usage = append(f.Usage, control.ClassRate{Proxy: u.Proxy, Class: g, Rate: u.Rate})
+			f.RequestRates = append(f.RequestRates, control.ClassRate{Proxy: u.Proxy, Class: g, Rate: u.Rate})
 		}
 	}
 	return []control.Event{control.FleetRestored{LearnedFleet: f, Weight: past.Weight(now)}}
@@ -101,18 +101,18 @@
 			continue
 		}
 		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: r.name, Zone: r.zone, Kind: r.kind, UpSince: r.upSince, State: r.State,
-			Weight: r.Weight, Speed: k.Speed, SampleCount: k.SampleCount, Ticket: k.Ticket, Table: k.Table, EjectedFor: k.EjectedFor, Probation: k.Probation,
+			Weight: r.Weight, Speed: k.Speed, SampleCount: k.SampleCount, Ticket: k.PlacementKey, Table: k.Table, EjectedFor: k.EjectedFor, Probation: k.Probation,
 			Ejections: k.Ejections, SinceLastSample: k.SinceLastSample})
 	}
 	slices.SortFunc(m.Replicas, func(a, b learnedstate.Replica) int { return strings.Compare(a.ID, b.ID) })
-	for k, answers := range l.UsualResponseTimes {
+	for k, answers := range l.BaselineResponseTimes {
 		if len(answers) > 0 && k == c.kinds {
 			m.UsualResponses = append(m.UsualResponses, learnedstate.KindResponses{Times: answers})
 		} else if len(answers) > 0 && k < len(c.names.Kinds) {
 			m.UsualResponses = append(m.UsualResponses, learnedstate.KindResponses{Kind: c.names.Kinds[k], Times: answers})
 		}
 	}
-	for _, u := range l.Usage {
+	for _, u := range l.RequestRates {
 		if u.Class >= 0 && u.Class < len(c.names.Classes) {
 			m.Usage = append(m.Usage, learnedstate.Usage{Proxy: u.Proxy, Class: c.names.Classes[u.Class], Rate: u.Rate})
 		}
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -16,7 +16,7 @@
 
 func learned(speed float64) orders {
 	return orders{control.Snapshot{Replicas: []control.LearnedReplica{{Replica: 1, Speed: speed, SampleCount: 3}, {Replica: 99, Speed: 1}},
-		LearnedFleet: control.LearnedFleet{UsualResponseTimes: [][]float64{nil, {0.3}, {7}, {0.4}}, Usage: []control.ClassRate{{Proxy: 4, Class: 1, Rate: 2}, {Proxy: 4, Class: 7}}, AdmissionThreshold: 1}}}
+		LearnedFleet: control.LearnedFleet{BaselineResponseTimes: [][]float64{nil, {0.3}, {7}, {0.4}}, RequestRates: []control.ClassRate{{Proxy: 4, Class: 1, Rate: 2}, {Proxy: 4, Class: 7}}, AdmissionThreshold: 1}}}
 }
 
 func remembering(turns ...[]control.Command) (*Core, *script) {
@@ -43,7 +43,7 @@
 	c.Turn(100e9, []any{SnapshotRestored{past(100e9, defaultHalfLife, x)}, list(true, "yr")})
 	all, fleet := recalledIn(s.told)
 	if _, first := s.told[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
-		!reflect.DeepEqual(fleet[0].UsualResponseTimes, [][]float64{nil, {0.1}, nil, {0.2}}) || !reflect.DeepEqual(fleet[0].Usage, []control.ClassRate{{Proxy: 4, Class: 1, Rate: 3}}) {
+		!reflect.DeepEqual(fleet[0].BaselineResponseTimes, [][]float64{nil, {0.1}, nil, {0.2}}) || !reflect.DeepEqual(fleet[0].RequestRates, []control.ClassRate{{Proxy: 4, Class: 1, Rate: 3}}) {
 		t.Errorf("told %+v", s.told)
 	}
 	c.Turn(100e9+defaultHalfLife, []any{list(false, "xr")}) // ages meanwhile
--- a/internal/controller/topology.go
+++ b/internal/controller/topology.go
@@ -32,16 +32,16 @@
 	silenceTimeout  int64 // in which who owes an answer gives it, unless it has vanished
 	bounds          sendbudget.Bounds
 
-	admission      control.Admission
+	admission      control.AdmissionMode
 	defaultRetries control.RetryPolicy // what proxies do by themselves
 	former         []string            // zones that have left the settings while the governor runs
 }
 
 // NewTopology makes a topology of what the settings name.
 func NewTopology(names settings.Names, p control.Settings) Topology {
-	c := Topology{names: names, proxies: p.Proxies, kinds: p.Kinds, drainGrace: p.DrainGrace,
+	c := Topology{names: names, proxies: p.Proxies, kinds: p.HardwareClasses, drainGrace: p.DrainGrace,
 		maxPeriod: max(maxReportPeriod, maxReportIntervals*p.ReportInterval), bounds: sendbudget.Bounds{Lines: p.ChannelLimit, Rate: p.ChannelRate,
-			Head: p.MessageHead, Messages: p.MaxMessages, Span: p.MessageWindow, Transit: p.MaxTransit, Grace: p.DrainGrace},
+			Head: p.MessageOverhead, Messages: p.MaxMessages, Span: p.MessageWindow, Transit: p.MaxTransit, Grace: p.DrainGrace},
 		admission: p.Admission, defaultRetries: p.DefaultRetries}
 	c.silenceTimeout = minSilenceTimeout
 	if p.ChannelRate > 0 { // told as left sooner, all of a fleet would join anew by a channel that is full, and fill it again
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -66,7 +66,7 @@
 	w.provision.Classes = nil
 	for k := range shape.classes {
 		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
-		w.provision.Classes = append(w.provision.Classes, control.TrafficClass{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable})
+		w.provision.Classes = append(w.provision.Classes, control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent})
 	}
 	w.core = controller.New(func() controller.Module { return policy.New(w.provision) }, controller.NewTopology(w.settingNames(), w.provision))
 	for k := range w.proxies {
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -40,8 +40,8 @@
 type Plan struct {
 	Seed      uint64
 	Groups    []Group
-	Pick      control.Pick
-	Admission control.Admission
+	Pick      control.PickPolicy
+	Admission control.AdmissionMode
 	TryFactor float64             // latency budgets that a try waits where a further one may follow
 	Usual     control.RetryPolicy // the manner while no level was pushed
 
--- a/internal/dispatch/flow.go
+++ b/internal/dispatch/flow.go
@@ -144,7 +144,7 @@
 	f.tries, f.current = append(f.tries, try{id, l.Zone, l.Cell, now}), id
 	until := f.came + d.plan.Groups[f.group].Timeout
 	if d.mayRepeat(f, Late) { // a further one must have time left
-		span := int64(d.plan.TryFactor * float64(d.plan.Groups[f.group].LatencyBudget))
+		span := int64(d.plan.TryFactor * float64(d.plan.Groups[f.group].LatencyObjective))
 		until = min(until, now+span)
 	}
 	return Step{Try: id, Address: l.Address, Until: until}
@@ -175,7 +175,7 @@
 	case control.RetryTwice:
 		more = 2
 	}
-	return (f.replay || ended == NeverRan && !f.spent) && len(f.tries) <= more && (ended == NeverRan || g.Effect != control.NonRetriable)
+	return (f.replay || ended == NeverRan && !f.spent) && len(f.tries) <= more && (ended == NeverRan || g.Idempotency != control.NotIdempotent)
 }
 
 // Ended tells how the try ended, and says what is next.
@@ -192,7 +192,7 @@
 	case now >= expiry:
 		return d.drop(f, Expired)
 	case !d.mayRepeat(f, ended):
-		if ended != NeverRan && g.Effect != control.Retriable {
+		if ended != NeverRan && g.Idempotency != control.Idempotent {
 			return d.drop(f, Unclear)
 		}
 		return d.drop(f, Failed)
@@ -219,16 +219,16 @@
 func (d *Desk) scope(now int64, f *Flow, ended Outcome) (allowed func(Listed) bool, inTime bool) {
 	g := d.plan.Groups[f.group]
 	ran := slices.IndexFunc(f.tries, func(t try) bool { return !t.never() })
-	if g.Effect != control.Deduplicated || ran < 0 {
+	if g.Idempotency != control.IdempotentByKey || ran < 0 {
 		return nil, true
 	}
 	first := f.tries[ran]
 	expiry := f.came + g.Timeout
-	if min(expiry, now+int64(d.plan.TryFactor*float64(g.LatencyBudget)))-first.began >= g.DeduplicationWindow {
+	if min(expiry, now+int64(d.plan.TryFactor*float64(g.LatencyObjective)))-first.began >= g.DeduplicationWindow {
 		return nil, false
 	}
 	return func(l Listed) bool {
-		switch g.Scope {
+		switch g.DeduplicationScope {
 		case control.ScopeAll:
 			return true
 		case control.ScopeZone:
@@ -287,7 +287,7 @@
 
 func (d *Desk) deliver(now int64, f *Flow) Step {
 	d.leave(f)
-	if d.Count.Delivered++; now-f.came > d.plan.Groups[f.group].LatencyBudget {
+	if d.Count.Delivered++; now-f.came > d.plan.Groups[f.group].LatencyObjective {
 		d.Count.Late++
 	}
 	return Step{Final: true, Good: true}
--- a/internal/dispatch/flow_test.go
+++ b/internal/dispatch/flow_test.go
@@ -16,10 +16,10 @@
 
 func plan() Plan {
 	return Plan{Seed: 3, TryFactor: 1, Usual: control.RetryIfNotExecuted, Strikes: 3, Shun: 5 * second, RepeatShare: 0.5, RepeatBurst: 10,
-		Flows: 4, ReplicaFlows: 2, WaitMost: 1, WaitSpan: second, Admission: control.AdmitShare, Groups: []Group{
-			{"read", control.TrafficClass{LatencyBudget: second, Timeout: 4 * second, Effect: control.Retriable}},
-			{"order", control.TrafficClass{LatencyBudget: second, Timeout: 4 * second, Effect: control.Deduplicated, Scope: control.ScopeZone, DeduplicationWindow: 5 * second / 2}},
-			{"payout", control.TrafficClass{LatencyBudget: second, Timeout: 4 * second, Effect: control.NonRetriable}}}}
+		Flows: 4, ReplicaFlows: 2, WaitMost: 1, WaitSpan: second, Admission: control.AdmitFraction, Groups: []Group{
+			{"read", control.TrafficClass{LatencyObjective: second, Timeout: 4 * second, Idempotency: control.Idempotent}},
+			{"order", control.TrafficClass{LatencyObjective: second, Timeout: 4 * second, Idempotency: control.IdempotentByKey, DeduplicationScope: control.ScopeZone, DeduplicationWindow: 5 * second / 2}},
+			{"payout", control.TrafficClass{LatencyObjective: second, Timeout: 4 * second, Idempotency: control.NotIdempotent}}}}
 }
 
 // desk has four replicas, a1 and a2 in zone a, b1 and b2 in zone b, all with a line of each group.
@@ -337,7 +337,7 @@
 }
 
 func TestPicksFollowWeights(t *testing.T) {
-	for _, pick := range []control.Pick{control.PickRandom, control.PickRoundRobin, control.PickLessLoaded} {
+	for _, pick := range []control.PickPolicy{control.PickRandom, control.PickRoundRobin, control.PickPowerOfTwo} {
 		d := desk(t, func(p *Plan) { p.Pick, p.Flows = pick, 1 }, Push{Lines: map[string]float64{"a1": 6, "a2": 3, "b1": 1, "b2": 0}})
 		got := map[string]int{}
 		for range 1000 {
@@ -379,11 +379,11 @@
 					may = append(may, a)
 				}
 			}
-			if group.Effect == control.NonRetriable && len(may) > 1 {
+			if group.Idempotency == control.NotIdempotent && len(may) > 1 {
 				t.Fatalf("a payout may have run at %v", may)
 			}
 			for _, a := range may[min(1, len(may)):] {
-				if group.Effect == control.Deduplicated && (a.zone != may[0].zone || a.began-may[0].began >= group.DeduplicationWindow) {
+				if group.Idempotency == control.IdempotentByKey && (a.zone != may[0].zone || a.began-may[0].began >= group.DeduplicationWindow) {
 					t.Fatalf("an order may have run at %v", may)
 				}
 			}
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -24,7 +24,7 @@
 // before or full. Avoided ones are taken before none at all, as a guess of ours is worth less than the governor's word;
 // shut out, draining and unknown ones never are. The second result says why there is none.
 func (d *Desk) choose(now int64, f *Flow, allowed func(Listed) bool) (id string, why Reason) {
-	t, budget := &d.tables[f.group], d.plan.Groups[f.group].LatencyBudget
+	t, budget := &d.tables[f.group], d.plan.Groups[f.group].LatencyObjective
 	why = NoReplica
 	var last []open
 	for _, avoided := range []bool{false, true} {
@@ -60,7 +60,7 @@
 	switch d.plan.Pick {
 	case control.PickRoundRobin:
 		return rotate(from)
-	case control.PickLessLoaded:
+	case control.PickPowerOfTwo:
 		a, b := d.byChance(from), d.byChance(from)
 		if b.replica.flows < a.replica.flows {
 			return b
--- a/internal/sidecar/manifest.go
+++ b/internal/sidecar/manifest.go
@@ -36,10 +36,10 @@
 }
 
 var (
-	effects    = map[string]control.Effect{"retriable": control.Retriable, "deduped": control.Deduplicated, "non-retriable": control.NonRetriable}
-	scopes     = map[string]control.Scope{"cell": control.ScopeCell, "zone": control.ScopeZone, "all": control.ScopeAll}
-	picks      = map[string]control.Pick{"chance": control.PickRandom, "round": control.PickRoundRobin, "idler": control.PickLessLoaded}
-	admissions = map[string]control.Admission{"all": control.AdmitAll, "share": control.AdmitShare, "rate": control.AdmitRate}
+	effects    = map[string]control.Idempotency{"retriable": control.Idempotent, "deduped": control.IdempotentByKey, "non-retriable": control.NotIdempotent}
+	scopes     = map[string]control.DeduplicationScope{"cell": control.ScopeCell, "zone": control.ScopeZone, "all": control.ScopeAll}
+	picks      = map[string]control.PickPolicy{"chance": control.PickRandom, "round": control.PickRoundRobin, "idler": control.PickPowerOfTwo}
+	admissions = map[string]control.AdmissionMode{"all": control.AdmitAll, "share": control.AdmitFraction, "rate": control.AdmitRate}
 	retries    = map[string]control.RetryPolicy{"once": control.NoRetry, "never-ran": control.RetryIfNotExecuted, "again": control.RetryOnce, "twice-more": control.RetryTwice}
 )
 
@@ -60,7 +60,7 @@
 	}
 	m := Manifest{File: file, Connections: 64, IdleConns: 16, IdleSpan: 30 * time.Second, ReplicaStall: 30 * time.Second, Report: time.Second,
 		Bounds: ingress.Bounds{Connections: 10000, Idle: time.Minute, Head: 10 * time.Second, Stall: 10 * time.Second, Streams: 100, Drain: 10 * time.Second},
-		Plan: dispatch.Plan{Pick: control.PickRandom, Admission: control.AdmitShare, TryFactor: 1, Usual: control.RetryIfNotExecuted, Strikes: 5, Shun: 4e9,
+		Plan: dispatch.Plan{Pick: control.PickRandom, Admission: control.AdmitFraction, TryFactor: 1, Usual: control.RetryIfNotExecuted, Strikes: 5, Shun: 4e9,
 			RepeatShare: 0.1, RepeatBurst: 10, Flows: 1000, WaitMost: 200, WaitSpan: 5e8}}
 	m.identity(top)
 	m.groups(top)
@@ -81,8 +81,8 @@
 		g := dispatch.Group{}
 		var budget, expiry, window time.Duration
 		s.Text("name", &g.Name)
-		strictyaml.Choice(s, "effect", &g.Effect, effects)
-		strictyaml.Choice(s, "scope", &g.Scope, scopes)
+		strictyaml.Choice(s, "effect", &g.Idempotency, effects)
+		strictyaml.Choice(s, "scope", &g.DeduplicationScope, scopes)
 		s.Duration("window", &window, time.Millisecond, 24*time.Hour)
 		s.Duration("latency_budget", &budget, time.Millisecond, time.Hour)
 		s.Duration("expiry", &expiry, time.Millisecond, time.Hour)
@@ -91,7 +91,7 @@
 				s.Fault("", "lacks %s", key)
 			}
 		}
-		deduped := g.Effect == control.Deduplicated && s.Has("effect")
+		deduped := g.Idempotency == control.IdempotentByKey && s.Has("effect")
 		switch {
 		case slices.ContainsFunc(m.Plan.Groups, func(o dispatch.Group) bool { return o.Name == g.Name }):
 			s.Fault("name", "is %q, as an earlier group is", g.Name)
@@ -104,7 +104,7 @@
 		case !deduped && (s.Has("window") || s.Has("scope")) && s.Has("effect"):
 			s.Fault("effect", "has no scope and window unless it is deduped")
 		}
-		g.LatencyBudget, g.Timeout, g.DeduplicationWindow = budget.Nanoseconds(), expiry.Nanoseconds(), window.Nanoseconds()
+		g.LatencyObjective, g.Timeout, g.DeduplicationWindow = budget.Nanoseconds(), expiry.Nanoseconds(), window.Nanoseconds()
 		m.Plan.Groups = append(m.Plan.Groups, g)
 		s.Done()
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -58,7 +58,7 @@
 	var once []bool
 	var names []string
 	for _, g := range m.Plan.Groups {
-		once, names = append(once, g.Effect == control.NonRetriable), append(names, g.Name)
+		once, names = append(once, g.Idempotency == control.NotIdempotent), append(names, g.Name)
 	}
 	s.relay = proxy.New(desk, s.pool, s.now, m.Refusals, once)
 	s.relay.Panics = func(text string) {
--- a/internal/simwire/codec.go
+++ b/internal/simwire/codec.go
@@ -201,7 +201,7 @@
 	case codeReminder:
 		rec.Event = control.TimerFired{Timer: c.u64()}
 	case codeStatusBack:
-		p := control.ProbeFinished{Replica: c.u32(), Succeeded: c.u16() == 1, Delay: c.ms()}
+		p := control.HealthCheckFinished{Replica: c.u32(), Succeeded: c.u16() == 1, Delay: c.ms()}
 		if _, err := report(c); err != nil {
 			return rec, err
 		}
@@ -230,8 +230,8 @@
 	}
 	ev := control.ReplicasListed{Full: mode != backendsDelta, Failed: mode == backendsFailed}
 	for ; n > 0; n-- {
-		var e control.Entry
-		e.Replica, e.Zone, e.Kind = c.u32(), int(c.u8()), int(c.u8())
+		var e control.ListedReplica
+		e.Replica, e.Zone, e.HardwareClass = c.u32(), int(c.u8()), int(c.u8())
 		c.u16() // its cell
 		switch c.u8() {
 		case 0:
@@ -309,13 +309,13 @@
 		at = begin(outValve)
 		r.u16(o.Table)
 		r.u16(1 << o.Class)
-		r.f32(o.Share)
+		r.f32(o.Fraction)
 		r.u8(uint8(o.Retries))
 	case control.RequestAck:
 		at = begin(outBarrier)
 		r.flag(false)
 		r.u64(o.Nonce)
-	case control.Probe:
+	case control.HealthCheck:
 		at = begin(outHealthCheck)
 		r.u32(o.Replica)
 	case control.SetTimer:
--- a/policy/brain.go
+++ b/policy/brain.go
@@ -62,7 +62,7 @@
 
 func (r *replica) take(n any) {
 	switch n := n.(type) {
-	case control.Entry:
+	case control.ListedReplica:
 		if n.Start != r.entry.Start && n.State == control.Ready {
 			r.met, r.ejectedUntil, r.trial, r.ejections, r.heard, r.confidence, r.sampleCount, r.penalty = nil, 0, 0, 0, r.now, 0, 0, 0
 		}
@@ -89,7 +89,7 @@
 // recall believes what an earlier governor knew as far as its age leaves it; first sums overrule its speed.
 // The sick are on trial with little weight: withdrawn, they harm for longer where they have healed.
 func (r *replica) recall(n control.ReplicaRestored) {
-	r.ticket, r.sampleCount, r.lastSample = cmp.Or(n.Ticket, r.ticket), n.Weight*n.SampleCount, r.now-n.Age
+	r.ticket, r.sampleCount, r.lastSample = cmp.Or(n.PlacementKey, r.ticket), n.Weight*n.SampleCount, r.now-n.Age
 	r.prior, r.confidence = math.Pow(n.Speed, n.Weight), n.Weight*math.Min(n.SampleCount, confidenceMost)
 	r.speed, r.fleet.goal = r.prior, r.prior
 	r.ejections = int(math.Round(n.Weight * float64(n.Ejections)))
@@ -132,7 +132,7 @@
 	if r.ejectedUntil > 0 {
 		return 0
 	}
-	return r.SlowStartShare + (1-r.SlowStartShare)*float64(max(0, r.now-r.entry.Start))/float64(max(1, r.SlowStartTime))
+	return r.SlowStartFraction + (1-r.SlowStartFraction)*float64(max(0, r.now-r.entry.Start))/float64(max(1, r.SlowStartTime))
 }
 
 // warmth is the part of its usual work a replica that started not long ago is given: a third of what makes it
@@ -170,7 +170,7 @@
 		p.laid[n.Replica] = n.Table
 	case control.FleetRestored:
 		p.before = n.Tables
-		for kind, calm := range n.UsualResponseTimes {
+		for kind, calm := range n.BaselineResponseTimes {
 			if left := int(math.Round(n.Weight * float64(len(calm)))); left > 0 {
 				p.calm[kind] = slices.Clone(calm[len(calm)-left:])
 			}
@@ -191,7 +191,7 @@
 // slow, else the flows it could answer: what it answers, by how busy its answer time of that moment shows it.
 func (p *planner) norms() {
 	type sum struct{ good, answer, count, able float64 }
-	kinds, sizes, ids, all := map[int]sum{}, map[float64]bool{}, sorted(p.offers), p.Kinds
+	kinds, sizes, ids, all := map[int]sum{}, map[float64]bool{}, sorted(p.offers), p.HardwareClasses
 	shares, bears, told := []float64{}, 0.0, 1e-9                                      // missed of each; what the cold could bear, and all tries
 	missed, tries, serves, quick, gave, warm := 0.0, 0.0, 0.0, math.Inf(1), 1e-9, 1e-9 // good of the warm
 	for _, calm := range p.calm {
@@ -203,7 +203,7 @@
 	idle := idleLast + (idleFirst-idleLast)*math.Max(0, 1-float64(len(p.calm[all]))/firstSamples)
 	able := func(o offer) float64 {
 		base := math.Min(o.answer, quick*kindSpread)
-		if calm := p.calm[o.Kind]; len(calm) > 0 {
+		if calm := p.calm[o.HardwareClass]; len(calm) > 0 {
 			base = math.Min(base, slices.Min(calm))
 		}
 		busy := 1 - idle*base/o.answer + drain*math.Min(drainMost, o.answer/base-1) // a full queue has to drain
@@ -220,7 +220,7 @@
 			missed, tries, serves = missed+o.bad, tries+o.tries, serves+1
 			shares = append(shares, o.bad/math.Max(1, o.tries))
 		}
-		for _, kind := range []int{o.Kind, all} {
+		for _, kind := range []int{o.HardwareClass, all} {
 			if k, good := kinds[kind], o.tries-o.bad; well(o) {
 				kinds[kind] = sum{k.good + good, k.answer + o.answer*good, k.count + 1, k.able + able(o)}
 			}
@@ -238,7 +238,7 @@
 	p.spared = bears >= told/gave*warm && max(bad, p.demand.lost) > coldLost
 	for _, id := range ids {
 		o := p.offers[id]
-		k := kinds[o.Kind]
+		k := kinds[o.HardwareClass]
 		n := norm{math.Inf(1), k.good / math.Max(1, k.count), 1, bad, 0}
 		// Cold ones who together could bear all that is tried hear of no loss: the warm would drown. All or none:
 		// those of one table would be guests of every other, and get what comes to the cold that are kept out.
@@ -280,7 +280,7 @@
 	ids := sorted(p.offers)
 	tickets := func(a, b uint32) int { return cmp.Compare(p.offers[b].ticket, p.offers[a].ticket) }
 	slices.SortStableFunc(ids, func(a, b uint32) int { // each kind is dealt round the tables
-		return cmp.Or(cmp.Compare(p.offers[a].Kind, p.offers[b].Kind), tickets(a, b))
+		return cmp.Or(cmp.Compare(p.offers[a].HardwareClass, p.offers[b].HardwareClass), tickets(a, b))
 	})
 	if p.deal(ids); p.tables == 0 {
 		return
@@ -307,7 +307,7 @@
 		all += home[table]
 	}
 	for _, c := range p.crowd {
-		if 2*len(p.crowd)*p.Governors >= p.Proxies { // the first to join do not tell of all
+		if 2*len(p.crowd)*p.Controllers >= p.Proxies { // the first to join do not tell of all
 			// Flows move from zone to zone: what came lately counts, more and more.
 			span := math.Min(float64(p.now-c.since), float64(demandSpan)) / float64(second)
 			rate := (c.Rate*priorSpan + p.demand.flows[c.Proxy]) / (priorSpan + span)
@@ -315,7 +315,7 @@
 		}
 	}
 	spare := map[uint32]float64{} // what its own table does not need of each
-	size := max(3, p.ChannelLimit/2*max(1, p.Governors)/max(1, p.Proxies)-p.MessageHead-2)
+	size := max(3, p.ChannelLimit/2*max(1, p.Controllers)/max(1, p.Proxies)-p.MessageOverhead-2)
 	seats, drawn := make([]int, tables), make([]int, tables) // who serves its proxies; its lines
 	lay := func(table int, id uint32, part float64) {
 		w := part * p.offers[id].weight
@@ -364,7 +364,7 @@
 // deal gives each new replica to one table of its zone for good, the one whose own are fewest by listed
 // weight. A zone is split over several tables while each keeps lines enough.
 func (p *planner) deal(ids []uint32) {
-	most := max(1, (p.Proxies/max(1, p.Governors)-1)/proxiesTable)
+	most := max(1, (p.Proxies/max(1, p.Controllers)-1)/proxiesTable)
 	if row := p.rows(most); p.tables == 0 && len(ids) > 0 {
 		p.tables = row * max(1, min(most/row, int(math.Round(float64(len(ids)/row)/linesTable))))
 	}
@@ -478,8 +478,8 @@
 // usual is what proxies do by themselves after a failure, or less where a try that may have run could then be
 // repeated with an effect: only what may run again, or is deduped everywhere for twice as long, is safe.
 func (l *levels) usual(g control.TrafficClass) control.RetryPolicy {
-	last := 2 * l.AttemptTimeoutFactor * float64(g.LatencyBudget) * float64(l.DefaultRetries-control.RetryIfNotExecuted)
-	if g.Effect == control.Retriable || g.Scope == control.ScopeAll && last < float64(g.DeduplicationWindow) {
+	last := 2 * l.AttemptTimeoutFactor * float64(g.LatencyObjective) * float64(l.DefaultRetries-control.RetryIfNotExecuted)
+	if g.Idempotency == control.Idempotent || g.DeduplicationScope == control.ScopeAll && last < float64(g.DeduplicationWindow) {
 		return l.DefaultRetries
 	}
 	return min(l.DefaultRetries, control.RetryIfNotExecuted)
@@ -496,7 +496,7 @@
 		flows, by, fresh, all, missed := l.sums()
 		if l.now-l.since < recent { // the first sums tell of few of the flows
 			were := map[int]float64{}
-			for _, u := range l.past.Usage {
+			for _, u := range l.past.RequestRates {
 				were[u.Class] += u.Rate * l.past.Weight
 			}
 			for g, rate := range were {
@@ -511,7 +511,7 @@
 func (l *levels) ranked() []int {
 	return slices.SortedStableFunc(numbers(len(l.Classes)), func(a, b int) int {
 		x, y := l.Classes[a], l.Classes[b]
-		return cmp.Or(cmp.Compare(y.Utility, x.Utility), cmp.Compare(x.LatencyBudget, y.LatencyBudget))
+		return cmp.Or(cmp.Compare(y.PriorityWeight, x.PriorityWeight), cmp.Compare(x.LatencyObjective, y.LatencyObjective))
 	})
 }
 
@@ -522,12 +522,12 @@
 		l.groups = l.ranked()
 		l.line = float64(len(l.groups)) * (1 - l.past.Weight*(1-l.past.AdmissionThreshold))
 	}
-	press := f.answer * float64(second) / strained / float64(l.Classes[l.groups[0]].LatencyBudget)
+	press := f.answer * float64(second) / strained / float64(l.Classes[l.groups[0]].LatencyObjective)
 	if f.answer > lateMost*f.calm { // else misses are connections refused, silence, errors: no overload
 		press = math.Max(press, f.most/missedMost)
 	}
 	answers := f.tries * (1 - f.bad) * float64(recent) / float64(second) // too few tell of no queue
-	over := press > 1 && answers >= sickTries && l.Admission == control.AdmitShare
+	over := press > 1 && answers >= sickTries && l.Admission == control.AdmitFraction
 	// Full queues hold work whose clients have left, and only fewer tries let them drain.
 	if once := f.bad > missedOnce || l.once && f.bad > missedOnce/2; once != l.once && l.now-l.turned > recent {
 		l.once, l.turned = once, l.now
@@ -564,7 +564,7 @@
 	}
 	for rank, g := range l.groups { // those over the line get all, those under it what is left
 		share := math.Min(1, math.Max(0, math.Ceil(shareSteps*(l.line-float64(rank)))/shareSteps))
-		o := control.SetAdmission{Table: control.AllTables, Class: g, Share: share, Retries: l.usual(l.Classes[g])}
+		o := control.SetAdmission{Table: control.AllTables, Class: g, Fraction: share, Retries: l.usual(l.Classes[g])}
 		if l.once {
 			o.Retries = control.NoRetry
 		}
@@ -677,7 +677,9 @@
 	switch n := n.(type) {
 	case control.SetEjected:
 		p.urgent = slices.Insert(p.urgent, 0, control.Command(n))
-	case control.Bind, control.SetAdmission:
+	case control.Bind:
+		p.urgent = append(p.urgent, n)
+	case control.SetAdmission:
 		p.urgent = append(p.urgent, n)
 	case control.StreamOpened:
 		p.join(n) // its cap knows nothing of streams
@@ -714,7 +716,7 @@
 			return !joined
 		}
 		p.bind(o.Proxy, o.Table)
-	case control.BindPart:
+	case control.BindSubset:
 		p.bindPart(o)
 	case control.SetEndpoint:
 		p.lay(o)
@@ -743,11 +745,11 @@
 // alike and go where least is sent: all together load a table evenly, but for the cold while the warm are half of it.
 func (p *pacer) part(b control.Bind) control.Command {
 	_, whole := p.reach(b)
-	d := p.deal(b.Table, max(firstLeast, int(p.each)-p.MessageHead-2-len(p.leveled)-firstLeast))
-	if len(d.parts) == 0 || p.each > float64(whole+p.MessageHead+1) {
+	d := p.deal(b.Table, max(firstLeast, int(p.each)-p.MessageOverhead-2-len(p.leveled)-firstLeast))
+	if len(d.parts) == 0 || p.each > float64(whole+p.MessageOverhead+1) {
 		return b
 	}
-	return control.BindPart{Proxy: b.Proxy, Table: b.Table, Replicas: d.next(p.rate(b.Proxy)), Restored: firstLeast}
+	return control.BindSubset{Proxy: b.Proxy, Table: b.Table, Replicas: d.next(p.rate(b.Proxy)), Unejected: firstLeast}
 }
 
 // sendStep writes what the open step has to send. Late answers tell of a slow channel: withdrawals must not wait behind
--- a/policy/brain_test.go
+++ b/policy/brain_test.go
@@ -10,13 +10,13 @@
 )
 
 func provision() control.Settings {
-	return control.Settings{Seed: 7, Governors: 1, Zones: 2, Kinds: 1, Proxies: 6, ChannelRate: 1000,
-		ChannelLimit: 400, MessageHead: 4, MaxTransit: second / 2, MessageWindow: 10 * second, ReportInterval: second,
-		SlowStartTime: 10 * second, SlowStartShare: 0.2, OverloadMultiple: 4, Admission: control.AdmitShare,
+	return control.Settings{Seed: 7, Controllers: 1, Zones: 2, HardwareClasses: 1, Proxies: 6, ChannelRate: 1000,
+		ChannelLimit: 400, MessageOverhead: 4, MaxTransit: second / 2, MessageWindow: 10 * second, ReportInterval: second,
+		SlowStartTime: 10 * second, SlowStartFraction: 0.2, OverloadMultiple: 4, Admission: control.AdmitFraction,
 		DefaultRetries: control.RetryIfNotExecuted,
 		Classes: []control.TrafficClass{
-			{Utility: 1, LatencyBudget: second, Effect: control.Retriable},
-			{Utility: 3, LatencyBudget: second, Effect: control.NonRetriable}}}
+			{PriorityWeight: 1, LatencyObjective: second, Idempotency: control.Idempotent},
+			{PriorityWeight: 3, LatencyObjective: second, Idempotency: control.NotIdempotent}}}
 }
 
 // at gives a governor whose clock stands there; its parts are the queues' parts.
@@ -26,10 +26,10 @@
 	return g
 }
 
-func entries(n int) []control.Entry {
-	var es []control.Entry
+func entries(n int) []control.ListedReplica {
+	var es []control.ListedReplica
 	for id := 1; id <= n; id++ {
-		es = append(es, control.Entry{Replica: uint32(id), Zone: id % 2, Weight: 1})
+		es = append(es, control.ListedReplica{Replica: uint32(id), Zone: id % 2, Weight: 1})
 	}
 	return es
 }
@@ -56,7 +56,7 @@
 }
 
 func met(g *Governor, tries, bad, answer float64) *replica {
-	r := &replica{sharedState: &g.sharedState, box: parts, entry: control.Entry{Replica: 9, Weight: 1}, speed: 1}
+	r := &replica{sharedState: &g.sharedState, box: parts, entry: control.ListedReplica{Replica: 9, Weight: 1}, speed: 1}
 	r.fleet = norm{late: 0.4, good: 20, goal: 1}
 	r.met = []sample{{g.now, tries, bad, answer}}
 	return r
@@ -114,7 +114,7 @@
 	r := met(at(100*second), 0, 0, 0)
 	r.entry.Start, r.heard = r.now-second, r.now
 	for ; r.now < r.entry.Start+r.SlowStartTime; r.now += second {
-		able := r.SlowStartShare + (1-r.SlowStartShare)*float64(r.now-r.entry.Start)/float64(r.SlowStartTime)
+		able := r.SlowStartFraction + (1-r.SlowStartFraction)*float64(r.now-r.entry.Start)/float64(r.SlowStartTime)
 		if w := r.warmth(); w > coldSpare*r.OverloadMultiple*able || r.now-r.heard < entrySpan && w > entryShare {
 			t.Errorf("at age %d: weight %v with %v able", r.now-r.entry.Start, w, able)
 		}
@@ -177,7 +177,7 @@
 func TestColdWaitsForTheFirstWordOfTheFleet(t *testing.T) {
 	g := at(100 * second)
 	r := &replica{sharedState: &g.sharedState, box: parts, speed: 1}
-	r.take(control.Entry{Replica: 9, Weight: 1, Start: 99 * second})
+	r.take(control.ListedReplica{Replica: 9, Weight: 1, Start: 99 * second})
 	want(t, "out", mail[offer](g, thePlanner)[0].sick, true)
 	r.take(norm{goal: 1})
 	want(t, "in", mail[offer](g, thePlanner)[1].sick, false)
@@ -209,7 +209,7 @@
 }
 
 func offered(id uint32, zone int, sick bool, state control.State) offer {
-	return offer{Entry: control.Entry{Replica: id, Zone: zone, State: state, Weight: 1}, weight: 1, size: 1,
+	return offer{ListedReplica: control.ListedReplica{Replica: id, Zone: zone, State: state, Weight: 1}, weight: 1, size: 1,
 		ticket: 1 / float64(id), sick: sick}
 }
 
@@ -246,10 +246,10 @@
 // than the channel takes, and no proxy would ever be bound.
 func TestATableIsNoLongerThanLetsItsProxiesBeBound(t *testing.T) {
 	g := at(0)
-	g.Governors, g.Proxies = 350, 350*7
+	g.Controllers, g.Proxies = 350, 350*7
 	for id := uint32(1); id <= 300; id++ {
 		o := offered(id, 0, false, control.Ready)
-		o.Kind, o.ticket = int(id%2), float64((id*37)%101)
+		o.HardwareClass, o.ticket = int(id%2), float64((id*37)%101)
 		planning(g, o)
 	}
 	planning(g).redraw()
@@ -601,9 +601,9 @@
 func TestAFullQueueGetsTimeToDrain(t *testing.T) {
 	g := at(10 * second)
 	calm, full := offered(1, 0, false, control.Ready), offered(2, 0, false, control.Ready)
-	calm.tries, calm.answer, full.tries, full.answer, full.Kind = 300, 0.1, 300, 1.2, 1
+	calm.tries, calm.answer, full.tries, full.answer, full.HardwareClass = 300, 0.1, 300, 1.2, 1
 	p := planning(g, calm, full)
-	p.Kinds, p.calm = 2, map[int][]float64{0: {0.1}, 1: {0.2}, 2: {0.1}}
+	p.HardwareClasses, p.calm = 2, map[int][]float64{0: {0.1}, 1: {0.2}, 2: {0.1}}
 	p.norms()
 	a, b := mail[norm](g, parts)[0].goal, mail[norm](g, parts+1)[0].goal
 	want(t, "more than by what both answer", a > 6.5*b, true)
@@ -722,7 +722,7 @@
 	l.take(fleet{tries: 100, bad: 0.2, most: 0.2, answer: 0.2, serves: 1})
 	want(t, "line", l.line < 2 && l.line > 1, true)
 	o := mail[control.SetAdmission](g, thePacer)
-	want(t, "only the lesser group", len(o) == 2 && o[0].Share == 1 && o[1].Class == 0 && o[1].Share < 1, true)
+	want(t, "only the lesser group", len(o) == 2 && o[0].Fraction == 1 && o[1].Class == 0 && o[1].Fraction < 1, true)
 	want(t, "one try only", o[1].Retries, control.NoRetry)
 	l.now += 2 * recent
 	l.take(fleet{tries: 100, answer: 0.2, serves: 1})
@@ -826,7 +826,7 @@
 	g.Admission = control.AdmitAll
 	levelling(g).take(fleet{tries: 100, bad: 0.9, most: 0.9, answer: 3})
 	for _, o := range mail[control.SetAdmission](g, thePacer) {
-		want(t, "level", o, control.SetAdmission{Table: control.AllTables, Class: o.Class, Share: 1})
+		want(t, "level", o, control.SetAdmission{Table: control.AllTables, Class: o.Class, Fraction: 1})
 	}
 }
 
@@ -845,9 +845,9 @@
 func TestOddEventsNameNothingUnknown(t *testing.T) {
 	odd := []control.Event{control.Outcomes{Replica: 77, Attempts: 9, Failures: 9}, control.Outcomes{Replica: 1},
 		control.StreamClosed{Proxy: 88}, control.Demand{Class: 9, Proxy: 99}, control.Ack{Proxy: 99, Nonce: 4},
-		control.Ack{Proxy: 1, Nonce: 60000}, control.ProbeFinished{Replica: 77}, control.ReplicasListed{Failed: true},
+		control.Ack{Proxy: 1, Nonce: 60000}, control.HealthCheckFinished{Replica: 77}, control.ReplicasListed{Failed: true},
 		control.ReplicasListed{Full: true}, control.ReplicasListed{}, control.StreamOpened{Proxy: 50, Zone: 200},
-		control.ReplicasListed{Entries: []control.Entry{{Replica: 3, Zone: 99, Kind: 9}}}}
+		control.ReplicasListed{Entries: []control.ListedReplica{{Replica: 3, Zone: 99, HardwareClass: 9}}}}
 	all := day(odd...)
 	for _, o := range orders[control.SetEndpoint](all) {
 		want(t, "known replica", o.Replica >= 1 && o.Replica <= 6, true)
@@ -859,14 +859,14 @@
 func TestWhoIsLongGoneIsForgottenAndStaysWithdrawn(t *testing.T) {
 	g := New(provision())
 	g.Turn(0, []control.Event{control.ReplicasListed{Full: true, Entries: entries(3)}, control.StreamOpened{Proxy: 1}})
-	g.Turn(second, []control.Event{control.ReplicasListed{Entries: []control.Entry{{Replica: 2, State: control.Gone}}}})
+	g.Turn(second, []control.Event{control.ReplicasListed{Entries: []control.ListedReplica{{Replica: 2, State: control.Gone}}}})
 	all := g.Turn(2*second+forgetSpan, []control.Event{control.TimerFired{}})
 	all = append(all, g.Turn(3*second+forgetSpan, []control.Event{control.TimerFired{}})...)
 	for _, o := range orders[control.SetEjected](all) {
 		want(t, "lifted", o.Ejected, true)
 	}
 	want(t, "known", len(g.replicas), 2)
-	g.Turn(4*second+forgetSpan, []control.Event{control.ReplicasListed{Entries: []control.Entry{{Replica: 9}}}})
+	g.Turn(4*second+forgetSpan, []control.Event{control.ReplicasListed{Entries: []control.ListedReplica{{Replica: 9}}}})
 	want(t, "its queue serves another", len(g.queues), parts+3)
 }
 
@@ -886,13 +886,13 @@
 		group control.TrafficClass
 		tries control.RetryPolicy
 	}{
-		{control.TrafficClass{Effect: control.Retriable}, control.RetryTwice},
-		{control.TrafficClass{Effect: control.NonRetriable}, control.RetryIfNotExecuted},
-		{control.TrafficClass{Effect: control.Deduplicated, DeduplicationWindow: 1e12}, control.RetryIfNotExecuted},
-		{control.TrafficClass{Effect: control.Deduplicated, Scope: control.ScopeAll, DeduplicationWindow: 5e9}, control.RetryTwice},
-		{control.TrafficClass{Effect: control.Deduplicated, Scope: control.ScopeAll}, control.RetryIfNotExecuted},
+		{control.TrafficClass{Idempotency: control.Idempotent}, control.RetryTwice},
+		{control.TrafficClass{Idempotency: control.NotIdempotent}, control.RetryIfNotExecuted},
+		{control.TrafficClass{Idempotency: control.IdempotentByKey, DeduplicationWindow: 1e12}, control.RetryIfNotExecuted},
+		{control.TrafficClass{Idempotency: control.IdempotentByKey, DeduplicationScope: control.ScopeAll, DeduplicationWindow: 5e9}, control.RetryTwice},
+		{control.TrafficClass{Idempotency: control.IdempotentByKey, DeduplicationScope: control.ScopeAll}, control.RetryIfNotExecuted},
 	} {
-		c.group.LatencyBudget = second
+		c.group.LatencyObjective = second
 		want(t, "tries", l.usual(c.group), c.tries)
 	}
 }
--- a/policy/keep.go
+++ b/policy/keep.go
@@ -20,14 +20,14 @@
 		if !dealt {
 			table = p.laid[id]
 		}
-		all.Replicas = append(all.Replicas, control.LearnedReplica{Replica: id, Table: table, Ticket: r.ticket, Speed: r.speed,
+		all.Replicas = append(all.Replicas, control.LearnedReplica{Replica: id, Table: table, PlacementKey: r.ticket, Speed: r.speed,
 			SampleCount: r.sampleCount, EjectedFor: max(0, r.ejectedUntil-g.now), Probation: r.trial > 0, Ejections: r.ejections, SinceLastSample: max(0, g.now-r.lastSample)})
 	}
 	all.Tables, all.AdmissionThreshold, all.RetriesStopped = p.tables, 1, l.once
-	all.UsualResponseTimes = make([][]float64, g.Kinds+1)
+	all.BaselineResponseTimes = make([][]float64, g.HardwareClasses+1)
 	for kind, calm := range p.calm {
-		if kind >= 0 && kind < len(all.UsualResponseTimes) {
-			all.UsualResponseTimes[kind] = slices.Clone(calm)
+		if kind >= 0 && kind < len(all.BaselineResponseTimes) {
+			all.BaselineResponseTimes[kind] = slices.Clone(calm)
 		}
 	}
 	if len(l.groups) > 0 {
@@ -36,7 +36,7 @@
 	for _, served := range l.served {
 		all.MaxSuccessRate = max(all.MaxSuccessRate, served)
 	}
-	all.Usage = g.usage(l)
+	all.RequestRates = g.usage(l)
 	for _, proxy := range sorted(r.here) {
 		if c := r.here[proxy]; c.table >= 0 {
 			all.Bindings = append(all.Bindings, control.Binding{Proxy: proxy, Table: c.table})
--- a/policy/keep_test.go
+++ b/policy/keep_test.go
@@ -9,11 +9,11 @@
 )
 
 func known(id uint32, speed float64) control.LearnedReplica {
-	return control.LearnedReplica{Replica: id, Speed: speed, SampleCount: 16, Ticket: 0.5}
+	return control.LearnedReplica{Replica: id, Speed: speed, SampleCount: 16, PlacementKey: 0.5}
 }
 
 // told gives a governor a list and what is remembered of it in one turn.
-func told(list []control.Entry, fleet control.LearnedFleet, weight float64, all ...control.LearnedReplica) (*Governor, []control.Command) {
+func told(list []control.ListedReplica, fleet control.LearnedFleet, weight float64, all ...control.LearnedReplica) (*Governor, []control.Command) {
 	g := New(provision())
 	events := []control.Event{control.FleetRestored{LearnedFleet: fleet, Weight: weight}, control.ReplicasListed{Full: true, Entries: list}}
 	for _, k := range all {
@@ -138,13 +138,13 @@
 	want(t, "warmth", g.replicas[1].warmth(), plain.replicas[1].warmth())
 	want(t, "is cold", g.replicas[1].cold(), true)
 	warm, _ := told(entries(4), control.LearnedFleet{AdmissionThreshold: 1}, 1, known(1, 16))
-	warm.Turn(101*second, []control.Event{control.ReplicasListed{Entries: []control.Entry{{Replica: 1, Zone: 1, Weight: 1, Start: 100 * second}}}})
+	warm.Turn(101*second, []control.Event{control.ReplicasListed{Entries: []control.ListedReplica{{Replica: 1, Zone: 1, Weight: 1, Start: 100 * second}}}})
 	want(t, "confidence in another start", warm.replicas[1].confidence, 0.0)
 }
 
 func TestTheFleetIsRemembered(t *testing.T) {
-	fleet := control.LearnedFleet{Tables: 1, AdmissionThreshold: 0.5, MaxSuccessRate: 40, RetriesStopped: true, UsualResponseTimes: [][]float64{{0.1, 0.2, 0.3, 0.4}},
-		Usage: []control.ClassRate{{Proxy: 0, Class: 0, Rate: 30}, {Proxy: 0, Class: 1, Rate: 20}}, Bindings: []control.Binding{{Proxy: 0, Table: 0}}}
+	fleet := control.LearnedFleet{Tables: 1, AdmissionThreshold: 0.5, MaxSuccessRate: 40, RetriesStopped: true, BaselineResponseTimes: [][]float64{{0.1, 0.2, 0.3, 0.4}},
+		RequestRates: []control.ClassRate{{Proxy: 0, Class: 0, Rate: 30}, {Proxy: 0, Class: 1, Rate: 20}}, Bindings: []control.Binding{{Proxy: 0, Table: 0}}}
 	for _, c := range []struct {
 		weight, line float64
 		once         bool
@@ -167,7 +167,7 @@
 func TestLearnedIsRecalledWhole(t *testing.T) {
 	all := []control.LearnedReplica{known(1, 0.5), known(2, 1.5), known(3, 1), known(4, 1)}
 	all[1].Probation, all[1].Ejections = true, 2
-	fleet := control.LearnedFleet{Tables: 1, AdmissionThreshold: 0.5, MaxSuccessRate: 40, UsualResponseTimes: [][]float64{nil, {0.125}},
+	fleet := control.LearnedFleet{Tables: 1, AdmissionThreshold: 0.5, MaxSuccessRate: 40, BaselineResponseTimes: [][]float64{nil, {0.125}},
 		Bindings: sixSeats()}
 	g, _ := told(entries(4), fleet, 1, all...)
 	out := some[control.Snapshot](g.Turn(100*second, []control.Event{control.SnapshotRequested{}}))
@@ -180,7 +180,7 @@
 	if !reflect.DeepEqual(out[0].Replicas, all) {
 		t.Errorf("got  %+v\nwant %+v", out[0].Replicas, all)
 	}
-	if out[0].Usage = nil; !reflect.DeepEqual(out[0].LearnedFleet, fleet) {
+	if out[0].RequestRates = nil; !reflect.DeepEqual(out[0].LearnedFleet, fleet) {
 		t.Errorf("got  %+v\nwant %+v", out[0].LearnedFleet, fleet)
 	}
 }
--- a/policy/mail.go
+++ b/policy/mail.go
@@ -242,7 +242,7 @@
 	for _, s := range n.Bindings {
 		r.formerTables[s.Proxy] = s.Table
 	}
-	for _, u := range n.Usage {
+	for _, u := range n.RequestRates {
 		r.came[u.Proxy] += u.Rate
 	}
 }
--- a/policy/parts.go
+++ b/policy/parts.go
@@ -154,7 +154,7 @@
 }
 
 // bindPart puts a proxy on a part of a table.
-func (p *pacer) bindPart(o control.BindPart) {
+func (p *pacer) bindPart(o control.BindSubset) {
 	p.bind(o.Proxy, o.Table)
 	t := &partial{replicas: map[uint32]bool{}, given: len(o.Replicas)}
 	for _, id := range o.Replicas {
@@ -221,8 +221,8 @@
 	switch o := o.(type) {
 	case control.Bind:
 		return []int{o.Proxy}, 2*len(p.laid[o.Table]) + len(p.Classes) + 1 // all of its lines may be withdrawn
-	case control.BindPart:
-		return []int{o.Proxy}, len(o.Replicas) + o.Restored + len(p.Classes) + 1
+	case control.BindSubset:
+		return []int{o.Proxy}, len(o.Replicas) + o.Unejected + len(p.Classes) + 1
 	case control.SetEndpoint:
 		return p.holders(o.Table, o.Replica), 1
 	case control.SetEjected:
@@ -268,7 +268,7 @@
 		if p.reached[proxy] || begun[proxy] {
 			continue
 		}
-		cost += float64(p.MessageHead + 1)
+		cost += float64(p.MessageOverhead + 1)
 		if begun != nil {
 			begun[proxy] = true
 		}
--- a/policy/parts_test.go
+++ b/policy/parts_test.go
@@ -56,7 +56,7 @@
 // that are bound to nothing.
 func crowded(replicas uint32, proxies, waiting int) (*Governor, *pacer) {
 	g := at(0)
-	g.HostQueues, g.Proxies, g.ChannelRate, g.ChannelLimit, g.MessageHead = true, proxies, 1000, 8000, 4
+	g.HostQueues, g.Proxies, g.ChannelRate, g.ChannelLimit, g.MessageOverhead = true, proxies, 1000, 8000, 4
 	g.DrainGrace, g.MaxTransit, g.MaxMessages = 6*second+second/4, second/4, 30
 	p := g.queues[thePacer].part.(*pacer)
 	p.laid[0] = map[uint32]float64{}
@@ -76,11 +76,11 @@
 	want(t, "whole", len(orders[control.Bind](g.out)), 1)
 	g, p = crowded(60, 200, 160)
 	p.send()
-	parts := orders[control.BindPart](g.out)
+	parts := orders[control.BindSubset](g.out)
 	want(t, "parts", len(parts), 160)
 	given := map[uint32]int{}
 	for _, o := range parts {
-		want(t, "restored", o.Restored, firstLeast)
+		want(t, "restored", o.Unejected, firstLeast)
 		for _, id := range o.Replicas {
 			given[id]++
 		}
@@ -132,8 +132,8 @@
 	p.send()
 	g.out = nil
 	p.send()
-	renewed := some[control.BindPart](g.out)
-	want(t, "some are renewed, the proxy among them", slices.ContainsFunc(renewed, func(o control.BindPart) bool { return o.Proxy == 5 }), true)
+	renewed := some[control.BindSubset](g.out)
+	want(t, "some are renewed, the proxy among them", slices.ContainsFunc(renewed, func(o control.BindSubset) bool { return o.Proxy == 5 }), true)
 	for _, o := range renewed {
 		want(t, "not with who is withdrawn", slices.Contains(o.Replicas, lost[0]), false)
 	}
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -21,7 +21,7 @@
 	before, tables := g.Settings, p.tables
 	fits := g.keepsRows(e, tables)
 	g.Settings = e.Settings
-	p.renumberKinds(e.NewKinds, before.Kinds)
+	p.renumberKinds(e.NewHardwareClasses, before.HardwareClasses)
 	l.renumberGroups(e.NewClasses)
 	g.queues[thePacer].part.(*pacer).renumberGroups(e.NewClasses)
 	r.renumberZones(e.Proxies)
@@ -36,7 +36,7 @@
 }
 
 // asKnown says whether a replica is listed as it was.
-func (g *Governor) asKnown(e control.Entry) bool {
+func (g *Governor) asKnown(e control.ListedReplica) bool {
 	r := g.replicas[e.Replica]
 	return r != nil && r.entry == e
 }
@@ -105,7 +105,7 @@
 	for kind, answers := range p.calm {
 		switch {
 		case kind == all:
-			calm[p.Kinds] = answers
+			calm[p.HardwareClasses] = answers
 		case kind < len(numbers) && numbers[kind] >= 0:
 			calm[numbers[kind]] = answers
 		}
@@ -164,12 +164,12 @@
 		l.came[k].Class = number(numbers, l.came[k].Class)
 	}
 	var usage []control.ClassRate
-	for _, u := range l.past.Usage {
+	for _, u := range l.past.RequestRates {
 		if u.Class = number(numbers, u.Class); u.Class >= 0 {
 			usage = append(usage, u)
 		}
 	}
-	l.past.Usage = usage
+	l.past.RequestRates = usage
 	set := map[int]control.SetAdmission{}
 	for group, o := range l.set {
 		if o.Class = number(numbers, group); o.Class >= 0 {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -14,16 +14,16 @@
 func running(t *testing.T) (*Governor, control.SettingsChanged) {
 	t.Helper()
 	p := provision()
-	p.Zones, p.Kinds, p.Proxies, p.Governors = 2, 3, 40, 1
-	p.ChannelLimit, p.ChannelRate, p.Admission = 1<<16, 1<<16, control.AdmitShare
+	p.Zones, p.HardwareClasses, p.Proxies, p.Controllers = 2, 3, 40, 1
+	p.ChannelLimit, p.ChannelRate, p.Admission = 1<<16, 1<<16, control.AdmitFraction
 	p.Classes = []control.TrafficClass{
-		{Utility: 1, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable},
-		{Utility: 3, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable},
-		{Utility: 2, LatencyBudget: second, Timeout: 3 * second, Effect: control.Retriable}}
+		{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent},
+		{PriorityWeight: 3, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent},
+		{PriorityWeight: 2, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}}
 	g := New(p)
-	e := control.SettingsChanged{Settings: p, NewClasses: []int{0, 1, 2}, NewKinds: []int{0, 1, 2}}
+	e := control.SettingsChanged{Settings: p, NewClasses: []int{0, 1, 2}, NewHardwareClasses: []int{0, 1, 2}}
 	for id := range uint32(60) {
-		e.Replicas = append(e.Replicas, control.Entry{Replica: id + 1, Zone: int(id) % 2, Kind: int(id) / 2 % 2, State: control.Ready, Weight: 1})
+		e.Replicas = append(e.Replicas, control.ListedReplica{Replica: id + 1, Zone: int(id) % 2, HardwareClass: int(id) / 2 % 2, State: control.Ready, Weight: 1})
 	}
 	events := []control.Event{control.ReplicasListed{Full: true, Entries: e.Replicas}}
 	for proxy := range 40 {
@@ -63,15 +63,15 @@
 func TestChangedSettingsKeepWhatWasLearned(t *testing.T) {
 	g, e := running(t)
 	p, r, l := g.parts()
-	l.line, l.set[2] = 2.5, control.SetAdmission{Table: control.AllTables, Class: 2, Share: 0.5}
+	l.line, l.set[2] = 2.5, control.SetAdmission{Table: control.AllTables, Class: 2, Fraction: 0.5}
 	before := g.learned()
 	own, laid := maps.Clone(p.own), maps.Clone(g.queues[theSequence].part.(*sequence).laid)
 	e.DrainGrace, e.ReportInterval, e.Proxies = 9*second, second, slices.Clone(e.Proxies)
 	e.Settings.Proxies--
 	e.Classes = []control.TrafficClass{e.Classes[2], e.Classes[0], e.Classes[1]}
-	e.NewClasses, e.NewKinds = []int{1, 2, 0}, []int{1, 0, 2}
+	e.NewClasses, e.NewHardwareClasses = []int{1, 2, 0}, []int{1, 0, 2}
 	for k := range e.Replicas {
-		e.Replicas[k].Kind = 1 - e.Replicas[k].Kind
+		e.Replicas[k].HardwareClass = 1 - e.Replicas[k].HardwareClass
 	}
 	out := g.Turn(g.now, []control.Event{e})
 	after := g.learned()
@@ -80,16 +80,16 @@
 	want(t, "lines", reflect.DeepEqual(laid, g.queues[theSequence].part.(*sequence).laid), true)
 	want(t, "seats", reflect.DeepEqual(before.Bindings, after.Bindings), true)
 	want(t, "replicas", reflect.DeepEqual(before.Replicas, after.Replicas), true)
-	want(t, "answer times", reflect.DeepEqual([][]float64{before.UsualResponseTimes[1], before.UsualResponseTimes[0]}, after.UsualResponseTimes[:2]), true)
-	want(t, "those of all", reflect.DeepEqual(before.UsualResponseTimes[3], after.UsualResponseTimes[3]), true)
+	want(t, "answer times", reflect.DeepEqual([][]float64{before.BaselineResponseTimes[1], before.BaselineResponseTimes[0]}, after.BaselineResponseTimes[:2]), true)
+	want(t, "those of all", reflect.DeepEqual(before.BaselineResponseTimes[3], after.BaselineResponseTimes[3]), true)
 	want(t, "the line", l.line, 2.5)
-	want(t, "the group under it", l.set[0], control.SetAdmission{Table: control.AllTables, Class: 0, Share: 0.5})
-	for k, u := range before.Usage {
-		before.Usage[k].Class = e.NewClasses[u.Class]
+	want(t, "the group under it", l.set[0], control.SetAdmission{Table: control.AllTables, Class: 0, Fraction: 0.5})
+	for k, u := range before.RequestRates {
+		before.RequestRates[k].Class = e.NewClasses[u.Class]
 	}
-	slices.SortFunc(before.Usage, func(a, b control.ClassRate) int { return a.Proxy*3 + a.Class - b.Proxy*3 - b.Class })
-	want(t, "usage", reflect.DeepEqual(before.Usage, after.Usage), true)
-	want(t, "kinds at the replicas", g.replicas[1].entry.Kind, 1)
+	slices.SortFunc(before.RequestRates, func(a, b control.ClassRate) int { return a.Proxy*3 + a.Class - b.Proxy*3 - b.Class })
+	want(t, "usage", reflect.DeepEqual(before.RequestRates, after.RequestRates), true)
+	want(t, "kinds at the replicas", g.replicas[1].entry.HardwareClass, 1)
 	want(t, "proxies", len(r.here), 40)
 }
 
@@ -114,7 +114,7 @@
 		_, _, l := g.parts()
 		l.line, e.NewClasses, e.Classes = c.line, c.numbers, nil
 		for _, utility := range c.utilities {
-			e.Classes = append(e.Classes, control.TrafficClass{Utility: utility, LatencyBudget: second, Timeout: 3 * second})
+			e.Classes = append(e.Classes, control.TrafficClass{PriorityWeight: utility, LatencyObjective: second, Timeout: 3 * second})
 		}
 		g.reconfigure(e)
 		want(t, c.what, l.line, c.want)
@@ -128,7 +128,7 @@
 	for what, change := range map[string]func(*control.SettingsChanged){
 		"more proxies":   func(e *control.SettingsChanged) { e.Settings.Proxies = 400 },
 		"fewer":          func(e *control.SettingsChanged) { e.Settings.Proxies = 10 },
-		"more governors": func(e *control.SettingsChanged) { e.Governors = 4 },
+		"more governors": func(e *control.SettingsChanged) { e.Controllers = 4 },
 		"a zone in front": func(e *control.SettingsChanged) {
 			e.Zones = 3
 			for k := range e.Replicas {
--- a/policy/types.go
+++ b/policy/types.go
@@ -14,7 +14,7 @@
 		late, good, goal, bad, lost float64
 	}
 	offer struct { // replica to planner: what it can bear and what it was met with lately
-		control.Entry
+		control.ListedReplica
 		box                                      int
 		weight, size, ticket, tries, bad, answer float64
 		prior, confidence                        float64 // remembered speed, and how many tries it counts for
@@ -64,7 +64,7 @@
 type replica struct {
 	*sharedState
 	box          int
-	entry        control.Entry
+	entry        control.ListedReplica
 	heard        int64 // when its start became known
 	ticket       float64
 	met          []sample
--- a/settings/service.go
+++ b/settings/service.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return Names{}, control.Settings{}, err
 	}
-	decoded.Kinds++           // one more for kinds that the settings do not name
+	decoded.HardwareClasses++ // one more for kinds that the settings do not name
 	decoded.HostQueues = true // the core does, by the channel's account
 	return names, decoded, nil
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -12,22 +12,22 @@
 
 // The words of the settings for the constants of the decision module.
 var (
-	picks = map[string]control.Pick{
+	picks = map[string]control.PickPolicy{
 		"random": control.PickRandom,
 		"rotate": control.PickRoundRobin,
-		"p2c":    control.PickLessLoaded,
+		"p2c":    control.PickPowerOfTwo,
 	}
-	admissions = map[string]control.Admission{
+	admissions = map[string]control.AdmissionMode{
 		"silent":     control.AdmitAll,
-		"fraction":   control.AdmitShare,
+		"fraction":   control.AdmitFraction,
 		"per_second": control.AdmitRate,
 	}
-	effects = map[string]control.Effect{
-		"read_like":       control.Retriable,
-		"idempotency_key": control.Deduplicated,
-		"non_idempotent":  control.NonRetriable,
+	effects = map[string]control.Idempotency{
+		"read_like":       control.Idempotent,
+		"idempotency_key": control.IdempotentByKey,
+		"non_idempotent":  control.NotIdempotent,
 	}
-	scopes = map[string]control.Scope{
+	scopes = map[string]control.DeduplicationScope{
 		"all":  control.ScopeAll,
 		"zone": control.ScopeZone,
 		"cell": control.ScopeCell,
@@ -70,9 +70,9 @@
 
 // decodeFleet decodes how many there are of each role.
 func (d *decoder) decodeFleet(to *control.Settings) {
-	to.Governors = d.count("balancers")
+	to.Controllers = d.count("balancers")
 	to.Zones = len(d.values["zones"])
-	to.Kinds = len(d.values["kinds"])
+	to.HardwareClasses = len(d.values["kinds"])
 	to.Proxies = d.count("domain.proxy_count")
 }
 
@@ -80,7 +80,7 @@
 func (d *decoder) decodeChannel(to *control.Settings) {
 	to.ChannelRate = d.positive("domain.push_rate")
 	to.ChannelLimit = d.lines("domain.pending_max", math.Floor)
-	to.MessageHead = d.lines("domain.envelope", math.Ceil)
+	to.MessageOverhead = d.lines("domain.envelope", math.Ceil)
 	to.MaxTransit = d.nanos("domain.worst_transit_ms")
 	to.MaxMessages = d.count("domain.pushes_allowed")
 	to.MessageWindow = d.nanos("domain.reload_span_ms")
@@ -92,7 +92,7 @@
 // as soon as it is sent more than it can do. Where no replica starts slowly, those figures have no effect.
 func (d *decoder) decodeReplicas(to *control.Settings) {
 	to.DrainGrace = optional(d, "invariants.drain_grace_ms", d.nanos, 0)
-	to.SlowStartShare = optional(d, "invariants.cold_from", d.fraction, 0)
+	to.SlowStartFraction = optional(d, "invariants.cold_from", d.fraction, 0)
 	to.SlowStartTime = optional(d, "invariants.warm_after_ms", d.nanos, 0)
 	to.OverloadMultiple = optional(d, "invariants.tip_multiple", d.positive, 1)
 }
@@ -132,21 +132,21 @@
 // trafficClass decodes the traffic class at a path.
 func (d *decoder) trafficClass(path string) control.TrafficClass {
 	class := control.TrafficClass{
-		Utility:       d.number(path + "gain"),
-		LatencyBudget: d.positiveNanos(path + "slo_ms"),
-		Timeout:       d.positiveNanos(path + "deadline_ms"),
-		Effect:        choice(d, path+"effect", effects),
+		PriorityWeight:   d.number(path + "gain"),
+		LatencyObjective: d.positiveNanos(path + "slo_ms"),
+		Timeout:          d.positiveNanos(path + "deadline_ms"),
+		Idempotency:      choice(d, path+"effect", effects),
 	}
-	if class.Effect == control.Deduplicated {
+	if class.Idempotency == control.IdempotentByKey {
 		class.DeduplicationWindow = d.nanos(path + "window_ms")
-		class.Scope = choice(d, path+"group", scopes)
+		class.DeduplicationScope = choice(d, path+"group", scopes)
 	}
 	return class
 }
 
 // checkChannelLimit refuses a channel that a few messages of the smallest table fill: it could not be kept under its limit.
 func (d *decoder) checkChannelLimit(decoded control.Settings) {
-	minimum := minMessages * smallestTable(decoded.MessageHead, len(decoded.Classes))
+	minimum := minMessages * smallestTable(decoded.MessageOverhead, len(decoded.Classes))
 	if decoded.ChannelLimit < minimum {
 		d.fail("setting domain.pending_max=%d is too small for %d messages of a table, which have %d lines",
 			decoded.ChannelLimit, minMessages, minimum)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -43,10 +43,10 @@
 
 func TestDecode(t *testing.T) {
 	p, err := ParseLines(exampleLines).Decode(9)
-	if err != nil || p.Zones != 3 || p.Kinds != 2 || p.MaxTransit != 257500000 || p.MaxMessages != 30 {
+	if err != nil || p.Zones != 3 || p.HardwareClasses != 2 || p.MaxTransit != 257500000 || p.MaxMessages != 30 {
 		t.Errorf("%v %+v", err, p)
 	}
-	if g := p.Classes[0]; g.Scope != control.ScopeZone || g.Effect != control.Deduplicated || g.DeduplicationWindow != 2500e6 {
+	if g := p.Classes[0]; g.DeduplicationScope != control.ScopeZone || g.Idempotency != control.IdempotentByKey || g.DeduplicationWindow != 2500e6 {
 		t.Errorf("%+v", g)
 	}
 	for _, c := range [][3]string{
@@ -70,7 +70,7 @@
 		"invariants.tip_multiple=4.0\n", "", "invariants.warm_after_ms=18000.0\n", "", "kinds=small-2c,wide-4c\n", "kinds=\n",
 		"zones=lahore,islamabad,multan\n", "", "domain.shards=0\n", "domain.shards=0.0\n").Replace(exampleLines)
 	p, err := ParseLines(lines).Decode(9)
-	if err != nil || p.Zones+p.Kinds != 0 || p.DrainGrace+p.SlowStartTime != 0 || p.OverloadMultiple != 1 || p.SlowStartShare != 0 {
+	if err != nil || p.Zones+p.HardwareClasses != 0 || p.DrainGrace+p.SlowStartTime != 0 || p.OverloadMultiple != 1 || p.SlowStartFraction != 0 {
 		t.Errorf("%v %+v", err, p)
 	}
 	if n, err := ParseLines(lines + "lanes.0.name=a-1\n").Names(); err != nil || len(n.Zones) != 0 || len(n.Kinds) != 0 {
