--- a/policy/keep.go
+++ b/policy/learned.go
@@ -2,14 +2,10 @@
 
 import (
 	"cmp"
-	"slices"
-
 	"lilacbend/control"
+	"slices"
 )
 
-// This file puts together what a governor has learned, for one that comes after it. It decides nothing: what is
-// believed of it is said in brain.go, where it is recalled.
-
 // learned answers control.SnapshotRequested.
 func (g *Governor) learned() control.Snapshot {
 	p, r, l := g.queues[thePlanner].part.(*planner), g.queues[theRegistry].part.(*registry), g.queues[theLevels].part.(*levels)
--- a/policy/parts.go
+++ b/policy/subset.go
@@ -2,21 +2,23 @@
 
 import (
 	"cmp"
+	"lilacbend/control"
 	"math"
 	"slices"
-
-	"lilacbend/control"
 )
 
-// This file keeps the books of tables and of the parts of them that proxies of a crowd are given first. It decides
-// nothing: when a part is given, and how large it is, is said in brain.go.
-
 // partial is what a proxy holds that has been given a part of its table.
 type partial struct {
 	replicas map[uint32]bool // those of the part that have not been withdrawn or removed since
 	given    int
 }
 
+// dealing are the parts of one table in this turn, and the requests a second that proxies send to each by the parts they hold.
+type dealing struct {
+	parts [][]uint32
+	loads []float64
+}
+
 // kept is the share of the part that is left.
 func (t *partial) kept() float64 { return float64(len(t.replicas)) / float64(max(1, t.given)) }
 
@@ -45,12 +47,6 @@
 	return parts
 }
 
-// dealing are the parts of one table in this turn, and the requests a second that proxies send to each by the parts they hold.
-type dealing struct {
-	parts [][]uint32
-	loads []float64
-}
-
 // deal makes the parts of a table, once a turn.
 func (p *pacer) deal(table, size int) *dealing {
 	if d := p.dealt[table]; d != nil {
@@ -121,30 +117,6 @@
 	return min(urgentPart, max(ordinaryPart, p.roomWithin(p.DrainGrace/2-p.MaxTransit)))
 }
 
-// lay sets a line of a table; a line that is removed leaves the parts it is in.
-func (p *pacer) lay(o control.SetEndpoint) {
-	if p.laid[o.Table] == nil {
-		p.laid[o.Table] = map[uint32]float64{}
-	}
-	p.laid[o.Table][o.Replica] = o.Weight
-	if o.Weight == 0 {
-		delete(p.laid[o.Table], o.Replica)
-		p.loseFromParts(o.Replica, o.Table)
-	}
-}
-
-// eject notes a withdrawal, or its end.
-func (p *pacer) eject(o control.SetEjected) {
-	if !o.Ejected {
-		delete(p.ejected, o.Replica)
-		return
-	}
-	p.ejected[o.Replica] = true
-	for table := range p.laid {
-		p.loseFromParts(o.Replica, table)
-	}
-}
-
 func (p *pacer) loseFromParts(id uint32, table int) {
 	for proxy, t := range p.partial {
 		if p.bound[proxy] == table {
@@ -184,17 +156,6 @@
 	return all
 }
 
-// coldest are the replicas that are cold.
-func (p *planner) coldest(ids []uint32) coldSet {
-	all := coldSet{map[uint32]bool{}, p.spared}
-	for _, id := range ids {
-		if p.offers[id].cold {
-			all.replicas[id] = true
-		}
-	}
-	return all
-}
-
 // partible are the lines of a table of which parts are made: the warm, where they weigh half of it, else all.
 func (p *pacer) partible(table int) map[uint32]float64 {
 	warm, warmWeight, weight := map[uint32]float64{}, 0.0, 0.0
@@ -214,74 +175,3 @@
 	}
 	return warm
 }
-
-// reach says whom an order reaches and how many lines it costs at each. A withdrawal reaches who holds a line
-// of the replica: an answer awaited from others would never come, and hold the channel's room for ever.
-func (p *pacer) reach(o control.Command) (to []int, lines int) {
-	switch o := o.(type) {
-	case control.Bind:
-		return []int{o.Proxy}, 2*len(p.laid[o.Table]) + len(p.Classes) + 1 // all of its lines may be withdrawn
-	case control.BindSubset:
-		return []int{o.Proxy}, len(o.Replicas) + o.Unejected + len(p.Classes) + 1
-	case control.SetEndpoint:
-		return p.holders(o.Table, o.Replica), 1
-	case control.SetEjected:
-		for table, lines := range p.laid {
-			if lines[o.Replica] > 0 {
-				to = append(to, p.holders(table, o.Replica)...)
-			}
-		}
-		slices.Sort(to)
-		return to, 1
-	}
-	return sorted(p.bound), 1
-}
-
-// coldLifts are the commands of the open step that let cold replicas in.
-func (p *pacer) coldLifts() (lifts []control.Command) {
-	for _, o := range p.step.orders {
-		if lift, is := o.(control.SetEjected); is && !lift.Ejected && p.cold.replicas[lift.Replica] {
-			lifts = append(lifts, o)
-		}
-	}
-	return lifts
-}
-
-// raises says whether a command raises the weight that a replica, which is ejected, has in a table.
-func (p *pacer) raises(o control.Command) bool {
-	l, is := o.(control.SetEndpoint)
-	laid := p.laid[l.Table][l.Replica]
-	return is && p.ejected[l.Replica] && laid > 0 && l.Weight > laid
-}
-
-// liftsAny says whether commands let any of some replicas in.
-func (p *pacer) liftsAny(lifts []control.Command, replicas map[uint32]bool) bool {
-	return slices.ContainsFunc(lifts, func(o control.Command) bool { return replicas[o.(control.SetEjected).Replica] })
-}
-
-// price returns whom a command reaches, and what it takes of the channel: its lines, and the heads of messages that were not
-// begun in this turn. It notes those in begun, if that is given.
-func (p *pacer) price(o control.Command, begun map[int]bool) (to []int, cost float64) {
-	to, lines := p.reach(o)
-	cost = float64(lines * len(to))
-	for _, proxy := range to {
-		if p.reached[proxy] || begun[proxy] {
-			continue
-		}
-		cost += float64(p.MessageOverhead + 1)
-		if begun != nil {
-			begun[proxy] = true
-		}
-	}
-	return to, cost
-}
-
-// fit says whether there is room for all of some commands in a part of the channel's limit.
-func (p *pacer) fit(commands []control.Command, part float64) bool {
-	sum, begun := 0.0, map[int]bool{}
-	for _, o := range commands {
-		_, cost := p.price(o, begun)
-		sum += cost
-	}
-	return p.waits+p.cost+sum <= part*float64(p.ChannelLimit)
-}
