--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -45,11 +45,11 @@
 }
 
 type host struct {
-	governors map[uint32]*policy.Governor
+	governors map[uint32]*policy.Policy
 	reply     simwire.Reply
 }
 
-func newHost() *host { return &host{governors: map[uint32]*policy.Governor{}} }
+func newHost() *host { return &host{governors: map[uint32]*policy.Policy{}} }
 
 func (h *host) turn(batch simwire.Batch) {
 	events := map[uint32][]any{}
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -22,7 +22,7 @@
 	h := newHost()
 	h.governors[4] = nil
 	h.instance(4, 0, []any{nil})
-	h.governors[4] = new(policy.Governor)
+	h.governors[4] = new(policy.Policy)
 	h.instance(4, 0, []any{control.StreamClosed{}})
 	if got := string(h.reply.Frame()); !strings.Contains(got, "the module failed") {
 		t.Errorf("reply %q", got)
--- a/experiment/scale/hollow.go
+++ b/experiment/scale/hollow.go
@@ -46,7 +46,7 @@
 	source ConfigurationSource
 
 	exchange *eventloop.Exchange
-	module   *policy.Governor // the last that was started; for the goroutine of the core
+	module   *policy.Policy // the last that was started; for the goroutine of the core
 
 	mu      sync.Mutex
 	offered map[revision.Version]offer
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,7 +12,7 @@
 	at int64
 }
 
-type levels struct {
+type admissionController struct {
 	*sharedState
 	came         []sums    // the last demand
 	served       []float64 // the last flows a second that the fleet gave good answers to
@@ -29,7 +29,7 @@
 
 // usual is what proxies do by themselves after a failure, or less where a try that may have run could then be
 // repeated with an effect: only what may run again, or is deduped everywhere for twice as long, is safe.
-func (l *levels) usual(g control.TrafficClass) control.RetryPolicy {
+func (l *admissionController) usual(g control.TrafficClass) control.RetryPolicy {
 	last := 2 * l.AttemptTimeoutFactor * float64(g.LatencyObjective) * float64(l.DefaultRetries-control.RetryIfNotExecuted)
 	if g.Idempotency == control.Idempotent || g.DeduplicationScope == control.ScopeAll && last < float64(g.DeduplicationWindow) {
 		return l.DefaultRetries
@@ -37,14 +37,14 @@
 	return min(l.DefaultRetries, control.RetryIfNotExecuted)
 }
 
-func (l *levels) take(n any) {
-	switch n := n.(type) {
-	case control.Demand:
-		l.came = append(l.came, sums{n, l.now})
-	case control.FleetRestored:
-		l.past, l.since, l.judged, l.served = n, l.now, l.now, append(l.served, n.Weight*n.MaxSuccessRate)
+func (l *admissionController) handle(m message) {
+	switch n := m.(type) {
+	case demandReported:
+		l.came = append(l.came, sums{n.Demand, l.now})
+	case fleetRestored:
+		l.past, l.since, l.judged, l.served = n.FleetRestored, l.now, l.now, append(l.served, n.Weight*n.MaxSuccessRate)
 		l.once, l.turned = n.RetriesStopped && n.Weight >= confidenceLeft, l.now
-	case fleet:
+	case fleetLoad:
 		flows, by, fresh, all, missed := l.sums()
 		if l.now-l.since < recent { // the first sums tell of few of the flows
 			were := map[int]float64{}
@@ -55,12 +55,14 @@
 				flows[g] = math.Max(flows[g], rate)
 			}
 		}
-		l.post(thePlanner, demand{float64(missed) / math.Max(1, float64(all)), by, fresh})
+		l.enqueue(placementComponent, demandSummary{float64(missed) / math.Max(1, float64(all)), by, fresh})
 		l.judge(n, flows)
+	default:
+		unexpected(l, m)
 	}
 }
 
-func (l *levels) ranked() []int {
+func (l *admissionController) ranked() []int {
 	return slices.SortedStableFunc(numbers(len(l.Classes)), func(a, b int) int {
 		x, y := l.Classes[a], l.Classes[b]
 		return cmp.Or(cmp.Compare(y.PriorityWeight, x.PriorityWeight), cmp.Compare(x.LatencyObjective, y.LatencyObjective))
@@ -69,7 +71,7 @@
 
 // judge moves the line of utility. An overloaded fleet is first let less than the most it served lately, then
 // a part less at each look, unless it eases; a calm one a bit more. It harms if answers are late for the way.
-func (l *levels) judge(f fleet, flows map[int]float64) {
+func (l *admissionController) judge(f fleetLoad, flows map[int]float64) {
 	if l.groups == nil {
 		l.groups = l.ranked()
 		l.line = float64(len(l.groups)) * (1 - l.past.Weight*(1-l.past.AdmissionThreshold))
@@ -122,14 +124,14 @@
 		}
 		if last, ok := l.set[g]; ok && last != o || !ok && (share < 1 || o.Retries != l.DefaultRetries) {
 			l.set[g] = o
-			l.post(thePacer, o)
+			l.enqueue(pacingComponent, admissionChanged{o})
 		}
 	}
 }
 
 // sums adds up the demand that is kept: requests a second by traffic class, requests by proxy, the newest by proxy as of
 // the whole span, and how many came and failed lately. It notes by how much reports tell of more than their period.
-func (l *levels) sums() (flows, by, fresh map[int]float64, all, missed int) {
+func (l *admissionController) sums() (flows, by, fresh map[int]float64, all, missed int) {
 	l.came, l.age = slices.DeleteFunc(l.came, func(d sums) bool { return d.at <= l.now-demandSpan }), 0
 	flows, by, fresh = map[int]float64{}, map[int]float64{}, map[int]float64{}
 	for _, d := range l.came {
@@ -147,7 +149,7 @@
 
 // renumberGroups keeps sums, usage, orders and the line. The line stays with the groups: who was let in is, where none
 // of more worth is kept out.
-func (l *levels) renumberGroups(numbers []int) {
+func (l *admissionController) renumberGroups(numbers []int) {
 	l.came = slices.DeleteFunc(l.came, func(d sums) bool { return number(numbers, d.Class) < 0 })
 	for k := range l.came {
 		l.came[k].Class = number(numbers, l.came[k].Class)
--- a/policy/bus.go
+++ b/policy/bus.go
@@ -1,36 +1,44 @@
 package policy
 
-const ( // the parts' queues; those of the replicas come after
-	theRegistry = iota
-	thePlanner
-	theLevels
-	theSequence
-	thePacer
-	parts
+import "fmt"
+
+// The components with one instance each. The numbers from fixedComponents on belong to the replicas.
+const (
+	bindingComponent = iota
+	placementComponent
+	admissionComponent
+	updateComponent
+	pacingComponent
+	fixedComponents
 )
 
+// component handles the messages of one queue.
+type component interface{ handle(message) }
+
+// queue holds the messages that wait for one component.
 type queue struct {
-	part interface{ take(note any) }
-	mail []any
+	component component
+	waiting   []message
 }
 
-func (d *sharedState) post(to int, note any) {
-	d.queues[to].mail = append(d.queues[to].mail, note)
-	d.due = append(d.due, to)
+// enqueue appends a message to the queue of a component.
+func (s *sharedState) enqueue(to int, m message) {
+	s.queues[to].waiting = append(s.queues[to].waiting, m)
+	s.due = append(s.due, to)
 }
 
-// settle empties the queues until no message is left, in the order in which the messages came.
-func (d *sharedState) settle() {
-	for ; len(d.due) > 0; d.due = d.due[1:] {
-		box := d.queues[d.due[0]]
-		n := box.mail[0]
-		box.mail = box.mail[1:]
-		box.part.take(n)
+// deliverAll hands over messages until none waits, in the order in which they were enqueued: the same events always lead to
+// the same commands.
+func (s *sharedState) deliverAll() {
+	for ; len(s.due) > 0; s.due = s.due[1:] {
+		next := s.queues[s.due[0]]
+		m := next.waiting[0]
+		next.waiting = next.waiting[1:]
+		next.component.handle(m)
 	}
 }
 
-func (g *Governor) toAll(note any) {
-	for to := range parts {
-		g.post(to, note)
-	}
+// unexpected reports a message that was enqueued for the wrong component, which is a fault of this package.
+func unexpected(c component, m message) {
+	panic(fmt.Sprintf("policy: %T received %T", c, m))
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -7,8 +7,8 @@
 )
 
 // learned answers control.SnapshotRequested.
-func (g *Governor) learned() control.Snapshot {
-	p, r, l := g.queues[thePlanner].part.(*planner), g.queues[theRegistry].part.(*registry), g.queues[theLevels].part.(*levels)
+func (g *Policy) learned() control.Snapshot {
+	p, r, l := g.queues[placementComponent].component.(*planner), g.queues[bindingComponent].component.(*binder), g.queues[admissionComponent].component.(*admissionController)
 	var all control.Snapshot
 	for _, id := range sorted(g.replicas) {
 		r := g.replicas[id]
@@ -42,7 +42,7 @@
 }
 
 // usage is what came to each proxy over the span for which demand is kept, or since this governor began.
-func (g *Governor) usage(l *levels) (all []control.ClassRate) {
+func (g *Policy) usage(l *admissionController) (all []control.ClassRate) {
 	type of struct{ proxy, group int }
 	flows := map[of]int{}
 	for _, d := range l.came {
--- a/policy/keep_test.go
+++ b/policy/learned_test.go
@@ -13,7 +13,7 @@
 }
 
 // told gives a governor a list and what is remembered of it in one turn.
-func told(list []control.ListedReplica, fleet control.LearnedFleet, weight float64, all ...control.LearnedReplica) (*Governor, []control.Command) {
+func told(list []control.ListedReplica, fleet control.LearnedFleet, weight float64, all ...control.LearnedReplica) (*Policy, []control.Command) {
 	g := New(provision())
 	events := []control.Event{control.FleetRestored{LearnedFleet: fleet, Weight: weight}, control.ReplicasListed{Full: true, Entries: list}}
 	for _, k := range all {
@@ -153,7 +153,7 @@
 	}{{1, 0.5, true, 4, 50}, {0.5, 0.75, true, 2, 30}, {0.1, 0.95, false, 0, 14}} {
 		g, _ := told(entries(4), fleet, c.weight)
 		g.Turn(100*second, []control.Event{control.TimerFired{}})
-		l, p, r := g.queues[theLevels].part.(*levels), g.queues[thePlanner].part.(*planner), g.queues[theRegistry].part.(*registry)
+		l, p, r := g.queues[admissionComponent].component.(*admissionController), g.queues[placementComponent].component.(*planner), g.queues[bindingComponent].component.(*binder)
 		want(t, "once", l.once, c.once)
 		want(t, "calm", len(p.calm[0]), c.calm)
 		want(t, "rate", math.Round(r.here[0].Rate), c.rate)
@@ -197,7 +197,7 @@
 			events = append(events, control.ReplicaRestored{LearnedReplica: k, Weight: 1})
 		}
 		g.Turn(0, events)
-		return g.queues[thePlanner].part.(*planner).own
+		return g.queues[placementComponent].component.(*planner).own
 	}
 	for id, table := range deal(8) {
 		want(t, "dealt", table, int(id%2)+2*int(id/2%4))
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -19,7 +19,7 @@
 type pacer struct {
 	*sharedState
 	urgent    []control.Command // withdrawals, binds and levels wait here
-	step      step
+	step      updateStep
 	bound     map[int]int                // joined proxies; -1 holds its standing table
 	members   map[int][]int              // the same by table, in order
 	laid      map[int]map[uint32]float64 // the weights of each table
@@ -33,7 +33,7 @@
 	each    float64          // lines that a proxy may get first, in this turn
 	rates   map[int]float64  // requests a second of each joined proxy
 	ejected map[uint32]bool
-	cold    coldSet
+	cold    warmingReplicas
 	leveled map[int]bool // traffic classes with a level
 
 	waits   float64 // in the channel as this turn's messages are written
@@ -43,29 +43,31 @@
 
 const marksMask = 1<<16 - 1 // marks on the way are told apart up to here
 
-func (p *pacer) take(n any) {
-	switch n := n.(type) {
-	case control.SetEjected:
-		p.urgent = slices.Insert(p.urgent, 0, control.Command(n))
-	case control.Bind:
-		p.urgent = append(p.urgent, n)
-	case control.SetAdmission:
-		p.urgent = append(p.urgent, n)
-	case control.StreamOpened:
-		p.join(n) // its cap knows nothing of streams
-	case control.StreamClosed:
+func (p *pacer) handle(m message) {
+	switch n := m.(type) {
+	case ejectionDue:
+		p.urgent = slices.Insert(p.urgent, 0, control.Command(control.SetEjected{Replica: n.replica, Ejected: true}))
+	case bindRequested:
+		p.urgent = append(p.urgent, n.Bind)
+	case admissionChanged:
+		p.urgent = append(p.urgent, n.SetAdmission)
+	case streamOpened:
+		p.join(n.StreamOpened) // its cap knows nothing of streams
+	case streamClosed:
 		p.leave(n.Proxy)
-	case forget:
+	case replicaForgotten:
 		delete(p.ejected, n.id)
-	case coldSet:
+	case warmingReplicas:
 		p.cold = n
-	case step:
+	case updateStep:
 		p.step = n
-	case acked: // messages leave in order: an answer clears all that was written before its own
+	case acknowledged: // messages leave in order: an answer clears all that was written before its own
 		p.orphan(n)
 		p.clear(n)
-	case closing:
+	case turnEnding:
 		p.send()
+	default:
+		unexpected(p, m)
 	}
 }
 
@@ -164,7 +166,7 @@
 			break
 		}
 	}
-	m := marked{orders: p.sendStep()}
+	m := messagesSent{orders: p.sendStep()}
 	p.urgent = slices.DeleteFunc(p.urgent, func(o control.Command) bool {
 		if w, is := o.(control.SetEjected); is && w.Ejected && p.HostQueues { // one capped proxy holds up no other
 			return p.write(o, math.Inf(1), math.Inf(1))
@@ -184,13 +186,13 @@
 		due := p.now + beat + p.MaxTransit + int64((p.waits+p.cost)/p.ChannelRate*float64(second))
 		p.under = append(p.under, batch{mark: m.mark, lines: p.cost, at: p.now, due: due})
 		p.count(m.proxies)
-		p.post(theRegistry, m)
+		p.enqueue(bindingComponent, m)
 	}
-	p.post(theSequence, m)
+	p.enqueue(updateComponent, m)
 }
 
 // orphan notes that nobody is left to answer for what was written under a mark.
-func (p *pacer) orphan(n acked) {
+func (p *pacer) orphan(n acknowledged) {
 	for k := range p.under {
 		if n.gone && p.under[k].mark == n.mark {
 			p.under[k].orphan = true
@@ -219,7 +221,7 @@
 }
 
 // clear takes what an answer clears off the account of the channel.
-func (p *pacer) clear(n acked) {
+func (p *pacer) clear(n acknowledged) {
 	for len(p.under) > 0 && !n.gone && (p.under[0].mark < n.mark || n.all && p.under[0].mark == n.mark) {
 		p.late = math.Max(1, float64(p.now-p.under[0].at)/float64(p.under[0].due-p.under[0].at))
 		p.under = p.under[1:]
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -12,53 +12,53 @@
 
 type planner struct {
 	*sharedState
-	offers map[uint32]offer
-	crowd  []*binding        // by proxy
+	offers map[uint32]replicaStatus
+	crowd  []*connectedProxy // by proxy
 	calm   map[int][]float64 // the last answer times of each kind
 	judged int64
 	out    map[uint32]bool
 	own    map[uint32]int // the table of each replica
 	same   bool           // nothing has changed since the last draw
 	tables int            // how many, once the first list has come
-	demand demand         // of the last few seconds
+	demand demandSummary  // of the last few seconds
 	spared bool           // the cold stay in though much is lost, as all of them together can bear it
 	laid   map[uint32]int // tables of an earlier governor, of so many
 	before int
 }
 
-func (p *planner) take(n any) {
-	switch n := n.(type) {
-	case tick:
+func (p *planner) handle(m message) {
+	switch n := m.(type) {
+	case tickStarted:
 		p.norms()
-	case control.StreamClosed:
+	case streamClosed:
 		p.leave(n.Proxy)
-	case offer:
+	case replicaStatus:
 		p.offers[n.Replica] = n
-	case demand:
+	case demandSummary:
 		p.demand = n
-	case forget:
+	case replicaForgotten:
 		delete(p.offers, n.id)
 		delete(p.own, n.id)
 		delete(p.laid, n.id)
-	case binding:
-		p.enter(n)
-	case control.ReplicaRestored:
+	case proxyBound:
+		p.enter(n.connectedProxy)
+	case replicaRestored:
 		p.laid[n.Replica] = n.Table
-	case control.FleetRestored:
+	case fleetRestored:
 		p.before = n.Tables
 		for kind, calm := range n.BaselineResponseTimes {
 			if left := int(math.Round(n.Weight * float64(len(calm)))); left > 0 {
 				p.calm[kind] = slices.Clone(calm[len(calm)-left:])
 			}
 		}
-	case redraw:
+	case placementDue:
 		if !p.same {
 			p.redraw()
 		}
 		p.same = true
 		return
 	default:
-		return
+		unexpected(p, m)
 	}
 	p.same = false
 }
@@ -73,11 +73,11 @@
 	for _, calm := range p.calm {
 		quick = min(quick, slices.Min(calm))
 	}
-	well := func(o offer) bool {
+	well := func(o replicaStatus) bool {
 		return !o.sick && !o.trial && o.State == control.Ready && !o.cold && o.answer > 0
 	}
 	idle := idleLast + (idleFirst-idleLast)*math.Max(0, 1-float64(len(p.calm[all]))/firstSamples)
-	able := func(o offer) float64 {
+	able := func(o replicaStatus) float64 {
 		base := math.Min(o.answer, quick*kindSpread)
 		if calm := p.calm[o.HardwareClass]; len(calm) > 0 {
 			base = math.Min(base, slices.Min(calm))
@@ -115,7 +115,7 @@
 	for _, id := range ids {
 		o := p.offers[id]
 		k := kinds[o.HardwareClass]
-		n := norm{math.Inf(1), k.good / math.Max(1, k.count), 1, bad, 0}
+		n := fleetBaseline{math.Inf(1), k.good / math.Max(1, k.count), 1, bad, 0}
 		// Cold ones who together could bear all that is tried hear of no loss: the warm would drown. All or none:
 		// those of one table would be guests of every other, and get what comes to the cold that are kept out.
 		if bears < told/gave*warm {
@@ -140,13 +140,13 @@
 			}
 			n.goal = (n.goal*seen + o.prior*o.confidence) / (seen + o.confidence)
 		}
-		p.post(o.box, n)
+		p.enqueue(o.box, n)
 	}
-	f := fleet{tries: tries * float64(second) / float64(recent), bad: bad, serves: serves,
+	f := fleetLoad{tries: tries * float64(second) / float64(recent), bad: bad, serves: serves,
 		answer: kinds[all].answer / math.Max(1, kinds[all].good), calm: quick}
 	slices.Sort(shares) // a few that fail are no overload
 	f.most = mean(shares[:int(math.Ceil(mostPart*float64(len(shares))))])
-	p.post(theLevels, f)
+	p.enqueue(admissionComponent, f)
 }
 
 // redraw works out the target tables: each a fixed draw by listed weight among the replicas of its zones,
@@ -163,7 +163,7 @@
 	}
 	slices.SortStableFunc(ids, tickets) // where a table has no room for all of its own
 	tables, row, total, all := p.tables, p.rows(p.tables), 1e-9, 1e-9
-	t := target{map[line]float64{}, p.shutOut(ids, row)}
+	t := targetTables{map[tableEndpoint]float64{}, p.shutOut(ids, row)}
 	need, home, serves, penalized := make([]float64, tables), make([]float64, tables), make([]float64, tables), 0.0
 	for _, id := range ids {
 		if o := p.offers[id]; o.State == control.Ready {
@@ -202,7 +202,7 @@
 			if drawn[table]++; t.out[id] { // who is withdrawn takes no guest's room
 				w, drawn[table] = -1, drawn[table]-1
 			}
-			t.lines[line{table, id}] = w
+			t.lines[tableEndpoint{table, id}] = w
 		}
 	}
 	for _, id := range ids {
@@ -232,9 +232,9 @@
 			lay(table, id, part)
 		}
 	}
-	p.post(thePacer, p.coldest(ids))
-	p.post(theRegistry, seats)
-	p.post(theSequence, t)
+	p.enqueue(pacingComponent, p.coldest(ids))
+	p.enqueue(bindingComponent, tablesAssigned{seats})
+	p.enqueue(updateComponent, t)
 }
 
 // deal gives each new replica to one table of its zone for good, the one whose own are fewest by listed
@@ -291,7 +291,7 @@
 			may--
 		}
 		if out[id] && !p.out[id] {
-			p.post(thePacer, control.SetEjected{Replica: id, Ejected: true})
+			p.enqueue(pacingComponent, ejectionDue{id})
 		}
 	}
 	p.out = out
@@ -300,10 +300,10 @@
 
 // find is where a proxy is, or would be, in the crowd.
 func (p *planner) find(proxy int) (int, bool) {
-	return slices.BinarySearchFunc(p.crowd, proxy, func(c *binding, proxy int) int { return cmp.Compare(c.Proxy, proxy) })
+	return slices.BinarySearchFunc(p.crowd, proxy, func(c *connectedProxy, proxy int) int { return cmp.Compare(c.Proxy, proxy) })
 }
 
-func (p *planner) enter(c binding) {
+func (p *planner) enter(c connectedProxy) {
 	k, here := p.find(c.Proxy)
 	if !here {
 		p.crowd = slices.Insert(p.crowd, k, &c)
@@ -318,8 +318,8 @@
 }
 
 // coldest are the replicas that are cold.
-func (p *planner) coldest(ids []uint32) coldSet {
-	all := coldSet{map[uint32]bool{}, p.spared}
+func (p *planner) coldest(ids []uint32) warmingReplicas {
+	all := warmingReplicas{map[uint32]bool{}, p.spared}
 	for _, id := range ids {
 		if p.offers[id].cold {
 			all.replicas[id] = true
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -7,27 +7,27 @@
 )
 
 // reconfigure puts changed settings in force.
-func (g *Governor) reconfigure(e control.SettingsChanged) {
-	p, r, l := g.queues[thePlanner].part.(*planner), g.queues[theRegistry].part.(*registry), g.queues[theLevels].part.(*levels)
+func (g *Policy) reconfigure(e control.SettingsChanged) {
+	p, r, l := g.queues[placementComponent].component.(*planner), g.queues[bindingComponent].component.(*binder), g.queues[admissionComponent].component.(*admissionController)
 	before, tables := g.Settings, p.tables
 	fits := g.keepsRows(e, tables)
 	g.Settings = e.Settings
 	p.renumberKinds(e.NewHardwareClasses, before.HardwareClasses)
 	l.renumberGroups(e.NewClasses)
-	g.queues[thePacer].part.(*pacer).renumberGroups(e.NewClasses)
+	g.queues[pacingComponent].component.(*pacer).renumberGroups(e.NewClasses)
 	r.renumberZones(e.Proxies)
 	g.listed(control.ReplicasListed{Entries: slices.DeleteFunc(e.Replicas, g.asKnown)})
-	g.settle()
+	g.deliverAll()
 	p.same = p.same && drawsAlike(before, e.Settings)
 	if tables > 0 && (!fits || p.tablesUnder(before) != p.tablesUnder(e.Settings)) {
 		p.redeal(tables)
 		r.rebind(tables, p.tablesUnder(e.Settings), g.recallBinds())
-		g.settle()
+		g.deliverAll()
 	}
 }
 
 // asKnown says whether a replica is listed as it was.
-func (g *Governor) asKnown(e control.ListedReplica) bool {
+func (g *Policy) asKnown(e control.ListedReplica) bool {
 	r := g.replicas[e.Replica]
 	return r != nil && r.entry == e
 }
@@ -39,7 +39,7 @@
 }
 
 // keepsRows says whether every replica and proxy stays in the row of tables of its zone.
-func (g *Governor) keepsRows(e control.SettingsChanged, tables int) bool {
+func (g *Policy) keepsRows(e control.SettingsChanged, tables int) bool {
 	if tables == 0 {
 		return true
 	}
@@ -53,7 +53,7 @@
 			return false
 		}
 	}
-	here := g.queues[theRegistry].part.(*registry).here
+	here := g.queues[bindingComponent].component.(*binder).here
 	for _, joined := range e.Proxies {
 		if c := here[joined.Proxy]; c != nil && c.Zone%row != joined.Zone%row {
 			return false
@@ -63,8 +63,8 @@
 }
 
 // recallBinds drops the bindings that wait, and says where each proxy is bound; below 0: nowhere yet.
-func (g *Governor) recallBinds() map[int]int {
-	s, p := g.queues[theSequence].part.(*sequence), g.queues[thePacer].part.(*pacer)
+func (g *Policy) recallBinds() map[int]int {
+	s, p := g.queues[updateComponent].component.(*updater), g.queues[pacingComponent].component.(*pacer)
 	clear(s.moves)
 	waits := func(o control.Command) bool {
 		_, is := o.(control.Bind)
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -11,7 +11,7 @@
 )
 
 // running is a governor of two zones that has heard of all its replicas for a while: one is sick, one is slow.
-func running(t *testing.T) (*Governor, control.SettingsChanged) {
+func running(t *testing.T) (*Policy, control.SettingsChanged) {
 	t.Helper()
 	p := provision()
 	p.Zones, p.HardwareClasses, p.Proxies, p.Controllers = 2, 3, 40, 1
@@ -55,8 +55,8 @@
 	return g, e
 }
 
-func (g *Governor) parts() (*planner, *registry, *levels) {
-	return g.queues[thePlanner].part.(*planner), g.queues[theRegistry].part.(*registry), g.queues[theLevels].part.(*levels)
+func (g *Policy) parts() (*planner, *binder, *admissionController) {
+	return g.queues[placementComponent].component.(*planner), g.queues[bindingComponent].component.(*binder), g.queues[admissionComponent].component.(*admissionController)
 }
 
 // Other figures, and other numbers for the same groups and kinds, leave all that was learned and bound as it was.
@@ -65,7 +65,7 @@
 	p, r, l := g.parts()
 	l.line, l.set[2] = 2.5, control.SetAdmission{Table: control.AllTables, Class: 2, Fraction: 0.5}
 	before := g.learned()
-	own, laid := maps.Clone(p.own), maps.Clone(g.queues[theSequence].part.(*sequence).laid)
+	own, laid := maps.Clone(p.own), maps.Clone(g.queues[updateComponent].component.(*updater).laid)
 	e.DrainGrace, e.ReportInterval, e.Proxies = 9*second, second, slices.Clone(e.Proxies)
 	e.Settings.Proxies--
 	e.Classes = []control.TrafficClass{e.Classes[2], e.Classes[0], e.Classes[1]}
@@ -77,7 +77,7 @@
 	after := g.learned()
 	want(t, "bindings", len(orders[control.Bind](out)), 0)
 	want(t, "tables", reflect.DeepEqual(own, p.own), true)
-	want(t, "lines", reflect.DeepEqual(laid, g.queues[theSequence].part.(*sequence).laid), true)
+	want(t, "lines", reflect.DeepEqual(laid, g.queues[updateComponent].component.(*updater).laid), true)
 	want(t, "seats", reflect.DeepEqual(before.Bindings, after.Bindings), true)
 	want(t, "replicas", reflect.DeepEqual(before.Replicas, after.Replicas), true)
 	want(t, "answer times", reflect.DeepEqual([][]float64{before.BaselineResponseTimes[1], before.BaselineResponseTimes[0]}, after.BaselineResponseTimes[:2]), true)
@@ -152,8 +152,8 @@
 	} {
 		g, e := running(t)
 		p, r, _ := g.parts()
-		g.queues[theSequence].part.(*sequence).moves[3] = 1
-		pacer := g.queues[thePacer].part.(*pacer)
+		g.queues[updateComponent].component.(*updater).moves[3] = 1
+		pacer := g.queues[pacingComponent].component.(*pacer)
 		pacer.urgent = append(pacer.urgent, control.Bind{Proxy: 5, Table: 1})
 		change(&e)
 		fresh := New(e.Settings)
@@ -167,7 +167,7 @@
 				}
 			}
 		}
-		want(t, what+": tables", p.tables, fresh.queues[thePlanner].part.(*planner).tables)
+		want(t, what+": tables", p.tables, fresh.queues[placementComponent].component.(*planner).tables)
 		row := g.rows(p.tables)
 		for id, table := range p.own {
 			want(t, what+": a replica's row", table%row, g.replicas[id].entry.Zone%row)
@@ -176,6 +176,6 @@
 			want(t, what+": a proxy's row", c.table%row, c.Zone%row)
 			want(t, fmt.Sprintf("%s: the table of proxy %d", what, proxy), pacer.bound[proxy], r.boundTo[c.table])
 		}
-		want(t, what+": moves left", len(g.queues[theSequence].part.(*sequence).moves), 0)
+		want(t, what+": moves left", len(g.queues[updateComponent].component.(*updater).moves), 0)
 	}
 }
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// binding is a proxy that is here, since when, and its table; below 0: none yet.
-type binding struct {
+// connectedProxy is a proxy that is here, since when, and its table; below 0: none yet.
+type connectedProxy struct {
 	control.StreamOpened
 	since int64
 	table int
 }
 
-type registry struct {
+type binder struct {
 	*sharedState
-	here         map[int]*binding
+	here         map[int]*connectedProxy
 	loose        int   // of them, without a table
 	boundTo      []int // where each table's proxies are bound
 	past         control.FleetRestored
@@ -25,73 +25,80 @@
 	last         uint64
 }
 
-func (r *registry) take(n any) {
-	switch n := n.(type) {
-	case []int:
-		if r.loose == 0 && slices.Equal(n, r.boundTo) { // nobody to bind or to move
-			return
-		}
-		load := make([]float64, len(n))
-		for _, proxy := range sorted(r.here) {
-			if c := r.here[proxy]; c.table >= 0 {
-				if load[c.table] += c.Rate; n[c.table] != r.boundTo[c.table] {
-					r.post(theSequence, control.Bind{Proxy: proxy, Table: n[c.table]})
-				}
-			}
-		}
-		for _, proxy := range sorted(r.here) {
-			if c := r.here[proxy]; c.table < 0 {
-				c.table = r.least(c.Zone, load)
-				if sat, ok := r.formerTables[proxy]; ok && r.past.Tables == len(n) && sat < len(n) &&
-					sat%r.rows(len(n)) == c.Zone%r.rows(len(n)) {
-					c.table = sat // as its connections are
-				}
-				delete(r.formerTables, proxy)
-				load[c.table] += c.Rate
-				r.loose--
-				r.post(thePlanner, *c)
-				r.post(thePacer, control.Bind{Proxy: proxy, Table: n[c.table]})
-			}
-		}
-		r.boundTo = n
-	case control.StreamOpened:
+func (r *binder) handle(m message) {
+	switch n := m.(type) {
+	case tablesAssigned:
+		r.assign(n.tables)
+	case streamOpened:
 		if came, ok := r.came[n.Proxy]; ok { // a hello tells a rough figure
 			n.Rate += (came - n.Rate) * r.past.Weight
 		}
 		r.drop(n.Proxy)
-		r.here[n.Proxy] = &binding{n, r.now, -1}
+		r.here[n.Proxy] = &connectedProxy{n.StreamOpened, r.now, -1}
 		r.loose++
-	case control.FleetRestored:
-		r.remember(n)
-	case control.StreamClosed:
+	case fleetRestored:
+		r.remember(n.FleetRestored)
+	case streamClosed:
 		r.drop(n.Proxy)
-	case control.Ack:
+	case ackReceived:
 		mark := r.last - (r.last-n.Nonce)&marksMask // marks go round on the way
-		r.post(thePacer, acked{mark: mark})
+		r.enqueue(pacingComponent, acknowledged{mark: mark})
 		r.acknowledge(n.Proxy, mark)
-	case marked:
+	case messagesSent:
 		r.await(n)
+	default:
+		unexpected(r, m)
+	}
+}
+
+// assign binds the proxies without a table, and moves those whose table is served by another one now.
+func (r *binder) assign(tables []int) {
+	if r.loose == 0 && slices.Equal(tables, r.boundTo) { // nobody to bind or to move
+		return
+	}
+	load := make([]float64, len(tables))
+	for _, proxy := range sorted(r.here) {
+		if c := r.here[proxy]; c.table >= 0 {
+			if load[c.table] += c.Rate; tables[c.table] != r.boundTo[c.table] {
+				r.enqueue(updateComponent, bindRequested{control.Bind{Proxy: proxy, Table: tables[c.table]}})
+			}
+		}
+	}
+	for _, proxy := range sorted(r.here) {
+		if c := r.here[proxy]; c.table < 0 {
+			c.table = r.least(c.Zone, load)
+			if sat, ok := r.formerTables[proxy]; ok && r.past.Tables == len(tables) && sat < len(tables) &&
+				sat%r.rows(len(tables)) == c.Zone%r.rows(len(tables)) {
+				c.table = sat // as its connections are
+			}
+			delete(r.formerTables, proxy)
+			load[c.table] += c.Rate
+			r.loose--
+			r.enqueue(placementComponent, proxyBound{*c})
+			r.enqueue(pacingComponent, bindRequested{control.Bind{Proxy: proxy, Table: tables[c.table]}})
+		}
 	}
+	r.boundTo = tables
 }
 
 // acknowledge: no mark up to this one waits for the proxy any more. An answer speaks for the proxy's earlier
 // marks, and nothing waits for a proxy that has left. Its leaving tells nothing of the channel, though: what was
 // written to it, and to all others before, may wait there still, and taken for sent lets a crowd that leaves at
 // once fill the channel twice.
-func (r *registry) acknowledge(proxy int, upto uint64) {
+func (r *binder) acknowledge(proxy int, upto uint64) {
 	for _, mark := range sorted(r.wait) {
 		if w := r.wait[mark]; mark <= upto && w[proxy] {
 			if delete(w, proxy); len(w) == 0 {
 				delete(r.wait, mark)
-				r.post(thePacer, acked{mark, true, upto == math.MaxUint64})
-				r.post(theSequence, acked{mark: mark, all: true})
+				r.enqueue(pacingComponent, acknowledged{mark, true, upto == math.MaxUint64})
+				r.enqueue(updateComponent, acknowledged{mark: mark, all: true})
 			}
 		}
 	}
 }
 
 // remember keeps what an earlier governor knew of proxies.
-func (r *registry) remember(n control.FleetRestored) {
+func (r *binder) remember(n control.FleetRestored) {
 	r.past, r.formerTables, r.came = n, map[int]int{}, map[int]float64{}
 	for _, s := range n.Bindings {
 		r.formerTables[s.Proxy] = s.Table
@@ -102,7 +109,7 @@
 }
 
 // await notes whose answers to a mark are missing.
-func (r *registry) await(n marked) {
+func (r *binder) await(n messagesSent) {
 	r.last, r.wait[n.mark] = n.mark, map[int]bool{}
 	for _, proxy := range n.proxies {
 		r.wait[n.mark][proxy] = true
@@ -110,7 +117,7 @@
 }
 
 // drop forgets a proxy that has left: no mark waits for it any more.
-func (r *registry) drop(proxy int) {
+func (r *binder) drop(proxy int) {
 	r.acknowledge(proxy, math.MaxUint64)
 	if c := r.here[proxy]; c != nil && c.table < 0 {
 		r.loose--
@@ -119,24 +126,24 @@
 }
 
 // renumberZones takes over the zones of the proxies.
-func (r *registry) renumberZones(proxies []control.StreamOpened) {
+func (r *binder) renumberZones(proxies []control.StreamOpened) {
 	for _, joined := range proxies {
 		c := r.here[joined.Proxy]
 		if c == nil {
 			continue
 		}
 		if c.Zone = joined.Zone; c.table >= 0 {
-			r.post(thePlanner, *c)
+			r.enqueue(placementComponent, proxyBound{*c})
 		}
 	}
 }
 
 // rebind puts the proxies on tables that were dealt anew. Where there are as many as before who is still in its row stays;
 // all others move as in any update, once their new table is laid out. Bound says where each is bound now.
-func (r *registry) rebind(before, tables int, bound map[int]int) {
+func (r *binder) rebind(before, tables int, bound map[int]int) {
 	load, row := make([]float64, tables), r.rows(tables)
 	r.boundTo = slices.Collect(numbers(tables))
-	stays := func(c *binding) bool {
+	stays := func(c *connectedProxy) bool {
 		return before == tables && c.table%row == c.Zone%row
 	}
 	members := slices.DeleteFunc(sorted(r.here), func(proxy int) bool { return r.here[proxy].table < 0 })
@@ -153,10 +160,10 @@
 		}
 		switch bind := (control.Bind{Proxy: proxy, Table: c.table}); {
 		case bound[proxy] < 0:
-			r.post(thePacer, bind)
+			r.enqueue(pacingComponent, bindRequested{bind})
 		case bound[proxy] != c.table:
-			r.post(theSequence, bind)
+			r.enqueue(updateComponent, bindRequested{bind})
 		}
-		r.post(thePlanner, *c)
+		r.enqueue(placementComponent, proxyBound{*c})
 	}
 }
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -19,7 +19,7 @@
 	ticket       float64
 	met          []sample
 	speed        float64
-	fleet        norm
+	fleet        fleetBaseline
 	ejectedUntil int64 // out until then
 	trial        int64 // on trial since
 	ejections    int
@@ -32,29 +32,31 @@
 	lastSample        int64   // when the last of them was told
 }
 
-func (r *replica) take(n any) {
-	switch n := n.(type) {
-	case control.ListedReplica:
+func (r *replica) handle(m message) {
+	switch n := m.(type) {
+	case replicaListed:
 		if n.Start != r.entry.Start && n.State == control.Ready {
 			r.met, r.ejectedUntil, r.trial, r.ejections, r.heard, r.confidence, r.sampleCount, r.penalty = nil, 0, 0, 0, r.now, 0, 0, 0
 		}
-		r.entry = n
-	case control.Outcomes:
+		r.entry = n.ListedReplica
+	case outcomesReported:
 		answer := float64(n.ResponseTime) / float64(second)
 		r.met = newest(samplesKept, append(r.met, sample{r.now, float64(n.Attempts), float64(n.Failures), answer}))
 		r.confidence, r.sampleCount, r.lastSample = r.confidence*confidenceLeft, math.Min(confidenceMost, r.sampleCount+float64(n.Attempts)), r.now
 		return
-	case control.ReplicaRestored:
-		r.recall(n)
-	case norm:
+	case replicaRestored:
+		r.recall(n.ReplicaRestored)
+	case fleetBaseline:
 		r.fleet = n
 		r.judge()
+	default:
+		unexpected(r, m)
 	}
 	tries, bad, answer := r.lately()
 	size := math.Max(r.entry.Weight, 1e-6) * r.warmth()
 	// The cold wait for the first word of the fleet: a line laid before it, in a collapse, draws all repeats.
 	sick := r.ejectedUntil > 0 || r.cold() && (r.judged == 0 || r.fleet.lost > coldLost)
-	r.post(thePlanner, offer{r.entry, r.box, size * r.speed, size * r.fleet.goal, r.ticket, tries, bad, answer,
+	r.enqueue(placementComponent, replicaStatus{r.entry, r.box, size * r.speed, size * r.fleet.goal, r.ticket, tries, bad, answer,
 		r.prior, r.confidence, r.penalty, r.able(), r.cold(), sick, r.trial > 0 && r.penalty == 0})
 }
 
--- a/policy/parts_test.go
+++ b/policy/subset_test.go
@@ -54,18 +54,18 @@
 
 // crowded is a pacer before a table of so many replicas, with a grace in which the channel sends 6,000 lines, and proxies
 // that are bound to nothing.
-func crowded(replicas uint32, proxies, waiting int) (*Governor, *pacer) {
+func crowded(replicas uint32, proxies, waiting int) (*Policy, *pacer) {
 	g := at(0)
 	g.HostQueues, g.Proxies, g.ChannelRate, g.ChannelLimit, g.MessageOverhead = true, proxies, 1000, 8000, 4
 	g.DrainGrace, g.MaxTransit, g.MaxMessages = 6*second+second/4, second/4, 30
-	p := g.queues[thePacer].part.(*pacer)
+	p := g.queues[pacingComponent].component.(*pacer)
 	p.laid[0] = map[uint32]float64{}
 	for id := range replicas {
 		p.laid[0][id] = 1
 	}
 	for proxy := range waiting {
-		p.take(control.StreamOpened{Proxy: proxy, Rate: 1})
-		p.take(control.Bind{Proxy: proxy})
+		p.handle(streamOpened{control.StreamOpened{Proxy: proxy, Rate: 1}})
+		p.handle(bindRequested{control.Bind{Proxy: proxy}})
 	}
 	return g, p
 }
@@ -104,7 +104,7 @@
 	want(t, "some are bound", bound > 0, true)
 	want(t, "within half of a grace", p.queue() <= 1500*1.4, true)
 	g.out = nil
-	p.take(control.SetEjected{Replica: 3, Ejected: true})
+	p.handle(ejectionDue{3})
 	p.send()
 	want(t, "withdrawn while nobody has answered", len(orders[control.SetEjected](g.out)), 1)
 	g.DrainGrace = second // in half of which nothing gets through
@@ -126,7 +126,7 @@
 		}
 	})
 	for _, id := range lost[:len(lost)/2+1] {
-		p.take(control.SetEjected{Replica: id, Ejected: true})
+		p.handle(ejectionDue{id})
 	}
 	g.out = nil
 	p.send()
@@ -149,7 +149,7 @@
 // that sends more than it said, would push over a cold one that the whole table does not.
 func TestPartsAreOfTheWarmWhileTheyAreHalf(t *testing.T) {
 	_, p := crowded(20, 200, 0)
-	p.cold = coldSet{replicas: map[uint32]bool{}}
+	p.cold = warmingReplicas{replicas: map[uint32]bool{}}
 	for id := range uint32(10) {
 		p.cold.replicas[id] = true
 	}
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -6,8 +6,8 @@
 
 import "lilacbend/control"
 
-// Governor is one instance of the module.
-type Governor struct {
+// Policy is one instance of the module.
+type Policy struct {
 	sharedState
 	replicas map[uint32]*replica
 	born     int64
@@ -16,17 +16,17 @@
 }
 
 // New makes a governor that knows nothing but its provision.
-func New(p control.Settings) *Governor {
-	g := &Governor{sharedState: sharedState{Settings: p}, replicas: map[uint32]*replica{}}
+func New(p control.Settings) *Policy {
+	g := &Policy{sharedState: sharedState{Settings: p}, replicas: map[uint32]*replica{}}
 	d := &g.sharedState
 	d.queues = []*queue{
-		theRegistry: {part: &registry{sharedState: d, here: map[int]*binding{}, wait: map[uint64]map[int]bool{}}},
-		thePlanner: {part: &planner{sharedState: d, calm: map[int][]float64{},
-			own: map[uint32]int{}, laid: map[uint32]int{}, offers: map[uint32]offer{}}},
-		theLevels: {part: &levels{sharedState: d, set: map[int]control.SetAdmission{}}},
-		theSequence: {part: &sequence{sharedState: d, laid: map[line]float64{}, out: map[uint32]bool{},
+		bindingComponent: {component: &binder{sharedState: d, here: map[int]*connectedProxy{}, wait: map[uint64]map[int]bool{}}},
+		placementComponent: {component: &planner{sharedState: d, calm: map[int][]float64{},
+			own: map[uint32]int{}, laid: map[uint32]int{}, offers: map[uint32]replicaStatus{}}},
+		admissionComponent: {component: &admissionController{sharedState: d, set: map[int]control.SetAdmission{}}},
+		updateComponent: {component: &updater{sharedState: d, laid: map[tableEndpoint]float64{}, out: map[uint32]bool{},
 			moves: map[int]int{}, open: map[uint64]int64{}}},
-		thePacer: {part: &pacer{sharedState: d, bound: map[int]int{}, members: map[int][]int{}, laid: map[int]map[uint32]float64{},
+		pacingComponent: {component: &pacer{sharedState: d, bound: map[int]int{}, members: map[int][]int{}, laid: map[int]map[uint32]float64{},
 			sendTimes: map[int][]int64{}, partial: map[int]*partial{}, rates: map[int]float64{},
 			ejected: map[uint32]bool{}, leveled: map[int]bool{}}},
 	}
@@ -34,7 +34,7 @@
 }
 
 // Turn tells the governor what has come in and returns what it orders.
-func (g *Governor) Turn(now int64, events []control.Event) []control.Command {
+func (g *Policy) Turn(now int64, events []control.Event) []control.Command {
 	g.now, g.out = now, nil
 	woken, keep := !g.started, false
 	if woken {
@@ -46,12 +46,12 @@
 			g.listed(e)
 		case control.Outcomes:
 			if r := g.replicas[e.Replica]; r != nil && e.Attempts > 0 {
-				g.post(r.box, e)
+				g.enqueue(r.box, outcomesReported{e})
 			}
 		case control.ReplicaRestored:
 			if r := g.replicas[e.Replica]; r != nil && e.Weight > 0 && e.Speed > 0 {
-				g.post(r.box, e)
-				g.post(thePlanner, e)
+				g.enqueue(r.box, replicaRestored{e})
+				g.enqueue(placementComponent, replicaRestored{e})
 			}
 		case control.SettingsChanged:
 			g.reconfigure(e)
@@ -59,22 +59,37 @@
 			keep = true
 		case control.TimerFired:
 			woken = true
-		default:
-			g.toAll(e)
+		case control.StreamOpened:
+			g.enqueue(bindingComponent, streamOpened{e})
+			g.enqueue(pacingComponent, streamOpened{e})
+		case control.StreamClosed:
+			g.enqueue(bindingComponent, streamClosed{e})
+			g.enqueue(placementComponent, streamClosed{e})
+			g.enqueue(pacingComponent, streamClosed{e})
+		case control.Demand:
+			g.enqueue(admissionComponent, demandReported{e})
+		case control.Ack:
+			g.enqueue(bindingComponent, ackReceived{e})
+		case control.FleetRestored:
+			g.enqueue(bindingComponent, fleetRestored{e})
+			g.enqueue(placementComponent, fleetRestored{e})
+			g.enqueue(admissionComponent, fleetRestored{e})
+		case control.HealthCheckFinished:
 		}
-		g.settle()
+		g.deliverAll()
 	}
 	if woken {
 		g.started = true
 		g.out = append(g.out, control.SetTimer{After: g.pause()})
-		g.toAll(tick{})
-		g.settle()
+		g.enqueue(placementComponent, tickStarted{})
+		g.enqueue(updateComponent, tickStarted{})
+		g.deliverAll()
 		g.tidy()
 	}
-	g.post(thePlanner, redraw{})
-	g.settle()
-	g.post(thePacer, closing{})
-	g.settle()
+	g.enqueue(placementComponent, placementDue{})
+	g.deliverAll()
+	g.enqueue(pacingComponent, turnEnding{})
+	g.deliverAll()
 	if keep {
 		g.out = append(g.out, g.learned())
 	}
@@ -82,24 +97,26 @@
 }
 
 // tidy forgets replicas that are long gone, so that a governor that runs for weeks does not grow.
-func (g *Governor) tidy() {
+func (g *Policy) tidy() {
 	for _, id := range sorted(g.replicas) {
 		if r := g.replicas[id]; r.entry.State != control.Gone {
 			r.changed = g.now
 		} else if g.now-r.changed > forgetSpan {
 			delete(g.replicas, id)
 			g.free = append(g.free, r.box)
-			g.toAll(forget{id})
+			g.enqueue(placementComponent, replicaForgotten{id})
+			g.enqueue(updateComponent, replicaForgotten{id})
+			g.enqueue(pacingComponent, replicaForgotten{id})
 		}
 	}
 }
 
 // listed passes news of the list to its replicas; whoever a whole list leaves out is gone.
-func (g *Governor) listed(l control.ReplicasListed) {
+func (g *Policy) listed(l control.ReplicasListed) {
 	for _, id := range sorted(g.replicas) {
 		if e := g.replicas[id].entry; l.Full && !l.Failed {
 			e.State = control.Gone
-			g.post(g.replicas[id].box, e)
+			g.enqueue(g.replicas[id].box, replicaListed{e})
 		}
 	}
 	for _, e := range l.Entries {
@@ -111,11 +128,11 @@
 			} else {
 				g.queues = append(g.queues, &queue{})
 			}
-			r = &replica{sharedState: &g.sharedState, box: box, entry: e, heard: g.now, lastSample: g.now, speed: 1, fleet: norm{goal: 1}}
+			r = &replica{sharedState: &g.sharedState, box: box, entry: e, heard: g.now, lastSample: g.now, speed: 1, fleet: fleetBaseline{goal: 1}}
 			r.ticket = g.draw(e.Weight)
 			g.replicas[e.Replica] = r
-			g.queues[box].part = r
+			g.queues[box].component = r
 		}
-		g.post(r.box, e)
+		g.enqueue(r.box, replicaListed{e})
 	}
 }
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -16,10 +16,10 @@
 	steps
 )
 
-type sequence struct {
+type updater struct {
 	*sharedState
-	want  target
-	laid  map[line]float64
+	want  targetTables
+	laid  map[tableEndpoint]float64
 	out   map[uint32]bool // withdrawn, not lifted yet
 	moves map[int]int     // proxies to rebind
 	at    int
@@ -27,31 +27,31 @@
 	open  map[uint64]int64 // marks of the open step and when they were set
 }
 
-func (s *sequence) take(n any) {
-	switch n := n.(type) {
-	case target:
+func (s *updater) handle(m message) {
+	switch n := m.(type) {
+	case targetTables:
 		s.want = n
 		maps.Copy(s.out, n.out)
-	case forget: // stays withdrawn: no lift is ordered for who is forgotten
+	case replicaForgotten: // stays withdrawn: no lift is ordered for who is forgotten
 		delete(s.out, n.id)
-	case control.Bind:
+	case bindRequested:
 		s.moves[n.Proxy] = n.Table
-	case marked:
+	case messagesSent:
 		s.note(n)
 		return
-	case acked:
+	case acknowledged:
 		delete(s.open, n.mark)
-	case tick:
+	case tickStarted:
 		maps.DeleteFunc(s.open, func(_ uint64, since int64) bool { return s.now-since > stepTimeout })
 	default:
-		return
+		unexpected(s, m)
 	}
 	s.proceed()
 }
 
 // proceed hands the pacer what the open step has to send. A new target folds in: additions go at once. A step
 // whose marks are answered is over though more of its kind has come, or removals would be kept back for ever.
-func (s *sequence) proceed() {
+func (s *updater) proceed() {
 	first, orders := s.orders(add), []control.Command(nil)
 	for range steps {
 		if orders = first; s.at != add && (s.at != remove || len(first)+len(s.moves) == 0) { // removals wait for additions and moves
@@ -62,13 +62,13 @@
 		}
 		s.at, s.sent = (s.at+1)%steps, false
 	}
-	s.post(thePacer, step{len(first), orders})
+	s.enqueue(pacingComponent, updateStep{len(first), orders})
 }
 
-func (s *sequence) orders(at int) []control.Command {
-	var ls []line
+func (s *updater) orders(at int) []control.Command {
+	var ls []tableEndpoint
 	sums := map[int]float64{} // whole tables, as a message's head costs more than a line
-	size := func(l line) float64 {
+	size := func(l tableEndpoint) float64 {
 		return math.Abs(s.want.lines[l]-s.laid[l]) / math.Max(s.laid[l], s.want.lines[l])
 	}
 	lines := maps.Clone(s.laid)
@@ -86,7 +86,7 @@
 			sums[l.table] = math.Max(sums[l.table], size(l))
 		}
 	}
-	slices.SortFunc(ls, func(a, b line) int {
+	slices.SortFunc(ls, func(a, b tableEndpoint) int {
 		return cmp.Or(cmp.Compare(sums[b.table], sums[a.table]), cmp.Compare(a.table, b.table),
 			cmp.Compare(size(b), size(a)), cmp.Compare(a.id, b.id))
 	})
@@ -114,7 +114,7 @@
 }
 
 // note keeps what has gone out of the step: lines laid, lifts and moves done, marks to wait for.
-func (s *sequence) note(m marked) {
+func (s *updater) note(m messagesSent) {
 	for _, o := range m.orders {
 		switch o := o.(type) {
 		case control.SetEjected:
@@ -122,8 +122,8 @@
 		case control.Bind:
 			delete(s.moves, o.Proxy)
 		case control.SetEndpoint:
-			if s.laid[line{o.Table, o.Replica}] = o.Weight; o.Weight == 0 {
-				delete(s.laid, line{o.Table, o.Replica})
+			if s.laid[tableEndpoint{o.Table, o.Replica}] = o.Weight; o.Weight == 0 {
+				delete(s.laid, tableEndpoint{o.Table, o.Replica})
 			}
 		}
 		if m.mark > 0 {
