--- a/internal/streams/capacity_bench_test.go
+++ b/internal/streams/capacity_bench_test.go
@@ -84,7 +84,7 @@
 			pool, sent := resp.NewPool(1<<20), 0
 			for b.Loop() {
 				sent = 0
-				for _, words := range encodeUpdate(p) {
+				for _, words := range EncodeUpdate(p) {
 					n, err := resp.Write(io.Discard, pool, words...)
 					if err != nil {
 						b.Fatal(err)
--- a/internal/streams/peer.go
+++ b/internal/streams/peer.go
@@ -283,7 +283,7 @@
 		}
 		messages := [][]string{{"alive"}}
 		if !item.Alive {
-			messages = encodeUpdate(item.Update)
+			messages = EncodeUpdate(item.Update)
 			tally.Pushes.Add(1)
 		}
 		for k, words := range messages {
--- a/internal/streams/peer_test.go
+++ b/internal/streams/peer_test.go
@@ -99,14 +99,14 @@
 		{governor.Update{Full: true}, "push full 1"},
 	} {
 		var got []string
-		for _, words := range encodeUpdate(c.push) {
+		for _, words := range EncodeUpdate(c.push) {
 			got = append(got, strings.Join(words, " "))
 		}
 		if text := strings.Join(got, "|"); text != c.want {
 			t.Errorf("got  %s\nwant %s", text, c.want)
 		}
 	}
-	got := encodeUpdate(governor.Update{Full: true, Endpoints: many})
+	got := EncodeUpdate(governor.Update{Full: true, Endpoints: many})
 	size, err := resp.Write(io.Discard, resp.NewPool(0), got[0]...)
 	if err != nil || len(got) != 2 || got[1][1] != "endpoints" || got[0][len(got[0])-2] != "continued" || size > resp.Largest {
 		t.Errorf("%d parts for %d lines, the first of %d bytes", len(got), len(many), size)
--- a/internal/streams/words.go
+++ b/internal/streams/words.go
@@ -149,8 +149,8 @@
 	return all
 }
 
-// encodeUpdate writes a push as the messages that make it up, the mark with the last.
-func encodeUpdate(p governor.Update) [][]string {
+// EncodeUpdate returns the messages that carry an update to a proxy, each as its words. The last one has the nonce.
+func EncodeUpdate(p governor.Update) [][]string {
 	var out [][]string
 	full, lines, shut, let := p.Full, p.Endpoints, p.Ejected, p.Restored
 	for full || len(lines)+len(shut)+len(let) > 0 {
--- a/internal/streams/words_test.go
+++ b/internal/streams/words_test.go
@@ -28,7 +28,7 @@
 		}
 		p.Admissions = append(p.Admissions, l)
 	}
-	messages := encodeUpdate(p)
+	messages := EncodeUpdate(p)
 	var named []string
 	for k, words := range messages {
 		f := parseFields(words)
@@ -50,8 +50,8 @@
 	if named = slices.Compact(named); len(named) != 200 || len(messages) > maxParts {
 		t.Errorf("%d groups in %d parts", len(named), len(messages))
 	}
-	if p.Admissions = p.Admissions[:maxParts-1]; len(encodeUpdate(p)) != maxParts { // as many as fit go as ever
-		t.Errorf("%d parts", len(encodeUpdate(p)))
+	if p.Admissions = p.Admissions[:maxParts-1]; len(EncodeUpdate(p)) != maxParts { // as many as fit go as ever
+		t.Errorf("%d parts", len(EncodeUpdate(p)))
 	}
 }
 
--- a/lab/emulator/steer.go
+++ b/lab/emulator/steer.go
@@ -1,12 +1,15 @@
 package emulator
 
 import (
+	"bytes"
 	"slices"
 
 	"lilacbend/brain"
 	"lilacbend/control"
 	"lilacbend/internal/governor"
 	"lilacbend/internal/memory"
+	"lilacbend/internal/resp"
+	"lilacbend/internal/streams"
 )
 
 // This file is what stands between the flows and the governor: sums, usage, lists, messages and answers.
@@ -210,7 +213,7 @@
 		}
 		p := w.proxies[k]
 		if w.Trace != nil {
-			w.Trace("%d push %d %+v", w.now, p.id, s.Update)
+			w.Trace("%d push %d %q", w.now, p.id, wireBytes(s.Update))
 		}
 		left := w.queued(p, s.Update)
 		t.notes = append(t.notes, governor.MessageSent{Number: s.Number})
@@ -222,6 +225,16 @@
 	}
 }
 
+// wireBytes returns an update as a controller writes it to a proxy's stream.
+func wireBytes(u governor.Update) []byte {
+	var b bytes.Buffer
+	pool := resp.NewPool(0)
+	for _, words := range streams.EncodeUpdate(u) {
+		resp.Write(&b, pool, words...) // into memory: it cannot fail
+	}
+	return b.Bytes()
+}
+
 func (w *World) apply(p *proxy, s governor.OutgoingUpdate) {
 	if p.stream != s.Stream || w.cut[p.zone] > 0 { // lost with its stream
 		return
--- a/lab/emulator/world.go
+++ b/lab/emulator/world.go
@@ -97,6 +97,10 @@
 // Outcome counts what became of flows that came in a span.
 type Outcome struct{ Came, Good, Late, Lost, Blocked int }
 
+func (o Outcome) String() string {
+	return fmt.Sprintf("%d came, %d good, %d late, %d lost, %d blocked", o.Came, o.Good, o.Late, o.Lost, o.Blocked)
+}
+
 // Bad is the share of flows that were not answered within their latency budget.
 func (o Outcome) Bad() float64 { return 1 - float64(o.Good)/math.Max(1, float64(o.Came)) }
 
--- a/lab/seeds/seeds.go
+++ b/lab/seeds/seeds.go
@@ -105,7 +105,7 @@
 	o := w.Count(end-lastSpan, end)
 	w.Run(end + 4*second)
 	if !p.RulesOnly && o.Came > 0 && 1-o.Bad() < goodLeast {
-		w.Breaches = append(w.Breaches, emulator.Breach{At: w.Now(), What: fmt.Sprintf("service %.3f of the last flows: %+v", 1-o.Bad(), *o)})
+		w.Breaches = append(w.Breaches, emulator.Breach{At: w.Now(), What: fmt.Sprintf("service %.3f of the last flows: %s", 1-o.Bad(), o)})
 	}
 	for _, b := range w.Breaches {
 		digest.WriteString(b.String())
