--- a/internal/ci/ci_test.go
+++ b/internal/ci/ci_test.go
@@ -67,7 +67,7 @@
 	return strings.Join(regexp.MustCompile(`ran: \S+|known red: .*`).FindAllString(output, -1), "\n")
 }
 
-const good = "TestSame | here | it fails | 31\n"
+const good = "TestSame | here | go test ./here, seed 7 | it fails | 31\n"
 
 func TestKnownRedIsRefused(t *testing.T) {
 	t.Parallel()
@@ -76,20 +76,23 @@
 		{strings.Repeat(good, 4), "4 lines, at most 3"},
 		{good + "\n", "malformed"},
 		{"# none\n", "malformed"},
-		{"TestSame | here | it fails\n", "malformed"},
-		{"TestSame | here | it fails |  \n", "malformed"},
-		{"TestSame | here | | 31\n", "malformed"},
-		{" | here | it fails | 31\n", "malformed"},
-		{"TestSame | | it fails | 31\n", "malformed"},
-		{"TestSame | here | it fails | 31 |\n", "malformed"},
-		{"TestSame/part | here | it fails | 31\n", "malformed"},
-		{"Test.* | here | it fails | 31\n", "malformed"},
-		{"TestMended | ./there | it fails | 31\n", "no such test: TestMended"},
-		{"TestSam | here | it fails | 31\n", "no such test: TestSam "},
-		{"TestSame | none | it fails | 31\n", "no such test: TestSame | none"},
-		{"TestSame | nowhere | it fails | 31\n", "no such package"},
-		{"TestSame | ./... | it fails | 31\n", "no such package"},
-		{"TestSame | her. | it fails | 31\n", "no such package"},
+		{"TestSame | here | it fails | 31\n", "malformed"}, // without its command
+		{"TestSame | here | go test | it fails\n", "malformed"},
+		{"TestSame | here | go test | it fails |  \n", "malformed"},
+		{"TestSame | here | go test | | 31\n", "malformed"},
+		{"TestSame | here | | it fails | 31\n", "malformed"},
+		{" | here | go test | it fails | 31\n", "malformed"},
+		{"TestSame | | go test | it fails | 31\n", "malformed"},
+		{"TestSame | here | go test | it fails | 31 |\n", "malformed"},
+		{"TestSame | here | go test | it fails | 31 | more\n", "malformed"},
+		{"TestSame/part | here | go test | it fails | 31\n", "malformed"},
+		{"Test.* | here | go test | it fails | 31\n", "malformed"},
+		{"TestMended | ./there | go test | it fails | 31\n", "no such test: TestMended"},
+		{"TestSam | here | go test | it fails | 31\n", "no such test: TestSam "},
+		{"TestSame | none | go test | it fails | 31\n", "no such test: TestSame | none"},
+		{"TestSame | nowhere | go test | it fails | 31\n", "no such package"},
+		{"TestSame | ./... | go test | it fails | 31\n", "no such package"},
+		{"TestSame | her. | go test | it fails | 31\n", "no such package"},
 	} {
 		output, passed := play(c[0])
 		if passed || strings.Count(output, "\n") != 1 || !strings.Contains(output, c[1]) || ran(output) != "" {
@@ -101,13 +104,13 @@
 // What is listed fails nothing, is run last and told with its result.
 func TestKnownRedFailsNothing(t *testing.T) {
 	t.Parallel()
-	output, passed := module(t)("TestSame | ./here | it fails | 31\nTestMended|small/here|mended since|12")
+	output, passed := module(t)("TestSame | ./here | go test, seed 7 | it fails | 31\nTestMended|small/here|go test|mended since|12")
 	want := `ran: here.TestSameToo
 ran: there.TestSame
 ran: here.TestSame
-known red: fails TestSame | ./here | it fails | 31
+known red: fails TestSame | ./here | go test, seed 7 | it fails | 31
 ran: here.TestMended
-known red: passes TestMended|small/here|mended since|12`
+known red: passes TestMended|small/here|go test|mended since|12`
 	if !passed || ran(output) != want {
 		t.Errorf("passed: %v\n%s\nall of it:\n%s", passed, ran(output), output)
 	}
