--- /dev/null
+++ b/internal/steering/golden_test.go
@@ -0,0 +1,203 @@
+package steering
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"net"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lilacbend/internal/forward"
+	"lilacbend/internal/golden"
+	"lilacbend/internal/resp"
+	"lilacbend/lab/peers"
+)
+
+const (
+	sentFile     = "sent.golden"
+	receivedFile = "received.golden"
+)
+
+// goldenCore is a sidecar's core with fixed figures.
+type goldenCore struct{ blank bool }
+
+func (c *goldenCore) Apply([]forward.Push) error { time.Sleep(1500 * time.Microsecond); return nil }
+func (c *goldenCore) Blank() bool                { return c.blank }
+func (c *goldenCore) Usage() []forward.Usage {
+	return []forward.Usage{{Flows: 19, Missed: 2}, {}, {Missed: 1}}
+}
+
+// bytesWritten returns what act writes to a connection. It is for use in a synctest bubble.
+func bytesWritten(t *testing.T, act func(w *messageWriter) error) []byte {
+	t.Helper()
+	local, remote := net.Pipe()
+	var b bytes.Buffer
+	copied := make(chan struct{})
+	go func() {
+		defer close(copied)
+		io.Copy(&b, remote)
+	}()
+	err := act(&messageWriter{conn: local, pool: resp.NewPool(1 << 20)})
+	local.Close()
+	<-copied
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b.Bytes()
+}
+
+// sent returns all that sidecars and collectors write to governors and to each other, as text in Go's quotes.
+func sent(t *testing.T) []byte {
+	t.Helper()
+	client := func(c goldenCore) *Client {
+		return &Client{ID: 17, Zone: "a", Rate: 21.5, Classes: []string{"lookup", "order", "scan"}, Core: &c, Log: slog.New(slog.DiscardHandler), demandSince: time.Now()}
+	}
+	var b bytes.Buffer
+	for _, m := range []struct {
+		name string
+		act  func(w *messageWriter) error
+	}{
+		{"hello of a proxy without tables", func(w *messageWriter) error { return client(goldenCore{blank: true}).sendHello(w) }},
+		{"hello of a proxy with tables", func(w *messageWriter) error { return client(goldenCore{}).sendHello(w) }},
+		{"ack", func(w *messageWriter) error {
+			return client(goldenCore{}).apply(w, updateMessage{wantsAck: true, nonce: 1<<64 - 1})
+		}},
+		{"update without ack", func(w *messageWriter) error { return client(goldenCore{}).apply(w, updateMessage{}) }},
+		{"demand", func(w *messageWriter) error {
+			c := client(goldenCore{})
+			time.Sleep(1000500 * time.Microsecond)
+			return c.sendDemand(w)
+		}},
+		{"outcomes of a sidecar", func(w *messageWriter) error {
+			return (&collectorConn{writer: w}).sendSum("s-5", &forward.Sum{Tries: 212, Missed: 3, Answers: int64(209 * 41700 * time.Microsecond)})
+		}},
+		{"outcomes of a sidecar, all failed", func(w *messageWriter) error {
+			return (&collectorConn{writer: w}).sendSum("s-5", &forward.Sum{Tries: 3, Missed: 3})
+		}},
+		{"probe of a collector", func(w *messageWriter) error { return (&collectorConn{writer: w}).probe(1) }},
+		{"outcomes of a collector", func(w *messageWriter) error {
+			c := &Collector{Zone: "a"}
+			pending := newPendingOutcomes(time.Second, 0)
+			pending.begin()
+			time.Sleep(time.Second)
+			pending.add(outcomeReport{replica: "s-5", attempts: 200, failures: 2, meanMillis: 40})
+			pending.add(outcomeReport{replica: "s-5", attempts: 12, failures: 1, meanMillis: 72.5})
+			return c.sendOutcomes(w, pending)
+		}},
+	} {
+		fmt.Fprintf(&b, "%s\n  %q\n", m.name, bytesWritten(t, m.act))
+	}
+	return b.Bytes()
+}
+
+// describe writes an update field by field.
+func describe(m updateMessage) string {
+	text := fmt.Sprintf("wants ack %t, nonce %d, unfinished %t", m.wantsAck, m.nonce, m.unfinished)
+	for _, p := range m.parts {
+		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", p.Groups, p.Full, p.Shut, p.Let)
+		for _, replica := range slices.Sorted(maps.Keys(p.Lines)) {
+			text += fmt.Sprintf(" endpoint=%q:%g", replica, p.Lines[replica])
+		}
+		for _, level := range p.Levels {
+			text += fmt.Sprintf(" share=%g retries=%d", level.Share, level.Tries)
+		}
+	}
+	return text
+}
+
+// updates returns what is read from the parts of updates.
+func updates() []byte {
+	var b bytes.Buffer
+	for _, parts := range [][]string{
+		{"push full 1 endpoints s-1:1.5,s-2:0.0000001,s-3:0 continued 1", "push eject s-2 continued 1", "push restore s-1,s-3 continued 1",
+			"push routes lookup+order admit 0.9 policy 1 continued 1", "push routes scan policy 3 admit 340282350000000000000000000000000000000 nonce_out 905"},
+		{"push full 1"},
+		{"push full 0 endpoints s-1:2"},
+		{"push endpoints s-1:1 continued 1"},
+		{"push admit 1 policy 2"},
+		{"push nonce_out 18446744073709551615"},
+		{"push later 7"},
+		{"push full 2"},
+		{"push endpoints s-1"},
+		{"push endpoints :1"},
+		{"push admit 1"},
+		{"push admit x policy 1"},
+		{"push nonce_out -1"},
+		{"push full"},
+		{"pull"},
+	} {
+		var m updateMessage
+		var err error
+		for _, part := range parts {
+			err = errors.Join(err, m.addPart(strings.Fields(part)))
+		}
+		fmt.Fprintf(&b, "%s\n  %s; error %v\n", strings.Join(parts, " | "), describe(m), err)
+	}
+	return b.Bytes()
+}
+
+// outcomeReports returns what a collector reads from sidecars.
+func outcomeReports() []byte {
+	var b bytes.Buffer
+	for _, words := range []string{
+		"met target s-5 count 212 fail 3 mean 41.700",
+		"met target s-5 count 0 fail 0 mean 0.000",
+		"met target s-5 count 3 fail 4 mean 1",
+		"met target s-5 count 16777217 fail 0 mean 1",
+		"met target s-5 count 1 fail 0 mean 10000001",
+		"met target s-5 count x fail 0 mean 1",
+		"met target s-5 count 1 fail 0",
+		"outcomes target s-5 count 1 fail 0 mean 1",
+	} {
+		report, err := parseOutcomeReport(strings.Fields(words))
+		fmt.Fprintf(&b, "%s\n  replica=%q attempts=%d failures=%d mean_ms=%g; error %v\n", words, report.replica, report.attempts, report.failures, report.meanMillis, err)
+	}
+	return b.Bytes()
+}
+
+func TestMessagesToGovernorsAndCollectorsAreThoseOfTheGoldenFile(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		output := sent(t)
+		golden.Compare(t, sentFile, output)
+		golden.CheckDetectsChange(t, sentFile, output)
+	})
+}
+
+func TestMessagesFromGovernorsAndSidecarsAreReadAsInTheGoldenFile(t *testing.T) {
+	output := append(updates(), outcomeReports()...)
+	golden.Compare(t, receivedFile, output)
+	golden.CheckDetectsChange(t, receivedFile, output)
+}
+
+// The messages of whole connections, beside those above: how a collector joins, and what a sidecar asks and a collector answers.
+func TestCollectorJoinsAndAnswersInBytes(t *testing.T) {
+	governor, inlet := peers.Listen(t), peers.Listen(t)
+	ctx, stop := context.WithCancel(context.Background())
+	c := &Collector{Zone: "a", Governors: []string{governor.At()}, Interval: time.Hour, MaxSidecars: 1, Log: slog.New(slog.DiscardHandler)}
+	ended := make(chan struct{})
+	go func() { defer close(ended); c.Serve(ctx, inlet) }()
+	t.Cleanup(func() { stop(); <-ended })
+	for _, m := range []struct {
+		name, sends, want string
+		conn              *peers.Conn
+	}{
+		{"joining", "", "*3\r\n$5\r\nagent\r\n$4\r\nsite\r\n$1\r\na\r\n", governor.Take()},
+		{"answer to a probe", "*1\r\n$5\r\nprobe\r\n", "*1\r\n$5\r\nalive\r\n", peers.Dial(t, inlet.At())},
+	} {
+		t.Run(m.name, func(t *testing.T) {
+			m.conn.Raw(m.sends)
+			got := make([]byte, len(m.want))
+			if _, err := io.ReadFull(m.conn.Read, got); err != nil || string(got) != m.want {
+				t.Errorf("%q %v, want %q", got, err, m.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/streams/golden_test.go
@@ -0,0 +1,207 @@
+package streams
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"testing/synctest"
+
+	"lilacbend/control"
+	"lilacbend/internal/golden"
+	"lilacbend/internal/governor"
+)
+
+const (
+	sentFile     = "sent.golden"
+	receivedFile = "received.golden"
+
+	goldenStream = governor.Stream(5)
+	goldenProxy  = 17
+)
+
+// goldenUpdates are one of each message that an update may become, and of each way in which it is split.
+func goldenUpdates() []struct {
+	name   string
+	update governor.Update
+} {
+	endpoints := []governor.WeightedEndpoint{{Replica: "s-1", Weight: 1.5}, {Replica: "s-2", Weight: 1e-7}, {Replica: "s-3"}}
+	admissions := []governor.Admission{
+		{Class: "lookup", Share: 0.9, Retries: control.RetryIfNotExecuted},
+		{Class: "order", Retries: control.NoRetry},
+		{Class: "scan", Share: 1, Retries: control.RetryOnce},
+		{Class: "batch", Share: 1e300, Retries: control.RetryTwice},
+	}
+	crowd := make([]governor.Admission, maxParts+1)
+	for k := range crowd {
+		crowd[k] = governor.Admission{Class: fmt.Sprintf("c%d", k), Share: float64(k%3) / 4, Retries: control.RetryPolicy(k % 2)}
+	}
+	many := make([]string, maxEndpointsPerPart+1)
+	table := make([]governor.WeightedEndpoint, len(many))
+	for k := range many {
+		many[k] = fmt.Sprint(k)
+		table[k] = governor.WeightedEndpoint{Replica: many[k], Weight: 1}
+	}
+	return []struct {
+		name   string
+		update governor.Update
+	}{
+		{"full", governor.Update{Full: true, Endpoints: endpoints, Ejected: []string{"s-2"}, Restored: []string{"s-1", "s-3"}, Admissions: admissions, WantsAck: true, Nonce: 905}},
+		{"full without endpoints", governor.Update{Full: true}},
+		{"full after lost updates", governor.Update{Full: true, Resync: true, Endpoints: endpoints[:1]}},
+		{"endpoints", governor.Update{Endpoints: endpoints}},
+		{"ejected", governor.Update{Ejected: []string{"s-1", "s-2"}}},
+		{"restored", governor.Update{Restored: []string{"s-1", "s-2"}}},
+		{"admissions", governor.Update{Admissions: admissions}},
+		{"admissions of more classes than parts", governor.Update{Admissions: crowd}},
+		{"ack alone", governor.Update{WantsAck: true, Nonce: 1<<64 - 1}},
+		{"ack of admissions", governor.Update{Admissions: admissions[:1], WantsAck: true, Nonce: 906}},
+		{"more endpoints than one part holds", governor.Update{Full: true, Endpoints: table, WantsAck: true, Nonce: 907}},
+		{"more ejected than one part holds", governor.Update{Ejected: many}},
+		{"more restored than one part holds", governor.Update{Restored: many}},
+	}
+}
+
+// bytesWritten returns what is written to a proxy's connection after act. It is for use in a synctest bubble.
+func bytesWritten(t *testing.T, act func(p *peer)) []byte {
+	t.Helper()
+	s := server(100)
+	local, remote := net.Pipe()
+	p := &peer{server: s, conn: local, stream: goldenStream, role: proxy, id: goldenProxy, done: make(chan struct{})}
+	p.out = s.exchange.Open(goldenStream, func() {})
+	var b bytes.Buffer
+	copied := make(chan struct{})
+	go func() {
+		defer close(copied)
+		io.Copy(&b, remote)
+	}()
+	s.all.Add(1)
+	go p.write()
+	act(p)
+	synctest.Wait()
+	close(p.done)
+	s.all.Wait()
+	local.Close()
+	<-copied
+	return b.Bytes()
+}
+
+// refusal returns what is written to a connection whose first message says nothing of who it is.
+func refusal(words string) []byte {
+	local, remote := net.Pipe()
+	p := &peer{server: server(100), conn: local}
+	var b bytes.Buffer
+	copied := make(chan struct{})
+	go func() {
+		defer close(copied)
+		io.Copy(&b, remote)
+	}()
+	p.ended(p.handle(strings.Fields(words)))
+	local.Close()
+	<-copied
+	return b.Bytes()
+}
+
+// sent returns all that the server writes to peers, as text in Go's quotes, an element of an array to a line.
+func sent(t *testing.T) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	add := func(name string, raw []byte) {
+		fmt.Fprintf(&b, "%s\n  %s\n", name, strings.ReplaceAll(fmt.Sprintf("%q", raw), `*`, "\n  *"))
+	}
+	for _, u := range goldenUpdates() {
+		add(u.name, bytesWritten(t, func(p *peer) {
+			p.server.exchange.Send(governor.OutgoingUpdate{Stream: goldenStream, Update: u.update, Number: 1})
+		}))
+	}
+	add("answer to a probe", bytesWritten(t, func(p *peer) { p.out.Alive() }))
+	add("refusal", refusal("weather site a"))
+	return b.Bytes()
+}
+
+// describe writes what was read from a peer field by field.
+func describe(t *testing.T, event any) string {
+	t.Helper()
+	switch ev := event.(type) {
+	case nil:
+		return "nothing"
+	case governor.StreamOpened:
+		return fmt.Sprintf("stream opened stream=%d proxy=%d zone=%q rate=%g blank=%t", ev.Stream, ev.Proxy, ev.Zone, ev.Rate, ev.Blank)
+	case governor.StreamActive:
+		return fmt.Sprintf("stream active stream=%d", ev.Stream)
+	case governor.Ack:
+		return fmt.Sprintf("ack stream=%d nonce=%d delay=%d", ev.Stream, ev.Nonce, ev.Delay)
+	case governor.Demand:
+		return fmt.Sprintf("demand stream=%d class=%q proxy=%d requests=%d failures=%d period=%d", ev.Stream, ev.Class, ev.Proxy, ev.Requests, ev.Failures, ev.Period)
+	case governor.Outcomes:
+		return fmt.Sprintf("outcomes zone=%q replica=%q attempts=%d failures=%d response_time=%d period=%d in_flight=%g",
+			ev.Zone, ev.Replica, ev.Attempts, ev.Failures, ev.ResponseTime, ev.Period, ev.InFlight)
+	}
+	t.Fatalf("event %T is not described", event)
+	return ""
+}
+
+// received returns what the server reads from each message that a peer may send, and from those that it refuses.
+func received(t *testing.T) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	for _, m := range []struct {
+		role  role
+		words string
+	}{
+		{proxy, "ack id 17 seq 905 ms 310.4"},
+		{proxy, "ack id 17 seq 905"},
+		{proxy, "ack id 18 seq 905 ms 310.4"},
+		{proxy, "ack id 17 seq -1"},
+		{proxy, "demand id 17 lane lookup count 19 fail 2 over 1000.5"},
+		{proxy, "demand id 18 lane lookup count 19 fail 2 over 1000.5"},
+		{proxy, "demand id 17 count 19 fail 2 over 1000.5"},
+		{proxy, "outcomes site a target s-5 count 212 fail 3 mean 41.7 over 1000"},
+		{collector, "outcomes site a target s-5 count 212 fail 3 mean 41.7 over 1000"},
+		{collector, "outcomes site a target s-5 count 212 fail 3 mean 41.7 over 1000 util inflight:7,util:0.61"},
+		{collector, "outcomes target s-5 count 212 fail 3 mean 41.7 over 1000 later 1"},
+		{collector, "outcomes site a target s-5 count 212.5 fail 3 mean 41.7 over 1000"},
+		{collector, "outcomes site a target s-5 count 212 fail 3 mean NaN over 1000"},
+		{collector, "demand id 17 lane lookup count 19 fail 2 over 1000"},
+		{collector, "ack id 17 seq 905 ms 310.4"},
+		{stranger, "hello id 20 site a rps 21.5 new 1"},
+		{stranger, "hello id 17 site c rps 21.5 new 1"},
+		{stranger, "agent site c"},
+		{stranger, "ack id 17 seq 905"},
+	} {
+		conn, _ := net.Pipe()
+		p := &peer{server: server(100), conn: conn, stream: goldenStream, role: m.role, id: goldenProxy}
+		err := p.handle(strings.Fields(m.words))
+		var event any
+		if events := p.server.exchange.Take(); len(events) > 0 {
+			event = events[0]
+		}
+		fmt.Fprintf(&b, "%v: %s\n  %s; skipped %d; error %v\n", m.role, m.words, describe(t, event), p.server.exchange.Tally.Skipped.Load(), err)
+	}
+	for _, words := range [][]string{
+		{"hello id 17 site a rps 21.5 new 1"},
+		{"hello id 17 site b new 0"},
+		{"agent site a", "outcomes site a target s-5 count 1 fail 0 mean 1 over 1000"},
+	} {
+		s := server(100)
+		call(t, running(t, s), words...)
+		fmt.Fprintf(&b, "joins: %s\n  %s\n", strings.Join(words, ", "), describe(t, told(t, s, 1)[0]))
+	}
+	return b.Bytes()
+}
+
+func TestMessagesToPeersAreThoseOfTheGoldenFile(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		output := sent(t)
+		golden.Compare(t, sentFile, output)
+		golden.CheckDetectsChange(t, sentFile, output)
+	})
+}
+
+func TestMessagesFromPeersAreReadAsInTheGoldenFile(t *testing.T) {
+	output := received(t)
+	golden.Compare(t, receivedFile, output)
+	golden.CheckDetectsChange(t, receivedFile, output)
+}
