--- /dev/null
+++ b/internal/configapi/golden_test.go
@@ -0,0 +1,74 @@
+package configapi
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/url"
+	"strings"
+	"testing"
+	"time"
+
+	"lilacbend/internal/golden"
+	"lilacbend/internal/revision"
+)
+
+const messagesFile = "messages.golden"
+
+func goldenStatus() Status {
+	inForce := revision.Version{Epoch: 7, Revision: 30}
+	newest := revision.Version{Epoch: 7, Revision: 31}
+	return Status{
+		Server: "s0", Region: "r0", Writer: true, Version: newest, AgeMS: 12,
+		Faults:   []Fault{{File: "orders.json", Reason: "unexpected end"}},
+		Services: []ServiceStatus{{Name: "orders", Version: newest, Bytes: 905, History: []Published{{inForce, 60_000}, {newest, 1500}}}},
+		Watchers: []Watcher{{Instance: "n7", Service: "orders", Zone: "a", Region: "r1", InForce: inForce, Refused: newest, HeardMS: 40}},
+		Counters: Counters{Requests: 1, Copies: 2, Changes: 3, SentAway: 4, Refused: 5, BytesOut: 6, WriteErrors: 7, Connections: 8},
+	}
+}
+
+// messages returns a query, and each body that a server sends, as they are on the wire.
+func messages(t *testing.T) []byte {
+	t.Helper()
+	version := revision.Version{Epoch: 7, Revision: 31}
+	query := Query{Service: "orders", Since: revision.Version{Epoch: 7, Revision: 30}, Refused: version, Timeout: 1500 * time.Millisecond, Instance: "n7", Zone: "a", Region: "r1"}
+	var b bytes.Buffer
+	fmt.Fprintf(&b, "query\n%s\nquery of a server that holds nothing\n%s\nanswer\n", query.Encode(), Query{Instance: "s1"}.Encode())
+	answer := Answer{Version: version, Complete: true, AgeMS: 12, Services: []Service{
+		{Name: "orders", Version: version, Settings: json.RawMessage(`{"zones":["a","b"]}`)},
+		{Name: "stock", Version: revision.Version{Epoch: 7, Revision: 29}, Removed: true},
+	}}
+	for _, a := range []Answer{answer, {Version: version, Services: []Service{}}} {
+		if _, err := a.WriteTo(&b); err != nil {
+			t.Fatal(err)
+		}
+		b.WriteByte('\n')
+	}
+	for _, body := range []any{Refusal{Reason: "no service \"x\""}, Refusal{Reason: "too many whole copies are under way", RetryAfterMS: 150}, goldenStatus()} {
+		raw, err := json.Marshal(body)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.Write(append(raw, '\n'))
+	}
+	return b.Bytes()
+}
+
+func TestMessagesAreThoseOfTheGoldenFile(t *testing.T) {
+	output := messages(t)
+	golden.Compare(t, messagesFile, output)
+	golden.CheckDetectsChange(t, messagesFile, output)
+}
+
+func TestQueryOfTheGoldenFileIsReadAndEncodedAgain(t *testing.T) {
+	line := strings.Split(string(golden.Read(t, messagesFile)), "\n")[1]
+	path, parameters, _ := strings.Cut(line, "?")
+	values, err := url.ParseQuery(parameters)
+	if err != nil || path != WatchPath {
+		t.Fatalf("%q %v", line, err)
+	}
+	query, err := ParseQuery(values)
+	if err != nil || query.Encode() != line {
+		t.Errorf("%q %v, want %q", query.Encode(), err, line)
+	}
+}
--- /dev/null
+++ b/internal/vault/golden_test.go
@@ -0,0 +1,65 @@
+package vault
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+
+	"lilacbend/control"
+	"lilacbend/internal/golden"
+	"lilacbend/internal/memory"
+)
+
+const (
+	snapshotFile       = "snapshot.golden"
+	snapshotGeneration = 12
+)
+
+// goldenSnapshot has a value other than zero in every field, and replicas of each state.
+func goldenSnapshot() memory.Memory {
+	return memory.Memory{
+		Governor: "n7", Taken: memory.Moment{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
+		Classes: []string{"lookup", "order"}, Tables: 3, AdmissionThreshold: 0.7, MaxSuccessRate: 40.25, RetriesStopped: true,
+		Replicas: []memory.Replica{
+			{ID: "s-1", Zone: "a", Kind: "m1", UpSince: 1_699_999_000_000_000_000, State: control.Draining, Weight: 1.5, Speed: 0.5, SampleCount: 12,
+				Ticket: 0.3, Table: 1, EjectedFor: 2_000_000_000, Probation: true, Ejections: 2, SinceLastSample: 1_000_000_000},
+			{ID: "s-2", Zone: "b", Kind: "m2", Weight: 1, Speed: 2.125, SampleCount: 16, Ticket: 0.4},
+			{ID: "s-3", Zone: "b", State: control.Gone, Weight: 0.25, Speed: 1, SampleCount: 1, Ticket: 1, Table: 2},
+		},
+		UsualResponses: []memory.KindResponses{{Kind: "m1", Times: []float64{0.125, 0.25}}, {Kind: "m2", Times: []float64{0.0625}}, {Times: []float64{0.15}}},
+		Usage:          []memory.Usage{{Proxy: 1, Class: "lookup", Rate: 20}, {Proxy: 1, Class: "order", Rate: 2.5}, {Proxy: 2, Class: "order", Rate: 0.5}},
+		Bindings:       []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}},
+	}
+}
+
+func TestSnapshotIsEncodedAsInTheGoldenFile(t *testing.T) {
+	output, err := Encode(goldenSnapshot(), snapshotGeneration)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, snapshotFile, output)
+	golden.CheckDetectsChange(t, snapshotFile, output)
+}
+
+func TestSnapshotOfTheGoldenFileIsDecodedAndEncodedAgain(t *testing.T) {
+	held := golden.Read(t, snapshotFile)
+	decoded, generation, format, err := Decode(held)
+	if err != nil || generation != snapshotGeneration || format != Format {
+		t.Fatalf("generation %d, format %d: %v", generation, format, err)
+	}
+	if want := goldenSnapshot(); !reflect.DeepEqual(decoded, want) {
+		t.Errorf("got  %+v\nwant %+v", decoded, want)
+	}
+	again, err := Encode(decoded, generation)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, snapshotFile, again)
+	for at := range held {
+		changed := bytes.Clone(held)
+		changed[at] ^= 1
+		if _, _, _, err := Decode(changed); err == nil {
+			t.Errorf("byte %d changed: the snapshot is decoded", at)
+		}
+	}
+}
