--- /dev/null
+++ b/cmd/lilacbend/golden_test.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/urfave/cli/v3"
+
+	"lilacbend/control"
+	"lilacbend/internal/configapi"
+	"lilacbend/internal/golden"
+	"lilacbend/internal/memory"
+	"lilacbend/internal/revision"
+	"lilacbend/internal/vault"
+)
+
+const (
+	exportFile = "state-export.golden"
+	statusFile = "configserver-status.golden"
+)
+
+// outputOf runs a command of the program and returns what it prints.
+func outputOf(t *testing.T, command func(out io.Writer) *cli.Command, args ...string) []byte {
+	t.Helper()
+	var out bytes.Buffer
+	if err := command(&out).Run(context.Background(), args); err != nil {
+		t.Fatal(err)
+	}
+	return out.Bytes()
+}
+
+func state(out io.Writer) *cli.Command { return stateCommand(&options{}, out) }
+
+func configurationServer(out io.Writer) *cli.Command { return configserverCommand(nil, out) }
+
+// goldenState has a value other than zero in every field that is exported.
+func goldenState() memory.Memory {
+	return memory.Memory{
+		Governor: "n7", Taken: memory.Moment{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
+		Classes: []string{"lookup", "order"}, Tables: 3, AdmissionThreshold: 0.7, MaxSuccessRate: 40.25, RetriesStopped: true,
+		Replicas: []memory.Replica{
+			{ID: "s-1", Zone: "a", Kind: "m1", UpSince: 1_699_999_000_000_000_000, State: control.Draining, Weight: 1.5, Speed: 0.5, SampleCount: 12,
+				Ticket: 0.3, Table: 1, EjectedFor: 2_000_000_000, Probation: true, Ejections: 2, SinceLastSample: 1_000_000_000},
+			{ID: "s-2", Zone: "b", Kind: "m2", Weight: 1, Speed: 2.125, SampleCount: 16, Ticket: 0.4},
+		},
+		UsualResponses: []memory.KindResponses{{Kind: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
+		Usage:          []memory.Usage{{Proxy: 1, Class: "lookup", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
+		Bindings:       []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}},
+	}
+}
+
+func TestStateExportPrintsTheGoldenFile(t *testing.T) {
+	folder := t.TempDir()
+	if _, err := vault.Write(vault.Folder(folder), goldenState(), 1); err != nil {
+		t.Fatal(err)
+	}
+	for _, subcommand := range [][]string{{"export"}, {"show", "--json"}} {
+		t.Run(strings.Join(subcommand, " "), func(t *testing.T) {
+			output := outputOf(t, state, append(append([]string{"state"}, subcommand...), folder)...)
+			golden.Compare(t, exportFile, output)
+			golden.CheckDetectsChange(t, exportFile, output)
+		})
+	}
+}
+
+func TestStateExportOfTheGoldenFileIsImportedAndExportedAgain(t *testing.T) {
+	folder := t.TempDir()
+	outputOf(t, state, "state", "import", "testdata/"+exportFile, folder)
+	golden.Compare(t, exportFile, outputOf(t, state, "state", "export", folder))
+}
+
+// goldenStatuses are those of a writer and of a server that follows it. Governors are in two zones; one of them lags, one has
+// refused the newest version, and one is known to both servers.
+func goldenStatuses() []configapi.Status {
+	at := func(number uint64) revision.Version { return revision.Version{Epoch: 7, Revision: number} }
+	history := func(older int64) []configapi.Published {
+		return []configapi.Published{{Version: at(29), AgoMS: 90_000 + older}, {Version: at(30), AgoMS: 60_000 + older}, {Version: at(31), AgoMS: 1500 + older}}
+	}
+	return []configapi.Status{
+		{Server: "s0", Region: "r0", Writer: true, Version: at(32), Faults: []configapi.Fault{{File: "stock.json", Reason: "unexpected end"}},
+			Services: []configapi.ServiceStatus{{Name: "orders", Version: at(31), Bytes: 905, History: history(0)}, {Name: "stock", Version: at(28), Bytes: 17}},
+			Watchers: []configapi.Watcher{
+				{Instance: "s1", Region: "r1", InForce: at(32), HeardMS: 3},
+				{Instance: "n1", Service: "orders", Zone: "a", Region: "r0", InForce: at(31), HeardMS: 40},
+				{Instance: "n2", Service: "orders", Zone: "a", Region: "r0", InForce: at(30), HeardMS: 50},
+				{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", InForce: at(29), HeardMS: 70_000},
+			},
+			Counters: configapi.Counters{Requests: 1, Copies: 2}},
+		{Server: "s1", Region: "r1", Version: at(31), AgeMS: 12, Faults: []configapi.Fault{},
+			Services: []configapi.ServiceStatus{{Name: "orders", Version: at(31), Bytes: 905, History: history(-20)}},
+			Watchers: []configapi.Watcher{{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", InForce: at(29), Refused: at(31), HeardMS: 30}}},
+	}
+}
+
+func TestConfigserverStatusPrintsTheGoldenFile(t *testing.T) {
+	var addresses []string
+	for _, status := range goldenStatuses() {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if r.Method != http.MethodGet || r.URL.Path != "/status" {
+				t.Errorf("asked for %s %s", r.Method, r.URL)
+			}
+			json.NewEncoder(w).Encode(status)
+		}))
+		t.Cleanup(server.Close)
+		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
+	}
+	output := outputOf(t, configurationServer, "configserver", "status", "--json", "--server", strings.Join(addresses, ","))
+	golden.Compare(t, statusFile, output)
+	golden.CheckDetectsChange(t, statusFile, output)
+}
