--- a/internal/steering/golden_test.go
+++ b/internal/steering/golden_test.go
@@ -150,6 +150,7 @@
 	for _, words := range []string{
 		"met target s-5 count 212 fail 3 mean 41.700",
 		"met target s-5 count 0 fail 0 mean 0.000",
+		"met target s-5 count 16777216 fail 16777216 mean 10000000",
 		"met target s-5 count 3 fail 4 mean 1",
 		"met target s-5 count 16777217 fail 0 mean 1",
 		"met target s-5 count 1 fail 0 mean 10000001",
