--- a/experiment/emulator/steer.go
+++ b/experiment/emulator/steer.go
@@ -1,11 +1,14 @@
 package emulator
 
 import (
+	"bytes"
 	"slices"
 
 	"lilacbend/control"
 	"lilacbend/internal/controller"
+	"lilacbend/internal/controlserver"
 	"lilacbend/internal/learnedstate"
+	"lilacbend/internal/resp"
 	"lilacbend/policy"
 )
 
@@ -210,7 +213,7 @@
 		}
 		p := w.proxies[k]
 		if w.Trace != nil {
-			w.Trace("%d push %d %+v", w.now, p.id, s.Update)
+			w.Trace("%d push %d %q", w.now, p.id, wireBytes(s.Update))
 		}
 		left := w.queued(p, s.Update)
 		t.notes = append(t.notes, controller.MessageSent{Number: s.Number})
@@ -222,6 +225,16 @@
 	}
 }
 
+// wireBytes returns an update as a controller writes it to a proxy's stream.
+func wireBytes(u controller.Update) []byte {
+	var b bytes.Buffer
+	pool := resp.NewPool(0)
+	for _, words := range controlserver.EncodeUpdate(u) {
+		resp.Write(&b, pool, words...) // into memory: it cannot fail
+	}
+	return b.Bytes()
+}
+
 func (w *World) apply(p *proxy, s controller.OutgoingUpdate) {
 	if p.stream != s.Stream || w.cut[p.zone] > 0 { // lost with its stream
 		return
