--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,10 +3,24 @@
 import (
 	"cmp"
 	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
+	"lilacbend/policy/internal/sample"
 	"math"
 	"slices"
 )
 
+// Tuned values of admission and retries.
+const (
+	lateMost   = 2.5  // overload is late
+	strained   = 0.75 // overload: answers, of the latency objective
+	missedMost = 0.15 // overload: misses
+	missedOnce = 0.08 // one try only
+	shareSteps = 20   // steps of levels
+	lineFirst  = 0.9  // the line: first of the served
+	lineDown   = 0.9  // later
+	lineUp     = 0.01 // up, a second
+)
+
 type sums struct {
 	control.Demand
 	at int64
@@ -87,7 +101,7 @@
 		l.once, l.turned = once, l.now
 		l.say("one try only %v: %.2f missed", once, f.bad)
 	}
-	l.served = newest(2*samplesKept, append(l.served, f.tries*(1-f.bad)/math.Max(1e-9, f.serves)))
+	l.served = sample.Newest(2*sample.Kept, append(l.served, f.tries*(1-f.bad)/math.Max(1e-9, f.serves)))
 	if !over {
 		l.eased = l.now
 	}
@@ -101,7 +115,7 @@
 		l.press, l.fell = press, l.now
 	case over:
 		// All that came was tried: where fewer tries are told of than flows, fewer answers are as well.
-		left := lineFirst * slices.Max(l.served) * f.serves * math.Max(1, total(flows)/math.Max(1, f.tries))
+		left := lineFirst * slices.Max(l.served) * f.serves * math.Max(1, ordered.Sum(flows)/math.Max(1, f.tries))
 		l.line, l.press, l.fell = 0, press, l.now
 		for _, g := range l.groups {
 			l.line += math.Min(1, math.Max(0, left)/math.Max(1, flows[g]))
--- /dev/null
+++ b/policy/internal/sample/sample_test.go
@@ -0,0 +1,29 @@
+package sample
+
+import (
+	"slices"
+	"testing"
+)
+
+func TestNewestKeepsTheLast(t *testing.T) {
+	samples := []int{1, 2, 3}
+	for most, want := range map[int][]int{0: {}, 2: {2, 3}, 3: {1, 2, 3}, 9: {1, 2, 3}} {
+		if got := Newest(most, samples); !slices.Equal(got, want) {
+			t.Errorf("at most %d: got %v, want %v", most, got, want)
+		}
+	}
+}
+
+func TestMean(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		values []float64
+		want   float64
+	}{{"none", nil, 0}, {"one", []float64{3}, 3}, {"several", []float64{1, 2, 6}, 3}} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := Mean(c.values); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
 	"slices"
 )
 
@@ -10,7 +11,7 @@
 func (g *Policy) learned() control.Snapshot {
 	p, r, l := g.queues[placementComponent].component.(*planner), g.queues[bindingComponent].component.(*binder), g.queues[admissionComponent].component.(*admissionController)
 	var all control.Snapshot
-	for _, id := range sorted(g.replicas) {
+	for _, id := range ordered.Keys(g.replicas) {
 		r := g.replicas[id]
 		table, dealt := p.own[id]
 		if !dealt {
@@ -33,7 +34,7 @@
 		all.MaxSuccessRate = max(all.MaxSuccessRate, served)
 	}
 	all.RequestRates = g.usage(l)
-	for _, proxy := range sorted(r.here) {
+	for _, proxy := range ordered.Keys(r.here) {
 		if c := r.here[proxy]; c.table >= 0 {
 			all.Bindings = append(all.Bindings, control.Binding{Proxy: proxy, Table: c.table})
 		}
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -2,11 +2,22 @@
 
 import (
 	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
 	"math"
 	"slices"
 	"sync"
 )
 
+// Tuned values of the channel and of message caps.
+const (
+	ordinaryPart = 0.4         // of the channel's limit
+	urgentPart   = 0.85        // of the channel's limit
+	ordinaryMsgs = 0.5         // of a proxy's message cap
+	addMsgs      = 0.75        // of a proxy's message cap
+	urgentMsgs   = 0.95        // of a proxy's message cap
+	lostSpan     = 30 * second // past its time, after which a message is taken for lost
+)
+
 type batch struct {
 	mark  uint64
 	lines float64
@@ -179,7 +190,7 @@
 		}
 		return p.write(o, urgentPart, urgentMsgs)
 	})
-	if m.proxies = sorted(p.reached); len(m.proxies) > 0 {
+	if m.proxies = ordered.Keys(p.reached); len(m.proxies) > 0 {
 		p.mark++
 		m.mark = p.mark
 		p.out = append(p.out, control.RequestAck{Nonce: m.mark & marksMask})
@@ -315,7 +326,7 @@
 		slices.Sort(to)
 		return to, 1
 	}
-	return sorted(p.bound), 1
+	return ordered.Keys(p.bound), 1
 }
 
 // coldLifts are the commands of the open step that let cold replicas in.
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -3,11 +3,39 @@
 import (
 	"cmp"
 	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
+	"lilacbend/policy/internal/sample"
+	"lilacbend/policy/internal/zone"
 	"maps"
 	"math"
 	"slices"
 )
 
+// Tuned values of tables and baselines.
+const (
+	proxiesTable = 5        // least of a table
+	linesTable   = 5.0      // least of a table
+	turns        = 10007    // mixes the guests
+	kindSpread   = 2        // calm kinds
+	shrink       = 8.0      // prior of a weight
+	slowest      = 1.0 / 16 // least of a weight
+	idleFirst    = 0.85     // idle part of the calm, at first
+	idleLast     = 0.6      // and later
+	firstSamples = 15.0
+	drain        = 0.1 // full queues cost weight
+	drainMost    = 5.0
+	sickMost     = 0.75 // so many are out
+	slowAnswer   = 2.0  // so much later is slow
+	spareGuest   = 1.1  // over its own: guests come
+	spareIdler   = 1.35 // likewise, of proxies that pick the less loaded
+	deadPart     = 0.65 // so few serve: guests come
+	mostPart     = 0.75 // of most replicas
+	guestSteps   = 10   // steps of guests
+	priorSpan    = 4.0  // seconds for which the rate of a hello counts
+	surge        = 1.5  // a sudden rise
+	penaltyMost  = 0.4  // of more, none is
+)
+
 var spares = [...]float64{spareGuest, spareGuest, spareIdler} // by control.Pick
 
 type planner struct {
@@ -67,7 +95,7 @@
 // slow, else the flows it could answer: what it answers, by how busy its answer time of that moment shows it.
 func (p *planner) norms() {
 	type sum struct{ good, answer, count, able float64 }
-	kinds, sizes, ids, all := map[int]sum{}, map[float64]bool{}, sorted(p.offers), p.HardwareClasses
+	kinds, sizes, ids, all := map[int]sum{}, map[float64]bool{}, ordered.Keys(p.offers), p.HardwareClasses
 	shares, bears, told := []float64{}, 0.0, 1e-9                                      // missed of each; what the cold could bear, and all tries
 	missed, tries, serves, quick, gave, warm := 0.0, 0.0, 0.0, math.Inf(1), 1e-9, 1e-9 // good of the warm
 	for _, calm := range p.calm {
@@ -106,7 +134,7 @@
 		p.judged = p.now
 		for kind, k := range kinds {
 			if k.good >= sickTries {
-				p.calm[kind] = newest(samplesKept, append(p.calm[kind], k.answer/k.good))
+				p.calm[kind] = sample.Newest(sample.Kept, append(p.calm[kind], k.answer/k.good))
 			}
 		}
 	}
@@ -145,7 +173,7 @@
 	f := fleetLoad{tries: tries * float64(second) / float64(recent), bad: bad, serves: serves,
 		answer: kinds[all].answer / math.Max(1, kinds[all].good), calm: quick}
 	slices.Sort(shares) // a few that fail are no overload
-	f.most = mean(shares[:int(math.Ceil(mostPart*float64(len(shares))))])
+	f.most = sample.Mean(shares[:int(math.Ceil(mostPart*float64(len(shares))))])
 	p.enqueue(admissionComponent, f)
 }
 
@@ -153,7 +181,7 @@
 // none longer than lets all be bound in half the channel's limit, with guests where its own could not carry
 // its proxies, no more of each than its own table can spare. One that lost all gives its proxies to a sister.
 func (p *planner) redraw() {
-	ids := sorted(p.offers)
+	ids := ordered.Keys(p.offers)
 	tickets := func(a, b uint32) int { return cmp.Compare(p.offers[b].ticket, p.offers[a].ticket) }
 	slices.SortStableFunc(ids, func(a, b uint32) int { // each kind is dealt round the tables
 		return cmp.Or(cmp.Compare(p.offers[a].HardwareClass, p.offers[b].HardwareClass), tickets(a, b))
@@ -162,7 +190,7 @@
 		return
 	}
 	slices.SortStableFunc(ids, tickets) // where a table has no room for all of its own
-	tables, row, total, all := p.tables, p.rows(p.tables), 1e-9, 1e-9
+	tables, row, total, all := p.tables, zone.Rows(p.Zones, p.tables), 1e-9, 1e-9
 	t := targetTables{map[tableEndpoint]float64{}, p.shutOut(ids, row)}
 	need, home, serves, penalized := make([]float64, tables), make([]float64, tables), make([]float64, tables), 0.0
 	for _, id := range ids {
@@ -241,12 +269,12 @@
 // weight. A zone is split over several tables while each keeps lines enough.
 func (p *planner) deal(ids []uint32) {
 	most := max(1, (p.Proxies/max(1, p.Controllers)-1)/proxiesTable)
-	if row := p.rows(most); p.tables == 0 && len(ids) > 0 {
+	if row := zone.Rows(p.Zones, most); p.tables == 0 && len(ids) > 0 {
 		p.tables = row * max(1, min(most/row, int(math.Round(float64(len(ids)/row)/linesTable))))
 	}
 	held := make([]float64, p.tables)
 	for _, id := range ids { // as an earlier governor dealt, while there are as many tables
-		row := p.rows(p.tables)
+		row := zone.Rows(p.Zones, p.tables)
 		table, ok := p.laid[id]
 		if ok && p.before == p.tables && table < p.tables && table%row == p.offers[id].Zone%row {
 			p.own[id] = table
@@ -260,7 +288,7 @@
 	}
 	for _, id := range ids {
 		if _, ok := p.own[id]; !ok {
-			p.own[id] = p.least(p.offers[id].Zone, held)
+			p.own[id] = zone.LeastLoaded(p.offers[id].Zone, p.Zones, held)
 			held[p.own[id]] += p.offers[id].Weight
 		}
 	}
@@ -331,7 +359,7 @@
 // tablesUnder is how many tables a start with some settings would deal.
 func (p *planner) tablesUnder(settings control.Settings) int {
 	fresh := &planner{sharedState: &sharedState{Settings: settings}, offers: p.offers, own: map[uint32]int{}, laid: map[uint32]int{}}
-	fresh.deal(sorted(p.offers))
+	fresh.deal(ordered.Keys(p.offers))
 	return fresh.tables
 }
 
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -2,6 +2,7 @@
 
 import (
 	"lilacbend/control"
+	"lilacbend/policy/internal/zone"
 	"reflect"
 	"slices"
 )
@@ -44,8 +45,8 @@
 		return true
 	}
 	after := sharedState{Settings: e.Settings}
-	row := g.rows(tables)
-	if after.rows(tables) != row {
+	row := zone.Rows(g.Zones, tables)
+	if zone.Rows(after.Zones, tables) != row {
 		return false
 	}
 	for _, entry := range e.Replicas {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/policy/internal/zone"
 )
 
 // running is a governor of two zones that has heard of all its replicas for a while: one is sick, one is slow.
@@ -168,7 +169,7 @@
 			}
 		}
 		want(t, what+": tables", p.tables, fresh.queues[placementComponent].component.(*planner).tables)
-		row := g.rows(p.tables)
+		row := zone.Rows(g.Zones, p.tables)
 		for id, table := range p.own {
 			want(t, what+": a replica's row", table%row, g.replicas[id].entry.Zone%row)
 		}
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -2,6 +2,8 @@
 
 import (
 	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
+	"lilacbend/policy/internal/zone"
 	"math"
 	"slices"
 )
@@ -57,18 +59,18 @@
 		return
 	}
 	load := make([]float64, len(tables))
-	for _, proxy := range sorted(r.here) {
+	for _, proxy := range ordered.Keys(r.here) {
 		if c := r.here[proxy]; c.table >= 0 {
 			if load[c.table] += c.Rate; tables[c.table] != r.boundTo[c.table] {
 				r.enqueue(updateComponent, bindRequested{control.Bind{Proxy: proxy, Table: tables[c.table]}})
 			}
 		}
 	}
-	for _, proxy := range sorted(r.here) {
+	for _, proxy := range ordered.Keys(r.here) {
 		if c := r.here[proxy]; c.table < 0 {
-			c.table = r.least(c.Zone, load)
+			c.table = zone.LeastLoaded(c.Zone, r.Zones, load)
 			if sat, ok := r.formerTables[proxy]; ok && r.past.Tables == len(tables) && sat < len(tables) &&
-				sat%r.rows(len(tables)) == c.Zone%r.rows(len(tables)) {
+				sat%zone.Rows(r.Zones, len(tables)) == c.Zone%zone.Rows(r.Zones, len(tables)) {
 				c.table = sat // as its connections are
 			}
 			delete(r.formerTables, proxy)
@@ -86,7 +88,7 @@
 // written to it, and to all others before, may wait there still, and taken for sent lets a crowd that leaves at
 // once fill the channel twice.
 func (r *binder) acknowledge(proxy int, upto uint64) {
-	for _, mark := range sorted(r.wait) {
+	for _, mark := range ordered.Keys(r.wait) {
 		if w := r.wait[mark]; mark <= upto && w[proxy] {
 			if delete(w, proxy); len(w) == 0 {
 				delete(r.wait, mark)
@@ -141,12 +143,12 @@
 // rebind puts the proxies on tables that were dealt anew. Where there are as many as before who is still in its row stays;
 // all others move as in any update, once their new table is laid out. Bound says where each is bound now.
 func (r *binder) rebind(before, tables int, bound map[int]int) {
-	load, row := make([]float64, tables), r.rows(tables)
+	load, row := make([]float64, tables), zone.Rows(r.Zones, tables)
 	r.boundTo = slices.Collect(numbers(tables))
 	stays := func(c *connectedProxy) bool {
 		return before == tables && c.table%row == c.Zone%row
 	}
-	members := slices.DeleteFunc(sorted(r.here), func(proxy int) bool { return r.here[proxy].table < 0 })
+	members := slices.DeleteFunc(ordered.Keys(r.here), func(proxy int) bool { return r.here[proxy].table < 0 })
 	for _, proxy := range members {
 		if c := r.here[proxy]; stays(c) {
 			load[c.table] += c.Rate
@@ -155,7 +157,7 @@
 	for _, proxy := range members {
 		c := r.here[proxy]
 		if !stays(c) {
-			c.table = r.least(c.Zone, load)
+			c.table = zone.LeastLoaded(c.Zone, r.Zones, load)
 			load[c.table] += c.Rate
 		}
 		switch bind := (control.Bind{Proxy: proxy, Table: c.table}); {
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -3,10 +3,29 @@
 import (
 	"cmp"
 	"lilacbend/control"
+	"lilacbend/policy/internal/sample"
 	"math"
 )
 
-type sample struct {
+// Tuned values of a replica's health, slow start and weight.
+const (
+	entryShare     = 0.5        // of a new replica's weight
+	entrySpan      = 5 * second // how long
+	settleSpan     = 4 * second // a weight follows in this
+	firstSteps     = 8          // sooner if new
+	coldSpare      = 1.0 / 3    // of a fall's multiple
+	coldLost       = 0.3        // flows lost: no cold
+	probationTries = 3          // attempts for a verdict on trial
+	sickPart       = 0.5        // part missed more
+	lostBad        = 0.4        // part missed of the fleet from which there are no verdicts
+	fewGood        = 0.2        // good left
+	ejectionSpan   = 3 * second // rest of the sick
+	mostEjections  = 2
+	confidenceMost = 16.0  // tries that a memory counts for
+	penaltyPart    = 0.125 // weight of who was sick
+)
+
+type attemptSample struct {
 	at                 int64
 	tries, bad, answer float64
 }
@@ -17,7 +36,7 @@
 	entry        control.ListedReplica
 	heard        int64 // when its start became known
 	ticket       float64
-	met          []sample
+	met          []attemptSample
 	speed        float64
 	fleet        fleetBaseline
 	ejectedUntil int64 // out until then
@@ -41,7 +60,7 @@
 		r.entry = n.ListedReplica
 	case outcomesReported:
 		answer := float64(n.ResponseTime) / float64(second)
-		r.met = newest(samplesKept, append(r.met, sample{r.now, float64(n.Attempts), float64(n.Failures), answer}))
+		r.met = sample.Newest(sample.Kept, append(r.met, attemptSample{r.now, float64(n.Attempts), float64(n.Failures), answer}))
 		r.confidence, r.sampleCount, r.lastSample = r.confidence*confidenceLeft, math.Min(confidenceMost, r.sampleCount+float64(n.Attempts)), r.now
 		return
 	case replicaRestored:
--- a/policy/replica_test.go
+++ b/policy/replica_test.go
@@ -8,7 +8,7 @@
 func met(g *Policy, tries, bad, answer float64) *replica {
 	r := &replica{sharedState: &g.sharedState, box: fixedComponents, entry: control.ListedReplica{Replica: 9, Weight: 1}, speed: 1}
 	r.fleet = fleetBaseline{late: 0.4, good: 20, goal: 1}
-	r.met = []sample{{g.now, tries, bad, answer}}
+	r.met = []attemptSample{{g.now, tries, bad, answer}}
 	return r
 }
 
@@ -42,13 +42,13 @@
 	r.judge()
 	want(t, "on trial", r.trial, r.now+r.ReportInterval)
 	r.now += 2 * second
-	r.met = []sample{{r.now, probationTries, probationTries, 0}}
+	r.met = []attemptSample{{r.now, probationTries, probationTries, 0}}
 	r.judge()
 	want(t, "longer rest at a ejections", r.ejectedUntil-r.now, 2*first)
 	r.now = r.ejectedUntil
 	r.judge()
 	r.now += 2 * second
-	r.met = []sample{{r.now, probationTries, 0, 0.2}}
+	r.met = []attemptSample{{r.now, probationTries, 0, 0.2}}
 	r.judge()
 	want(t, "well again", r.trial == 0 && r.ejectedUntil == 0, true)
 }
--- a/policy/shared.go
+++ b/policy/shared.go
@@ -1,13 +1,10 @@
 package policy
 
 import (
-	"cmp"
 	"fmt"
 	"iter"
 	"lilacbend/control"
-	"maps"
 	"math"
-	"slices"
 )
 
 // sharedState is what the parts share: the clock, the settings, the queues and the commands of this turn.
@@ -22,19 +19,6 @@
 
 func (d *sharedState) pause() int64 { return max(1, min(d.ReportInterval/2, beat)) }
 
-func (d *sharedState) rows(tables int) int { return min(max(1, d.Zones), tables) }
-
-func (d *sharedState) least(zone int, held []float64) int {
-	row := d.rows(len(held))
-	best := zone % row
-	for table := best; table < len(held); table += row {
-		if held[table] < held[best] {
-			best = table
-		}
-	}
-	return best
-}
-
 func (d *sharedState) say(f string, args ...any) {
 	d.out = append(d.out, control.Log{Text: fmt.Sprintf(f, args...)})
 }
@@ -50,27 +34,6 @@
 	return math.Pow(d.chance(), 1/math.Max(weight, 1e-6))
 }
 
-// newest leaves so many of a list, the last.
-func newest[T any](most int, all []T) []T { return all[max(0, len(all)-most):] }
-
-// mean of none is 0.
-func mean(all []float64) (sum float64) {
-	for _, v := range all {
-		sum += v / float64(len(all))
-	}
-	return sum
-}
-
-// total adds in the order of the keys: the last digit of a sum goes by its order.
-func total[K cmp.Ordered](all map[K]float64) (sum float64) {
-	for _, k := range sorted(all) {
-		sum += all[k]
-	}
-	return sum
-}
-
-func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
-
 // numbers counts from 0.
 func numbers(count int) iter.Seq[int] {
 	return func(yield func(int) bool) {
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -3,10 +3,20 @@
 import (
 	"cmp"
 	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
 	"math"
 	"slices"
 )
 
+// Tuned values of subsets.
+const (
+	sharedPart = 0.375 // of what the channel sends in a drain's grace
+	firstPart  = 0.375 // likewise
+	restPart   = 0.25  // likewise
+	firstLeast = 3     // lines of a part, of which all are restored
+	keptLeast  = 0.5   // less is renewed
+)
+
 // partial is what a proxy holds that has been given a part of its table.
 type partial struct {
 	replicas map[uint32]bool // those of the part that have not been withdrawn or removed since
@@ -26,7 +36,7 @@
 // weights are alike: the heaviest replica that is left always goes to the lightest part that has room.
 func split(weights map[uint32]float64, without map[uint32]bool, size int) [][]uint32 {
 	var ids []uint32
-	for _, id := range sorted(weights) {
+	for _, id := range ordered.Keys(weights) {
 		if !without[id] {
 			ids = append(ids, id)
 		}
@@ -60,7 +70,7 @@
 			partOf[id] = k
 		}
 	}
-	for _, proxy := range sorted(p.partial) {
+	for _, proxy := range ordered.Keys(p.partial) {
 		if p.bound[proxy] != table {
 			continue
 		}
@@ -151,7 +161,7 @@
 
 // incomplete are the proxies that hold a part of their table, those first that have least of it left.
 func (p *pacer) incomplete() []int {
-	all := sorted(p.partial)
+	all := ordered.Keys(p.partial)
 	slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(p.partial[a].kept(), p.partial[b].kept()) })
 	return all
 }
@@ -159,7 +169,7 @@
 // partible are the lines of a table of which parts are made: the warm, where they weigh half of it, else all.
 func (p *pacer) partible(table int) map[uint32]float64 {
 	warm, warmWeight, weight := map[uint32]float64{}, 0.0, 0.0
-	for _, id := range sorted(p.laid[table]) {
+	for _, id := range ordered.Keys(p.laid[table]) {
 		if p.ejected[id] {
 			continue
 		}
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -4,7 +4,14 @@
 // The ordinary path is a reverse-order update (docs/design.md). Parts talk only through queues.
 package policy
 
-import "lilacbend/control"
+import (
+	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
+)
+
+const (
+	forgetSpan = 60 * second // after which a replica that is gone is forgotten
+)
 
 // Policy is one instance of the module.
 type Policy struct {
@@ -98,7 +105,7 @@
 
 // tidy forgets replicas that are long gone, so that a governor that runs for weeks does not grow.
 func (g *Policy) tidy() {
-	for _, id := range sorted(g.replicas) {
+	for _, id := range ordered.Keys(g.replicas) {
 		if r := g.replicas[id]; r.entry.State != control.Gone {
 			r.changed = g.now
 		} else if g.now-r.changed > forgetSpan {
@@ -113,7 +120,7 @@
 
 // listed passes news of the list to its replicas; whoever a whole list leaves out is gone.
 func (g *Policy) listed(l control.ReplicasListed) {
-	for _, id := range sorted(g.replicas) {
+	for _, id := range ordered.Keys(g.replicas) {
 		if e := g.replicas[id].entry; l.Full && !l.Failed {
 			e.State = control.Gone
 			g.enqueue(g.replicas[id].box, replicaListed{e})
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -3,11 +3,18 @@
 import (
 	"cmp"
 	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
 	"maps"
 	"math"
 	"slices"
 )
 
+// Tuned values of an update.
+const (
+	changeWorth = 0.15       // relative change of a weight that is sent
+	stepTimeout = 2 * second // after which a step no longer waits for an answer
+)
+
 const (
 	add = iota
 	overwrite
@@ -99,13 +106,13 @@
 			orders = append(orders, o)
 		}
 	}
-	for _, id := range sorted(s.out) {
+	for _, id := range ordered.Keys(s.out) {
 		if at == add && s.out[id] && !s.want.out[id] {
 			orders = append(orders, control.SetEjected{Replica: id})
 		}
 	}
 	orders = append(orders, raised...)
-	for _, proxy := range sorted(s.moves) {
+	for _, proxy := range ordered.Keys(s.moves) {
 		if at == rebind {
 			orders = append(orders, control.Bind{Proxy: proxy, Table: s.moves[proxy]})
 		}
