--- /dev/null
+++ b/policy/admission/demand.go
@@ -0,0 +1,148 @@
+package admission
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"lilacbend/control"
+	"lilacbend/policy/internal/renumber"
+)
+
+const (
+	// DemandWindow is the period over which the requests of each proxy are counted: long enough that a proxy with few requests
+	// has a steady count, short enough that tables follow requests that move from zone to zone.
+	DemandWindow = 8 * time.Second
+	// minSnapshotPeriod is the least period by which the requests of a young controller are divided, so that one early report
+	// is not taken for a high rate.
+	minSnapshotPeriod = time.Second
+)
+
+// Summary is the demand at one moment.
+type Summary struct {
+	// ClassRates are the requests a second of each traffic class, over loadWindow.
+	ClassRates map[int]float64
+	// Requests are the requests of each proxy within DemandWindow.
+	Requests map[int]float64
+	// LatestRequests are the requests of each proxy within the last report interval, as many as they were in DemandWindow.
+	LatestRequests map[int]float64
+	// FailedFraction is the fraction of the requests of loadWindow that got no successful response.
+	FailedFraction float64
+	// ReportDelay is by how much the periods of the reports exceed the report interval, in the mean. Where it is above 0 the
+	// controller gets its reports late, several intervals in one.
+	ReportDelay time.Duration
+}
+
+// demandReport is a report of a proxy's requests and when it was received.
+type demandReport struct {
+	control.Demand
+	receivedAt time.Duration
+}
+
+// Demand counts the requests that arrive at proxies. Its reports are no older than DemandWindow. For the first loadWindow after
+// Restore no class counts with less than its restored rate, as the first reports cover few of the proxies.
+type Demand struct {
+	settings *control.Settings
+	reports  []demandReport
+
+	restored   []control.ClassRate // of an earlier controller
+	confidence float64             // in them, 0 to 1
+	restoredAt time.Duration
+}
+
+// NewDemand returns a Demand without reports. It reads the settings at each call, so that changed settings hold at once.
+func NewDemand(settings *control.Settings) *Demand { return &Demand{settings: settings} }
+
+// Add takes a report of a proxy's requests.
+func (d *Demand) Add(now time.Duration, report control.Demand) {
+	d.reports = append(d.reports, demandReport{report, now})
+}
+
+// Restore takes the rates of an earlier controller, with the confidence in them that their age has left.
+func (d *Demand) Restore(now time.Duration, rates []control.ClassRate, confidence float64) {
+	d.restored = rates
+	d.confidence = confidence
+	d.restoredAt = now
+}
+
+// Summarize drops reports that are too old and sums the others, in the order in which they were received.
+func (d *Demand) Summarize(now time.Duration) Summary {
+	d.reports = slices.DeleteFunc(d.reports, func(r demandReport) bool { return r.receivedAt <= now-DemandWindow })
+	sum := Summary{ClassRates: map[int]float64{}, Requests: map[int]float64{}, LatestRequests: map[int]float64{}}
+	interval := time.Duration(d.settings.ReportInterval)
+	requests, failures := 0, 0
+	for _, r := range d.reports {
+		sum.ReportDelay += (time.Duration(r.Period) - interval) / time.Duration(len(d.reports))
+		sum.Requests[r.Proxy] += float64(r.Requests)
+		if r.receivedAt > now-interval {
+			period := max(time.Duration(r.Period), interval, 1)
+			sum.LatestRequests[r.Proxy] += float64(r.Requests) * float64(DemandWindow) / float64(period)
+		}
+		if r.receivedAt > now-loadWindow {
+			sum.ClassRates[r.Class] += float64(r.Requests) * float64(time.Second) / float64(loadWindow)
+			requests += r.Requests
+			failures += r.Failures
+		}
+	}
+	sum.FailedFraction = float64(failures) / math.Max(1, float64(requests))
+	if now-d.restoredAt < loadWindow {
+		d.raiseToRestored(sum.ClassRates)
+	}
+	return sum
+}
+
+// raiseToRestored raises the rate of each class to its restored rate.
+func (d *Demand) raiseToRestored(rates map[int]float64) {
+	restored := map[int]float64{}
+	for _, r := range d.restored {
+		restored[r.Class] += r.Rate * d.confidence
+	}
+	for class, rate := range restored {
+		rates[class] = math.Max(rates[class], rate)
+	}
+}
+
+// RatesByProxy returns the rate of each traffic class at each proxy, over DemandWindow or the controller's uptime if that is
+// shorter, sorted by proxy and class.
+func (d *Demand) RatesByProxy(uptime time.Duration) []control.ClassRate {
+	type key struct{ proxy, class int }
+	requests := map[key]int{}
+	for _, r := range d.reports {
+		requests[key{r.Proxy, r.Class}] += r.Requests
+	}
+	period := float64(max(minSnapshotPeriod, min(DemandWindow, uptime))) / float64(time.Second)
+	var rates []control.ClassRate
+	for k, count := range requests {
+		rates = append(rates, control.ClassRate{Proxy: k.proxy, Class: k.class, Rate: float64(count) / period})
+	}
+	slices.SortFunc(rates, func(a, b control.ClassRate) int {
+		return cmp.Or(cmp.Compare(a.Proxy, b.Proxy), cmp.Compare(a.Class, b.Class))
+	})
+	return rates
+}
+
+// Renumber gives the reports and the restored rates the new numbers of their classes, and drops those of classes that no
+// longer exist.
+func (d *Demand) Renumber(newClasses []int) {
+	var reports []demandReport
+	for _, r := range d.reports {
+		class, exists := renumber.Lookup(newClasses, r.Class)
+		if !exists {
+			continue
+		}
+		r.Class = class
+		reports = append(reports, r)
+	}
+	d.reports = reports
+	var restored []control.ClassRate
+	for _, r := range d.restored {
+		class, exists := renumber.Lookup(newClasses, r.Class)
+		if !exists {
+			continue
+		}
+		r.Class = class
+		restored = append(restored, r)
+	}
+	d.restored = restored
+}
--- /dev/null
+++ b/policy/admission/threshold_test.go
@@ -0,0 +1,358 @@
+package admission
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"lilacbend/control"
+)
+
+// start is late enough that no rule takes a moment before the first evaluation for a recent one.
+const start = 100 * time.Second
+
+// tick is the time between two evaluations of a controller.
+const tick = time.Second / 4
+
+// controller is a threshold with its demand, at a time of its own.
+type controller struct {
+	*Threshold
+	demand   *Demand
+	settings *control.Settings
+	now      time.Duration
+}
+
+// newController has two classes, of which the second has the higher priority. Each got 50 requests a second.
+func newController() *controller {
+	settings := &control.Settings{
+		ReportInterval: int64(time.Second),
+		Admission:      control.AdmitFraction,
+		Classes: []control.TrafficClass{
+			{PriorityWeight: 1, LatencyObjective: int64(time.Second)},
+			{PriorityWeight: 3, LatencyObjective: int64(time.Second)},
+		},
+	}
+	c := &controller{Threshold: NewThreshold(settings), demand: NewDemand(settings), settings: settings, now: start}
+	c.report(0)
+	return c
+}
+
+// report brings 200 requests of each class, counted in a period.
+func (c *controller) report(period time.Duration) {
+	for class := range 2 {
+		c.demand.Add(c.now, control.Demand{Class: class, Requests: 200, Period: int64(period)})
+	}
+}
+
+func (c *controller) evaluate(load Load) (changed bool) {
+	return c.Evaluate(c.now, load, c.demand.Summarize(c.now))
+}
+
+// fraction returns the admitted fraction of a class.
+func (c *controller) fraction(class int) float64 {
+	for _, f := range c.ClassFractions() {
+		if f.Class == class {
+			return f.Fraction
+		}
+	}
+	return math.NaN()
+}
+
+func normal() Load { return Load{AttemptRate: 100, ResponseTime: 0.2, ServingReplicas: 1} }
+
+// slow is an overload that response times alone show.
+func slow() Load { return Load{AttemptRate: 100, ResponseTime: 2, ServingReplicas: 1} }
+
+func failing(rate, responseTime float64) Load {
+	return Load{AttemptRate: 100, FailureRate: rate, TypicalFailureRate: rate, ResponseTime: responseTime, ServingReplicas: 1}
+}
+
+func TestThresholdShedsTheClassOfLowestPriorityFirst(t *testing.T) {
+	c := newController()
+	if !c.evaluate(failing(0.2, 0.2)) || !c.Overloaded() {
+		t.Error("no overload reported")
+	}
+	if c.Admitted() >= 2 || c.Admitted() <= 1 {
+		t.Errorf("threshold %v, want between 1 and 2", c.Admitted())
+	}
+	if c.fraction(1) != 1 || c.fraction(0) >= 1 {
+		t.Errorf("fractions %v, want all of class 1 and a part of class 0", c.ClassFractions())
+	}
+	c.now += 2 * loadWindow
+	if !c.evaluate(normal()) || c.Overloaded() {
+		t.Error("no end of the overload reported")
+	}
+}
+
+func TestThresholdHoldsWhereFailuresComeWithoutSlowResponses(t *testing.T) {
+	c := newController()
+	load := failing(0.4, 0.2)
+	load.BaselineResponseTime = 0.15
+	c.evaluate(load)
+	if c.Admitted() != 2 {
+		t.Errorf("threshold %v, want all of 2 classes", c.Admitted())
+	}
+}
+
+func TestThresholdHoldsAfterAFallAndWhileTheOverloadEases(t *testing.T) {
+	c := newController()
+	c.evaluate(failing(0.5, 1))
+	first := c.Admitted()
+	if first >= 2 {
+		t.Fatalf("threshold %v after an overload", first)
+	}
+	later := func(name string, after time.Duration, load Load, falls bool) {
+		t.Helper()
+		before := c.Admitted()
+		c.now += after
+		load.ServingReplicas = 0
+		c.evaluate(load)
+		if fell := c.Admitted() < before; fell != falls || !falls && c.Admitted() != before {
+			t.Errorf("%s: threshold %v after %v", name, c.Admitted(), before)
+		}
+	}
+	later("the load is of before the fall", time.Second, failing(0.6, 1), false)
+	later("the overload eases", loadWindow, failing(0.3, 0.7), false)
+	later("the overload gets worse", loadWindow, failing(0.4, 0.7), true)
+	c.now += 2 * loadWindow
+	c.evaluate(normal())
+	c.now += 100 * time.Second
+	c.evaluate(normal())
+	if c.Admitted() != 2 {
+		t.Errorf("threshold %v long after the overload, want 2", c.Admitted())
+	}
+}
+
+// Where many proxies share a controller's capacity for reports, one report covers several seconds. An overload that has passed
+// meanwhile must not have all controllers shed load.
+func TestThresholdFallsOnceAnOverloadOutlastsTheReportDelay(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		period time.Duration
+		falls  []bool // at the first evaluation of an overload, and at one after the delay
+	}{
+		{"reports in time", time.Second, []bool{true, true}},
+		{"reports of four intervals", 4 * time.Second, []bool{false, true}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller := newController()
+			controller.demand = NewDemand(controller.settings)
+			controller.report(c.period)
+			controller.evaluate(normal())
+			for k, falls := range c.falls {
+				controller.now += time.Duration(k) * (c.period - time.Second)
+				controller.evaluate(slow())
+				if fell := controller.Admitted() < 2; fell != falls {
+					t.Errorf("evaluation %d: threshold %v", k, controller.Admitted())
+				}
+			}
+		})
+	}
+}
+
+func TestThresholdHoldsWhereTheOverloadEndsWithinTheReportDelay(t *testing.T) {
+	c := newController()
+	c.demand = NewDemand(c.settings)
+	c.report(4 * time.Second)
+	for _, load := range []Load{normal(), slow()} {
+		c.evaluate(load)
+	}
+	for _, load := range []Load{normal(), slow()} {
+		c.now += 2 * time.Second
+		c.evaluate(load)
+	}
+	if c.Admitted() != 2 {
+		t.Errorf("threshold %v, want 2", c.Admitted())
+	}
+}
+
+// A controller that has just started, or whose zones are cut off, receives few responses, and slow ones.
+func TestFewSuccessesAreNoOverload(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		load Load
+	}{
+		{"few attempts", Load{AttemptRate: 1, FailureRate: 0.33, ResponseTime: 2.1, ServingReplicas: 60}},
+		{"few successes", Load{AttemptRate: 88, FailureRate: 0.99, TypicalFailureRate: 0.89, ResponseTime: 0.3, ServingReplicas: 28,
+			BaselineResponseTime: 0.1}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller := newController()
+			controller.evaluate(c.load)
+			if controller.Admitted() != 2 {
+				t.Errorf("threshold %v, want 2", controller.Admitted())
+			}
+			c.load.AttemptRate *= 10
+			controller.evaluate(c.load)
+			if controller.Admitted() >= 2 {
+				t.Errorf("threshold %v with ten times the attempts", controller.Admitted())
+			}
+		})
+	}
+}
+
+func TestThresholdRisesFasterTheLongerTheLastFallIsAgo(t *testing.T) {
+	c := newController()
+	c.evaluate(failing(0.5, 1))
+	rise := func(period time.Duration) float64 {
+		before := c.Admitted()
+		for until := c.now + period; c.now < until; {
+			c.now += tick
+			c.evaluate(normal())
+		}
+		return c.Admitted() - before
+	}
+	rise(loadWindow)
+	if got, want := rise(riseAcceleration-loadWindow), risePerSecond*2*4; math.Abs(got-want) >= 1e-9 {
+		t.Errorf("rose by %v in the first 4 s, want %v", got, want)
+	}
+	rise(2 * riseAcceleration)
+	if got := rise(time.Second); got <= 2.9*risePerSecond*2 {
+		t.Errorf("rose by %v in a second, long after the fall", got)
+	}
+	c.evaluate(failing(0.5, 1))
+	rise(loadWindow)
+	if got, want := rise(time.Second), risePerSecond*2; math.Abs(got-want) >= 1e-9 {
+		t.Errorf("rose by %v in a second after another fall, want %v", got, want)
+	}
+}
+
+func TestThresholdHoldsWhereProxiesDoNotFollowFractions(t *testing.T) {
+	for _, mode := range []control.AdmissionMode{control.AdmitAll, control.AdmitRate} {
+		c := newController()
+		c.settings.Admission = mode
+		c.evaluate(failing(0.9, 3))
+		if c.Admitted() != 2 || c.Overloaded() {
+			t.Errorf("mode %v: threshold %v, overloaded %v", mode, c.Admitted(), c.Overloaded())
+		}
+	}
+}
+
+func TestFirstFallIsInProportionToTheServingReplicas(t *testing.T) {
+	var admitted []float64
+	for _, replicas := range []float64{10, 5} {
+		c := newController()
+		c.evaluate(Load{AttemptRate: 50, ResponseTime: 0.2, ServingReplicas: 10})
+		load := failing(0.8, 2) // of 100 requests a second
+		load.ServingReplicas = replicas
+		c.evaluate(load)
+		admitted = append(admitted, c.Admitted())
+	}
+	if admitted[1] != admitted[0]/2 {
+		t.Errorf("threshold %v with half of the replicas, %v with all", admitted[1], admitted[0])
+	}
+}
+
+// A controller that has just started, or that got the proxies of another one, receives reports of requests before it receives
+// those of their attempts. The success rate that it knows of is then less than what the replicas can serve.
+func TestFirstFallAllowsForUnreportedAttempts(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		attempts float64 // a second, of 100 requests a second
+		want     float64
+	}{
+		{"all attempts reported", 100, 1.8},
+		{"a fifth of them reported", 20, 1.8},
+		{"each request attempted twice", 200, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller := newController()
+			controller.evaluate(Load{AttemptRate: c.attempts, ResponseTime: 2, ServingReplicas: 10})
+			if got := math.Round(100*controller.Admitted()) / 100; got != c.want {
+				t.Errorf("threshold %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestClassFractionsAreInStepsRoundedUp(t *testing.T) {
+	c := newController()
+	c.evaluate(normal())
+	for admitted, want := range map[float64][]ClassFraction{
+		2:    {{1, 1}, {0, 1}},
+		1.51: {{1, 1}, {0, 0.55}},
+		1:    {{1, 1}, {0, 0}},
+		0.01: {{1, 0.05}, {0, 0}},
+		0:    {{1, 0}, {0, 0}},
+	} {
+		c.admitted = admitted
+		if got := c.ClassFractions(); !slices.Equal(got, want) {
+			t.Errorf("threshold %v: got %v, want %v", admitted, got, want)
+		}
+	}
+}
+
+func TestRestoredThresholdCountsAsFarAsItsConfidence(t *testing.T) {
+	for _, c := range []struct {
+		name                 string
+		fraction, confidence float64
+		want                 float64
+	}{
+		{"fresh", 0.5, 1, 0.5},
+		{"older", 0.5, 0.5, 0.75},
+		{"nothing shed", 1, 1, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			controller := newController()
+			controller.Restore(controller.now, c.fraction, 40, c.confidence)
+			if got := controller.AdmittedFraction(); got != 1 {
+				t.Errorf("admitted fraction %v before the first evaluation", got)
+			}
+			controller.evaluate(normal())
+			if got := controller.AdmittedFraction(); got != c.want {
+				t.Errorf("admitted fraction %v, want %v", got, c.want)
+			}
+			if got, want := controller.MaxSuccessRate(), max(100, 40*c.confidence); got != want {
+				t.Errorf("highest success rate %v, want %v", got, want)
+			}
+		})
+	}
+}
+
+func TestThresholdStaysWithItsClasses(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		admitted   float64 // of classes of priority 3, 2 and 1, which are 1, 2 and 0
+		want       float64
+		numbers    []int
+		priorities []float64
+	}{
+		{"all admitted, one more", 3, 4, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
+		{"the last shed, one more of highest priority", 2, 3, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
+		{"the last shed, one more of lowest priority", 2, 2, []int{0, 1, 2}, []float64{1, 3, 2, 0.5}},
+		{"half of the second, the first removed", 1.5, 0.5, []int{0, -1, 1}, []float64{1, 2}},
+		{"half of the second, which is removed", 1.5, 1, []int{0, 1, -1}, []float64{1, 3}},
+		{"half of the last, which is removed", 2.5, 2, []int{-1, 0, 1}, []float64{3, 2}},
+		{"the last shed, now of highest priority", 2, 0, []int{0, 1, 2}, []float64{9, 3, 2}},
+		{"other classes altogether", 1.5, 2, []int{-1, -1, -1}, []float64{1, 1}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings := &control.Settings{Classes: []control.TrafficClass{{PriorityWeight: 1}, {PriorityWeight: 3}, {PriorityWeight: 2}}}
+			threshold := NewThreshold(settings)
+			threshold.Renumber(nil) // nothing to renumber yet
+			threshold.Evaluate(start, Load{}, Summary{})
+			threshold.admitted = c.admitted
+			settings.Classes = nil
+			for _, priority := range c.priorities {
+				settings.Classes = append(settings.Classes, control.TrafficClass{PriorityWeight: priority})
+			}
+			threshold.Renumber(c.numbers)
+			if threshold.Admitted() != c.want {
+				t.Errorf("threshold %v, want %v", threshold.Admitted(), c.want)
+			}
+		})
+	}
+}
+
+func TestClassesOfOnePriorityAreOrderedByLatencyObjective(t *testing.T) {
+	classes := []control.TrafficClass{
+		{PriorityWeight: 1, LatencyObjective: 3},
+		{PriorityWeight: 1, LatencyObjective: 2},
+		{PriorityWeight: 2, LatencyObjective: 9},
+		{PriorityWeight: 1, LatencyObjective: 2},
+	}
+	if got, want := byPriority(classes), []int{2, 1, 3, 0}; !slices.Equal(got, want) {
+		t.Errorf("got %v, want %v", got, want)
+	}
+}
--- /dev/null
+++ b/policy/binding/binding_test.go
@@ -0,0 +1,203 @@
+package binding
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"lilacbend/control"
+)
+
+// own serves each of so many tables by itself.
+func own(tables int) []int {
+	var serving []int
+	for table := range tables {
+		serving = append(serving, table)
+	}
+	return serving
+}
+
+// decision is a Change without what a test does not look at.
+type decision struct {
+	Proxy, Assigned int
+	Kind            Kind
+	Table           int
+}
+
+func decisions(changes []Change) []decision {
+	var all []decision
+	for _, c := range changes {
+		all = append(all, decision{c.Proxy.Proxy, c.Proxy.Table, c.Kind, c.Table})
+	}
+	return all
+}
+
+func expect(t *testing.T, what string, changes []Change, want ...decision) {
+	t.Helper()
+	if got := decisions(changes); !slices.Equal(got, want) {
+		t.Errorf("%s: got %v, want %v", what, got, want)
+	}
+}
+
+// connected has proxies of one request a second, number k in zone k modulo two.
+func connected(proxies int) *Bindings {
+	b := New(&control.Settings{Zones: 2})
+	for proxy := range proxies {
+		b.Connect(time.Duration(proxy), control.StreamOpened{Proxy: proxy, Zone: proxy % 2, Rate: 1})
+	}
+	return b
+}
+
+func TestFirstBindIsToTheLeastLoadedTableOfTheZone(t *testing.T) {
+	b := connected(4)
+	expect(t, "two tables a zone", b.Assign(own(4)), decision{0, 0, FirstBind, 0}, decision{1, 1, FirstBind, 1},
+		decision{2, 2, FirstBind, 2}, decision{3, 3, FirstBind, 3})
+	b.Connect(time.Second, control.StreamOpened{Proxy: 9, Rate: 5})
+	expect(t, "the first of equal ones", b.Assign(own(4)), decision{9, 0, FirstBind, 0})
+	b.Connect(time.Second, control.StreamOpened{Proxy: 4, Rate: 1})
+	expect(t, "the other one", b.Assign(own(4)), decision{4, 2, FirstBind, 2})
+	expect(t, "nothing to do", b.Assign(own(4)))
+}
+
+func TestProxyMovesWhileASiblingTableServesItsOwn(t *testing.T) {
+	b := connected(2)
+	b.Assign(own(4))
+	b.Connect(time.Second, control.StreamOpened{Proxy: 6, Rate: 1})
+	expect(t, "moves come before first binds", b.Assign([]int{2, 1, 2, 3}), decision{0, 0, Move, 2}, decision{6, 2, FirstBind, 2})
+	expect(t, "back to its own", b.Assign(own(4)), decision{0, 0, Move, 0})
+	expect(t, "its own again", b.Assign(own(4)))
+}
+
+func TestFirstBindIsToTheSiblingOfAnEmptyTable(t *testing.T) {
+	b := connected(1)
+	expect(t, "first bind", b.Assign([]int{2, 1, 2, 3}), decision{0, 0, FirstBind, 2})
+}
+
+func TestEarlierBindingIsRestoredWhereItStillFits(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		tables         int // of the earlier controller
+		binding, table int
+	}{
+		{"as it was", 4, 2, 2},
+		{"another number of tables", 6, 2, 0},
+		{"a table of another zone", 4, 3, 0},
+		{"a table that does not exist", 4, 4, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := New(&control.Settings{Zones: 2})
+			b.Restore(control.FleetRestored{Weight: 1, LearnedFleet: control.LearnedFleet{Tables: c.tables,
+				Bindings: []control.Binding{{Proxy: 0, Table: c.binding}}}})
+			b.Connect(0, control.StreamOpened{Rate: 1})
+			expect(t, "first bind", b.Assign(own(4)), decision{0, c.table, FirstBind, c.table})
+			b.Connect(time.Second, control.StreamOpened{Rate: 1})
+			expect(t, "a later stream is a new one", b.Assign(own(4)), decision{0, 0, FirstBind, 0})
+		})
+	}
+}
+
+func TestForecastIsCorrectedByWhatAnEarlierControllerCounted(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		confidence float64
+		proxy      int
+		want       float64
+	}{
+		{"fresh", 1, 0, 50},
+		{"older", 0.5, 0, 30},
+		{"unknown proxy", 1, 1, 10},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := New(&control.Settings{})
+			b.Restore(control.FleetRestored{Weight: c.confidence, LearnedFleet: control.LearnedFleet{
+				RequestRates: []control.ClassRate{{Proxy: 0, Class: 0, Rate: 30}, {Proxy: 0, Class: 1, Rate: 20}}}})
+			b.Connect(0, control.StreamOpened{Proxy: c.proxy, Rate: 10})
+			if got := b.Proxies()[c.proxy].Rate; got != c.want {
+				t.Errorf("rate %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestDisconnectedProxyIsForgotten(t *testing.T) {
+	b := connected(2)
+	b.Disconnect(0)
+	b.Disconnect(7)
+	expect(t, "the other one", b.Assign(own(2)), decision{1, 1, FirstBind, 1})
+	b.Disconnect(1)
+	expect(t, "nobody", b.Assign([]int{1, 0}))
+	if got := b.Learned(); got != nil {
+		t.Errorf("learned %v", got)
+	}
+}
+
+func TestReassign(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		zones, tables int
+		bound         map[int]int
+		want          []decision
+	}{
+		{"as many tables: all stay", 2, 4, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
+			[]decision{{0, 0, Unchanged, 0}, {1, 1, Unchanged, 1}, {2, 2, Unchanged, 2}, {3, 3, Unchanged, 3}}},
+		{"not bound to its own yet", 2, 4, map[int]int{0: -1, 1: 3, 2: 2, 3: 3},
+			[]decision{{0, 0, FirstBind, 0}, {1, 1, Move, 1}, {2, 2, Unchanged, 2}, {3, 3, Unchanged, 3}}},
+		{"fewer tables: each is assigned anew", 2, 2, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
+			[]decision{{0, 0, Unchanged, 0}, {1, 1, Unchanged, 1}, {2, 0, Move, 0}, {3, 1, Move, 1}}},
+		{"other zones: who is in another zone moves", 4, 4, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
+			[]decision{{0, 0, Unchanged, 0}, {1, 1, Unchanged, 1}, {2, 0, Move, 0}, {3, 1, Move, 1}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			settings := &control.Settings{Zones: 2}
+			b := New(settings)
+			for proxy := range 4 {
+				b.Connect(0, control.StreamOpened{Proxy: proxy, Zone: proxy % 2, Rate: 1})
+			}
+			b.Assign(own(4))
+			b.Connect(0, control.StreamOpened{Proxy: 5}) // has no table yet
+			settings.Zones = c.zones
+			expect(t, "reassigned", b.Reassign(4, c.tables, c.bound), c.want...)
+			if got := b.Serving(); !slices.Equal(got, own(c.tables)) {
+				t.Errorf("serving %v", got)
+			}
+			for _, change := range b.Assign(own(c.tables)) {
+				if change.Proxy.Proxy != 5 || change.Kind != FirstBind {
+					t.Errorf("then %+v", change)
+				}
+			}
+		})
+	}
+}
+
+func TestRenumberedZonesAreTakenOver(t *testing.T) {
+	b := connected(2)
+	b.Assign(own(2))
+	b.Connect(0, control.StreamOpened{Proxy: 2})
+	renumbered := []control.StreamOpened{{Proxy: 0, Zone: 1}, {Proxy: 2, Zone: 1}, {Proxy: 8, Zone: 1}}
+	if b.KeepsZones(2, renumbered) {
+		t.Error("zones are kept though they change")
+	}
+	if !b.KeepsZones(1, renumbered) {
+		t.Error("zones are not kept in a single row of tables")
+	}
+	want := []Proxy{{control.StreamOpened{Proxy: 0, Zone: 1, Rate: 1}, 0, 0}}
+	if got := b.RenumberZones(renumbered); !reflect.DeepEqual(got, want) {
+		t.Errorf("with a table: got %+v, want %+v", got, want)
+	}
+	if got := b.Proxies()[2].Zone; got != 1 {
+		t.Errorf("zone %d of the proxy without a table, want 1", got)
+	}
+	if !b.KeepsZones(2, renumbered) {
+		t.Error("zones are not kept though they are the same")
+	}
+}
+
+func TestLearnedBindingsAreSortedByProxy(t *testing.T) {
+	b := connected(3)
+	b.Assign(own(2))
+	b.Connect(0, control.StreamOpened{Proxy: 4})
+	if got, want := b.Learned(), []control.Binding{{Proxy: 0, Table: 0}, {Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}; !slices.Equal(got, want) {
+		t.Errorf("got %v, want %v", got, want)
+	}
+}
--- /dev/null
+++ b/policy/internal/renumber/renumber_test.go
@@ -0,0 +1,25 @@
+package renumber
+
+import "testing"
+
+func TestLookup(t *testing.T) {
+	newer := []int{2, -1, 0}
+	for _, c := range []struct {
+		name   string
+		old    int
+		want   int
+		exists bool
+	}{
+		{"renumbered", 0, 2, true},
+		{"renumbered to 0", 2, 0, true},
+		{"removed", 1, 0, false},
+		{"beyond the old numbers", 3, 0, false},
+		{"below 0", -1, 0, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got, exists := Lookup(newer, c.old); got != c.want || exists != c.exists {
+				t.Errorf("got %d, %v, want %d, %v", got, exists, c.want, c.exists)
+			}
+		})
+	}
+}
