--- a/policy/admission.go
+++ b/policy/admission.go
@@ -90,18 +90,18 @@
 		l.groups = l.ranked()
 		l.line = float64(len(l.groups)) * (1 - l.past.Weight*(1-l.past.AdmissionThreshold))
 	}
-	press := f.answer * float64(second) / strained / float64(l.Classes[l.groups[0]].LatencyObjective)
-	if f.answer > lateMost*f.calm { // else misses are connections refused, silence, errors: no overload
-		press = math.Max(press, f.most/missedMost)
+	press := f.responseTime * float64(second) / strained / float64(l.Classes[l.groups[0]].LatencyObjective)
+	if f.responseTime > lateMost*f.baselineResponseTime { // else misses are connections refused, silence, errors: no overload
+		press = math.Max(press, f.typicalFailureRate/missedMost)
 	}
-	answers := f.tries * (1 - f.bad) * float64(recent) / float64(second) // too few tell of no queue
+	answers := f.attemptRate * (1 - f.failureRate) * float64(recent) / float64(second) // too few tell of no queue
 	over := press > 1 && answers >= sickTries && l.Admission == control.AdmitFraction
 	// Full queues hold work whose clients have left, and only fewer tries let them drain.
-	if once := f.bad > missedOnce || l.once && f.bad > missedOnce/2; once != l.once && l.now-l.turned > recent {
+	if once := f.failureRate > missedOnce || l.once && f.failureRate > missedOnce/2; once != l.once && l.now-l.turned > recent {
 		l.once, l.turned = once, l.now
-		l.say("one try only %v: %.2f missed", once, f.bad)
+		l.say("one try only %v: %.2f missed", once, f.failureRate)
 	}
-	l.served = sample.Newest(2*sample.Kept, append(l.served, f.tries*(1-f.bad)/math.Max(1e-9, f.serves)))
+	l.served = sample.Newest(2*sample.Kept, append(l.served, f.attemptRate*(1-f.failureRate)/math.Max(1e-9, f.inService)))
 	if !over {
 		l.eased = l.now
 	}
@@ -115,7 +115,7 @@
 		l.press, l.fell = press, l.now
 	case over:
 		// All that came was tried: where fewer tries are told of than flows, fewer answers are as well.
-		left := lineFirst * slices.Max(l.served) * f.serves * math.Max(1, ordered.Sum(flows)/math.Max(1, f.tries))
+		left := lineFirst * slices.Max(l.served) * f.inService * math.Max(1, ordered.Sum(flows)/math.Max(1, f.attemptRate))
 		l.line, l.press, l.fell = 0, press, l.now
 		for _, g := range l.groups {
 			l.line += math.Min(1, math.Max(0, left)/math.Max(1, flows[g]))
@@ -128,7 +128,7 @@
 	l.judged = l.now
 	if over != l.strain {
 		l.strain = over
-		l.say("overload %v: %.2f missed, answers %.3fs, line at %.2f groups", over, f.most, f.answer, l.line)
+		l.say("overload %v: %.2f missed, answers %.3fs, line at %.2f groups", over, f.typicalFailureRate, f.responseTime, l.line)
 	}
 	for rank, g := range l.groups { // those over the line get all, those under it what is left
 		share := math.Min(1, math.Max(0, math.Ceil(shareSteps*(l.line-float64(rank)))/shareSteps))
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -16,39 +16,39 @@
 func TestTheLineBlocksTheLeastUtilityFirst(t *testing.T) {
 	g := at(100 * second)
 	l := levelling(g)
-	l.handle(fleetLoad{tries: 100, bad: 0.2, most: 0.2, answer: 0.2, serves: 1})
+	l.handle(fleetLoad{attemptRate: 100, failureRate: 0.2, typicalFailureRate: 0.2, responseTime: 0.2, inService: 1})
 	want(t, "line", l.line < 2 && l.line > 1, true)
 	o := mail[admissionChanged](g, pacingComponent)
 	want(t, "only the lesser group", len(o) == 2 && o[0].Fraction == 1 && o[1].Class == 0 && o[1].Fraction < 1, true)
 	want(t, "one try only", o[1].Retries, control.NoRetry)
 	l.now += 2 * recent
-	l.handle(fleetLoad{tries: 100, answer: 0.2, serves: 1})
+	l.handle(fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1})
 	want(t, "further tries again", mail[admissionChanged](g, pacingComponent)[2].Retries, control.RetryIfNotExecuted)
 }
 
 func TestMissesWhileAnswersComeAsEverBlockNothing(t *testing.T) {
 	l := levelling(at(100 * second))
-	l.handle(fleetLoad{tries: 100, bad: 0.4, most: 0.4, answer: 0.2, serves: 1, calm: 0.15})
+	l.handle(fleetLoad{attemptRate: 100, failureRate: 0.4, typicalFailureRate: 0.4, responseTime: 0.2, inService: 1, baselineResponseTime: 0.15})
 	want(t, "all groups are let in", l.line, 2.0)
 }
 
 func TestTheLineHoldsWhileSumsAreOldOrTheOverloadEases(t *testing.T) {
 	l := levelling(at(100 * second))
-	l.handle(fleetLoad{tries: 100, bad: 0.5, most: 0.5, answer: 1, serves: 1})
+	l.handle(fleetLoad{attemptRate: 100, failureRate: 0.5, typicalFailureRate: 0.5, responseTime: 1, inService: 1})
 	first := l.line
 	l.now += second
-	l.handle(fleetLoad{tries: 100, bad: 0.6, most: 0.6, answer: 1})
+	l.handle(fleetLoad{attemptRate: 100, failureRate: 0.6, typicalFailureRate: 0.6, responseTime: 1})
 	want(t, "old sums", l.line, first)
 	l.now += recent
-	l.handle(fleetLoad{tries: 100, bad: 0.3, most: 0.3, answer: 0.7})
+	l.handle(fleetLoad{attemptRate: 100, failureRate: 0.3, typicalFailureRate: 0.3, responseTime: 0.7})
 	want(t, "eases", l.line, first)
 	l.now += recent
-	l.handle(fleetLoad{tries: 100, bad: 0.4, most: 0.4, answer: 0.7})
+	l.handle(fleetLoad{attemptRate: 100, failureRate: 0.4, typicalFailureRate: 0.4, responseTime: 0.7})
 	want(t, "worse", l.line < first, true)
 	l.now += 2 * recent
-	l.handle(fleetLoad{tries: 100, answer: 0.2})
+	l.handle(fleetLoad{attemptRate: 100, responseTime: 0.2})
 	l.now += 100 * second
-	l.handle(fleetLoad{tries: 100, answer: 0.2})
+	l.handle(fleetLoad{attemptRate: 100, responseTime: 0.2})
 	want(t, "back", l.line, 2.0)
 }
 
@@ -61,8 +61,8 @@
 		for k := range l.came {
 			l.came[k].Period = span
 		}
-		over := fleetLoad{tries: 100, answer: 2, serves: 1}
-		l.handle(fleetLoad{tries: 100, answer: 0.2, serves: 1})
+		over := fleetLoad{attemptRate: 100, responseTime: 2, inService: 1}
+		l.handle(fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1})
 		for k, fall := range falls {
 			l.now += int64(k) * (span - second)
 			l.handle(over)
@@ -71,25 +71,25 @@
 	}
 	l := levelling(at(100 * second))
 	l.came[0].Period, l.came[1].Period = 4*second, 4*second
-	l.handle(fleetLoad{tries: 100, answer: 0.2, serves: 1})
-	l.handle(fleetLoad{tries: 100, answer: 2, serves: 1})
+	l.handle(fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1})
+	l.handle(fleetLoad{attemptRate: 100, responseTime: 2, inService: 1})
 	l.now += 2 * second
-	l.handle(fleetLoad{tries: 100, answer: 0.2, serves: 1}) // eases in between
+	l.handle(fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1}) // eases in between
 	l.now += 2 * second
-	l.handle(fleetLoad{tries: 100, answer: 2, serves: 1})
+	l.handle(fleetLoad{attemptRate: 100, responseTime: 2, inService: 1})
 	want(t, "begins anew", l.line, 2.0)
 }
 
 // A governor that has just begun, or whose zones are cut off, hears of a few answers, late ones: they tell of no queue.
 func TestAFewAnswersAreNoOverload(t *testing.T) {
 	for _, f := range []fleetLoad{
-		{tries: 1, bad: 0.33, most: 0, answer: 2.1, serves: 60},
-		{tries: 88, bad: 0.99, most: 0.89, answer: 0.3, serves: 28, calm: 0.1},
+		{attemptRate: 1, failureRate: 0.33, typicalFailureRate: 0, responseTime: 2.1, inService: 60},
+		{attemptRate: 88, failureRate: 0.99, typicalFailureRate: 0.89, responseTime: 0.3, inService: 28, baselineResponseTime: 0.1},
 	} {
 		l := levelling(at(100 * second))
 		l.handle(f)
 		want(t, "all groups are let in", l.line, 2.0)
-		f.tries *= 10
+		f.attemptRate *= 10
 		l.handle(f)
 		want(t, "many answers are one", l.line < 2, true)
 	}
@@ -98,8 +98,8 @@
 // What was blocked for a fault that is over comes back soon; while falls follow each other it comes back as slowly as ever.
 func TestTheLineRisesTheQuickerTheLongerItIsCalm(t *testing.T) {
 	l := levelling(at(100 * second))
-	l.handle(fleetLoad{tries: 100, bad: 0.5, most: 0.5, answer: 1, serves: 1})
-	calm := fleetLoad{tries: 100, answer: 0.2, serves: 1}
+	l.handle(fleetLoad{attemptRate: 100, failureRate: 0.5, typicalFailureRate: 0.5, responseTime: 1, inService: 1})
+	calm := fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1}
 	rise := func(span int64) float64 {
 		before := l.line
 		for until := l.now + span; l.now < until; {
@@ -113,7 +113,7 @@
 	want(t, "a hundredth a second at first", math.Abs(slow-lineUp*2*4) < 1e-9, true)
 	rise(2 * demandSpan)
 	want(t, "three times as quick", rise(second) > 2.9*lineUp*2, true)
-	l.handle(fleetLoad{tries: 100, bad: 0.5, most: 0.5, answer: 1, serves: 1})
+	l.handle(fleetLoad{attemptRate: 100, failureRate: 0.5, typicalFailureRate: 0.5, responseTime: 1, inService: 1})
 	rise(recent)
 	want(t, "slow again after a fall", math.Abs(rise(second)-lineUp*2) < 1e-9, true)
 }
@@ -121,7 +121,7 @@
 func TestWhereLevelsAreNotFollowedOnlyTriesStop(t *testing.T) {
 	g := at(100 * second)
 	g.Admission = control.AdmitAll
-	levelling(g).handle(fleetLoad{tries: 100, bad: 0.9, most: 0.9, answer: 3})
+	levelling(g).handle(fleetLoad{attemptRate: 100, failureRate: 0.9, typicalFailureRate: 0.9, responseTime: 3})
 	for _, o := range mail[admissionChanged](g, pacingComponent) {
 		want(t, "level", o.SetAdmission, control.SetAdmission{Table: control.AllTables, Class: o.Class, Fraction: 1})
 	}
@@ -149,8 +149,8 @@
 	var lines []float64
 	for _, left := range []float64{10, 5} {
 		l := levelling(at(100 * second))
-		l.handle(fleetLoad{tries: 50, answer: 0.2, serves: 10})
-		l.handle(fleetLoad{tries: 100, bad: 0.8, most: 0.8, answer: 2, serves: left}) // of 100 flows
+		l.handle(fleetLoad{attemptRate: 50, responseTime: 0.2, inService: 10})
+		l.handle(fleetLoad{attemptRate: 100, failureRate: 0.8, typicalFailureRate: 0.8, responseTime: 2, inService: left}) // of 100 flows
 		lines = append(lines, l.line)
 	}
 	want(t, "half are lost, half is let in", lines[1], lines[0]/2)
@@ -161,7 +161,7 @@
 func TestTheFirstFallAllowsForTriesThatAreNotToldOfYet(t *testing.T) {
 	for tries, line := range map[float64]float64{100: 1.8, 20: 1.8, 200: 2} { // of 100 flows; more are tried again
 		l := levelling(at(100 * second))
-		l.handle(fleetLoad{tries: tries, answer: 2, serves: 10})
+		l.handle(fleetLoad{attemptRate: tries, responseTime: 2, inService: 10})
 		want(t, "a tenth is blocked", math.Round(100*l.line)/100, line)
 	}
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -45,12 +45,17 @@
 		able                                     float64 // part of its usual work that it can do, if it is cold
 		cold, sick, trial                        bool
 	}
-	fleetLoad struct { // planner to levels: tries a second, parts missed, of all and of most, answer times
-		tries, bad, most, answer, serves, calm float64
+	fleetLoad struct { // placement to admission
+		attemptRate          float64 // attempts a second
+		failureRate          float64 // fraction of the attempts that failed
+		typicalFailureRate   float64 // mean of the replicas without those that fail most
+		responseTime         float64 // mean of healthy replicas, in seconds
+		inService            float64 // how many replicas are in service
+		baselineResponseTime float64 // of the fastest hardware class without load, in seconds; infinite: not known
 	}
-	targetTables struct { // planner to sequence: weights, below 0: stays as it is
-		lines map[tableEndpoint]float64
-		out   map[uint32]bool
+	targetTables struct { // placement to update; a weight below 0: the endpoint stays as it is
+		weights map[tableEndpoint]float64
+		ejected map[uint32]bool
 	}
 	demandSummary struct { // levels to planner: part of the flows that got no answer; flows that came, by proxy
 		lost         float64
@@ -74,8 +79,8 @@
 		all, gone bool
 	}
 	tableEndpoint struct {
-		table int
-		id    uint32
+		table   int
+		replica uint32
 	}
 )
 
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -170,10 +170,10 @@
 		}
 		p.enqueue(o.box, n)
 	}
-	f := fleetLoad{tries: tries * float64(second) / float64(recent), bad: bad, serves: serves,
-		answer: kinds[all].answer / math.Max(1, kinds[all].good), calm: quick}
+	f := fleetLoad{attemptRate: tries * float64(second) / float64(recent), failureRate: bad, inService: serves,
+		responseTime: kinds[all].answer / math.Max(1, kinds[all].good), baselineResponseTime: quick}
 	slices.Sort(shares) // a few that fail are no overload
-	f.most = sample.Mean(shares[:int(math.Ceil(mostPart*float64(len(shares))))])
+	f.typicalFailureRate = sample.Mean(shares[:int(math.Ceil(mostPart*float64(len(shares))))])
 	p.enqueue(admissionComponent, f)
 }
 
@@ -195,7 +195,7 @@
 	need, home, serves, penalized := make([]float64, tables), make([]float64, tables), make([]float64, tables), 0.0
 	for _, id := range ids {
 		if o := p.offers[id]; o.State == control.Ready {
-			if home[p.own[id]] += o.size; !t.out[id] {
+			if home[p.own[id]] += o.size; !t.ejected[id] {
 				serves[p.own[id]] += o.size
 			}
 			if o.penalty > 0 {
@@ -227,10 +227,10 @@
 			w *= 1 - p.offers[id].penalty
 		}
 		if p.offers[id].State == control.Ready && w > 0 && drawn[table] < size {
-			if drawn[table]++; t.out[id] { // who is withdrawn takes no guest's room
+			if drawn[table]++; t.ejected[id] { // who is withdrawn takes no guest's room
 				w, drawn[table] = -1, drawn[table]-1
 			}
-			t.lines[tableEndpoint{table, id}] = w
+			t.weights[tableEndpoint{table, id}] = w
 		}
 	}
 	for _, id := range ids {
@@ -247,7 +247,7 @@
 		lacks := math.Max(1e-6, need[table]/total*all/spares[p.Pick]) - home[table] // never bare
 		order, turn := []uint32{}, map[uint32]float64{}                             // its zones' first
 		for _, id := range ids {
-			if lacks > 0 && p.own[id] != table && !t.out[id] && (spare[id] > 0 || home[table] == 0) {
+			if lacks > 0 && p.own[id] != table && !t.ejected[id] && (spare[id] > 0 || home[table] == 0) {
 				far := min(1, math.Abs(float64(p.own[id]%row-table%row)))
 				order, turn[id] = append(order, id), far+math.Mod(p.offers[id].ticket*float64(turns+table), 1)
 			}
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -73,7 +73,7 @@
 	p := planning(g, offered(1, 0, false, control.Ready), offered(2, 1, false, control.Gone))
 	p.enter(connectedProxy{control.StreamOpened{Proxy: 3, Zone: 1, Rate: 5}, 0, 1})
 	p.redraw()
-	lines := mail[targetTables](g, updateComponent)[0].lines
+	lines := mail[targetTables](g, updateComponent)[0].weights
 	want(t, "guest", lines[tableEndpoint{1, 1}] > 0, true)
 	want(t, "gone", lines[tableEndpoint{1, 2}], 0.0)
 	want(t, "a zone that lost all stays at its table", mail[tablesAssigned](g, bindingComponent)[0].tables[1], 1)
@@ -94,10 +94,10 @@
 		planning(g, o)
 	}
 	planning(g).redraw()
-	lines := mail[targetTables](g, updateComponent)[0].lines
+	lines := mail[targetTables](g, updateComponent)[0].weights
 	kinds := map[int]int{}
 	for l := range lines {
-		kinds[int(l.id%2)]++
+		kinds[int(l.replica%2)]++
 	}
 	most := 400/2*350/(350*7) - 4 - 2
 	if len(lines) != most || kinds[0] < most/4 || kinds[1] < most/4 {
@@ -113,7 +113,7 @@
 	p := planning(g)
 	p.tables = 2
 	p.redraw()
-	want(t, "the own lines of both and a guest", len(mail[targetTables](g, updateComponent)[0].lines), 51)
+	want(t, "the own lines of both and a guest", len(mail[targetTables](g, updateComponent)[0].weights), 51)
 }
 
 func TestATableOfTheSickTakesGuestsWhoServe(t *testing.T) {
@@ -123,7 +123,7 @@
 		offered(4, 0, false, control.Ready), offered(5, 0, false, control.Ready))
 	p.enter(connectedProxy{control.StreamOpened{Proxy: 3, Zone: 1, Rate: 5}, 0, 1})
 	p.redraw()
-	lines := mail[targetTables](g, updateComponent)[0].lines
+	lines := mail[targetTables](g, updateComponent)[0].weights
 	want(t, "some serve", lines[tableEndpoint{1, 1}]+lines[tableEndpoint{1, 4}]+lines[tableEndpoint{1, 5}] > 0, true)
 }
 
@@ -227,7 +227,7 @@
 	}
 	planning(g).norms()
 	f := mail[fleetLoad](g, admissionComponent)[0]
-	want(t, "all miss a quarter, most miss nothing", f.bad == 0.25 && f.most < 0.01, true)
+	want(t, "all miss a quarter, most miss nothing", f.failureRate == 0.25 && f.typicalFailureRate < 0.01, true)
 }
 
 func TestAFullQueueGetsTimeToDrain(t *testing.T) {
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -38,7 +38,7 @@
 	switch n := m.(type) {
 	case targetTables:
 		s.want = n
-		maps.Copy(s.out, n.out)
+		maps.Copy(s.out, n.ejected)
 	case replicaForgotten: // stays withdrawn: no lift is ordered for who is forgotten
 		delete(s.out, n.id)
 	case bindRequested:
@@ -76,14 +76,14 @@
 	var ls []tableEndpoint
 	sums := map[int]float64{} // whole tables, as a message's head costs more than a line
 	size := func(l tableEndpoint) float64 {
-		return math.Abs(s.want.lines[l]-s.laid[l]) / math.Max(s.laid[l], s.want.lines[l])
+		return math.Abs(s.want.weights[l]-s.laid[l]) / math.Max(s.laid[l], s.want.weights[l])
 	}
 	lines := maps.Clone(s.laid)
-	maps.Copy(lines, s.want.lines)
+	maps.Copy(lines, s.want.weights)
 	for l := range lines {
-		want, has, kind := s.want.lines[l], s.laid[l], overwrite
+		want, has, kind := s.want.weights[l], s.laid[l], overwrite
 		switch {
-		case has == 0 || s.out[l.id] && !s.want.out[l.id]: // who is let in is picked by its lines as they stand
+		case has == 0 || s.out[l.replica] && !s.want.ejected[l.replica]: // who is let in is picked by its lines as they stand
 			kind = add
 		case want == 0:
 			kind = remove
@@ -95,19 +95,19 @@
 	}
 	slices.SortFunc(ls, func(a, b tableEndpoint) int {
 		return cmp.Or(cmp.Compare(sums[b.table], sums[a.table]), cmp.Compare(a.table, b.table),
-			cmp.Compare(size(b), size(a)), cmp.Compare(a.id, b.id))
+			cmp.Compare(size(b), size(a)), cmp.Compare(a.replica, b.replica))
 	})
 	var orders, raised []control.Command
 	for _, l := range ls {
-		o := control.SetEndpoint{Table: l.table, Replica: l.id, Weight: s.want.lines[l]}
-		if has := s.laid[l]; has > 0 && s.out[l.id] && o.Weight > has { // let in by less is safe, and needs no line first
+		o := control.SetEndpoint{Table: l.table, Replica: l.replica, Weight: s.want.weights[l]}
+		if has := s.laid[l]; has > 0 && s.out[l.replica] && o.Weight > has { // let in by less is safe, and needs no line first
 			raised = append(raised, o)
 		} else {
 			orders = append(orders, o)
 		}
 	}
 	for _, id := range ordered.Keys(s.out) {
-		if at == add && s.out[id] && !s.want.out[id] {
+		if at == add && s.out[id] && !s.want.ejected[id] {
 			orders = append(orders, control.SetEjected{Replica: id})
 		}
 	}
--- a/policy/updater_test.go
+++ b/policy/updater_test.go
@@ -62,7 +62,7 @@
 
 func TestARemovalOfWhoIsBackNeverLeaves(t *testing.T) {
 	s := steering(at(0), map[tableEndpoint]float64{{0, 1}: 1}, map[tableEndpoint]float64{}, map[uint32]bool{1: true})
-	s.want.out[1] = true // gone, and not back yet
+	s.want.ejected[1] = true // gone, and not back yet
 	want(t, "queued", len(s.orders(remove)), 1)
 	s.handle(targetTables{map[tableEndpoint]float64{{0, 1}: 1}, map[uint32]bool{}})
 	want(t, "dropped", len(s.orders(remove)), 0)
