--- a/policy/messages.go
+++ b/policy/messages.go
@@ -2,20 +2,28 @@
 
 import "lilacbend/control"
 
-// message is anything that one component tells another. Each message names its sender and receivers; a component panics on a
-// message that is not for it.
+// message is what one component sends to another. The comment of each message names its sender and its receivers; a component
+// panics on a message that is not for it.
 type message interface{ message() }
 
 // Messages that carry an event from the turn to the components that it concerns.
 type (
-	replicaListed    struct{ control.ListedReplica }
-	outcomesReported struct{ control.Outcomes }
-	replicaRestored  struct{ control.ReplicaRestored }
-	fleetRestored    struct{ control.FleetRestored }
-	streamOpened     struct{ control.StreamOpened }
-	streamClosed     struct{ control.StreamClosed }
-	demandReported   struct{ control.Demand }
-	ackReceived      struct{ control.Ack }
+	replicaListed    struct{ control.ListedReplica }   // to the replica
+	outcomesReported struct{ control.Outcomes }        // to the replica
+	replicaRestored  struct{ control.ReplicaRestored } // to the replica and placement
+	fleetRestored    struct{ control.FleetRestored }   // to binding, placement and admission
+	streamOpened     struct{ control.StreamOpened }    // to binding and pacing
+	streamClosed     struct{ control.StreamClosed }    // to binding, placement and pacing
+	demandReported   struct{ control.Demand }          // to admission
+	ackReceived      struct{ control.Ack }             // to binding
+)
+
+// Messages by which the turn starts a phase or evicts a replica.
+type (
+	tickStarted    struct{}                 // to placement and update: the tick interval has passed
+	placementDue   struct{}                 // to placement: all replicas have reported their status
+	turnEnding     struct{}                 // to pacing: send what the budget allows
+	replicaEvicted struct{ replica uint32 } // to placement, update and pacing: it has been gone for evictAfter
 )
 
 // Messages that ask for a command.
@@ -27,13 +35,9 @@
 
 // Messages with what a component has worked out.
 type (
-	tablesAssigned   struct{ tables []int }   // placement to binding: the table that serves the proxies of each table
-	proxyBound       struct{ connectedProxy } // binding to placement
-	tickStarted      struct{}
-	replicaForgotten struct{ id uint32 } // a replica is long gone
-	placementDue     struct{}            // the planner has heard from all replicas
-	turnEnding       struct{}            // the turn ends: the pacer sends
-	fleetBaseline    struct {            // planner to replica: of its kind, its own goal, of all: missed, lost
+	tablesAssigned struct{ tables []int }   // placement to binding: the table that serves the proxies of each table
+	proxyBound     struct{ connectedProxy } // binding to placement
+	fleetBaseline  struct {                 // planner to replica: of its kind, its own goal, of all: missed, lost
 		late, good, goal, bad, lost float64
 	}
 	replicaStatus struct { // replica to planner: what it can bear and what it was met with lately
@@ -57,9 +61,10 @@
 		weights map[tableEndpoint]float64
 		ejected map[uint32]bool
 	}
-	demandSummary struct { // levels to planner: part of the flows that got no answer; flows that came, by proxy
-		lost         float64
-		flows, fresh map[int]float64 // in the last few seconds; the newest, as of so long
+	demandSummary struct { // admission to placement
+		failedFraction float64         // of all requests of the last seconds
+		requests       map[int]float64 // of each proxy within demandSpan
+		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in demandSpan
 	}
 	warmingReplicas struct { // planner to pacer: the replicas that are cold, and whether they must be let in together
 		replicas map[uint32]bool
@@ -74,9 +79,10 @@
 		proxies []int
 		orders  []control.Command
 	}
-	acknowledged struct { // registry to pacer and sequence: somebody applied all up to the mark, or all have, or have left
-		mark      uint64
-		all, gone bool
+	acknowledged struct { // binding to pacing and update
+		nonce        uint64
+		complete     bool // nobody owes an acknowledgement of the nonce any more; else one proxy has acknowledged it
+		disconnected bool // the last proxies that owed it have disconnected
 	}
 	tableEndpoint struct {
 		table   int
@@ -98,7 +104,7 @@
 func (tablesAssigned) message()   {}
 func (proxyBound) message()       {}
 func (tickStarted) message()      {}
-func (replicaForgotten) message() {}
+func (replicaEvicted) message()   {}
 func (placementDue) message()     {}
 func (turnEnding) message()       {}
 func (fleetBaseline) message()    {}
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -66,8 +66,8 @@
 		p.join(n.StreamOpened) // its cap knows nothing of streams
 	case streamClosed:
 		p.leave(n.Proxy)
-	case replicaForgotten:
-		delete(p.ejected, n.id)
+	case replicaEvicted:
+		delete(p.ejected, n.replica)
 	case warmingReplicas:
 		p.cold = n
 	case updateStep:
@@ -205,7 +205,7 @@
 // orphan notes that nobody is left to answer for what was written under a mark.
 func (p *pacer) orphan(n acknowledged) {
 	for k := range p.under {
-		if n.gone && p.under[k].mark == n.mark {
+		if n.disconnected && p.under[k].mark == n.nonce {
 			p.under[k].orphan = true
 		}
 	}
@@ -233,7 +233,7 @@
 
 // clear takes what an answer clears off the account of the channel.
 func (p *pacer) clear(n acknowledged) {
-	for len(p.under) > 0 && !n.gone && (p.under[0].mark < n.mark || n.all && p.under[0].mark == n.mark) {
+	for len(p.under) > 0 && !n.disconnected && (p.under[0].mark < n.nonce || n.complete && p.under[0].mark == n.nonce) {
 		p.late = math.Max(1, float64(p.now-p.under[0].at)/float64(p.under[0].due-p.under[0].at))
 		p.under = p.under[1:]
 	}
--- a/policy/pacer_test.go
+++ b/policy/pacer_test.go
@@ -134,7 +134,7 @@
 	sent := len(g.out)
 	p.send()
 	want(t, "more while nobody answers", len(g.out), sent)
-	p.handle(acknowledged{mark: p.mark, all: true})
+	p.handle(acknowledged{nonce: p.mark, complete: true})
 	p.send()
 	want(t, "goes on once answered", len(g.out) > sent, true)
 }
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -64,10 +64,10 @@
 		p.offers[n.Replica] = n
 	case demandSummary:
 		p.demand = n
-	case replicaForgotten:
-		delete(p.offers, n.id)
-		delete(p.own, n.id)
-		delete(p.laid, n.id)
+	case replicaEvicted:
+		delete(p.offers, n.replica)
+		delete(p.own, n.replica)
+		delete(p.laid, n.replica)
 	case proxyBound:
 		p.enter(n.connectedProxy)
 	case replicaRestored:
@@ -139,7 +139,7 @@
 		}
 	}
 	bad, fleetAble := missed/math.Max(1, tries), kinds[all].able/math.Max(1, kinds[all].count)
-	p.spared = bears >= told/gave*warm && max(bad, p.demand.lost) > coldLost
+	p.spared = bears >= told/gave*warm && max(bad, p.demand.failedFraction) > coldLost
 	for _, id := range ids {
 		o := p.offers[id]
 		k := kinds[o.HardwareClass]
@@ -147,7 +147,7 @@
 		// Cold ones who together could bear all that is tried hear of no loss: the warm would drown. All or none:
 		// those of one table would be guests of every other, and get what comes to the cold that are kept out.
 		if bears < told/gave*warm {
-			n.lost = max(bad, p.demand.lost)
+			n.lost = max(bad, p.demand.failedFraction)
 		}
 		good, late := o.tries-o.bad, o.answer/math.Max(1e-9, k.answer/math.Max(1, k.good))
 		if len(sizes) > 1 && late > slowAnswer {
@@ -214,7 +214,7 @@
 		if 2*len(p.crowd)*p.Controllers >= p.Proxies { // the first to join do not tell of all
 			// Flows move from zone to zone: what came lately counts, more and more.
 			span := math.Min(float64(p.now-c.since), float64(demandSpan)) / float64(second)
-			rate := (c.Rate*priorSpan + p.demand.flows[c.Proxy]) / (priorSpan + span)
+			rate := (c.Rate*priorSpan + p.demand.requests[c.Proxy]) / (priorSpan + span)
 			need[c.table], total = need[c.table]+rate, total+rate
 		}
 	}
@@ -306,7 +306,7 @@
 	}
 	for _, c := range p.crowd {
 		zone := c.table % row
-		usual[zone], newest[zone] = usual[zone]+p.demand.flows[c.Proxy], newest[zone]+p.demand.fresh[c.Proxy]
+		usual[zone], newest[zone] = usual[zone]+p.demand.requests[c.Proxy], newest[zone]+p.demand.latestRequests[c.Proxy]
 	}
 	may := warm * sickMost
 	for _, id := range ids {
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -26,7 +26,7 @@
 			planning(g, o)
 		}
 		planning(g, offered(21, 0, false, control.Gone)) // no work of anybody's
-		p.handle(demandSummary{lost: 0.8})
+		p.handle(demandSummary{failedFraction: 0.8})
 		p.norms()
 		for _, box := range []int{fixedComponents, fixedComponents + 19} {
 			if got, lost := mail[fleetBaseline](g, box)[0].lost, map[bool]float64{false: 0.8}[c.bear]; got != lost {
@@ -145,7 +145,7 @@
 	o := offered(1, 0, false, control.Ready)
 	o.tries, o.bad = 100, 10
 	p := planning(g, o)
-	p.handle(demandSummary{lost: 0.9}) // flows that got no answer
+	p.handle(demandSummary{failedFraction: 0.9}) // flows that got no answer
 	p.norms()
 	n := mail[fleetBaseline](g, fixedComponents)[0]
 	want(t, "verdicts go by the mean, the cold by the worst", n.bad < 0.11 && n.lost == 0.9, true)
@@ -156,9 +156,9 @@
 	cold.cold = true
 	p := planning(at(0), cold, offered(2, 0, false, control.Ready))
 	p.enter(connectedProxy{control.StreamOpened{Proxy: 7}, 0, 0})
-	p.demand = demandSummary{flows: map[int]float64{7: 100}, fresh: map[int]float64{7: 120}}
+	p.demand = demandSummary{requests: map[int]float64{7: 100}, latestRequests: map[int]float64{7: 120}}
 	want(t, "as ever", len(p.shutOut([]uint32{1, 2}, 1)), 0)
-	p.demand.fresh[7] = 200
+	p.demand.latestRequests[7] = 200
 	out := p.shutOut([]uint32{1, 2}, 1)
 	want(t, "the cold only", out[1] && !out[2], true)
 }
@@ -182,7 +182,7 @@
 			gone.tries = 10
 		}
 		planning(g, gone)
-		p.handle(demandSummary{lost: 0.8})
+		p.handle(demandSummary{failedFraction: 0.8})
 		p.norms()
 		want(t, "lost", mail[fleetBaseline](g, fixedComponents+9)[0].lost, lost)
 	}
@@ -201,7 +201,7 @@
 			}
 			planning(g, o)
 		}
-		p.handle(demandSummary{lost: lost})
+		p.handle(demandSummary{failedFraction: lost})
 		p.norms()
 		want(t, "together", p.coldest([]uint32{6}).together, together)
 		want(t, "lost, as the cold hear", mail[fleetBaseline](g, fixedComponents+9)[0].lost, 0.0)
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -44,7 +44,7 @@
 		r.drop(n.Proxy)
 	case ackReceived:
 		mark := r.last - (r.last-n.Nonce)&marksMask // marks go round on the way
-		r.enqueue(pacingComponent, acknowledged{mark: mark})
+		r.enqueue(pacingComponent, acknowledged{nonce: mark})
 		r.acknowledge(n.Proxy, mark)
 	case messagesSent:
 		r.await(n)
@@ -93,7 +93,7 @@
 			if delete(w, proxy); len(w) == 0 {
 				delete(r.wait, mark)
 				r.enqueue(pacingComponent, acknowledged{mark, true, upto == math.MaxUint64})
-				r.enqueue(updateComponent, acknowledged{mark: mark, all: true})
+				r.enqueue(updateComponent, acknowledged{nonce: mark, complete: true})
 			}
 		}
 	}
--- a/policy/registry_test.go
+++ b/policy/registry_test.go
@@ -12,7 +12,7 @@
 	r.handle(ackReceived{control.Ack{Proxy: 1, Nonce: 70000 & marksMask}})
 	want(t, "still open", len(mail[acknowledged](g, updateComponent)), 0)
 	r.handle(streamClosed{control.StreamClosed{Proxy: 2}})
-	want(t, "closed", mail[acknowledged](g, updateComponent)[0], acknowledged{mark: 70000, all: true})
+	want(t, "closed", mail[acknowledged](g, updateComponent)[0], acknowledged{nonce: 70000, complete: true})
 }
 
 // A crowd that leaves at once empties no channel: its lines, and all before them, are charged until somebody answers
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -111,9 +111,9 @@
 		} else if g.now-r.changed > forgetSpan {
 			delete(g.replicas, id)
 			g.free = append(g.free, r.box)
-			g.enqueue(placementComponent, replicaForgotten{id})
-			g.enqueue(updateComponent, replicaForgotten{id})
-			g.enqueue(pacingComponent, replicaForgotten{id})
+			g.enqueue(placementComponent, replicaEvicted{id})
+			g.enqueue(updateComponent, replicaEvicted{id})
+			g.enqueue(pacingComponent, replicaEvicted{id})
 		}
 	}
 }
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -39,15 +39,15 @@
 	case targetTables:
 		s.want = n
 		maps.Copy(s.out, n.ejected)
-	case replicaForgotten: // stays withdrawn: no lift is ordered for who is forgotten
-		delete(s.out, n.id)
+	case replicaEvicted: // stays withdrawn: no lift is ordered for who is forgotten
+		delete(s.out, n.replica)
 	case bindRequested:
 		s.moves[n.Proxy] = n.Table
 	case messagesSent:
 		s.note(n)
 		return
 	case acknowledged:
-		delete(s.open, n.mark)
+		delete(s.open, n.nonce)
 	case tickStarted:
 		maps.DeleteFunc(s.open, func(_ uint64, since int64) bool { return s.now-since > stepTimeout })
 	default:
