--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -8,11 +8,12 @@
 // above 1. Pressure is the mean response time as a multiple of maxObjectiveFraction of the first class's latency objective;
 // where responses are also much slower than those of an idle fleet, it is at least the failure rate of most replicas as a
 // multiple of maxFailureRate. Failures without slow responses are refused connections, silent replicas or errors, and fewer
-// requests would not end them. Nothing counts as an overload while there are fewer than minSuccesses successes.
+// requests would not end them. Nothing counts as an overload while there are fewer than minSuccesses successes, or where proxies
+// do not follow fractions (Settings.Admission).
 //
 // The threshold moves by the first of these rules that applies:
 //
-//  1. It holds for loadWindow after a fall, as the load is still counted from before it.
+//  1. It holds for loadWindow after a fall, or after rule 4 spared it one, as the load is still counted from before.
 //  2. It holds while an overload is younger than the reports are late, as the overload may have passed already.
 //  3. It falls, if all is admitted, to what firstFallFraction of the highest success rate seen lately can serve.
 //  4. It falls further by fallFactor, if something is shed already and the pressure is higher than at the last fall. An
@@ -45,7 +46,7 @@
 	slowResponseFactor = 2.5
 	// minSuccesses is the number of successes within loadWindow below which nothing is known of the replicas' queues.
 	minSuccesses = 5
-	// loadWindow is the period over which the load is counted. The samples of replicas are as old.
+	// loadWindow is the period over which the load is counted: replicas keep their samples for as long.
 	loadWindow = 4 * time.Second
 
 	// firstFallFraction is the fraction of the highest success rate seen lately that the first fall admits. The rest lets the
@@ -93,8 +94,8 @@
 	initialFraction float64
 
 	overloaded     bool
-	lastFall       time.Duration
-	fallPressure   float64       // at the last fall, or when a fall was last due
+	lastFall       time.Duration // when rule 3 or 4 last applied, whether the threshold fell or not
+	fallPressure   float64       // at that time
 	lastNormal     time.Duration // when the fleet was last not overloaded
 	lastEvaluation time.Duration
 	successRates   []float64 // successful responses a second of a serving replica, the newest last
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -15,8 +15,8 @@
 	"lilacbend/control"
 )
 
-// deduplicationMargin is how many times the attempts of a request must fit into the deduplication window: proxies and
-// replicas are not timed, so the last attempt may be executed late.
+// deduplicationMargin is how many times all attempts of a request must fit into the deduplication window: an attempt that has
+// timed out at the proxy may still wait in the replica's queue.
 const deduplicationMargin = 2
 
 // Allowed returns the retries of a traffic class that cannot execute a request twice.
