--- /dev/null
+++ b/policy/outlier/fleet_test.go
@@ -0,0 +1,26 @@
+package outlier
+
+import "testing"
+
+func TestFleetWindow(t *testing.T) {
+	for _, c := range []struct {
+		name                          string
+		windows                       []Window
+		attempts, rate, typical, size float64
+	}{
+		{"no replicas", nil, 0, 0, 0, 0},
+		{"no attempts", []Window{{}}, 0, 0, 0, 1},
+		{"one of four fails: the typical replica does not", []Window{{Attempts: 10, Failures: 10}, {Attempts: 10}, {Attempts: 10}, {Attempts: 10}}, 40, 0.25, 0, 4},
+		{"all fail alike", []Window{{Attempts: 10, Failures: 5}, {Attempts: 10, Failures: 5}}, 20, 0.5, 0.5, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var f FleetWindow
+			for _, w := range c.windows {
+				f.Add(w)
+			}
+			if f.Attempts != c.attempts || f.FailureRate() != c.rate || f.TypicalFailureRate() != c.typical || f.Replicas != c.size {
+				t.Errorf("attempts %v, failure rate %v, typical %v, replicas %v", f.Attempts, f.FailureRate(), f.TypicalFailureRate(), f.Replicas)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/outlier/outlier_test.go
@@ -0,0 +1,222 @@
+package outlier
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+const reportInterval = time.Second
+
+// calmFleet is a fleet in which replicas succeed 20 times in the period and answer in time.
+var calmFleet = Fleet{PeerSuccesses: 20, SlowResponseTime: 0.4}
+
+func observed(now time.Duration, attempts, failures int, responseTime time.Duration) *Detector {
+	d := &Detector{}
+	d.Observe(now, attempts, failures, responseTime)
+	return d
+}
+
+func TestEvaluateHealthyReplica(t *testing.T) {
+	for _, c := range []struct {
+		name               string
+		attempts, failures int
+		responseTime       time.Duration
+		fleetFailureRate   float64
+		ejected            bool
+	}{
+		{"silent: ejected", 10, 10, 0, 0, true},
+		{"fails quickly: ejected", 20, 17, 100 * time.Millisecond, 0, true},
+		{"late: not ejected, as its weight falls", 20, 17, 900 * time.Millisecond, 0, false},
+		{"half of its attempts fail: worth more than nothing", 20, 12, 100 * time.Millisecond, 0, false},
+		{"overloaded: fails, but succeeds as often as its peers", 60, 40, 300 * time.Millisecond, 0, false},
+		{"fails about as the whole fleet does: not ejected", 9, 6, 200 * time.Millisecond, 0.35, false},
+		{"the whole fleet fails: nobody is ejected", 500, 500, 0, 0.9, false},
+		{"the fleet fails at the limit: still evaluated", 20, 20, 0, maxFleetFailureRate, true},
+		{"too few attempts: not evaluated", minAttempts - 1, minAttempts - 1, 0, 0, false},
+		{"just enough attempts: evaluated", minAttempts, minAttempts, 0, 0, true},
+		{"failure rate at the limit: not ejected", 20, 10, 100 * time.Millisecond, 0, false},
+		{"as many successes as the limit: not ejected", 20, 16, 100 * time.Millisecond, 0, false},
+		{"response time at the limit: late, not ejected", 20, 17, 400 * time.Millisecond, 0, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			now := 100 * time.Second
+			d := observed(now, c.attempts, c.failures, c.responseTime)
+			fleet := calmFleet
+			fleet.FailureRate = c.fleetFailureRate
+			change := d.Evaluate(now, fleet, reportInterval)
+			if d.Ejected() != c.ejected || change.Happened() != c.ejected {
+				t.Errorf("ejected %v, change %q, want %v", d.Ejected(), change, c.ejected)
+			}
+			if d.Ejected() && d.EjectedFor(now) != ejectionTime {
+				t.Errorf("ejected for %v, want %v", d.EjectedFor(now), ejectionTime)
+			}
+		})
+	}
+}
+
+func TestProbationEndsInLongerEjectionOrHealth(t *testing.T) {
+	now := 100 * time.Second
+	d := observed(now, 10, 10, 0)
+	d.Evaluate(now, calmFleet, reportInterval)
+	first := d.EjectedFor(now)
+	now += first
+	d.Evaluate(now, calmFleet, reportInterval)
+	if !d.OnProbation() || d.Ejected() || d.probationSince != now+reportInterval {
+		t.Fatalf("after the ejection: probation since %v, ejected %v", d.probationSince, d.Ejected())
+	}
+	now += 2 * time.Second
+	d.Observe(now, minProbationAttempts, minProbationAttempts, 0)
+	d.Evaluate(now, calmFleet, reportInterval)
+	if d.EjectedFor(now) != 2*first || d.OnProbation() || d.Ejections() != 2 {
+		t.Errorf("after failures on probation: ejected for %v, want %v; ejections %d", d.EjectedFor(now), 2*first, d.Ejections())
+	}
+	now += d.EjectedFor(now)
+	d.Evaluate(now, calmFleet, reportInterval)
+	now += 2 * time.Second
+	d.Observe(now, minProbationAttempts, 0, 200*time.Millisecond)
+	d.Evaluate(now, calmFleet, reportInterval)
+	if d.OnProbation() || d.Ejected() {
+		t.Errorf("after successes on probation: probation %v, ejected %v", d.OnProbation(), d.Ejected())
+	}
+	if d.Ejections() != 2 {
+		t.Errorf("ejections %d, want the 2 that a further one would be added to", d.Ejections())
+	}
+}
+
+func TestEjectionTimeDoublesUpToItsBound(t *testing.T) {
+	for ejections, want := range []time.Duration{3 * time.Second, 6 * time.Second, 12 * time.Second, 12 * time.Second} {
+		now := 100 * time.Second
+		d := observed(now, 10, 10, 0)
+		d.ejections = ejections
+		d.Evaluate(now, calmFleet, reportInterval)
+		if got := d.EjectedFor(now); got != want {
+			t.Errorf("after %d ejections: ejected for %v, want %v", ejections, got, want)
+		}
+	}
+}
+
+func TestEvaluateOnProbation(t *testing.T) {
+	for _, c := range []struct {
+		name               string
+		attempts, failures int
+		fleet              Fleet
+		want               state
+	}{
+		{"too few attempts: waits", minProbationAttempts - 1, minProbationAttempts - 1, calmFleet, unchanged},
+		{"fails, though it succeeds as often as its peers: ejected", 60, 40, calmFleet, ejected},
+		{"fails and is late: ejected", 3, 3, Fleet{PeerSuccesses: 20}, ejected},
+		{"fails less than the limit: healthy", 10, 5, calmFleet, healthy},
+		{"the whole fleet fails: waits", 10, 10, Fleet{FailureRate: 0.9}, unchanged},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			now := 100 * time.Second
+			d := observed(now, c.attempts, c.failures, 300*time.Millisecond)
+			d.probationSince = now - time.Second
+			if got := d.Evaluate(now, c.fleet, reportInterval); got.to != c.want {
+				t.Errorf("got %q", got)
+			}
+		})
+	}
+}
+
+func TestLateReportsDoNotDecideProbation(t *testing.T) {
+	now := 100 * time.Second
+	d := &Detector{ejectedUntil: now, ejections: 1}
+	d.Evaluate(now, calmFleet, reportInterval)
+	d.Observe(now+reportInterval, 10, 10, 0)
+	if change := d.Evaluate(now+reportInterval, calmFleet, reportInterval); change.Happened() {
+		t.Errorf("a report of the time before the probation: %q", change)
+	}
+	d.Observe(now+reportInterval+1, 10, 10, 0)
+	if change := d.Evaluate(now+reportInterval+1, calmFleet, reportInterval); change.to != ejected {
+		t.Errorf("a later report: %q", change)
+	}
+}
+
+func TestOldSamplesAreNotEvaluated(t *testing.T) {
+	now := 100 * time.Second
+	d := observed(now, 10, 10, 0)
+	now += EvaluationPeriod
+	if d.Evaluate(now, calmFleet, reportInterval); d.Ejected() {
+		t.Error("ejected by a sample that has expired")
+	}
+}
+
+func TestRestore(t *testing.T) {
+	now := 100 * time.Second
+	for _, c := range []struct {
+		name      string
+		restored  Restored
+		ejections int
+		weight    float64
+		probation bool
+	}{
+		{"healthy", Restored{Ejections: 2, Confidence: 1}, 2, 1, false},
+		{"ejected a moment ago", Restored{Ejected: true, Ejections: 1, Confidence: 1}, 1, RestoredWeightFraction, true},
+		{"ejected some time ago", Restored{Ejected: true, Ejections: 2, Confidence: 0.5}, 1, math.Sqrt(RestoredWeightFraction), true},
+		{"ejected long ago", Restored{Ejected: true, Ejections: 2, Confidence: 0.1}, 0, math.Pow(RestoredWeightFraction, 0.1), true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := &Detector{}
+			change := d.Restore(now, c.restored)
+			if d.Ejections() != c.ejections || d.OnProbation() != c.probation || d.Ejected() {
+				t.Errorf("ejections %d, probation %v, ejected %v", d.Ejections(), d.OnProbation(), d.Ejected())
+			}
+			if math.Abs(1-d.Penalty()-c.weight) > 1e-12 {
+				t.Errorf("penalty %v, want %v", d.Penalty(), 1-c.weight)
+			}
+			if change.Happened() != c.probation {
+				t.Errorf("change %q", change)
+			}
+		})
+	}
+}
+
+func TestRestoredProbationIsEvaluatedThoughTheFleetFails(t *testing.T) {
+	now := 100 * time.Second
+	failing := Fleet{FailureRate: 0.9, PeerSuccesses: 20, SlowResponseTime: 0.4}
+	for _, c := range []struct {
+		name     string
+		failures int
+		want     state
+	}{{"all attempts fail", 10, ejected}, {"all succeed", 0, healthy}} {
+		t.Run(c.name, func(t *testing.T) {
+			d := &Detector{}
+			d.Restore(now, Restored{Ejected: true, Ejections: 1, Confidence: 1})
+			d.Observe(now+1, 10, c.failures, 100*time.Millisecond)
+			if change := d.Evaluate(now+1, failing, reportInterval); change.to != c.want {
+				t.Errorf("got %q", change)
+			}
+			if d.Penalty() != 0 || d.OnProbation() {
+				t.Errorf("penalty %v, probation %v", d.Penalty(), d.OnProbation())
+			}
+		})
+	}
+}
+
+func TestChangeString(t *testing.T) {
+	now := 100 * time.Second
+	fleet := Fleet{FailureRate: 0.03, PeerSuccesses: 200, SlowResponseTime: math.Inf(1)}
+	d := observed(now, 26, 15, 100*time.Millisecond)
+	got := []string{
+		d.Evaluate(now, fleet, reportInterval).String(),
+		d.Evaluate(now, fleet, reportInterval).String(),
+		d.Evaluate(now+ejectionTime, fleet, reportInterval).String(),
+	}
+	now += ejectionTime + 2*reportInterval
+	d.Observe(now, 4, 0, 0)
+	got = append(got, d.Evaluate(now, fleet, reportInterval).String(),
+		d.Restore(now, Restored{Ejected: true, Confidence: 1}).String())
+	for k, want := range []string{
+		"ejected: 15 of 26 attempts failed, fleet failure rate 0.03, for 3s",
+		"unchanged",
+		"probation after ejection 1",
+		"healthy: 0 of 4 attempts failed",
+		"probation after controller restart: 0.12 of its weight",
+	} {
+		if got[k] != want {
+			t.Errorf("got %q, want %q", got[k], want)
+		}
+	}
+}
--- /dev/null
+++ b/policy/outlier/window.go
@@ -0,0 +1,59 @@
+package outlier
+
+import (
+	"math"
+	"time"
+
+	"lilacbend/policy/internal/sample"
+)
+
+// loadReport is the sum of some attempts at a replica.
+type loadReport struct {
+	receivedAt   time.Duration
+	attempts     float64
+	failures     float64
+	responseTime float64 // mean of the successful attempts, in seconds; 0: not known
+}
+
+// Window sums the load reports of a replica that are evaluated.
+type Window struct {
+	Attempts     float64
+	Failures     float64
+	ResponseTime float64 // mean of the successful attempts whose time is known, in seconds; 0: there are none
+}
+
+// Successes returns the number of attempts that succeeded.
+func (w Window) Successes() float64 { return w.Attempts - w.Failures }
+
+// FailureRate returns the fraction of the attempts that failed.
+func (w Window) FailureRate() float64 { return w.Failures / math.Max(1, w.Attempts) }
+
+// Observe adds a load report. The response time is the mean of its successful attempts, 0 if it is not known.
+func (d *Detector) Observe(now time.Duration, attempts, failures int, responseTime time.Duration) {
+	report := loadReport{
+		receivedAt:   now,
+		attempts:     float64(attempts),
+		failures:     float64(failures),
+		responseTime: float64(responseTime) / float64(time.Second),
+	}
+	d.reports = sample.Newest(sample.Kept, append(d.reports, report))
+}
+
+// Window sums the load reports of the last EvaluationPeriod, on probation those since its start.
+func (d *Detector) Window(now time.Duration) Window {
+	var window Window
+	var responseTime, timed float64
+	for _, report := range d.reports {
+		if report.receivedAt <= max(now-EvaluationPeriod, d.probationSince) {
+			continue
+		}
+		window.Attempts += report.attempts
+		window.Failures += report.failures
+		if report.responseTime > 0 {
+			responseTime += report.responseTime * (report.attempts - report.failures)
+			timed = timed + report.attempts - report.failures
+		}
+	}
+	window.ResponseTime = responseTime / math.Max(1, timed)
+	return window
+}
