--- /dev/null
+++ b/policy/slowstart/recovery.go
@@ -0,0 +1,62 @@
+package slowstart
+
+import "math"
+
+// Load is the recent load of one replica.
+type Load struct {
+	ListedWeight     float64
+	CapacityFraction float64 // if it is warming up
+	Attempts         float64
+	Failures         float64
+	Ready            bool
+	WarmingUp        bool
+}
+
+// Fleet sums the load of all replicas, to find whether those that warm up could carry all of it.
+type Fleet struct {
+	overloadMultiple float64
+	warmingCapacity  float64 // before they fail, in units of listed weight
+	attempts         float64
+	warmedSuccesses  float64
+	warmedWeight     float64
+}
+
+// Recovery is how replicas that warm up are treated.
+type Recovery struct {
+	LostFraction float64 // that they count
+	Together     bool    // they are restored all at once, as they get no less for many lost requests
+}
+
+// NewFleet returns the sum of no replicas.
+func NewFleet(overloadMultiple float64) *Fleet {
+	return &Fleet{overloadMultiple: overloadMultiple, attempts: minSum, warmedSuccesses: minSum, warmedWeight: minSum}
+}
+
+// Add adds a replica. The order of the replicas is part of the result, as sums of floating-point numbers depend on it.
+func (f *Fleet) Add(l Load) {
+	f.attempts += l.Attempts // those at draining replicas as well: the others get them next
+	switch {
+	case !l.Ready:
+	case l.WarmingUp:
+		f.warmingCapacity += l.ListedWeight * l.CapacityFraction * f.overloadMultiple
+	default:
+		f.warmedSuccesses = f.warmedSuccesses + l.Attempts - l.Failures
+		f.warmedWeight += l.ListedWeight
+	}
+}
+
+// Recovery returns how replicas that warm up are treated while a fraction of the attempts fails and a fraction of the requests is
+// lost.
+func (f *Fleet) Recovery(failureRate, lostFraction float64) Recovery {
+	lost := math.Max(failureRate, lostFraction)
+	if !f.warmingSuffices() {
+		return Recovery{LostFraction: lost}
+	}
+	return Recovery{Together: lost > maxLostFraction}
+}
+
+// warmingSuffices reports whether the replicas that warm up could carry all attempts. What one unit of listed weight can do
+// is taken from the successes of the others. Those of one table do not count alone: all proxies may be bound to another.
+func (f *Fleet) warmingSuffices() bool {
+	return f.warmingCapacity >= f.attempts/f.warmedSuccesses*f.warmedWeight
+}
--- /dev/null
+++ b/policy/slowstart/recovery_test.go
@@ -0,0 +1,87 @@
+package slowstart
+
+import "testing"
+
+// fleet has warmed-up and warming replicas that are listed alike. Each succeeds ten times in as many attempts as given.
+func fleet(warmedUp, warming int, attempts float64) *Fleet {
+	f := NewFleet(config.OverloadMultiple)
+	load := Load{ListedWeight: 1, CapacityFraction: 0.5, Attempts: attempts, Failures: attempts - 10, Ready: true}
+	for range warmedUp {
+		f.Add(load)
+	}
+	load.WarmingUp = true
+	for range warming {
+		f.Add(load)
+	}
+	return f
+}
+
+func TestRecovery(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		warmedUp, warming int
+		attempts          float64
+		suffice           bool
+	}{
+		{"a few warm up", 19, 1, 10, false},
+		{"not quite enough warm up", 12, 8, 10, false},
+		{"enough warm up", 8, 12, 10, true},
+		{"nearly all warm up", 2, 18, 10, true},
+		{"enough but for retries", 8, 12, 15, false},
+		{"nearly all warm up, with some retries", 2, 18, 15, true},
+		{"nearly all warm up, with the retries of a collapse", 2, 18, 40, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := fleet(c.warmedUp, c.warming, c.attempts)
+			f.Add(Load{ListedWeight: 1}) // gone: carries nothing
+			want := Recovery{LostFraction: 0.8}
+			if c.suffice {
+				want = Recovery{Together: true}
+			}
+			if got := f.Recovery(0.1, 0.8); got != want {
+				t.Errorf("got %+v, want %+v", got, want)
+			}
+		})
+	}
+}
+
+func TestRecoveryGoesByTheWorseOfFailuresAndLosses(t *testing.T) {
+	f := fleet(10, 0, 10)
+	for _, c := range []struct{ failures, lost, want float64 }{{0.1, 0.9, 0.9}, {0.7, 0.2, 0.7}, {0, 0, 0}} {
+		if got := f.Recovery(c.failures, c.lost); got != (Recovery{LostFraction: c.want}) {
+			t.Errorf("failure rate %v, lost %v: got %+v", c.failures, c.lost, got)
+		}
+	}
+}
+
+func TestRecoveryIsTogetherOnlyAboveTheLossLimit(t *testing.T) {
+	f := fleet(1, 9, 10)
+	for lost, want := range map[float64]bool{0.2: false, maxLostFraction: false, 0.8: true} {
+		if got := f.Recovery(0, lost); got != (Recovery{Together: want}) {
+			t.Errorf("lost %v: got %+v", lost, got)
+		}
+	}
+}
+
+func TestAttemptsAtDrainingReplicasCount(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		extra Load
+		want  bool // that the warming replicas suffice
+	}{
+		{"one more that is warmed up", Load{ListedWeight: 1, Attempts: 10, Ready: true}, true},
+		{"a draining one with many attempts", Load{ListedWeight: 1, Attempts: 51}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			f := NewFleet(config.OverloadMultiple)
+			for range 5 {
+				f.Add(Load{ListedWeight: 1, Attempts: 10, Ready: true})
+				f.Add(Load{ListedWeight: 1, CapacityFraction: 0.5, Ready: true, WarmingUp: true})
+			}
+			f.Add(c.extra)
+			if got := f.Recovery(0, 0.8).Together; got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
