--- /dev/null
+++ b/policy/weight/estimate_test.go
@@ -0,0 +1,68 @@
+package weight
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestRestoreShrinksARememberedSpeedByItsAge(t *testing.T) {
+	now := 100 * time.Second
+	for _, c := range []struct{ speed, confidence, want float64 }{{0.25, 1, 0.25}, {0.25, 0.5, 0.5}, {0.25, 0.01, 0.986}, {4, 0.5, 2}} {
+		e := NewEstimate(now)
+		e.Restore(now, Restored{Speed: c.speed, SampleCount: 40, Age: time.Second, Confidence: c.confidence})
+		if math.Abs(e.Speed-c.want) > 0.001 || e.Goal != e.Speed || e.RememberedSpeed != e.Speed {
+			t.Errorf("%v with confidence %v: speed %v, goal %v, remembered %v", c.speed, c.confidence, e.Speed, e.Goal, e.RememberedSpeed)
+		}
+		if math.Abs(e.Confidence-maxSampleCount*c.confidence) > 1e-12 || math.Abs(e.SampleCount-40*c.confidence) > 1e-12 {
+			t.Errorf("%v with confidence %v: counts for %v attempts, of %v samples", c.speed, c.confidence, e.Confidence, e.SampleCount)
+		}
+		if e.LastSample != now-time.Second {
+			t.Errorf("last sample at %v", e.LastSample)
+		}
+	}
+}
+
+func TestObserveHalvesTheConfidence(t *testing.T) {
+	e := Estimate{Speed: 1, Confidence: 8}
+	e.Observe(2*time.Second, 10)
+	if e.Confidence != 4 || e.SampleCount != 10 || e.LastSample != 2*time.Second {
+		t.Errorf("after one report: %+v", e)
+	}
+	e.Observe(3*time.Second, 10)
+	if e.Confidence != 2 || e.SampleCount != maxSampleCount {
+		t.Errorf("after two reports: %+v", e)
+	}
+}
+
+func TestRestartForgetsConfidenceAndKeepsTheSpeed(t *testing.T) {
+	e := Estimate{Speed: 2, Goal: 2, Confidence: 8, SampleCount: 16}
+	e.Restart()
+	if e != (Estimate{Speed: 2, Goal: 2}) {
+		t.Errorf("got %+v", e)
+	}
+}
+
+func TestFollow(t *testing.T) {
+	for _, c := range []struct {
+		name                  string
+		sinceLast, sinceKnown time.Duration
+		want                  float64 // towards 16
+	}{
+		{"known for long: in the settle time", settleTime, time.Hour, 16},
+		{"known for long: half way in half of it", settleTime / 2, time.Hour, 4},
+		{"just known: in the least settle time", minSettleTime, 0, 16},
+		{"just known: a quarter of the way in a quarter of it", minSettleTime / 4, 0, 2},
+		{"known for twice the least: half way", minSettleTime, 2 * settleDivisor * minSettleTime, 4},
+		{"first evaluation: at once", time.Hour, 0, 16},
+		{"no time has passed", 0, time.Hour, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := NewEstimate(0)
+			e.Follow(16, c.sinceLast, c.sinceKnown)
+			if math.Abs(e.Speed-c.want) > 1e-9 || e.Goal != 16 {
+				t.Errorf("speed %v, want %v; goal %v", e.Speed, c.want, e.Goal)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/weight/weight_test.go
@@ -0,0 +1,158 @@
+package weight
+
+import (
+	"math"
+	"testing"
+)
+
+func healthy(attempts, failures, responseTime float64) Replica {
+	return Replica{ListedWeight: 1, Attempts: attempts, Failures: failures, ResponseTime: responseTime, Healthy: true}
+}
+
+// baselinesOf are baselines of hardware class 0 and, by class, of others.
+func baselinesOf(byClass map[int][]float64) *Baselines {
+	return &Baselines{byClass: byClass}
+}
+
+func TestGoalFollowsSuccessesNotTheResponseTimeAlone(t *testing.T) {
+	busy := healthy(90, 0, 0.3)
+	calm := healthy(30, 0, 0.1)
+	e := NewEstimator(baselinesOf(map[int][]float64{0: {0.1}}), 1, []Replica{busy, calm})
+	a, b := e.Goal(busy), e.Goal(calm)
+	if a > b || b > 2*a {
+		t.Errorf("want nearly the same: the busy one %v, the calm one %v", a, b)
+	}
+}
+
+func TestGoalOfAFullQueueLetsItDrain(t *testing.T) {
+	calm := healthy(300, 0, 0.1)
+	full := healthy(300, 0, 1.2)
+	full.HardwareClass = 1
+	e := NewEstimator(baselinesOf(map[int][]float64{0: {0.1}, 1: {0.2}, 2: {0.1}}), 2, []Replica{calm, full})
+	if a, b := e.Goal(calm), e.Goal(full); a <= 6.5*b {
+		t.Errorf("calm %v, full %v: want more than by their successes", a, b)
+	}
+}
+
+func TestGoalWithListedWeights(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		responseTime float64 // of a replica whose class answers in 0.1 s
+		want         float64
+	}{
+		{"as its class", 0.1, 1},
+		{"late at the limit", 0.2, 1},
+		{"slow", 0.4, 0.25},
+		{"so slow that the least goal counts", 9, minGoal},
+		{"no successes", 0, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			replicas := []Replica{healthy(50, 0, 0.1), healthy(50, 0, 0.1)}
+			replicas[1].ListedWeight = 2
+			e := NewEstimator(NewBaselines(), 1, replicas)
+			probed := healthy(50, 0, c.responseTime)
+			if got := e.Goal(probed); math.Abs(got-c.want) > 1e-12 {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestGoalWithoutSamples(t *testing.T) {
+	unknown := Replica{ListedWeight: 1, Healthy: true}
+	e := NewEstimator(NewBaselines(), 1, []Replica{unknown, unknown})
+	if got := e.Goal(unknown); got != 1 {
+		t.Errorf("got %v, want the listed weight", got)
+	}
+}
+
+func TestGoalOfAnUnhealthyReplicaIsThatOfItsClass(t *testing.T) {
+	fast := healthy(300, 0, 0.1)
+	slow := healthy(100, 0, 0.1)
+	slow.HardwareClass = 1
+	e := NewEstimator(NewBaselines(), 2, []Replica{fast, slow})
+	unhealthy := slow
+	unhealthy.Healthy = false
+	if got := e.Goal(unhealthy); math.Abs(got-0.5) > 1e-9 {
+		t.Errorf("got %v, want the half of the mean that its class has", got)
+	}
+}
+
+func TestGoalMixesARememberedSpeed(t *testing.T) {
+	for _, c := range []struct {
+		name       string
+		successes  float64
+		confidence float64
+		want       float64
+	}{
+		{"nothing is seen: as remembered", 0, 4, 0.25},
+		{"no confidence: as seen", 12, 0, 1},
+		{"as many successes as the memory counts for: half way", 12, 12, 0.625},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := Replica{ListedWeight: 1, Attempts: c.successes, RememberedSpeed: 0.25, Confidence: c.confidence}
+			e := NewEstimator(NewBaselines(), 1, []Replica{r})
+			if got := e.Goal(r); got != c.want {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestClassMeans(t *testing.T) {
+	unhealthy := healthy(1000, 0, 9)
+	unhealthy.Healthy = false
+	replicas := []Replica{healthy(30, 10, 0.1), healthy(60, 0, 0.3), healthy(9, 9, 0), unhealthy}
+	e := NewEstimator(NewBaselines(), 1, replicas)
+	if got := e.PeerSuccesses(0); got != 40 {
+		t.Errorf("mean successes %v, want 40", got)
+	}
+	if got := e.FleetResponseTime(); math.Abs(got-0.25) > 1e-12 {
+		t.Errorf("mean response time %v, want 0.25", got)
+	}
+	if got := e.SlowResponseTime(0); math.Abs(got-slowResponseFactor*0.25) > 1e-12 {
+		t.Errorf("slow from %v", got)
+	}
+	if got := e.PeerSuccesses(7); got != 0 {
+		t.Errorf("mean successes of an unknown class %v", got)
+	}
+}
+
+func TestNoResponseTimeIsSlowWhereWeightsDoNotFollowIt(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		replicas []Replica
+	}{
+		{"listed weights differ", []Replica{healthy(30, 0, 0.1), {ListedWeight: 2}}},
+		{"no healthy replica", []Replica{{ListedWeight: 1}}},
+		{"no replica", nil},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := NewEstimator(NewBaselines(), 1, c.replicas).SlowResponseTime(0); !math.IsInf(got, 1) {
+				t.Errorf("slow from %v", got)
+			}
+		})
+	}
+}
+
+func TestIdleFractionFallsWithTheNumberOfBaselines(t *testing.T) {
+	for baselines, want := range map[int]float64{0: 0.85, 3: 0.8, 15: 0.6, 32: 0.6} {
+		if got := idleFraction(baselines); math.Abs(got-want) > 1e-12 {
+			t.Errorf("%d baselines: got %v, want %v", baselines, got, want)
+		}
+	}
+}
+
+// The goals of a tick use the baselines with the sample of this tick.
+func TestGoalUsesTheNewestBaselines(t *testing.T) {
+	calm := healthy(300, 0, 0.1)
+	busy := healthy(300, 0, 0.3)
+	busy.HardwareClass = 1
+	b := baselinesOf(map[int][]float64{1: {0.3}})
+	e := NewEstimator(b, 2, []Replica{calm, busy})
+	before := e.Goal(busy)
+	b.byClass[1] = append(b.byClass[1], 0.1)
+	if after := e.Goal(busy); after >= before {
+		t.Errorf("goal %v, before %v: want less for one that is now known to be busy", after, before)
+	}
+}
