--- /dev/null
+++ b/policy/placement/exclusion.go
@@ -0,0 +1,70 @@
+package placement
+
+const (
+	// maxEjectedFraction is the fraction of the warmed-up replicas that may be ejected at a time, so that tables keep some
+	// whatever outlier detection finds.
+	maxEjectedFraction = 0.75
+
+	// surgeFactor is how many times the usual requests of a zone are a surge.
+	surgeFactor = 1.5
+)
+
+// exclude finds the replicas that are excluded from all tables, and returns those that were not before:
+//
+//   - whoever is not ready
+//   - whoever is ejected, the first ones in order, up to maxEjectedFraction of the warmed-up replicas
+//   - whoever warms up and is ejected or held back, or is in a zone whose requests surge: proxies soon avoid all replicas that
+//     are overloaded, and the one that has just come would get everything, whatever its weight. They stay where no replica
+//     is warmed up.
+func (p *Placer) exclude(in Input, replicas []*placed, zoneRows int) (newly []uint32) {
+	surges := surgingZones(in, zoneRows)
+	warmedUp := countWarmedUp(replicas)
+	ejectable := warmedUp * maxEjectedFraction
+	excluded := map[uint32]bool{}
+	for _, r := range replicas {
+		switch {
+		case !r.Ready:
+			r.excluded = true
+		case r.WarmingUp:
+			r.excluded = warmedUp > 0 && (r.Ejected || r.HeldBack || surges[r.table%zoneRows])
+		case r.Ejected && ejectable >= 1:
+			r.excluded = true
+			ejectable--
+		}
+		if !r.excluded {
+			continue
+		}
+		excluded[r.ID] = true
+		if !p.excluded[r.ID] {
+			newly = append(newly, r.ID)
+		}
+	}
+	p.excluded = excluded
+	return newly
+}
+
+func countWarmedUp(replicas []*placed) float64 {
+	count := 0.0
+	for _, r := range replicas {
+		if r.Ready && !r.WarmingUp {
+			count++
+		}
+	}
+	return count
+}
+
+// surgingZones reports for each zone whether the newest requests of its proxies are many more than the usual ones.
+func surgingZones(in Input, zoneRows int) []bool {
+	usual := make([]float64, zoneRows)
+	newest := make([]float64, zoneRows)
+	for _, proxy := range in.Proxies {
+		row := proxy.Table % zoneRows
+		usual[row] += in.Demand.Requests[proxy.ID]
+		newest[row] += in.Demand.Newest[proxy.ID]
+	}
+	surges := make([]bool, zoneRows)
+	for row := range surges {
+		surges[row] = newest[row] > surgeFactor*max(1, usual[row])
+	}
+	return surges
+}
--- /dev/null
+++ b/policy/placement/exclusion_test.go
@@ -0,0 +1,97 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+)
+
+// excluded plans for one table and returns the excluded and the newly excluded replicas.
+func excluded(t *testing.T, p *Placer, in Input) (all, newly []uint32) {
+	t.Helper()
+	in.Settings = settings()
+	plan := place(t, p, in)
+	for _, r := range in.Replicas {
+		if plan.Excluded[r.ID] != p.Excluded(r.ID) {
+			t.Errorf("replica %d: %v in the plan, %v afterwards", r.ID, plan.Excluded[r.ID], p.Excluded(r.ID))
+		}
+		if plan.Excluded[r.ID] {
+			all = append(all, r.ID)
+		}
+	}
+	return all, plan.NewlyExcluded
+}
+
+func TestEjectionLeavesAQuarterOfTheReplicas(t *testing.T) {
+	p := withTables(1, map[uint32]int{})
+	replicas := []Replica{ejected(1, 1), ejected(2, 0), ejected(3, 1), ejected(4, 0)}
+	all, newly := excluded(t, p, Input{Replicas: replicas})
+	if !slices.Equal(all, []uint32{1, 2, 3}) || !slices.Equal(newly, all) {
+		t.Errorf("excluded %v, newly %v, want three of four", all, newly)
+	}
+	replicas[3] = gone(4, 0)
+	all, newly = excluded(t, p, Input{Replicas: replicas})
+	if !slices.Contains(all, 4) || !slices.Equal(newly, []uint32{4}) {
+		t.Errorf("excluded %v, newly %v, want the draining one as well", all, newly)
+	}
+}
+
+func TestExclusionOfReplicasThatWarmUp(t *testing.T) {
+	warming := func(change func(*Replica)) Replica {
+		r := ready(1, 0)
+		r.WarmingUp = true
+		change(&r)
+		return r
+	}
+	for _, c := range []struct {
+		name   string
+		first  Replica
+		second Replica
+		want   []uint32
+	}{
+		{"warming up", warming(func(*Replica) {}), ready(2, 0), nil},
+		{"held back", warming(func(r *Replica) { r.HeldBack = true }), ready(2, 0), []uint32{1}},
+		{"ejected", warming(func(r *Replica) { r.Ejected = true }), ready(2, 0), []uint32{1}},
+		{"held back, and no other is warmed up", warming(func(r *Replica) { r.HeldBack = true }), gone(2, 0), []uint32{2}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			all, _ := excluded(t, withTables(1, map[uint32]int{}), Input{Replicas: []Replica{c.first, c.second}})
+			if !slices.Equal(all, c.want) {
+				t.Errorf("excluded %v, want %v", all, c.want)
+			}
+		})
+	}
+}
+
+func TestReplicasThatWarmUpAreExcludedWhileRequestsSurge(t *testing.T) {
+	warming := ready(1, 0)
+	warming.WarmingUp = true
+	for _, c := range []struct {
+		name   string
+		newest float64
+		want   []uint32
+	}{{"as usual", 120, nil}, {"at the limit", 150, nil}, {"surge", 200, []uint32{1}}} {
+		t.Run(c.name, func(t *testing.T) {
+			all, _ := excluded(t, withTables(1, map[uint32]int{}), Input{
+				Replicas: []Replica{warming, ready(2, 0)},
+				Proxies:  []Proxy{{ID: 7}},
+				Demand:   Demand{Requests: map[int]float64{7: 100}, Newest: map[int]float64{7: c.newest}},
+			})
+			if !slices.Equal(all, c.want) {
+				t.Errorf("excluded %v, want %v", all, c.want)
+			}
+		})
+	}
+}
+
+func TestASurgeInOneZoneExcludesNobodyOfAnother(t *testing.T) {
+	first, second := ready(1, 0), ready(2, 1)
+	first.WarmingUp, second.WarmingUp = true, true
+	all, _ := excluded(t, withTables(2, map[uint32]int{}), Input{
+		Replicas: []Replica{first, second, ready(3, 0), ready(4, 1)},
+		Proxies:  []Proxy{{ID: 7, Table: 0}, {ID: 8, Table: 1}},
+		Demand:   Demand{Requests: map[int]float64{7: 100, 8: 100}, Newest: map[int]float64{7: 100, 8: 200}},
+	})
+	if !slices.Equal(all, []uint32{2}) {
+		t.Errorf("excluded %v, want replica 2", all)
+	}
+}
--- /dev/null
+++ b/policy/placement/placement_test.go
@@ -0,0 +1,240 @@
+package placement
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"lilacbend/control"
+)
+
+func settings() control.Settings {
+	return control.Settings{Controllers: 1, Zones: 2, HardwareClasses: 1, Proxies: 6, ChannelLimit: 400, MessageOverhead: 4}
+}
+
+// ready is a replica whose key falls with its ID, so that replicas are in the order of their IDs.
+func ready(id uint32, zone int) Replica {
+	return Replica{ID: id, Zone: zone, Ready: true, ListedWeight: 1, Key: 1 / float64(id), Weight: 1, Capacity: 1}
+}
+
+func gone(id uint32, zone int) Replica {
+	r := ready(id, zone)
+	r.Ready = false
+	return r
+}
+
+func ejected(id uint32, zone int) Replica {
+	r := ready(id, zone)
+	r.Ejected = true
+	return r
+}
+
+// withTables has the assignment made already.
+func withTables(tables int, tableOf map[uint32]int) *Placer {
+	p := New()
+	p.tables = tables
+	p.tableOf = tableOf
+	return p
+}
+
+func place(t *testing.T, p *Placer, in Input) Plan {
+	t.Helper()
+	plan, ok := p.Place(in)
+	if !ok {
+		t.Fatal("no plan")
+	}
+	return plan
+}
+
+// weightIn returns the weight of a replica in a table; 0: it has no endpoint there.
+func (p Plan) weightIn(table int, id uint32) float64 {
+	for _, e := range p.Endpoints[table] {
+		if e.Replica == id {
+			return e.Weight
+		}
+	}
+	return 0
+}
+
+func (p Plan) endpointCount() int {
+	count := 0
+	for _, endpoints := range p.Endpoints {
+		count += len(endpoints)
+	}
+	return count
+}
+
+func TestPlaceWithoutReplicasMakesNoPlan(t *testing.T) {
+	if plan, ok := New().Place(Input{Settings: settings()}); ok {
+		t.Errorf("got %+v", plan)
+	}
+}
+
+func TestTableWithoutItsOwnReplicasGetsSpillover(t *testing.T) {
+	in := Input{Settings: settings(), Replicas: []Replica{ready(1, 0), gone(2, 1)}}
+	in.Settings.Proxies = 12
+	in.Proxies = []Proxy{{ID: 3, Table: 1, Rate: 5}}
+	plan := place(t, New(), in)
+	if got := plan.weightIn(1, 1); got <= 0 {
+		t.Errorf("spillover endpoint has weight %v", got)
+	}
+	if got := plan.weightIn(1, 2); got != 0 {
+		t.Errorf("the replica that is gone has weight %v", got)
+	}
+	if got := plan.ServingTable[1]; got != 1 {
+		t.Errorf("a zone without replicas is served by table %d, want its own", got)
+	}
+}
+
+func TestTableWithoutItsOwnReplicasIsServedByASibling(t *testing.T) {
+	p := withTables(4, map[uint32]int{1: 0, 2: 2})
+	plan := place(t, p, Input{Settings: settings(), Replicas: []Replica{ready(1, 0), gone(2, 0)}})
+	if got, want := plan.ServingTable, []int{0, 1, 0, 3}; !slices.Equal(got, want) {
+		t.Errorf("tables are served by %v, want %v", got, want)
+	}
+}
+
+func TestTableOfEjectedReplicasGetsSpilloverThatServes(t *testing.T) {
+	in := Input{Settings: settings(), Replicas: []Replica{ready(1, 0), ejected(2, 1), ready(4, 0), ready(5, 0)}}
+	in.Settings.Proxies = 12
+	in.Proxies = []Proxy{{ID: 3, Table: 1, Rate: 5}}
+	plan := place(t, New(), in)
+	if got := plan.weightIn(1, 1) + plan.weightIn(1, 4) + plan.weightIn(1, 5); got <= 0 {
+		t.Errorf("weight of those that serve: %v", got)
+	}
+	if got := plan.weightIn(1, 2); got != KeepWeight {
+		t.Errorf("weight of the ejected replica: %v, want it kept", got)
+	}
+}
+
+// A controller among hundreds has a few proxies, one table, and all replicas as its own: a table of them all would cost more than
+// the channel takes, and no proxy would ever be bound.
+func TestTableIsNoLargerThanLetsItsProxiesBeBound(t *testing.T) {
+	in := Input{Settings: settings()}
+	in.Settings.Controllers = 350
+	in.Settings.Proxies = 350 * 7
+	for id := uint32(1); id <= 300; id++ {
+		r := ready(id, 0)
+		r.HardwareClass = int(id % 2)
+		r.Key = float64((id * 37) % 101)
+		in.Replicas = append(in.Replicas, r)
+	}
+	plan := place(t, New(), in)
+	classes := map[uint32]int{}
+	for _, endpoints := range plan.Endpoints {
+		for _, e := range endpoints {
+			classes[e.Replica%2]++
+		}
+	}
+	most := 400/2*350/(350*7) - 4 - 2
+	if plan.endpointCount() != most || classes[0] < most/4 || classes[1] < most/4 {
+		t.Errorf("%d endpoints, by class %v, want %d", plan.endpointCount(), classes, most)
+	}
+}
+
+func TestMaxTableSize(t *testing.T) {
+	for _, c := range []struct {
+		name                                  string
+		limit, controllers, proxies, overhead int
+		want                                  int
+	}{
+		{"half of the limit for all proxies", 400, 1, 10, 4, 14},
+		{"several controllers share the proxies", 400, 3, 10, 4, 54},
+		{"never below the least size", 400, 1, 1000, 4, minTableSize},
+		{"nothing is set", 0, 0, 0, 0, minTableSize},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := control.Settings{ChannelLimit: c.limit, Controllers: c.controllers, Proxies: c.proxies, MessageOverhead: c.overhead}
+			if got := maxTableSize(s); got != c.want {
+				t.Errorf("got %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+func TestExcludedReplicasTakeNoCapacityOfSpillover(t *testing.T) {
+	in := Input{Settings: settings()}
+	for id := uint32(1); id <= 50; id++ {
+		r := ready(id, int(min(1, id/21)))
+		r.Ejected = id > 20
+		in.Replicas = append(in.Replicas, r)
+	}
+	p := withTables(2, map[uint32]int{})
+	if got := place(t, p, in).endpointCount(); got != 51 {
+		t.Errorf("%d endpoints, want those of all replicas and one of spillover", got)
+	}
+}
+
+func TestPenaltiesReduceWeights(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		penalized int // of ten
+		want      float64
+	}{{"a few are penalized", 3, 0.25}, {"so many are that they are ignored", 4, 1}} {
+		t.Run(c.name, func(t *testing.T) {
+			in := Input{Settings: settings()}
+			for id := uint32(1); id <= 10; id++ {
+				r := ready(id, 0)
+				if int(id) <= c.penalized {
+					r.Penalty = 0.75
+				}
+				in.Replicas = append(in.Replicas, r)
+			}
+			if got := place(t, withTables(1, map[uint32]int{}), in).weightIn(0, 1); got != c.want {
+				t.Errorf("weight %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// A table whose proxies send five of eight requests has a quarter of the capacity. It gets what the other tables do not need,
+// half of each of their replicas, and those of its zone first.
+func TestSpilloverIsForNoMoreThanOtherTablesCanSpare(t *testing.T) {
+	in := Input{Settings: settings(), Now: time.Hour}
+	in.Settings.ChannelLimit = 4000 // tables of any size
+	tableOf := map[uint32]int{}
+	for id := uint32(1); id <= 40; id++ {
+		in.Replicas = append(in.Replicas, ready(id, int(id%4)%2))
+		tableOf[id] = int(id % 4) // tables 0 and 2 are of zone 0
+	}
+	for proxy, rate := range []float64{50, 10, 10, 10} {
+		in.Proxies = append(in.Proxies, Proxy{ID: proxy, Table: proxy, Rate: rate})
+	}
+	plan := place(t, withTables(4, tableOf), in)
+	weights := make([]float64, 4) // in table 0, by the replica's own table
+	for _, e := range plan.Endpoints[0] {
+		table := tableOf[e.Replica]
+		weights[table] += e.Weight
+		if table != 0 && e.Weight > 0.5 {
+			t.Errorf("replica %d of table %d lends %v", e.Replica, table, e.Weight)
+		}
+	}
+	if weights[0] != 10 || weights[2] != 5 {
+		t.Errorf("by table %v, want all of table 0 and half of table 2", weights)
+	}
+	shortfall := 40*50.0/80/headroomByWeight - 10
+	if got := weights[1] + weights[2] + weights[3]; got < shortfall || got > shortfall+1.0/spilloverSteps {
+		t.Errorf("spillover for %v, want about %v", got, shortfall)
+	}
+	for table := 1; table < 4; table++ {
+		if got := len(plan.Endpoints[table]); got != 10 {
+			t.Errorf("table %d has %d endpoints, want its own", table, got)
+		}
+	}
+}
+
+func TestPlaceIsDeterministic(t *testing.T) {
+	in := Input{Settings: settings(), Proxies: []Proxy{{ID: 1, Table: 1, Rate: 100}, {ID: 2, Table: 0, Rate: 1}, {ID: 3, Table: 0, Rate: 1}}}
+	for id := uint32(1); id <= 30; id++ {
+		in.Replicas = append(in.Replicas, ready(id, int(id%2)))
+	}
+	first := place(t, withTables(2, map[uint32]int{}), in)
+	for range 10 {
+		again := place(t, withTables(2, map[uint32]int{}), in)
+		for table := range first.Endpoints {
+			if !slices.Equal(first.Endpoints[table], again.Endpoints[table]) {
+				t.Fatalf("table %d: %v, then %v", table, first.Endpoints[table], again.Endpoints[table])
+			}
+		}
+	}
+}
