--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -73,7 +73,7 @@
 			resp.Write(conn, pool, strings.Fields(fmt.Sprintf("outcomes site a target box-%d count 10 fail %d mean 100 over 500", k, failed))...)
 		}
 		time.Sleep(50 * time.Millisecond)
-		if out.has("replica " + sick + " sick") {
+		if out.has("replica " + sick + " ejected") {
 			return
 		}
 	}
@@ -109,7 +109,7 @@
 	if end(); !other.has("state is neither read nor kept") || !other.has(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
 		t.Errorf("two on one folder: %s", other)
 	}
-	if stop(); !out.has("state read") || !out.has("replica box-2 remembered as sick") {
+	if stop(); !out.has("state read") || !out.has("replica box-2 probation after controller restart") {
 		t.Errorf("second: %s", out)
 	}
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -13,20 +13,12 @@
 	var all control.Snapshot
 	for _, id := range ordered.Keys(g.replicas) {
 		r := g.replicas[id]
-		table, dealt := p.own[id]
-		if !dealt {
-			table = p.laid[id]
-		}
-		all.Replicas = append(all.Replicas, control.LearnedReplica{Replica: id, Table: table, PlacementKey: r.ticket, Speed: r.speed,
-			SampleCount: r.sampleCount, EjectedFor: max(0, r.ejectedUntil-g.now), Probation: r.trial > 0, Ejections: r.ejections, SinceLastSample: max(0, g.now-r.lastSample)})
-	}
-	all.Tables, all.AdmissionThreshold, all.RetriesStopped = p.tables, 1, l.once
-	all.BaselineResponseTimes = make([][]float64, g.HardwareClasses+1)
-	for kind, calm := range p.calm {
-		if kind >= 0 && kind < len(all.BaselineResponseTimes) {
-			all.BaselineResponseTimes[kind] = slices.Clone(calm)
-		}
+		learned := r.learned()
+		learned.Table = p.placer.TableOf(id)
+		all.Replicas = append(all.Replicas, learned)
 	}
+	all.Tables, all.AdmissionThreshold, all.RetriesStopped = p.placer.Tables(), 1, l.once
+	all.BaselineResponseTimes = p.baselines.Snapshot(g.HardwareClasses + 1) // one more stands for the whole fleet
 	if len(l.groups) > 0 {
 		all.AdmissionThreshold = l.line / float64(len(l.groups))
 	}
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/policy/outlier"
 )
 
 func known(id uint32, speed float64) control.LearnedReplica {
@@ -28,8 +29,8 @@
 func TestARememberedSpeedShrinksWithItsAge(t *testing.T) {
 	for _, c := range []struct{ speed, weight, want float64 }{{0.25, 1, 0.25}, {0.25, 0.5, 0.5}, {0.25, 0.01, 0.986}, {4, 0.5, 2}} {
 		g, _ := told(entries(4), control.LearnedFleet{AdmissionThreshold: 1}, c.weight, known(1, c.speed))
-		if r := g.replicas[1]; math.Abs(r.speed-c.want) > 0.001 || math.Abs(r.confidence-16*c.weight) > 0.001 {
-			t.Errorf("%v at %v: speed %v, confidence %v", c.speed, c.weight, r.speed, r.confidence)
+		if r := g.replicas[1]; math.Abs(r.estimate.Speed-c.want) > 0.001 || math.Abs(r.estimate.Confidence-16*c.weight) > 0.001 {
+			t.Errorf("%v at %v: speed %v, confidence %v", c.speed, c.weight, r.estimate.Speed, r.estimate.Confidence)
 		}
 	}
 }
@@ -37,7 +38,7 @@
 // What the first sums show counts more than what is remembered, whatever that is.
 func TestTheFirstSumsOverruleAMemory(t *testing.T) {
 	g, _ := told(entries(4), control.LearnedFleet{AdmissionThreshold: 1}, 1, known(1, 1.0/16), known(2, 1), known(3, 1), known(4, 1))
-	want(t, "at once", g.replicas[1].speed, 1.0/16)
+	want(t, "at once", g.replicas[1].estimate.Speed, 1.0/16)
 	for k := int64(1); k <= 16; k++ {
 		var events []control.Event
 		for id := uint32(1); id <= 4; id++ {
@@ -45,10 +46,10 @@
 		}
 		g.Turn(100*second+k*beat, append(events, control.TimerFired{}))
 	}
-	if speed := g.replicas[1].speed; speed < 0.8 {
+	if speed := g.replicas[1].estimate.Speed; speed < 0.8 {
 		t.Errorf("after 4 s of answers like the others' its speed is still %v", speed)
 	}
-	want(t, "confidence", g.replicas[1].confidence < 0.01, true)
+	want(t, "confidence", g.replicas[1].estimate.Confidence < 0.01, true)
 }
 
 // Rule 1 whatever is remembered: each table that proxies are bound to keeps a line to who is not withdrawn.
@@ -101,18 +102,18 @@
 		missed          int
 		sick            bool
 	}{
-		{control.LearnedReplica{EjectedFor: second, Ejections: 1}, 1, penaltyPart, 0, false},
-		{control.LearnedReplica{EjectedFor: second, Ejections: 1}, 1, penaltyPart, 5, true},
-		{control.LearnedReplica{Probation: true, Ejections: 2}, 0.5, math.Sqrt(penaltyPart), 5, true},
+		{control.LearnedReplica{EjectedFor: second, Ejections: 1}, 1, outlier.RestoredWeightFraction, 0, false},
+		{control.LearnedReplica{EjectedFor: second, Ejections: 1}, 1, outlier.RestoredWeightFraction, 5, true},
+		{control.LearnedReplica{Probation: true, Ejections: 2}, 0.5, math.Sqrt(outlier.RestoredWeightFraction), 5, true},
 		{control.LearnedReplica{Ejections: 2}, 1, 1, 0, false},
 	} {
 		c.k.Replica, c.k.Speed = 1, 1
 		g, out := told(entries(4), control.LearnedFleet{AdmissionThreshold: 1}, c.weight, c.k)
 		r := g.replicas[1]
-		if math.Abs(1-r.penalty-c.penalty) > 1e-9 {
-			t.Errorf("%+v: penalty %v, want %v", c.k, r.penalty, 1-c.penalty)
+		if math.Abs(1-r.detector.Penalty()-c.penalty) > 1e-9 {
+			t.Errorf("%+v: penalty %v, want %v", c.k, r.detector.Penalty(), 1-c.penalty)
 		}
-		want(t, "relapses", r.ejections, int(math.Round(float64(c.k.Ejections)*c.weight)))
+		want(t, "relapses", r.detector.Ejections(), int(math.Round(float64(c.k.Ejections)*c.weight)))
 		for _, l := range some[control.SetEndpoint](out) {
 			if l.Replica == 1 && l.Weight > c.penalty+1e-9 {
 				t.Errorf("%+v lays %v", c.k, l.Weight)
@@ -124,22 +125,25 @@
 		}
 		g.Turn(101*second, events)
 		g.Turn(101*second+beat, []control.Event{control.TimerFired{}})
-		want(t, "sick", r.ejectedUntil > 0, c.sick)
-		want(t, "still on trial", r.trial > 0 || r.penalty > 0, false)
+		want(t, "sick", r.detector.Ejected(), c.sick)
+		want(t, "still on trial", r.detector.OnProbation() || r.detector.Penalty() > 0, false)
 	}
 }
 
+// weightFraction is the fraction of its weight that a replica gets as it warms up, without its speed.
+func weightFraction(r *replica) float64 { return r.status().weight / r.estimate.Speed / r.entry.Weight }
+
 // Rule 4: who has just started is cold, whatever its namesake was; a start that is told later ends belief.
 func TestNothingRememberedWarmsTheCold(t *testing.T) {
 	cold := entries(4)
 	cold[0].Start = 99 * second
 	plain, _ := told(cold, control.LearnedFleet{AdmissionThreshold: 1}, 1)
 	g, _ := told(cold, control.LearnedFleet{AdmissionThreshold: 1}, 1, known(1, 16))
-	want(t, "warmth", g.replicas[1].warmth(), plain.replicas[1].warmth())
-	want(t, "is cold", g.replicas[1].cold(), true)
+	want(t, "weight fraction", weightFraction(g.replicas[1]), weightFraction(plain.replicas[1]))
+	want(t, "is warming up", g.replicas[1].status().warmingUp, true)
 	warm, _ := told(entries(4), control.LearnedFleet{AdmissionThreshold: 1}, 1, known(1, 16))
 	warm.Turn(101*second, []control.Event{control.ReplicasListed{Entries: []control.ListedReplica{{Replica: 1, Zone: 1, Weight: 1, Start: 100 * second}}}})
-	want(t, "confidence in another start", warm.replicas[1].confidence, 0.0)
+	want(t, "confidence in another start", warm.replicas[1].estimate.Confidence, 0.0)
 }
 
 func TestTheFleetIsRemembered(t *testing.T) {
@@ -155,7 +159,7 @@
 		g.Turn(100*second, []control.Event{control.TimerFired{}})
 		l, p, r := g.queues[admissionComponent].component.(*admissionController), g.queues[placementComponent].component.(*planner), g.queues[bindingComponent].component.(*binder)
 		want(t, "once", l.once, c.once)
-		want(t, "calm", len(p.calm[0]), c.calm)
+		want(t, "calm", len(p.baselines.Snapshot(1)[0]), c.calm)
 		want(t, "rate", math.Round(r.here[0].Rate), c.rate)
 		if line := l.line / 2; math.Abs(line-c.line) > 0.02 {
 			t.Errorf("line %v, want %v", line, c.line)
@@ -197,7 +201,7 @@
 			events = append(events, control.ReplicaRestored{LearnedReplica: k, Weight: 1})
 		}
 		g.Turn(0, events)
-		return g.queues[placementComponent].component.(*planner).own
+		return g.queues[placementComponent].component.(*planner).placer.Assigned()
 	}
 	for id, table := range deal(8) {
 		want(t, "dealt", table, int(id%2)+2*int(id/2%4))
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -1,6 +1,9 @@
 package policy
 
-import "lilacbend/control"
+import (
+	"lilacbend/control"
+	"lilacbend/policy/outlier"
+)
 
 // message is anything that one component tells another. Each message names its sender and receivers; a component panics on a
 // message that is not for it.
@@ -31,19 +34,28 @@
 	proxyBound       struct{ connectedProxy } // binding to placement
 	tickStarted      struct{}
 	replicaForgotten struct{ id uint32 } // a replica is long gone
-	placementDue     struct{}            // the planner has heard from all replicas
+	placementDue     struct{}            // all replicas have reported their status
 	turnEnding       struct{}            // the turn ends: the pacer sends
-	fleetBaseline    struct {            // planner to replica: of its kind, its own goal, of all: missed, lost
-		late, good, goal, bad, lost float64
+	fleetBaseline    struct {            // placement to replica
+		health       outlier.Fleet
+		weightGoal   float64 // against its listed weight
+		lostFraction float64 // of the requests, as replicas that warm up count it
 	}
-	replicaStatus struct { // replica to planner: what it can bear and what it was met with lately
+	replicaStatus struct { // replica to placement
 		control.ListedReplica
-		box                                      int
-		weight, size, ticket, tries, bad, answer float64
-		prior, confidence                        float64 // remembered speed, and how many tries it counts for
-		penalty                                  float64 // part of its weight that it lacks as it was sick by memory alone
-		able                                     float64 // part of its usual work that it can do, if it is cold
-		cold, sick, trial                        bool
+		queue            int
+		weight           float64 // of its endpoints, as fast as it is taken to be
+		capacity         float64 // the same by its weight goal, which weight follows
+		placementKey     float64
+		window           outlier.Window
+		rememberedSpeed  float64
+		confidence       float64 // number of attempts that rememberedSpeed counts for
+		penalty          float64 // fraction of its weight that it lacks as it was ejected before a restart of the controller
+		capacityFraction float64 // that it surely has while it warms up
+		warmingUp        bool
+		heldBack         bool // gets no requests as it is warming up
+		ejected          bool
+		onProbation      bool // after an ejection by this controller
 	}
 	fleetLoad struct { // placement to admission
 		attemptRate          float64 // attempts a second
@@ -61,7 +73,7 @@
 		lost         float64
 		flows, fresh map[int]float64 // in the last few seconds; the newest, as of so long
 	}
-	warmingReplicas struct { // planner to pacer: the replicas that are cold, and whether they must be let in together
+	warmingReplicas struct { // placement to pacing: the replicas that warm up, and whether they are restored all at once
 		replicas map[uint32]bool
 		together bool
 	}
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -138,7 +138,7 @@
 }
 
 // canEvaluate reports whether there are attempts enough and no common cause. A replica that was ejected before a restart of the
-// controller is evaluated in any case, as there is a verdict on it already.
+// controller is evaluated though the fleet fails: until then its penalty stays.
 func (d *Detector) canEvaluate(window Window, fleet Fleet) bool {
 	if fleet.FailureRate > maxFleetFailureRate && d.penalty == 0 {
 		return false
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -10,18 +10,18 @@
 // reconfigure puts changed settings in force.
 func (g *Policy) reconfigure(e control.SettingsChanged) {
 	p, r, l := g.queues[placementComponent].component.(*planner), g.queues[bindingComponent].component.(*binder), g.queues[admissionComponent].component.(*admissionController)
-	before, tables := g.Settings, p.tables
+	before, tables := g.Settings, p.placer.Tables()
 	fits := g.keepsRows(e, tables)
 	g.Settings = e.Settings
-	p.renumberKinds(e.NewHardwareClasses, before.HardwareClasses)
+	p.baselines.Renumber(e.NewHardwareClasses, before.HardwareClasses, e.HardwareClasses)
 	l.renumberGroups(e.NewClasses)
 	g.queues[pacingComponent].component.(*pacer).renumberGroups(e.NewClasses)
 	r.renumberZones(e.Proxies)
 	g.listed(control.ReplicasListed{Entries: slices.DeleteFunc(e.Replicas, g.asKnown)})
 	g.deliverAll()
-	p.same = p.same && drawsAlike(before, e.Settings)
+	p.placed = p.placed && drawsAlike(before, e.Settings)
 	if tables > 0 && (!fits || p.tablesUnder(before) != p.tablesUnder(e.Settings)) {
-		p.redeal(tables)
+		p.placer.Reassign()
 		r.rebind(tables, p.tablesUnder(e.Settings), g.recallBinds())
 		g.deliverAll()
 	}
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	if g.replicas[1].ejectedUntil == 0 {
+	if !g.replicas[1].detector.Ejected() {
 		t.Fatal("nobody is sick")
 	}
 	return g, e
@@ -66,7 +66,7 @@
 	p, r, l := g.parts()
 	l.line, l.set[2] = 2.5, control.SetAdmission{Table: control.AllTables, Class: 2, Fraction: 0.5}
 	before := g.learned()
-	own, laid := maps.Clone(p.own), maps.Clone(g.queues[updateComponent].component.(*updater).laid)
+	own, laid := p.placer.Assigned(), maps.Clone(g.queues[updateComponent].component.(*updater).laid)
 	e.DrainGrace, e.ReportInterval, e.Proxies = 9*second, second, slices.Clone(e.Proxies)
 	e.Settings.Proxies--
 	e.Classes = []control.TrafficClass{e.Classes[2], e.Classes[0], e.Classes[1]}
@@ -77,7 +77,7 @@
 	out := g.Turn(g.now, []control.Event{e})
 	after := g.learned()
 	want(t, "bindings", len(orders[control.Bind](out)), 0)
-	want(t, "tables", reflect.DeepEqual(own, p.own), true)
+	want(t, "tables", reflect.DeepEqual(own, p.placer.Assigned()), true)
 	want(t, "lines", reflect.DeepEqual(laid, g.queues[updateComponent].component.(*updater).laid), true)
 	want(t, "seats", reflect.DeepEqual(before.Bindings, after.Bindings), true)
 	want(t, "replicas", reflect.DeepEqual(before.Replicas, after.Replicas), true)
@@ -168,9 +168,9 @@
 				}
 			}
 		}
-		want(t, what+": tables", p.tables, fresh.queues[placementComponent].component.(*planner).tables)
-		row := zone.Rows(g.Zones, p.tables)
-		for id, table := range p.own {
+		want(t, what+": tables", p.placer.Tables(), fresh.queues[placementComponent].component.(*planner).placer.Tables())
+		row := zone.Rows(g.Zones, p.placer.Tables())
+		for id, table := range p.placer.Assigned() {
 			want(t, what+": a replica's row", table%row, g.replicas[id].entry.Zone%row)
 		}
 		for proxy, c := range r.here {
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -2,155 +2,154 @@
 
 import (
 	"cmp"
-	"lilacbend/control"
-	"lilacbend/policy/internal/sample"
 	"math"
-)
+	"time"
 
-// Tuned values of a replica's health, slow start and weight.
-const (
-	entryShare     = 0.5        // of a new replica's weight
-	entrySpan      = 5 * second // how long
-	settleSpan     = 4 * second // a weight follows in this
-	firstSteps     = 8          // sooner if new
-	coldSpare      = 1.0 / 3    // of a fall's multiple
-	coldLost       = 0.3        // flows lost: no cold
-	probationTries = 3          // attempts for a verdict on trial
-	sickPart       = 0.5        // part missed more
-	lostBad        = 0.4        // part missed of the fleet from which there are no verdicts
-	fewGood        = 0.2        // good left
-	ejectionSpan   = 3 * second // rest of the sick
-	mostEjections  = 2
-	confidenceMost = 16.0  // tries that a memory counts for
-	penaltyPart    = 0.125 // weight of who was sick
+	"lilacbend/control"
+	"lilacbend/policy/outlier"
+	"lilacbend/policy/slowstart"
+	"lilacbend/policy/weight"
 )
 
-type attemptSample struct {
-	at                 int64
-	tries, bad, answer float64
-}
+// minListedWeight keeps weights above 0.
+const minListedWeight = 1e-6
 
+// replica is the component of one replica. It decides nothing: package outlier evaluates its health, weight estimates its speed,
+// slowstart limits it while it warms up.
 type replica struct {
 	*sharedState
-	box          int
+	queue        int
 	entry        control.ListedReplica
-	heard        int64 // when its start became known
-	ticket       float64
-	met          []attemptSample
-	speed        float64
-	fleet        fleetBaseline
-	ejectedUntil int64 // out until then
-	trial        int64 // on trial since
-	ejections    int
-	judged       int64
-	changed      int64 // when it was last seen not to be gone
+	knownSince   int64   // when its start became known
+	lastListed   int64   // when it was last seen in the endpoint list
+	placementKey float64 // its rank in the order in which replicas are assigned to tables
+	evaluatedAt  int64   // 0: not yet
+	lostFraction float64 // of the requests, as replicas that warm up count it
+	detector     outlier.Detector
+	estimate     weight.Estimate
+}
 
-	prior, confidence float64 // as offer
-	penalty           float64
-	sampleCount       float64 // tries behind its speed
-	lastSample        int64   // when the last of them was told
+func newReplica(shared *sharedState, queue int, entry control.ListedReplica) *replica {
+	return &replica{
+		sharedState: shared,
+		queue:       queue,
+		entry:       entry,
+		knownSince:  shared.now,
+		estimate:    weight.NewEstimate(time.Duration(shared.now)),
+	}
 }
 
 func (r *replica) handle(m message) {
 	switch n := m.(type) {
 	case replicaListed:
-		if n.Start != r.entry.Start && n.State == control.Ready {
-			r.met, r.ejectedUntil, r.trial, r.ejections, r.heard, r.confidence, r.sampleCount, r.penalty = nil, 0, 0, 0, r.now, 0, 0, 0
-		}
-		r.entry = n.ListedReplica
+		r.list(n.ListedReplica)
 	case outcomesReported:
-		answer := float64(n.ResponseTime) / float64(second)
-		r.met = sample.Newest(sample.Kept, append(r.met, attemptSample{r.now, float64(n.Attempts), float64(n.Failures), answer}))
-		r.confidence, r.sampleCount, r.lastSample = r.confidence*confidenceLeft, math.Min(confidenceMost, r.sampleCount+float64(n.Attempts)), r.now
-		return
+		r.observe(n.Outcomes)
+		return // the next evaluation reports the status
 	case replicaRestored:
-		r.recall(n.ReplicaRestored)
+		r.restore(n.ReplicaRestored)
 	case fleetBaseline:
-		r.fleet = n
-		r.judge()
+		r.evaluate(n)
 	default:
 		unexpected(r, m)
 	}
-	tries, bad, answer := r.lately()
-	size := math.Max(r.entry.Weight, 1e-6) * r.warmth()
-	// The cold wait for the first word of the fleet: a line laid before it, in a collapse, draws all repeats.
-	sick := r.ejectedUntil > 0 || r.cold() && (r.judged == 0 || r.fleet.lost > coldLost)
-	r.enqueue(placementComponent, replicaStatus{r.entry, r.box, size * r.speed, size * r.fleet.goal, r.ticket, tries, bad, answer,
-		r.prior, r.confidence, r.penalty, r.able(), r.cold(), sick, r.trial > 0 && r.penalty == 0})
+	r.enqueue(placementComponent, r.status())
 }
 
-// recall believes what an earlier governor knew as far as its age leaves it; first sums overrule its speed.
-// The sick are on trial with little weight: withdrawn, they harm for longer where they have healed.
-func (r *replica) recall(n control.ReplicaRestored) {
-	r.ticket, r.sampleCount, r.lastSample = cmp.Or(n.PlacementKey, r.ticket), n.Weight*n.SampleCount, r.now-n.Age
-	r.prior, r.confidence = math.Pow(n.Speed, n.Weight), n.Weight*math.Min(n.SampleCount, confidenceMost)
-	r.speed, r.fleet.goal = r.prior, r.prior
-	r.ejections = int(math.Round(n.Weight * float64(n.Ejections)))
-	if n.EjectedFor > 0 || n.Probation {
-		r.trial, r.penalty = r.now, 1-math.Pow(penaltyPart, n.Weight) // it was shut out: no sums of before come late
-		r.say("replica %d remembered as sick: on trial with %.2f of its weight", r.entry.Replica, 1-r.penalty)
+// list takes over an entry of the endpoint list. A new start is a new process, which has neither health nor speed.
+func (r *replica) list(entry control.ListedReplica) {
+	if entry.Start != r.entry.Start && entry.State == control.Ready {
+		r.detector = outlier.Detector{}
+		r.estimate.Restart()
+		r.knownSince = r.now
 	}
+	r.entry = entry
 }
 
-// judge moves the replica between well, ejected and on trial. Silent, failing, cut-off ones miss most tries
-// and give few good answers; who gives its share is busy. It harms where tries miss by chance.
-func (r *replica) judge() {
-	tries, bad, answer := r.lately()
-	span := min(settleSpan, max(second, (r.now-r.heard)/firstSteps)) // what is new is learned faster
-	r.speed *= math.Pow(r.fleet.goal/r.speed, math.Min(1, float64(r.now-r.judged)/float64(span)))
-	r.judged = r.now
-	switch {
-	case r.ejectedUntil > r.now:
-	case r.ejectedUntil > 0:
-		r.ejectedUntil, r.trial = 0, r.now+r.ReportInterval // sums of before the trial come late
-		r.say("replica %d on trial after rest %d", r.entry.Replica, r.ejections)
-	case r.fleet.bad > lostBad && r.penalty == 0 || r.trial > 0 && tries < probationTries,
-		tries < sickTries && r.trial == 0:
-	case bad/math.Max(1, tries) > r.fleet.bad+sickPart*(1-r.fleet.bad) &&
-		(r.trial > 0 || tries-bad < fewGood*r.fleet.good && answer < r.fleet.late):
-		rest := ejectionSpan << min(r.ejections, mostEjections)
-		r.ejectedUntil, r.trial, r.ejections, r.met, r.penalty = r.now+rest, 0, r.ejections+1, nil, 0
-		r.say("replica %d sick: %.0f of %.0f missed, fleet %.2f, rests %ds", r.entry.Replica, bad, tries,
-			r.fleet.bad, rest/second)
-	case r.trial > 0:
-		r.trial, r.penalty = 0, 0
-		r.say("replica %d well again: %.0f of %.0f missed", r.entry.Replica, bad, tries)
-	}
+func (r *replica) observe(o control.Outcomes) {
+	now := time.Duration(r.now)
+	r.detector.Observe(now, o.Attempts, o.Failures, time.Duration(o.ResponseTime))
+	r.estimate.Observe(now, o.Attempts)
 }
 
-func (r *replica) cold() bool { return r.entry.Start > 0 && r.now-r.entry.Start < r.SlowStartTime }
+func (r *replica) restore(learned control.ReplicaRestored) {
+	now := time.Duration(r.now)
+	r.placementKey = cmp.Or(learned.PlacementKey, r.placementKey)
+	r.estimate.Restore(now, weight.Restored{
+		Speed:       learned.Speed,
+		SampleCount: learned.SampleCount,
+		Age:         time.Duration(learned.Age),
+		Confidence:  learned.Weight,
+	})
+	r.report(r.detector.Restore(now, outlier.Restored{
+		Ejected:    learned.EjectedFor > 0 || learned.Probation,
+		Ejections:  learned.Ejections,
+		Confidence: learned.Weight,
+	}))
+}
+
+func (r *replica) evaluate(fleet fleetBaseline) {
+	now := time.Duration(r.now)
+	r.lostFraction = fleet.lostFraction
+	r.estimate.Follow(fleet.weightGoal, time.Duration(r.now-r.evaluatedAt), time.Duration(r.now-r.knownSince))
+	r.evaluatedAt = r.now
+	r.report(r.detector.Evaluate(now, fleet.health, time.Duration(r.ReportInterval)))
+}
 
-// able is the part of its usual work that a cold replica surely can do: as at the slowest warming.
-func (r *replica) able() float64 {
-	if r.ejectedUntil > 0 {
-		return 0
+// report writes a change of health into the log.
+func (r *replica) report(change outlier.Change) {
+	if change.Happened() {
+		r.say("replica %d %s", r.entry.Replica, change)
 	}
-	return r.SlowStartFraction + (1-r.SlowStartFraction)*float64(max(0, r.now-r.entry.Start))/float64(max(1, r.SlowStartTime))
 }
 
-// warmth is the part of its usual work a replica that started not long ago is given: a third of what makes it
-// fall at the slowest warming, less the more of all tries miss: repeats push too. It harms who warms faster.
-func (r *replica) warmth() float64 {
-	if !r.cold() {
-		return 1
+// status sums up for placement what the replica can serve and how it is.
+func (r *replica) status() replicaStatus {
+	now := time.Duration(r.now)
+	config := r.slowStart()
+	start := slowstart.Replica{
+		Start:      time.Duration(r.entry.Start),
+		KnownSince: time.Duration(r.knownSince),
+		Ejected:    r.detector.Ejected(),
 	}
-	w := math.Min(1, r.able()*coldSpare*r.OverloadMultiple) * math.Pow(1-r.fleet.lost, 2)
-	if r.now-r.heard < entrySpan {
-		w = math.Min(w, entryShare)
+	listed := math.Max(r.entry.Weight, minListedWeight) * config.WeightFraction(now, start, r.lostFraction)
+	return replicaStatus{
+		ListedReplica:    r.entry,
+		queue:            r.queue,
+		weight:           listed * r.estimate.Speed,
+		capacity:         listed * r.estimate.Goal,
+		placementKey:     r.placementKey,
+		window:           r.detector.Window(now),
+		rememberedSpeed:  r.estimate.RememberedSpeed,
+		confidence:       r.estimate.Confidence,
+		penalty:          r.detector.Penalty(),
+		capacityFraction: config.CapacityFraction(now, start),
+		warmingUp:        config.WarmingUp(now, start),
+		heldBack:         config.HeldBack(now, start, r.evaluatedAt != 0, r.lostFraction),
+		ejected:          r.detector.Ejected(),
+		onProbation:      r.detector.OnProbation() && r.detector.Penalty() == 0,
+	}
+}
+
+// learned is what is of use after a restart of the controller, without the table.
+func (r *replica) learned() control.LearnedReplica {
+	now := time.Duration(r.now)
+	return control.LearnedReplica{
+		Replica:         r.entry.Replica,
+		PlacementKey:    r.placementKey,
+		Speed:           r.estimate.Speed,
+		SampleCount:     r.estimate.SampleCount,
+		EjectedFor:      int64(r.detector.EjectedFor(now)),
+		Probation:       r.detector.OnProbation(),
+		Ejections:       r.detector.Ejections(),
+		SinceLastSample: int64(max(0, now-r.estimate.LastSample)),
 	}
-	return w
 }
 
-// lately sums the samples still worth judging; answer is a mean in seconds.
-func (r *replica) lately() (tries, bad, answer float64) {
-	good := 0.0
-	for _, s := range r.met {
-		if s.at > max(r.now-recent, r.trial) {
-			tries, bad = tries+s.tries, bad+s.bad
-			if s.answer > 0 {
-				answer, good = answer+s.answer*(s.tries-s.bad), good+s.tries-s.bad
-			}
-		}
+func (r *replica) slowStart() slowstart.Config {
+	return slowstart.Config{
+		Duration:         time.Duration(r.SlowStartTime),
+		InitialFraction:  r.SlowStartFraction,
+		OverloadMultiple: r.OverloadMultiple,
 	}
-	return tries, bad, answer / math.Max(1, good)
 }
--- a/policy/replica_test.go
+++ b/policy/replica_test.go
@@ -1,115 +1,104 @@
 package policy
 
 import (
-	"lilacbend/control"
+	"slices"
 	"testing"
+
+	"lilacbend/control"
+	"lilacbend/policy/outlier"
 )
 
-func met(g *Policy, tries, bad, answer float64) *replica {
-	r := &replica{sharedState: &g.sharedState, box: fixedComponents, entry: control.ListedReplica{Replica: 9, Weight: 1}, speed: 1}
-	r.fleet = fleetBaseline{late: 0.4, good: 20, goal: 1}
-	r.met = []attemptSample{{g.now, tries, bad, answer}}
-	return r
-}
+// calmBaseline is of a fleet in which replicas succeed 20 times in the evaluation period and answer in time.
+var calmBaseline = fleetBaseline{health: outlier.Fleet{PeerSuccesses: 20, SlowResponseTime: 0.4}, weightGoal: 1}
 
-func TestVerdicts(t *testing.T) {
-	for _, c := range []struct {
-		name                      string
-		tries, bad, answer, fleet float64
-		rests                     bool
-	}{
-		{"silent", 10, 10, 0, 0, true},
-		{"quick failer", 20, 17, 0.1, 0, true},
-		{"slow: answers late", 20, 17, 0.9, 0, false},
-		{"half failing: worth more than nothing", 20, 12, 0.1, 0, false},
-		{"busy: misses, but gives its share", 60, 40, 0.3, 0, false},
-		{"trouble of the whole fleet", 9, 6, 0.2, 0.35, false},
-		{"a fleet that is lost", 500, 500, 0, 0.9, false},
-		{"too few tries", 4, 4, 0, 0, false},
-	} {
-		r := met(at(100*second), c.tries, c.bad, c.answer)
-		r.fleet.bad = c.fleet
-		r.judge()
-		want(t, c.name, r.ejectedUntil > r.now, c.rests)
-	}
+// observed is a replica with one load report.
+func observed(g *Policy, attempts, failures int, responseTime int64) *replica {
+	r := newReplica(&g.sharedState, fixedComponents, control.ListedReplica{Replica: 9, Weight: 1})
+	r.handle(outcomesReported{control.Outcomes{Replica: 9, Attempts: attempts, Failures: failures, ResponseTime: responseTime}})
+	return r
 }
 
-func TestTrialEndsOrRelapses(t *testing.T) {
-	r := met(at(100*second), 10, 10, 0)
-	r.judge()
-	first := r.ejectedUntil - r.now
-	r.now = r.ejectedUntil
-	r.judge()
-	want(t, "on trial", r.trial, r.now+r.ReportInterval)
-	r.now += 2 * second
-	r.met = []attemptSample{{r.now, probationTries, probationTries, 0}}
-	r.judge()
-	want(t, "longer rest at a ejections", r.ejectedUntil-r.now, 2*first)
-	r.now = r.ejectedUntil
-	r.judge()
+func TestReplicaLogsChangesOfItsHealth(t *testing.T) {
+	g := at(100 * second)
+	r := observed(g, 10, 10, 0)
+	r.handle(calmBaseline)
+	r.now += 3 * second
+	r.handle(calmBaseline)
 	r.now += 2 * second
-	r.met = []attemptSample{{r.now, probationTries, 0, 0.2}}
-	r.judge()
-	want(t, "well again", r.trial == 0 && r.ejectedUntil == 0, true)
-}
-
-func TestOldSamplesAreNotJudged(t *testing.T) {
-	r := met(at(100*second), 10, 10, 0)
-	r.now += recent
-	r.judge()
-	want(t, "rests", r.ejectedUntil > 0, false)
+	r.handle(outcomesReported{control.Outcomes{Replica: 9, Attempts: 4}})
+	r.handle(calmBaseline)
+	r.handle(replicaRestored{control.ReplicaRestored{LearnedReplica: control.LearnedReplica{Speed: 1, Probation: true}, Weight: 1}})
+	var texts []string
+	for _, line := range orders[control.Log](g.out) {
+		texts = append(texts, line.Text)
+	}
+	if wanted := []string{
+		"replica 9 ejected: 10 of 10 attempts failed, fleet failure rate 0.00, for 3s",
+		"replica 9 probation after ejection 1",
+		"replica 9 healthy: 0 of 4 attempts failed",
+		"replica 9 probation after controller restart: 0.12 of its weight",
+	}; !slices.Equal(texts, wanted) {
+		t.Errorf("got %q, want %q", texts, wanted)
+	}
 }
 
-func TestWarmthStaysInTheColdBudget(t *testing.T) {
-	r := met(at(100*second), 0, 0, 0)
-	r.entry.Start, r.heard = r.now-second, r.now
-	for ; r.now < r.entry.Start+r.SlowStartTime; r.now += second {
-		able := r.SlowStartFraction + (1-r.SlowStartFraction)*float64(r.now-r.entry.Start)/float64(r.SlowStartTime)
-		if w := r.warmth(); w > coldSpare*r.OverloadMultiple*able || r.now-r.heard < entrySpan && w > entryShare {
-			t.Errorf("at age %d: weight %v with %v able", r.now-r.entry.Start, w, able)
-		}
-	}
-	want(t, "warm", r.warmth(), 1.0)
-	r.now, r.heard = r.entry.Start+r.SlowStartTime/2, 0 // a zone's flows may double at any moment
-	want(t, "half warm: a third of a fall's multiple", r.warmth() > 0.79 && r.warmth() < 0.81, true)
-	r.now = r.entry.Start + r.SlowStartTime*9/10
-	want(t, "nearly warm: no more than the warm", r.warmth(), 1.0)
+func TestReplicaStatusSaysHowItsHealthIs(t *testing.T) {
+	g := at(100 * second)
+	r := observed(g, 10, 10, 0)
+	r.handle(calmBaseline)
+	r.now += 3 * second
+	r.handle(calmBaseline)
+	statuses := mail[replicaStatus](g, placementComponent)
+	want(t, "ejected", statuses[0].ejected && !statuses[0].onProbation, true)
+	want(t, "then on probation", !statuses[1].ejected && statuses[1].onProbation, true)
+	r.handle(replicaRestored{control.ReplicaRestored{LearnedReplica: control.LearnedReplica{Speed: 1, Probation: true}, Weight: 1}})
+	restored := mail[replicaStatus](g, placementComponent)[2]
+	want(t, "on probation by an earlier controller: in service with a penalty", !restored.onProbation && restored.penalty > 0, true)
 }
 
-func TestTheColdGetLessInACollapse(t *testing.T) {
+func TestWarmingReplicaGetsLessInACollapse(t *testing.T) {
 	g := at(100 * second)
-	r := met(g, 0, 0, 0)
+	r := observed(g, 0, 0, 0)
 	r.entry.Start = r.now - second
-	calm := r.warmth()
-	n := r.fleet
-	n.lost = 0.8
-	r.handle(n)
-	if w := r.warmth(); w > calm/2 {
-		t.Errorf("weight %v while the fleet misses, %v in calm", w, calm)
+	calm := r.status().weight
+	collapse := calmBaseline
+	collapse.lostFraction = 0.8
+	r.handle(collapse)
+	if weight := r.status().weight; weight > calm/2 {
+		t.Errorf("weight %v while requests are lost, %v otherwise", weight, calm)
 	}
 }
 
-func TestColdWaitsForTheFirstWordOfTheFleet(t *testing.T) {
+func TestWarmingReplicaIsHeldBackUntilTheFleetIsKnown(t *testing.T) {
 	g := at(100 * second)
-	r := &replica{sharedState: &g.sharedState, box: fixedComponents, speed: 1}
+	r := newReplica(&g.sharedState, fixedComponents, control.ListedReplica{})
 	r.handle(replicaListed{control.ListedReplica{Replica: 9, Weight: 1, Start: 99 * second}})
-	want(t, "out", mail[replicaStatus](g, placementComponent)[0].sick, true)
-	r.handle(fleetBaseline{goal: 1})
-	want(t, "in", mail[replicaStatus](g, placementComponent)[1].sick, false)
+	want(t, "held back", mail[replicaStatus](g, placementComponent)[0].heldBack, true)
+	r.handle(fleetBaseline{weightGoal: 1})
+	want(t, "held back afterwards", mail[replicaStatus](g, placementComponent)[1].heldBack, false)
 }
 
-func TestRestartIsANewReplica(t *testing.T) {
-	r := met(at(100*second), 10, 10, 0)
-	r.judge()
+func TestRestartedReplicaIsNew(t *testing.T) {
+	r := observed(at(100*second), 10, 10, 0)
+	r.handle(calmBaseline)
+	want(t, "ejected before", r.detector.Ejected(), true)
 	e := r.entry
 	e.Start = r.now - second
 	r.handle(replicaListed{e})
-	want(t, "rests", r.ejectedUntil, int64(0))
-	want(t, "cold", r.cold(), true)
+	want(t, "ejected", r.detector.Ejected(), false)
+	want(t, "warming up", r.status().warmingUp, true)
+}
+
+func TestEjectedWarmingReplicaHasNoCapacity(t *testing.T) {
+	r := observed(at(100*second), 10, 10, 0)
+	r.entry.Start = r.now - second
+	want(t, "healthy", r.status().capacityFraction > 0, true)
+	r.handle(calmBaseline)
+	want(t, "ejected", r.status().capacityFraction, 0.0)
 }
 
-func TestWhatATableCanCarryGoesByOwnWorth(t *testing.T) {
+func TestCapacityFollowsTheWeightGoalAtOnce(t *testing.T) {
 	g := at(100 * second)
-	met(g, 0, 0, 0).handle(fleetBaseline{goal: 0.5})
-	want(t, "size", mail[replicaStatus](g, placementComponent)[0].size, 0.5)
+	observed(g, 0, 0, 0).handle(fleetBaseline{weightGoal: 0.5})
+	want(t, "capacity", mail[replicaStatus](g, placementComponent)[0].capacity, 0.5)
 }
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -27,9 +27,8 @@
 	g := &Policy{sharedState: sharedState{Settings: p}, replicas: map[uint32]*replica{}}
 	d := &g.sharedState
 	d.queues = []*queue{
-		bindingComponent: {component: &binder{sharedState: d, here: map[int]*connectedProxy{}, wait: map[uint64]map[int]bool{}}},
-		placementComponent: {component: &planner{sharedState: d, calm: map[int][]float64{},
-			own: map[uint32]int{}, laid: map[uint32]int{}, offers: map[uint32]replicaStatus{}}},
+		bindingComponent:   {component: &binder{sharedState: d, here: map[int]*connectedProxy{}, wait: map[uint64]map[int]bool{}}},
+		placementComponent: {component: newPlanner(d)},
 		admissionComponent: {component: &admissionController{sharedState: d, set: map[int]control.SetAdmission{}}},
 		updateComponent: {component: &updater{sharedState: d, laid: map[tableEndpoint]float64{}, out: map[uint32]bool{},
 			moves: map[int]int{}, open: map[uint64]int64{}}},
@@ -53,11 +52,11 @@
 			g.listed(e)
 		case control.Outcomes:
 			if r := g.replicas[e.Replica]; r != nil && e.Attempts > 0 {
-				g.enqueue(r.box, outcomesReported{e})
+				g.enqueue(r.queue, outcomesReported{e})
 			}
 		case control.ReplicaRestored:
 			if r := g.replicas[e.Replica]; r != nil && e.Weight > 0 && e.Speed > 0 {
-				g.enqueue(r.box, replicaRestored{e})
+				g.enqueue(r.queue, replicaRestored{e})
 				g.enqueue(placementComponent, replicaRestored{e})
 			}
 		case control.SettingsChanged:
@@ -107,10 +106,10 @@
 func (g *Policy) tidy() {
 	for _, id := range ordered.Keys(g.replicas) {
 		if r := g.replicas[id]; r.entry.State != control.Gone {
-			r.changed = g.now
-		} else if g.now-r.changed > forgetSpan {
+			r.lastListed = g.now
+		} else if g.now-r.lastListed > forgetSpan {
 			delete(g.replicas, id)
-			g.free = append(g.free, r.box)
+			g.free = append(g.free, r.queue)
 			g.enqueue(placementComponent, replicaForgotten{id})
 			g.enqueue(updateComponent, replicaForgotten{id})
 			g.enqueue(pacingComponent, replicaForgotten{id})
@@ -123,7 +122,7 @@
 	for _, id := range ordered.Keys(g.replicas) {
 		if e := g.replicas[id].entry; l.Full && !l.Failed {
 			e.State = control.Gone
-			g.enqueue(g.replicas[id].box, replicaListed{e})
+			g.enqueue(g.replicas[id].queue, replicaListed{e})
 		}
 	}
 	for _, e := range l.Entries {
@@ -135,11 +134,11 @@
 			} else {
 				g.queues = append(g.queues, &queue{})
 			}
-			r = &replica{sharedState: &g.sharedState, box: box, entry: e, heard: g.now, lastSample: g.now, speed: 1, fleet: fleetBaseline{goal: 1}}
-			r.ticket = g.draw(e.Weight)
+			r = newReplica(&g.sharedState, box, e)
+			r.placementKey = g.draw(e.Weight)
 			g.replicas[e.Replica] = r
 			g.queues[box].component = r
 		}
-		g.enqueue(r.box, replicaListed{e})
+		g.enqueue(r.queue, replicaListed{e})
 	}
 }
