--- a/policy/endpointlist.go
+++ b/policy/endpointlist.go
@@ -15,7 +15,7 @@
 		for _, id := range ordered.Keys(p.replicas) {
 			entry := p.replicas[id].entry
 			entry.State = control.Gone
-			p.enqueue(p.replicas[id].box, replicaListed{entry})
+			p.enqueue(p.replicas[id].queue, replicaListed{entry})
 		}
 	}
 	for _, entry := range list.Entries {
@@ -23,24 +23,16 @@
 		if r == nil {
 			r = p.addReplica(entry)
 		}
-		p.enqueue(r.box, replicaListed{entry})
+		p.enqueue(r.queue, replicaListed{entry})
 	}
 }
 
 // addReplica adds a replica that was not listed before.
 func (p *Policy) addReplica(entry control.ListedReplica) *replica {
-	r := &replica{
-		sharedState: &p.sharedState,
-		box:         p.unusedQueue(),
-		entry:       entry,
-		heard:       p.now,
-		lastSample:  p.now,
-		speed:       1,
-		fleet:       fleetBaseline{goal: 1},
-		ticket:      p.placementKey(entry.Weight),
-	}
+	r := newReplica(&p.sharedState, p.unusedQueue(), entry)
+	r.placementKey = p.drawPlacementKey(entry.Weight)
 	p.replicas[entry.Replica] = r
-	p.queues[r.box].component = r
+	p.queues[r.queue].component = r
 	return r
 }
 
@@ -61,14 +53,14 @@
 	for _, id := range ordered.Keys(p.replicas) {
 		r := p.replicas[id]
 		if r.entry.State != control.Gone {
-			r.changed = p.now
+			r.lastListed = p.now
 			continue
 		}
-		if p.now-r.changed <= evictAfter {
+		if p.now-r.lastListed <= evictAfter {
 			continue
 		}
 		delete(p.replicas, id)
-		p.freeQueues = append(p.freeQueues, r.box)
+		p.freeQueues = append(p.freeQueues, r.queue)
 		p.enqueue(placementComponent, replicaEvicted{id})
 		p.enqueue(updateComponent, replicaEvicted{id})
 		p.enqueue(pacingComponent, replicaEvicted{id})
--- a/policy/events.go
+++ b/policy/events.go
@@ -47,7 +47,7 @@
 func (p *Policy) routeOutcomes(e control.Outcomes) {
 	r := p.replicas[e.Replica]
 	if r != nil && e.Attempts > 0 {
-		p.enqueue(r.box, outcomesReported{e})
+		p.enqueue(r.queue, outcomesReported{e})
 	}
 }
 
@@ -55,7 +55,7 @@
 func (p *Policy) routeRestored(e control.ReplicaRestored) {
 	r := p.replicas[e.Replica]
 	if r != nil && e.Weight > 0 && e.Speed > 0 {
-		p.enqueue(r.box, replicaRestored{e})
+		p.enqueue(r.queue, replicaRestored{e})
 		p.enqueue(placementComponent, replicaRestored{e})
 	}
 }
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/policy/outlier"
 )
 
 func learnedReplica(id uint32, speed float64) control.LearnedReplica {
@@ -31,15 +32,15 @@
 func TestRestoredSpeedCountsAsFarAsItsConfidence(t *testing.T) {
 	for _, c := range []struct{ speed, weight, want float64 }{{0.25, 1, 0.25}, {0.25, 0.5, 0.5}, {0.25, 0.01, 0.986}, {4, 0.5, 2}} {
 		p, _ := restored(readyReplicas(4), nothingShed(), c.weight, learnedReplica(1, c.speed))
-		if r := p.replicas[1]; math.Abs(r.speed-c.want) > 0.001 || math.Abs(r.confidence-16*c.weight) > 0.001 {
-			t.Errorf("%v at %v: speed %v, confidence %v", c.speed, c.weight, r.speed, r.confidence)
+		if r := p.replicas[1]; math.Abs(r.estimate.Speed-c.want) > 0.001 || math.Abs(r.estimate.Confidence-16*c.weight) > 0.001 {
+			t.Errorf("%v at %v: speed %v, confidence %v", c.speed, c.weight, r.estimate.Speed, r.estimate.Confidence)
 		}
 	}
 }
 
 func TestFirstReportsOverruleARestoredSpeed(t *testing.T) {
 	p, _ := restored(readyReplicas(4), nothingShed(), 1, learnedReplica(1, 1.0/16), learnedReplica(2, 1), learnedReplica(3, 1), learnedReplica(4, 1))
-	wantEqual(t, "at once", p.replicas[1].speed, 1.0/16)
+	wantEqual(t, "at once", p.replicas[1].estimate.Speed, 1.0/16)
 	for k := int64(1); k <= 16; k++ {
 		var events []control.Event
 		for id := uint32(1); id <= 4; id++ {
@@ -47,10 +48,10 @@
 		}
 		p.Turn(100*second+k*beat, append(events, control.TimerFired{}))
 	}
-	if speed := p.replicas[1].speed; speed < 0.8 {
+	if speed := p.replicas[1].estimate.Speed; speed < 0.8 {
 		t.Errorf("after 4 s of responses like those of the others its speed is still %v", speed)
 	}
-	wantEqual(t, "confidence", p.replicas[1].confidence < 0.01, true)
+	wantEqual(t, "confidence", p.replicas[1].estimate.Confidence < 0.01, true)
 }
 
 // Whatever is restored, each table that proxies are bound to keeps an endpoint that is not ejected.
@@ -109,19 +110,19 @@
 		failures             int
 		ejected              bool
 	}{
-		{control.LearnedReplica{EjectedFor: second, Ejections: 1}, 1, penaltyPart, 0, false},
-		{control.LearnedReplica{EjectedFor: second, Ejections: 1}, 1, penaltyPart, 5, true},
-		{control.LearnedReplica{Probation: true, Ejections: 2}, 0.5, math.Sqrt(penaltyPart), 5, true},
+		{control.LearnedReplica{EjectedFor: second, Ejections: 1}, 1, outlier.RestoredWeightFraction, 0, false},
+		{control.LearnedReplica{EjectedFor: second, Ejections: 1}, 1, outlier.RestoredWeightFraction, 5, true},
+		{control.LearnedReplica{Probation: true, Ejections: 2}, 0.5, math.Sqrt(outlier.RestoredWeightFraction), 5, true},
 		{control.LearnedReplica{Ejections: 2}, 1, 1, 0, false},
 	} {
 		c.learned.Replica = 1
 		c.learned.Speed = 1
 		p, commands := restored(readyReplicas(4), nothingShed(), c.confidence, c.learned)
 		r := p.replicas[1]
-		if math.Abs(1-r.penalty-c.fraction) > 1e-9 {
-			t.Errorf("%+v: penalty %v, want %v", c.learned, r.penalty, 1-c.fraction)
+		if math.Abs(1-r.detector.Penalty()-c.fraction) > 1e-9 {
+			t.Errorf("%+v: penalty %v, want %v", c.learned, r.detector.Penalty(), 1-c.fraction)
 		}
-		wantEqual(t, "consecutive ejections", r.ejections, int(math.Round(float64(c.learned.Ejections)*c.confidence)))
+		wantEqual(t, "consecutive ejections", r.detector.Ejections(), int(math.Round(float64(c.learned.Ejections)*c.confidence)))
 		for _, command := range ofType[control.SetEndpoint](commands) {
 			if command.Replica == 1 && command.Weight > c.fraction+1e-9 {
 				t.Errorf("%+v: endpoint of weight %v", c.learned, command.Weight)
@@ -133,11 +134,14 @@
 		}
 		p.Turn(101*second, events)
 		p.Turn(101*second+beat, []control.Event{control.TimerFired{}})
-		wantEqual(t, "ejected", r.ejectedUntil > 0, c.ejected)
-		wantEqual(t, "still on probation", r.trial > 0 || r.penalty > 0, false)
+		wantEqual(t, "ejected", r.detector.Ejected(), c.ejected)
+		wantEqual(t, "still on probation", r.detector.OnProbation() || r.detector.Penalty() > 0, false)
 	}
 }
 
+// weightFraction is the fraction of its weight that a replica gets as it warms up, without its speed.
+func weightFraction(r *replica) float64 { return r.status().weight / r.estimate.Speed / r.entry.Weight }
+
 // A replica that has just started is in slow start, whatever was learned of it before. A start that is listed later ends the
 // confidence in what was restored.
 func TestRestoredStateDoesNotShortenSlowStart(t *testing.T) {
@@ -145,11 +149,11 @@
 	starting[0].Start = 99 * second
 	plain, _ := restored(starting, nothingShed(), 1)
 	p, _ := restored(starting, nothingShed(), 1, learnedReplica(1, 16))
-	wantEqual(t, "slow start", p.replicas[1].warmth(), plain.replicas[1].warmth())
-	wantEqual(t, "in slow start", p.replicas[1].cold(), true)
+	wantEqual(t, "weight fraction", weightFraction(p.replicas[1]), weightFraction(plain.replicas[1]))
+	wantEqual(t, "in slow start", p.replicas[1].status().warmingUp, true)
 	warmedUp, _ := restored(readyReplicas(4), nothingShed(), 1, learnedReplica(1, 16))
 	warmedUp.Turn(101*second, []control.Event{control.ReplicasListed{Entries: []control.ListedReplica{{Replica: 1, Zone: 1, Weight: 1, Start: 100 * second}}}})
-	wantEqual(t, "confidence after another start", warmedUp.replicas[1].confidence, 0.0)
+	wantEqual(t, "confidence after another start", warmedUp.replicas[1].estimate.Confidence, 0.0)
 }
 
 func TestRestoredFleetCountsAsFarAsItsConfidence(t *testing.T) {
@@ -164,7 +168,7 @@
 		p, _ := restored(readyReplicas(4), fleet, c.confidence)
 		p.Turn(100*second, []control.Event{control.TimerFired{}})
 		wantEqual(t, "retries stopped", p.admission.retries.Stopped(), c.retriesStopped)
-		wantEqual(t, "baseline response times", len(p.placement.calm[0]), c.baselines)
+		wantEqual(t, "baseline response times", len(p.placement.baselines.Snapshot(1)[0]), c.baselines)
 		wantEqual(t, "request rate", math.Round(p.binding.bindings.Proxies()[0].Rate), c.rate)
 		if admitted := p.admission.threshold.AdmittedFraction(); math.Abs(admitted-c.admitted) > 0.02 {
 			t.Errorf("admitted fraction %v, want %v", admitted, c.admitted)
@@ -210,7 +214,7 @@
 			events = append(events, control.ReplicaRestored{LearnedReplica: learned, Weight: 1})
 		}
 		p.Turn(0, events)
-		return p.placement.own
+		return p.placement.placer.Assigned()
 	}
 	for id, table := range assigned(8) {
 		wantEqual(t, "table", table, int(id%2)+2*int(id/2%4))
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -51,7 +51,7 @@
 		events = append(events, control.Demand{Proxy: int(k), Class: int(k) % 3, Requests: 5, Period: second}, control.TimerFired{})
 		events = acksOf(p.Turn(100*second+k*beat, events))
 	}
-	if p.replicas[1].ejectedUntil == 0 {
+	if !p.replicas[1].detector.Ejected() {
 		t.Fatal("no replica is ejected")
 	}
 	return p, change
@@ -86,7 +86,7 @@
 	wantEqual(t, "threshold before", admitted, 2.5)
 	p.admission.sent[2] = control.SetAdmission{Table: control.AllTables, Class: 2, Fraction: 0.5}
 	before := p.learned()
-	assigned, endpoints := maps.Clone(p.placement.own), maps.Clone(p.update.laid)
+	assigned, endpoints := p.placement.placer.Assigned(), maps.Clone(p.update.laid)
 	change.DrainGrace = 9 * second
 	change.ReportInterval = second
 	change.Proxies = slices.Clone(change.Proxies)
@@ -100,7 +100,7 @@
 	commands := p.Turn(p.now, []control.Event{change})
 	after := p.learned()
 	wantEqual(t, "binds", len(ofType[control.Bind](commands)), 0)
-	wantEqual(t, "tables of replicas", reflect.DeepEqual(assigned, p.placement.own), true)
+	wantEqual(t, "tables of replicas", reflect.DeepEqual(assigned, p.placement.placer.Assigned()), true)
 	wantEqual(t, "endpoints", reflect.DeepEqual(endpoints, p.update.laid), true)
 	wantEqual(t, "bindings", reflect.DeepEqual(before.Bindings, after.Bindings), true)
 	wantEqual(t, "replicas", reflect.DeepEqual(before.Replicas, after.Replicas), true)
@@ -188,10 +188,10 @@
 			for k := range int64(40) {
 				events = acksOf(p.Turn(p.now+k*beat/10, append(events, control.TimerFired{})))
 			}
-			tables := p.placement.tables
-			wantEqual(t, "tables", tables, fresh.placement.tables)
+			tables := p.placement.placer.Tables()
+			wantEqual(t, "tables", tables, fresh.placement.placer.Tables())
 			rows := zone.Rows(p.Zones, tables)
-			for id, table := range p.placement.own {
+			for id, table := range p.placement.placer.Assigned() {
 				wantEqual(t, fmt.Sprintf("zone of replica %d", id), table%rows, p.replicas[id].entry.Zone%rows)
 			}
 			serving := p.binding.bindings.Serving()
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -32,8 +32,7 @@
 	p := &Policy{sharedState: sharedState{Settings: settings}, replicas: map[uint32]*replica{}}
 	shared := &p.sharedState
 	p.binding = newBinder(shared)
-	p.placement = &planner{sharedState: shared, calm: map[int][]float64{},
-		own: map[uint32]int{}, laid: map[uint32]int{}, offers: map[uint32]replicaStatus{}}
+	p.placement = newPlanner(shared)
 	p.admission = newAdmissionController(shared)
 	p.update = &updater{sharedState: shared, laid: map[tableEndpoint]float64{}, out: map[uint32]bool{},
 		moves: map[int]int{}, open: map[uint64]int64{}}
