--- a/policy/admission/demand.go
+++ b/policy/admission/demand.go
@@ -21,13 +21,13 @@
 
 // Summary is the demand at one moment.
 type Summary struct {
-	// ClassRates are the requests a second of each traffic class, over loadWindow.
+	// ClassRates are the requests a second of each traffic class, over LoadWindow.
 	ClassRates map[int]float64
 	// Requests are the requests of each proxy within DemandWindow.
 	Requests map[int]float64
 	// LatestRequests are the requests of each proxy within the last report interval, as many as they were in DemandWindow.
 	LatestRequests map[int]float64
-	// FailedFraction is the fraction of the requests of loadWindow that got no successful response.
+	// FailedFraction is the fraction of the requests of LoadWindow that got no successful response.
 	FailedFraction float64
 	// ReportDelay is by how much the periods of the reports exceed the report interval, in the mean. Where it is above 0 the
 	// controller gets its reports late, several intervals in one.
@@ -40,7 +40,7 @@
 	receivedAt time.Duration
 }
 
-// Demand counts the requests that arrive at proxies. Its reports are no older than DemandWindow. For the first loadWindow after
+// Demand counts the requests that arrive at proxies. Its reports are no older than DemandWindow. For the first LoadWindow after
 // Restore no class counts with less than its restored rate, as the first reports cover few of the proxies.
 type Demand struct {
 	settings *control.Settings
@@ -79,14 +79,14 @@
 			period := max(time.Duration(r.Period), interval, 1)
 			sum.LatestRequests[r.Proxy] += float64(r.Requests) * float64(DemandWindow) / float64(period)
 		}
-		if r.receivedAt > now-loadWindow {
-			sum.ClassRates[r.Class] += float64(r.Requests) * float64(time.Second) / float64(loadWindow)
+		if r.receivedAt > now-LoadWindow {
+			sum.ClassRates[r.Class] += float64(r.Requests) * float64(time.Second) / float64(LoadWindow)
 			requests += r.Requests
 			failures += r.Failures
 		}
 	}
 	sum.FailedFraction = float64(failures) / math.Max(1, float64(requests))
-	if now-d.restoredAt < loadWindow {
+	if now-d.restoredAt < LoadWindow {
 		d.raiseToRestored(sum.ClassRates)
 	}
 	return sum
--- a/policy/admission/demand_test.go
+++ b/policy/admission/demand_test.go
@@ -22,8 +22,8 @@
 	}
 	add(DemandWindow, control.Demand{Proxy: 1, Class: 0, Requests: 1000, Failures: 1000})
 	add(DemandWindow-1, control.Demand{Proxy: 1, Class: 0, Requests: 100, Failures: 100})
-	add(loadWindow, control.Demand{Proxy: 1, Class: 1, Requests: 10, Failures: 10})
-	add(loadWindow-1, control.Demand{Proxy: 2, Class: 1, Requests: 8, Failures: 2})
+	add(LoadWindow, control.Demand{Proxy: 1, Class: 1, Requests: 10, Failures: 10})
+	add(LoadWindow-1, control.Demand{Proxy: 2, Class: 1, Requests: 8, Failures: 2})
 	add(time.Second, control.Demand{Proxy: 2, Class: 1, Requests: 4})
 	add(0, control.Demand{Proxy: 2, Class: 0, Requests: 4, Failures: 2})
 	sum := d.Summarize(now)
@@ -62,8 +62,8 @@
 		want  map[int]float64
 	}{
 		{"at once", 0, map[int]float64{0: 20, 1: 5}},
-		{"within the window", loadWindow - 1, map[int]float64{0: 20, 1: 5}},
-		{"later", loadWindow, map[int]float64{0: 2}},
+		{"within the window", LoadWindow - 1, map[int]float64{0: 20, 1: 5}},
+		{"later", LoadWindow, map[int]float64{0: 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDemand()
--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -13,7 +13,7 @@
 //
 // The threshold moves by the first of these rules that applies:
 //
-//  1. It holds for loadWindow after a fall, or after rule 4 spared it one, as the load is still counted from before.
+//  1. It holds for LoadWindow after a fall, or after rule 4 spared it one, as the load is still counted from before.
 //  2. It holds while an overload is younger than the reports are late, as the overload may have passed already.
 //  3. It falls, if all is admitted, to what firstFallFraction of the highest success rate seen lately can serve.
 //  4. It falls further by fallFactor, if something is shed already and the pressure is higher than at the last fall. An
@@ -44,10 +44,10 @@
 	maxFailureRate = 0.15
 	// slowResponseFactor is how many times the response time of an idle fleet counts as slow.
 	slowResponseFactor = 2.5
-	// minSuccesses is the number of successes within loadWindow below which nothing is known of the replicas' queues.
+	// minSuccesses is the number of successes within LoadWindow below which nothing is known of the replicas' queues.
 	minSuccesses = 5
-	// loadWindow is the period over which the load is counted: replicas keep their samples for as long.
-	loadWindow = 4 * time.Second
+	// LoadWindow is the period over which the load is counted. It is the period of the replicas' samples (package outlier).
+	LoadWindow = 4 * time.Second
 
 	// firstFallFraction is the fraction of the highest success rate seen lately that the first fall admits. The rest lets the
 	// replicas' queues drain.
@@ -69,7 +69,7 @@
 	noDivisionByZero = 1e-9
 )
 
-// Load is the load of the fleet over loadWindow.
+// Load is the load of the fleet over LoadWindow.
 type Load struct {
 	AttemptRate          float64 // attempts a second at replicas that are ready and neither ejected nor on probation
 	FailureRate          float64 // fraction of these attempts that failed
@@ -146,7 +146,7 @@
 
 // isOverloaded reports whether the fleet is overloaded and proxies follow admission rates.
 func (t *Threshold) isOverloaded(pressure float64, load Load) bool {
-	successes := load.successRate() * float64(loadWindow) / float64(time.Second)
+	successes := load.successRate() * float64(LoadWindow) / float64(time.Second)
 	return pressure > 1 && successes >= minSuccesses && t.settings.Admission == control.AdmitFraction
 }
 
@@ -158,7 +158,7 @@
 // move applies the first rule of the package comment that applies.
 func (t *Threshold) move(now time.Duration, overloaded bool, pressure float64, load Load, demand Summary) {
 	switch {
-	case now-t.lastFall < loadWindow:
+	case now-t.lastFall < LoadWindow:
 	case overloaded && now-t.lastNormal < demand.ReportDelay:
 	case overloaded && t.admitted < float64(len(t.classes)):
 		if pressure > t.fallPressure {
--- a/policy/admission/threshold_test.go
+++ b/policy/admission/threshold_test.go
@@ -79,7 +79,7 @@
 	if c.fraction(1) != 1 || c.fraction(0) >= 1 {
 		t.Errorf("fractions %v, want all of class 1 and a part of class 0", c.ClassFractions())
 	}
-	c.now += 2 * loadWindow
+	c.now += 2 * LoadWindow
 	if !c.evaluate(normal()) || c.Overloaded() {
 		t.Error("no end of the overload reported")
 	}
@@ -113,9 +113,9 @@
 		}
 	}
 	later("the load is of before the fall", time.Second, failing(0.6, 1), false)
-	later("the overload eases", loadWindow, failing(0.3, 0.7), false)
-	later("the overload gets worse", loadWindow, failing(0.4, 0.7), true)
-	c.now += 2 * loadWindow
+	later("the overload eases", LoadWindow, failing(0.3, 0.7), false)
+	later("the overload gets worse", LoadWindow, failing(0.4, 0.7), true)
+	c.now += 2 * LoadWindow
 	c.evaluate(normal())
 	c.now += 100 * time.Second
 	c.evaluate(normal())
@@ -203,8 +203,8 @@
 		}
 		return c.Admitted() - before
 	}
-	rise(loadWindow)
-	if got, want := rise(riseAcceleration-loadWindow), risePerSecond*2*4; math.Abs(got-want) >= 1e-9 {
+	rise(LoadWindow)
+	if got, want := rise(riseAcceleration-LoadWindow), risePerSecond*2*4; math.Abs(got-want) >= 1e-9 {
 		t.Errorf("rose by %v in the first 4 s, want %v", got, want)
 	}
 	rise(2 * riseAcceleration)
@@ -212,7 +212,7 @@
 		t.Errorf("rose by %v in a second, long after the fall", got)
 	}
 	c.evaluate(failing(0.5, 1))
-	rise(loadWindow)
+	rise(LoadWindow)
 	if got, want := rise(time.Second), risePerSecond*2; math.Abs(got-want) >= 1e-9 {
 		t.Errorf("rose by %v in a second after another fall, want %v", got, want)
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -5,10 +5,18 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/policy/admission"
+	"lilacbend/policy/outlier"
+	"lilacbend/policy/retry"
 )
 
-// loadWindow is the period over which the fleet's load is counted.
-const loadWindow = recent
+// loadWindow is the period over which the fleet's load is counted, in nanoseconds.
+const loadWindow = int64(admission.LoadWindow)
+
+func TestLoadIsCountedOverOnePeriodEverywhere(t *testing.T) {
+	wantEqual(t, "period of the replicas' samples", outlier.EvaluationPeriod, admission.LoadWindow)
+	wantEqual(t, "interval between changes of retries", retry.MinChangeInterval, admission.LoadWindow)
+}
 
 // withDemand returns the admission component of a policy whose two classes got 50 requests a second each.
 func withDemand(p *Policy) *admissionController {
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -75,8 +75,8 @@
 	}
 	demandSummary struct { // admission to placement
 		failedFraction float64         // of all requests of the last seconds
-		requests       map[int]float64 // of each proxy within demandSpan
-		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in demandSpan
+		requests       map[int]float64 // of each proxy within admission.DemandWindow
+		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in that window
 	}
 	warmingReplicas struct { // placement to pacing: the replicas that warm up, and whether they are restored all at once
 		replicas map[uint32]bool
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"lilacbend/control"
+	"lilacbend/policy/admission"
 	"lilacbend/policy/internal/ordered"
 	"lilacbend/policy/outlier"
 	"lilacbend/policy/placement"
@@ -150,7 +151,7 @@
 		Replicas: p.placeable(),
 		Proxies:  p.proxies,
 		Demand: placement.Demand{
-			Period:   time.Duration(demandSpan),
+			Period:   admission.DemandWindow,
 			Requests: p.demand.requests,
 			Newest:   p.demand.latestRequests,
 		},
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -43,15 +43,15 @@
 	maxFailureRate = 0.08
 	// resumeFailureRate is the fraction at which retries resume. It is lower, as the retries that resume make attempts fail as well.
 	resumeFailureRate = maxFailureRate / 2
-	// minChangeInterval is the time between two changes, as long as the period over which the failure rate is counted: before
+	// MinChangeInterval is the time between two changes, as long as the period over which the failure rate is counted: before
 	// that, it still counts attempts made under the earlier decision.
-	minChangeInterval = 4 * time.Second
+	MinChangeInterval = 4 * time.Second
 	// minRestoreConfidence is the confidence in a restored decision from which it is taken over.
 	minRestoreConfidence = 0.5
 )
 
 // Throttle stops all retries while more than maxFailureRate of the fleet's attempts fail, and lets them resume at
-// resumeFailureRate. It changes its decision at most once in minChangeInterval. The zero value allows retries.
+// resumeFailureRate. It changes its decision at most once in MinChangeInterval. The zero value allows retries.
 type Throttle struct {
 	stopped    bool
 	lastChange time.Duration
@@ -64,7 +64,7 @@
 		limit = resumeFailureRate
 	}
 	stop := failureRate > limit
-	if stop == t.stopped || now-t.lastChange <= minChangeInterval {
+	if stop == t.stopped || now-t.lastChange <= MinChangeInterval {
 		return false
 	}
 	t.stopped = stop
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -62,8 +62,8 @@
 		{"many failures", []step{{start, 0.09, true}}},
 		{"holds between the two limits", []step{{start, 0.09, true}, {start + 10*time.Second, 0.05, true}}},
 		{"resumes at the lower limit", []step{{start, 0.09, true}, {start + 10*time.Second, 0.04, false}}},
-		{"holds until the failure rate is of later attempts", []step{{start, 0.09, true}, {start + minChangeInterval, 0, true},
-			{start + minChangeInterval + 1, 0, false}}},
+		{"holds until the failure rate is of later attempts", []step{{start, 0.09, true}, {start + MinChangeInterval, 0, true},
+			{start + MinChangeInterval + 1, 0, false}}},
 		{"does not stop again at once", []step{{start, 0.09, true}, {start + 5*time.Second, 0, false},
 			{start + 6*time.Second, 0.5, false}, {start + 10*time.Second, 0.5, true}}},
 	} {
@@ -98,7 +98,7 @@
 			if throttle.Stopped() != c.want {
 				t.Errorf("stopped %v, want %v", throttle.Stopped(), c.want)
 			}
-			if throttle.Evaluate(time.Minute+minChangeInterval, 0) || throttle.Stopped() != c.want {
+			if throttle.Evaluate(time.Minute+MinChangeInterval, 0) || throttle.Stopped() != c.want {
 				t.Error("changed before a failure rate of this controller")
 			}
 		})
