--- /dev/null
+++ b/policy/update/changes.go
@@ -0,0 +1,121 @@
+package update
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+
+	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
+)
+
+// minWeightChange is the relative change below which a weight is not overwritten: each change costs a message to each proxy of
+// the table, and weights are estimates that vary a little with each load report.
+const minWeightChange = 0.15
+
+// weightChange is an endpoint whose current weight differs from its target.
+type weightChange struct {
+	endpoint Endpoint
+	current  float64 // 0: the table lacks the endpoint
+	target   float64 // 0: the endpoint is to be removed
+}
+
+// size is the change in relation to the larger of both weights: from 0 to 1.
+func (c weightChange) size() float64 {
+	return math.Abs(c.target-c.current) / math.Max(c.current, c.target)
+}
+
+func (c weightChange) command() control.Command {
+	return control.SetEndpoint{Table: c.endpoint.Table, Replica: c.endpoint.Replica, Weight: c.target}
+}
+
+// endpointCommands returns the commands of a step that set weights and, in step Add, those that uneject replicas.
+//
+// Proxies pick an unejected replica by the weights that they hold, which may be those of a time when it could bear more. So all
+// changes of its endpoints, removals among them, belong to the step that unejects it. Those that lower a weight or add an
+// endpoint come before the unejection. Those that raise one come after it: too small a weight does no harm, so the
+// unejection need not wait for them.
+func (s *Sequence) endpointCommands(step Step) []control.Command {
+	var before, after []control.Command
+	for _, change := range s.weightChanges(step) {
+		if s.ejected[change.endpoint.Replica] && change.current > 0 && change.target > change.current {
+			after = append(after, change.command())
+		} else {
+			before = append(before, change.command())
+		}
+	}
+	if step == Add {
+		before = append(before, s.unejections()...)
+	}
+	return append(before, after...)
+}
+
+// unejections returns the commands that uneject replicas, by replica.
+func (s *Sequence) unejections() []control.Command {
+	var commands []control.Command
+	for _, replica := range ordered.Keys(s.ejected) {
+		if s.returns(replica) {
+			commands = append(commands, control.SetEjected{Replica: replica})
+		}
+	}
+	return commands
+}
+
+// returns says whether a replica is ejected and is to be unejected.
+func (s *Sequence) returns(replica uint32) bool {
+	return s.ejected[replica] && !s.target.Ejected[replica]
+}
+
+// weightChanges returns the changes of a step, in the order in which they are to be sent.
+func (s *Sequence) weightChanges(step Step) []weightChange {
+	all := maps.Clone(s.current)
+	maps.Copy(all, s.target.Weights)
+	var changes []weightChange
+	for endpoint := range all {
+		change := weightChange{endpoint, s.current[endpoint], s.target.Weights[endpoint]}
+		if s.stepOf(change) == step && needed(change, step) {
+			changes = append(changes, change)
+		}
+	}
+	sortBySize(changes)
+	return changes
+}
+
+// stepOf returns the step that a change of weight belongs to.
+func (s *Sequence) stepOf(change weightChange) Step {
+	switch {
+	case change.current == 0 || s.returns(change.endpoint.Replica):
+		return Add
+	case change.target == 0:
+		return Remove
+	default:
+		return Overwrite
+	}
+}
+
+// needed says whether a change is to be sent. Additions are sent however small they are.
+func needed(change weightChange, step Step) bool {
+	if change.target < 0 || change.target == change.current {
+		return false
+	}
+	return step == Add || change.size() >= minWeightChange
+}
+
+// sortBySize sorts changes by table, the table with the largest change first, and within a table by size: what matters most
+// goes out first, and changes of one table share the overhead of one message to each of its proxies.
+func sortBySize(changes []weightChange) {
+	largest := map[int]float64{} // by table
+	for _, change := range changes {
+		table := change.endpoint.Table
+		largest[table] = math.Max(largest[table], change.size())
+	}
+	slices.SortFunc(changes, func(a, b weightChange) int {
+		return cmp.Or(
+			cmp.Compare(largest[b.endpoint.Table], largest[a.endpoint.Table]),
+			cmp.Compare(a.endpoint.Table, b.endpoint.Table),
+			cmp.Compare(b.size(), a.size()),
+			cmp.Compare(a.endpoint.Replica, b.endpoint.Replica),
+		)
+	})
+}
--- /dev/null
+++ b/policy/update/changes_test.go
@@ -0,0 +1,86 @@
+package update
+
+import (
+	"testing"
+
+	"lilacbend/control"
+)
+
+func TestWeightChangeIsDueInOneStepOnly(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		current, target float64
+		ejected         replicas // so far
+		targetEjected   replicas
+		due             Step // stepCount: in none
+	}{
+		{name: "endpoint is missing", target: 1, due: Add},
+		{name: "endpoint is missing and of small weight", target: 0.001, due: Add},
+		{name: "endpoint is not wanted", current: 1, due: Remove},
+		{name: "endpoint is neither there nor wanted", due: stepCount},
+		{name: "weight rises by enough", current: 0.8, target: 1, due: Overwrite},
+		{name: "weight falls by enough", current: 1, target: 0.8, due: Overwrite},
+		{name: "weight changes by too little", current: 1, target: 0.9, due: stepCount},
+		{name: "weight stays", current: 1, target: 1, due: stepCount},
+		{name: "weight is left as it is", current: 1, target: -1, due: stepCount},
+		{name: "missing endpoint is left as it is", target: -1, due: stepCount},
+		{name: "ejected replica stays ejected", current: 1, target: 0.5, ejected: replicas{1: true},
+			targetEjected: replicas{1: true}, due: Overwrite},
+		{name: "ejected replica is gone", current: 1, ejected: replicas{1: true}, targetEjected: replicas{1: true}, due: Remove},
+		{name: "replica is unejected, however small the change", current: 1, target: 0.99, ejected: replicas{1: true}, due: Add},
+		{name: "replica is unejected and not wanted in the table", current: 1, ejected: replicas{1: true}, due: Add},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			current, target := weights{}, weights{}
+			if c.current != 0 {
+				current[Endpoint{2, 1}] = c.current
+			}
+			if c.target != 0 {
+				target[Endpoint{2, 1}] = c.target
+			}
+			s := sequenceWith(current, Target{Weights: target, Ejected: c.targetEjected}, c.ejected)
+			for step := range stepCount {
+				changes := len(s.weightChanges(step))
+				if due := changes == 1; changes > 1 || due != (step == c.due) {
+					t.Errorf("step %d has %d changes", step, changes)
+				}
+			}
+		})
+	}
+}
+
+func TestChangesAreSortedByTheLargestChangeOfTheirTable(t *testing.T) {
+	s := sequenceWith(weights{{0, 1}: 1, {0, 2}: 1, {1, 1}: 1, {1, 2}: 1, {2, 1}: 1},
+		Target{Weights: weights{{0, 1}: 0.5, {0, 2}: 0.7, {1, 1}: 0.8, {1, 2}: 0.1, {2, 1}: 0.5}}, replicas{})
+	assertCommands(t, "overwrites", s.commands(Overwrite),
+		control.SetEndpoint{Table: 1, Replica: 2, Weight: 0.1}, control.SetEndpoint{Table: 1, Replica: 1, Weight: 0.8},
+		control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.5}, control.SetEndpoint{Table: 0, Replica: 2, Weight: 0.7},
+		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.5})
+}
+
+// An ejected replica still has endpoints, with weights of a time when it was warmed up: proxies pick it by them from the moment that it
+// is unejected.
+func TestAllWeightsOfAnUnejectedReplicaChangeWithIt(t *testing.T) {
+	s := sequenceWith(weights{{0, 1}: 1, {1, 1}: 1, {2, 1}: 0.21},
+		Target{Weights: weights{{0, 1}: 0.2, {2, 1}: 0.2}}, replicas{1: true})
+	assertCommands(t, "removals and small changes included", s.commands(Add),
+		control.SetEndpoint{Table: 1, Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.2},
+		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.2}, control.SetEjected{Replica: 1})
+}
+
+// A replica that is unejected with less weight than it should have is safe, so weights that rise follow the unejection.
+func TestRaisedWeightsFollowTheUnejection(t *testing.T) {
+	s := sequenceWith(weights{{0, 1}: 0.2, {1, 1}: 0.4},
+		Target{Weights: weights{{0, 1}: 0.3, {1, 1}: 0.3, {2, 1}: 0.3}}, replicas{1: true})
+	assertCommands(t, "additions", s.commands(Add),
+		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.3}, control.SetEndpoint{Table: 1, Replica: 1, Weight: 0.3},
+		control.SetEjected{Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.3})
+}
+
+func TestForgottenReplicaIsNotUnejected(t *testing.T) {
+	s := New()
+	s.SetTarget(Target{Ejected: replicas{3: true, 1: true}})
+	s.Forget(3)
+	s.SetTarget(Target{})
+	assertCommands(t, "unejections", s.commands(Add), control.SetEjected{Replica: 1})
+}
--- /dev/null
+++ b/policy/update/sequence_test.go
@@ -0,0 +1,202 @@
+package update
+
+import (
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"lilacbend/control"
+)
+
+type weights = map[Endpoint]float64
+
+type replicas = map[uint32]bool
+
+// sequenceWith returns a Sequence whose proxies have the current weights, with replicas that were ejected, on its way to the target.
+func sequenceWith(current weights, target Target, ejected replicas) *Sequence {
+	s := New()
+	s.current = current
+	s.ejected = ejected
+	s.target = target
+	return s
+}
+
+func assertCommands(t *testing.T, what string, got []control.Command, want ...control.Command) {
+	t.Helper()
+	if !slices.Equal(got, want) {
+		t.Errorf("%s: got %v, want %v", what, got, want)
+	}
+}
+
+func assertStep(t *testing.T, what string, s *Sequence, want Step) {
+	t.Helper()
+	if s.step != want {
+		t.Errorf("%s: step %d is open, want %d", what, s.step, want)
+	}
+}
+
+func TestStepHasOnlyItsKindOfCommandLargestChangeFirst(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		step Step
+		want []control.Command
+	}{
+		{"add", Add, []control.Command{control.SetEndpoint{Replica: 4, Weight: 1}}},
+		{"overwrite", Overwrite, []control.Command{
+			control.SetEndpoint{Replica: 2, Weight: 0.1}, control.SetEndpoint{Replica: 1, Weight: 0.5}}},
+		{"rebind", Rebind, []control.Command{control.Bind{Proxy: 5, Table: 1}}},
+		{"remove", Remove, []control.Command{control.SetEndpoint{Replica: 3}}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := sequenceWith(weights{{0, 1}: 1, {0, 2}: 1, {0, 3}: 1},
+				Target{Weights: weights{{0, 1}: 0.5, {0, 2}: 0.1, {0, 4}: 1}}, replicas{})
+			s.Rebind(control.Bind{Proxy: 5, Table: 1})
+			assertCommands(t, "commands", s.commands(c.step), c.want...)
+		})
+	}
+}
+
+func TestAdditionsAreDueInEveryStep(t *testing.T) {
+	s := sequenceWith(weights{{0, 1}: 1, {0, 2}: 1, {0, 3}: 1},
+		Target{Weights: weights{{0, 1}: 0.5, {0, 2}: 0.1, {0, 4}: 1}}, replicas{})
+	s.Rebind(control.Bind{Proxy: 5, Table: 1})
+	s.acks[1] = 0
+	addition := control.SetEndpoint{Replica: 4, Weight: 1}
+	s.step = Remove
+	assertCommands(t, "removals wait for additions", s.Advance().Commands, addition)
+	s.step = Overwrite
+	pending := s.Advance()
+	assertCommands(t, "additions precede overwrites", pending.Commands,
+		addition, control.SetEndpoint{Replica: 2, Weight: 0.1}, control.SetEndpoint{Replica: 1, Weight: 0.5})
+	if pending.Additions != 1 {
+		t.Errorf("%d additions are stated, want 1", pending.Additions)
+	}
+}
+
+// A proxy whose rebinding is held back, by its message cap, keeps its old endpoints until it has been sent the new ones.
+func TestRemovalsWaitForRebinds(t *testing.T) {
+	s := sequenceWith(weights{{0, 1}: 1, {1, 1}: 1}, Target{Weights: weights{{1, 1}: 1}}, replicas{})
+	s.Rebind(control.Bind{Proxy: 5, Table: 1})
+	s.step = Rebind
+	s.stepSent = true // other proxies were moved and have acknowledged it
+	for range 1 + stepCount {
+		for _, command := range s.Advance().Commands {
+			if c, ok := command.(control.SetEndpoint); ok && c.Weight == 0 {
+				t.Fatalf("%v is due before the move", c)
+			}
+		}
+	}
+	s.Sent(0, 0, []control.Command{control.Bind{Proxy: 5, Table: 1}})
+	var last Pending
+	for range stepCount {
+		last = s.Advance()
+	}
+	assertCommands(t, "after the move", last.Commands, control.SetEndpoint{Replica: 1})
+}
+
+func TestAcknowledgedStepEndsThoughMoreHasChanged(t *testing.T) {
+	s := sequenceWith(weights{{0, 1}: 1, {0, 2}: 1}, Target{Weights: weights{{0, 1}: 0.5}}, replicas{})
+	s.step = Overwrite
+	s.stepSent = true
+	s.Advance()
+	assertStep(t, "though a weight differs", s, Remove)
+}
+
+func TestRemovalOfAReplicaThatReturnsIsDropped(t *testing.T) {
+	s := sequenceWith(weights{{0, 1}: 1}, Target{Weights: weights{}, Ejected: replicas{1: true}}, replicas{1: true})
+	assertCommands(t, "while it is gone", s.commands(Remove), control.SetEndpoint{Replica: 1})
+	s.SetTarget(Target{Weights: weights{{0, 1}: 1}, Ejected: replicas{}})
+	assertCommands(t, "removal once it is back", s.commands(Remove))
+	assertCommands(t, "addition once it is back", s.commands(Add), control.SetEjected{Replica: 1})
+}
+
+func TestStepEndsWithItsLastAckOrTheTimeout(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		end   func(*Sequence)
+		opens Step
+	}{
+		{"nothing has come", func(s *Sequence) { s.Expire(0) }, Overwrite},
+		{"at the timeout", func(s *Sequence) { s.Expire(ackTimeout) }, Overwrite},
+		{"past the timeout", func(s *Sequence) { s.Expire(ackTimeout + 1) }, Remove},
+		{"acknowledged", func(s *Sequence) { s.Acknowledged(1) }, Remove},
+		{"another nonce acknowledged", func(s *Sequence) { s.Acknowledged(2) }, Overwrite},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := sequenceWith(weights{{0, 1}: 1}, Target{Weights: weights{}}, replicas{})
+			s.step = Overwrite
+			s.acks[1] = 0
+			s.Advance()
+			assertStep(t, "before", s, Overwrite)
+			c.end(s)
+			s.Advance()
+			assertStep(t, "after", s, c.opens)
+		})
+	}
+}
+
+func TestUpdateRunsThroughAllSteps(t *testing.T) {
+	s := New()
+	s.SetTarget(Target{Weights: weights{{0, 1}: 1, {0, 2}: 1}})
+	send := func(what string, nonce uint64, want ...control.Command) {
+		t.Helper()
+		pending := s.Advance()
+		assertCommands(t, what, pending.Commands, want...)
+		s.Sent(time.Duration(nonce), nonce, pending.Commands)
+	}
+	send("new tables", 1, control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 1})
+	s.SetTarget(Target{Weights: weights{{0, 1}: 2, {1, 3}: 1}})
+	s.Rebind(control.Bind{Proxy: 7, Table: 1})
+	send("an addition, at once", 2, control.SetEndpoint{Table: 1, Replica: 3, Weight: 1})
+	assertCommands(t, "nothing while an ack is missing", s.Advance().Commands)
+	s.Acknowledged(1)
+	s.Acknowledged(2)
+	send("overwrite", 3, control.SetEndpoint{Replica: 1, Weight: 2})
+	s.Acknowledged(3)
+	send("rebind", 4, control.Bind{Proxy: 7, Table: 1})
+	s.Acknowledged(4)
+	send("remove", 5, control.SetEndpoint{Replica: 2})
+	s.Acknowledged(5)
+	assertCommands(t, "nothing is left", s.Advance().Commands)
+	if want := (weights{{0, 1}: 2, {1, 3}: 1}); !reflect.DeepEqual(s.Weights(), want) {
+		t.Errorf("weights: got %v, want %v", s.Weights(), want)
+	}
+}
+
+// Without any proxy that is concerned no ack will come.
+func TestSentWithoutANonceIsNotWaitedFor(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		nonce    uint64
+		commands []control.Command
+		waits    bool
+	}{
+		{"nonce and commands", 3, []control.Command{control.SetEndpoint{Replica: 1, Weight: 1}}, true},
+		{"no nonce", 0, []control.Command{control.SetEndpoint{Replica: 1, Weight: 1}}, false},
+		{"no commands of the step", 3, nil, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := New()
+			s.Sent(0, c.nonce, c.commands)
+			if got := len(s.acks) > 0; got != c.waits {
+				t.Errorf("waits for an ack: %v, want %v", got, c.waits)
+			}
+			if s.stepSent != c.waits {
+				t.Errorf("the step has sent something: %v, want %v", s.stepSent, c.waits)
+			}
+		})
+	}
+}
+
+func TestCancelledRebindIsNotDue(t *testing.T) {
+	s := New()
+	s.Rebind(control.Bind{Proxy: 1, Table: 2})
+	s.Rebind(control.Bind{Proxy: 1, Table: 3})
+	assertCommands(t, "the later one", s.commands(Rebind), control.Bind{Proxy: 1, Table: 3})
+	s.CancelRebinds()
+	assertCommands(t, "once cancelled", s.commands(Rebind))
+	if s.Rebinds() != 0 {
+		t.Errorf("%d proxies wait to be moved", s.Rebinds())
+	}
+}
