--- /dev/null
+++ b/policy/pacing/budget_test.go
@@ -0,0 +1,179 @@
+package pacing
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"lilacbend/control"
+)
+
+func TestOrdinaryCommandsLeaveCapacityForEjections(t *testing.T) {
+	p := withTable(10, nil)
+	for replica := range uint32(200) {
+		p.step.Commands = append(p.step.Commands, control.SetEndpoint{Replica: replica, Weight: 1})
+	}
+	p.Eject(5)
+	sent := p.Send(0)
+	assertEqual(t, "ejections", len(ofType[control.SetEjected](sent.Commands)), 1)
+	assertEqual(t, "some weights", len(ofType[control.SetEndpoint](sent.Commands)) > 0, true)
+	if waiting := p.Waiting(0); waiting > urgentChannelFraction*400 {
+		t.Errorf("%v cost units wait", waiting)
+	}
+	assertEqual(t, "commands while no ack comes", len(p.Send(0).Commands), 0)
+	p.Acknowledged(0, sent.Nonce, true)
+	assertEqual(t, "some commands once acknowledged", len(p.Send(0).Commands) > 0, true)
+}
+
+func TestMessageCapKeepsCapacityForUrgentMessages(t *testing.T) {
+	p := withTable(1, func(s *control.Settings) {
+		s.MaxMessages = 10
+		s.ChannelLimit = 1 << 20
+	})
+	weights := 0
+	for k := range 20 {
+		p.SetStep(Step{Commands: []control.Command{control.SetEndpoint{Replica: 1, Weight: float64(k + 1)}}})
+		weights += len(ofType[control.SetEndpoint](p.Send(0).Commands))
+	}
+	assertEqual(t, "changed weights", weights, int(ordinaryMessageFraction*10))
+	for replica := range uint32(20) {
+		p.Eject(replica)
+		p.Send(0)
+	}
+	messages := len(p.messages.sent[0])
+	assertEqual(t, "messages within the cap", messages <= 10, true)
+	assertEqual(t, "more than additions may use", float64(messages) > additionMessageFraction*10, true)
+}
+
+func TestBudgetAdmitsUpToItsFractions(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		limit             budget
+		waiting, sent     float64
+		units             float64
+		messages          int
+		reached, concerns bool
+		want              bool
+	}{
+		{name: "channel just full", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 50, concerns: true, want: true},
+		{name: "channel over", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 51, concerns: true, want: false},
+		{name: "channel over, unlimited", limit: unlimited, waiting: 1e9, concerns: true, want: true},
+		{name: "channel over, but nobody is concerned", limit: budget{0.5, 1}, waiting: 1e9, want: true},
+		{name: "last message of the cap", limit: budget{1, 0.5}, messages: 4, concerns: true, want: true},
+		{name: "cap used up", limit: budget{1, 0.5}, messages: 5, concerns: true, want: false},
+		{name: "cap used up, in a message that goes anyway", limit: budget{1, 0.5}, messages: 5, reached: true, concerns: true, want: true},
+		{name: "cap used up, unlimited", limit: unlimited, messages: 50, concerns: true, want: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newPacer(func(s *control.Settings) { s.MaxMessages = 10 })
+			p.beginTurn(0)
+			p.turn.waiting = c.waiting
+			p.turn.units = c.sent
+			p.turn.reached[3] = c.reached
+			atCap(p, 3, c.messages)
+			cost := price{units: c.units}
+			if c.concerns {
+				cost.recipients = []int{3}
+			}
+			assertEqual(t, "admitted", p.admits(cost, c.limit), c.want)
+		})
+	}
+}
+
+func TestUnlimitedBudgetAdmitsWhereTheChannelHasNoLimit(t *testing.T) {
+	p := newPacer(func(s *control.Settings) { s.ChannelLimit = 0 })
+	p.beginTurn(0)
+	cost := price{recipients: []int{1}, units: 5}
+	assertEqual(t, "unlimited", p.admits(cost, unlimited), true)
+	assertEqual(t, "urgent", p.admits(cost, urgentBudget), false)
+	assertEqual(t, "fraction sent within a second", p.fractionSentWithin(time.Second), 0.0)
+}
+
+func TestLateAcksShrinkTheOrdinaryBudget(t *testing.T) {
+	for lateness, want := range map[float64]float64{0: 0.4, 0.5: 0.4, 1: 0.4, 2: 0.2, 8: 0.05} {
+		p := newPacer(nil)
+		p.channel.lateness = lateness
+		assertEqual(t, "channel fraction", p.ordinaryBudget().channel, want)
+	}
+}
+
+func TestUrgentBudgetDependsOnTheHost(t *testing.T) {
+	ejection := control.SetEjected{Replica: 1, Ejected: true}
+	for _, c := range []struct {
+		name    string
+		queues  bool
+		command control.Command
+		want    budget
+	}{
+		{"ejection", false, ejection, urgentBudget},
+		{"ejection, host queues", true, ejection, unlimited},
+		{"admission rate", false, control.SetAdmission{}, urgentBudget},
+		{"admission rate, host queues", true, control.SetAdmission{}, urgentBudget},
+		{"bind without a drain grace", false, control.Bind{}, urgentBudget},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newPacer(func(s *control.Settings) { s.HostQueues = c.queues })
+			assertEqual(t, "budget", p.budgetOfUrgent(c.command), c.want)
+		})
+	}
+}
+
+func TestFirstBindsMayUseWhatHalfOfTheGraceSends(t *testing.T) {
+	const second = int64(time.Second)
+	for _, c := range []struct {
+		name   string
+		grace  int64
+		queues bool
+		want   float64
+	}{
+		{"no grace is known", 0, false, urgentChannelFraction},
+		{"the host queues", 4 * second, true, urgentChannelFraction},
+		{"half of the grace sends little", second, false, ordinaryChannelFraction},
+		{"half of the grace, less the transit", 4 * second, false, 0.75}, // 1500 of 2000 units
+		{"half of the grace sends more than is urgent", 40 * second, false, urgentChannelFraction},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newPacer(func(s *control.Settings) {
+				s.ChannelLimit = 2000
+				s.DrainGrace = c.grace
+				s.HostQueues = c.queues
+			})
+			assertEqual(t, "fraction", p.firstBindFraction(), c.want)
+		})
+	}
+}
+
+func TestGraceFractionNeedsAQueueingHostAndAGrace(t *testing.T) {
+	const second = int64(time.Second)
+	for _, c := range []struct {
+		name   string
+		grace  int64
+		queues bool
+		want   float64
+	}{
+		{"neither", 0, false, 0},
+		{"a grace alone", 4 * second, false, 0},
+		{"a queueing host alone", 0, true, 0},
+		{"a grace shorter than the transit", second / 4, true, 0},
+		{"both", 5 * second / 2, true, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newPacer(func(s *control.Settings) {
+				s.ChannelLimit = 2000
+				s.DrainGrace = c.grace
+				s.HostQueues = c.queues
+			})
+			assertEqual(t, "fraction", p.graceFraction(), c.want)
+		})
+	}
+}
+
+func TestFitTogetherCountsEachMessageOverheadOnce(t *testing.T) {
+	p := withTable(2, nil)
+	p.beginTurn(0)
+	p.turn.waiting = 10
+	commands := []control.Command{control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 1}}
+	const units = 10 + 2*(5+2) // two proxies, each with the overhead, a nonce and two endpoints
+	assertEqual(t, "just fit", p.fitTogether(commands, units/400.0), true)
+	assertEqual(t, "do not fit", p.fitTogether(commands, math.Nextafter(units/400.0, 0)), false)
+}
--- /dev/null
+++ b/policy/pacing/messagecap.go
@@ -0,0 +1,31 @@
+package pacing
+
+import (
+	"slices"
+	"time"
+)
+
+// messageCaps counts the messages to each proxy, as Settings.MaxMessages limits how many a proxy takes within
+// Settings.MessageWindow. The count outlives streams: the proxy's cap does not begin anew when it reconnects.
+type messageCaps struct {
+	sent map[int][]time.Duration // when each message was sent, by proxy
+}
+
+// record counts a message to each of the proxies.
+func (m *messageCaps) record(now time.Duration, recipients []int) {
+	if m.sent == nil {
+		m.sent = map[int][]time.Duration{}
+	}
+	for _, proxy := range recipients {
+		m.sent[proxy] = append(m.sent[proxy], now)
+	}
+}
+
+// count returns how many messages a proxy was sent within the window.
+func (m *messageCaps) count(now, window time.Duration, proxy int) int {
+	if len(m.sent[proxy]) == 0 {
+		return 0
+	}
+	m.sent[proxy] = slices.DeleteFunc(m.sent[proxy], func(sent time.Duration) bool { return now-sent > window })
+	return len(m.sent[proxy])
+}
--- /dev/null
+++ b/policy/pacing/order.go
@@ -0,0 +1,152 @@
+package pacing
+
+import (
+	"slices"
+	"time"
+
+	"lilacbend/control"
+)
+
+// Send sends what the budgets admit, in this order:
+//
+//  1. the rest of tables of which proxies hold only a subset: proxies that lack endpoints come first;
+//  2. the commands of the update's step, in the step's order;
+//  3. all that is urgent, in its queue's order. It comes last as its budget is the largest: what precedes it leaves capacity for it.
+//
+// A command that is held back holds back no other, except where stepPass says so. All commands of a turn to one proxy go in one
+// message, and one nonce covers the turn.
+func (p *Pacer) Send(now time.Duration) Sent {
+	p.beginTurn(now)
+	p.sendRestOfTables()
+	stepCommands := p.sendStep()
+	p.sendUrgent()
+	return p.endTurn(stepCommands)
+}
+
+// sendUrgent sends what it can of the urgent commands.
+func (p *Pacer) sendUrgent() {
+	p.urgent.commands = slices.DeleteFunc(p.urgent.commands, func(command control.Command) bool {
+		if bind, ok := command.(control.Bind); ok && p.graceFraction() > 0 {
+			return p.trySend(p.firstTable(bind), unlimited) // what it may cost bounds its size
+		}
+		return p.trySend(command, p.budgetOfUrgent(command))
+	})
+}
+
+// sendStep sends what it can of the step and returns the commands that were sent.
+func (p *Pacer) sendStep() []control.Command {
+	pass := &stepPass{
+		pacer:         p,
+		additionsLeft: p.step.Additions,
+		overdue:       p.channel.overdue(p.turn.now),
+		staleWeights:  map[uint32]bool{},
+		unejections:   p.warmingUnejections(),
+	}
+	var sent []control.Command
+	p.step.Commands = slices.DeleteFunc(p.step.Commands, func(command control.Command) bool {
+		done := pass.trySend(command)
+		if done {
+			sent = append(sent, command)
+		}
+		return done
+	})
+	p.step.Additions = 0 // what was held back counts as an addition again once the update says so
+	return sent
+}
+
+// stepPass is one pass over the commands of a step. Besides the budget these rules hold commands back:
+//
+//   - While the oldest ack is overdue only additions are sent: ejections must not wait behind changed weights in a slow channel.
+//   - A replica is not unejected while a change of its weights is held back: proxies would pick it by weights of a time when it
+//     may have been warmed up.
+//   - Where warming replicas are to be unejected together (Warming.Together), none is until there is capacity for all, or the channel
+//     is empty. Weights of ejected replicas are not raised before: they rise at each evaluation, and would use up this capacity.
+type stepPass struct {
+	pacer         *Pacer
+	additionsLeft int
+	overdue       bool
+	staleWeights  map[uint32]bool   // replicas with a change of weight that was held back
+	unejections   []control.Command // those of warming replicas, all of them
+	together      togetherDecision
+}
+
+// togetherDecision says whether warming replicas may be unejected. It is made once in a pass, when the first one is due.
+type togetherDecision int
+
+const (
+	undecided togetherDecision = iota
+	allowed
+	heldBack
+)
+
+// trySend sends a command unless a rule or its budget holds it back.
+func (s *stepPass) trySend(command control.Command) bool {
+	addition := s.additionsLeft > 0
+	s.additionsLeft--
+	limit := additionBudget
+	if !addition {
+		limit = s.pacer.ordinaryBudget()
+	}
+	if s.raisesTooEarly(command) {
+		return false
+	}
+	held := s.holdsUnejection(command) || !addition && s.overdue
+	sent := !held && s.pacer.trySend(command, limit)
+	if endpoint, ok := command.(control.SetEndpoint); ok && !sent {
+		s.staleWeights[endpoint.Replica] = true
+	}
+	return sent
+}
+
+// raisesTooEarly says whether a command raises the weight of an endpoint of an ejected replica while warming replicas are to
+// be unejected together.
+func (s *stepPass) raisesTooEarly(command control.Command) bool {
+	endpoint, ok := command.(control.SetEndpoint)
+	if !ok || !s.pacer.warming.Together || !s.pacer.proxies.ejected[endpoint.Replica] {
+		return false
+	}
+	weight := s.pacer.proxies.tables[endpoint.Table][endpoint.Replica]
+	return weight > 0 && endpoint.Weight > weight
+}
+
+// holdsUnejection says whether a command is an unejection that has to wait for other commands.
+func (s *stepPass) holdsUnejection(command control.Command) bool {
+	unejection, ok := command.(control.SetEjected)
+	if !ok {
+		return false
+	}
+	if s.staleWeights[unejection.Replica] {
+		return true
+	}
+	return s.pacer.warming.Together && s.pacer.warming.Replicas[unejection.Replica] && !s.mayUnejectTogether()
+}
+
+// mayUnejectTogether says whether all warming replicas of the step can be unejected.
+func (s *stepPass) mayUnejectTogether() bool {
+	if s.together == undecided {
+		s.together = heldBack
+		if !s.anyStale() && (s.pacer.turn.waiting+s.pacer.turn.units == 0 || s.pacer.fitTogether(s.unejections, ordinaryChannelFraction)) {
+			s.together = allowed
+		}
+	}
+	return s.together == allowed
+}
+
+// anyStale says whether a change of weight of any warming replica that is to be unejected was held back.
+func (s *stepPass) anyStale() bool {
+	return slices.ContainsFunc(s.unejections, func(command control.Command) bool {
+		unejection, ok := command.(control.SetEjected)
+		return ok && s.staleWeights[unejection.Replica]
+	})
+}
+
+// warmingUnejections returns the commands of the step that uneject warming replicas.
+func (p *Pacer) warmingUnejections() []control.Command {
+	var unejections []control.Command
+	for _, command := range p.step.Commands {
+		if c, ok := command.(control.SetEjected); ok && !c.Ejected && p.warming.Replicas[c.Replica] {
+			unejections = append(unejections, c)
+		}
+	}
+	return unejections
+}
--- /dev/null
+++ b/policy/pacing/order_test.go
@@ -0,0 +1,170 @@
+package pacing
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"lilacbend/control"
+)
+
+// An ejected replica still has endpoints, with weights of a time when it was warmed up.
+func TestReplicaIsNotUnejectedWhileAChangeOfItsWeightIsHeldBack(t *testing.T) {
+	p := newPacer(func(s *control.Settings) { s.MaxMessages = 4 })
+	for proxy := range 2 {
+		p.proxies.bind(proxy, proxy)
+		p.proxies.tables[proxy] = map[uint32]float64{1: 1}
+	}
+	atCap(p, 0, 3) // may get no more
+	p.SetStep(Step{Additions: 4, Commands: []control.Command{
+		control.SetEndpoint{Table: 1, Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.2},
+		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.2}, control.SetEjected{Replica: 1}}})
+	sent := p.Send(0)
+	assertEqual(t, "unejections", len(ofType[control.SetEjected](sent.Commands)), 0)
+	assertEqual(t, "weights of the other tables", len(ofType[control.SetEndpoint](sent.Commands)), 2)
+}
+
+// Where warming replicas are unejected together a weight that rises goes out only once its replica is unejected: weights rise at each
+// evaluation, and would leave no capacity for the unejection.
+func TestRaisedWeightWaitsForTheUnejectionWhereWarmingReplicasReturnTogether(t *testing.T) {
+	p := newPacer(func(s *control.Settings) { s.MaxMessages = 4 })
+	p.proxies.tables = map[int]map[uint32]float64{0: {1: 0.2}, 1: {1: 0.4}, 2: {}}
+	for table := range 3 {
+		p.proxies.bind(table, table)
+	}
+	p.proxies.ejected[1] = true
+	p.SetWarming(Warming{Together: true})
+	atCap(p, 2, 3) // the addition to its table is held back, and the unejection with it
+	p.SetStep(Step{Additions: 4, Commands: []control.Command{
+		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.3}, control.SetEndpoint{Table: 1, Replica: 1, Weight: 0.3},
+		control.SetEjected{Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.3}}})
+	for _, c := range ofType[control.SetEndpoint](p.Send(0).Commands) {
+		if c.Table == 0 {
+			t.Errorf("%v raises the weight of an ejected replica", c)
+		}
+	}
+	p.messages = messageCaps{}
+	sent := p.Send(0)
+	assertEqual(t, "unejections", len(ofType[control.SetEjected](sent.Commands)), 1)
+	assertEqual(t, "left in the step", len(p.step.Commands), 0)
+}
+
+func TestWarmingReplicasAreUnejectedTogether(t *testing.T) {
+	const warming = 12
+	full := batch{nonce: 1, units: 100, due: time.Second}
+	unejected := func(p *Pacer) int { return len(ofType[control.SetEjected](p.Send(0).Commands)) }
+	returning := func(limit int) *Pacer {
+		p := withTable(10, func(s *control.Settings) { s.ChannelLimit = limit })
+		p.warming = Warming{Replicas: map[uint32]bool{}, Together: true}
+		p.step.Additions = warming
+		for replica := range uint32(warming) {
+			p.warming.Replicas[replica] = true
+			p.proxies.ejected[replica] = true
+			p.step.Commands = append(p.step.Commands, control.SetEjected{Replica: replica})
+		}
+		return p
+	}
+	t.Run("all if there is capacity for all", func(t *testing.T) {
+		p := returning(450) // 120 units and ten message overheads are under 0.4 of it
+		assertEqual(t, "unejected", unejected(p), warming)
+	})
+	t.Run("none while some would have no capacity, then all", func(t *testing.T) {
+		p := returning(450)
+		p.channel.add(full)
+		assertEqual(t, "unejected while the channel is full", unejected(p), 0)
+		p.channel = channelAccount{}
+		assertEqual(t, "unejected once it is empty", unejected(p), warming)
+	})
+	t.Run("one by one where they need not return together", func(t *testing.T) {
+		p := returning(450)
+		p.warming.Together = false
+		p.channel.add(full)
+		assertEqual(t, "some are unejected", unejected(p) > 0, true)
+	})
+	t.Run("as many as an empty channel has capacity for", func(t *testing.T) {
+		p := returning(300)
+		some := unejected(p)
+		assertEqual(t, "some, not all", some > 0 && some < warming, true)
+	})
+	t.Run("none while a weight of one of them is too high", func(t *testing.T) {
+		p := returning(4000)
+		p.settings.MaxMessages = 4
+		p.step.Commands = append([]control.Command{control.SetEndpoint{Table: 1, Replica: 3, Weight: 0.1}}, p.step.Commands...)
+		p.step.Additions++
+		p.proxies.tables[1] = map[uint32]float64{3: 0.5}
+		p.proxies.bind(11, 1)
+		atCap(p, 11, 3)
+		assertEqual(t, "unejected", unejected(p), 0)
+	})
+}
+
+func TestCommandHeldBackHoldsBackNoOther(t *testing.T) {
+	p := withTable(2, func(s *control.Settings) { s.MaxMessages = 4 })
+	p.proxies.tables[1] = map[uint32]float64{}
+	atCap(p, 0, 3)
+	p.proxies.bind(1, 1)
+	p.SetStep(Step{Additions: 2, Commands: []control.Command{
+		control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Table: 1, Replica: 1, Weight: 1}}})
+	sent := p.Send(0)
+	assertEqual(t, "sent", len(sent.StepCommands), 1)
+	assertEqual(t, "the other table's endpoint", sent.StepCommands[0].(control.SetEndpoint).Table, 1)
+	assertEqual(t, "left in the step", len(p.step.Commands), 1)
+}
+
+func TestOnlyAdditionsAreSentWhileAnAckIsOverdue(t *testing.T) {
+	p := withTable(2, nil)
+	p.channel.add(batch{nonce: 1, units: 10, due: time.Second})
+	p.SetStep(Step{Additions: 1, Commands: []control.Command{
+		control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 0.5}}})
+	sent := ofType[control.SetEndpoint](p.Send(20 * time.Second).Commands)
+	assertEqual(t, "sent", len(sent), 1)
+	assertEqual(t, "the addition", sent[0].Replica, uint32(1))
+}
+
+func TestTurnSendsStepThenUrgentThenNonce(t *testing.T) {
+	p := withTable(1, nil)
+	p.Connected(1, 1)
+	p.Bind(control.Bind{Proxy: 1})
+	p.SetAdmission(control.SetAdmission{Class: 1, Fraction: 0.5})
+	p.Eject(5)
+	p.Eject(6)
+	p.SetStep(Step{Commands: []control.Command{control.SetEndpoint{Replica: 1, Weight: 2}}})
+	sent := p.Send(0)
+	want := []control.Command{control.SetEndpoint{Replica: 1, Weight: 2}, control.SetEjected{Replica: 6, Ejected: true},
+		control.SetEjected{Replica: 5, Ejected: true}, control.Bind{Proxy: 1},
+		control.SetAdmission{Class: 1, Fraction: 0.5}, control.RequestAck{Nonce: 1}}
+	assertEqual(t, "commands", reflect.DeepEqual(sent.Commands, want), true)
+	assertEqual(t, "commands of the step", reflect.DeepEqual(sent.StepCommands, want[:1]), true)
+	assertEqual(t, "proxies", reflect.DeepEqual(sent.Proxies, []int{0, 1}), true)
+	assertEqual(t, "nonce", sent.Nonce, uint64(1))
+}
+
+func TestNoAckIsRequestedWhereNoProxyIsReached(t *testing.T) {
+	p := newPacer(nil)
+	p.SetStep(Step{Additions: 1, Commands: []control.Command{control.SetEndpoint{Replica: 1, Weight: 1}}})
+	sent := p.Send(0)
+	assertEqual(t, "commands", len(sent.Commands), 1)
+	assertEqual(t, "nonce", sent.Nonce, uint64(0))
+	assertEqual(t, "waiting", p.Waiting(0), 0.0)
+}
+
+func TestNonceOfACommandIsMasked(t *testing.T) {
+	p := withTable(1, nil)
+	p.nonce = NonceMask
+	p.Eject(1)
+	sent := p.Send(0)
+	assertEqual(t, "nonce", sent.Nonce, uint64(NonceMask+1))
+	assertEqual(t, "its bits in the command", ofType[control.RequestAck](sent.Commands)[0].Nonce, uint64(0))
+}
+
+func TestProxyIsNotBoundBeforeItsTableHasEndpoints(t *testing.T) {
+	p := withTable(1, nil)
+	table := p.proxies.tables[0]
+	p.proxies.tables[0] = nil
+	p.Bind(control.Bind{Proxy: 0, Table: 0})
+	p.Bind(control.Bind{Proxy: 99, Table: 0}) // was never connected
+	assertEqual(t, "binds", len(ofType[control.Bind](p.Send(0).Commands)), 0)
+	assertEqual(t, "queued, without the proxy that is not connected", p.urgent.len(), 1)
+	p.proxies.tables[0] = table
+	assertEqual(t, "binds", len(ofType[control.Bind](p.Send(0).Commands)), 1)
+}
--- /dev/null
+++ b/policy/pacing/partition.go
@@ -0,0 +1,69 @@
+package pacing
+
+import (
+	"cmp"
+	"slices"
+
+	"lilacbend/policy/internal/ordered"
+)
+
+// partition divides a table into subsets. Each replica is in exactly one, and all subsets weigh nearly the same. Endpoints keep
+// their weights, so a replica gets from all subsets together what it would get from complete tables.
+type partition struct {
+	subsets  [][]uint32
+	requests []float64      // a second, that proxies send to each subset by the subsets that they hold
+	subsetOf map[uint32]int // of each replica
+}
+
+// newPartition divides the replicas of a table, but those that are excluded, into as few subsets as have at most size replicas
+// each. The heaviest replica that is left always goes to the lightest subset that has capacity.
+func newPartition(weights map[uint32]float64, excluded map[uint32]bool, size int) *partition {
+	replicas := slices.DeleteFunc(ordered.Keys(weights), func(replica uint32) bool { return excluded[replica] })
+	slices.SortStableFunc(replicas, func(a, b uint32) int { return cmp.Compare(weights[b], weights[a]) })
+	count := (len(replicas) + size - 1) / size
+	p := &partition{
+		subsets:  make([][]uint32, count),
+		requests: make([]float64, count),
+		subsetOf: map[uint32]int{},
+	}
+	sums := make([]float64, count)
+	for _, replica := range replicas {
+		lightest := p.lightest(sums, size)
+		p.subsets[lightest] = append(p.subsets[lightest], replica)
+		p.subsetOf[replica] = lightest
+		sums[lightest] += weights[replica]
+	}
+	return p
+}
+
+// lightest returns the subset with the least weight among those with fewer than size replicas.
+func (p *partition) lightest(sums []float64, size int) int {
+	lightest := -1
+	for k := range p.subsets {
+		if len(p.subsets[k]) < size && (lightest < 0 || sums[k] < sums[lightest]) {
+			lightest = k
+		}
+	}
+	return lightest
+}
+
+// addRequests counts the requests a second of a proxy that holds some of the replicas: equal parts go to each.
+func (p *partition) addRequests(held map[uint32]bool, rate float64) {
+	for replica := range held {
+		if k, ok := p.subsetOf[replica]; ok {
+			p.requests[k] += rate / float64(len(held))
+		}
+	}
+}
+
+// assign returns the subset with the fewest requests and counts those of a further proxy to it.
+func (p *partition) assign(rate float64) []uint32 {
+	least := 0
+	for k := range p.requests {
+		if p.requests[k] < p.requests[least] {
+			least = k
+		}
+	}
+	p.requests[least] += rate
+	return p.subsets[least]
+}
--- /dev/null
+++ b/policy/pacing/partition_test.go
@@ -0,0 +1,63 @@
+package pacing
+
+import (
+	"math"
+	"slices"
+	"testing"
+)
+
+func TestPartitionHoldsEachReplicaOnceAndWeighsAlike(t *testing.T) {
+	weights := map[uint32]float64{}
+	excluded := map[uint32]bool{7: true, 31: true}
+	heaviest, total := 0.0, 0.0
+	for replica := range uint32(70) {
+		weights[replica] = 0.1 + float64(replica%9)/8
+		heaviest = math.Max(heaviest, weights[replica])
+		total += weights[replica]
+	}
+	for size := 1; size <= 80; size += 3 {
+		subsets := newPartition(weights, excluded, size).subsets
+		assertEqual(t, "as few as can be", len(subsets), (68+size-1)/size)
+		seen := map[uint32]bool{}
+		least, most := math.Inf(1), 0.0
+		for _, subset := range subsets {
+			for _, replica := range subset {
+				if seen[replica] || excluded[replica] {
+					t.Errorf("size %d: %d is in two subsets, or in one though it is excluded", size, replica)
+				}
+				seen[replica] = true
+			}
+			assertEqual(t, "no larger than may be", len(subset) <= size, true)
+			least = math.Min(least, weigh(weights, subset))
+			most = math.Max(most, weigh(weights, subset))
+		}
+		assertEqual(t, "replicas", len(seen), 68)
+		if full := 68%size == 0 || len(subsets) == 1; size > 3 && full && most-least > heaviest {
+			t.Errorf("size %d: subsets weigh from %v to %v", size, least, most)
+		}
+	}
+	subsets := newPartition(weights, nil, 10).subsets
+	if len(subsets) != 7 || math.Abs(weigh(weights, subsets[0])-total/7) > heaviest/2 {
+		t.Errorf("%d subsets, the first weighs %v of %v", len(subsets), weigh(weights, subsets[0]), total)
+	}
+	assertEqual(t, "subsets of an empty table", len(newPartition(nil, nil, 3).subsets), 0)
+}
+
+func weigh(weights map[uint32]float64, subset []uint32) float64 {
+	sum := 0.0
+	for _, replica := range subset {
+		sum += weights[replica]
+	}
+	return sum
+}
+
+func TestPartitionAssignsTheSubsetWithTheFewestRequests(t *testing.T) {
+	p := newPartition(equalWeights(6), nil, 2) // {0, 3}, {1, 4}, {2, 5}
+	p.addRequests(map[uint32]bool{0: true, 3: true}, 10)
+	p.addRequests(map[uint32]bool{1: true, 2: true, 99: true}, 6) // 99 is in no subset any more
+	for k, want := range [][]uint32{{1, 4}, {2, 5}, {1, 4}, {1, 4}} {
+		if got := p.assign(float64(2 + 2*(k%2))); !slices.Equal(got, want) {
+			t.Errorf("proxy %d: got %v, want %v", k, got, want)
+		}
+	}
+}
--- /dev/null
+++ b/policy/pacing/subset.go
@@ -0,0 +1,156 @@
+package pacing
+
+import (
+	"cmp"
+	"math"
+	"slices"
+
+	"lilacbend/control"
+	"lilacbend/policy/internal/ordered"
+)
+
+// subset is what a proxy holds that was given only a subset of its table first.
+//
+// A proxy that connects knows nothing valid: within the drain grace it needs a table without the replicas that are ejected.
+// In a reconnect storm complete tables for all proxies would take longer than the grace, and ejections would wait behind them.
+// So where the host queues and the grace is known, a proxy gets only a subset of its table first if the complete table costs
+// more than its share of what the channel sends within the grace (firstTableUnits). The grace is divided:
+//
+//	3/8   first tables of all proxies that are not bound yet, in equal shares
+//	3/8   less what waits in the channel: first tables of the proxies that are to be bound in this turn, in equal shares; so a few
+//	      proxies get complete tables at once
+//	1/4   ejections for the proxies that are bound; rests of tables, while no more than this waits
+//
+// A proxy gets the rest of its table when nothing urgent waits and completionBudget has capacity. If more than half of its
+// subset has been ejected or removed before, the subset is renewed at once (minSubsetLeft).
+type subset struct {
+	replicas map[uint32]bool // those that were neither ejected nor removed since
+	given    int             // how many there were
+}
+
+const (
+	reservedGraceFraction   = 3.0 / 8
+	sharedGraceFraction     = 3.0 / 8
+	completionGraceFraction = 1.0 / 4
+
+	// minSubset is the least number of replicas in a subset. So many are also unejected with it: an earlier
+	// controller may have ejected them, and the proxy must not be left without any endpoint.
+	minSubset = 3
+	// minSubsetLeft is the fraction of a subset below which it is renewed.
+	minSubsetLeft = 0.5
+	// subsetMessageUnits is what a message with a subset costs besides the overhead and its replicas: the nonce and the binding.
+	subsetMessageUnits = 2
+)
+
+func newSubset(replicas []uint32) *subset {
+	s := &subset{replicas: map[uint32]bool{}, given: len(replicas)}
+	for _, replica := range replicas {
+		s.replicas[replica] = true
+	}
+	return s
+}
+
+// left is the fraction of the subset that was neither ejected nor removed.
+func (s *subset) left() float64 { return float64(len(s.replicas)) / float64(max(1, s.given)) }
+
+func (s *subset) needsRenewal() bool { return s.left() < minSubsetLeft }
+
+// firstTableUnits is how many cost units the first table of one proxy may take in this turn.
+func (p *Pacer) firstTableUnits() float64 {
+	grace := p.graceFraction() * float64(p.settings.ChannelLimit)
+	unbound := p.settings.Proxies - p.proxies.withCompleteTable()
+	reserved := reservedGraceFraction * grace / float64(max(1, unbound))
+	shared := math.Max(0, sharedGraceFraction*grace-p.turn.waiting)
+	return reserved + shared/float64(1+p.urgent.len())
+}
+
+// subsetSize is how many replicas fit into the first table of a proxy.
+func (p *Pacer) subsetSize() int {
+	units := int(p.turn.firstTableUnits) - p.settings.MessageOverhead - subsetMessageUnits
+	return max(minSubset, units-p.proxies.limitedClasses()-minSubset)
+}
+
+// firstTable returns the command that gives a proxy its first table: complete, or a subset if the complete table costs more
+// than its share. The subset is the one to which the proxies that hold it send the fewest requests: together they load the
+// table evenly.
+func (p *Pacer) firstTable(bind control.Bind) control.Command {
+	units := float64(p.tableUnits(bind.Table) + p.settings.MessageOverhead + 1)
+	partition := p.partition(bind.Table)
+	if len(partition.subsets) == 0 || p.turn.firstTableUnits > units {
+		return bind
+	}
+	return control.BindSubset{
+		Proxy:     bind.Proxy,
+		Table:     bind.Table,
+		Replicas:  partition.assign(p.proxies.requestRate(bind.Proxy)),
+		Unejected: minSubset,
+	}
+}
+
+// partition returns how a table is divided in this turn: as the table stands when the first proxy of the turn needs a subset.
+func (p *Pacer) partition(table int) *partition {
+	if known := p.turn.partitions[table]; known != nil {
+		return known
+	}
+	weights := p.proxies.subsetCandidates(table, p.warming.Replicas)
+	made := newPartition(weights, p.proxies.ejected, p.subsetSize())
+	for _, proxy := range ordered.Keys(p.proxies.subsets) {
+		if p.proxies.bindings[proxy] == table {
+			made.addRequests(p.proxies.subsets[proxy].replicas, p.proxies.requestRate(proxy))
+		}
+	}
+	p.turn.partitions[table] = made
+	return made
+}
+
+// completionBudget is the budget of the rest of a table after a subset.
+func (p *Pacer) completionBudget() budget {
+	return budget{completionGraceFraction * p.graceFraction(), additionMessageFraction}
+}
+
+// sendRestOfTables renews subsets that have lost too much, and completes tables as far as the budget goes.
+func (p *Pacer) sendRestOfTables() {
+	for _, proxy := range p.proxies.holdingSubsets() {
+		bind := control.Bind{Proxy: proxy, Table: p.proxies.bindings[proxy]}
+		if p.proxies.subsets[proxy].needsRenewal() {
+			p.trySend(p.firstTable(bind), unlimited)
+			continue
+		}
+		if p.urgent.len() > 0 || !p.trySend(bind, p.completionBudget()) {
+			return
+		}
+	}
+}
+
+// holdingSubsets returns the proxies that hold only a subset of their table, those first that have least of it left.
+func (s *proxyStates) holdingSubsets() []int {
+	holders := ordered.Keys(s.subsets)
+	slices.SortStableFunc(holders, func(a, b int) int {
+		return cmp.Compare(s.subsets[a].left(), s.subsets[b].left())
+	})
+	return holders
+}
+
+// subsetCandidates returns the endpoints of a table that subsets are made of: those that are not warming up, while they have half of
+// the weight of all that are not ejected; all endpoints otherwise. Half of a subset may be ejected, and a proxy may send more
+// than it forecast: a warming replica in a subset could get several times the load that its weight is meant for.
+func (s *proxyStates) subsetCandidates(table int, warming map[uint32]bool) map[uint32]float64 {
+	warmedUp := map[uint32]float64{}
+	warmedUpWeight := 0.0
+	totalWeight := 0.0
+	for _, replica := range ordered.Keys(s.tables[table]) {
+		if s.ejected[replica] {
+			continue
+		}
+		weight := s.tables[table][replica]
+		totalWeight += weight
+		if !warming[replica] {
+			warmedUp[replica] = weight
+			warmedUpWeight += weight
+		}
+	}
+	if warmedUpWeight < totalWeight/2 {
+		return s.tables[table]
+	}
+	return warmedUp
+}
--- /dev/null
+++ b/policy/pacing/urgent.go
@@ -0,0 +1,59 @@
+package pacing
+
+import (
+	"slices"
+
+	"lilacbend/control"
+)
+
+// urgentQueue holds the commands that must not wait for the update: ejections, the latest first; then first binds and admission
+// rates in the order in which they came.
+type urgentQueue struct {
+	commands []control.Command
+}
+
+func (q *urgentQueue) len() int { return len(q.commands) }
+
+func (q *urgentQueue) add(command control.Command) { q.commands = append(q.commands, command) }
+
+// eject puts an ejection before everything else.
+func (q *urgentQueue) eject(replica uint32) {
+	var ejection control.Command = control.SetEjected{Replica: replica, Ejected: true}
+	q.commands = slices.Insert(q.commands, 0, ejection)
+}
+
+// cancelEjection drops the ejections of a replica that is unejected now: sent later, they would undo it.
+func (q *urgentQueue) cancelEjection(replica uint32) {
+	ejection := control.SetEjected{Replica: replica, Ejected: true}
+	q.commands = slices.DeleteFunc(q.commands, func(command control.Command) bool {
+		return command == control.Command(ejection)
+	})
+}
+
+func (q *urgentQueue) cancelBinds() { q.commands = withoutBinds(q.commands) }
+
+// withoutBinds removes all binds from a list of commands.
+func withoutBinds(commands []control.Command) []control.Command {
+	return slices.DeleteFunc(commands, func(command control.Command) bool {
+		_, ok := command.(control.Bind)
+		return ok
+	})
+}
+
+// renumberClasses gives the admission rates the new numbers of their traffic classes, and drops those of classes that no
+// longer exist.
+func (q *urgentQueue) renumberClasses(newClasses []int) {
+	var kept []control.Command
+	for _, command := range q.commands {
+		admission, ok := command.(control.SetAdmission)
+		if !ok {
+			kept = append(kept, command)
+			continue
+		}
+		admission.Class = newClass(newClasses, admission.Class)
+		if admission.Class >= 0 {
+			kept = append(kept, admission)
+		}
+	}
+	q.commands = kept
+}
