--- a/policy/messages.go
+++ b/policy/messages.go
@@ -60,14 +60,14 @@
 		replicas map[uint32]bool
 		together bool
 	}
-	updateStep struct { // sequence to pacer: what the open step still has to send
-		adds   int // the first so many are additions
-		orders []control.Command
+	updateStep struct { // update to pacing: what the open step has to send
+		additions int // so many of the first commands are additions
+		commands  []control.Command
 	}
-	messagesSent struct { // pacer to registry and sequence: what went out, to whom, under which mark
-		mark    uint64
-		proxies []int
-		orders  []control.Command
+	messagesSent struct { // pacing to update and binding: what a turn has sent
+		nonce    uint64            // that the proxies are asked to acknowledge; 0: there are none
+		proxies  []int             // that got messages, ascending
+		commands []control.Command // of the update's step
 	}
 	acknowledged struct { // registry to pacer and sequence: somebody applied all up to the mark, or all have, or have left
 		mark      uint64
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -15,7 +15,7 @@
 	g.Settings = e.Settings
 	p.renumberKinds(e.NewHardwareClasses, before.HardwareClasses)
 	l.renumberGroups(e.NewClasses)
-	g.queues[pacingComponent].component.(*pacer).renumberGroups(e.NewClasses)
+	g.queues[pacingComponent].component.(*pacer).reconfigure(e.NewClasses)
 	r.renumberZones(e.Proxies)
 	g.listed(control.ReplicasListed{Entries: slices.DeleteFunc(e.Replicas, g.asKnown)})
 	g.deliverAll()
@@ -65,15 +65,10 @@
 
 // recallBinds drops the bindings that wait, and says where each proxy is bound; below 0: nowhere yet.
 func (g *Policy) recallBinds() map[int]int {
-	s, p := g.queues[updateComponent].component.(*updater), g.queues[pacingComponent].component.(*pacer)
-	clear(s.moves)
-	waits := func(o control.Command) bool {
-		_, is := o.(control.Bind)
-		return is
-	}
-	p.urgent = slices.DeleteFunc(p.urgent, waits)
-	p.step.orders = slices.DeleteFunc(p.step.orders, waits)
-	return p.bound
+	g.queues[updateComponent].component.(*updater).sequence.CancelRebinds()
+	sender := g.queues[pacingComponent].component.(*pacer).sender
+	sender.CancelBinds()
+	return sender.Bindings()
 }
 
 // number is the new number of an old one, below 0 where there is none.
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -66,7 +66,7 @@
 	p, r, l := g.parts()
 	l.line, l.set[2] = 2.5, control.SetAdmission{Table: control.AllTables, Class: 2, Fraction: 0.5}
 	before := g.learned()
-	own, laid := maps.Clone(p.own), maps.Clone(g.queues[updateComponent].component.(*updater).laid)
+	own, weights := maps.Clone(p.own), g.queues[updateComponent].component.(*updater).sequence.Weights()
 	e.DrainGrace, e.ReportInterval, e.Proxies = 9*second, second, slices.Clone(e.Proxies)
 	e.Settings.Proxies--
 	e.Classes = []control.TrafficClass{e.Classes[2], e.Classes[0], e.Classes[1]}
@@ -78,7 +78,7 @@
 	after := g.learned()
 	want(t, "bindings", len(orders[control.Bind](out)), 0)
 	want(t, "tables", reflect.DeepEqual(own, p.own), true)
-	want(t, "lines", reflect.DeepEqual(laid, g.queues[updateComponent].component.(*updater).laid), true)
+	want(t, "weights", reflect.DeepEqual(weights, g.queues[updateComponent].component.(*updater).sequence.Weights()), true)
 	want(t, "seats", reflect.DeepEqual(before.Bindings, after.Bindings), true)
 	want(t, "replicas", reflect.DeepEqual(before.Replicas, after.Replicas), true)
 	want(t, "answer times", reflect.DeepEqual([][]float64{before.BaselineResponseTimes[1], before.BaselineResponseTimes[0]}, after.BaselineResponseTimes[:2]), true)
@@ -153,9 +153,10 @@
 	} {
 		g, e := running(t)
 		p, r, _ := g.parts()
-		g.queues[updateComponent].component.(*updater).moves[3] = 1
-		pacer := g.queues[pacingComponent].component.(*pacer)
-		pacer.urgent = append(pacer.urgent, control.Bind{Proxy: 5, Table: 1})
+		sequence := g.queues[updateComponent].component.(*updater).sequence
+		sequence.Rebind(control.Bind{Proxy: 3, Table: 1})
+		sender := g.queues[pacingComponent].component.(*pacer).sender
+		sender.Bind(control.Bind{Proxy: 5, Table: 1})
 		change(&e)
 		fresh := New(e.Settings)
 		fresh.Turn(g.now, []control.Event{control.ReplicasListed{Full: true, Entries: e.Replicas}})
@@ -175,8 +176,8 @@
 		}
 		for proxy, c := range r.here {
 			want(t, what+": a proxy's row", c.table%row, c.Zone%row)
-			want(t, fmt.Sprintf("%s: the table of proxy %d", what, proxy), pacer.bound[proxy], r.boundTo[c.table])
+			want(t, fmt.Sprintf("%s: the table of proxy %d", what, proxy), sender.Bindings()[proxy], r.boundTo[c.table])
 		}
-		want(t, what+": moves left", len(g.queues[updateComponent].component.(*updater).moves), 0)
+		want(t, what+": rebinds left", sequence.Rebinds(), 0)
 	}
 }
--- a/policy/registry.go
+++ b/policy/registry.go
@@ -4,6 +4,7 @@
 	"lilacbend/control"
 	"lilacbend/policy/internal/ordered"
 	"lilacbend/policy/internal/zone"
+	"lilacbend/policy/pacing"
 	"math"
 	"slices"
 )
@@ -43,7 +44,7 @@
 	case streamClosed:
 		r.drop(n.Proxy)
 	case ackReceived:
-		mark := r.last - (r.last-n.Nonce)&marksMask // marks go round on the way
+		mark := r.last - (r.last-n.Nonce)&pacing.NonceMask // marks go round on the way
 		r.enqueue(pacingComponent, acknowledged{mark: mark})
 		r.acknowledge(n.Proxy, mark)
 	case messagesSent:
@@ -112,9 +113,9 @@
 
 // await notes whose answers to a mark are missing.
 func (r *binder) await(n messagesSent) {
-	r.last, r.wait[n.mark] = n.mark, map[int]bool{}
+	r.last, r.wait[n.nonce] = n.nonce, map[int]bool{}
 	for _, proxy := range n.proxies {
-		r.wait[n.mark][proxy] = true
+		r.wait[n.nonce][proxy] = true
 	}
 }
 
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -7,6 +7,9 @@
 import (
 	"lilacbend/control"
 	"lilacbend/policy/internal/ordered"
+	"lilacbend/policy/pacing"
+	"lilacbend/policy/update"
+	"time"
 )
 
 const (
@@ -31,11 +34,8 @@
 		placementComponent: {component: &planner{sharedState: d, calm: map[int][]float64{},
 			own: map[uint32]int{}, laid: map[uint32]int{}, offers: map[uint32]replicaStatus{}}},
 		admissionComponent: {component: &admissionController{sharedState: d, set: map[int]control.SetAdmission{}}},
-		updateComponent: {component: &updater{sharedState: d, laid: map[tableEndpoint]float64{}, out: map[uint32]bool{},
-			moves: map[int]int{}, open: map[uint64]int64{}}},
-		pacingComponent: {component: &pacer{sharedState: d, bound: map[int]int{}, members: map[int][]int{}, laid: map[int]map[uint32]float64{},
-			sendTimes: map[int][]int64{}, partial: map[int]*partial{}, rates: map[int]float64{},
-			ejected: map[uint32]bool{}, leveled: map[int]bool{}}},
+		updateComponent:    {component: &updater{sharedState: d, sequence: update.New()}},
+		pacingComponent:    {component: &pacer{sharedState: d, sender: pacing.New(p, time.Duration(beat))}},
 	}
 	return g
 }
--- a/policy/updater_test.go
+++ b/policy/updater_test.go
@@ -1,80 +1,63 @@
 package policy
 
 import (
-	"fmt"
-	"lilacbend/control"
+	"reflect"
 	"testing"
-)
 
-func steering(g *Policy, laid, wanted map[tableEndpoint]float64, out map[uint32]bool) *updater {
-	s := g.queues[updateComponent].component.(*updater)
-	s.laid, s.want, s.out = laid, targetTables{wanted, map[uint32]bool{}}, out
-	return s
-}
+	"lilacbend/control"
+)
 
-func TestStepsComeInOrderTheLargestFirst(t *testing.T) {
-	g := at(0)
-	s := steering(g, map[tableEndpoint]float64{{0, 1}: 1, {0, 2}: 1, {0, 3}: 1},
-		map[tableEndpoint]float64{{0, 1}: 0.5, {0, 2}: 0.1, {0, 4}: 1}, map[uint32]bool{})
-	s.moves[5] = 1
-	want(t, "add", s.orders(add)[0], control.Command(control.SetEndpoint{Replica: 4, Weight: 1}))
-	want(t, "overwrite", s.orders(overwrite)[0], control.Command(control.SetEndpoint{Replica: 2, Weight: 0.1}))
-	want(t, "rebind", s.orders(rebind)[0], control.Command(control.Bind{Proxy: 5, Table: 1}))
-	want(t, "remove", s.orders(remove)[0], control.Command(control.SetEndpoint{Replica: 3}))
-	s.open[1] = 0
-	s.at = remove
-	s.proceed()
+// lastStep is what the update has to send, as pacing was told last.
+func lastStep(t *testing.T, g *Policy) updateStep {
+	t.Helper()
 	steps := mail[updateStep](g, pacingComponent)
-	want(t, "removals wait for additions", len(steps[0].orders), 1)
-	s.at = overwrite
-	s.proceed()
-	want(t, "additions fold in", len(mail[updateStep](g, pacingComponent)[1].orders), 3)
-}
-
-// A proxy whose rebinding is held up, by its cap of messages, keeps its old lines until it has been told of the new ones.
-func TestRemovalsWaitForMoves(t *testing.T) {
-	g := at(0)
-	s := steering(g, map[tableEndpoint]float64{{0, 1}: 1, {1, 1}: 1}, map[tableEndpoint]float64{{1, 1}: 1}, map[uint32]bool{})
-	s.moves[5], s.at, s.sent = 1, rebind, true // others were moved, and have answered
-	s.proceed()
-	for _, o := range mail[updateStep](g, pacingComponent)[0].orders {
-		if l, is := o.(control.SetEndpoint); is && l.Weight == 0 {
-			t.Errorf("%v is ordered before the move", l)
-		}
-	}
-	for range steps {
-		s.proceed()
-	}
-	delete(s.moves, 5)
-	for range steps {
-		s.proceed()
+	if len(steps) == 0 {
+		t.Fatal("pacing was told of no step")
 	}
-	all := mail[updateStep](g, pacingComponent)
-	want(t, "then it is", fmt.Sprint(all[len(all)-1].orders), fmt.Sprint([]control.Command{control.SetEndpoint{Replica: 1}}))
+	return steps[len(steps)-1]
 }
 
-func TestAnAnsweredStepIsOverThoughMoreHasChanged(t *testing.T) {
-	s := steering(at(0), map[tableEndpoint]float64{{0, 1}: 1, {0, 2}: 1}, map[tableEndpoint]float64{{0, 1}: 0.5}, map[uint32]bool{})
-	s.at, s.sent = overwrite, true
-	s.proceed()
-	want(t, "removals come", s.at, remove)
+func wantStep(t *testing.T, what string, g *Policy, additions int, commands ...control.Command) {
+	t.Helper()
+	got := lastStep(t, g)
+	if got.additions != additions || len(got.commands) != len(commands) ||
+		len(commands) > 0 && !reflect.DeepEqual(got.commands, commands) {
+		t.Errorf("%s: got %v, want %d additions, %v", what, got, additions, commands)
+	}
 }
 
-func TestARemovalOfWhoIsBackNeverLeaves(t *testing.T) {
-	s := steering(at(0), map[tableEndpoint]float64{{0, 1}: 1}, map[tableEndpoint]float64{}, map[uint32]bool{1: true})
-	s.want.out[1] = true // gone, and not back yet
-	want(t, "queued", len(s.orders(remove)), 1)
-	s.handle(targetTables{map[tableEndpoint]float64{{0, 1}: 1}, map[uint32]bool{}})
-	want(t, "dropped", len(s.orders(remove)), 0)
-	want(t, "lifted", s.orders(add)[0], control.Command(control.SetEjected{Replica: 1}))
+func TestUpdaterReportsItsStepAfterEachChange(t *testing.T) {
+	g := at(0)
+	u := g.queues[updateComponent].component.(*updater)
+	addition := control.SetEndpoint{Table: 1, Replica: 2, Weight: 0.5}
+	bind := control.Bind{Proxy: 3, Table: 1}
+	u.handle(targetTables{map[tableEndpoint]float64{{1, 2}: 0.5}, map[uint32]bool{9: true, 8: true}})
+	wantStep(t, "target tables", g, 1, addition)
+	u.handle(bindRequested{bind})
+	wantStep(t, "additions come before rebinds", g, 1, addition)
+	steps := len(mail[updateStep](g, pacingComponent))
+	u.handle(messagesSent{nonce: 7, proxies: []int{3}, commands: []control.Command{addition}})
+	want(t, "steps reported for what was sent", len(mail[updateStep](g, pacingComponent)), steps)
+	u.handle(tickStarted{})
+	wantStep(t, "waits for the ack", g, 0)
+	u.handle(acknowledged{mark: 7, all: true})
+	wantStep(t, "once acknowledged", g, 0, bind)
+	u.handle(messagesSent{nonce: 8, proxies: []int{3}, commands: []control.Command{bind}})
+	u.handle(replicaForgotten{9})
+	u.handle(targetTables{map[tableEndpoint]float64{}, map[uint32]bool{}})
+	wantStep(t, "a forgotten replica stays ejected", g, 1, control.SetEjected{Replica: 8})
+	u.handle(messagesSent{nonce: 9, proxies: []int{3}, commands: []control.Command{control.SetEjected{Replica: 8}}})
+	wantStepAfter := func(what string, now int64, commands ...control.Command) {
+		t.Helper()
+		g.now = now
+		u.handle(tickStarted{})
+		wantStep(t, what, g, 0, commands...)
+	}
+	wantStepAfter("removals wait for acks", 2*second)
+	wantStepAfter("and for no longer than their timeout", 2*second+1, control.SetEndpoint{Table: 1, Replica: 2})
 }
 
-func TestALateAnswerEndsAStepAtItsTimeout(t *testing.T) {
-	s := steering(at(0), map[tableEndpoint]float64{{0, 1}: 1}, map[tableEndpoint]float64{}, map[uint32]bool{})
-	s.open[1], s.at = 0, overwrite
-	s.handle(tickStarted{})
-	want(t, "waits", s.at, overwrite)
-	s.now = stepTimeout + 1
-	s.handle(tickStarted{})
-	want(t, "goes on", s.at, remove)
+func TestUpdaterRefusesMessagesOfOthers(t *testing.T) {
+	defer func() { want(t, "panics", recover() != nil, true) }()
+	at(0).queues[updateComponent].component.handle(turnEnding{})
 }
