--- a/policy/constants.go
+++ b/policy/constants.go
@@ -3,5 +3,4 @@
 // Durations of this package are in nanoseconds, as in package control.
 const (
 	second = int64(1e9)
-	beat   = second / 4 // the longest interval between two ticks
 )
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"math"
 	"reflect"
 	"slices"
@@ -38,7 +37,7 @@
 	}
 	for k := range int64(40) {
 		for _, r := range change.Replicas {
-			outcomes := control.Outcomes{Replica: r.Replica, Attempts: 20, ResponseTime: second / 10, Period: beat}
+			outcomes := control.Outcomes{Replica: r.Replica, Attempts: 20, ResponseTime: second / 10, Period: maxTickInterval}
 			switch r.Replica {
 			case 1:
 				outcomes.Failures = 20
@@ -49,7 +48,7 @@
 			events = append(events, outcomes)
 		}
 		events = append(events, control.Demand{Proxy: int(k), Class: int(k) % 3, Requests: 5, Period: second}, control.TimerFired{})
-		events = acksOf(p.Turn(100*second+k*beat, events))
+		events = acksOf(p.Turn(100*second+k*maxTickInterval, events))
 	}
 	if !p.replicas[1].detector.Ejected() {
 		t.Fatal("no replica is ejected")
@@ -86,7 +85,7 @@
 	wantEqual(t, "threshold before", admitted, 2.5)
 	p.admission.sent[2] = control.SetAdmission{Table: control.AllTables, Class: 2, Fraction: 0.5}
 	before := p.learned()
-	assigned, endpoints := p.placement.placer.Assigned(), maps.Clone(p.update.laid)
+	assigned, endpoints := p.placement.placer.Assigned(), p.update.sequence.Weights()
 	change.DrainGrace = 9 * second
 	change.ReportInterval = second
 	change.Proxies = slices.Clone(change.Proxies)
@@ -101,7 +100,7 @@
 	after := p.learned()
 	wantEqual(t, "binds", len(ofType[control.Bind](commands)), 0)
 	wantEqual(t, "tables of replicas", reflect.DeepEqual(assigned, p.placement.placer.Assigned()), true)
-	wantEqual(t, "endpoints", reflect.DeepEqual(endpoints, p.update.laid), true)
+	wantEqual(t, "endpoints", reflect.DeepEqual(endpoints, p.update.sequence.Weights()), true)
 	wantEqual(t, "bindings", reflect.DeepEqual(before.Bindings, after.Bindings), true)
 	wantEqual(t, "replicas", reflect.DeepEqual(before.Replicas, after.Replicas), true)
 	wantEqual(t, "baselines of hardware classes", reflect.DeepEqual([][]float64{before.BaselineResponseTimes[1], before.BaselineResponseTimes[0]}, after.BaselineResponseTimes[:2]), true)
@@ -146,7 +145,7 @@
 			if got := p.admission.threshold.Admitted(); math.Abs(got-c.want) > 1e-9 { // admit rounds; package admission tests the exact value
 				t.Errorf("threshold %v, want %v", got, c.want)
 			}
-			p.Turn(p.now+beat, []control.Event{control.TimerFired{}, control.Demand{Proxy: 1, Class: len(c.priorities) - 1, Requests: 1, Period: second}})
+			p.Turn(p.now+maxTickInterval, []control.Event{control.TimerFired{}, control.Demand{Proxy: 1, Class: len(c.priorities) - 1, Requests: 1, Period: second}})
 		})
 	}
 }
@@ -179,14 +178,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, change := running(t)
-			p.update.moves[3] = 1
-			p.pacing.urgent = append(p.pacing.urgent, control.Bind{Proxy: 5, Table: 1})
+			p.update.sequence.Rebind(control.Bind{Proxy: 3, Table: 1})
+			p.pacing.sender.Bind(control.Bind{Proxy: 5, Table: 1})
 			edit(&change)
 			fresh := New(change.Settings)
 			fresh.Turn(p.now, []control.Event{control.ReplicasListed{Full: true, Entries: change.Replicas}})
 			events := []control.Event{change}
 			for k := range int64(40) {
-				events = acksOf(p.Turn(p.now+k*beat/10, append(events, control.TimerFired{})))
+				events = acksOf(p.Turn(p.now+k*maxTickInterval/10, append(events, control.TimerFired{})))
 			}
 			tables := p.placement.placer.Tables()
 			wantEqual(t, "tables", tables, fresh.placement.placer.Tables())
@@ -197,9 +196,9 @@
 			serving := p.binding.bindings.Serving()
 			for number, proxy := range p.binding.bindings.Proxies() {
 				wantEqual(t, fmt.Sprintf("zone of proxy %d", number), proxy.Table%rows, proxy.Zone%rows)
-				wantEqual(t, fmt.Sprintf("table of proxy %d", number), p.pacing.bound[number], serving[proxy.Table])
+				wantEqual(t, fmt.Sprintf("table of proxy %d", number), p.pacing.sender.Bindings()[number], serving[proxy.Table])
 			}
-			wantEqual(t, "moves left", len(p.update.moves), 0)
+			wantEqual(t, "rebinds left", p.update.sequence.Rebinds(), 0)
 		})
 	}
 }
--- a/policy/shared.go
+++ b/policy/shared.go
@@ -8,6 +8,9 @@
 )
 
 const (
+	// maxTickInterval is the longest time between two ticks: what changes without a report, such as the end of an ejection, is
+	// noticed as late at most.
+	maxTickInterval = second / 4
 	// ticksPerReport is how many ticks fall into a report interval at least: a report is acted on half an interval after it
 	// was received at the latest.
 	ticksPerReport = 2
@@ -26,7 +29,9 @@
 }
 
 // tickInterval returns the time between two ticks, in nanoseconds.
-func (s *sharedState) tickInterval() int64 { return max(1, min(s.ReportInterval/ticksPerReport, beat)) }
+func (s *sharedState) tickInterval() int64 {
+	return max(1, min(s.ReportInterval/ticksPerReport, maxTickInterval))
+}
 
 // say writes a line for on-call engineers.
 func (s *sharedState) say(format string, args ...any) {
