--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// BufferSize holds any usual message whole: a push of a table of a hundred replicas, a report.
+	// BufferSize is in bytes. It holds any usual message completely: an update with a table of a hundred replicas, a load report.
 	BufferSize = 4 << 10
 	// Largest is the most bytes a message may hold.
 	Largest = 1 << 20
-	// So many free buffers are kept for the next reader or writer. More came with a crowd that has gone, and
-	// what it took goes back to the runtime.
-	freeMost = 64
+	// maxFree bounds the free buffers that are kept for the next reader or writer. More were needed by a reconnect storm, and
+	// their memory goes back to the runtime.
+	maxFree = 64
 )
 
-// ErrNoBuffer: all buffers are in use by long messages.
+// ErrNoBuffer says that all buffers are in use by long messages.
 var ErrNoBuffer = errors.New("no buffer is left")
 
 type buffer [BufferSize]byte
 
-// Pool lends buffers: to each reader and writer what a short message takes, always, as connections are counted
-// elsewhere, and for long messages up to a number for all together.
+// Pool lends buffers. What a short message takes it lends to each reader and writer, always, as connections are bounded
+// elsewhere; for long messages it lends up to a number for all together.
 type Pool struct {
 	mu   sync.Mutex
 	free []*buffer
 	lent int
-	most int
+	max  int // lent for long messages
 }
 
-// NewPool makes a pool of most bytes.
-func NewPool(most int) *Pool { return &Pool{most: most / BufferSize} }
+// NewPool returns a pool of so many bytes.
+func NewPool(bytes int) *Pool { return &Pool{max: bytes / BufferSize} }
 
 func (p *Pool) take(short bool) (*buffer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !short && p.lent >= p.most {
+	if !short && p.lent >= p.max {
 		return nil, ErrNoBuffer
 	}
 	p.lent++
@@ -52,12 +52,13 @@
 func (p *Pool) give(b *buffer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lent--; len(p.free) < freeMost {
+	p.lent--
+	if len(p.free) < maxFree {
 		p.free = append(p.free, b)
 	}
 }
 
-// Lent is how many buffers are in use.
+// Lent returns how many buffers are in use.
 func (p *Pool) Lent() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -8,16 +8,26 @@
 )
 
 const (
-	// More digits than any length that fits a message has.
-	numberMost = 8
-	// The shortest that an element and a word can be, with line ends.
-	elementLeast, wordLeast = len("+\r\n"), len("$0\r\n\r\n")
+	// maxLengthDigits is more than any length that fits a message has.
+	maxLengthDigits = 8
+	// minElementBytes and minWordBytes are the least that an element and a word take, line ends included.
+	minElementBytes = len("+\r\n")
+	minWordBytes    = len("$0\r\n\r\n")
 )
 
-// Broken says how far a reader came before it could go no further.
+// The first byte of an element, which says its type.
+const (
+	arraySign        = '*'
+	bulkStringSign   = '$'
+	simpleStringSign = '+'
+	errorSign        = '-'
+	integerSign      = ':'
+)
+
+// Broken is the error of a reader that cannot go on. It says how far the reader came.
 type Broken struct {
-	Messages int // read whole before
-	Bytes    int // of the one that broke
+	Messages int // read completely before
+	Bytes    int // read of the message that broke
 	Err      error
 }
 
@@ -25,45 +35,47 @@
 	return fmt.Sprintf("after %d messages and %d bytes of the next: %v", b.Messages, b.Bytes, b.Err)
 }
 
+// Unwrap returns the cause.
 func (b *Broken) Unwrap() error { return b.Err }
 
-// ErrUnreadable: what came is no message, and where the next one begins is not known.
+// ErrUnreadable says that the bytes are no message, and that where the next one begins is not known.
 var ErrUnreadable = errors.New("unreadable")
 
-// ErrNotWords: a whole message came that is no array of bulk strings. The next one can be read.
+// ErrNotWords says that a complete message is no array of bulk strings. The next message can be read.
 var ErrNotWords = errors.New("not an array of bulk strings")
 
 // Reader reads messages from one connection. It holds a buffer or two, more for long messages, and none
 // once closed.
 type Reader struct {
-	src   io.Reader
-	pool  *Pool
-	chain []*buffer
-	at    int // the next byte to read, from the start of the chain
-	end   int // the bytes that have come
-	begin int // where the message began
-	most  int // bytes of a message
-	count int
+	source     io.Reader
+	pool       *Pool
+	chain      []*buffer
+	position   int // of the next byte to parse, from the start of the chain
+	end        int // of the bytes received
+	begin      int // of the message
+	maxMessage int // bytes
+	messages   int // read so far
 }
 
-// NewReader reads from src over the buffers of pool.
-func NewReader(src io.Reader, pool *Pool) *Reader {
-	return &Reader{src: src, pool: pool, most: Largest}
+// NewReader returns a reader of source over the buffers of pool.
+func NewReader(source io.Reader, pool *Pool) *Reader {
+	return &Reader{source: source, pool: pool, maxMessage: Largest}
 }
 
-// Bound says how many bytes a message may hold from now on.
-func (r *Reader) Bound(most int) { r.most = most }
+// Bound sets how many bytes a message may hold from now on.
+func (r *Reader) Bound(maxBytes int) { r.maxMessage = maxBytes }
 
 // Close gives the buffers back.
 func (r *Reader) Close() {
 	for _, b := range r.chain {
 		r.pool.give(b)
 	}
-	r.chain, r.at, r.end, r.begin = nil, 0, 0, 0
+	r.chain = nil
+	r.position, r.end, r.begin = 0, 0, 0
 }
 
-// Next reads a message, whatever the pieces it comes in. At the end of the connection between messages the
-// error is a Broken of io.EOF with no bytes.
+// Next reads a message, in whatever pieces it arrives. At the end of the connection between messages the error is a Broken of
+// io.EOF with no bytes.
 func (r *Reader) Next() ([]string, error) {
 	r.rewind()
 	words, err := r.message()
@@ -71,80 +83,109 @@
 		if errors.Is(err, io.EOF) && r.end > r.begin {
 			err = io.ErrUnexpectedEOF
 		}
-		return nil, &Broken{Messages: r.count, Bytes: r.end - r.begin, Err: err}
+		return nil, &Broken{Messages: r.messages, Bytes: r.end - r.begin, Err: err}
 	}
-	r.count++
+	r.messages++
 	return words, err
 }
 
-// rewind drops what was read; the last buffer is used again from its start if nothing waits in it.
+// rewind releases what was read; the last buffer is used again from its start if it holds nothing more.
 func (r *Reader) rewind() {
-	for len(r.chain) > 1 && r.at >= BufferSize {
+	for len(r.chain) > 1 && r.position >= BufferSize {
 		r.pool.give(r.chain[0])
-		r.chain, r.at, r.end = r.chain[1:], r.at-BufferSize, r.end-BufferSize
+		r.chain = r.chain[1:]
+		r.position -= BufferSize
+		r.end -= BufferSize
 	}
-	if r.at == r.end {
-		r.at, r.end = 0, 0
+	if r.position == r.end {
+		r.position, r.end = 0, 0
 	}
-	r.begin = r.at
+	r.begin = r.position
 }
 
-// message reads one message of any type, whatever it is nested in, to its end.
-func (r *Reader) message() (words []string, err error) {
-	var odd error
-	for left, first := 1, true; left > 0; first = false {
-		left--
+// message reads one message of any type to its end, however it is nested, so that the next one can be read. It returns
+// ErrNotWords for a complete message that is no array of bulk strings.
+func (r *Reader) message() ([]string, error) {
+	m := parsedMessage{elementsLeft: 1}
+	for first := true; m.elementsLeft > 0; first = false {
+		m.elementsLeft--
 		sign, err := r.next()
 		if err != nil {
 			return nil, err
 		}
-		if (sign == '*') != first {
-			odd = ErrNotWords
+		if (sign == arraySign) != first { // words are the elements of one array at the top
+			m.notWords = true
 		}
-		switch sign {
-		case '*':
-			n, err := r.length()
-			if err != nil {
-				return nil, err
-			}
-			if left += max(0, n); left > Largest/elementLeast {
-				return nil, fmt.Errorf("%w: %d elements", ErrUnreadable, left)
-			}
-			if n < 0 {
-				odd = ErrNotWords
-			} else if first {
-				words = make([]string, 0, min(n, BufferSize/wordLeast))
-			}
-		case '$':
-			n, err := r.length()
-			if err != nil {
-				return nil, err
-			}
-			if n < 0 {
-				odd = ErrNotWords
-				continue
-			}
-			word, err := r.word(n)
-			if err != nil {
-				return nil, err
-			}
-			words = append(words, word)
-		case '+', '-', ':':
-			odd = ErrNotWords
-			if err := r.line(sign == ':'); err != nil {
-				return nil, err
-			}
-		default:
-			return nil, fmt.Errorf("%w: %q where a type is due", ErrUnreadable, sign)
-		}
-		if odd != nil {
-			words = nil
+		if err := r.element(sign, &m); err != nil {
+			return nil, err
 		}
 	}
-	return words, odd
+	if m.notWords {
+		return nil, ErrNotWords
+	}
+	return m.words, nil
+}
+
+// parsedMessage is what has been read of a message.
+type parsedMessage struct {
+	words        []string
+	elementsLeft int
+	notWords     bool // it holds something else than bulk strings in one array
+}
+
+// element reads the rest of an element of the type that the sign says.
+func (r *Reader) element(sign byte, m *parsedMessage) error {
+	switch sign {
+	case arraySign:
+		return r.array(m)
+	case bulkStringSign:
+		return r.bulkString(m)
+	case simpleStringSign, errorSign, integerSign:
+		m.notWords = true
+		return r.line(sign == integerSign)
+	default:
+		return fmt.Errorf("%w: %q where a type is due", ErrUnreadable, sign)
+	}
+}
+
+func (r *Reader) array(m *parsedMessage) error {
+	length, err := r.length()
+	if err != nil {
+		return err
+	}
+	m.elementsLeft += max(0, length)
+	if m.elementsLeft > Largest/minElementBytes {
+		return fmt.Errorf("%w: %d elements", ErrUnreadable, m.elementsLeft)
+	}
+	if length < 0 {
+		m.notWords = true
+	}
+	if !m.notWords {
+		m.words = make([]string, 0, min(length, BufferSize/minWordBytes))
+	}
+	return nil
+}
+
+func (r *Reader) bulkString(m *parsedMessage) error {
+	length, err := r.length()
+	if err != nil {
+		return err
+	}
+	if length < 0 {
+		m.notWords = true
+		return nil
+	}
+	word, err := r.word(length)
+	if err != nil {
+		return err
+	}
+	if !m.notWords {
+		m.words = append(m.words, word)
+	}
+	return nil
 }
 
-// length reads the rest of a line that holds a length; -1 stands for no value at all.
+// length reads the rest of a line that holds a length; -1 stands for a null.
 func (r *Reader) length() (int, error) {
 	var digits []byte
 	for {
@@ -155,7 +196,8 @@
 		if b == '\r' {
 			break
 		}
-		if digits = append(digits, b); len(digits) > numberMost || (b < '0' || b > '9') && string(digits) != "-" {
+		digits = append(digits, b)
+		if len(digits) > maxLengthDigits || (b < '0' || b > '9') && string(digits) != "-" {
 			return 0, fmt.Errorf("%w: %q is no length", ErrUnreadable, digits)
 		}
 	}
@@ -166,7 +208,7 @@
 	return n, r.expect('\n')
 }
 
-// line passes over the rest of a line, which may have to be a number.
+// line skips the rest of a line, which has to be a number if so asked.
 func (r *Reader) line(number bool) error {
 	for {
 		b, err := r.next()
@@ -181,6 +223,7 @@
 	}
 }
 
+// expect reads the one byte that may follow.
 func (r *Reader) expect(want byte) error {
 	b, err := r.next()
 	if err == nil && b != want {
@@ -189,21 +232,23 @@
 	return err
 }
 
+// word reads a bulk string of so many bytes and the line end after it.
 func (r *Reader) word(size int) (string, error) {
-	if r.at-r.begin+size > r.most {
-		return "", fmt.Errorf("%w: over %d bytes", ErrUnreadable, r.most)
+	if r.position-r.begin+size > r.maxMessage {
+		return "", fmt.Errorf("%w: over %d bytes", ErrUnreadable, r.maxMessage)
 	}
-	for r.end-r.at < size {
+	for r.end-r.position < size {
 		if err := r.fill(); err != nil {
 			return "", err
 		}
 	}
 	word := make([]byte, 0, size)
 	for size > 0 {
-		from := r.at % BufferSize
-		part := r.chain[r.at/BufferSize][from:min(BufferSize, from+size)]
+		from := r.position % BufferSize
+		part := r.chain[r.position/BufferSize][from:min(BufferSize, from+size)]
 		word = append(word, part...)
-		r.at, size = r.at+len(part), size-len(part)
+		r.position += len(part)
+		size -= len(part)
 	}
 	if err := r.expect('\r'); err != nil {
 		return "", err
@@ -211,30 +256,33 @@
 	return string(word), r.expect('\n')
 }
 
+// next returns the next byte of the message.
 func (r *Reader) next() (byte, error) {
-	if r.at-r.begin >= r.most {
-		return 0, fmt.Errorf("%w: over %d bytes", ErrUnreadable, r.most)
+	if r.position-r.begin >= r.maxMessage {
+		return 0, fmt.Errorf("%w: over %d bytes", ErrUnreadable, r.maxMessage)
 	}
-	if r.at == r.end {
+	if r.position == r.end {
 		if err := r.fill(); err != nil {
 			return 0, err
 		}
 	}
-	b := r.chain[r.at/BufferSize][r.at%BufferSize]
-	r.at++
+	b := r.chain[r.position/BufferSize][r.position%BufferSize]
+	r.position++
 	return b, nil
 }
 
+// fill receives more bytes.
 func (r *Reader) fill() error {
 	if r.end == len(r.chain)*BufferSize {
-		b, err := r.pool.take(len(r.chain) < 2) // a short message may lie across two
+		b, err := r.pool.take(len(r.chain) < 2) // a short message may span two
 		if err != nil {
 			return err
 		}
 		r.chain = append(r.chain, b)
 	}
-	n, err := r.src.Read(r.chain[r.end/BufferSize][r.end%BufferSize:])
-	if r.end += n; n > 0 {
+	n, err := r.source.Read(r.chain[r.end/BufferSize][r.end%BufferSize:])
+	r.end += n
+	if n > 0 {
 		return nil
 	}
 	if err == nil {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -134,14 +134,14 @@
 func TestAPoolKeepsFewFreeBuffers(t *testing.T) {
 	pool := NewPool(Largest)
 	var lent []*buffer
-	for range 2 * freeMost {
+	for range 2 * maxFree {
 		b, _ := pool.take(true)
 		lent = append(lent, b)
 	}
 	for _, b := range lent {
 		pool.give(b)
 	}
-	if pool.Lent() != 0 || len(pool.free) != freeMost {
+	if pool.Lent() != 0 || len(pool.free) != maxFree {
 		t.Errorf("%d lent, %d free", pool.Lent(), len(pool.free))
 	}
 }
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -5,17 +5,17 @@
 	"strconv"
 )
 
-// Write sends one message over one pooled buffer, filled as often as it takes. It says how many bytes went.
-func Write(dst io.Writer, pool *Pool, words ...string) (sent int, err error) {
+// Write sends one message through one pooled buffer, filled as often as it takes. It returns how many bytes were sent.
+func Write(destination io.Writer, pool *Pool, words ...string) (sent int, err error) {
 	b, err := pool.take(true)
 	if err != nil {
 		return 0, err
 	}
 	defer pool.give(b)
-	w := writer{dst: dst, buf: b}
-	w.length('*', len(words))
+	w := writer{destination: destination, buffer: b}
+	w.length(arraySign, len(words))
 	for _, word := range words {
-		w.length('$', len(word))
+		w.length(bulkStringSign, len(word))
 		w.text(word)
 		w.text("\r\n")
 	}
@@ -23,33 +23,36 @@
 	return w.sent, w.err
 }
 
+// writer collects bytes in a buffer and remembers the first error.
 type writer struct {
-	dst  io.Writer
-	buf  *buffer
-	fill int
-	sent int
-	err  error
+	destination io.Writer
+	buffer      *buffer
+	filled      int
+	sent        int
+	err         error
 }
 
 func (w *writer) length(sign byte, n int) {
-	var line [numberMost + 4]byte
+	var line [maxLengthDigits + 4]byte
 	w.text(string(append(strconv.AppendInt(append(line[:0], sign), int64(n), 10), '\r', '\n')))
 }
 
 func (w *writer) text(s string) {
 	for len(s) > 0 {
-		if w.fill == BufferSize {
+		if w.filled == BufferSize {
 			w.flush()
 		}
-		n := copy(w.buf[w.fill:], s)
-		w.fill, s = w.fill+n, s[n:]
+		n := copy(w.buffer[w.filled:], s)
+		w.filled += n
+		s = s[n:]
 	}
 }
 
 func (w *writer) flush() {
-	if w.err == nil && w.fill > 0 {
-		n, err := w.dst.Write(w.buf[:w.fill])
-		w.sent, w.err = w.sent+n, err
+	if w.err == nil && w.filled > 0 {
+		n, err := w.destination.Write(w.buffer[:w.filled])
+		w.sent += n
+		w.err = err
 	}
-	w.fill = 0
+	w.filled = 0
 }
