--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,6 @@
-// Command toy lets a newcomer see a governor at work: it stands in for discovery, for a few proxies and for
-// the collector of each zone, answers marks, and prints each table as it arrives. After a while one replica
-// drains and goes, another starts cold, and one answers nothing. It carries no flows and measures nothing.
+// Command toy lets a newcomer see a controller at work: it stands in for discovery, for a few proxies and for the collector
+// of each zone, acknowledges updates, and prints each table as it arrives. After a while one replica drains and leaves, it comes
+// back and has to warm up, and another one fails every request. It forwards no requests and measures nothing.
 package main
 
 import (
@@ -18,71 +18,112 @@
 )
 
 const (
-	pace    = 500 * time.Millisecond // of reports
-	moment  = 5 * time.Second        // between the things that happen
-	proxies = 4
+	reportInterval = 500 * time.Millisecond
+	eventInterval  = 5 * time.Second // between the changes that the toy plays
+	replicas       = 6
+	firstPort      = 9001
+	proxies        = 4
+	zones          = 2
+	bufferBytes    = 1 << 20
 )
 
-// box is one replica of the toy's list.
-type box struct {
-	id, zone, kind, phase string
-	since                 int64
+// The phases of a replica, as discovery lists them.
+const (
+	phaseReady       = "Ready"
+	phaseTerminating = "Terminating"
+	phaseGone        = "Gone"
+)
+
+// replica is one entry of the endpoint list.
+type replica struct {
+	id, zone, hardwareClass, phase string
+	startedAt                      int64 // Unix milliseconds; 0: long ago
 }
 
-// town is the list and its revision; news is closed and made anew at each change.
-type town struct {
+// endpointList is the list that discovery serves. The channel changed is closed and made anew at each change.
+type endpointList struct {
 	mu       sync.Mutex
 	revision int
-	boxes    []box
-	news     chan struct{}
+	replicas []replica
+	changed  chan struct{}
 }
 
-func (t *town) change(id, phase string, since int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for k := range t.boxes {
-		if t.boxes[k].id == id {
-			t.boxes[k].phase, t.boxes[k].since = phase, since
+func newEndpointList() *endpointList {
+	l := &endpointList{revision: 1, changed: make(chan struct{})}
+	for k := 1; k <= replicas; k++ {
+		l.replicas = append(l.replicas, replica{
+			id:            fmt.Sprintf("box-%d", k),
+			zone:          zoneName(k),
+			hardwareClass: fmt.Sprintf("m%d", 1+k/2%2),
+			phase:         phaseReady,
+		})
+	}
+	return l
+}
+
+// zoneName returns the zone of the replica, proxy or collector with a number: they alternate.
+func zoneName(number int) string { return string("ab"[number%zones]) }
+
+func (l *endpointList) set(id, phase string, startedAt int64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for k := range l.replicas {
+		if l.replicas[k].id == id {
+			l.replicas[k].phase = phase
+			l.replicas[k].startedAt = startedAt
 		}
 	}
-	t.revision++
-	close(t.news)
-	t.news = make(chan struct{})
-	fmt.Printf("toy: %s is %s (revision %d)\n", id, phase, t.revision)
+	l.revision++
+	close(l.changed)
+	l.changed = make(chan struct{})
+	fmt.Printf("toy: %s is %s (revision %d)\n", id, phase, l.revision)
 }
 
-func (t *town) list() (text string, revision int, news <-chan struct{}) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// encode returns the list as discovery sends it, its revision, and the channel that is closed when it is no longer true.
+func (l *endpointList) encode() (text string, revision int, changed <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var members []string
-	for k, b := range t.boxes {
-		if b.phase != "Gone" {
+	for k, r := range l.replicas {
+		if r.phase != phaseGone {
 			members = append(members, fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:%d","locality":%q,"flavor":%q,"cell":0,`+
-				`"phase":%q,"size":1.0,"up_since_ms":%d}`, b.id, 9001+k, b.zone, b.kind, b.phase, b.since))
+				`"phase":%q,"size":1.0,"up_since_ms":%d}`, r.id, firstPort+k, r.zone, r.hardwareClass, r.phase, r.startedAt))
 		}
 	}
-	text = fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, t.revision, strings.Join(members, ","))
-	return text, t.revision, t.news
+	text = fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, l.revision, strings.Join(members, ","))
+	return text, l.revision, l.changed
 }
 
-// discovery answers one connection: the whole list, at once or when it is newer than what the caller has.
-func (t *town) discovery(conn net.Conn) {
+// serve accepts connections of discovery's clients until the listener is closed.
+func (l *endpointList) serve(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go l.answer(conn)
+	}
+}
+
+// answer serves one connection: the complete list, at once or as soon as it is newer than what the client has.
+func (l *endpointList) answer(conn net.Conn) {
 	defer conn.Close()
-	for r := bufio.NewReader(conn); ; {
-		req, err := http.ReadRequest(r)
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		var since, wait int
-		watching, _ := fmt.Sscan(req.URL.Query().Get("since"), &since)
-		fmt.Sscan(req.URL.Query().Get("timeout_ms"), &wait)
-		text, revision, news := t.list()
+		var since, waitMillis int
+		watching, _ := fmt.Sscan(request.URL.Query().Get("since"), &since)
+		fmt.Sscan(request.URL.Query().Get("timeout_ms"), &waitMillis)
+		text, revision, changed := l.encode()
 		if watching == 1 && since >= revision {
 			select {
-			case <-news:
-			case <-time.After(time.Duration(wait) * time.Millisecond):
+			case <-changed:
+			case <-time.After(time.Duration(waitMillis) * time.Millisecond):
 			}
-			text, _, _ = t.list()
+			text, _, _ = l.encode()
 		}
 		if _, err := fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text); err != nil {
 			return
@@ -90,130 +131,150 @@
 	}
 }
 
-// say sends a message of the words in text.
-func say(conn net.Conn, pool *resp.Pool, text string, args ...any) error {
-	_, err := resp.Write(conn, pool, strings.Fields(fmt.Sprintf(text, args...))...)
+// peer is a connection to the controller.
+type peer struct {
+	conn net.Conn
+	pool *resp.Pool
+}
+
+// send writes a message of the words in the formatted text.
+func (p peer) send(format string, args ...any) error {
+	_, err := resp.Write(p.conn, p.pool, strings.Fields(fmt.Sprintf(format, args...))...)
 	return err
 }
 
-// proxy joins, prints what it is told and answers marks.
-func proxy(conn net.Conn, pool *resp.Pool, id int) error {
-	if err := say(conn, pool, "hello id %d site %c rps 20 new 1", id, 'a'+id%2); err != nil {
+// runProxy connects as a proxy, prints the updates that it receives and acknowledges them.
+func (p peer) runProxy(id int) error {
+	if err := p.send("hello id %d site %s rps 20 new 1", id, zoneName(id)); err != nil {
 		return err
 	}
 	go func() {
-		for say(conn, pool, "demand id %d lane lookup count 10 fail 0 over %d", id, pace.Milliseconds()) == nil {
-			time.Sleep(pace)
+		for p.send("demand id %d lane lookup count 10 fail 0 over %d", id, reportInterval.Milliseconds()) == nil {
+			time.Sleep(reportInterval)
 		}
 	}()
-	for r := resp.NewReader(conn, pool); ; {
-		words, err := r.Next()
+	reader := resp.NewReader(p.conn, p.pool)
+	for {
+		words, err := reader.Next()
 		if err != nil {
 			return err
 		}
 		fmt.Printf("proxy %d: %s\n", id, strings.Join(words, " "))
 		for k := 1; k+1 < len(words); k += 2 {
-			if words[k] == "nonce_out" {
-				if err := say(conn, pool, "ack id %d seq %s ms 100", id, words[k+1]); err != nil {
-					return err
-				}
+			if words[k] != "nonce_out" {
+				continue
+			}
+			if err := p.send("ack id %d seq %s ms 100", id, words[k+1]); err != nil {
+				return err
 			}
 		}
 	}
 }
 
-// collect reports what the proxies of a zone met: every replica serves, but the silent one.
-func (t *town) collect(conn net.Conn, pool *resp.Pool, zone string, silent func() string) error {
-	if err := say(conn, pool, "agent site %s", zone); err != nil {
+// runCollector reports the outcomes of a zone's proxies: every replica serves, except the one that fails.
+func (p peer) runCollector(zone string, list *endpointList, failing *failingReplica) error {
+	if err := p.send("agent site %s", zone); err != nil {
 		return err
 	}
-	for ; ; time.Sleep(pace) {
-		t.mu.Lock()
-		boxes := append([]box(nil), t.boxes...)
-		t.mu.Unlock()
-		for _, b := range boxes {
-			failed := 0
-			if b.id == silent() {
-				failed = 10
+	for ; ; time.Sleep(reportInterval) {
+		for _, id := range list.ids() {
+			failures := 0
+			if id == failing.get() {
+				failures = 10
 			}
-			if err := say(conn, pool, "outcomes site %s target %s count 10 fail %d mean 120 over %d", zone, b.id, failed,
-				pace.Milliseconds()); err != nil {
+			if err := p.send("outcomes site %s target %s count 10 fail %d mean 120 over %d", zone, id, failures,
+				reportInterval.Milliseconds()); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-func run(governor, list string) error {
-	t, pool := &town{revision: 1, news: make(chan struct{})}, resp.NewPool(1<<20)
-	for k := 1; k <= 6; k++ {
-		t.boxes = append(t.boxes, box{fmt.Sprintf("box-%d", k), string("ab"[k%2]), fmt.Sprintf("m%d", 1+k/2%2), "Ready", 0})
+// ids returns the replicas' names.
+func (l *endpointList) ids() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	var ids []string
+	for _, r := range l.replicas {
+		ids = append(ids, r.id)
 	}
-	l, err := net.Listen("tcp", list)
+	return ids
+}
+
+// failingReplica names the replica that fails every request; empty: none.
+type failingReplica struct {
+	mu sync.Mutex
+	id string
+}
+
+func (f *failingReplica) get() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.id
+}
+
+func (f *failingReplica) set(id string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.id = id
+	fmt.Printf("toy: %s fails every request\n", id)
+}
+
+func run(controller, discovery string) error {
+	list := newEndpointList()
+	listener, err := net.Listen("tcp", discovery)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	defer l.Close()
-	go func() {
-		for {
-			conn, err := l.Accept()
-			if err != nil {
-				return
-			}
-			go t.discovery(conn)
-		}
-	}()
-	var silent struct {
-		sync.Mutex
-		id string
-	}
-	ended := make(chan error, proxies+2)
-	for k := range proxies + 2 {
-		conn, err := net.Dial("tcp", governor)
+	defer listener.Close()
+	go list.serve(listener)
+	var failing failingReplica
+	pool := resp.NewPool(bufferBytes)
+	ended := make(chan error, proxies+zones)
+	for k := range proxies + zones {
+		conn, err := net.Dial("tcp", controller)
 		if err != nil {
 			return fmt.Errorf("governor: %w", err)
 		}
 		defer conn.Close()
+		p := peer{conn: conn, pool: pool}
 		go func() {
 			if k < proxies {
-				ended <- proxy(conn, pool, k)
+				ended <- p.runProxy(k)
 				return
 			}
-			ended <- t.collect(conn, pool, string("ab"[k-proxies]), func() string {
-				silent.Lock()
-				defer silent.Unlock()
-				return silent.id
-			})
+			ended <- p.runCollector(zoneName(k-proxies), list, &failing)
 		}()
 	}
-	for _, happens := range []func(){
-		func() { t.change("box-1", "Terminating", 0) },
-		func() { t.change("box-1", "Gone", 0) },
-		func() { t.change("box-1", "Ready", time.Now().UnixMilli()) },
-		func() {
-			silent.Lock()
-			defer silent.Unlock()
-			silent.id = "box-2"
-			fmt.Println("toy: box-2 answers nothing")
-		},
-		func() {},
+	return play(list, &failing, ended)
+}
+
+// play makes the changes one after another, until the last one or until a connection has ended.
+func play(list *endpointList, failing *failingReplica, ended <-chan error) error {
+	changes := []func(){
+		func() { list.set("box-1", phaseTerminating, 0) },
+		func() { list.set("box-1", phaseGone, 0) },
+		func() { list.set("box-1", phaseReady, time.Now().UnixMilli()) },
+		func() { failing.set("box-2") },
+		func() {}, // time to see the replica ejected and on probation
 		func() { fmt.Println("toy: the end") },
-	} {
+	}
+	for _, change := range changes {
 		select {
 		case err := <-ended:
 			return fmt.Errorf("a connection to the governor ended: %w", err)
-		case <-time.After(moment):
-			happens()
+		case <-time.After(eventInterval):
+			change()
 		}
 	}
 	return nil
 }
 
 func main() {
-	governor := flag.String("governor", "127.0.0.1:8080", "where the governor listens")
-	list := flag.String("discovery", "127.0.0.1:8500", "where the toy serves the list of replicas")
+	controller := flag.String("governor", "127.0.0.1:8080", "where the governor listens")
+	discovery := flag.String("discovery", "127.0.0.1:8500", "where the toy serves the endpoint list")
 	flag.Parse()
-	if err := run(*governor, *list); err != nil {
+	if err := run(*controller, *discovery); err != nil {
 		fmt.Fprintln(os.Stderr, "toy:", err)
 		os.Exit(1)
 	}
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -42,47 +42,86 @@
 // NewModel compiles all formulas. The error names the row whose formula cannot be used.
 func NewModel(t Table) (*Model, error) {
 	m := &Model{Table: t, fits: map[string]Fit{}, readings: map[string]*vm.Program{}}
+	known, err := m.knownSizes()
+	if err != nil {
+		return nil, err
+	}
+	if err := m.compileReadings(known); err != nil {
+		return nil, err
+	}
+	m.addFigures(known)
+	for _, list := range m.formulaLists() {
+		for _, row := range list.rows {
+			if err := m.compile(list.name, row.name, row.text, known); err != nil {
+				return nil, err
+			}
+		}
+	}
+	return m, nil
+}
+
+// knownSizes returns the names that every formula may use, each with a value of its type.
+func (m *Model) knownSizes() (map[string]any, error) {
 	known := map[string]any{serviceSize: 0.0}
-	for _, s := range t.Sizes {
-		known[s.Name] = 0.0
+	for _, size := range m.Sizes {
+		known[size.Name] = 0.0
 	}
 	if _, ok := known[governorsSize]; !ok {
 		return nil, fmt.Errorf("sizes: %s is missing", governorsSize)
 	}
-	for _, r := range t.Readings {
-		program, err := expr.Compile(r.Service, expr.Env(maps.Clone(known)), expr.AsFloat64())
+	return known, nil
+}
+
+// compileReadings compiles what a service has of each size. Only sizes are known there.
+func (m *Model) compileReadings(known map[string]any) error {
+	for _, reading := range m.Readings {
+		program, err := expr.Compile(reading.Service, expr.Env(maps.Clone(known)), expr.AsFloat64())
 		if err != nil {
-			return nil, fmt.Errorf("readings: %s: service: %w", r.Name, err)
+			return fmt.Errorf("readings: %s: service: %w", reading.Name, err)
 		}
-		m.readings[r.Name] = program
+		m.readings[reading.Name] = program
 	}
-	for _, c := range slices.Concat(t.Constants, t.Bounds) {
-		known[c.Name] = 0.0
+	return nil
+}
+
+// addFigures adds constants, bounds and measurements to the known names; a measurement over a size is a fitted line.
+func (m *Model) addFigures(known map[string]any) {
+	for _, constant := range slices.Concat(m.Constants, m.Bounds) {
+		known[constant.Name] = 0.0
 	}
-	for _, d := range t.Measurements {
-		if d.X == "" {
-			known[d.Name] = 0.0
+	for _, measurement := range m.Measurements {
+		if measurement.X == "" {
+			known[measurement.Name] = 0.0
 			continue
 		}
-		m.fits[d.Name] = FitLine(d.Points)
-		known[d.Name] = m.fits[d.Name]
+		m.fits[measurement.Name] = FitLine(measurement.Points)
+		known[measurement.Name] = m.fits[measurement.Name]
 	}
-	for _, d := range t.Derived {
-		if err := m.compile("derived", d.Name, d.Formula, known); err != nil {
-			return nil, err
-		}
+}
+
+// formulaList is a list of the table with the formulas of its rows.
+type formulaList struct {
+	name string
+	rows []formulaRow
+}
+
+type formulaRow struct{ name, text string }
+
+// formulaLists returns all formulas in the order in which they may use each other.
+func (m *Model) formulaLists() []formulaList {
+	derived := formulaList{name: "derived"}
+	for _, row := range m.Derived {
+		derived.rows = append(derived.rows, formulaRow{row.Name, row.Formula})
 	}
-	for _, p := range slices.Concat(t.Paths, t.Incidents) {
-		if err := m.compile("paths", p.Name, p.Formula, known); err != nil {
-			return nil, err
-		}
+	paths := formulaList{name: "paths"}
+	for _, row := range slices.Concat(m.Paths, m.Incidents) {
+		paths.rows = append(paths.rows, formulaRow{row.Name, row.Formula})
 	}
-	for _, c := range t.Claims {
-		if err := m.compile("claims", c.Name, c.Formula, known); err != nil {
-			return nil, err
-		}
+	claims := formulaList{name: "claims"}
+	for _, row := range m.Claims {
+		claims.rows = append(claims.rows, formulaRow{row.Name, row.Formula})
 	}
-	return m, nil
+	return []formulaList{derived, paths, claims}
 }
 
 // compile adds a formula, which later ones may use by its name.
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -12,6 +12,7 @@
 	"io/fs"
 	"reflect"
 	"regexp"
+	"slices"
 
 	"go.yaml.in/yaml/v3"
 )
@@ -153,59 +154,70 @@
 
 var identifier = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
 
-// check says what is wrong with the table but for its formulas.
+// check returns all that is wrong with the table except with its formulas, in the order of its lists.
 func (t Table) check() error {
-	seen := map[string]bool{}
-	name := func(list, name string) error {
-		switch {
-		case !identifier.MatchString(name):
-			return fmt.Errorf("%s: name %q is no identifier", list, name)
-		case seen[name]:
-			return fmt.Errorf("%s: name %s is there twice", list, name)
-		}
-		seen[name] = true
-		return nil
-	}
+	names := nameChecker{}
 	var errs []error
-	for _, s := range t.Sizes {
-		errs = append(errs, name("sizes", s.Name))
+	for _, size := range t.Sizes {
+		errs = append(errs, names.check("sizes", size.Name))
 	}
-	for _, c := range append(t.Constants[:len(t.Constants):len(t.Constants)], t.Bounds...) {
-		errs = append(errs, name("constants", c.Name))
-		if c.Source == "" {
-			errs = append(errs, fmt.Errorf("constants: %s: source is missing", c.Name))
+	for _, constant := range slices.Concat(t.Constants, t.Bounds) {
+		errs = append(errs, names.check("constants", constant.Name))
+		if constant.Source == "" {
+			errs = append(errs, fmt.Errorf("constants: %s: source is missing", constant.Name))
 		}
 	}
-	for _, d := range t.Derived {
-		errs = append(errs, name("derived", d.Name))
+	for _, derived := range t.Derived {
+		errs = append(errs, names.check("derived", derived.Name))
 	}
 	machines := map[string]bool{}
-	for _, m := range t.Machines {
-		machines[m.Name] = true
+	for _, machine := range t.Machines {
+		machines[machine.Name] = true
 	}
-	for _, m := range t.Measurements {
-		errs = append(errs, name("measurements", m.Name), m.check(machines))
+	for _, measurement := range t.Measurements {
+		errs = append(errs, names.check("measurements", measurement.Name), measurement.check(machines))
 	}
+	errs = append(errs, t.checkPaths(names)...)
+	for _, claim := range t.Claims {
+		errs = append(errs, names.check("claims", claim.Name))
+	}
+	return errors.Join(errs...)
+}
+
+// checkPaths returns what is wrong with the rows of paths and incidents.
+func (t Table) checkPaths(names nameChecker) []error {
 	bounds := map[string]bool{"": true}
-	for _, b := range t.Bounds {
-		bounds[b.Name] = true
+	for _, bound := range t.Bounds {
+		bounds[bound.Name] = true
 	}
-	for _, p := range append(t.Paths[:len(t.Paths):len(t.Paths)], t.Incidents...) {
-		errs = append(errs, name("paths", p.Name))
-		if !kinds[p.Kind] {
-			errs = append(errs, fmt.Errorf("paths: %s: kind %q is none of state, messages, processor, memory, time", p.Name, p.Kind))
+	var errs []error
+	for _, path := range slices.Concat(t.Paths, t.Incidents) {
+		errs = append(errs, names.check("paths", path.Name))
+		if !kinds[path.Kind] {
+			errs = append(errs, fmt.Errorf("paths: %s: kind %q is none of state, messages, processor, memory, time", path.Name, path.Kind))
 		}
-		if !bounds[p.Bound] {
-			errs = append(errs, fmt.Errorf("paths: %s: no bound %q", p.Name, p.Bound))
+		if !bounds[path.Bound] {
+			errs = append(errs, fmt.Errorf("paths: %s: no bound %q", path.Name, path.Bound))
 		}
 	}
-	for _, c := range t.Claims {
-		errs = append(errs, name("claims", c.Name))
+	return errs
+}
+
+// nameChecker holds the names seen so far: each name of the table is an identifier and is there once.
+type nameChecker map[string]bool
+
+func (seen nameChecker) check(list, name string) error {
+	switch {
+	case !identifier.MatchString(name):
+		return fmt.Errorf("%s: name %q is no identifier", list, name)
+	case seen[name]:
+		return fmt.Errorf("%s: name %s is there twice", list, name)
 	}
-	return errors.Join(errs...)
+	seen[name] = true
+	return nil
 }
 
-// check says what is missing: no figure stands on the page without the run that gave it.
+// check returns what the measurement lacks: no figure stands on the page without the run that gave it.
 func (m Measurement) check(machines map[string]bool) error {
 	for key, value := range map[string]string{"text": m.Text, "unit": m.Unit, "command": m.Command, "commit": m.Commit, "date": m.Date} {
 		if value == "" {
