--- a/cmd/lilacbend/configuration.go
+++ b/cmd/lilacbend/configuration.go
@@ -82,7 +82,7 @@
 }
 
 // settle passes the core's verdicts on: to the servers, and to those who check and hold what peers send.
-func (f *configurationFollower) settle(configured []controller.Configured, core *controller.Core, server *controlserver.Server) {
+func (f *configurationFollower) settle(configured []controller.ConfigurationResult, core *controller.Core, server *controlserver.Server) {
 	for _, c := range configured {
 		server.Reconfigure(core.CurrentTopology())
 		if c.Err != nil {
@@ -104,6 +104,6 @@
 		return slog.Attr{}
 	}
 	n, c := f.watcher.Counts(), core.Counters
-	return slog.Group("configuration", "version", f.watcher.InForce().String(), "changes", c.Configurations, "refused", n.Refused,
+	return slog.Group("configuration", "version", f.watcher.InForce().String(), "changes", c.ConfigurationsApplied, "refused", n.Refused,
 		"requests", n.Requests, "dials", n.Dials, "failures", n.Failures, "sent_away", n.SentAway, "bytes_in", n.BytesIn, "bytes_out", n.BytesOut, f.kept.figures())
 }
--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -40,24 +40,24 @@
 func configurationServer(out io.Writer) *cli.Command { return configserverCommand(nil, out) }
 
 // goldenState has a value other than zero in every field that is exported.
-func goldenState() learnedstate.Memory {
-	return learnedstate.Memory{
-		Governor: "n7", Taken: learnedstate.Moment{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
+func goldenState() learnedstate.State {
+	return learnedstate.State{
+		Controller: "n7", Taken: learnedstate.Timestamp{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
 		Classes: []string{"lookup", "order"}, Tables: 3, AdmissionThreshold: 0.7, MaxSuccessRate: 40.25, RetriesStopped: true,
 		Replicas: []learnedstate.Replica{
-			{ID: "s-1", Zone: "a", Kind: "m1", UpSince: 1_699_999_000_000_000_000, State: control.Draining, Weight: 1.5, Speed: 0.5, SampleCount: 12,
-				Ticket: 0.3, Table: 1, EjectedFor: 2_000_000_000, Probation: true, Ejections: 2, SinceLastSample: 1_000_000_000},
-			{ID: "s-2", Zone: "b", Kind: "m2", Weight: 1, Speed: 2.125, SampleCount: 16, Ticket: 0.4},
+			{ID: "s-1", Zone: "a", HardwareClass: "m1", UpSince: 1_699_999_000_000_000_000, State: control.Draining, Weight: 1.5, Speed: 0.5, SampleCount: 12,
+				PlacementKey: 0.3, Table: 1, EjectedFor: 2_000_000_000, Probation: true, Ejections: 2, SinceLastSample: 1_000_000_000},
+			{ID: "s-2", Zone: "b", HardwareClass: "m2", Weight: 1, Speed: 2.125, SampleCount: 16, PlacementKey: 0.4},
 		},
-		UsualResponses: []learnedstate.KindResponses{{Kind: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
-		Usage:          []learnedstate.Usage{{Proxy: 1, Class: "lookup", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
-		Bindings:       []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}},
+		BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
+		RequestRates:          []learnedstate.RequestRate{{Proxy: 1, Class: "lookup", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
+		Bindings:              []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}},
 	}
 }
 
 func TestStateExportPrintsTheGoldenFile(t *testing.T) {
 	folder := t.TempDir()
-	if _, err := snapshot.Write(snapshot.Folder(folder), goldenState(), 1); err != nil {
+	if _, err := snapshot.Write(snapshot.Directory(folder), goldenState(), 1); err != nil {
 		t.Fatal(err)
 	}
 	for _, subcommand := range [][]string{{"export"}, {"show", "--json"}} {
--- a/cmd/lilacbend/hold.go
+++ b/cmd/lilacbend/hold.go
@@ -10,10 +10,10 @@
 
 // holdFolder holds a folder for this process. One that is held is waited for, as whoever held it before a restart may still be
 // ending: until ctx ends, and no longer than that may take.
-func holdFolder(ctx context.Context, folder snapshot.Folder, who string) (lock *snapshot.Lock, err error) {
+func holdFolder(ctx context.Context, folder snapshot.Directory, who string) (lock *snapshot.Lock, err error) {
 	err = whileInUse(ctx, func() (inUse bool, err error) {
-		lock, err = folder.Take(who)
-		var held *snapshot.Held
+		lock, err = folder.Acquire(who)
+		var held *snapshot.LockedError
 		return errors.As(err, &held), err
 	})
 	return lock, err
--- a/cmd/lilacbend/kept.go
+++ b/cmd/lilacbend/kept.go
@@ -16,7 +16,7 @@
 type keptConfiguration struct {
 	service string
 	digest  configcache.Digest // of the settings in the governor's own file
-	keeper  *configcache.Keeper
+	keeper  *configcache.Writer
 	lock    *snapshot.Lock
 
 	record   *configcache.Record // of before the restart; nil: there is none that can be used
@@ -30,13 +30,13 @@
 	if following.Folder == "" {
 		return nil
 	}
-	folder := snapshot.Folder(following.Folder)
+	folder := snapshot.Directory(following.Folder)
 	lock, err := holdFolder(ctx, folder, or(c.name, "a governor"))
 	if err != nil {
 		log.Warn("the configuration in force is neither read nor kept", "folder", following.Folder, "error", err)
 		return nil
 	}
-	k := &keptConfiguration{service: following.Service, digest: c.digest, keeper: configcache.NewKeeper(folder, c.seed, log), lock: lock}
+	k := &keptConfiguration{service: following.Service, digest: c.digest, keeper: configcache.NewWriter(folder, c.seed, log), lock: lock}
 	r, found, err := configcache.Load(folder)
 	if found {
 		err = k.use(r, own, c.seed)
@@ -52,7 +52,7 @@
 
 // use takes a record as what to begin with, if this governor may.
 func (k *keptConfiguration) use(r configcache.Record, own controller.Topology, seed uint64) error {
-	if err := r.Usable(k.service, k.digest); err != nil {
+	if err := r.CheckUsable(k.service, k.digest); err != nil {
 		return err
 	}
 	names, decoded, err := settings.Load(r.Settings, seed)
@@ -70,7 +70,7 @@
 // keep hands over what has come into force.
 func (k *keptConfiguration) keep(v revision.Version, raw []byte) {
 	if k != nil {
-		k.keeper.Keep(configcache.Record{Service: k.service, Version: v, Start: k.digest, Settings: raw})
+		k.keeper.Submit(configcache.Record{Service: k.service, Version: v, Start: k.digest, Settings: raw})
 	}
 }
 
--- a/cmd/lilacbend/kept_test.go
+++ b/cmd/lilacbend/kept_test.go
@@ -55,7 +55,7 @@
 	if first.says("kept configuration") {
 		t.Errorf("there was nothing to keep: %s", first.out)
 	}
-	scriptedpeer.Until(t, "it is not kept", func() bool { _, found, _ := configcache.Load(snapshot.Folder(kept)); return found })
+	scriptedpeer.Until(t, "it is not kept", func() bool { _, found, _ := configcache.Load(snapshot.Directory(kept)); return found })
 	for _, p := range []*child{follower, writer, first} {
 		p.ends(syscall.SIGTERM)
 	}
@@ -70,7 +70,7 @@
 	for _, p := range []*child{second, writer} {
 		p.ends(syscall.SIGTERM)
 	}
-	if r, found, err := configcache.Load(snapshot.Folder(kept)); !found || err != nil || !bytes.Contains(r.Settings, []byte(`"proxy_count":7`)) {
+	if r, found, err := configcache.Load(snapshot.Directory(kept)); !found || err != nil || !bytes.Contains(r.Settings, []byte(`"proxy_count":7`)) {
 		t.Errorf("kept: %+v %v %v", r, found, err)
 	}
 }
@@ -127,8 +127,8 @@
 
 // The governor of before a restart still holds its folder as the next one begins: that waits for it.
 func TestAFolderThatIsStillHeld(t *testing.T) {
-	folder := snapshot.Folder(filepath.Join(t.TempDir(), "kept"))
-	before, err := folder.Take("n6")
+	folder := snapshot.Directory(filepath.Join(t.TempDir(), "kept"))
+	before, err := folder.Acquire("n6")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,8 +138,8 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	var held *snapshot.Held
-	if _, err := holdFolder(t.Context(), folder, "n8"); !errors.As(err, &held) || held.By == "" {
+	var held *snapshot.LockedError
+	if _, err := holdFolder(t.Context(), folder, "n8"); !errors.As(err, &held) || held.Owner == "" {
 		t.Errorf("a folder that stays held: %v", err)
 	}
 	if waited := time.Since(began); waited < inUseMost || waited > 2*inUseMost {
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -208,7 +208,7 @@
 		if m.ID == name {
 			phase = "Terminating"
 		}
-		members = append(members, map[string]any{"id": m.ID, "host_port": m.Address, "locality": m.Zone, "flavor": m.Kind,
+		members = append(members, map[string]any{"id": m.ID, "host_port": m.Address, "locality": m.Zone, "flavor": m.HardwareClass,
 			"phase": phase})
 	}
 	body, err := json.Marshal(map[string]any{"revision": 9, "complete": true, "members": members})
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -68,7 +68,7 @@
 	topology := follower.topology(own)
 	core := controller.New(func() controller.Module { return policy.New(c.settings) }, own)
 	kept := openArchive(ctx, c.operator.State, &c, topology, core, x, base, log)
-	c.known.At, c.known.Wall = base.now(), base.start.UnixNano()
+	c.known.ReadAt, c.known.ReadAtWall = base.now(), base.start.UnixNano()
 	x.Publish(c.known)
 	follower.resume()
 	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", c.known.Revision,
--- a/cmd/lilacbend/shapes_test.go
+++ b/cmd/lilacbend/shapes_test.go
@@ -99,8 +99,8 @@
 		}
 	}
 	for k := range c.settings.Controllers {
-		if n := w.Core(k).Counters; n.Restarts > 0 || n.Strange > 0 {
-			said = append(said, fmt.Sprintf("governor %d: %d modules failed, %d notes were strange", k, n.Restarts, n.Strange))
+		if n := w.Core(k).Counters; n.ModuleRestarts > 0 || n.Invalid > 0 {
+			said = append(said, fmt.Sprintf("governor %d: %d modules failed, %d notes were strange", k, n.ModuleRestarts, n.Invalid))
 		}
 	}
 	return said
--- a/cmd/lilacbend/state.go
+++ b/cmd/lilacbend/state.go
@@ -28,7 +28,7 @@
 // archive keeps what a governor has learned, as its operator file says; a nil one keeps nothing.
 type archive struct {
 	name   string
-	keeper *snapshot.Keeper
+	keeper *snapshot.Writer
 	lock   *snapshot.Lock
 	stop   context.CancelFunc
 	log    *slog.Logger
@@ -43,7 +43,7 @@
 	if r.Folder == "" {
 		return nil
 	}
-	folder := snapshot.Folder(r.Folder)
+	folder := snapshot.Directory(r.Folder)
 	lock, err := holdFolder(ctx, folder, or(c.name, "a governor"))
 	if err != nil {
 		log.Warn("state is neither read nor kept", "folder", r.Folder, "error", err)
@@ -51,23 +51,23 @@
 	}
 	a := &archive{name: c.name, lock: lock, log: log}
 	a.recall(folder, r, c, topology, x, base)
-	core.Remember(r.Every.Nanoseconds(), r.HalfLife.Nanoseconds())
+	core.SetSnapshotPolicy(r.Every.Nanoseconds(), r.HalfLife.Nanoseconds())
 	again := func() error { // the folder had vanished, and its lock with it
-		lock, err := folder.Take(or(c.name, "a governor"))
+		lock, err := folder.Acquire(or(c.name, "a governor"))
 		if err == nil {
 			a.lock.Release()
 			a.lock = lock
 		}
 		return err
 	}
-	a.keeper = snapshot.NewKeeper(folder, r.Keep, r.Every, again, log)
+	a.keeper = snapshot.NewWriter(folder, r.Keep, r.Every, again, log)
 	keeping, stop := context.WithCancel(context.Background())
 	a.stop = stop
 	go a.keeper.Run(keeping)
 	return a
 }
 
-func (a *archive) recall(folder snapshot.Folder, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Exchange, base clock) {
+func (a *archive) recall(folder snapshot.Directory, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Exchange, base clock) {
 	g, found, refused, err := snapshot.Latest(folder)
 	if a.refuse = len(refused); err != nil {
 		a.log.Warn("state cannot be read", "folder", r.Folder, "error", err)
@@ -80,28 +80,28 @@
 		a.log.Info("no state to begin with", "folder", r.Folder)
 		return
 	}
-	if g.Memory.Governor != c.name {
-		a.log.Warn("state refused", "file", filepath.Join(r.Folder, g.Name), "error", fmt.Sprintf("it is %q's", g.Memory.Governor))
+	if g.State.Controller != c.name {
+		a.log.Warn("state refused", "file", filepath.Join(r.Folder, g.Name), "error", fmt.Sprintf("it is %q's", g.State.Controller))
 		a.refuse++
 		return
 	}
-	age := g.Memory.Taken.Age(snapshot.Now())
-	m, dropped := learnedstate.Fit(g.Memory, topology.Place(), age, r.HalfLife.Nanoseconds())
-	if m.Lists(c.known.Revision, age) {
+	age := g.State.Taken.Age(snapshot.Now())
+	m, dropped := learnedstate.Fit(g.State, topology.Installation(), age, r.HalfLife.Nanoseconds())
+	if m.HasNewerList(c.known.Revision, age) {
 		c.known = controller.ListFromSnapshot(m)
 	}
 	a.read, a.age = g.Name, time.Duration(age)
-	x.Publish(controller.SnapshotRestored{Snapshot: learnedstate.NewPast(m, base.now(), age, r.HalfLife.Nanoseconds())})
+	x.Publish(controller.SnapshotRestored{Snapshot: learnedstate.NewAgedState(m, base.now(), age, r.HalfLife.Nanoseconds())})
 	a.log.Info("state read", "file", g.Name, "age", a.age.Round(time.Millisecond), "weight", fmt.Sprintf("%.2f", learnedstate.Weight(age, r.HalfLife.Nanoseconds())),
-		"replicas", len(m.Replicas), "list", c.known.Revision, "unfit", dropped.Replicas, "too_old", dropped.Old, "usage_dropped", dropped.Usage, "groups_changed", dropped.Classes)
+		"replicas", len(m.Replicas), "list", c.known.Revision, "unfit", dropped.Replicas, "too_old", dropped.Expired, "usage_dropped", dropped.RequestRates, "groups_changed", dropped.ClassesChanged)
 }
 
 // put hands over what was learned.
-func (a *archive) put(m *learnedstate.Memory) {
+func (a *archive) put(m *learnedstate.State) {
 	if a != nil && m != nil {
 		kept := *m
-		kept.Governor, kept.Taken = a.name, snapshot.Now()
-		a.keeper.Offer(kept)
+		kept.Controller, kept.Taken = a.name, snapshot.Now()
+		a.keeper.Submit(kept)
 	}
 }
 
@@ -112,7 +112,7 @@
 	}
 	a.stop()
 	select {
-	case <-a.keeper.Ended():
+	case <-a.keeper.Done():
 		a.lock.Release()
 	case <-time.After(lastWrite):
 		a.log.Warn("the last state was not written in time")
@@ -124,10 +124,10 @@
 	if a == nil {
 		return slog.Group("state", "on", false)
 	}
-	t := &a.keeper.Tally
+	t := &a.keeper.Counters
 	return slog.Group("state", "on", true, "read", a.read, "age_at_start", a.age.Round(time.Millisecond), "refused", a.refuse,
 		"offered", t.Offered.Load(), "written", t.Written.Load(), "bytes", t.Bytes.Load(), "failed", t.Failed.Load(),
-		"skipped", t.Skipped.Load(), "generation", t.Generation.Load(), "last_took", time.Duration(t.Took.Load()))
+		"skipped", t.Skipped.Load(), "generation", t.Generation.Load(), "last_took", time.Duration(t.Duration.Load()))
 }
 
 // stateCommand shows, checks and moves what was kept.
@@ -158,7 +158,7 @@
 					return err
 				}
 				if cmd.Bool("json") {
-					return export(out, g.Memory)
+					return export(out, g.State)
 				}
 				return show(out, g)
 			}},
@@ -176,7 +176,7 @@
 				if err != nil {
 					return err
 				}
-				return export(out, g.Memory)
+				return export(out, g.State)
 			}},
 		{Name: "import", Usage: "write exported JSON as the next generation: import FILE [FOLDER]", ArgsUsage: "FILE [FOLDER]",
 			Action: func(_ context.Context, cmd *cli.Command) error {
@@ -205,9 +205,9 @@
 		return snapshot.Generation{}, err
 	}
 	if !info.IsDir() {
-		return snapshot.Read(snapshot.Folder(filepath.Dir(at)), filepath.Base(at))
+		return snapshot.Read(snapshot.Directory(filepath.Dir(at)), filepath.Base(at))
 	}
-	g, found, refused, err := snapshot.Latest(snapshot.Folder(at))
+	g, found, refused, err := snapshot.Latest(snapshot.Directory(at))
 	if err == nil && !found {
 		err = fmt.Errorf("%s: no whole generation among %d files", at, len(refused))
 		if len(refused) > 0 {
@@ -217,7 +217,7 @@
 	return g, err
 }
 
-func export(out io.Writer, m learnedstate.Memory) error {
+func export(out io.Writer, m learnedstate.State) error {
 	raw, err := snapshot.Export(m)
 	if err == nil {
 		_, err = out.Write(raw)
@@ -237,7 +237,7 @@
 		}
 		return err
 	}
-	whole, refused, err := snapshot.Survey(snapshot.Folder(at))
+	whole, refused, err := snapshot.ReadAll(snapshot.Directory(at))
 	switch {
 	case err != nil:
 		return err
@@ -263,12 +263,12 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", from, err)
 	}
-	lock, err := snapshot.Folder(at).Take("import")
+	lock, err := snapshot.Directory(at).Acquire("import")
 	if err != nil {
 		return fmt.Errorf("%s: %w: end it first", at, err)
 	}
 	defer lock.Release()
-	g, err := snapshot.Write(snapshot.Folder(at), m, 1<<20)
+	g, err := snapshot.Write(snapshot.Directory(at), m, 1<<20)
 	if err == nil {
 		fmt.Fprintf(out, "%s: generation %d, %d replicas\n", filepath.Join(at, g.Name), g.Number, len(m.Replicas))
 	}
@@ -282,23 +282,23 @@
 	if _, err := os.Stat(at); err != nil {
 		return err
 	}
-	lock, err := snapshot.Folder(at).Take("prune")
+	lock, err := snapshot.Directory(at).Acquire("prune")
 	if err != nil {
 		return fmt.Errorf("%s: %w: a governor prunes its own folder", at, err)
 	}
 	defer lock.Release()
-	removed, err := snapshot.Prune(snapshot.Folder(at), keep)
+	removed, err := snapshot.Prune(snapshot.Directory(at), keep)
 	fmt.Fprintf(out, "%s: removed %d files\n", at, len(removed))
 	return err
 }
 
 // show prints a generation for a person; ages are as of now.
 func show(out io.Writer, g snapshot.Generation) error {
-	m, age := g.Memory, time.Duration(g.Memory.Taken.Age(snapshot.Now()))
+	m, age := g.State, time.Duration(g.State.Taken.Age(snapshot.Now()))
 	fmt.Fprintf(out, "%s: generation %d, format %d, %d bytes\n", g.Name, g.Number, g.Format, g.Bytes)
-	fmt.Fprintf(out, "governor %s, taken %s, %v ago; list %d\n", m.Governor, time.Unix(0, m.Taken.Wall).UTC().Format(time.RFC3339), age.Round(time.Second), m.Revision)
+	fmt.Fprintf(out, "governor %s, taken %s, %v ago; list %d\n", m.Controller, time.Unix(0, m.Taken.Wall).UTC().Format(time.RFC3339), age.Round(time.Second), m.Revision)
 	fmt.Fprintf(out, "traffic groups %s; let in %.0f%%; one try only %v; %d tables, %d proxies bound, %d flows of proxies\n\n",
-		strings.Join(m.Classes, ", "), 100*m.AdmissionThreshold, m.RetriesStopped, m.Tables, len(m.Bindings), len(m.Usage))
+		strings.Join(m.Classes, ", "), 100*m.AdmissionThreshold, m.RetriesStopped, m.Tables, len(m.Bindings), len(m.RequestRates))
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "replica\tzone\tkind\tlisted\tverdict\trelapses\tspeed\ttries\tage")
 	for _, r := range m.Replicas {
@@ -309,7 +309,7 @@
 		case r.Probation:
 			verdict = "on trial"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.2f\t%.0f\t%v\n", r.ID, r.Zone, r.Kind, listed, verdict, r.Ejections, r.Speed, r.SampleCount,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.2f\t%.0f\t%v\n", r.ID, r.Zone, r.HardwareClass, listed, verdict, r.Ejections, r.Speed, r.SampleCount,
 			(age + time.Duration(r.SinceLastSample)).Round(time.Second))
 	}
 	return w.Flush()
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -116,7 +116,7 @@
 
 // Whatever is found in the folder, a governor serves; what it could not use it names, and leaves.
 func TestAGovernorServesWhateverItFinds(t *testing.T) {
-	whole, _ := snapshot.Encode(learnedstate.Memory{Governor: "n9", Taken: snapshot.Now()}, 1)
+	whole, _ := snapshot.Encode(learnedstate.State{Controller: "n9", Taken: snapshot.Now()}, 1)
 	for name, c := range map[string]struct{ raw, says string }{
 		"state-0000000000000001.lbs": {string(whole), `it is \"n9\"'s`},
 		"state-0000000000000002.lbs": {string(whole), "it holds generation 1"},
@@ -155,7 +155,7 @@
 		if stop(); !out.has("read again") || !out.has("msg=counters") {
 			t.Errorf("%s", out)
 		}
-		whole, refused, err := snapshot.Survey(snapshot.Folder(c.operator.State.Folder))
+		whole, refused, err := snapshot.ReadAll(snapshot.Directory(c.operator.State.Folder))
 		if len(whole) != 2 || len(refused) != 0 || err != nil {
 			t.Errorf("%d whole, refused %v, %v", len(whole), refused, err)
 		}
@@ -164,7 +164,7 @@
 
 func TestStateCommands(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "s")
-	m := learnedstate.Memory{Governor: "n0", Taken: snapshot.Now(), Classes: []string{"read"}, AdmissionThreshold: 1, Replicas: []learnedstate.Replica{{ID: "box-2", Zone: "a", Speed: 0.5, EjectedFor: 3e9, Ejections: 1}}}
+	m := learnedstate.State{Controller: "n0", Taken: snapshot.Now(), Classes: []string{"read"}, AdmissionThreshold: 1, Replicas: []learnedstate.Replica{{ID: "box-2", Zone: "a", Speed: 0.5, EjectedFor: 3e9, Ejections: 1}}}
 	paper, err := snapshot.Export(m)
 	if err != nil {
 		t.Fatal(err)
@@ -209,7 +209,7 @@
 	if out, err := run("export", folder); err != nil || out != string(paper) {
 		t.Errorf("the newest whole one: %v", err)
 	}
-	lock, err := snapshot.Folder(folder).Take("n0")
+	lock, err := snapshot.Directory(folder).Acquire("n0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/experiment/emulator/faults.go
+++ b/experiment/emulator/faults.go
@@ -100,9 +100,9 @@
 			if t.core != nil {
 				return
 			}
-			var past *learnedstate.Past
+			var past *learnedstate.AgedState
 			if f.Kind == "governor-kept" && learned != nil {
-				past = learnedstate.NewPast(*learned, w.now, learned.Taken.Age(learnedstate.Moment{Wall: w.now}), 60*second)
+				past = learnedstate.NewAgedState(*learned, w.now, learned.Taken.Age(learnedstate.Timestamp{Wall: w.now}), 60*second)
 			}
 			w.up(t, past)
 		})
@@ -147,7 +147,7 @@
 func (w *World) tellOf(r *Replica, state control.State, upSince int64) {
 	r.Member.State, r.Member.UpSince, r.told = state, upSince, w.now
 	for _, t := range w.towers {
-		t.tell(controller.ReplicaList{Revision: 1, At: w.now, Wall: w.now, Members: []controller.Member{r.Member}})
+		t.tell(controller.ReplicaList{Revision: 1, ReadAt: w.now, ReadAtWall: w.now, Members: []controller.Member{r.Member}})
 	}
 }
 
--- a/experiment/emulator/steer.go
+++ b/experiment/emulator/steer.go
@@ -23,7 +23,7 @@
 	turn    int64 // when the next is due; 0: none
 	free    int64 // when its channel has nothing more to send
 	up      int64 // since when it is there
-	learned *learnedstate.Memory
+	learned *learnedstate.State
 	reports []report // that wait, the oldest first
 	credit  float64  // lines that may be told
 }
@@ -51,7 +51,7 @@
 }
 
 // Up starts all governors; the past is told to the first.
-func (w *World) Up(past *learnedstate.Past) {
+func (w *World) Up(past *learnedstate.AgedState) {
 	for _, t := range w.towers {
 		w.up(t, past)
 		past = nil
@@ -64,7 +64,7 @@
 // up starts a governor. It is told of the list, of the past if there is one, and of the proxies as they join: those that
 // have no governor within a third of a second, those of its own that others have, some seconds later. They keep the tables
 // that they have.
-func (w *World) up(t *tower, past *learnedstate.Past) {
+func (w *World) up(t *tower, past *learnedstate.AgedState) {
 	p := w.Site.Provision
 	p.Seed = uint64(w.chance.Int63())
 	t.up = w.now
@@ -105,7 +105,7 @@
 func (w *World) join(p *proxy) {
 	w.streams++
 	p.stream, p.joined, p.bare = w.streams, w.now, 0
-	w.towers[p.tower].tell(controller.StreamOpened{Stream: p.stream, Proxy: p.id, Zone: p.zone, Blank: len(p.lines) == 0, Rate: 1})
+	w.towers[p.tower].tell(controller.StreamOpened{Stream: p.stream, Proxy: p.id, Zone: p.zone, WithoutTable: len(p.lines) == 0, Rate: 1})
 	w.look(p)
 }
 
@@ -160,7 +160,7 @@
 }
 
 func (w *World) list(t *tower) {
-	l := controller.ReplicaList{Revision: 1, Complete: true, At: w.now, Wall: w.now}
+	l := controller.ReplicaList{Revision: 1, Complete: true, ReadAt: w.now, ReadAtWall: w.now}
 	for _, r := range w.Replicas {
 		l.Members = append(l.Members, r.Member)
 	}
@@ -203,7 +203,7 @@
 	}
 	if o.Snapshot != nil {
 		t.learned = o.Snapshot
-		t.learned.Taken = learnedstate.Moment{Wall: w.now}
+		t.learned.Taken = learnedstate.Timestamp{Wall: w.now}
 		w.Learned = w.towers[0].learned
 	}
 	for _, s := range o.Updates {
--- a/experiment/emulator/world.go
+++ b/experiment/emulator/world.go
@@ -58,7 +58,7 @@
 type proxy struct {
 	id     int
 	zone   string
-	stream controller.Stream
+	stream controller.StreamID
 	tower  int // it is joined to, or was last
 	lines  map[string]float64
 	shut   map[string]bool
@@ -118,8 +118,8 @@
 type World struct {
 	Site     Site
 	Replicas []*Replica
-	Learned  *learnedstate.Memory // the last that the first governor has told
-	Turns    []int64              // real nanoseconds of each turn, if Clock is set
+	Learned  *learnedstate.State // the last that the first governor has told
+	Turns    []int64             // real nanoseconds of each turn, if Clock is set
 	Clock    func() int64
 
 	proxies []*proxy
@@ -129,7 +129,7 @@
 	events  schedule
 	ordered int64
 	towers  []*tower
-	streams controller.Stream
+	streams controller.StreamID
 	from    int64 // flows that come from then to until are counted
 	until   int64
 	outcome Outcome
@@ -165,7 +165,7 @@
 // as equal.
 func NewSite(replicas, proxies int, load float64) Site {
 	return Site{Replicas: replicas, Proxies: proxies, Load: load,
-		Names: settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}},
+		Names: settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1", "m2"}},
 		Provision: control.Settings{Seed: 7, Controllers: 1, Zones: 2, HardwareClasses: 3, Proxies: proxies, ChannelRate: 20000,
 			ChannelLimit: 40 * proxies, MessageOverhead: 4, MaxTransit: second / 2, MaxMessages: 30, MessageWindow: 10 * second, HostQueues: true,
 			ReportInterval: second, SlowStartFraction: 0.2, SlowStartTime: 20 * second, OverloadMultiple: 3, Admission: control.AdmitFraction,
@@ -184,10 +184,10 @@
 
 // kind names a kind by its place; what the site does not name has no name.
 func (s Site) kind(k int) string {
-	if k >= len(s.Names.Kinds) {
+	if k >= len(s.Names.HardwareClasses) {
 		return ""
 	}
-	return s.Names.Kinds[k]
+	return s.Names.HardwareClasses[k]
 }
 
 // New makes a world in which nothing has happened yet.
@@ -198,7 +198,7 @@
 	for k := range site.Replicas {
 		kind := k / 2 % 2
 		r := &Replica{places: 8, mean: 0.1 * float64(1+kind), met: map[teller]*sum{}, Member: controller.Member{
-			ID: fmt.Sprintf("s-%04d", k), Zone: zones[k%len(zones)], Kind: site.kind(kind), Weight: 1}}
+			ID: fmt.Sprintf("s-%04d", k), Zone: zones[k%len(zones)], HardwareClass: site.kind(kind), Weight: 1}}
 		able += float64(r.places) / r.mean
 		w.Replicas, w.by[r.Member.ID] = append(w.Replicas, r), r
 	}
@@ -270,7 +270,7 @@
 	p.came[f.group]++
 	w.count(f, func(o *Outcome) { o.Came++ })
 	name := w.Site.Names.Classes[f.group]
-	if l, ok := p.levels[name]; ok && w.chance.Float64() >= l.Share {
+	if l, ok := p.levels[name]; ok && w.chance.Float64() >= l.Fraction {
 		f.done = true
 		w.count(f, func(o *Outcome) { o.Blocked++ })
 		return
--- a/experiment/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -77,7 +77,7 @@
 }
 
 // recall takes what was learned through the form in which it is kept.
-func recall(w *emulator.World, learned *learnedstate.Memory, m Memory, chance *rand.Rand) (*learnedstate.Past, error) {
+func recall(w *emulator.World, learned *learnedstate.State, m Memory, chance *rand.Rand) (*learnedstate.AgedState, error) {
 	if m == None || learned == nil {
 		return nil, nil
 	}
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("what was kept is not read: %w", err)
 	}
-	age := kept.Taken.Age(learnedstate.Moment{Wall: w.Now()})
+	age := kept.Taken.Age(learnedstate.Timestamp{Wall: w.Now()})
 	switch m {
 	case Old:
 		age += 2 * halfLife
@@ -108,6 +108,6 @@
 			r.Speed, r.SampleCount, r.EjectedFor, r.Probation, r.Ejections = other[n].Speed, other[n].SampleCount, other[n].EjectedFor, other[n].Probation, other[n].Ejections
 		}
 	}
-	kept, _ = learnedstate.Fit(kept, learnedstate.Place{Classes: w.Site.Names.Classes, Kinds: w.Site.Names.Kinds, Proxies: w.Site.Proxies}, age, halfLife)
-	return learnedstate.NewPast(kept, w.Now(), age, halfLife), nil
+	kept, _ = learnedstate.Fit(kept, learnedstate.Installation{Classes: w.Site.Names.Classes, HardwareClasses: w.Site.Names.HardwareClasses, Proxies: w.Site.Proxies}, age, halfLife)
+	return learnedstate.NewAgedState(kept, w.Now(), age, halfLife), nil
 }
--- a/experiment/restart/restart_test.go
+++ b/experiment/restart/restart_test.go
@@ -29,7 +29,7 @@
 					began := time.Now()
 					w.Clock = func() int64 { return int64(time.Since(began)) }
 					w.Up(nil)
-					w.Core(0).Remember(every, 60*second)
+					w.Core(0).SetSnapshotPolicy(every, 60*second)
 					w.Run(5500 * second / 1000)
 					w.Turns = w.Turns[:0]
 					w.Run(16 * second)
--- a/experiment/scale/hollow.go
+++ b/experiment/scale/hollow.go
@@ -122,7 +122,7 @@
 }
 
 // verdict passes on what the core made of an offer.
-func (h *hollow) verdict(c controller.Configured) {
+func (h *hollow) verdict(c controller.ConfigurationResult) {
 	h.mu.Lock()
 	o := h.offered[c.Version]
 	h.mu.Unlock()
@@ -136,7 +136,7 @@
 // core names.
 func (h *hollow) parts(core *controller.Core) []checks.Marker {
 	h.mu.Lock()
-	named := h.offered[core.Configuration()].marker
+	named := h.offered[core.ConfigurationVersion()].marker
 	h.mu.Unlock()
 	parts := append(partsOf(h.module.Settings), named)
 	slices.Sort(parts)
@@ -178,12 +178,12 @@
 
 // proxy joins, acknowledges what it is sent and reports a few requests a second.
 func (h *hollow) proxy(ctx context.Context, k int) {
-	stream := controller.Stream(k + 1)
+	stream := controller.StreamID(k + 1)
 	out := h.exchange.Open(stream, func() {})
 	defer out.Close()
 	random := rand.New(rand.NewPCG(h.plan.Seed, uint64(k)))
 	zone := zoneName(random.IntN(max(1, h.plan.Shape.Zones)))
-	h.exchange.Publish(controller.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, Blank: true})
+	h.exchange.Publish(controller.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, WithoutTable: true})
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() { h.report(ctx, stream, k, random) })
@@ -200,7 +200,7 @@
 }
 
 // report tells once a second, at instants drawn by proxy, of the requests of one route.
-func (h *hollow) report(ctx context.Context, stream controller.Stream, proxy int, random *rand.Rand) {
+func (h *hollow) report(ctx context.Context, stream controller.StreamID, proxy int, random *rand.Rand) {
 	for pause := time.Duration(random.Int64N(int64(time.Second))); ; pause = time.Second {
 		select {
 		case <-ctx.Done():
--- a/experiment/scale/source.go
+++ b/experiment/scale/source.go
@@ -24,16 +24,16 @@
 }
 
 // SourceOf makes the configuration source of a governor, whose disk outlasts its lives.
-type SourceOf func(plan GovernorPlan, disk configcache.Disk) ConfigurationSource
+type SourceOf func(plan GovernorPlan, disk configcache.Storage) ConfigurationSource
 
 // Watch is the product's client.
-func Watch(plan GovernorPlan, disk configcache.Disk) ConfigurationSource {
+func Watch(plan GovernorPlan, disk configcache.Storage) ConfigurationSource {
 	return &watchSource{plan: plan, disk: disk, service: serviceName(plan.Service), digest: configcache.DigestOf(settingsOf(plan.Shape, 1, true))}
 }
 
 type watchSource struct {
 	plan    GovernorPlan
-	disk    configcache.Disk
+	disk    configcache.Storage
 	service string
 	digest  configcache.Digest // of the settings that each life begins with
 	watcher *configwatch.Watcher
@@ -57,7 +57,7 @@
 		panic(fmt.Sprintf("governor %d: %v", s.plan.Number, err)) // the rig's own plan is wrong
 	}
 	record, found, err := configcache.Load(s.disk)
-	if err == nil && found && record.Usable(s.service, s.digest) == nil {
+	if err == nil && found && record.CheckUsable(s.service, s.digest) == nil {
 		s.watcher.Resume(record.Version, record.Settings)
 	}
 }
--- a/internal/configcache/keeper.go
+++ b/internal/configcache/keeper.go
@@ -19,14 +19,14 @@
 	retryFirst, retryMost = time.Second, time.Minute
 )
 
-// Disk is a folder. Replace writes a file whole or not at all, and returns once it lasts.
-type Disk interface {
+// Storage is a folder. Replace writes a file whole or not at all, and returns once it lasts.
+type Storage interface {
 	Read(name string, most int64) ([]byte, error)
 	Replace(name string, data []byte) error
 }
 
 // Load reads the record of a folder; found is false where there is none.
-func Load(disk Disk) (r Record, found bool, err error) {
+func Load(disk Storage) (r Record, found bool, err error) {
 	raw, err := disk.Read(fileName, FileMax)
 	if errors.Is(err, fs.ErrNotExist) {
 		return Record{}, false, nil
@@ -41,11 +41,11 @@
 // Counters count what a keeper has done.
 type Counters struct{ Written, Failed atomic.Int64 }
 
-// Keeper writes the record in force to a disk. A disk that is slow, full or gone costs what a restart would begin with, and
+// Writer writes the record in force to a disk. A disk that is slow, full or gone costs what a restart would begin with, and
 // nothing else.
-type Keeper struct {
+type Writer struct {
 	Counters Counters
-	disk     Disk
+	disk     Storage
 	log      *slog.Logger
 	mu       sync.Mutex // held by who hands over
 	latest   chan Record
@@ -53,13 +53,13 @@
 	failing  bool
 }
 
-// NewKeeper makes a keeper, whose Run has to be called.
-func NewKeeper(disk Disk, seed uint64, log *slog.Logger) *Keeper {
-	return &Keeper{disk: disk, log: log, latest: make(chan Record, 1), retry: backoff.NewJittered(retryFirst, retryMost, seed)}
+// NewWriter makes a keeper, whose Run has to be called.
+func NewWriter(disk Storage, seed uint64, log *slog.Logger) *Writer {
+	return &Writer{disk: disk, log: log, latest: make(chan Record, 1), retry: backoff.NewJittered(retryFirst, retryMost, seed)}
 }
 
-// Keep hands over the record in force; it replaces one that was not written yet, and waits for no disk.
-func (k *Keeper) Keep(r Record) {
+// Submit hands over the record in force; it replaces one that was not written yet, and waits for no disk.
+func (k *Writer) Submit(r Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	select {
@@ -70,7 +70,7 @@
 }
 
 // Run writes what is handed over until ctx ends, and then what was handed over last.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Writer) Run(ctx context.Context) {
 	for {
 		select {
 		case r := <-k.latest:
@@ -83,7 +83,7 @@
 }
 
 // writeUntilDone tries to write a record, or a newer one, until that has gone well or ctx ends.
-func (k *Keeper) writeUntilDone(ctx context.Context, r Record) {
+func (k *Writer) writeUntilDone(ctx context.Context, r Record) {
 	for !k.write(r) {
 		pause := time.NewTimer(k.retry.Next())
 		select {
@@ -99,7 +99,7 @@
 }
 
 // writeLast writes what still waits, once.
-func (k *Keeper) writeLast() {
+func (k *Writer) writeLast() {
 	select {
 	case r := <-k.latest:
 		k.write(r)
@@ -108,7 +108,7 @@
 }
 
 // write writes a record and says whether it went well. The log has the first failure and the first success after it.
-func (k *Keeper) write(r Record) bool {
+func (k *Writer) write(r Record) bool {
 	err := Write(k.disk, r)
 	if err != nil {
 		k.Counters.Failed.Add(1)
@@ -126,7 +126,7 @@
 }
 
 // Write writes a record in place of the one before.
-func Write(disk Disk, r Record) error {
+func Write(disk Storage, r Record) error {
 	raw, err := Encode(r)
 	if err != nil {
 		return fmt.Errorf("encoding it: %w", err)
--- a/internal/configcache/keeper_test.go
+++ b/internal/configcache/keeper_test.go
@@ -70,9 +70,9 @@
 }
 
 // keeping runs a keeper on virtual time until the test ends it.
-func keeping(t *testing.T, d *disk) (k *Keeper, out *bytes.Buffer, end func()) {
+func keeping(t *testing.T, d *disk) (k *Writer, out *bytes.Buffer, end func()) {
 	out = &bytes.Buffer{}
-	k = NewKeeper(d, 1, slog.New(slog.NewTextHandler(out, nil)))
+	k = NewWriter(d, 1, slog.New(slog.NewTextHandler(out, nil)))
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { k.Run(ctx); close(ended) }()
@@ -83,11 +83,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := &disk{takes: time.Second}
 		k, _, end := keeping(t, d)
-		k.Keep(numbered(1))
+		k.Submit(numbered(1))
 		synctest.Wait()
 		began := time.Now()
 		for n := range uint64(50) {
-			k.Keep(numbered(2 + n))
+			k.Submit(numbered(2 + n))
 		}
 		if time.Since(began) > 0 {
 			t.Errorf("the disk held it up for %v", time.Since(began))
@@ -108,7 +108,7 @@
 		d := &disk{}
 		d.failing(errors.New("no space"))
 		k, out, end := keeping(t, d)
-		k.Keep(numbered(1))
+		k.Submit(numbered(1))
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
 		if d.writes < 10 || d.writes > 40 {
@@ -117,7 +117,7 @@
 		if said := strings.Count(out.String(), "is not kept"); said != 1 {
 			t.Errorf("said %d times: %s", said, out)
 		}
-		k.Keep(numbered(2))
+		k.Submit(numbered(2))
 		synctest.Wait()
 		d.failing(nil)
 		time.Sleep(retryMost)
@@ -136,9 +136,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := &disk{takes: time.Second}
 		k, _, end := keeping(t, d)
-		k.Keep(numbered(1))
+		k.Submit(numbered(1))
 		synctest.Wait() // the first is being written
-		k.Keep(numbered(2))
+		k.Submit(numbered(2))
 		end()
 		if got := held(t, d); got != 2 {
 			t.Errorf("revision %d, want 2", got)
--- a/internal/configcache/record.go
+++ b/internal/configcache/record.go
@@ -108,19 +108,19 @@
 	return Record{Service: h.Service, Version: h.Version, Start: h.Start, Settings: settings}, nil
 }
 
-// OtherService says that a record is of another service.
-type OtherService struct{ Service string }
+// OtherServiceError says that a record is of another service.
+type OtherServiceError struct{ Service string }
 
-func (e *OtherService) Error() string { return fmt.Sprintf("it is of service %q", e.Service) }
+func (e *OtherServiceError) Error() string { return fmt.Sprintf("it is of service %q", e.Service) }
 
 // ErrStartChanged says that the governor's own file has other settings than when the record was made: whoever changed
 // them wants them in force, as where all servers are lost.
 var ErrStartChanged = errors.New("the settings in the governor's own file have changed since")
 
-// Usable says whether a governor of a service whose own file has some settings may begin with a record.
-func (r Record) Usable(service string, start Digest) error {
+// CheckUsable says whether a governor of a service whose own file has some settings may begin with a record.
+func (r Record) CheckUsable(service string, start Digest) error {
 	if r.Service != service {
-		return &OtherService{r.Service}
+		return &OtherServiceError{r.Service}
 	}
 	if r.Start != start {
 		return ErrStartChanged
--- a/internal/configcache/record_test.go
+++ b/internal/configcache/record_test.go
@@ -100,14 +100,14 @@
 
 func TestWhichRecordsMayBeUsed(t *testing.T) {
 	r := recordOf(`{}`)
-	if err := r.Usable("orders", DigestOf([]byte("{ \"a\" : 1 }\n"))); err != nil {
+	if err := r.CheckUsable("orders", DigestOf([]byte("{ \"a\" : 1 }\n"))); err != nil {
 		t.Errorf("other spaces in the governor's own file: %v", err)
 	}
-	if err := r.Usable("orders", DigestOf([]byte(`{"a":2}`))); !errors.Is(err, ErrStartChanged) {
+	if err := r.CheckUsable("orders", DigestOf([]byte(`{"a":2}`))); !errors.Is(err, ErrStartChanged) {
 		t.Errorf("another own file: %v", err)
 	}
-	var other *OtherService
-	if err := r.Usable("stock", r.Start); !errors.As(err, &other) || other.Service != "orders" {
+	var other *OtherServiceError
+	if err := r.CheckUsable("stock", r.Start); !errors.As(err, &other) || other.Service != "orders" {
 		t.Errorf("another service: %v", err)
 	}
 }
--- a/internal/controller/budget_test.go
+++ b/internal/controller/budget_test.go
@@ -21,7 +21,7 @@
 const second = int64(1e9)
 
 type forwarder struct {
-	stream controller.Stream
+	stream controller.StreamID
 	joined int64
 	zone   string
 	lines  map[string]float64
@@ -46,7 +46,7 @@
 	states    map[string]controller.Member
 	names     []string
 	now       int64
-	streams   controller.Stream
+	streams   controller.StreamID
 	notes     []any
 	stalled   []message
 	queue     []message
@@ -90,11 +90,11 @@
 		SlowStartFraction: 0.2, SlowStartTime: 20 * second, OverloadMultiple: 3, Admission: control.AdmitFraction, AttemptTimeoutFactor: 1, DefaultRetries: control.RetryIfNotExecuted,
 		Classes: []control.TrafficClass{{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent},
 			{PriorityWeight: 3, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.NotIdempotent}}}
-	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
+	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 	w.core = controller.New(func() controller.Module { return moody{policy.New(w.provision), w} }, controller.NewTopology(names, w.provision))
 	for k := range replicas {
 		w.names = append(w.names, fmt.Sprintf("s-%04d", k))
-		w.states[w.names[k]] = controller.Member{ID: w.names[k], Zone: names.Zones[k%2], Kind: "m1", Weight: 1}
+		w.states[w.names[k]] = controller.Member{ID: w.names[k], Zone: names.Zones[k%2], HardwareClass: "m1", Weight: 1}
 	}
 	w.list(w.names, true)
 	for k := range proxies {
@@ -104,7 +104,7 @@
 }
 
 func (w *channelWorld) list(names []string, whole bool) {
-	l := controller.ReplicaList{Complete: whole, At: w.now, Wall: w.now}
+	l := controller.ReplicaList{Complete: whole, ReadAt: w.now, ReadAtWall: w.now}
 	for _, name := range names {
 		l.Members = append(l.Members, w.states[name])
 	}
@@ -115,7 +115,7 @@
 	p := w.proxies[k]
 	w.streams++
 	p.stream, p.joined, p.got = w.streams, w.now, nil
-	w.notes = append(w.notes, controller.StreamOpened{Stream: p.stream, Proxy: k, Zone: p.zone, Rate: 1, Blank: len(p.lines)+len(p.shut) == 0})
+	w.notes = append(w.notes, controller.StreamOpened{Stream: p.stream, Proxy: k, Zone: p.zone, Rate: 1, WithoutTable: len(p.lines)+len(p.shut) == 0})
 }
 
 // step lets one thing happen, and then some time go by with a turn at its end.
--- a/internal/controller/capped_test.go
+++ b/internal/controller/capped_test.go
@@ -29,12 +29,12 @@
 	const grace = 2 * second
 	p := cappedSettings(grace, 6)
 	p.ChannelRate, p.ChannelLimit = 1200, 1800
-	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, Kinds: []string{"m1"}}
+	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, HardwareClasses: []string{"m1"}}
 	core := controller.New(func() controller.Module { return policy.New(p) }, controller.NewTopology(names, p))
 	list := func(drains string) controller.ReplicaList {
-		l := controller.ReplicaList{Complete: true, At: second, Wall: second}
+		l := controller.ReplicaList{Complete: true, ReadAt: second, ReadAtWall: second}
 		for k := range 6 {
-			m := controller.Member{ID: fmt.Sprint("s-", k), Zone: "a", Kind: "m1", Weight: 1}
+			m := controller.Member{ID: fmt.Sprint("s-", k), Zone: "a", HardwareClass: "m1", Weight: 1}
 			if m.ID == drains {
 				m.State = control.Draining
 			}
@@ -42,11 +42,11 @@
 		}
 		return l
 	}
-	stream, owner, left := controller.Stream(0), map[controller.Stream]int{}, map[int]bool{}
+	stream, owner, left := controller.StreamID(0), map[controller.StreamID]int{}, map[int]bool{}
 	join := func(proxy int) controller.StreamOpened {
 		stream++
 		owner[stream] = proxy
-		return controller.StreamOpened{Stream: stream, Proxy: proxy, Zone: "a", Rate: 10, Blank: true}
+		return controller.StreamOpened{Stream: stream, Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true}
 	}
 	notes := []any{list("")}
 	for proxy := range p.Proxies {
@@ -89,24 +89,24 @@
 	)
 	p := cappedSettings(grace, 30)
 	p.ChannelRate, p.ChannelLimit = 20000, 6000
-	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, Kinds: []string{"m1"}}
+	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, HardwareClasses: []string{"m1"}}
 	core := controller.New(func() controller.Module { return policy.New(p) }, controller.NewTopology(names, p))
-	list := controller.ReplicaList{Complete: true, At: second, Wall: second}
+	list := controller.ReplicaList{Complete: true, ReadAt: second, ReadAtWall: second}
 	for k := range replicas {
-		list.Members = append(list.Members, controller.Member{ID: fmt.Sprint("s-", k), Zone: "a", Kind: "m1", Weight: 1})
+		list.Members = append(list.Members, controller.Member{ID: fmt.Sprint("s-", k), Zone: "a", HardwareClass: "m1", Weight: 1})
 	}
 	notes := []any{list}
 	for proxy := range p.Proxies {
-		notes = append(notes, controller.StreamOpened{Stream: controller.Stream(proxy + 1), Proxy: proxy, Zone: "a", Rate: 10, Blank: true})
+		notes = append(notes, controller.StreamOpened{Stream: controller.StreamID(proxy + 1), Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true})
 	}
-	holds, messages := map[controller.Stream]map[string]bool{}, map[controller.Stream]int{}
+	holds, messages := map[controller.StreamID]map[string]bool{}, map[controller.StreamID]int{}
 	drained := map[string]int64{}
 	for now := second; now < 15*second; now += second / 100 {
 		if k := (now - 4*second) / step; now >= 4*second && k < 40 && len(drained) <= int(k) {
 			m := list.Members[k]
 			m.State = control.Draining
 			drained[m.ID] = now
-			notes = append(notes, controller.ReplicaList{Revision: 1, At: now, Wall: now, Members: []controller.Member{m}})
+			notes = append(notes, controller.ReplicaList{Revision: 1, ReadAt: now, ReadAtWall: now, Members: []controller.Member{m}})
 		}
 		o := core.Turn(now, notes)
 		notes = nil
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -56,19 +56,19 @@
 	case control.Bind:
 		if s := c.proxies[w.Proxy]; s != nil {
 			c.bind(s, w.Table)
-			c.Counters.LinesOrdered += int64(c.fullTableLines(w.Table))
+			c.Counters.CostRequested += int64(c.fullTableLines(w.Table))
 		}
 	case control.BindSubset:
 		if s := c.proxies[w.Proxy]; s != nil {
 			c.bindPart(s, w)
-			c.Counters.LinesOrdered += int64(len(w.Replicas) + 1)
+			c.Counters.CostRequested += int64(len(w.Replicas) + 1)
 		}
 	case control.SetEjected:
 		c.setEjected(w, n)
 	case control.SetAdmission:
 		n.admissions[w.Table] = true
 		c.admissions[tableClass{w.Table, w.Class}] = w
-		c.Counters.LinesOrdered += int64(len(c.streamsReached(w.Table)))
+		c.Counters.CostRequested += int64(len(c.streamsReached(w.Table)))
 	case control.RequestAck:
 		n.wantsAck = true
 		n.nonce = w.Nonce
@@ -80,14 +80,14 @@
 	case control.Log:
 		o.Logs = append(o.Logs, c.nameReplica(w.Text))
 	default:
-		c.Counters.Strange++
+		c.Counters.Invalid++
 	}
 }
 
 // setEndpoint sets the weight of a replica in a table. One without a name is skipped, as it could never be named to a proxy.
 func (c *Core) setEndpoint(w control.SetEndpoint, n *turnChanges) {
 	if c.replicas.known[w.Replica] == nil {
-		c.Counters.Strange++
+		c.Counters.Invalid++
 		return
 	}
 	if c.tables[w.Table] == nil {
@@ -101,13 +101,13 @@
 	if c.tables[w.Table][w.Replica] <= 0 {
 		delete(c.tables[w.Table], w.Replica)
 	}
-	c.Counters.LinesOrdered += int64(len(c.bound[w.Table]))
+	c.Counters.CostRequested += int64(len(c.bound[w.Table]))
 }
 
 // setEjected ejects a replica, or restores it.
 func (c *Core) setEjected(w control.SetEjected, n *turnChanges) {
 	if c.replicas.known[w.Replica] == nil {
-		c.Counters.Strange++
+		c.Counters.Invalid++
 		return
 	}
 	n.ejections[w.Replica] = true
@@ -117,7 +117,7 @@
 		delete(c.ejected, w.Replica)
 	}
 	for _, table := range c.tablesWith(w.Replica) {
-		c.Counters.LinesOrdered += int64(len(c.bound[table]))
+		c.Counters.CostRequested += int64(len(c.bound[table]))
 	}
 }
 
@@ -176,12 +176,12 @@
 func (c *Core) admissionOf(table, class int) (Admission, bool) {
 	own, mine := c.admissions[tableClass{table, class}]
 	all, everywhere := c.admissions[tableClass{control.AllTables, class}]
-	l := Admission{Class: c.names.Classes[class], Share: own.Fraction, Retries: own.Retries}
+	l := Admission{Class: c.names.Classes[class], Fraction: own.Fraction, Retries: own.Retries}
 	switch {
 	case mine && everywhere:
-		l.Share = math.Min(own.Fraction, all.Fraction)
+		l.Fraction = math.Min(own.Fraction, all.Fraction)
 	case everywhere:
-		l.Share, l.Retries = all.Fraction, all.Retries
+		l.Fraction, l.Retries = all.Fraction, all.Retries
 	}
 	return l, mine || everywhere
 }
--- a/internal/controller/configure.go
+++ b/internal/controller/configure.go
@@ -25,8 +25,8 @@
 	Start    func() Module
 }
 
-// Configured says what became of a Configure: in force, or refused for a reason.
-type Configured struct {
+// ConfigurationResult says what became of a Configure: in force, or refused for a reason.
+type ConfigurationResult struct {
 	Configure
 	Err error
 }
@@ -38,8 +38,8 @@
 	start    func() Module
 }
 
-// Configuration is the version of the settings in force; zero are those of the start.
-func (c *Core) Configuration() revision.Version { return c.version }
+// ConfigurationVersion is the version of the settings in force; zero are those of the start.
+func (c *Core) ConfigurationVersion() revision.Version { return c.version }
 
 // CurrentTopology is the topology in force, for those who check streams before they come here.
 func (c *Core) CurrentTopology() Topology { return c.Topology }
@@ -49,7 +49,7 @@
 	census := NewTopology(n.Names, n.Settings)
 	if err := c.Accepts(census); err != nil {
 		c.Counters.ConfigurationsRefused++
-		c.configured = append(c.configured, Configured{n, err})
+		c.configured = append(c.configured, ConfigurationResult{n, err})
 		return nil
 	}
 	if c.previous == nil {
@@ -59,8 +59,8 @@
 	census.names.Zones = sameOrder(before.Zones, n.Names.Zones)
 	census.former = c.formerZones(n.Names.Zones)
 	c.adopt(configuration{n.Version, census, n.Start})
-	c.Counters.Configurations++
-	c.configured = append(c.configured, Configured{n, nil})
+	c.Counters.ConfigurationsApplied++
+	c.configured = append(c.configured, ConfigurationResult{n, nil})
 	classes := renumbered(before.Classes, c.names.Classes)
 	c.renumberAdmissions(classes, before.Classes)
 	if c.fresh { // nothing was told to it yet
@@ -68,7 +68,7 @@
 		return nil
 	}
 	event := control.SettingsChanged{Settings: n.Settings, NewClasses: classes,
-		NewHardwareClasses: append(renumbered(before.Kinds, c.names.Kinds), len(c.names.Kinds)), Replicas: c.currentList().Entries}
+		NewHardwareClasses: append(renumbered(before.HardwareClasses, c.names.HardwareClasses), len(c.names.HardwareClasses)), Replicas: c.currentList().Entries}
 	for _, proxy := range sortedKeys(c.proxies) {
 		event.Proxies = append(event.Proxies, c.proxies[proxy].opened)
 	}
@@ -89,7 +89,7 @@
 	c.version, c.Topology, c.newModule = next.version, next.topology, next.start
 	c.account.Bounds = c.bounds
 	for _, r := range c.replicas.known {
-		r.Zone, r.HardwareClass = indexOrLast(c.names.Zones, r.zone), indexOrLast(c.names.Kinds, r.kind)
+		r.Zone, r.HardwareClass = indexOrLast(c.names.Zones, r.zone), indexOrLast(c.names.HardwareClasses, r.kind)
 	}
 	for _, s := range c.proxies {
 		s.opened.Zone = indexOrLast(c.names.Zones, s.zone)
@@ -115,7 +115,7 @@
 				told[to] = s.toldAdmissions[class]
 				continue
 			}
-			s.lifted = append(s.lifted, Admission{Class: names[class], Share: 1, Retries: c.defaultRetries})
+			s.lifted = append(s.lifted, Admission{Class: names[class], Fraction: 1, Retries: c.defaultRetries})
 			c.due[proxy] = s
 		}
 		s.toldAdmissions = told
@@ -129,7 +129,7 @@
 	for k := range c.configured {
 		if c.configured[k].Err == nil {
 			c.configured[k].Err = fmt.Errorf("the module fails by it: %.200s", failed)
-			c.Counters.Configurations--
+			c.Counters.ConfigurationsApplied--
 			c.Counters.ConfigurationsRefused++
 		}
 	}
--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -17,12 +17,12 @@
 		}
 		return strings.Split(text, ",")
 	}
-	return settings.Names{Classes: split(groups), Zones: split(zones), Kinds: split(kinds)}
+	return settings.Names{Classes: split(groups), Zones: split(zones), HardwareClasses: split(kinds)}
 }
 
 // changed are settings of the scripted core with other names.
 func changed(number uint64, names settings.Names, module Module) Configure {
-	p := control.Settings{Proxies: 9, Zones: len(names.Zones), HardwareClasses: len(names.Kinds) + 1, DefaultRetries: control.RetryIfNotExecuted}
+	p := control.Settings{Proxies: 9, Zones: len(names.Zones), HardwareClasses: len(names.HardwareClasses) + 1, DefaultRetries: control.RetryIfNotExecuted}
 	for range names.Classes {
 		p.Classes = append(p.Classes, control.TrafficClass{Timeout: 2e9})
 	}
@@ -44,7 +44,7 @@
 		}
 		return o
 	}
-	turn([]any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", Blank: true}},
+	turn([]any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}},
 		line(0, 1, 1), line(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
 		control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}, control.SetAdmission{Table: 0, Class: 0, Fraction: 0.7})
 	o := turn([]any{
@@ -53,7 +53,7 @@
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 2}},
 		Outcomes{Zone: "a", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
 	})
-	if len(o.Updates) != 0 || len(o.CloseStreams) != 0 || len(o.Configured) != 1 || o.Configured[0].Err != nil || c.Configuration().Revision != 2 {
+	if len(o.Updates) != 0 || len(o.CloseStreams) != 0 || len(o.Configured) != 1 || o.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 2 {
 		t.Errorf("%s, %+v", text(o), o.Configured)
 	}
 	var told control.SettingsChanged
@@ -86,12 +86,12 @@
 // A traffic group that leaves is let in again at every proxy that was told otherwise, once.
 func TestAGroupThatLeavesIsLetIn(t *testing.T) {
 	c, s := core([]control.Command{line(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}})
-	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", Blank: true}})
+	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}})
 	if got := text(c.Turn(1, []any{changed(2, namesOf("read", "a,b", "m1,m2"), s)})); got != "1: order~1/1; 2: order~1/1" {
 		t.Error(got)
 	}
-	if got := text(c.Turn(2, []any{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Strange != 1 {
-		t.Errorf("%q, %d strange", got, c.Counters.Strange)
+	if got := text(c.Turn(2, []any{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Invalid != 1 {
+		t.Errorf("%q, %d strange", got, c.Counters.Invalid)
 	}
 	if got := text(c.Turn(3, []any{changed(3, namesOf("order,read", "a,b", "m1,m2"), s)})); got != "" {
 		t.Error(got)
@@ -104,8 +104,8 @@
 	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	o := c.Turn(1, []any{changed(2, namesOf("read,order", "a", "m1,m2"), s), Outcomes{Zone: "b", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
 		StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, Outcomes{Zone: "c", Replica: "x"}})
-	if len(o.CloseStreams) != 1 || o.CloseStreams[0] != 2 || c.Counters.Strange != 2 || c.Counters.Proxies != 1 {
-		t.Errorf("%v ended, %d strange, %d joined", o.CloseStreams, c.Counters.Strange, c.Counters.Proxies)
+	if len(o.CloseStreams) != 1 || o.CloseStreams[0] != 2 || c.Counters.Invalid != 2 || c.Counters.ConnectedProxies != 1 {
+		t.Errorf("%v ended, %d strange, %d joined", o.CloseStreams, c.Counters.Invalid, c.Counters.ConnectedProxies)
 	}
 	if met, is := s.told[1].(control.Outcomes); !is || met.Zone != 1 {
 		t.Errorf("told %+v", s.told)
@@ -127,7 +127,7 @@
 	next.Settings.Admission = control.AdmitRate
 	o := c.Turn(1, []any{next})
 	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "domain.admit") ||
-		len(s.told) != 0 || len(c.names.Zones) != 2 || !c.Configuration().IsZero() || c.Counters.ConfigurationsRefused != 1 {
+		len(s.told) != 0 || len(c.names.Zones) != 2 || !c.ConfigurationVersion().IsZero() || c.Counters.ConfigurationsRefused != 1 {
 		t.Errorf("%+v %+v", o.Configured, s.told)
 	}
 }
@@ -147,16 +147,16 @@
 	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "the module fails by it") {
 		t.Fatalf("%+v", o.Configured)
 	}
-	if !c.Configuration().IsZero() || len(c.names.Zones) != 2 || c.proxies[4].opened.Zone != 1 || c.replicas.known[1].Zone != 1 || len(o.CloseStreams) != 0 {
-		t.Errorf("not as before: %s %v", c.Configuration(), c.names)
+	if !c.ConfigurationVersion().IsZero() || len(c.names.Zones) != 2 || c.proxies[4].opened.Zone != 1 || c.replicas.known[1].Zone != 1 || len(o.CloseStreams) != 0 {
+		t.Errorf("not as before: %s %v", c.ConfigurationVersion(), c.names)
 	}
 	if _, again := s.told[len(s.told)-1].(control.StreamOpened); !again {
 		t.Errorf("told %+v", s.told)
 	}
 	s.turns = [][]control.Command{panics}
 	o = c.Turn(2, []any{changed(3, namesOf("read", "a", "m1"), s)})
-	if len(o.Configured) != 1 || o.Configured[0].Err != nil || c.Configuration().Revision != 3 || c.proxies[4].opened.Zone != 1 || c.Counters.Configurations != 1 {
-		t.Errorf("%+v %s", o.Configured, c.Configuration())
+	if len(o.Configured) != 1 || o.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 3 || c.proxies[4].opened.Zone != 1 || c.Counters.ConfigurationsApplied != 1 {
+		t.Errorf("%+v %s", o.Configured, c.ConfigurationVersion())
 	}
 }
 
@@ -166,7 +166,7 @@
 	next, s := changed(2, namesOf("read", "a", "m1"), nil), &script{}
 	next.Start = func() Module { return s }
 	c.Turn(0, []any{next, list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
-	if len(s.told) != 2 || c.Configuration().Revision != 2 {
+	if len(s.told) != 2 || c.ConfigurationVersion().Revision != 2 {
 		t.Errorf("told %+v", s.told)
 	}
 	c, s = core(panics, panics)
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -41,7 +41,7 @@
 	account     *sendbudget.Account // outlives modules and streams
 	replicas    replicaSet
 	proxies     map[int]*stream // by proxy
-	streams     map[Stream]*stream
+	streams     map[StreamID]*stream
 	bound       map[int]map[int]*stream // by table, below 0 those bound to nothing, and by proxy
 	due         map[int]*stream         // to be looked at with the next messages, whatever is new
 	awaited     []awaitedAck            // the longest first
@@ -57,17 +57,17 @@
 	pausedUntil int64 // no turns until then
 	lastSweep   int64
 
-	revision            int64              // of the list
-	restored            *learnedstate.Past // by an earlier governor
-	lastSnapshot        *learnedstate.Past // what the module here had learned when it was last asked
-	snapshotInterval    int64              // that it is asked, with a half-life for what it says
+	revision            int64                   // of the list
+	restored            *learnedstate.AgedState // by an earlier governor
+	lastSnapshot        *learnedstate.AgedState // what the module here had learned when it was last asked
+	snapshotInterval    int64                   // that it is asked, with a half-life for what it says
 	halfLife            int64
 	snapshotRequestedAt int64
 	settledAt           int64 // before that it knows less than what was brought
 
-	version    revision.Version // of the settings in force
-	previous   *configuration   // before this turn, if it changed them
-	configured []Configured     // in this turn
+	version    revision.Version      // of the settings in force
+	previous   *configuration        // before this turn, if it changed them
+	configured []ConfigurationResult // in this turn
 }
 
 // awaitedAck is an ack that a stream has owed since then; void if it has spoken after.
@@ -80,7 +80,7 @@
 
 // stream is what the core knows of one proxy: its table and what it has been told by this stream.
 type stream struct {
-	id             Stream
+	id             StreamID
 	opened         control.StreamOpened
 	zone           string          // as it was told
 	blank          bool            // holds no assigned table, so it ejects nobody that toldEjected does not name
@@ -121,7 +121,7 @@
 // New makes a core whose modules are started by start.
 func New(start func() Module, census Topology) *Core {
 	c := &Core{newModule: start, Topology: census, account: sendbudget.New(census.bounds), replicas: newReplicaSet(),
-		proxies: map[int]*stream{}, streams: map[Stream]*stream{}, bound: map[int]map[int]*stream{}, due: map[int]*stream{}, snapshotInterval: defaultSnapshotInterval, halfLife: defaultHalfLife}
+		proxies: map[int]*stream{}, streams: map[StreamID]*stream{}, bound: map[int]map[int]*stream{}, due: map[int]*stream{}, snapshotInterval: defaultSnapshotInterval, halfLife: defaultHalfLife}
 	c.restartModule()
 	return c
 }
@@ -203,10 +203,10 @@
 	c.configured = nil
 	c.previous = nil
 	o.NextTurn = c.nextTurn(now)
-	c.Counters.Names = int64(len(c.replicas.known))
-	c.Counters.Proxies = int64(len(c.proxies))
-	c.Counters.Channel = int64(c.account.Waits())
-	c.Counters.Waiting = int64(len(c.urgentQueue) + len(c.normalQueue))
+	c.Counters.KnownReplicas = int64(len(c.replicas.known))
+	c.Counters.ConnectedProxies = int64(len(c.proxies))
+	c.Counters.ChannelCost = int64(c.account.Queued())
+	c.Counters.PendingStreams = int64(len(c.urgentQueue) + len(c.normalQueue))
 	return o
 }
 
@@ -214,7 +214,7 @@
 // the settings of this turn, then what was learned. After that it is paused.
 func (c *Core) recoverTurn(now int64, failed string, o *TurnResult) {
 	c.restartModule()
-	c.Counters.Restarts++
+	c.Counters.ModuleRestarts++
 	if c.retryTurn(now, failed, o) {
 		return
 	}
@@ -229,7 +229,7 @@
 		c.lastSnapshot = nil
 		c.restored = nil
 		c.restartModule()
-		c.Counters.BareRestarts++
+		c.Counters.RestartsWithoutState++
 		if c.retryTurn(now, failed, o) {
 			return
 		}
@@ -336,7 +336,7 @@
 	for ; len(c.awaited) > 0 && now-c.awaited[0].since > c.silenceTimeout; c.awaited = c.awaited[1:] {
 		if d := c.awaited[0]; d.stream.silentSince == d.since && !d.stream.absent && c.proxies[d.stream.opened.Proxy] == d.stream {
 			d.stream.absent = true
-			c.Counters.Silent++
+			c.Counters.ProxiesSilent++
 			gone = append(gone, d.stream.opened.Proxy)
 		}
 	}
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -42,14 +42,14 @@
 
 func core(turns ...[]control.Command) (*Core, *script) {
 	s := &script{turns: turns}
-	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1", "m2"}}
+	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1", "m2"}}
 	return New(func() Module { return s }, NewTopology(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}}})), s
 }
 
 func list(whole bool, members ...string) ReplicaList {
-	l := ReplicaList{Complete: whole, At: 1000e9, Wall: 1000e9}
+	l := ReplicaList{Complete: whole, ReadAt: 1000e9, ReadAtWall: 1000e9}
 	for _, m := range members { // the name, and a letter of its state: r, t, g, or ? for odd
-		l.Members = append(l.Members, Member{ID: m[:len(m)-1], Zone: "b", Kind: "m2", Weight: 1, Unusable: m[len(m)-1] == '?',
+		l.Members = append(l.Members, Member{ID: m[:len(m)-1], Zone: "b", HardwareClass: "m2", Weight: 1, Unusable: m[len(m)-1] == '?',
 			State: control.State(max(0, strings.IndexByte("rtg", m[len(m)-1])))})
 	}
 	return l
@@ -73,7 +73,7 @@
 			line += " +" + id
 		}
 		for _, l := range s.Update.Admissions {
-			line += fmt.Sprintf(" %s~%v/%d", l.Class, l.Share, l.Retries)
+			line += fmt.Sprintf(" %s~%v/%d", l.Class, l.Fraction, l.Retries)
 		}
 		if s.Update.WantsAck {
 			line += fmt.Sprintf(" #%d", s.Update.Nonce)
@@ -96,7 +96,7 @@
 		orders orders
 		want   string
 	}{
-		{[]any{list(true, "xr", "yr", "zr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}},
+		{[]any{list(true, "xr", "yr", "zr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}},
 			orders{line(0, 1, 1), line(0, 2, 0.5), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, "1: full x=1 y=0.5 #1"},
 		{nil, orders{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // may shut who knows whom
 		{nil, orders{line(0, 2, 0.7), control.RequestAck{Nonce: 3}}, "1: y=0.7 #3; 2: y=0.7 #3"},
@@ -118,7 +118,7 @@
 		{[]any{OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
 		{[]any{Ack{Stream: 3, Nonce: 8}, OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
 		{[]any{OutboxDrained{4}}, nil, "4: -x -y order~0.5/1 #8"},
-		{[]any{StreamClosed{3}, StreamClosed{4}, StreamOpened{Stream: 5, Proxy: 4, Zone: "b", Blank: true}}, nil, "5: order~0.5/1"},
+		{[]any{StreamClosed{3}, StreamClosed{4}, StreamOpened{Stream: 5, Proxy: 4, Zone: "b", WithoutTable: true}}, nil, "5: order~0.5/1"},
 		{[]any{OutboxDrained{5}}, nil, "5: -x -y order~0.5/1"},
 		{nil, orders{control.Bind{Proxy: 7}, control.Bind{Proxy: 4, Table: 1}, line(1, 3, 0)}, "5: full order~0.5/1"},
 	}
@@ -145,10 +145,10 @@
 	c, _ := core(orders{line(0, 1, 1), line(0, 2, 1), control.SetAdmission{Table: control.AllTables, Fraction: 0.5},
 		control.SetEjected{Replica: 2, Ejected: true}, control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}},
 		orders{line(0, 1, 2), control.RequestAck{Nonce: 2}})
-	c.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Blank: true}})
+	c.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}})
 	c.Turn(1, nil)
 	// A bind: itself, two lines, one level, one withdrawn; each with its mark; then a line and a mark each.
-	if n := c.Counters; n.LinesSent != 2*(5+1)+2*2 || n.AckRequests != 4 || n.FullTables != 2 {
+	if n := c.Counters; n.CostSent != 2*(5+1)+2*2 || n.AckRequests != 4 || n.FullTables != 2 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -158,18 +158,18 @@
 	for name, c := range map[string]struct {
 		notes []any
 		want  []control.Event
-		end   []Stream
+		end   []StreamID
 	}{
 		"joined":          {[]any{StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
-		"no such proxy":   {[]any{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []Stream{2, 3}},
+		"no such proxy":   {[]any{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []StreamID{2, 3}},
 		"again":           {[]any{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
-		"a newer stream":  {[]any{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []Stream{1}},
-		"an older stream": {[]any{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []Stream{0}},
+		"a newer stream":  {[]any{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
+		"an older stream": {[]any{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []StreamID{0}},
 		"left":            {[]any{StreamClosed{1}, StreamClosed{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
 		"answered":        {[]any{Ack{Stream: 1, Nonce: 7, Delay: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
 		"answered twice":  {[]any{Ack{Stream: 1, Nonce: 7}, Ack{Stream: 1, Nonce: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
 		"another's mark":  {[]any{Ack{Stream: 1, Nonce: 8}, Ack{Stream: 3, Nonce: 7}}, nil, nil},
-		"an old mark":     {[]any{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []Stream{1}},
+		"an old mark":     {[]any{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
 		"usage":           {[]any{Demand{1, "order", usage}, Demand{0, "read", usage}}, []control.Event{control.Demand{Proxy: 4, Class: 1, Requests: 3}, usage}, nil},
 		"usage of old":    {[]any{Demand{3, "order", usage}, Demand{1, "no such", usage}, Demand{0, "read", control.Demand{Proxy: 8}}}, nil, nil},
 		"sums":            {[]any{Outcomes{"b", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
@@ -210,14 +210,14 @@
 		{list(false, "yg", "xr"), "2g1r", 3},
 	} {
 		c.Turn(int64(k), []any{step.l})
-		if got := states(s.told[0]); got != step.want || c.Counters.Strange != step.odd {
-			t.Errorf("list %d: %s, %d odd", k, got, c.Counters.Strange)
+		if got := states(s.told[0]); got != step.want || c.Counters.Invalid != step.odd {
+			t.Errorf("list %d: %s, %d odd", k, got, c.Counters.Invalid)
 		}
 	}
 	if l := c.currentList(); !l.Full || states(l) != "1r3r" {
 		t.Errorf("standing list %+v", l)
 	}
-	if k := c.replicas.known[1].HardwareClass; k != 1 || indexOrLast(c.names.Kinds, "new kind") != 2 {
+	if k := c.replicas.known[1].HardwareClass; k != 1 || indexOrLast(c.names.HardwareClasses, "new kind") != 2 {
 		t.Errorf("kinds %d", k)
 	}
 }
@@ -226,7 +226,7 @@
 func TestStartsStayThroughStepsOfTheWallClock(t *testing.T) {
 	c, s := core()
 	at := func(wall, up int64) int64 {
-		c.Turn(wall, []any{ReplicaList{At: 500e9, Wall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: up}}}})
+		c.Turn(wall, []any{ReplicaList{ReadAt: 500e9, ReadAtWall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: up}}}})
 		return s.told[0].(control.ReplicasListed).Entries[0].Start
 	}
 	for k, step := range [][3]int64{{1000e9, 990e9, 490e9}, {5000e9, 990e9, 490e9}, {5000e9, 4999e9, 499e9},
@@ -266,7 +266,7 @@
 func TestWhoWasForgottenIsLetInAgain(t *testing.T) {
 	for _, others := range []int{0, maxForgottenEjections} {
 		c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}}, orders{control.SetEjected{Replica: 1, Ejected: true}, line(0, 1, 0)})
-		joined := StreamOpened{Stream: 1, Proxy: 4, Zone: "b", Blank: true}
+		joined := StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}
 		c.Turn(0, []any{list(true, "xr"), joined})
 		c.Turn(1, []any{list(true)})
 		c.proxies[4].toldEjected[1] = true
@@ -291,7 +291,7 @@
 	c.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Rate: 3}})
 	o := c.Turn(1, []any{list(false, "yt")})
 	want := []control.Event{c.currentList(), control.StreamOpened{Proxy: 4, Zone: 0, Rate: 3}}
-	if !strings.HasPrefix(o.Panic, "scripted at") || !reflect.DeepEqual(s.told, want) || c.Counters.Restarts != 1 {
+	if !strings.HasPrefix(o.Panic, "scripted at") || !reflect.DeepEqual(s.told, want) || c.Counters.ModuleRestarts != 1 {
 		t.Errorf("told %+v after %.40q", s.told, o.Panic)
 	}
 	if got := text(o); got != "1: full x=1 y=1 +x +y" { // what the last module had withdrawn is let in again
@@ -373,7 +373,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c, s := core()
 		c.Turn(0, []any{list(true, "xr", "yr", "zr")})
-		stream := Stream(0)
+		stream := StreamID(0)
 		now := int64(1)
 		draw := func(what string, most int) int { return rapid.IntRange(0, most).Draw(t, what) }
 		for range draw("turns", 30) {
@@ -383,13 +383,13 @@
 				switch draw("note", 5) {
 				case 0, 1:
 					stream++
-					notes = append(notes, StreamOpened{Stream: stream, Proxy: proxy, Zone: "b", Blank: draw("blank", 1) == 0})
+					notes = append(notes, StreamOpened{Stream: stream, Proxy: proxy, Zone: "b", WithoutTable: draw("blank", 1) == 0})
 				case 2:
-					notes = append(notes, StreamClosed{Stream(draw("stream", int(stream)))})
+					notes = append(notes, StreamClosed{StreamID(draw("stream", int(stream)))})
 				case 3:
-					notes = append(notes, OutboxDrained{Stream(draw("stream", int(stream)))})
+					notes = append(notes, OutboxDrained{StreamID(draw("stream", int(stream)))})
 				case 4:
-					notes = append(notes, StreamActive{Stream(draw("stream", int(stream)))})
+					notes = append(notes, StreamActive{StreamID(draw("stream", int(stream)))})
 				default:
 					notes = append(notes, list(false, string("xyz"[draw("member", 2)])+string("rtg"[draw("state", 2)])))
 				}
@@ -439,7 +439,7 @@
 // tight is a core with a channel of so many lines, and a cap of so many messages a proxy in 10 s; a replica x in table 0.
 func tight(lines, messages int, turns ...[]control.Command) (*Core, *script) {
 	c, s := core(turns...)
-	c.account = sendbudget.New(sendbudget.Bounds{Lines: lines, Rate: 100, Head: 4, Messages: messages, Span: 10e9, Transit: 1e8})
+	c.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: lines, ChannelRate: 100, MessageOverhead: 4, MaxMessages: messages, MessageWindow: 10e9, MaxTransit: 1e8})
 	return c, s
 }
 
@@ -447,7 +447,7 @@
 // it is by then, once answers make room.
 func TestWhatTheChannelHasNoRoomForWaitsAndGoes(t *testing.T) {
 	c, s := tight(28, 0, orders{line(0, 1, 1), line(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}})
-	joined := []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Blank: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Blank: true}}
+	joined := []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}}
 	steps := []struct {
 		notes  []any
 		orders orders
@@ -467,8 +467,8 @@
 			t.Errorf("turn %d: got  %s\nwant %s", k, got, step.want)
 		}
 	}
-	if c.account.Waits() != 0 || c.Counters.Enqueued == 0 {
-		t.Errorf("%d lines wait, %d were held", c.account.Waits(), c.Counters.Enqueued)
+	if c.account.Queued() != 0 || c.Counters.StreamsEnqueued == 0 {
+		t.Errorf("%d lines wait, %d were held", c.account.Queued(), c.Counters.StreamsEnqueued)
 	}
 }
 
@@ -478,7 +478,7 @@
 	c, s := tight(0, 3)
 	notes, sent := []any{list(true, "xr")}, 0
 	for k := range 400 {
-		notes = append(notes, StreamOpened{Stream: Stream(k/100 + 1), Proxy: 4, Zone: "a"}, OutboxDrained{Stream(k/100 + 1)})
+		notes = append(notes, StreamOpened{Stream: StreamID(k/100 + 1), Proxy: 4, Zone: "a"}, OutboxDrained{StreamID(k/100 + 1)})
 		s.turns = []orders{{line(0, 1, float64(k+1)), control.Bind{Proxy: 4}, control.RequestAck{Nonce: uint64(k)}}}
 		if k%7 == 3 {
 			s.turns = []orders{panics}
@@ -500,8 +500,8 @@
 // A replica that is gone for long is named for as long as somebody has not been told.
 func TestWhoIsHeldIsStillNamed(t *testing.T) {
 	c, s := tight(11, 0, orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, orders{line(0, 1, 0), control.RequestAck{Nonce: 2}})
-	c.account.Rate = 1 // so slow that what is not answered is charged for a minute
-	c.Turn(1, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Blank: true}})
+	c.account.ChannelRate = 1 // so slow that what is not answered is charged for a minute
+	c.Turn(1, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
 	if got := text(c.Turn(2, []any{list(true, "yr")})); got != "" || len(s.turns) > 0 {
 		t.Fatalf("got %s", got)
 	}
@@ -517,10 +517,10 @@
 // ever: who has waited longest comes first.
 func TestABusyChannelGetsMessagesThatAreNew(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 1}, control.Bind{Proxy: 2}, control.Bind{Proxy: 3}, control.RequestAck{Nonce: 1}})
-	c.account = sendbudget.New(sendbudget.Bounds{Lines: 1 << 20, Rate: 100, Head: 4, Transit: 1e7}) // busy from 4 lines on
+	c.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 1 << 20, ChannelRate: 100, MessageOverhead: 4, MaxTransit: 1e7}) // busy from 4 lines on
 	notes := []any{list(true, "xr", "yr")}
 	for proxy := 1; proxy <= 3; proxy++ {
-		notes = append(notes, StreamOpened{Stream: Stream(proxy), Proxy: proxy, Zone: "a", Blank: true})
+		notes = append(notes, StreamOpened{Stream: StreamID(proxy), Proxy: proxy, Zone: "a", WithoutTable: true})
 	}
 	got := []string{text(c.Turn(1, notes))}
 	for k := range 100 {
@@ -545,7 +545,7 @@
 // answer speaks for the module's as well.
 func TestMissingAnswersAreAskedFor(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
-	c.account = sendbudget.New(sendbudget.Bounds{Lines: 40, Rate: 100, Head: 4, Messages: 2, Span: 10e9, Transit: 1e8})
+	c.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 40, ChannelRate: 100, MessageOverhead: 4, MaxMessages: 2, MessageWindow: 10e9, MaxTransit: 1e8})
 	c.Turn(1e9, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	if got := text(c.Turn(3e9, []any{StreamActive{1}})); got != "" {
 		t.Errorf("after 2 s %s", got)
@@ -554,7 +554,7 @@
 		t.Errorf("after more, once for all under a cap of 2: %s", got)
 	}
 	c.Turn(7e9, []any{Ack{Stream: 1, Nonce: 32775}})
-	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.told, want) || c.account.Waits() != 0 || len(c.proxies[4].unacked) != 0 {
-		t.Errorf("told %+v, %d lines wait", s.told, c.account.Waits())
+	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.told, want) || c.account.Queued() != 0 || len(c.proxies[4].unacked) != 0 {
+		t.Errorf("told %+v, %d lines wait", s.told, c.account.Queued())
 	}
 }
--- a/internal/controller/crossings_test.go
+++ b/internal/controller/crossings_test.go
@@ -42,7 +42,7 @@
 		c.Turn(1, []any{list(true, "xr")})
 		var notes []any
 		for _, l := range lists {
-			l.At, l.Wall = 1000e9, 1000e9
+			l.ReadAt, l.ReadAtWall = 1000e9, 1000e9
 			notes = append(notes, l)
 		}
 		c.Turn(2, notes)
@@ -64,10 +64,10 @@
 	mark := func(n uint64) control.RequestAck { return control.RequestAck{Nonce: n} }
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, mark(2)}, orders{line(0, 1, 2), mark(3)}, panics,
 		orders{line(0, 1, 1), control.Bind{Proxy: 4}, mark(2)})
-	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Blank: true}})
+	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
 	c.Turn(1, nil)
-	if c.Turn(2, nil); c.Counters.Restarts != 1 || c.account.Waits() == 0 {
-		t.Fatalf("renewed %d, %d lines wait", c.Counters.Restarts, c.account.Waits())
+	if c.Turn(2, nil); c.Counters.ModuleRestarts != 1 || c.account.Queued() == 0 {
+		t.Fatalf("renewed %d, %d lines wait", c.Counters.ModuleRestarts, c.account.Queued())
 	}
 	for k, want := range [][]control.Event{nil, nil, {control.Ack{Proxy: 4, Nonce: 2}}} { // the old 2 and 3, then the new 2
 		at := uint64([]int{2, 3, 2}[k])
@@ -75,8 +75,8 @@
 			t.Errorf("answer %d to mark %d: told %+v", k, at, s.told)
 		}
 	}
-	if c.account.Waits() != 0 {
-		t.Errorf("%d lines wait after all answers", c.account.Waits())
+	if c.account.Queued() != 0 {
+		t.Errorf("%d lines wait after all answers", c.account.Queued())
 	}
 }
 
@@ -84,19 +84,19 @@
 // and tells the module nothing.
 func TestAnAnswerByAStreamThatWasReplaced(t *testing.T) {
 	bind := orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}
-	joined := func(stream Stream) StreamOpened {
-		return StreamOpened{Stream: stream, Proxy: 4, Zone: "a", Blank: true}
+	joined := func(stream StreamID) StreamOpened {
+		return StreamOpened{Stream: stream, Proxy: 4, Zone: "a", WithoutTable: true}
 	}
 	c, s := core(bind, orders{control.Bind{Proxy: 4}, control.RequestAck{Nonce: 2}})
 	c.Turn(0, []any{list(true, "xr"), joined(1)})
 	o := c.Turn(1, []any{joined(2)})
-	if waits := c.account.Waits(); len(o.CloseStreams) != 1 || o.CloseStreams[0] != 1 || text(o) != "2: full x=1 #2" || waits == 0 {
+	if waits := c.account.Queued(); len(o.CloseStreams) != 1 || o.CloseStreams[0] != 1 || text(o) != "2: full x=1 #2" || waits == 0 {
 		t.Fatalf("ended %v, %s", o.CloseStreams, text(o))
 	}
 	for _, n := range []any{Ack{Stream: 1, Nonce: 1}, Ack{Stream: 1, Nonce: 2}, StreamClosed{1}} {
-		waits := c.account.Waits()
-		if c.Turn(2, []any{n}); s.told != nil || c.account.Waits() != waits || c.proxies[4] == nil || c.proxies[4].id != 2 {
-			t.Errorf("%+v: told %+v, %d lines of %d wait", n, s.told, c.account.Waits(), waits)
+		waits := c.account.Queued()
+		if c.Turn(2, []any{n}); s.told != nil || c.account.Queued() != waits || c.proxies[4] == nil || c.proxies[4].id != 2 {
+			t.Errorf("%+v: told %+v, %d lines of %d wait", n, s.told, c.account.Queued(), waits)
 		}
 	}
 	// Its end before the joining of the next, all in one turn, in either order: one proxy, by the later stream.
@@ -119,7 +119,7 @@
 		description string
 	}{{1800, 1200, 250e6, 10e9, "10 s are enough"}, {4000, 1000, 500e6, 23e9, "4 s of lines, five times as slow, there and back, and a stall"}} {
 		s := &script{turns: []orders{{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}}}
-		names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, Kinds: []string{"m1"}}
+		names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, HardwareClasses: []string{"m1"}}
 		c := New(func() Module { return s }, NewTopology(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}},
 			ChannelLimit: w.lines, ChannelRate: w.rate, MaxTransit: w.transit}))
 		c.Turn(5, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
--- a/internal/controller/crowd_test.go
+++ b/internal/controller/crowd_test.go
@@ -36,7 +36,7 @@
 	w.provision.DrainGrace = max(2*second, int64(must*float64(second)))
 	w.provision.MaxTransit = second / 4
 	c := &crowd{channelWorld: w, told: map[string]int64{}, bare: map[int]int64{}, successor: replicas}
-	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
+	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 	w.core = controller.New(func() controller.Module { return policy.New(w.provision) }, controller.NewTopology(names, w.provision))
 	return c
 }
@@ -62,7 +62,7 @@
 		}
 	}
 	for range len(names) {
-		m := controller.Member{ID: fmt.Sprintf("n-%04d", c.successor), Zone: []string{"a", "b"}[c.successor%2], Kind: "m1", Weight: 1, UpSince: c.now}
+		m := controller.Member{ID: fmt.Sprintf("n-%04d", c.successor), Zone: []string{"a", "b"}[c.successor%2], HardwareClass: "m1", Weight: 1, UpSince: c.now}
 		c.successor++
 		c.names, c.states[m.ID] = append(c.names, m.ID), m
 		names = append(names, m.ID)
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -35,7 +35,7 @@
 // has no room in the channel waits in a queue, the oldest in front, and goes with all that has become new by then: a
 // message that waits in the channel instead is stale when it comes, and each costs its head.
 func (c *Core) sendUpdates(n *turnChanges, now int64, o *TurnResult) {
-	c.account.Age(now)
+	c.account.Expire(now)
 	c.catchUpUnbound(now)
 	var urgent, rest []*stream
 	for _, proxy := range c.concernedProxies(n) {
@@ -63,12 +63,12 @@
 // requestMissingAck has a proxy answer a nonce of the core's own when acks are missing and nothing is written: the proxies by
 // turns, as the one that is asked may have vanished.
 func (c *Core) requestMissingAck(now int64, o *TurnResult) {
-	if !c.account.Quiet(now) {
+	if !c.account.NeedsAckRequest(now) {
 		return
 	}
 	var owing []int
 	for proxy, s := range c.proxies {
-		if len(s.unacked) > 0 && c.account.Under(proxy, now) {
+		if len(s.unacked) > 0 && c.account.UnderMessageCap(proxy, now) {
 			owing = append(owing, proxy)
 		}
 	}
@@ -110,7 +110,7 @@
 		if s.pending == nil || s.pending.urgent != urgent || c.proxies[s.opened.Proxy] != s { // gone already, or in the other queue
 			continue
 		}
-		if !c.account.Room(urgent) {
+		if !c.account.HasRoom(urgent) {
 			stay = append(stay, (*queue)[k:]...)
 			break
 		}
@@ -145,7 +145,7 @@
 	fresh := reached && n.wantsAck
 	if fresh {
 		p.WantsAck, p.Nonce = true, n.nonce
-		c.Counters.LinesOrdered++
+		c.Counters.CostRequested++
 		c.Counters.AckRequests++
 	} else if last := len(s.unacked) - 1; p.Resync && last >= 0 { // what asked for it may have been lost
 		p.WantsAck, p.Nonce = true, s.unacked[last].nonce
@@ -163,7 +163,7 @@
 		}
 		o.Updates = append(o.Updates, OutgoingUpdate{s.id, p, number})
 	}
-	if c.Counters.LinesSent += int64(lines); lines > 0 {
+	if c.Counters.CostSent += int64(lines); lines > 0 {
 		c.Counters.Updates++
 	}
 }
@@ -171,7 +171,7 @@
 // enqueue keeps what the changes mean to a stream until there is room for it.
 func (c *Core) enqueue(s *stream, n *turnChanges) {
 	if s.pending == nil {
-		c.Counters.Enqueued++
+		c.Counters.StreamsEnqueued++
 		s.pending = &pendingChanges{endpoints: map[uint32]bool{}, ejections: map[uint32]bool{}}
 		c.normalQueue = append(c.normalQueue, s)
 	}
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -12,22 +12,22 @@
 func (c *Core) eventsFor(input any, now int64, o *TurnResult) []control.Event {
 	switch n := input.(type) {
 	case StreamOpened:
-		c.Counters.Joins++
+		c.Counters.StreamsOpened++
 		return c.openStream(n, now, o)
 	case StreamClosed:
-		c.Counters.Leaves++
+		c.Counters.StreamsClosed++
 		return c.streamEnded(n.Stream, now)
 	case Ack:
-		c.Counters.Answers++
+		c.Counters.Acks++
 		return c.ackReceived(n, now)
 	case Outcomes:
-		c.Counters.Outcomes++
+		c.Counters.OutcomeReports++
 		return c.outcomesReported(n)
 	case Demand:
-		c.Counters.Demands++
+		c.Counters.DemandReports++
 		return c.demandReported(n, now)
 	case ReplicaList:
-		c.Counters.Lists++
+		c.Counters.ReplicaLists++
 		return c.listReceived(n, now)
 	case SnapshotRestored:
 		c.restored = n.Snapshot
@@ -38,17 +38,17 @@
 			return c.streamSpoke(s, now)
 		}
 	case MessageSent:
-		c.account.Written(n.Number, now)
+		c.account.MarkSent(n.Number, now)
 	case OutboxDrained:
 		c.outboxEmptied(n.Stream)
 	default:
-		c.Counters.Strange++
+		c.Counters.Invalid++
 	}
 	return nil
 }
 
 // streamEnded forgets a stream. The module is told, unless the proxy counts as having left already.
-func (c *Core) streamEnded(id Stream, now int64) []control.Event {
+func (c *Core) streamEnded(id StreamID, now int64) []control.Event {
 	s := c.streams[id]
 	if s == nil {
 		return nil
@@ -57,7 +57,7 @@
 	delete(c.streams, id)
 	delete(c.proxies, proxy)
 	c.detach(s)
-	c.account.Left(proxy, now)
+	c.account.Disconnect(proxy, now)
 	if s.absent {
 		return nil
 	}
@@ -75,7 +75,7 @@
 	back := c.streamSpoke(s, now)
 	k := slices.IndexFunc(s.unacked, func(m sentMessage) bool { return m.nonce == n.Nonce })
 	if k >= 0 {
-		c.account.Answered(s.opened.Proxy, s.unacked[k].number, now)
+		c.account.Acknowledge(s.opened.Proxy, s.unacked[k].number, now)
 	}
 	if k < 0 || back != nil || n.Delay > maxReportPeriod { // acks awaited before it left are awaited no more
 		c.Counters.Stale++
@@ -95,7 +95,7 @@
 func (c *Core) outcomesReported(n Outcomes) []control.Event {
 	id, known := c.replicas.numbers[n.Replica]
 	if !known || !c.validOutcomes(n) {
-		c.Counters.Strange++
+		c.Counters.Invalid++
 		return nil
 	}
 	n.Outcomes.Replica = id
@@ -116,7 +116,7 @@
 	}
 	n.Demand.Class = slices.Index(c.names.Classes, n.Class)
 	if n.Demand.Class < 0 || !c.validDemand(n) {
-		c.Counters.Strange++
+		c.Counters.Invalid++
 		return back
 	}
 	return append(back, n.Demand)
@@ -125,12 +125,12 @@
 // listReceived passes on a list, and behind it what an earlier governor had learned of the replicas that are new in it.
 func (c *Core) listReceived(n ReplicaList, now int64) []control.Event {
 	event, fresh, odd := c.applyList(n, now)
-	c.Counters.Strange += int64(odd)
+	c.Counters.Invalid += int64(odd)
 	return append([]control.Event{event}, c.restoredReplicas(c.restored, fresh, now)...)
 }
 
 // outboxEmptied has a stream sent its whole state, as messages were lost.
-func (c *Core) outboxEmptied(id Stream) {
+func (c *Core) outboxEmptied(id StreamID) {
 	s := c.streams[id]
 	if s == nil {
 		return
@@ -155,24 +155,24 @@
 	old := c.proxies[h.Proxy]
 	switch {
 	case c.CheckProxy(h) != nil:
-		c.Counters.Strange++
+		c.Counters.Invalid++
 		o.CloseStreams = append(o.CloseStreams, h.Stream)
 		return nil
 	case old != nil && old.id == h.Stream:
-		c.Counters.Strange++
+		c.Counters.Invalid++
 		return nil
 	case old != nil && old.id > h.Stream:
-		c.Counters.Replaced++
+		c.Counters.StreamsReplaced++
 		o.CloseStreams = append(o.CloseStreams, h.Stream)
 		return nil
 	case old != nil:
-		c.Counters.Replaced++
+		c.Counters.StreamsReplaced++
 		o.CloseStreams = append(o.CloseStreams, old.id)
 		delete(c.streams, old.id)
 		c.detach(old)
-		c.account.Left(h.Proxy, now)
+		c.account.Disconnect(h.Proxy, now)
 	}
-	s := &stream{id: h.Stream, blank: h.Blank, table: -1, zone: h.Zone, toldEjected: map[uint32]bool{}, toldAdmissions: map[int]Admission{},
+	s := &stream{id: h.Stream, blank: h.WithoutTable, table: -1, zone: h.Zone, toldEjected: map[uint32]bool{}, toldAdmissions: map[int]Admission{},
 		opened: control.StreamOpened{Proxy: h.Proxy, Zone: indexOrLast(c.names.Zones, h.Zone), Rate: h.Rate}}
 	c.proxies[h.Proxy], c.streams[h.Stream], s.unboundSince = s, s, now
 	c.attach(s, -1)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -7,24 +7,24 @@
 
 // This file holds what comes in and what goes out, with names as the peers write them.
 
-// Stream is one connection of one proxy, numbered by whoever took it in.
-type Stream uint64
+// StreamID is one connection of one proxy, numbered by whoever took it in.
+type StreamID uint64
 
 // Inputs of a turn.
 type (
 	// StreamOpened: a proxy has joined by this stream; Blank: it holds no assigned table.
 	StreamOpened struct {
-		Stream Stream
-		Proxy  int
-		Zone   string
-		Rate   float64
-		Blank  bool
+		Stream       StreamID
+		Proxy        int
+		Zone         string
+		Rate         float64
+		WithoutTable bool
 	}
 	// StreamClosed: the stream has ended.
-	StreamClosed struct{ Stream Stream }
+	StreamClosed struct{ Stream StreamID }
 	// Ack: the proxy of the stream has applied all up to the nonce.
 	Ack struct {
-		Stream Stream
+		Stream StreamID
 		Nonce  uint64
 		Delay  int64
 	}
@@ -35,32 +35,32 @@
 	}
 	// Demand sums the requests that came to a proxy; Stream is 0 when a collector told it.
 	Demand struct {
-		Stream Stream
+		Stream StreamID
 		Class  string
 		control.Demand
 	}
 	// ReplicaList is an answer of discovery, read at a time that both clocks showed as At and Wall.
 	ReplicaList struct {
-		Revision int64
-		Complete bool
-		Members  []Member
-		At, Wall int64
+		Revision           int64
+		Complete           bool
+		Members            []Member
+		ReadAt, ReadAtWall int64
 	}
 	// Member is one replica of a list.
 	Member struct {
-		ID, Zone, Kind string
-		Address, Cell  string // not for the core
-		State          control.State
-		Unusable       bool // its state could not be read
-		Weight         float64
-		UpSince        int64 // by the wall clock; 0: long ago
+		ID, Zone, HardwareClass string
+		Address, Cell           string // not for the core
+		State                   control.State
+		Unusable                bool // its state could not be read
+		Weight                  float64
+		UpSince                 int64 // by the wall clock; 0: long ago
 	}
 	// StreamActive: something came on the stream that could not be used.
-	StreamActive struct{ Stream Stream }
+	StreamActive struct{ Stream StreamID }
 	// MessageSent: all of the message of so many has gone out on the stream.
 	MessageSent struct{ Number uint64 }
 	// OutboxDrained: a stream's outbox was full, and has been emptied.
-	OutboxDrained struct{ Stream Stream }
+	OutboxDrained struct{ Stream StreamID }
 )
 
 // Update is one message to one proxy. A full one replaces the table and all admissions.
@@ -83,14 +83,14 @@
 
 // Admission is how much of a traffic class a proxy admits, and when it retries.
 type Admission struct {
-	Class   string
-	Share   float64
-	Retries control.RetryPolicy
+	Class    string
+	Fraction float64
+	Retries  control.RetryPolicy
 }
 
 // OutgoingUpdate is an update, the stream it is for, and its number in the channel's account.
 type OutgoingUpdate struct {
-	Stream Stream
+	Stream StreamID
 	Update Update
 	Number uint64
 }
@@ -98,25 +98,25 @@
 // TurnResult is what a turn asks for.
 type TurnResult struct {
 	Updates      []OutgoingUpdate
-	CloseStreams []Stream // replaced by newer streams of the same proxies
-	NextTurn     int64    // when the next turn is due at the latest, if above 0
+	CloseStreams []StreamID // replaced by newer streams of the same proxies
+	NextTurn     int64      // when the next turn is due at the latest, if above 0
 	Logs         []string
 	Panic        string // the module panicked: what it said
 	// What the module has learned, now and then. Not to be changed; Governor and Taken are for the caller to fill.
-	Snapshot *learnedstate.Memory
+	Snapshot *learnedstate.State
 	// What became of the settings that came with this turn.
-	Configured []Configured
+	Configured []ConfigurationResult
 }
 
 // Counters is what the core has counted so far.
 type Counters struct {
-	Turns, Joins, Leaves, Answers, Outcomes, Demands, Lists    int64 // taken in
-	Updates, LinesOrdered, LinesSent, AckRequests, FullTables  int64 // sent; FullTables: as bindings or once more
-	Strange, Stale, Silent, Replaced, Restarts, Names, Proxies int64
-	Restored                                                   int64 // replicas of which something was remembered
-	OwnAckRequests                                             int64 // nonces of the core's own, as answers were missing
-	Enqueued                                                   int64 // messages that waited for room in the channel or under a proxy's cap
-	Channel, Waiting                                           int64 // now: lines charged to the channel, streams with pending changes
-	Configurations, ConfigurationsRefused                      int64 // put in force, not
-	BareRestarts                                               int64 // modules started once more, without what was learned
+	Turns, StreamsOpened, StreamsClosed, Acks, OutcomeReports, DemandReports, ReplicaLists          int64 // taken in
+	Updates, CostRequested, CostSent, AckRequests, FullTables                                       int64 // sent; FullTables: as bindings or once more
+	Invalid, Stale, ProxiesSilent, StreamsReplaced, ModuleRestarts, KnownReplicas, ConnectedProxies int64
+	ReplicasRestored                                                                                int64 // replicas of which something was remembered
+	OwnAckRequests                                                                                  int64 // nonces of the core's own, as answers were missing
+	StreamsEnqueued                                                                                 int64 // messages that waited for room in the channel or under a proxy's cap
+	ChannelCost, PendingStreams                                                                     int64 // now: lines charged to the channel, streams with pending changes
+	ConfigurationsApplied, ConfigurationsRefused                                                    int64 // put in force, not
+	RestartsWithoutState                                                                            int64 // modules started once more, without what was learned
 }
--- a/internal/controller/reconfigure_test.go
+++ b/internal/controller/reconfigure_test.go
@@ -29,7 +29,7 @@
 
 // configure has the world's next turn bring settings, by names.
 func (w *channelWorld) configure(number uint64, p control.Settings, names settings.Names) {
-	p.Zones, p.HardwareClasses, p.Classes = len(names.Zones), len(names.Kinds)+1, nil
+	p.Zones, p.HardwareClasses, p.Classes = len(names.Zones), len(names.HardwareClasses)+1, nil
 	for _, name := range names.Classes {
 		p.Classes = append(p.Classes, group(name))
 	}
@@ -38,7 +38,7 @@
 		Start: func() controller.Module { return moody{policy.New(p), w} }})
 }
 
-var worldNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
+var worldNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 
 // The bounds of the channel and the rules hold for any sequence of changes, among crowds, releases, faults and a module that
 // fails now and then; after the last change everybody is served as from the start.
@@ -62,7 +62,7 @@
 				if w.waits > 0 || len(w.stalled) > 0 { // what waits may be over a bound that has just shrunk
 					p.ChannelLimit, p.MaxMessages = w.provision.ChannelLimit, w.provision.MaxMessages
 				}
-				w.configure(number, p, settings.Names{Classes: groups[draw.Intn(len(groups))], Zones: zones[draw.Intn(len(zones))], Kinds: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
+				w.configure(number, p, settings.Names{Classes: groups[draw.Intn(len(groups))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
 			}
 			w.step(draw.Intn(8))
 		}
@@ -75,7 +75,7 @@
 		if wrong == "" {
 			wrong = w.settle(150 * second)
 		}
-		if version := w.core.Configuration(); wrong == "" && version.Revision != number+1 {
+		if version := w.core.ConfigurationVersion(); wrong == "" && version.Revision != number+1 {
 			wrong = fmt.Sprintf("%s in force, not %d", version, number+1)
 		}
 		if wrong != "" {
@@ -95,7 +95,7 @@
 			}
 			for step := range 40 {
 				if k == 1 && step%8 == 4 {
-					names := settings.Names{Classes: slices.Clone(worldNames.Classes), Zones: slices.Clone(worldNames.Zones), Kinds: worldNames.Kinds}
+					names := settings.Names{Classes: slices.Clone(worldNames.Classes), Zones: slices.Clone(worldNames.Zones), HardwareClasses: worldNames.HardwareClasses}
 					if step%16 == 4 {
 						slices.Reverse(names.Classes)
 						slices.Reverse(names.Zones)
@@ -107,8 +107,8 @@
 			worlds = append(worlds, w)
 		}
 		a, b := worlds[0], worlds[1]
-		if a.core.Counters.Updates != b.core.Counters.Updates || a.core.Counters.LinesSent != b.core.Counters.LinesSent || b.core.Counters.Configurations != 5 {
-			t.Fatalf("seed %d: %d messages of %d lines, and %d of %d with the changes", seed, a.core.Counters.Updates, a.core.Counters.LinesSent, b.core.Counters.Updates, b.core.Counters.LinesSent)
+		if a.core.Counters.Updates != b.core.Counters.Updates || a.core.Counters.CostSent != b.core.Counters.CostSent || b.core.Counters.ConfigurationsApplied != 5 {
+			t.Fatalf("seed %d: %d messages of %d lines, and %d of %d with the changes", seed, a.core.Counters.Updates, a.core.Counters.CostSent, b.core.Counters.Updates, b.core.Counters.CostSent)
 		}
 		for k := range a.proxies {
 			if fmt.Sprint(a.proxies[k].lines, a.proxies[k].shut) != fmt.Sprint(b.proxies[k].lines, b.proxies[k].shut) {
@@ -136,12 +136,12 @@
 	p := w.provision
 	p.DrainGrace, p.ReportInterval, p.ChannelRate, p.ChannelLimit, p.MaxTransit, p.Proxies = 5*second, second/2, p.ChannelRate/2, p.ChannelLimit/2, second/3, p.Proxies+1
 	w.configure(2, p, worldNames)
-	if wrong := w.settle(20 * second); wrong != "" || w.core.Configuration().Revision != 2 {
-		t.Error(wrong, w.core.Configuration())
+	if wrong := w.settle(20 * second); wrong != "" || w.core.ConfigurationVersion().Revision != 2 {
+		t.Error(wrong, w.core.ConfigurationVersion())
 	}
 	control.settle(20 * second)
-	if got, want := w.core.Counters, control.core.Counters; got.FullTables != want.FullTables || got.LinesSent != want.LinesSent {
-		t.Errorf("%d whole tables and %d lines, without the change %d and %d", got.FullTables, got.LinesSent, want.FullTables, want.LinesSent)
+	if got, want := w.core.Counters, control.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
+		t.Errorf("%d whole tables and %d lines, without the change %d and %d", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
 	}
 }
 
--- a/internal/controller/replicaset.go
+++ b/internal/controller/replicaset.go
@@ -93,15 +93,15 @@
 
 // update takes over what a list says of a replica, and returns whether it is new, has started or has moved.
 func (c *Core) update(r *replica, m Member, l ReplicaList) bool {
-	another := m.UpSince != r.upSince || m.Zone != r.zone || m.Kind != r.kind
+	another := m.UpSince != r.upSince || m.Zone != r.zone || m.HardwareClass != r.kind
 	r.zone = m.Zone
-	r.kind = m.Kind
+	r.kind = m.HardwareClass
 	if m.UpSince != r.upSince { // worked out once, so that steps of the wall clock start nobody anew
 		r.upSince = m.UpSince
 		r.Start = startTime(m.UpSince, l)
 	}
 	r.Zone = indexOrLast(c.names.Zones, m.Zone)
-	r.HardwareClass = indexOrLast(c.names.Kinds, m.Kind)
+	r.HardwareClass = indexOrLast(c.names.HardwareClasses, m.HardwareClass)
 	r.State = m.State
 	r.Weight = m.Weight
 	return another
@@ -113,7 +113,7 @@
 	if upSince <= 0 {
 		return 0
 	}
-	return max(1, min(l.At, l.At-l.Wall+upSince))
+	return max(1, min(l.ReadAt, l.ReadAt-l.ReadAtWall+upSince))
 }
 
 // add gives a new name the next number.
@@ -154,7 +154,7 @@
 
 // sweep forgets what need not be kept: old charges, streams that have ended, and names.
 func (c *Core) sweep(now int64) {
-	c.account.Sweep(now)
+	c.account.Evict(now)
 	ended := func(s *stream) bool { return c.proxies[s.opened.Proxy] != s }
 	c.urgentQueue = slices.DeleteFunc(c.urgentQueue, ended)
 	c.normalQueue = slices.DeleteFunc(c.normalQueue, ended)
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -8,10 +8,10 @@
 	"lilacbend/internal/learnedstate"
 )
 
-func past(at, age int64, replicas ...learnedstate.Replica) *learnedstate.Past {
-	m := learnedstate.Memory{Tables: 2, AdmissionThreshold: 0.5, Replicas: replicas, UsualResponses: []learnedstate.KindResponses{{Kind: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {Kind: "m9", Times: []float64{9}}},
-		Usage: []learnedstate.Usage{{Proxy: 4, Class: "order", Rate: 3}}, Bindings: []control.Binding{{Proxy: 4, Table: 1}}}
-	return learnedstate.NewPast(m, at, age, defaultHalfLife)
+func past(at, age int64, replicas ...learnedstate.Replica) *learnedstate.AgedState {
+	m := learnedstate.State{Tables: 2, AdmissionThreshold: 0.5, Replicas: replicas, BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {HardwareClass: "m9", Times: []float64{9}}},
+		RequestRates: []learnedstate.RequestRate{{Proxy: 4, Class: "order", Rate: 3}}, Bindings: []control.Binding{{Proxy: 4, Table: 1}}}
+	return learnedstate.NewAgedState(m, at, age, defaultHalfLife)
 }
 
 func learned(speed float64) orders {
@@ -39,7 +39,7 @@
 
 func TestWhatWasBroughtIsToldOnceAReplicaIsListed(t *testing.T) {
 	c, s := remembering()
-	x := learnedstate.Replica{ID: "x", Zone: "b", Kind: "m2", Speed: 0.5, SampleCount: 9, Table: 1}
+	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9, Table: 1}
 	c.Turn(100e9, []any{SnapshotRestored{past(100e9, defaultHalfLife, x)}, list(true, "yr")})
 	all, fleet := recalledIn(s.told)
 	if _, first := s.told[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
@@ -57,22 +57,22 @@
 		t.Errorf("told once more: %+v", s.told)
 	}
 	again.Members[0].UpSince = 999e9 // it has started since
-	if c.Turn(100e9+defaultHalfLife, []any{again}); len(s.told) != 1 || c.Counters.Restored != 1 {
+	if c.Turn(100e9+defaultHalfLife, []any{again}); len(s.told) != 1 || c.Counters.ReplicasRestored != 1 {
 		t.Errorf("another start is taken for the remembered one: %+v", s.told)
 	}
 }
 
 func TestAFreshModuleStartsFromWhatWasLearnedHere(t *testing.T) {
 	c, s := remembering(nil, nil, learned(0.25), panics)
-	x := learnedstate.Replica{ID: "x", Zone: "b", Kind: "m2", Speed: 0.5, SampleCount: 9}
-	z := learnedstate.Replica{ID: "z", Zone: "b", Kind: "m2", Speed: 4, SampleCount: 9}
+	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
+	z := learnedstate.Replica{ID: "z", Zone: "b", HardwareClass: "m2", Speed: 4, SampleCount: 9}
 	c.Turn(100e9, []any{SnapshotRestored{past(100e9, 0, x, z)}, list(true, "xr", "yr")})
 	if o := c.Turn(100e9+defaultSnapshotInterval, nil); o.Snapshot != nil || c.FinalSnapshot(100e9+settleTime-1) != nil {
 		t.Error("what was brought is overwritten by one who knows less")
 	}
 	o := c.Turn(100e9+settleTime, nil)
 	if o.Snapshot == nil || len(o.Snapshot.Replicas) != 2 || o.Snapshot.Replicas[0].Speed != 0.25 || o.Snapshot.Replicas[1].ID != "z" ||
-		o.Snapshot.Replicas[1].SinceLastSample != settleTime || len(o.Snapshot.Usage) != 1 || len(o.Snapshot.UsualResponses) != 2 {
+		o.Snapshot.Replicas[1].SinceLastSample != settleTime || len(o.Snapshot.RequestRates) != 1 || len(o.Snapshot.BaselineResponseTimes) != 2 {
 		t.Fatalf("learned %+v", o.Snapshot)
 	}
 	o = c.Turn(100e9+settleTime+defaultHalfLife, nil)
@@ -85,17 +85,17 @@
 // What was learned may be what a module fails by: it is left out before the module rests.
 func TestAModuleThatFailsByWhatItIsToldStartsBare(t *testing.T) {
 	c, s := remembering(nil, panics, panics, nil)
-	x := learnedstate.Replica{ID: "x", Zone: "b", Kind: "m2", Speed: 0.5, SampleCount: 9}
+	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
 	c.Turn(100e9, []any{SnapshotRestored{past(100e9, 0, x)}, list(true, "xr")})
 	o := c.Turn(101e9, nil)
-	if all, fleet := recalledIn(s.told); len(all)+len(fleet) != 0 || len(s.told) != 1 || c.Counters.BareRestarts != 1 || o.NextTurn != 0 {
-		t.Errorf("told %+v, %d bare, due %d", s.told, c.Counters.BareRestarts, o.NextTurn)
+	if all, fleet := recalledIn(s.told); len(all)+len(fleet) != 0 || len(s.told) != 1 || c.Counters.RestartsWithoutState != 1 || o.NextTurn != 0 {
+		t.Errorf("told %+v, %d bare, due %d", s.told, c.Counters.RestartsWithoutState, o.NextTurn)
 	}
 }
 
 func TestTheListOfAMemory(t *testing.T) {
-	m := learnedstate.Memory{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, Weight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
-	want := ReplicaList{Revision: 7, Complete: true, Members: []Member{{ID: "x", Zone: "a", Kind: "m1", State: control.Draining, Weight: 2, UpSince: 5}}}
+	m := learnedstate.State{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, Weight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
+	want := ReplicaList{Revision: 7, Complete: true, Members: []Member{{ID: "x", Zone: "a", HardwareClass: "m1", State: control.Draining, Weight: 2, UpSince: 5}}}
 	if got := ListFromSnapshot(m); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v", got)
 	}
--- a/internal/controller/topology.go
+++ b/internal/controller/topology.go
@@ -40,8 +40,8 @@
 // NewTopology makes a topology of what the settings name.
 func NewTopology(names settings.Names, p control.Settings) Topology {
 	c := Topology{names: names, proxies: p.Proxies, kinds: p.HardwareClasses, drainGrace: p.DrainGrace,
-		maxPeriod: max(maxReportPeriod, maxReportIntervals*p.ReportInterval), bounds: sendbudget.Bounds{Lines: p.ChannelLimit, Rate: p.ChannelRate,
-			Head: p.MessageOverhead, Messages: p.MaxMessages, Span: p.MessageWindow, Transit: p.MaxTransit, Grace: p.DrainGrace},
+		maxPeriod: max(maxReportPeriod, maxReportIntervals*p.ReportInterval), bounds: sendbudget.Bounds{ChannelLimit: p.ChannelLimit, ChannelRate: p.ChannelRate,
+			MessageOverhead: p.MessageOverhead, MaxMessages: p.MaxMessages, MessageWindow: p.MessageWindow, MaxTransit: p.MaxTransit, DrainGrace: p.DrainGrace},
 		admission: p.Admission, defaultRetries: p.DefaultRetries}
 	c.silenceTimeout = minSilenceTimeout
 	if p.ChannelRate > 0 { // told as left sooner, all of a fleet would join anew by a channel that is full, and fill it again
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -80,7 +80,7 @@
 }
 
 func (w *sizedWorld) settingNames() settings.Names {
-	return settings.Names{Classes: w.classes, Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
+	return settings.Names{Classes: w.classes, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 }
 
 func heapInUse() uint64 {
@@ -236,7 +236,7 @@
 				w.notes = append(w.notes, controller.Configure{Version: version, Names: w.settingNames(), Settings: changed,
 					Start: func() controller.Module { return policy.New(changed) }})
 				spans = append(spans, w.turn(shape.interval))
-				if w.core.Configuration() != version {
+				if w.core.ConfigurationVersion() != version {
 					b.Fatal("not in force")
 				}
 			}
--- a/internal/controlserver/crossings_test.go
+++ b/internal/controlserver/crossings_test.go
@@ -108,7 +108,7 @@
 	for range 3 * maxEndpointsPerPart {
 		lines = append(lines, controller.WeightedEndpoint{Replica: strings.Repeat("s", 100), Weight: 1})
 	}
-	var stream controller.Stream
+	var stream controller.StreamID
 	s.mu.Lock()
 	for p := range s.peers {
 		if p.id == 2 {
@@ -137,7 +137,7 @@
 	s := server(100)
 	running(t, s)
 	l := scriptedpeer.Listen(t)
-	join := func() (*scriptedpeer.Conn, controller.Stream) {
+	join := func() (*scriptedpeer.Conn, controller.StreamID) {
 		c := scriptedpeer.Dial(t, l.At()).Narrow()
 		s.admit(l.Take().Narrow().Conn)
 		c.Say("hello id 1 site a rps 2 new 1")
@@ -148,9 +148,9 @@
 		lines = append(lines, controller.WeightedEndpoint{Replica: strings.Repeat("s", 100), Weight: 1})
 	}
 	message := controller.Update{Full: true, Endpoints: lines, WantsAck: true, Nonce: 7}
-	for name, end := range map[string]func(*scriptedpeer.Conn, controller.Stream){
-		"ended by us": func(_ *scriptedpeer.Conn, stream controller.Stream) { s.exchange.End(stream) },
-		"reset":       func(c *scriptedpeer.Conn, _ controller.Stream) { c.Reset() },
+	for name, end := range map[string]func(*scriptedpeer.Conn, controller.StreamID){
+		"ended by us": func(_ *scriptedpeer.Conn, stream controller.StreamID) { s.exchange.End(stream) },
+		"reset":       func(c *scriptedpeer.Conn, _ controller.StreamID) { c.Reset() },
 	} {
 		c, stream := join()
 		s.exchange.Send(controller.OutgoingUpdate{Stream: stream, Number: 1, Update: message})
@@ -215,7 +215,7 @@
 	s.admit(failing{l.Take().Conn})
 	bad.Say("hello id 2 site a rps 2 new 1")
 	second := told(t, s, 1)[0].(controller.StreamOpened).Stream
-	for _, stream := range []controller.Stream{second, first} {
+	for _, stream := range []controller.StreamID{second, first} {
 		s.exchange.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Ejected: []string{"s-1"}}})
 	}
 	bad.Ends()
--- a/internal/controlserver/golden_test.go
+++ b/internal/controlserver/golden_test.go
@@ -18,7 +18,7 @@
 	sentFile     = "sent.golden"
 	receivedFile = "received.golden"
 
-	goldenStream = controller.Stream(5)
+	goldenStream = controller.StreamID(5)
 	goldenProxy  = 17
 )
 
@@ -29,14 +29,14 @@
 } {
 	endpoints := []controller.WeightedEndpoint{{Replica: "s-1", Weight: 1.5}, {Replica: "s-2", Weight: 1e-7}, {Replica: "s-3"}}
 	admissions := []controller.Admission{
-		{Class: "lookup", Share: 0.9, Retries: control.RetryIfNotExecuted},
+		{Class: "lookup", Fraction: 0.9, Retries: control.RetryIfNotExecuted},
 		{Class: "order", Retries: control.NoRetry},
-		{Class: "scan", Share: 1, Retries: control.RetryOnce},
-		{Class: "batch", Share: 1e300, Retries: control.RetryTwice},
+		{Class: "scan", Fraction: 1, Retries: control.RetryOnce},
+		{Class: "batch", Fraction: 1e300, Retries: control.RetryTwice},
 	}
 	crowd := make([]controller.Admission, maxParts+1)
 	for k := range crowd {
-		crowd[k] = controller.Admission{Class: fmt.Sprintf("c%d", k), Share: float64(k%3) / 4, Retries: control.RetryPolicy(k % 2)}
+		crowd[k] = controller.Admission{Class: fmt.Sprintf("c%d", k), Fraction: float64(k%3) / 4, Retries: control.RetryPolicy(k % 2)}
 	}
 	many := make([]string, maxEndpointsPerPart+1)
 	table := make([]controller.WeightedEndpoint, len(many))
@@ -128,7 +128,7 @@
 	case nil:
 		return "nothing"
 	case controller.StreamOpened:
-		return fmt.Sprintf("stream opened stream=%d proxy=%d zone=%q rate=%g blank=%t", ev.Stream, ev.Proxy, ev.Zone, ev.Rate, ev.Blank)
+		return fmt.Sprintf("stream opened stream=%d proxy=%d zone=%q rate=%g blank=%t", ev.Stream, ev.Proxy, ev.Zone, ev.Rate, ev.WithoutTable)
 	case controller.StreamActive:
 		return fmt.Sprintf("stream active stream=%d", ev.Stream)
 	case controller.Ack:
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -46,7 +46,7 @@
 type peer struct {
 	server *Server
 	conn   net.Conn
-	stream controller.Stream
+	stream controller.StreamID
 	place  *list.Element // in the queue of the dispensable; the server's lock guards it and the zone
 	zone   string        // of a collector
 	role   role
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -43,7 +43,7 @@
 	peers       map[*peer]struct{}
 	queue       *list.List       // the dispensable, who goes first in front: the unnamed, and collectors replaced
 	zones       map[string]*peer // the last collector of each
-	last        controller.Stream
+	last        controller.StreamID
 	lastWarning map[string]time.Time
 	all         sync.WaitGroup
 }
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -103,11 +103,11 @@
 	at := running(t, s)
 	c := call(t, at, "probe", "hello id 17 site a rps 2 new 1")
 	c.hears(t, "alive")
-	if notes := told(t, s, 1); notes[0] != (controller.StreamOpened{Stream: 1, Proxy: 17, Zone: "a", Rate: 2, Blank: true}) {
+	if notes := told(t, s, 1); notes[0] != (controller.StreamOpened{Stream: 1, Proxy: 17, Zone: "a", Rate: 2, WithoutTable: true}) {
 		t.Errorf("%+v", notes)
 	}
 	s.exchange.Send(controller.OutgoingUpdate{Stream: 1, Number: 7, Update: controller.Update{Full: true, WantsAck: true, Nonce: 3,
-		Endpoints: []controller.WeightedEndpoint{{Replica: "s-1", Weight: 1}}, Admissions: []controller.Admission{{Class: "g", Share: 1}}}})
+		Endpoints: []controller.WeightedEndpoint{{Replica: "s-1", Weight: 1}}, Admissions: []controller.Admission{{Class: "g", Fraction: 1}}}})
 	c.hears(t, "push full 1 endpoints s-1:1 continued 1")
 	c.hears(t, "push routes g admit 1 policy 0 nonce_out 3")
 	c.say(t, "probe")
--- a/internal/controlserver/words.go
+++ b/internal/controlserver/words.go
@@ -95,7 +95,7 @@
 
 func parseHello(f *fields) controller.StreamOpened {
 	blank, _ := f.lookup("new")
-	return controller.StreamOpened{Proxy: f.integer("id"), Zone: f.zone(), Rate: f.optionalNumber("rps"), Blank: blank == "1"}
+	return controller.StreamOpened{Proxy: f.integer("id"), Zone: f.zone(), Rate: f.optionalNumber("rps"), WithoutTable: blank == "1"}
 }
 
 func parseAck(f *fields) controller.Ack {
@@ -176,7 +176,7 @@
 		levels = mergeAdmissions(levels)
 	}
 	for _, l := range levels {
-		out = append(out, []string{"push", "routes", l.Class, "admit", formatWeight(l.Share), "policy", strconv.Itoa(int(l.Retries))})
+		out = append(out, []string{"push", "routes", l.Class, "admit", formatWeight(l.Fraction), "policy", strconv.Itoa(int(l.Retries))})
 	}
 	if p.WantsAck {
 		if len(out) == 0 {
--- a/internal/controlserver/words_test.go
+++ b/internal/controlserver/words_test.go
@@ -19,12 +19,12 @@
 func TestLevelsOfManyGroupsFitOneMessage(t *testing.T) {
 	p := controller.Update{Full: true, Endpoints: []controller.WeightedEndpoint{{Replica: "x", Weight: 1}}, WantsAck: true, Nonce: 7}
 	for k := range 200 {
-		l := controller.Admission{Class: fmt.Sprintf("g-%d", k), Share: 1, Retries: control.RetryIfNotExecuted}
-		if l.Share = 1; k > 150 {
-			l.Share = 0
+		l := controller.Admission{Class: fmt.Sprintf("g-%d", k), Fraction: 1, Retries: control.RetryIfNotExecuted}
+		if l.Fraction = 1; k > 150 {
+			l.Fraction = 0
 		}
 		if k == 150 {
-			l.Share = 0.35
+			l.Fraction = 0.35
 		}
 		p.Admissions = append(p.Admissions, l)
 	}
@@ -39,7 +39,7 @@
 			for _, name := range strings.Split(routes, "+") {
 				share, _ := f.lookup("admit")
 				at := slices.IndexFunc(p.Admissions, func(l controller.Admission) bool { return l.Class == name })
-				if share != formatWeight(p.Admissions[at].Share) {
+				if share != formatWeight(p.Admissions[at].Fraction) {
 					t.Errorf("%s gets %s", name, share)
 				}
 				named = append(named, name)
@@ -76,7 +76,7 @@
 		t.Errorf("%+v", notes)
 	}
 	call(t, at, "hello id 1 new 1", "probe").hears(t, "alive")
-	if notes := told(t, s, 1); notes[0] != (controller.StreamOpened{Stream: 2, Proxy: 1, Blank: true}) {
+	if notes := told(t, s, 1); notes[0] != (controller.StreamOpened{Stream: 2, Proxy: 1, WithoutTable: true}) {
 		t.Errorf("%+v", notes)
 	}
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -187,8 +187,8 @@
 	c.revision = list.Revision
 	c.synced = true
 	c.staleAnswers = 0
-	list.At = c.clock()
-	list.Wall = time.Now().UnixNano()
+	list.ReadAt = c.clock()
+	list.ReadAtWall = time.Now().UnixNano()
 	c.exchange.Publish(list)
 	return changed, nil
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -30,7 +30,7 @@
 
 func TestParse(t *testing.T) {
 	l, err := Parse([]byte(someList))
-	want := controller.Member{ID: "s-1", Zone: "a", Kind: "m2", Address: "h:1", Cell: "3", Weight: 1.5, UpSince: 2e6}
+	want := controller.Member{ID: "s-1", Zone: "a", HardwareClass: "m2", Address: "h:1", Cell: "3", Weight: 1.5, UpSince: 2e6}
 	if err != nil || l.Revision != 41 || !l.Complete || len(l.Members) != 1 || l.Members[0] != want {
 		t.Errorf("%+v %v", l, err)
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -67,15 +67,15 @@
 	}
 	usable := known && validID(m.ID) && weight >= 0 && m.UpSince >= 0
 	return controller.Member{
-		ID:       m.ID,
-		Zone:     m.Locality,
-		Kind:     m.Flavor,
-		Address:  m.HostPort,
-		Cell:     fmt.Sprint(m.Cell),
-		State:    state,
-		Unusable: !usable,
-		Weight:   weight,
-		UpSince:  control.Nanos(m.UpSince),
+		ID:            m.ID,
+		Zone:          m.Locality,
+		HardwareClass: m.Flavor,
+		Address:       m.HostPort,
+		Cell:          fmt.Sprint(m.Cell),
+		State:         state,
+		Unusable:      !usable,
+		Weight:        weight,
+		UpSince:       control.Nanos(m.UpSince),
 	}
 }
 
--- a/internal/eventloop/exchange.go
+++ b/internal/eventloop/exchange.go
@@ -42,12 +42,12 @@
 	events    []any
 	maxEvents int
 	ready     chan struct{}
-	outboxes  map[controller.Stream]*Outbox
+	outboxes  map[controller.StreamID]*Outbox
 }
 
 // New makes an empty exchange.
 func New() *Exchange {
-	return &Exchange{maxEvents: maxEvents, ready: make(chan struct{}, 1), outboxes: map[controller.Stream]*Outbox{}}
+	return &Exchange{maxEvents: maxEvents, ready: make(chan struct{}, 1), outboxes: map[controller.StreamID]*Outbox{}}
 }
 
 // Expect has the inbox hold what so many proxies may say.
@@ -101,7 +101,7 @@
 }
 
 // Open makes the outbox of a stream; end ends its connection, whatever it is at.
-func (x *Exchange) Open(stream controller.Stream, end func()) *Outbox {
+func (x *Exchange) Open(stream controller.StreamID, end func()) *Outbox {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	b := &Outbox{stream: stream, end: end, exchange: x, ready: make(chan struct{}, 1)}
@@ -119,7 +119,7 @@
 }
 
 // End ends a stream.
-func (x *Exchange) End(s controller.Stream) {
+func (x *Exchange) End(s controller.StreamID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if b := x.outboxes[s]; b != nil {
@@ -138,7 +138,7 @@
 
 // Outbox holds what waits for one stream.
 type Outbox struct {
-	stream          controller.Stream
+	stream          controller.StreamID
 	end             func()
 	exchange        *Exchange
 	items           []Item
--- a/internal/learnedstate/memory.go
+++ b/internal/learnedstate/memory.go
@@ -15,7 +15,7 @@
 	// What is left of an entry after six half-lives changes no decision and is dropped.
 	MinWeight = 1.0 / 64
 	// Bounds of one memory: four times the largest site we know of.
-	MaxReplicas, MaxUsage, MaxNames = 1 << 14, 1 << 18, 1 << 10
+	MaxReplicas, MaxRequestRates, MaxNames = 1 << 14, 1 << 18, 1 << 10
 	// Response times kept of a kind, and the length of the longest name of anything.
 	MaxResponseTimes, MaxNameLength = 32, 128
 	// The module's own figures lie far within these; what lies outside was not written by it.
@@ -27,9 +27,9 @@
 	maxListAge = int64(15 * 60 * 1e9)
 )
 
-// Moment is a time as a machine shows it. The wall clock may step; Up, the time since the machine's start Boot,
+// Timestamp is a time as a machine shows it. The wall clock may step; Up, the time since the machine's start Boot,
 // does not, but says nothing to another start.
-type Moment struct {
+type Timestamp struct {
 	Wall int64
 	Boot string // empty: not known
 	Up   int64
@@ -38,7 +38,7 @@
 // Age is how long then lies before now, never less than either clock shows. Where the wall clock lies behind
 // then, it has stepped back, and how much time has passed is not known: the step itself counts as age, so that
 // no step makes anything look younger than the clock that did not step says.
-func (then Moment) Age(now Moment) int64 {
+func (then Timestamp) Age(now Timestamp) int64 {
 	wall := now.Wall - then.Wall
 	if wall < 0 {
 		wall = -max(wall, -math.MaxInt64)
@@ -60,53 +60,53 @@
 
 // Replica is what was learned of one replica, and how discovery listed it.
 type Replica struct {
-	ID, Zone, Kind  string
-	UpSince         int64 // by the wall clock, as listed: one that started since is another
-	State           control.State
-	Weight          float64 // as listed
-	Speed           float64 // as control.LearnedReplica
-	SampleCount     float64
-	Ticket          float64
-	Table           int
-	EjectedFor      int64
-	Probation       bool
-	Ejections       int
-	SinceLastSample int64 // between its last evidence and Taken
+	ID, Zone, HardwareClass string
+	UpSince                 int64 // by the wall clock, as listed: one that started since is another
+	State                   control.State
+	Weight                  float64 // as listed
+	Speed                   float64 // as control.LearnedReplica
+	SampleCount             float64
+	PlacementKey            float64
+	Table                   int
+	EjectedFor              int64
+	Probation               bool
+	Ejections               int
+	SinceLastSample         int64 // between its last evidence and Taken
 }
 
-// KindResponses is the answer times of a kind when it was not busy, in seconds. The empty name is all kinds together.
-type KindResponses struct {
-	Kind  string
-	Times []float64
+// ResponseTimes is the answer times of a kind when it was not busy, in seconds. The empty name is all kinds together.
+type ResponseTimes struct {
+	HardwareClass string
+	Times         []float64
 }
 
-// Usage is the flows a second of a traffic group that came to a proxy.
-type Usage struct {
+// RequestRate is the flows a second of a traffic group that came to a proxy.
+type RequestRate struct {
 	Proxy int
 	Class string
 	Rate  float64
 }
 
-// Memory is all that one governor had learned at a moment.
-type Memory struct {
-	Governor           string
-	Taken              Moment
-	Revision           int64 // of the list
-	Classes            []string
-	Replicas           []Replica // by ID
-	UsualResponses     []KindResponses
-	Usage              []Usage
-	Bindings           []control.Binding
-	Tables             int
-	AdmissionThreshold float64
-	MaxSuccessRate     float64
-	RetriesStopped     bool
+// State is all that one governor had learned at a moment.
+type State struct {
+	Controller            string
+	Taken                 Timestamp
+	Revision              int64 // of the list
+	Classes               []string
+	Replicas              []Replica // by ID
+	BaselineResponseTimes []ResponseTimes
+	RequestRates          []RequestRate
+	Bindings              []control.Binding
+	Tables                int
+	AdmissionThreshold    float64
+	MaxSuccessRate        float64
+	RetriesStopped        bool
 }
 
 // Merge adds to what was learned now what was learned earlier of replicas that now says nothing of: those that
 // are not listed just now, or not yet. Earlier ones of less than MinWeight are left out. Since is the time
 // from earlier to now.
-func Merge(now, earlier Memory, since, halfLife int64) Memory {
+func Merge(now, earlier State, since, halfLife int64) State {
 	has := make(map[string]bool, len(now.Replicas))
 	for _, r := range now.Replicas {
 		has[r.ID] = true
@@ -135,23 +135,23 @@
 	return a + b
 }
 
-// Place is the installation that a memory is to serve in.
-type Place struct {
-	Classes, Kinds []string
-	Proxies        int
+// Installation is the installation that a memory is to serve in.
+type Installation struct {
+	Classes, HardwareClasses []string
+	Proxies                  int
 }
 
 // Dropped counts what a memory held that does not fit, by reason.
 type Dropped struct {
-	Replicas int // whose figures cannot be
-	Old      int // replicas whose evidence counts for nothing any more
-	Usage    int // of traffic groups or proxies that there are not
-	Classes  bool
+	Replicas       int // whose figures cannot be
+	Expired        int // replicas whose evidence counts for nothing any more
+	RequestRates   int // of traffic groups or proxies that there are not
+	ClassesChanged bool
 }
 
 // Fit keeps of a memory what fits the place and is not too old, and says what it has dropped. Levels are by the
 // order of the traffic groups: where these have changed they are dropped as a whole.
-func Fit(m Memory, p Place, age, halfLife int64) (Memory, Dropped) {
+func Fit(m State, p Installation, age, halfLife int64) (State, Dropped) {
 	var d Dropped
 	whole := Weight(age, halfLife) > 0
 	keep := m.Replicas[:0:0]
@@ -160,27 +160,27 @@
 		case !sound(r): // zone and kind are held to the list when it names the replica
 			d.Replicas++
 		case Weight(addSpans(r.SinceLastSample, age), halfLife) == 0:
-			d.Old++
+			d.Expired++
 		default:
 			keep = append(keep, r)
 		}
 	}
 	m.Replicas = keep
-	usage := m.Usage[:0:0]
-	for _, u := range m.Usage {
+	usage := m.RequestRates[:0:0]
+	for _, u := range m.RequestRates {
 		if u.Proxy >= 0 && u.Proxy < p.Proxies && slices.Contains(p.Classes, u.Class) && within(u.Rate, 0, maxRate) {
 			usage = append(usage, u)
 		} else {
-			d.Usage++
+			d.RequestRates++
 		}
 	}
-	m.Usage = usage
+	m.RequestRates = usage
 	m.Bindings = slices.DeleteFunc(slices.Clone(m.Bindings), func(s control.Binding) bool {
 		return s.Proxy < 0 || s.Proxy >= p.Proxies || s.Table < 0 || s.Table >= m.Tables
 	})
-	calm := m.UsualResponses[:0:0]
-	for _, c := range m.UsualResponses {
-		if slices.Contains(p.Kinds, c.Kind) || c.Kind == "" {
+	calm := m.BaselineResponseTimes[:0:0]
+	for _, c := range m.BaselineResponseTimes {
+		if slices.Contains(p.HardwareClasses, c.HardwareClass) || c.HardwareClass == "" {
 			c.Times = slices.DeleteFunc(slices.Clone(c.Times), func(a float64) bool {
 				return !within(a, 1e-9, maxResponseSeconds)
 			})
@@ -188,8 +188,8 @@
 			calm = append(calm, c)
 		}
 	}
-	m.UsualResponses = calm
-	if d.Classes = !slices.Equal(m.Classes, p.Classes); d.Classes || !within(m.AdmissionThreshold, 0, 1) {
+	m.BaselineResponseTimes = calm
+	if d.ClassesChanged = !slices.Equal(m.Classes, p.Classes); d.ClassesChanged || !within(m.AdmissionThreshold, 0, 1) {
 		m.AdmissionThreshold, m.RetriesStopped = 1, false
 	}
 	if !within(m.MaxSuccessRate, 0, maxRate) {
@@ -199,8 +199,8 @@
 		m.Tables, m.Bindings = 0, nil
 	}
 	if !whole { // nothing of the fleet is left
-		d.Usage += len(m.Usage)
-		m.Usage, m.Bindings, m.UsualResponses, m.Tables, m.AdmissionThreshold, m.MaxSuccessRate, m.RetriesStopped = nil, nil, nil, 0, 1, 0, false
+		d.RequestRates += len(m.RequestRates)
+		m.RequestRates, m.Bindings, m.BaselineResponseTimes, m.Tables, m.AdmissionThreshold, m.MaxSuccessRate, m.RetriesStopped = nil, nil, nil, 0, 1, 0, false
 	}
 	return m, d
 }
@@ -210,13 +210,13 @@
 // sound says whether the figures of a replica can be.
 func sound(r Replica) bool {
 	return r.ID != "" && len(r.ID) <= MaxNameLength && within(r.Speed, minSpeed, maxSpeed) &&
-		within(r.SampleCount, 0, maxSampleCount) && within(r.Ticket, 0, 1) && within(r.Weight, 0, math.MaxFloat64) &&
+		within(r.SampleCount, 0, maxSampleCount) && within(r.PlacementKey, 0, 1) && within(r.Weight, 0, math.MaxFloat64) &&
 		r.Table >= 0 && r.Table <= maxTables && r.EjectedFor >= 0 && r.EjectedFor <= maxEjection &&
 		r.Ejections >= 0 && r.Ejections <= maxEjections && r.SinceLastSample >= 0 && r.UpSince >= 0 &&
 		r.State >= control.Ready && r.State <= control.Gone
 }
 
-// Lists says whether the memory's list is to serve until discovery answers, instead of one of this revision.
-func (m Memory) Lists(revision, age int64) bool {
+// HasNewerList says whether the memory's list is to serve until discovery answers, instead of one of this revision.
+func (m State) HasNewerList(revision, age int64) bool {
 	return m.Revision > revision && age <= maxListAge && len(m.Replicas) > 0
 }
--- a/internal/learnedstate/memory_test.go
+++ b/internal/learnedstate/memory_test.go
@@ -15,17 +15,17 @@
 func TestAgeIsNeverLessThanAClockSays(t *testing.T) {
 	for _, c := range []struct {
 		what      string
-		then, now Moment
+		then, now Timestamp
 		want      int64
 	}{
-		{"the wall clock alone", Moment{Wall: 100 * minute}, Moment{Wall: 101 * minute}, minute},
-		{"it stepped back by an hour", Moment{Wall: 100 * minute}, Moment{Wall: 41 * minute}, 59 * minute},
-		{"a little, and the other clock tells", Moment{100 * minute, "b", minute}, Moment{99 * minute, "b", 11 * minute}, 10 * minute},
-		{"it stepped on", Moment{100 * minute, "b", minute}, Moment{200 * minute, "b", 2 * minute}, 100 * minute},
-		{"the machine started anew", Moment{100 * minute, "b", 50 * minute}, Moment{101 * minute, "c", 51 * minute}, minute},
-		{"a machine put back to an earlier time", Moment{100 * minute, "b", 50 * minute}, Moment{130 * minute, "b", 10 * minute}, 30 * minute},
-		{"of the far future", Moment{Wall: math.MaxInt64}, Moment{Wall: 0}, math.MaxInt64},
-		{"of the far past", Moment{Wall: math.MinInt64 / 2}, Moment{Wall: 0}, -(math.MinInt64 / 2)},
+		{"the wall clock alone", Timestamp{Wall: 100 * minute}, Timestamp{Wall: 101 * minute}, minute},
+		{"it stepped back by an hour", Timestamp{Wall: 100 * minute}, Timestamp{Wall: 41 * minute}, 59 * minute},
+		{"a little, and the other clock tells", Timestamp{100 * minute, "b", minute}, Timestamp{99 * minute, "b", 11 * minute}, 10 * minute},
+		{"it stepped on", Timestamp{100 * minute, "b", minute}, Timestamp{200 * minute, "b", 2 * minute}, 100 * minute},
+		{"the machine started anew", Timestamp{100 * minute, "b", 50 * minute}, Timestamp{101 * minute, "c", 51 * minute}, minute},
+		{"a machine put back to an earlier time", Timestamp{100 * minute, "b", 50 * minute}, Timestamp{130 * minute, "b", 10 * minute}, 30 * minute},
+		{"of the far future", Timestamp{Wall: math.MaxInt64}, Timestamp{Wall: 0}, math.MaxInt64},
+		{"of the far past", Timestamp{Wall: math.MinInt64 / 2}, Timestamp{Wall: 0}, -(math.MinInt64 / 2)},
 	} {
 		if got := c.then.Age(c.now); got != c.want {
 			t.Errorf("%s: %d, want %d", c.what, got, c.want)
@@ -35,7 +35,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		wall, up := rapid.Int64Range(0, 1<<60).Draw(t, "wall"), rapid.Int64Range(0, 1<<50).Draw(t, "up")
 		passed, step := rapid.Int64Range(0, 1<<50).Draw(t, "passed"), rapid.Int64Range(-1<<52, 1<<52).Draw(t, "step")
-		age := Moment{wall, "b", up}.Age(Moment{wall + passed + step, "b", up + passed})
+		age := Timestamp{wall, "b", up}.Age(Timestamp{wall + passed + step, "b", up + passed})
 		if age < passed || Weight(age, minute) > Weight(passed, minute) {
 			t.Fatalf("%d has passed, the age is %d", passed, age)
 		}
@@ -50,41 +50,43 @@
 	}
 }
 
-func sample() Memory {
-	return Memory{Governor: "n0", Taken: Moment{Wall: 100 * minute}, Revision: 9, Classes: []string{"read", "order"},
-		Replicas: []Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, Weight: 1, Speed: 0.5, SampleCount: 12, Ticket: 0.3, Table: 1, EjectedFor: 2 * second, Ejections: 2, SinceLastSample: second},
-			{ID: "y", Zone: "b", Kind: "m2", Weight: 1, Speed: 2, SampleCount: 16, Ticket: 0.4}},
-		UsualResponses: []KindResponses{{"m1", []float64{0.1, 0.2}}, {"", []float64{0.15}}},
-		Usage:          []Usage{{1, "read", 20}, {2, "order", 0.5}}, Bindings: []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2}},
+func sample() State {
+	return State{Controller: "n0", Taken: Timestamp{Wall: 100 * minute}, Revision: 9, Classes: []string{"read", "order"},
+		Replicas: []Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, Weight: 1, Speed: 0.5, SampleCount: 12, PlacementKey: 0.3, Table: 1, EjectedFor: 2 * second, Ejections: 2, SinceLastSample: second},
+			{ID: "y", Zone: "b", HardwareClass: "m2", Weight: 1, Speed: 2, SampleCount: 16, PlacementKey: 0.4}},
+		BaselineResponseTimes: []ResponseTimes{{"m1", []float64{0.1, 0.2}}, {"", []float64{0.15}}},
+		RequestRates:          []RequestRate{{1, "read", 20}, {2, "order", 0.5}}, Bindings: []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2}},
 		Tables: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true}
 }
 
-var place = Place{Classes: []string{"read", "order"}, Kinds: []string{"m1", "m2"}, Proxies: 3}
+var place = Installation{Classes: []string{"read", "order"}, HardwareClasses: []string{"m1", "m2"}, Proxies: 3}
 
 func TestWhatFitsIsKept(t *testing.T) {
 	for _, c := range []struct {
 		what   string
-		change func(*Memory, *Place)
+		change func(*State, *Installation)
 		age    int64
-		kept   func(Memory) bool
+		kept   func(State) bool
 		gone   Dropped
 	}{
-		{"all of it", func(*Memory, *Place) {}, 0, func(m Memory) bool { return reflect.DeepEqual(m, sample()) }, Dropped{}},
-		{"half of its weight", func(*Memory, *Place) {}, minute, func(m Memory) bool { return reflect.DeepEqual(m, sample()) }, Dropped{}},
-		{"a day old", func(*Memory, *Place) {}, 1440 * minute, func(m Memory) bool {
-			return len(m.Replicas)+len(m.Usage)+len(m.Bindings)+len(m.UsualResponses) == 0 && m.AdmissionThreshold == 1 && !m.RetriesStopped && m.MaxSuccessRate == 0
-		}, Dropped{Old: 2, Usage: 2}},
-		{"one evidence is too old", func(m *Memory, _ *Place) { m.Replicas[0].SinceLastSample = 6 * minute }, minute, func(m Memory) bool { return len(m.Replicas) == 1 }, Dropped{Old: 1}},
-		{"a group less", func(_ *Memory, p *Place) { p.Classes = p.Classes[:1] }, 0, func(m Memory) bool { return m.AdmissionThreshold == 1 && !m.RetriesStopped && len(m.Usage) == 1 }, Dropped{Usage: 1, Classes: true}},
-		{"groups in another order", func(_ *Memory, p *Place) { p.Classes = []string{"order", "read"} }, 0, func(m Memory) bool { return m.AdmissionThreshold == 1 && len(m.Usage) == 2 }, Dropped{Classes: true}},
-		{"fewer proxies", func(_ *Memory, p *Place) { p.Proxies = 2 }, 0, func(m Memory) bool { return len(m.Bindings) == 1 }, Dropped{Usage: 1}},
-		{"a kind less", func(_ *Memory, p *Place) { p.Kinds = []string{"m2"} }, 0, func(m Memory) bool { return len(m.UsualResponses) == 1 && m.UsualResponses[0].Kind == "" }, Dropped{}},
-		{"no number", func(m *Memory, _ *Place) { m.Replicas[0].Speed = math.NaN() }, 0, func(m Memory) bool { return len(m.Replicas) == 1 }, Dropped{Replicas: 1}},
-		{"a speed that cannot be", func(m *Memory, _ *Place) { m.Replicas[1].Speed = 0 }, 0, func(m Memory) bool { return m.Replicas[0].ID == "x" }, Dropped{Replicas: 1}},
-		{"a rest without end", func(m *Memory, _ *Place) { m.Replicas[0].EjectedFor = math.MaxInt64 }, 0, func(m Memory) bool { return len(m.Replicas) == 1 }, Dropped{Replicas: 1}},
-		{"a line that cannot be", func(m *Memory, _ *Place) { m.AdmissionThreshold = -3 }, 0, func(m Memory) bool { return m.AdmissionThreshold == 1 }, Dropped{}},
-		{"tables that cannot be", func(m *Memory, _ *Place) { m.Tables = 1 << 30 }, 0, func(m Memory) bool { return m.Tables == 0 && m.Bindings == nil }, Dropped{}},
-		{"answers that cannot be", func(m *Memory, _ *Place) { m.UsualResponses[0].Times = []float64{-1, math.Inf(1), 0.2} }, 0, func(m Memory) bool { return len(m.UsualResponses[0].Times) == 1 }, Dropped{}},
+		{"all of it", func(*State, *Installation) {}, 0, func(m State) bool { return reflect.DeepEqual(m, sample()) }, Dropped{}},
+		{"half of its weight", func(*State, *Installation) {}, minute, func(m State) bool { return reflect.DeepEqual(m, sample()) }, Dropped{}},
+		{"a day old", func(*State, *Installation) {}, 1440 * minute, func(m State) bool {
+			return len(m.Replicas)+len(m.RequestRates)+len(m.Bindings)+len(m.BaselineResponseTimes) == 0 && m.AdmissionThreshold == 1 && !m.RetriesStopped && m.MaxSuccessRate == 0
+		}, Dropped{Expired: 2, RequestRates: 2}},
+		{"one evidence is too old", func(m *State, _ *Installation) { m.Replicas[0].SinceLastSample = 6 * minute }, minute, func(m State) bool { return len(m.Replicas) == 1 }, Dropped{Expired: 1}},
+		{"a group less", func(_ *State, p *Installation) { p.Classes = p.Classes[:1] }, 0, func(m State) bool { return m.AdmissionThreshold == 1 && !m.RetriesStopped && len(m.RequestRates) == 1 }, Dropped{RequestRates: 1, ClassesChanged: true}},
+		{"groups in another order", func(_ *State, p *Installation) { p.Classes = []string{"order", "read"} }, 0, func(m State) bool { return m.AdmissionThreshold == 1 && len(m.RequestRates) == 2 }, Dropped{ClassesChanged: true}},
+		{"fewer proxies", func(_ *State, p *Installation) { p.Proxies = 2 }, 0, func(m State) bool { return len(m.Bindings) == 1 }, Dropped{RequestRates: 1}},
+		{"a kind less", func(_ *State, p *Installation) { p.HardwareClasses = []string{"m2"} }, 0, func(m State) bool {
+			return len(m.BaselineResponseTimes) == 1 && m.BaselineResponseTimes[0].HardwareClass == ""
+		}, Dropped{}},
+		{"no number", func(m *State, _ *Installation) { m.Replicas[0].Speed = math.NaN() }, 0, func(m State) bool { return len(m.Replicas) == 1 }, Dropped{Replicas: 1}},
+		{"a speed that cannot be", func(m *State, _ *Installation) { m.Replicas[1].Speed = 0 }, 0, func(m State) bool { return m.Replicas[0].ID == "x" }, Dropped{Replicas: 1}},
+		{"a rest without end", func(m *State, _ *Installation) { m.Replicas[0].EjectedFor = math.MaxInt64 }, 0, func(m State) bool { return len(m.Replicas) == 1 }, Dropped{Replicas: 1}},
+		{"a line that cannot be", func(m *State, _ *Installation) { m.AdmissionThreshold = -3 }, 0, func(m State) bool { return m.AdmissionThreshold == 1 }, Dropped{}},
+		{"tables that cannot be", func(m *State, _ *Installation) { m.Tables = 1 << 30 }, 0, func(m State) bool { return m.Tables == 0 && m.Bindings == nil }, Dropped{}},
+		{"answers that cannot be", func(m *State, _ *Installation) { m.BaselineResponseTimes[0].Times = []float64{-1, math.Inf(1), 0.2} }, 0, func(m State) bool { return len(m.BaselineResponseTimes[0].Times) == 1 }, Dropped{}},
 	} {
 		m, p := sample(), place
 		c.change(&m, &p)
@@ -95,7 +97,7 @@
 }
 
 func TestMergingKeepsWhoIsNotListedJustNow(t *testing.T) {
-	now := Memory{Replicas: []Replica{{ID: "y", Speed: 3}}}
+	now := State{Replicas: []Replica{{ID: "y", Speed: 3}}}
 	m := Merge(now, sample(), 4*second, minute)
 	if len(m.Replicas) != 2 || m.Replicas[1].Speed != 3 {
 		t.Fatalf("%+v", m.Replicas)
@@ -112,28 +114,28 @@
 }
 
 func TestAReplicaIsRememberedWhileItIsTheSame(t *testing.T) {
-	p := NewPast(sample(), 1000*second, 10*second, minute)
-	r, age, weight := p.Of("x", "a", "m1", 5, 1001*second)
+	p := NewAgedState(sample(), 1000*second, 10*second, minute)
+	r, age, weight := p.Lookup("x", "a", "m1", 5, 1001*second)
 	if age != 12*second || math.Abs(weight-math.Exp2(-0.2)) > 1e-9 || r.EjectedFor != 0 || !r.Probation || r.Speed != 0.5 {
 		t.Errorf("%+v, age %d, weight %v", r, age, weight)
 	}
 	for _, who := range [][4]any{{"x", "a", "m1", int64(6)}, {"x", "b", "m1", int64(5)}, {"x", "a", "m2", int64(5)}, {"z", "a", "m1", int64(5)}} {
-		if _, _, w := p.Of(who[0].(string), who[1].(string), who[2].(string), who[3].(int64), 1001*second); w != 0 {
+		if _, _, w := p.Lookup(who[0].(string), who[1].(string), who[2].(string), who[3].(int64), 1001*second); w != 0 {
 			t.Errorf("%v is taken for the remembered one", who)
 		}
 	}
-	if _, _, w := p.Of("x", "a", "m1", 5, 2000*second); w != 0 {
+	if _, _, w := p.Lookup("x", "a", "m1", 5, 2000*second); w != 0 {
 		t.Errorf("weight %v after all that time", w)
 	}
-	var none *Past
-	if _, _, w := none.Of("x", "a", "m1", 5, 0); w != 0 {
+	var none *AgedState
+	if _, _, w := none.Lookup("x", "a", "m1", 5, 0); w != 0 {
 		t.Error("nothing remembers something")
 	}
 }
 
 func TestTheNewerListServes(t *testing.T) {
 	m := sample()
-	if !m.Lists(8, minute) || m.Lists(9, minute) || m.Lists(8, maxListAge+1) || (Memory{Revision: 9}).Lists(8, 0) {
+	if !m.HasNewerList(8, minute) || m.HasNewerList(9, minute) || m.HasNewerList(8, maxListAge+1) || (State{Revision: 9}).HasNewerList(8, 0) {
 		t.Error("the wrong list serves")
 	}
 }
--- a/internal/sendbudget/account_test.go
+++ b/internal/sendbudget/account_test.go
@@ -9,37 +9,37 @@
 const second = int64(1e9)
 
 func account() *Account {
-	return New(Bounds{Lines: 160, Rate: 200, Head: 4, Messages: 3, Span: 10 * second, Transit: second / 4})
+	return New(Bounds{ChannelLimit: 160, ChannelRate: 200, MessageOverhead: 4, MaxMessages: 3, MessageWindow: 10 * second, MaxTransit: second / 4})
 }
 
 func TestAChannelIsFullUntilAnswersShowThatItIsNot(t *testing.T) {
 	a := account()
 	first := a.Charge(1, 96, 0)
-	a.Written(first, second/20)
+	a.MarkSent(first, second/20)
 	if a.Fits(2, 38, false, 0) || !a.Fits(2, 37, false, 0) || !a.Fits(2, 46, true, 0) || a.Fits(2, 47, true, 0) {
 		t.Error("with 100 of 160 lines taken, 37 more fit and 46 that are urgent, heads not counted")
 	}
 	other := a.Charge(2, 16, second/10)
-	a.Left(1, second/5) // tells nothing of the channel
-	if a.Waits() != 120 {
-		t.Errorf("%d wait after a leaving", a.Waits())
+	a.Disconnect(1, second/5) // tells nothing of the channel
+	if a.Queued() != 120 {
+		t.Errorf("%d wait after a leaving", a.Queued())
 	}
-	a.Answered(2, other, second)
-	if a.Waits() != 100 {
-		t.Errorf("%d wait: the other was written in about the same moment", a.Waits())
+	a.Acknowledge(2, other, second)
+	if a.Queued() != 100 {
+		t.Errorf("%d wait: the other was written in about the same moment", a.Queued())
 	}
 	stalled := a.Charge(3, 16, second)
 	third := a.Charge(2, 6, 4*second)
-	if a.Answered(2, third, 5*second); a.Waits() != 20 {
-		t.Errorf("%d wait: of what came much before all but what never went out must have left", a.Waits())
+	if a.Acknowledge(2, third, 5*second); a.Queued() != 20 {
+		t.Errorf("%d wait: of what came much before all but what never went out must have left", a.Queued())
 	}
-	a.Left(3, 5*second)
+	a.Disconnect(3, 5*second)
 	fourth := a.Charge(2, 6, 8*second)
-	a.Answered(2, fourth, 9*second)
-	a.Written(stalled, 9*second)   // gone from the account
-	a.Answered(1, first, 9*second) // late, of what is taken back already
-	if a.Waits() != 0 || len(a.open) != 0 {
-		t.Errorf("%d wait, %d open", a.Waits(), len(a.open))
+	a.Acknowledge(2, fourth, 9*second)
+	a.MarkSent(stalled, 9*second)     // gone from the account
+	a.Acknowledge(1, first, 9*second) // late, of what is taken back already
+	if a.Queued() != 0 || len(a.open) != 0 {
+		t.Errorf("%d wait, %d open", a.Queued(), len(a.open))
 	}
 }
 
@@ -47,19 +47,19 @@
 // second for four ways of 0.25 s.
 func TestABusyChannelTakesNoMore(t *testing.T) {
 	a := account()
-	a.Lines, a.Rate = 1<<20, 100
-	if a.Charge(1, 95, 0); !a.Room(false) || !a.Fits(2, 1000, false, 0) {
+	a.ChannelLimit, a.ChannelRate = 1<<20, 100
+	if a.Charge(1, 95, 0); !a.HasRoom(false) || !a.Fits(2, 1000, false, 0) {
 		t.Error("99 lines leave room for any one message")
 	}
-	if a.Charge(1, 0, 0); a.Room(false) || !a.Room(true) {
+	if a.Charge(1, 0, 0); a.HasRoom(false) || !a.HasRoom(true) {
 		t.Error("103 lines are enough, but not for what is urgent")
 	}
-	if a.Charge(1, 93, 0); a.Room(true) {
+	if a.Charge(1, 93, 0); a.HasRoom(true) {
 		t.Error("200 lines are enough for that too")
 	}
 	later := a.Charge(2, 6, second)
-	if a.Answered(2, later, 2*second); a.Waits() != 200 || !a.Room(false) {
-		t.Errorf("%d wait: messages in pieces change places, but the channel goes on by what is likely", a.Waits())
+	if a.Acknowledge(2, later, 2*second); a.Queued() != 200 || !a.HasRoom(false) {
+		t.Errorf("%d wait: messages in pieces change places, but the channel goes on by what is likely", a.Queued())
 	}
 }
 
@@ -72,15 +72,15 @@
 	if a.Fits(1, 1, true, 9*second) || a.Fits(1, 1, true, 10*second+1) {
 		t.Error("a fourth fits though all three may come now")
 	}
-	a.Answered(1, n, 9*second)
+	a.Acknowledge(1, n, 9*second)
 	if a.Fits(1, 1, true, 19*second) || !a.Fits(1, 1, true, 19*second+1) || !a.Fits(2, 1, false, 9*second) {
 		t.Error("the first was answered at 9 s")
 	}
-	a.Left(1, 20*second)
+	a.Disconnect(1, 20*second)
 	if a.Fits(1, 1, true, 20*second) && a.Fits(1, 1, true, 30*second) != true {
 		t.Error("a stream that ends frees nothing at once")
 	}
-	if a.Sweep(31 * second); len(a.proxies) != 0 {
+	if a.Evict(31 * second); len(a.proxies) != 0 {
 		t.Errorf("%d proxies kept", len(a.proxies))
 	}
 }
@@ -89,15 +89,15 @@
 // rest of the span: after a first part its messages are spaced, so that none ever waits for longer than the spacing.
 func TestNoMessageWaitsForTheSpanOfItsCap(t *testing.T) {
 	for name, answer := range map[string]int64{"at once": 0, "late": second, "never": -1} {
-		a := New(Bounds{Messages: 30, Span: 10 * second, Transit: second / 4, Grace: 2 * second})
+		a := New(Bounds{MaxMessages: 30, MessageWindow: 10 * second, MaxTransit: second / 4, DrainGrace: 2 * second})
 		var wrote []int64
 		for now, asked := int64(0), int64(-1); now < 60*second; now += second / 100 {
 			for k := range wrote {
 				if answer >= 0 && now == wrote[k]+answer {
-					a.Answered(1, uint64(k), now)
+					a.Acknowledge(1, uint64(k), now)
 				}
 			}
-			a.Age(now)
+			a.Expire(now)
 			if asked < 0 && (now/(second/10))%(1+now/(20*second)) == 0 { // every 0.1 s, then more seldom
 				asked = now
 			}
@@ -107,10 +107,10 @@
 			if waited := now - asked; waited > a.spacing() {
 				t.Errorf("answered %s: waited %d ms at %d ms", name, waited/1e6, now/1e6)
 			}
-			a.Written(a.Charge(1, 1, now), now)
+			a.MarkSent(a.Charge(1, 1, now), now)
 			wrote, asked = append(wrote, now), -1
-			if first := len(wrote) - 1 - a.Messages; first >= 0 && now-wrote[first] < a.Span {
-				t.Fatalf("answered %s: %d messages within %d ms", name, a.Messages+1, (now-wrote[first])/1e6)
+			if first := len(wrote) - 1 - a.MaxMessages; first >= 0 && now-wrote[first] < a.MessageWindow {
+				t.Fatalf("answered %s: %d messages within %d ms", name, a.MaxMessages+1, (now-wrote[first])/1e6)
 			}
 		}
 		if len(wrote) < 60 {
@@ -132,7 +132,7 @@
 		{30, second / 4, 11 * second / 30, 30},
 		{30, 0, 11 * second / 15, 15},
 	} {
-		a := New(Bounds{Messages: c.messages, Span: 10 * second, Transit: second / 4, Grace: c.grace})
+		a := New(Bounds{MaxMessages: c.messages, MessageWindow: 10 * second, MaxTransit: second / 4, DrainGrace: c.grace})
 		if a.spaced() != c.spaced || a.spacing() > c.most {
 			t.Errorf("%d messages, a grace of %d ms: %d spaced by %d ms", c.messages, c.grace/1e6, a.spaced(), a.spacing()/1e6)
 		}
@@ -143,11 +143,11 @@
 func TestLostAnswersDoNotSilenceAProxy(t *testing.T) {
 	a := account()
 	for range 3 {
-		a.Written(a.Charge(1, 16, 0), 1) // 60 lines, at a quarter of 200 a second 1.2 s, and on the way for 0.25 s
+		a.MarkSent(a.Charge(1, 16, 0), 1) // 60 lines, at a quarter of 200 a second 1.2 s, and on the way for 0.25 s
 	}
-	a.Age(2 * second)
-	if a.Fits(1, 16, true, 12*second) || !a.Fits(1, 16, true, 13*second) || a.Waits() != 60 {
-		t.Errorf("%d wait; three messages it may have got until 2.25 s", a.Waits())
+	a.Expire(2 * second)
+	if a.Fits(1, 16, true, 12*second) || !a.Fits(1, 16, true, 13*second) || a.Queued() != 60 {
+		t.Errorf("%d wait; three messages it may have got until 2.25 s", a.Queued())
 	}
 }
 
@@ -155,12 +155,12 @@
 func TestWhatNobodyCanAnswerIsForgottenLate(t *testing.T) {
 	a := account()
 	a.Charge(1, 96, 0)
-	a.Left(1, 0)
+	a.Disconnect(1, 0)
 	at := 12*second + second/4 + lostSpan
-	if a.Age(at); a.Fits(2, 60, true, at) {
+	if a.Expire(at); a.Fits(2, 60, true, at) {
 		t.Error("too early")
 	}
-	if a.Age(at + 1); !a.Fits(2, 60, true, at+1) {
+	if a.Expire(at + 1); !a.Fits(2, 60, true, at+1) {
 		t.Error("100 lines at 50 a second, on the way for 0.25 s, and 30 s")
 	}
 }
@@ -174,15 +174,15 @@
 			number uint64
 			lines  int
 		}
-		b := Bounds{Lines: rapid.IntRange(40, 400).Draw(t, "limit"), Rate: 100, Head: 4, Messages: rapid.IntRange(1, 5).Draw(t, "cap"),
-			Span: 10 * second, Transit: second / 4}
+		b := Bounds{ChannelLimit: rapid.IntRange(40, 400).Draw(t, "limit"), ChannelRate: 100, MessageOverhead: 4, MaxMessages: rapid.IntRange(1, 5).Draw(t, "cap"),
+			MessageWindow: 10 * second, MaxTransit: second / 4}
 		a := New(b)
 		var queue []message
 		now, lines := int64(0), 0
 		written, received := map[int][]int64{}, map[int][]int64{}
 		within := func(times []int64) (n int) {
 			for _, at := range times {
-				if now-at < b.Span {
+				if now-at < b.MessageWindow {
 					n++
 				}
 			}
@@ -195,12 +195,12 @@
 			case 0, 1, 2:
 				n := rapid.IntRange(1, 60).Draw(t, "lines")
 				if a.Fits(proxy, n, rapid.Bool().Draw(t, "urgent"), now) {
-					queue = append(queue, message{proxy, a.Charge(proxy, n, now), n + b.Head})
-					lines += n + b.Head
+					queue = append(queue, message{proxy, a.Charge(proxy, n, now), n + b.MessageOverhead})
+					lines += n + b.MessageOverhead
 					if rapid.Bool().Draw(t, "gone out") {
-						a.Written(queue[len(queue)-1].number, now)
+						a.MarkSent(queue[len(queue)-1].number, now)
 					}
-					if written[proxy] = append(written[proxy], now); within(written[proxy]) > b.Messages {
+					if written[proxy] = append(written[proxy], now); within(written[proxy]) > b.MaxMessages {
 						t.Fatalf("%d messages written to %d", within(written[proxy]), proxy)
 					}
 				}
@@ -208,18 +208,18 @@
 				for n := rapid.IntRange(0, len(queue)).Draw(t, "sent"); n > 0; n-- {
 					m := queue[0]
 					queue, lines = queue[1:], lines-m.lines
-					if received[m.proxy] = append(received[m.proxy], now); within(received[m.proxy]) > b.Messages {
+					if received[m.proxy] = append(received[m.proxy], now); within(received[m.proxy]) > b.MaxMessages {
 						t.Fatalf("%d messages received by %d", within(received[m.proxy]), m.proxy)
 					}
 					if rapid.Bool().Draw(t, "answered") {
-						a.Answered(m.proxy, m.number, now)
+						a.Acknowledge(m.proxy, m.number, now)
 					}
 				}
 			case 4:
-				a.Sweep(now)
+				a.Evict(now)
 			}
-			if lines > b.Lines || a.Waits() < lines {
-				t.Fatalf("%d lines wait, %d by the account, %d may", lines, a.Waits(), b.Lines)
+			if lines > b.ChannelLimit || a.Queued() < lines {
+				t.Fatalf("%d lines wait, %d by the account, %d may", lines, a.Queued(), b.ChannelLimit)
 			}
 		}
 	})
@@ -230,36 +230,36 @@
 func TestWhateverBecomesOfAMessageItsChargeStaysAndGoes(t *testing.T) {
 	for name, end := range map[string]func(a *Account, n uint64){
 		"dropped, its stream lives":      func(*Account, uint64) {},
-		"never written, its stream ends": func(a *Account, n uint64) { a.Left(1, 1) },
-		"half written, its stream ends":  func(a *Account, n uint64) { a.Left(1, second/10) },
-		"written, and reset":             func(a *Account, n uint64) { a.Written(n, second/10); a.Left(1, second/5) },
+		"never written, its stream ends": func(a *Account, n uint64) { a.Disconnect(1, 1) },
+		"half written, its stream ends":  func(a *Account, n uint64) { a.Disconnect(1, second/10) },
+		"written, and reset":             func(a *Account, n uint64) { a.MarkSent(n, second/10); a.Disconnect(1, second/5) },
 		"reset, and its writer told after": func(a *Account, n uint64) {
-			a.Left(1, second/10)
-			a.Written(n, second/5)
+			a.Disconnect(1, second/10)
+			a.MarkSent(n, second/5)
 		},
 	} {
 		a := account()
 		end(a, a.Charge(1, 16, 0))
 		early := a.Charge(2, 6, pieces)
-		if a.Answered(2, early, pieces+second/4); a.Waits() != 20 {
-			t.Errorf("%s: %d lines wait after an answer to what was written in about the same moment", name, a.Waits())
+		if a.Acknowledge(2, early, pieces+second/4); a.Queued() != 20 {
+			t.Errorf("%s: %d lines wait after an answer to what was written in about the same moment", name, a.Queued())
 		}
 		late := a.Charge(3, 6, pieces+second)
-		if a.Answered(3, late, 2*pieces); a.Waits() != 0 != (name == "dropped, its stream lives") {
-			t.Errorf("%s: %d lines wait after an answer to what was written long after", name, a.Waits())
+		if a.Acknowledge(3, late, 2*pieces); a.Queued() != 0 != (name == "dropped, its stream lives") {
+			t.Errorf("%s: %d lines wait after an answer to what was written long after", name, a.Queued())
 		}
 		own := a.Charge(1, 6, 3*pieces) // by its next stream, or by this one once it reads again
-		if a.Answered(1, own, 3*pieces+second/4); a.Waits() != 0 || len(a.open) != 0 {
-			t.Errorf("%s: %d lines wait after its own answer", name, a.Waits())
+		if a.Acknowledge(1, own, 3*pieces+second/4); a.Queued() != 0 || len(a.open) != 0 {
+			t.Errorf("%s: %d lines wait after its own answer", name, a.Queued())
 		}
 		a = account()
 		end(a, a.Charge(1, 16, 0))
-		if a.Age(lostSpan); a.Waits() != 20 {
-			t.Errorf("%s: %d lines wait with nobody to answer", name, a.Waits())
+		if a.Expire(lostSpan); a.Queued() != 20 {
+			t.Errorf("%s: %d lines wait with nobody to answer", name, a.Queued())
 		}
-		a.Sweep(2 * lostSpan) // what nobody answered counts as got just now
-		if a.Sweep(4 * lostSpan); a.Waits() != 0 || len(a.open)+len(a.proxies) != 0 {
-			t.Errorf("%s: %d lines wait for good, %d open, %d proxies", name, a.Waits(), len(a.open), len(a.proxies))
+		a.Evict(2 * lostSpan) // what nobody answered counts as got just now
+		if a.Evict(4 * lostSpan); a.Queued() != 0 || len(a.open)+len(a.proxies) != 0 {
+			t.Errorf("%s: %d lines wait for good, %d open, %d proxies", name, a.Queued(), len(a.open), len(a.proxies))
 		}
 	}
 }
--- a/internal/snapshot/bench_test.go
+++ b/internal/snapshot/bench_test.go
@@ -9,15 +9,15 @@
 )
 
 // large is the memory of 1,000 replicas and 10,000 proxies with three traffic groups.
-func large() learnedstate.Memory {
-	m := learnedstate.Memory{Governor: "n0", Classes: []string{"read", "order", "payout"}, Tables: 40, AdmissionThreshold: 1}
+func large() learnedstate.State {
+	m := learnedstate.State{Controller: "n0", Classes: []string{"read", "order", "payout"}, Tables: 40, AdmissionThreshold: 1}
 	for k := range 1000 {
-		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: fmt.Sprintf("s-%08x", k*2654435761), Zone: "a", Kind: "m1", UpSince: 1_700_000_000e9 + int64(k),
-			Weight: 1, Speed: 0.7 + float64(k)/3e3, SampleCount: 16, Ticket: float64(k) / 1001, Table: k % 40, SinceLastSample: int64(k) * 1e6})
+		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: fmt.Sprintf("s-%08x", k*2654435761), Zone: "a", HardwareClass: "m1", UpSince: 1_700_000_000e9 + int64(k),
+			Weight: 1, Speed: 0.7 + float64(k)/3e3, SampleCount: 16, PlacementKey: float64(k) / 1001, Table: k % 40, SinceLastSample: int64(k) * 1e6})
 	}
 	for k := range 10000 {
 		for g, name := range m.Classes {
-			m.Usage = append(m.Usage, learnedstate.Usage{Proxy: k, Class: name, Rate: float64(k%97)/8.1 + float64(g)})
+			m.RequestRates = append(m.RequestRates, learnedstate.RequestRate{Proxy: k, Class: name, Rate: float64(k%97)/8.1 + float64(g)})
 		}
 		m.Bindings = append(m.Bindings, control.Binding{Proxy: k, Table: k % 40})
 	}
@@ -51,7 +51,7 @@
 
 // A write to a folder, synced, with the generations before it read and pruned.
 func BenchmarkWrite(b *testing.B) {
-	m, dir := large(), Folder(b.TempDir())
+	m, dir := large(), Directory(b.TempDir())
 	for b.Loop() {
 		if _, err := Write(dir, m, 3); err != nil {
 			b.Fatal(err)
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -34,8 +34,8 @@
 	ErrDamaged = errors.New("damaged")
 	// ErrNewer: a newer program wrote it.
 	ErrNewer = errors.New("of a newer format")
-	// ErrStrange: it is no file of ours.
-	ErrStrange = errors.New("no state of a governor")
+	// ErrNotSnapshot: it is no file of ours.
+	ErrNotSnapshot = errors.New("no state of a governor")
 	// ErrTooLarge: it is larger than any that was written.
 	ErrTooLarge = errors.New("too large")
 )
@@ -102,8 +102,8 @@
 }
 
 type responses2 struct {
-	Kind  string    `cbor:"1,keyasint" json:"kind"`
-	Times []float64 `cbor:"2,keyasint" json:"answers_s"`
+	HardwareClass string    `cbor:"1,keyasint" json:"kind"`
+	Times         []float64 `cbor:"2,keyasint" json:"answers_s"`
 }
 
 var (
@@ -121,26 +121,26 @@
 }
 
 // Encode writes a memory as a generation.
-func Encode(m learnedstate.Memory, generation uint64) ([]byte, error) {
+func Encode(m learnedstate.State, generation uint64) ([]byte, error) {
 	return seal(bodyOf(m), Format, generation)
 }
 
-func bodyOf(m learnedstate.Memory) body2 {
-	b := body2{Governor: m.Governor, Wall: m.Taken.Wall, Boot: m.Taken.Boot, Up: m.Taken.Up, Revision: m.Revision,
+func bodyOf(m learnedstate.State) body2 {
+	b := body2{Governor: m.Controller, Wall: m.Taken.Wall, Boot: m.Taken.Boot, Up: m.Taken.Up, Revision: m.Revision,
 		Classes: m.Classes, Tables: m.Tables, AdmissionThreshold: m.AdmissionThreshold, MaxSuccessRate: m.MaxSuccessRate, RetriesStopped: m.RetriesStopped,
 		Replicas: make([]replica2, 0, len(m.Replicas)), Usage: map[int][]float64{}, Bindings: map[int]int{}}
 	for _, r := range m.Replicas {
-		b.Replicas = append(b.Replicas, replica2{r.ID, r.Zone, r.Kind, r.UpSince, int(r.State), r.Weight, r.Speed,
-			r.SampleCount, r.Ticket, r.Table, r.EjectedFor, r.Probation, r.Ejections, r.SinceLastSample})
+		b.Replicas = append(b.Replicas, replica2{r.ID, r.Zone, r.HardwareClass, r.UpSince, int(r.State), r.Weight, r.Speed,
+			r.SampleCount, r.PlacementKey, r.Table, r.EjectedFor, r.Probation, r.Ejections, r.SinceLastSample})
 	}
-	for _, c := range m.UsualResponses {
+	for _, c := range m.BaselineResponseTimes {
 		b.UsualResponses = append(b.UsualResponses, responses2(c))
 	}
 	order := map[string]int{}
 	for k, g := range m.Classes {
 		order[g] = k
 	}
-	for _, u := range m.Usage {
+	for _, u := range m.RequestRates {
 		if k, ok := order[u.Class]; ok {
 			if b.Usage[u.Proxy] == nil {
 				b.Usage[u.Proxy] = make([]float64, len(m.Classes))
@@ -174,7 +174,7 @@
 
 // Decode reads a generation that is whole, or says what it is instead: ErrStrange, ErrDamaged, ErrNewer or
 // ErrTooLarge.
-func Decode(raw []byte) (m learnedstate.Memory, generation uint64, format int, err error) {
+func Decode(raw []byte) (m learnedstate.State, generation uint64, format int, err error) {
 	body, generation, format, err := open(raw)
 	if err != nil {
 		return m, generation, format, err
@@ -185,7 +185,7 @@
 		m, err = second(body)
 	}
 	if err != nil {
-		return learnedstate.Memory{}, generation, format, fmt.Errorf("%w: %w", ErrDamaged, err)
+		return learnedstate.State{}, generation, format, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return m, generation, format, nil
 }
@@ -196,7 +196,7 @@
 	case len(raw) > fileMost:
 		return nil, 0, 0, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, len(raw), fileMost)
 	case len(raw) < len(magic) || string(raw[:len(magic)]) != magic:
-		return nil, 0, 0, fmt.Errorf("%w: it does not begin as one", ErrStrange)
+		return nil, 0, 0, fmt.Errorf("%w: it does not begin as one", ErrNotSnapshot)
 	case len(raw) < headSize:
 		return nil, 0, 0, fmt.Errorf("%w: ends after %d of %d bytes of its head", ErrDamaged, len(raw), headSize)
 	case xxhash.Sum64(raw[:headSize-8]) != binary.BigEndian.Uint64(raw[headSize-8:]):
@@ -213,12 +213,12 @@
 	case format > Format:
 		return nil, generation, format, fmt.Errorf("%w: %d, this program reads %d to %d", ErrNewer, format, oldest, Format)
 	case format < oldest:
-		return nil, generation, format, fmt.Errorf("%w: format %d", ErrStrange, format)
+		return nil, generation, format, fmt.Errorf("%w: format %d", ErrNotSnapshot, format)
 	}
 	return body, generation, format, nil
 }
 
-func second(body []byte) (m learnedstate.Memory, err error) {
+func second(body []byte) (m learnedstate.State, err error) {
 	var b body2
 	if err := reads.Unmarshal(body, &b); err != nil {
 		return m, err
@@ -226,21 +226,21 @@
 	return b.memory()
 }
 
-func (b body2) memory() (learnedstate.Memory, error) {
-	m := learnedstate.Memory{Governor: b.Governor, Taken: learnedstate.Moment{Wall: b.Wall, Boot: b.Boot, Up: b.Up}, Revision: b.Revision,
+func (b body2) memory() (learnedstate.State, error) {
+	m := learnedstate.State{Controller: b.Governor, Taken: learnedstate.Timestamp{Wall: b.Wall, Boot: b.Boot, Up: b.Up}, Revision: b.Revision,
 		Classes: b.Classes, Tables: b.Tables, AdmissionThreshold: b.AdmissionThreshold, MaxSuccessRate: b.MaxSuccessRate, RetriesStopped: b.RetriesStopped}
 	for _, r := range b.Replicas {
-		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: r.ID, Zone: r.Zone, Kind: r.Kind, UpSince: r.UpSince,
-			State: control.State(r.State), Weight: r.Weight, Speed: r.Speed, SampleCount: r.SampleCount, Ticket: r.Ticket, Table: r.Table,
+		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: r.ID, Zone: r.Zone, HardwareClass: r.Kind, UpSince: r.UpSince,
+			State: control.State(r.State), Weight: r.Weight, Speed: r.Speed, SampleCount: r.SampleCount, PlacementKey: r.Ticket, Table: r.Table,
 			EjectedFor: r.EjectedFor, Probation: r.Probation, Ejections: r.Ejections, SinceLastSample: r.SinceLastSample})
 	}
 	for _, c := range b.UsualResponses {
-		m.UsualResponses = append(m.UsualResponses, learnedstate.KindResponses(c))
+		m.BaselineResponseTimes = append(m.BaselineResponseTimes, learnedstate.ResponseTimes(c))
 	}
 	for _, proxy := range sortedKeys(b.Usage) {
 		for k, rate := range b.Usage[proxy] {
 			if k < len(b.Classes) && rate != 0 {
-				m.Usage = append(m.Usage, learnedstate.Usage{Proxy: proxy, Class: b.Classes[k], Rate: rate})
+				m.RequestRates = append(m.RequestRates, learnedstate.RequestRate{Proxy: proxy, Class: b.Classes[k], Rate: rate})
 			}
 		}
 	}
@@ -252,14 +252,14 @@
 
 // first reads format 1. It had one rate a proxy, which is taken as shared evenly by the groups; a rest left was
 // not told, and a sick replica gets the shortest; tickets were not told, so that tables are drawn anew.
-func first(body []byte) (m learnedstate.Memory, err error) {
+func first(body []byte) (m learnedstate.State, err error) {
 	var b body1
 	if err := reads.Unmarshal(body, &b); err != nil {
 		return m, err
 	}
-	m = learnedstate.Memory{Governor: b.Governor, Taken: learnedstate.Moment{Wall: b.Wall}, Revision: b.Revision, Classes: b.Classes, AdmissionThreshold: b.AdmissionThreshold}
+	m = learnedstate.State{Controller: b.Governor, Taken: learnedstate.Timestamp{Wall: b.Wall}, Revision: b.Revision, Classes: b.Classes, AdmissionThreshold: b.AdmissionThreshold}
 	for _, r := range b.Replicas {
-		n := learnedstate.Replica{ID: r.ID, Zone: r.Zone, Kind: r.Kind, UpSince: r.UpSince, Weight: r.Weight, Speed: r.Speed,
+		n := learnedstate.Replica{ID: r.ID, Zone: r.Zone, HardwareClass: r.Kind, UpSince: r.UpSince, Weight: r.Weight, Speed: r.Speed,
 			SampleCount: r.SampleCount, Ejections: r.Ejections, SinceLastSample: r.SinceLastSample, Probation: r.Verdict == "trial"}
 		if r.Draining {
 			n.State = control.Draining
@@ -270,11 +270,11 @@
 		m.Replicas = append(m.Replicas, n)
 	}
 	for _, kind := range sortedKeys(b.UsualResponses) {
-		m.UsualResponses = append(m.UsualResponses, learnedstate.KindResponses{Kind: kind, Times: []float64{b.UsualResponses[kind]}})
+		m.BaselineResponseTimes = append(m.BaselineResponseTimes, learnedstate.ResponseTimes{HardwareClass: kind, Times: []float64{b.UsualResponses[kind]}})
 	}
 	for _, proxy := range sortedKeys(b.Rates) {
 		for _, g := range b.Classes {
-			m.Usage = append(m.Usage, learnedstate.Usage{Proxy: proxy, Class: g, Rate: b.Rates[proxy] / float64(len(b.Classes))})
+			m.RequestRates = append(m.RequestRates, learnedstate.RequestRate{Proxy: proxy, Class: g, Rate: b.Rates[proxy] / float64(len(b.Classes))})
 		}
 	}
 	return m, bounded(m)
@@ -283,10 +283,10 @@
 // firstEjection stands for the rest that format 1 did not tell.
 const firstEjection = int64(3 * 1e9)
 
-func bounded(m learnedstate.Memory) error {
-	if len(m.Replicas) > learnedstate.MaxReplicas || len(m.Usage) > learnedstate.MaxUsage || len(m.UsualResponses) > learnedstate.MaxNames ||
+func bounded(m learnedstate.State) error {
+	if len(m.Replicas) > learnedstate.MaxReplicas || len(m.RequestRates) > learnedstate.MaxRequestRates || len(m.BaselineResponseTimes) > learnedstate.MaxNames ||
 		len(m.Classes) > learnedstate.MaxNames || m.Taken.Wall < math.MinInt64/2 || m.Taken.Wall > math.MaxInt64/2 {
-		return fmt.Errorf("%d replicas, %d flows of proxies, %d groups: more than there can be", len(m.Replicas), len(m.Usage), len(m.Classes))
+		return fmt.Errorf("%d replicas, %d flows of proxies, %d groups: more than there can be", len(m.Replicas), len(m.RequestRates), len(m.Classes))
 	}
 	return nil
 }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -16,19 +16,19 @@
 )
 
 // goldenSnapshot has a value other than zero in every field, and replicas of each state.
-func goldenSnapshot() learnedstate.Memory {
-	return learnedstate.Memory{
-		Governor: "n7", Taken: learnedstate.Moment{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
+func goldenSnapshot() learnedstate.State {
+	return learnedstate.State{
+		Controller: "n7", Taken: learnedstate.Timestamp{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
 		Classes: []string{"lookup", "order"}, Tables: 3, AdmissionThreshold: 0.7, MaxSuccessRate: 40.25, RetriesStopped: true,
 		Replicas: []learnedstate.Replica{
-			{ID: "s-1", Zone: "a", Kind: "m1", UpSince: 1_699_999_000_000_000_000, State: control.Draining, Weight: 1.5, Speed: 0.5, SampleCount: 12,
-				Ticket: 0.3, Table: 1, EjectedFor: 2_000_000_000, Probation: true, Ejections: 2, SinceLastSample: 1_000_000_000},
-			{ID: "s-2", Zone: "b", Kind: "m2", Weight: 1, Speed: 2.125, SampleCount: 16, Ticket: 0.4},
-			{ID: "s-3", Zone: "b", State: control.Gone, Weight: 0.25, Speed: 1, SampleCount: 1, Ticket: 1, Table: 2},
+			{ID: "s-1", Zone: "a", HardwareClass: "m1", UpSince: 1_699_999_000_000_000_000, State: control.Draining, Weight: 1.5, Speed: 0.5, SampleCount: 12,
+				PlacementKey: 0.3, Table: 1, EjectedFor: 2_000_000_000, Probation: true, Ejections: 2, SinceLastSample: 1_000_000_000},
+			{ID: "s-2", Zone: "b", HardwareClass: "m2", Weight: 1, Speed: 2.125, SampleCount: 16, PlacementKey: 0.4},
+			{ID: "s-3", Zone: "b", State: control.Gone, Weight: 0.25, Speed: 1, SampleCount: 1, PlacementKey: 1, Table: 2},
 		},
-		UsualResponses: []learnedstate.KindResponses{{Kind: "m1", Times: []float64{0.125, 0.25}}, {Kind: "m2", Times: []float64{0.0625}}, {Times: []float64{0.15}}},
-		Usage:          []learnedstate.Usage{{Proxy: 1, Class: "lookup", Rate: 20}, {Proxy: 1, Class: "order", Rate: 2.5}, {Proxy: 2, Class: "order", Rate: 0.5}},
-		Bindings:       []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}},
+		BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m1", Times: []float64{0.125, 0.25}}, {HardwareClass: "m2", Times: []float64{0.0625}}, {Times: []float64{0.15}}},
+		RequestRates:          []learnedstate.RequestRate{{Proxy: 1, Class: "lookup", Rate: 20}, {Proxy: 1, Class: "order", Rate: 2.5}, {Proxy: 2, Class: "order", Rate: 0.5}},
+		Bindings:              []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}},
 	}
 }
 
--- a/internal/snapshot/moment.go
+++ b/internal/snapshot/moment.go
@@ -10,8 +10,8 @@
 )
 
 // Now is the moment as this machine shows it. Where it does not tell when it started, only the wall clock is.
-func Now() learnedstate.Moment {
-	m := learnedstate.Moment{Wall: time.Now().UnixNano()}
+func Now() learnedstate.Timestamp {
+	m := learnedstate.Timestamp{Wall: time.Now().UnixNano()}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	uptime, err2 := os.ReadFile("/proc/uptime")
 	if err != nil || err2 != nil {
--- a/internal/snapshot/vault.go
+++ b/internal/snapshot/vault.go
@@ -30,19 +30,19 @@
 	filesMost = 1 << 10
 )
 
-// Disk is a folder as the vault uses it. Replace writes a file whole or not at all, and returns once it lasts.
-type Disk interface {
+// Storage is a folder as the vault uses it. Replace writes a file whole or not at all, and returns once it lasts.
+type Storage interface {
 	List() ([]string, error)
 	Read(name string, most int64) ([]byte, error)
 	Replace(name string, data []byte) error
 	Remove(name string) error
 }
 
-// Folder is a folder of the file system.
-type Folder string
+// Directory is a folder of the file system.
+type Directory string
 
 // List names the plain files.
-func (f Folder) List() (names []string, err error) {
+func (f Directory) List() (names []string, err error) {
 	d, err := os.Open(string(f))
 	if err != nil {
 		return nil, err
@@ -62,7 +62,7 @@
 }
 
 // Read reads a file of at most so many bytes; of a longer one it reads one byte more.
-func (f Folder) Read(name string, most int64) ([]byte, error) {
+func (f Directory) Read(name string, most int64) ([]byte, error) {
 	file, err := os.Open(filepath.Join(string(f), name))
 	if err != nil {
 		return nil, err
@@ -77,7 +77,7 @@
 }
 
 // Replace writes beside, syncs, renames, and syncs the folder, so that the rename lasts as well.
-func (f Folder) Replace(name string, data []byte) error {
+func (f Directory) Replace(name string, data []byte) error {
 	t, err := renameio.NewPendingFile(filepath.Join(string(f), name), renameio.WithTempDir(string(f)), renameio.WithPermissions(0o600))
 	if err != nil {
 		return err
@@ -101,20 +101,20 @@
 }
 
 // Remove removes a file.
-func (f Folder) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
+func (f Directory) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
 
-// Held says who holds a folder.
-type Held struct{ By string }
+// LockedError says who holds a folder.
+type LockedError struct{ Owner string }
 
-func (h *Held) Error() string { return "held by " + h.By }
+func (h *LockedError) Error() string { return "held by " + h.Owner }
 
 // Lock is a held folder.
 type Lock struct{ file *os.File }
 
-// Take makes the folder if need be and holds it for this process, or says in a Held who does. The hold ends with
+// Acquire makes the folder if need be and holds it for this process, or says in a Held who does. The hold ends with
 // the process, however it ends. A folder that belongs to somebody else, or that others may write to, is refused:
 // whoever can write there can say which replicas are sick.
-func (f Folder) Take(who string) (*Lock, error) {
+func (f Directory) Acquire(who string) (*Lock, error) {
 	if err := os.MkdirAll(string(f), 0o700); err != nil {
 		return nil, fmt.Errorf("making it: %w", err)
 	}
@@ -138,7 +138,7 @@
 			return nil, fmt.Errorf("its lock: %w", err)
 		}
 		by, _ := io.ReadAll(io.LimitReader(file, 200))
-		return nil, &Held{strings.Join(strings.Fields(string(by)), " ")}
+		return nil, &LockedError{strings.Join(strings.Fields(string(by)), " ")}
 	}
 	file.Truncate(0) // who cannot be written is still held
 	fmt.Fprintf(file, "%s, process %d\n", who, os.Getpid())
@@ -148,14 +148,14 @@
 // Release ends the hold.
 func (l *Lock) Release() { l.file.Close() }
 
-// Refused is a file that was not used, and why.
-type Refused struct {
+// FileError is a file that was not used, and why.
+type FileError struct {
 	Name string
 	Err  error
 }
 
-func (r Refused) Error() string { return r.Name + ": " + r.Err.Error() }
-func (r Refused) Unwrap() error { return r.Err }
+func (r FileError) Error() string { return r.Name + ": " + r.Err.Error() }
+func (r FileError) Unwrap() error { return r.Err }
 
 // Generation is a whole file.
 type Generation struct {
@@ -163,7 +163,7 @@
 	Number uint64
 	Format int
 	Bytes  int
-	Memory learnedstate.Memory
+	State  learnedstate.State
 }
 
 func fileName(generation uint64) string { return fmt.Sprintf("%s%016d%s", prefix, generation, suffix) }
@@ -179,7 +179,7 @@
 }
 
 // names lists the files of generations, the newest first.
-func names(d Disk) ([]string, error) {
+func names(d Storage) ([]string, error) {
 	all, err := d.List()
 	if err != nil {
 		return nil, fmt.Errorf("listing the folder: %w", err)
@@ -194,36 +194,36 @@
 }
 
 // Read reads one file.
-func Read(d Disk, name string) (g Generation, err error) {
+func Read(d Storage, name string) (g Generation, err error) {
 	raw, err := sealed(d, name)
 	if err != nil {
 		return g, err
 	}
 	m, number, format, err := Decode(raw)
 	if err != nil {
-		return g, Refused{name, err}
+		return g, FileError{name, err}
 	}
 	return Generation{name, number, format, len(raw), m}, nil
 }
 
 // sealed reads the bytes of a file that is as it was written, under the name that it was written under.
-func sealed(d Disk, name string) ([]byte, error) {
+func sealed(d Storage, name string) ([]byte, error) {
 	raw, err := d.Read(name, fileMost)
 	if err != nil {
-		return nil, Refused{name, err}
+		return nil, FileError{name, err}
 	}
 	_, number, _, err := open(raw)
 	if err != nil {
-		return nil, Refused{name, err}
+		return nil, FileError{name, err}
 	}
 	if told, ok := numbered(name); ok && told != number {
-		return nil, Refused{name, fmt.Errorf("%w: it holds generation %d", ErrStrange, number)}
+		return nil, FileError{name, fmt.Errorf("%w: it holds generation %d", ErrNotSnapshot, number)}
 	}
 	return raw, nil
 }
 
 // Latest reads the newest whole generation, and says which newer ones were refused. No generation is no error.
-func Latest(d Disk) (g Generation, found bool, refused []Refused, err error) {
+func Latest(d Storage) (g Generation, found bool, refused []FileError, err error) {
 	all, err := names(d)
 	if err != nil {
 		return g, false, nil, err
@@ -233,7 +233,7 @@
 		if err == nil {
 			return g, true, refused, nil
 		}
-		var r Refused
+		var r FileError
 		errors.As(err, &r)
 		refused = append(refused, r)
 	}
@@ -242,7 +242,7 @@
 
 // Write writes the next generation and removes all whole ones but the newest keep. Damaged ones go with those of
 // their age; what a newer program wrote stays untouched. Left over halves of writes go as well.
-func Write(d Disk, m learnedstate.Memory, keep int) (g Generation, err error) {
+func Write(d Storage, m learnedstate.State, keep int) (g Generation, err error) {
 	all, err := names(d)
 	if err != nil {
 		return g, err
@@ -258,7 +258,7 @@
 	if err != nil {
 		return g, err
 	}
-	g.Name, g.Format, g.Bytes, g.Memory = fileName(g.Number), Format, len(raw), m
+	g.Name, g.Format, g.Bytes, g.State = fileName(g.Number), Format, len(raw), m
 	if err := d.Replace(g.Name, raw); err != nil {
 		return g, fmt.Errorf("writing %s: %w", g.Name, err)
 	}
@@ -267,7 +267,7 @@
 }
 
 // Prune removes all generations but the newest keep, and halves of writes, and names what it has removed.
-func Prune(d Disk, keep int) (removed []string, err error) {
+func Prune(d Storage, keep int) (removed []string, err error) {
 	all, err := d.List()
 	if err != nil {
 		return nil, fmt.Errorf("listing the folder: %w", err)
@@ -303,20 +303,20 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Survey reads all generations of a folder, the newest first.
-func Survey(d Disk) (whole []Generation, refused []Refused, err error) {
+// ReadAll reads all generations of a folder, the newest first.
+func ReadAll(d Storage) (whole []Generation, refused []FileError, err error) {
 	all, err := names(d)
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, name := range all {
 		g, err := Read(d, name)
-		var r Refused
+		var r FileError
 		if errors.As(err, &r) {
 			refused = append(refused, r)
 			continue
 		}
-		g.Memory = learnedstate.Memory{} // a folder of many would be held at once
+		g.State = learnedstate.State{} // a folder of many would be held at once
 		whole = append(whole, g)
 	}
 	return whole, refused, nil
--- a/internal/snapshot/vault_test.go
+++ b/internal/snapshot/vault_test.go
@@ -26,14 +26,14 @@
 	"lilacbend/internal/learnedstate"
 )
 
-func sample(k int) learnedstate.Memory {
-	m := learnedstate.Memory{Governor: "n0", Taken: learnedstate.Moment{Wall: 1_700_000_000e9 + int64(k), Boot: "b", Up: 5e9}, Revision: int64(k),
+func sample(k int) learnedstate.State {
+	m := learnedstate.State{Controller: "n0", Taken: learnedstate.Timestamp{Wall: 1_700_000_000e9 + int64(k), Boot: "b", Up: 5e9}, Revision: int64(k),
 		Classes: []string{"read", "order"}, Tables: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true,
-		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, Ticket: 0.3, Table: 1,
-			EjectedFor: 2e9, Ejections: 2, SinceLastSample: 1e9}, {ID: "y", Zone: "b", Kind: "m2", Weight: 1, Speed: 2, SampleCount: 16, Ticket: 0.4, Probation: true}},
-		UsualResponses: []learnedstate.KindResponses{{Kind: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
-		Usage:          []learnedstate.Usage{{Proxy: 1, Class: "read", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
-		Bindings:       []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}}
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, PlacementKey: 0.3, Table: 1,
+			EjectedFor: 2e9, Ejections: 2, SinceLastSample: 1e9}, {ID: "y", Zone: "b", HardwareClass: "m2", Weight: 1, Speed: 2, SampleCount: 16, PlacementKey: 0.4, Probation: true}},
+		BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
+		RequestRates:          []learnedstate.RequestRate{{Proxy: 1, Class: "read", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
+		Bindings:              []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}}
 	return m
 }
 
@@ -68,13 +68,13 @@
 		t.Fatal(err)
 	}
 	for n := range raw {
-		if _, _, _, err := Decode(raw[:n]); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrStrange) {
+		if _, _, _, err := Decode(raw[:n]); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNotSnapshot) {
 			t.Errorf("the first %d bytes: %v", n, err)
 		}
 		for _, bits := range []byte{1, 0x80, 0xff} {
 			bad := append([]byte(nil), raw...)
 			bad[n] ^= bits
-			if _, _, _, err := Decode(bad); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrStrange) {
+			if _, _, _, err := Decode(bad); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNotSnapshot) {
 				t.Errorf("byte %d ^ %#x: %v", n, bits, err)
 			}
 		}
@@ -113,7 +113,7 @@
 	if _, _, _, err := Decode(forge(Format+1, []byte{0xa0})); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "3") {
 		t.Errorf("a newer format: %v", err)
 	}
-	if _, _, _, err := Decode(forge(0, []byte{0xa0})); !errors.Is(err, ErrStrange) {
+	if _, _, _, err := Decode(forge(0, []byte{0xa0})); !errors.Is(err, ErrNotSnapshot) {
 		t.Errorf("format 0: %v", err)
 	}
 	if _, _, _, err := Decode(make([]byte, fileMost+1)); !errors.Is(err, ErrTooLarge) {
@@ -126,7 +126,7 @@
 	}
 	large.Truncate(100 << 30) // a hundred times the usual, and more; nothing of it is read
 	large.Close()
-	if _, err := Read(Folder(dir), fileName(9)); !errors.Is(err, ErrTooLarge) {
+	if _, err := Read(Directory(dir), fileName(9)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a file of 100 GiB: %v", err)
 	}
 }
@@ -139,11 +139,11 @@
 
 // Files as programs wrote them: testdata/format1.lbs and format2.lbs are never written anew.
 func TestKeptFilesOfEachFormatAreRead(t *testing.T) {
-	for format, want := range map[int]learnedstate.Memory{1: {Governor: "n0", Taken: learnedstate.Moment{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
-		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", Kind: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, EjectedFor: firstEjection, Ejections: 2, SinceLastSample: 1e9},
-			{ID: "y", Zone: "b", Kind: "m2", Weight: 2, Speed: 2, SampleCount: 16, Probation: true}},
-		UsualResponses: []learnedstate.KindResponses{{Times: []float64{0.125}}, {Kind: "m1", Times: []float64{0.25}}},
-		Usage:          []learnedstate.Usage{{Proxy: 3, Class: "read", Rate: 10}, {Proxy: 3, Class: "order", Rate: 10}}}, 2: sample(41)} {
+	for format, want := range map[int]learnedstate.State{1: {Controller: "n0", Taken: learnedstate.Timestamp{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, EjectedFor: firstEjection, Ejections: 2, SinceLastSample: 1e9},
+			{ID: "y", Zone: "b", HardwareClass: "m2", Weight: 2, Speed: 2, SampleCount: 16, Probation: true}},
+		BaselineResponseTimes: []learnedstate.ResponseTimes{{Times: []float64{0.125}}, {HardwareClass: "m1", Times: []float64{0.25}}},
+		RequestRates:          []learnedstate.RequestRate{{Proxy: 3, Class: "read", Rate: 10}, {Proxy: 3, Class: "order", Rate: 10}}}, 2: sample(41)} {
 		raw, err := os.ReadFile(fmt.Sprintf("testdata/format%d.lbs", format))
 		if err != nil {
 			t.Fatal(err)
@@ -157,7 +157,7 @@
 
 // broken is a folder whose disk fails as told.
 type broken struct {
-	Disk
+	Storage
 	replace, list, remove error
 	slow                  chan struct{}
 }
@@ -169,25 +169,25 @@
 	if b.replace != nil {
 		return b.replace
 	}
-	return b.Disk.Replace(name, data)
+	return b.Storage.Replace(name, data)
 }
 
 func (b *broken) List() ([]string, error) {
 	if b.list != nil {
 		return nil, b.list
 	}
-	return b.Disk.List()
+	return b.Storage.List()
 }
 
 func (b *broken) Remove(name string) error {
 	if b.remove != nil {
 		return b.remove
 	}
-	return b.Disk.Remove(name)
+	return b.Storage.Remove(name)
 }
 
 func TestGenerationsFollowEachOther(t *testing.T) {
-	dir := Folder(t.TempDir())
+	dir := Directory(t.TempDir())
 	for k := 1; k <= 6; k++ {
 		if g, err := Write(dir, sample(k), 3); err != nil || g.Number != uint64(k) {
 			t.Fatalf("%d: %+v %v", k, g, err)
@@ -207,7 +207,7 @@
 	if err != nil || !found || g.Number != 5 || len(refused) != 3 {
 		t.Fatalf("%d %v %v %v", g.Number, found, refused, err)
 	}
-	for k, e := range []error{ErrStrange, ErrDamaged, ErrDamaged} {
+	for k, e := range []error{ErrNotSnapshot, ErrDamaged, ErrDamaged} {
 		if k != 1 && !errors.Is(refused[k], e) {
 			t.Errorf("refused %v", refused[k])
 		}
@@ -227,13 +227,13 @@
 }
 
 func TestAFailingDiskLeavesTheLastGeneration(t *testing.T) {
-	dir := Folder(t.TempDir())
+	dir := Directory(t.TempDir())
 	if _, err := Write(dir, sample(1), 3); err != nil {
 		t.Fatal(err)
 	}
 	for _, d := range []*broken{{replace: syscall.ENOSPC}, {replace: syscall.EIO}, {replace: syscall.EROFS}, {replace: syscall.EACCES},
 		{list: syscall.EIO}, {list: fs.ErrNotExist}} {
-		d.Disk = dir
+		d.Storage = dir
 		_, err := Write(d, sample(2), 3)
 		if want := errors.Join(d.replace, d.list); err == nil || !errors.Is(want, errors.Unwrap(errors.Unwrap(err))) && !strings.Contains(err.Error(), want.Error()) {
 			t.Errorf("%v: %v", want, err)
@@ -242,14 +242,14 @@
 			t.Errorf("left %d: %v", g.Number, err)
 		}
 	}
-	gone := Folder(filepath.Join(string(dir), "none"))
+	gone := Directory(filepath.Join(string(dir), "none"))
 	if _, err := Write(gone, sample(1), 3); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no folder: %v", err)
 	}
 	if _, _, _, err := Latest(gone); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no folder: %v", err)
 	}
-	full := Folder("/dev") // a real disk's word for no room
+	full := Directory("/dev") // a real disk's word for no room
 	if n, err := os.OpenFile("/dev/full", os.O_WRONLY, 0); err == nil {
 		_, err = n.Write([]byte("x"))
 		n.Close()
@@ -260,74 +260,74 @@
 }
 
 func TestOneGovernorAFolder(t *testing.T) {
-	dir := Folder(filepath.Join(t.TempDir(), "made", "here"))
-	first, err := dir.Take("n0")
+	dir := Directory(filepath.Join(t.TempDir(), "made", "here"))
+	first, err := dir.Acquire("n0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var held *Held
-	if _, err := dir.Take("n1"); !errors.As(err, &held) || held.By != fmt.Sprintf("n0, process %d", os.Getpid()) {
+	var held *LockedError
+	if _, err := dir.Acquire("n1"); !errors.As(err, &held) || held.Owner != fmt.Sprintf("n0, process %d", os.Getpid()) {
 		t.Errorf("%v", err)
 	}
 	first.Release()
-	again, err := dir.Take("n1")
+	again, err := dir.Acquire("n1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	again.Release()
 	os.Chmod(string(dir), 0o777)
-	if _, err := dir.Take("n0"); err == nil || !strings.Contains(err.Error(), "others may write") {
+	if _, err := dir.Acquire("n0"); err == nil || !strings.Contains(err.Error(), "others may write") {
 		t.Errorf("a folder for all: %v", err)
 	}
 	os.Chmod(string(dir), 0o700)
-	file := Folder(filepath.Join(string(dir), lockName, "under"))
-	if _, err := file.Take("n0"); !errors.Is(err, syscall.ENOTDIR) {
+	file := Directory(filepath.Join(string(dir), lockName, "under"))
+	if _, err := file.Acquire("n0"); !errors.Is(err, syscall.ENOTDIR) {
 		t.Errorf("a file for a folder: %v", err)
 	}
 	if os.Geteuid() == 0 {
 		os.Chown(string(dir), 12345, 12345)
-		if _, err := dir.Take("n0"); err == nil || !strings.Contains(err.Error(), "belongs to user 12345") {
+		if _, err := dir.Acquire("n0"); err == nil || !strings.Contains(err.Error(), "belongs to user 12345") {
 			t.Errorf("somebody else's: %v", err)
 		}
 	}
 }
 
-func keeper(t *testing.T, d Disk, again func() error) (*Keeper, context.CancelFunc) {
-	k := NewKeeper(d, 3, time.Millisecond, again, slog.New(slog.DiscardHandler))
+func keeper(t *testing.T, d Storage, again func() error) (*Writer, context.CancelFunc) {
+	k := NewWriter(d, 3, time.Millisecond, again, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(context.Background())
 	go k.Run(ctx)
-	t.Cleanup(func() { stop(); <-k.Ended() })
+	t.Cleanup(func() { stop(); <-k.Done() })
 	return k, stop
 }
 
 func TestASlowDiskHoldsUpNobodyAndGetsTheNewest(t *testing.T) {
-	dir, slow := Folder(t.TempDir()), make(chan struct{})
-	k, stop := keeper(t, &broken{Disk: dir, slow: slow}, nil)
+	dir, slow := Directory(t.TempDir()), make(chan struct{})
+	k, stop := keeper(t, &broken{Storage: dir, slow: slow}, nil)
 	begun := time.Now()
 	for n := 1; n <= 1000; n++ {
-		k.Offer(sample(n))
+		k.Submit(sample(n))
 	}
-	if time.Since(begun) > time.Second || k.Tally.Offered.Load() != 1000 {
-		t.Errorf("%d offers took %v", k.Tally.Offered.Load(), time.Since(begun))
+	if time.Since(begun) > time.Second || k.Counters.Offered.Load() != 1000 {
+		t.Errorf("%d offers took %v", k.Counters.Offered.Load(), time.Since(begun))
 	}
 	stop()
 	close(slow)
-	<-k.Ended()
+	<-k.Done()
 	g, found, _, err := Latest(dir)
-	if err != nil || !found || g.Memory.Revision != 1000 || k.Tally.Written.Load()+k.Tally.Skipped.Load() != 1000 {
-		t.Errorf("the newest is %d, %d written, %d skipped: %v", g.Memory.Revision, k.Tally.Written.Load(), k.Tally.Skipped.Load(), err)
+	if err != nil || !found || g.State.Revision != 1000 || k.Counters.Written.Load()+k.Counters.Skipped.Load() != 1000 {
+		t.Errorf("the newest is %d, %d written, %d skipped: %v", g.State.Revision, k.Counters.Written.Load(), k.Counters.Skipped.Load(), err)
 	}
 }
 
 func TestAVanishedFolderIsHeldAgain(t *testing.T) {
-	dir := Folder(filepath.Join(t.TempDir(), "s"))
+	dir := Directory(filepath.Join(t.TempDir(), "s"))
 	var mu sync.Mutex
 	taken := 0
 	again := func() error {
 		mu.Lock()
 		defer mu.Unlock()
 		taken++
-		_, err := dir.Take("n0")
+		_, err := dir.Acquire("n0")
 		return err
 	}
 	if again() != nil {
@@ -335,8 +335,8 @@
 	}
 	os.RemoveAll(string(dir))
 	k, _ := keeper(t, dir, again)
-	k.Offer(sample(1))
-	for k.Tally.Written.Load() == 0 && k.Tally.Failed.Load() == 0 {
+	k.Submit(sample(1))
+	for k.Counters.Written.Load() == 0 && k.Counters.Failed.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if g, found, _, _ := Latest(dir); !found || g.Number != 1 || taken != 2 {
@@ -352,7 +352,7 @@
 			for n := range 2000 {
 				big.Replicas = append(big.Replicas, learnedstate.Replica{ID: fmt.Sprint("r", n), Speed: float64(k)})
 			}
-			if _, err := Write(Folder(at), big, 2); err != nil {
+			if _, err := Write(Directory(at), big, 2); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				os.Exit(3)
 			}
@@ -365,7 +365,7 @@
 // The process is killed at random points of its writes. Each time a whole generation is found, never older than
 // the last one that was reported as written, and all of one moment.
 func TestKilledWhileWriting(t *testing.T) {
-	dir, kills := Folder(t.TempDir()), 200
+	dir, kills := Directory(t.TempDir()), 200
 	if testing.Short() {
 		kills = 30
 	}
@@ -396,9 +396,9 @@
 		if written := uint64(strings.Count(said.String(), "\n")); found && (g.Number < last+written || g.Number > last+written+1) {
 			t.Fatalf("kill %d: generation %d after %d and %d more", kill, g.Number, last, written)
 		}
-		for _, r := range g.Memory.Replicas[min(2, len(g.Memory.Replicas)):] {
-			if r.Speed != float64(g.Memory.Revision) {
-				t.Fatalf("kill %d: %v of another moment than %d", kill, r.Speed, g.Memory.Revision)
+		for _, r := range g.State.Replicas[min(2, len(g.State.Replicas)):] {
+			if r.Speed != float64(g.State.Revision) {
+				t.Fatalf("kill %d: %v of another moment than %d", kill, r.Speed, g.State.Revision)
 			}
 		}
 		last = g.Number
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -35,12 +35,12 @@
 )
 
 // Names are the names of traffic classes, zones and kinds of replica. The decision module knows each by its index here.
-type Names struct{ Classes, Zones, Kinds []string }
+type Names struct{ Classes, Zones, HardwareClasses []string }
 
 // Names decodes the names. There may be neither zones nor kinds. The error names the first setting that is wrong.
 func (v Values) Names() (Names, error) {
 	d := &decoder{values: v}
-	names := Names{Zones: v["zones"], Kinds: v["kinds"]}
+	names := Names{Zones: v["zones"], HardwareClasses: v["kinds"]}
 	d.checkNames("zones", names.Zones, "")
 	count := d.count("lanes.count")
 	for k := 0; k < count && d.err == nil; k++ {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -73,7 +73,7 @@
 	if err != nil || p.Zones+p.HardwareClasses != 0 || p.DrainGrace+p.SlowStartTime != 0 || p.OverloadMultiple != 1 || p.SlowStartFraction != 0 {
 		t.Errorf("%v %+v", err, p)
 	}
-	if n, err := ParseLines(lines + "lanes.0.name=a-1\n").Names(); err != nil || len(n.Zones) != 0 || len(n.Kinds) != 0 {
+	if n, err := ParseLines(lines + "lanes.0.name=a-1\n").Names(); err != nil || len(n.Zones) != 0 || len(n.HardwareClasses) != 0 {
 		t.Errorf("%v %+v", err, n)
 	}
 }
