--- a/cmd/lilacbend/configuration_test.go
+++ b/cmd/lilacbend/configuration_test.go
@@ -97,7 +97,7 @@
 	settingsFile(t, folder, "orders", `"push_rate":1200`, `"push_rate":-1`)
 	writer.until("setting domain.push_rate=-1 is not above 0")
 	settingsFile(t, folder, "orders", `"admit":"fraction"`, `"admit":"silent"`) // well for a start, but not for who runs
-	governor.until("setting domain.admit cannot change while the governor runs")
+	governor.until("setting domain.admit cannot change while the controller runs")
 	scriptedpeer.Until(t, "the refusal is not known to the servers", func() bool {
 		s := status(t, at)
 		return len(s.Lagging) == 1 && s.Lagging[0].Instance == "n7" && s.Lagging[0].Refused == s.Services[0].Version
--- a/experiment/emulator/steer.go
+++ b/experiment/emulator/steer.go
@@ -19,7 +19,7 @@
 	world   *World
 	number  int
 	core    *controller.Core // nil: it is down
-	notes   []any
+	notes   []controller.Input
 	turn    int64 // when the next is due; 0: none
 	free    int64 // when its channel has nothing more to send
 	up      int64 // since when it is there
@@ -43,7 +43,7 @@
 	r.demand.Requests, r.demand.Failures, r.demand.Period = r.demand.Requests+d.Requests, r.demand.Failures+d.Failures, r.demand.Period+d.Period
 }
 
-func (r *report) note() any {
+func (r *report) note() controller.Input {
 	if r.demand.Class != "" {
 		return r.demand
 	}
@@ -167,7 +167,7 @@
 	t.tell(l)
 }
 
-func (t *tower) tell(note any) {
+func (t *tower) tell(note controller.Input) {
 	if t.core == nil {
 		return
 	}
--- a/experiment/scale/hollow.go
+++ b/experiment/scale/hollow.go
@@ -222,7 +222,7 @@
 	news   bool // a list has come with the notes
 }
 
-func (o *observer) take(notes []any) {
+func (o *observer) take(notes []controller.Input) {
 	for _, note := range notes {
 		if l, is := note.(controller.ReplicaList); is {
 			o.news = true
--- a/internal/controller/budget_test.go
+++ b/internal/controller/budget_test.go
@@ -47,7 +47,7 @@
 	names     []string
 	now       int64
 	streams   controller.StreamID
-	notes     []any
+	notes     []controller.Input
 	stalled   []message
 	queue     []message
 	waits     int
--- a/internal/controller/capped_test.go
+++ b/internal/controller/capped_test.go
@@ -48,7 +48,7 @@
 		owner[stream] = proxy
 		return controller.StreamOpened{Stream: stream, Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true}
 	}
-	notes := []any{list("")}
+	notes := []controller.Input{list("")}
 	for proxy := range p.Proxies {
 		notes = append(notes, join(proxy))
 	}
@@ -95,7 +95,7 @@
 	for k := range replicas {
 		list.Members = append(list.Members, controller.Member{ID: fmt.Sprint("s-", k), Zone: "a", HardwareClass: "m1", Weight: 1})
 	}
-	notes := []any{list}
+	notes := []controller.Input{list}
 	for proxy := range p.Proxies {
 		notes = append(notes, controller.StreamOpened{Stream: controller.StreamID(proxy + 1), Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true})
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -2,186 +2,114 @@
 
 import (
 	"fmt"
-	"math"
 	"strconv"
 	"strings"
 
 	"lilacbend/control"
 )
 
-// This file carries out the module's commands on the tables, and keeps what has changed by them.
-
-// turnChanges is what the commands of one turn have changed, and whom they reach.
-type turnChanges struct {
-	endpoints     map[int]map[uint32]bool // by table
-	ejections     map[uint32]bool         // ejected or restored
-	admissions    map[int]bool            // by table, AllTables among them
-	wantsAck      bool
-	nonce         uint64
-	fullTables    map[int]endpointList // a table is worked out once for all its proxies
-	changedTables map[int]endpointList
-}
-
-// endpointList is a table, or what changed of it, in the order of its numbers.
-type endpointList struct {
-	ids       []uint32
-	endpoints []WeightedEndpoint
-}
-
-// newTurnChanges returns changes of nothing yet.
-func newTurnChanges() *turnChanges {
-	return &turnChanges{
-		endpoints:     map[int]map[uint32]bool{},
-		ejections:     map[uint32]bool{},
-		admissions:    map[int]bool{},
-		fullTables:    map[int]endpointList{},
-		changedTables: map[int]endpointList{},
-	}
-}
-
-// applyCommands carries out the commands of a turn and returns what they change.
-func (c *Core) applyCommands(commands []control.Command, now int64, o *TurnResult) *turnChanges {
-	n := newTurnChanges()
+// applyCommands carries out the commands of a turn in their order and returns what they have changed.
+func (c *Core) applyCommands(t *turn, commands []control.Command) *turnChanges {
+	changes := newTurnChanges()
 	for _, command := range commands {
-		c.applyCommand(command, n, now, o)
+		c.applyCommand(t, command, changes)
 	}
-	return n
+	return changes
 }
 
-// applyCommand carries out one command. A Probe is not known here: replicas may not be probed.
-func (c *Core) applyCommand(command control.Command, n *turnChanges, now int64, o *TurnResult) {
-	switch w := command.(type) {
+// applyCommand carries out one command. A control.HealthCheck counts as invalid, as controllers do not probe replicas.
+func (c *Core) applyCommand(t *turn, command control.Command, changes *turnChanges) {
+	switch command := command.(type) {
 	case control.SetEndpoint:
-		c.setEndpoint(w, n)
+		c.setEndpoint(command, changes)
 	case control.Bind:
-		if s := c.proxies[w.Proxy]; s != nil {
-			c.bind(s, w.Table)
-			c.Counters.CostRequested += int64(c.fullTableLines(w.Table))
-		}
+		c.bind(command)
 	case control.BindSubset:
-		if s := c.proxies[w.Proxy]; s != nil {
-			c.bindPart(s, w)
-			c.Counters.CostRequested += int64(len(w.Replicas) + 1)
-		}
+		c.bindSubset(command)
 	case control.SetEjected:
-		c.setEjected(w, n)
+		c.setEjected(command, changes)
 	case control.SetAdmission:
-		n.admissions[w.Table] = true
-		c.admissions[tableClass{w.Table, w.Class}] = w
-		c.Counters.CostRequested += int64(len(c.streamsReached(w.Table)))
+		c.setAdmission(command, changes)
 	case control.RequestAck:
-		n.wantsAck = true
-		n.nonce = w.Nonce
+		changes.wantsAck = true
+		changes.nonce = command.Nonce
 	case control.SetTimer:
-		c.setTimer(w, now)
+		c.timers.set(command.Timer, t.now+max(0, command.After))
 	case control.Snapshot:
-		m := c.snapshot(w, now)
-		o.Snapshot = &m
+		snapshot := c.snapshot(command, t.now)
+		t.result.Snapshot = &snapshot
 	case control.Log:
-		o.Logs = append(o.Logs, c.nameReplica(w.Text))
+		t.result.Logs = append(t.result.Logs, c.nameReplica(command.Text))
 	default:
 		c.Counters.Invalid++
 	}
 }
 
-// setEndpoint sets the weight of a replica in a table. One without a name is skipped, as it could never be named to a proxy.
-func (c *Core) setEndpoint(w control.SetEndpoint, n *turnChanges) {
-	if c.replicas.known[w.Replica] == nil {
+// setEndpoint sets the weight of a replica in a table. A replica without a name could never be named to a proxy.
+func (c *Core) setEndpoint(command control.SetEndpoint, changes *turnChanges) {
+	if c.replicas.byNumber[command.Replica] == nil {
 		c.Counters.Invalid++
 		return
 	}
-	if c.tables[w.Table] == nil {
-		c.tables[w.Table] = map[uint32]float64{}
-	}
-	if n.endpoints[w.Table] == nil {
-		n.endpoints[w.Table] = map[uint32]bool{}
-	}
-	n.endpoints[w.Table][w.Replica] = true
-	c.tables[w.Table][w.Replica] = control.Finite(w.Weight)
-	if c.tables[w.Table][w.Replica] <= 0 {
-		delete(c.tables[w.Table], w.Replica)
-	}
-	c.Counters.CostRequested += int64(len(c.bound[w.Table]))
+	changes.markEndpoint(command.Table, command.Replica)
+	c.routing.setWeight(command.Table, command.Replica, control.Finite(command.Weight))
+	c.Counters.CostRequested += int64(len(c.streams.byTable[command.Table]))
 }
 
-// setEjected ejects a replica, or restores it.
-func (c *Core) setEjected(w control.SetEjected, n *turnChanges) {
-	if c.replicas.known[w.Replica] == nil {
-		c.Counters.Invalid++
+// bind binds a proxy to a table, or has the rest sent of the table that it has a subset of.
+func (c *Core) bind(command control.Bind) {
+	s := c.streams.byProxy[command.Proxy]
+	if s == nil {
 		return
 	}
-	n.ejections[w.Replica] = true
-	if w.Ejected {
-		c.ejected[w.Replica] = true
+	if s.binding.table == command.Table && s.binding.subset != nil && !s.binding.needsFull {
+		s.binding.subset.restDue = true
+		c.delivery.markDue(s)
 	} else {
-		delete(c.ejected, w.Replica)
-	}
-	for _, table := range c.tablesWith(w.Replica) {
-		c.Counters.CostRequested += int64(len(c.bound[table]))
+		c.bindStream(s, command.Table)
+		s.binding.needsFull = true
 	}
+	c.Counters.CostRequested += int64(c.routing.tableCost(command.Table, len(c.names.Classes)))
 }
 
-// setTimer sets a timer. One that is set already fires once, at the earlier of both times.
-func (c *Core) setTimer(w control.SetTimer, now int64) {
-	due := now + max(0, w.After)
-	if at, set := c.timers[w.Timer]; !set || due < at {
-		c.timers[w.Timer] = due
-	}
-}
-
-// nameReplica puts the replica's name into a line of the log, for those who look for the machine.
-func (c *Core) nameReplica(text string) string {
-	var id uint32
-	if n, _ := fmt.Sscanf(text, "replica %d ", &id); n == 1 && c.replicas.known[id] != nil {
-		return strings.Replace(text, strconv.Itoa(int(id)), c.replicas.known[id].name, 1)
+// bindSubset binds a proxy to a subset of a table.
+func (c *Core) bindSubset(command control.BindSubset) {
+	s := c.streams.byProxy[command.Proxy]
+	if s == nil {
+		return
 	}
-	return text
+	c.bindStream(s, command.Table)
+	s.binding.needsFull = true
+	s.binding.subset = newSubset(command)
+	c.Counters.CostRequested += int64(len(command.Replicas) + 1)
 }
 
-// streamsReached are the streams that an admission of a table reaches.
-func (c *Core) streamsReached(table int) map[int]*stream {
-	if table == control.AllTables {
-		return c.proxies
+// setEjected ejects a replica or restores it.
+func (c *Core) setEjected(command control.SetEjected, changes *turnChanges) {
+	if c.replicas.byNumber[command.Replica] == nil {
+		c.Counters.Invalid++
+		return
 	}
-	return c.bound[table]
-}
-
-// tablesWith are the tables whose proxies an ejection concerns: what an unbound proxy brought with it is not known.
-func (c *Core) tablesWith(id uint32) []int {
-	tables := []int{-1}
-	for table, lines := range c.tables {
-		if _, has := lines[id]; has {
-			tables = append(tables, table)
-		}
+	changes.ejections[command.Replica] = true
+	c.routing.setEjected(command.Replica, command.Ejected)
+	for _, table := range c.routing.tablesWith(command.Replica) {
+		c.Counters.CostRequested += int64(len(c.streams.byTable[table]))
 	}
-	return tables
 }
 
-func (c *Core) fullTableLines(table int) int {
-	lines := 1 + len(c.tables[table])
-	for id := range c.tables[table] {
-		if c.ejected[id] {
-			lines++
-		}
-	}
-	for class := range c.names.Classes {
-		if _, set := c.admissionOf(table, class); set {
-			lines++
-		}
-	}
-	return lines
+// setAdmission sets the admission of a traffic class in a table, or in all of them.
+func (c *Core) setAdmission(command control.SetAdmission, changes *turnChanges) {
+	changes.admissions[command.Table] = true
+	c.routing.admissions[tableClass{command.Table, command.Class}] = command
+	c.Counters.CostRequested += int64(len(c.streams.reachedBy(command.Table)))
 }
 
-// admissionOf is what holds for a class in a table: the lower share, the table's own way of trying again.
-func (c *Core) admissionOf(table, class int) (Admission, bool) {
-	own, mine := c.admissions[tableClass{table, class}]
-	all, everywhere := c.admissions[tableClass{control.AllTables, class}]
-	l := Admission{Class: c.names.Classes[class], Fraction: own.Fraction, Retries: own.Retries}
-	switch {
-	case mine && everywhere:
-		l.Fraction = math.Min(own.Fraction, all.Fraction)
-	case everywhere:
-		l.Fraction, l.Retries = all.Fraction, all.Retries
+// nameReplica replaces the number of a replica in a log line by its name, which the operators know it by.
+func (c *Core) nameReplica(text string) string {
+	var number uint32
+	scanned, _ := fmt.Sscanf(text, "replica %d ", &number)
+	if scanned != 1 || c.replicas.byNumber[number] == nil {
+		return text
 	}
-	return l, mine || everywhere
+	return strings.Replace(text, strconv.Itoa(int(number)), c.replicas.byNumber[number].name, 1)
 }
--- a/internal/controller/configure.go
+++ b/internal/controller/configure.go
@@ -1,29 +1,29 @@
 package controller
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
 
 	"lilacbend/control"
 	"lilacbend/internal/revision"
-	"lilacbend/settings"
 )
 
-// This file puts changed settings in force while the governor runs: whole or not at all, between two turns of the module,
-// with all streams, what they were told, the channel's account and what was learned kept.
-
 // maxFormerZones bounds the zones that are remembered after they have left the settings.
 const maxFormerZones = 1 << 10
 
-// Configure is an input: settings to put in force. They have passed the checks of a governor's start; Start makes modules
-// by them.
-type Configure struct {
-	Version  revision.Version
-	Names    settings.Names
-	Settings control.Settings
-	Start    func() Module
-}
+// Reasons why settings are refused.
+var (
+	// ErrNeedsRestart is a setting that cannot change while proxies are connected: what they were told before would mean
+	// something else to them.
+	ErrNeedsRestart = errors.New("setting domain.admit cannot change while the controller runs: restart it")
+	// ErrModuleFails is settings by which no module runs.
+	ErrModuleFails = errors.New("the module fails by it")
+)
+
+// maxFailureText bounds the text of a module's panic in an error, in bytes.
+const maxFailureText = 200
 
 // ConfigurationResult says what became of a Configure: in force, or refused for a reason.
 type ConfigurationResult struct {
@@ -35,143 +35,184 @@
 type configuration struct {
 	version  revision.Version
 	topology Topology
-	start    func() Module
+	create   func() Module
+}
+
+// configurationState is the version of the settings in force and what this turn has done with settings that came. Settings
+// are put in force as a whole or not at all; streams, what they were told, the channel's account and learned state stay.
+type configurationState struct {
+	version  revision.Version      // zero: those of the start
+	previous *configuration        // before this turn; nil: the turn has changed nothing
+	results  []ConfigurationResult // of this turn
+}
+
+// endTurn makes the settings of this turn final and returns what became of them.
+func (s *configurationState) endTurn() []ConfigurationResult {
+	results := s.results
+	s.results = nil
+	s.previous = nil
+	return results
+}
+
+// record enters what became of settings; err is nil if they are in force.
+func (s *configurationState) record(configure Configure, err error) {
+	s.results = append(s.results, ConfigurationResult{Configure: configure, Err: err})
 }
 
-// ConfigurationVersion is the version of the settings in force; zero are those of the start.
-func (c *Core) ConfigurationVersion() revision.Version { return c.version }
+// ConfigurationVersion returns the version of the settings in force; zero are those of the start.
+func (c *Core) ConfigurationVersion() revision.Version { return c.configuration.version }
 
-// CurrentTopology is the topology in force, for those who check streams before they come here.
+// CurrentTopology returns the topology in force, for those who check streams before they come here.
 func (c *Core) CurrentTopology() Topology { return c.Topology }
 
-// configure takes over settings with this turn.
-func (c *Core) configure(n Configure) []control.Event {
-	census := NewTopology(n.Names, n.Settings)
-	if err := c.Accepts(census); err != nil {
+// Accepts returns an error if a setting differs that cannot change while proxies are connected.
+func (t Topology) Accepts(next Topology) error {
+	if t.admission != next.admission {
+		return ErrNeedsRestart
+	}
+	return nil
+}
+
+// configure puts settings in force. A module that has had a turn is told; another one starts by them.
+func (c *Core) configure(configure Configure) []control.Event {
+	next := NewTopology(configure.Names, configure.Settings)
+	if err := c.Accepts(next); err != nil {
 		c.Counters.ConfigurationsRefused++
-		c.configured = append(c.configured, ConfigurationResult{n, err})
+		c.configuration.record(configure, err)
 		return nil
 	}
-	if c.previous == nil {
-		c.previous = &configuration{c.version, c.Topology, c.newModule}
+	if c.configuration.previous == nil {
+		c.configuration.previous = &configuration{c.configuration.version, c.Topology, c.module.create}
 	}
 	before := c.names
-	census.names.Zones = sameOrder(before.Zones, n.Names.Zones)
-	census.former = c.formerZones(n.Names.Zones)
-	c.adopt(configuration{n.Version, census, n.Start})
+	next.names.Zones = sameOrder(before.Zones, configure.Names.Zones)
+	next.formerZones = c.zonesLeft(configure.Names.Zones)
+	c.adopt(configuration{configure.Version, next, configure.Start})
 	c.Counters.ConfigurationsApplied++
-	c.configured = append(c.configured, ConfigurationResult{n, nil})
-	classes := renumbered(before.Classes, c.names.Classes)
-	c.renumberAdmissions(classes, before.Classes)
-	if c.fresh { // nothing was told to it yet
-		c.module = c.newModule()
+	c.configuration.record(configure, nil)
+	classes := newNumbers(before.Classes, c.names.Classes)
+	c.routing.renumberClasses(classes)
+	c.renumberDelivered(classes, before.Classes)
+	if c.module.isNew {
+		c.module.restart()
 		return nil
 	}
-	event := control.SettingsChanged{Settings: n.Settings, NewClasses: classes,
-		NewHardwareClasses: append(renumbered(before.HardwareClasses, c.names.HardwareClasses), len(c.names.HardwareClasses)), Replicas: c.currentList().Entries}
-	for _, proxy := range sortedKeys(c.proxies) {
-		event.Proxies = append(event.Proxies, c.proxies[proxy].opened)
-	}
-	return []control.Event{event}
+	hardwareClasses := newNumbers(before.HardwareClasses, c.names.HardwareClasses)
+	return []control.Event{control.SettingsChanged{
+		Settings:           configure.Settings,
+		NewClasses:         classes,
+		NewHardwareClasses: append(hardwareClasses, len(c.names.HardwareClasses)), // the last for those that have no name
+		Replicas:           c.replicas.currentList().Entries,
+		Proxies:            c.connectedProxies(),
+	}}
 }
 
-// Accepts names a setting that cannot change while proxies are joined: what they were told before would mean something
-// else to them.
-func (c Topology) Accepts(next Topology) error {
-	if c.admission != next.admission {
-		return fmt.Errorf("setting domain.admit cannot change while the governor runs: restart it")
+// connectedProxies returns all proxies that have a stream, in order.
+func (c *Core) connectedProxies() []control.StreamOpened {
+	var proxies []control.StreamOpened
+	for _, proxy := range sortedKeys(c.streams.byProxy) {
+		proxies = append(proxies, c.streams.byProxy[proxy].opened)
 	}
-	return nil
+	return proxies
 }
 
 // adopt makes a configuration the one in force, and gives replicas and proxies its numbers.
 func (c *Core) adopt(next configuration) {
-	c.version, c.Topology, c.newModule = next.version, next.topology, next.start
-	c.account.Bounds = c.bounds
-	for _, r := range c.replicas.known {
-		r.Zone, r.HardwareClass = indexOrLast(c.names.Zones, r.zone), indexOrLast(c.names.HardwareClasses, r.kind)
+	c.configuration.version = next.version
+	c.Topology = next.topology
+	c.module.create = next.create
+	c.delivery.account.Bounds = c.bounds
+	for _, r := range c.replicas.byNumber {
+		r.renumber(c.Topology)
 	}
-	for _, s := range c.proxies {
+	for _, s := range c.streams.byProxy {
 		s.opened.Zone = indexOrLast(c.names.Zones, s.zone)
 	}
 }
 
-// renumberAdmissions keeps what was set and told of each traffic class. Of those that are gone proxies are told once more,
-// so that nothing is rejected by an admission that nobody will lift.
-func (c *Core) renumberAdmissions(numbers []int, names []string) {
-	levels := map[tableClass]control.SetAdmission{}
-	for at, level := range c.admissions {
-		if level.Class = numbers[at.class]; level.Class >= 0 {
-			levels[tableClass{at.table, level.Class}] = level
+// renumberDelivered keeps what streams were told of each traffic class. An admission of a class that no longer exists is
+// lifted once, so that no proxy goes on rejecting requests by an admission that nobody will change.
+func (c *Core) renumberDelivered(numbers []int, before []string) {
+	for _, proxy := range sortedKeys(c.streams.byProxy) {
+		s := c.streams.byProxy[proxy]
+		if s.delivered.renumberClasses(numbers, before, c.Topology) {
+			c.delivery.markDue(s)
 		}
 	}
-	c.admissions = levels
-	for _, proxy := range sortedKeys(c.proxies) {
-		s := c.proxies[proxy]
-		s.lifted = slices.DeleteFunc(s.lifted, func(l Admission) bool { return slices.Contains(c.names.Classes, l.Class) })
-		told := map[int]Admission{}
-		for _, class := range sortedKeys(s.toldAdmissions) {
-			if to := numbers[class]; to >= 0 {
-				told[to] = s.toldAdmissions[class]
-				continue
-			}
-			s.lifted = append(s.lifted, Admission{Class: names[class], Fraction: 1, Retries: c.defaultRetries})
-			c.due[proxy] = s
+}
+
+// renumberClasses keeps the admissions under the new numbers of their traffic classes, and reports whether any is to be
+// lifted.
+func (d *deliveredState) renumberClasses(numbers []int, before []string, topology Topology) bool {
+	exists := func(a Admission) bool { return slices.Contains(topology.names.Classes, a.Class) }
+	d.lifted = slices.DeleteFunc(d.lifted, exists)
+	lifts := false
+	renumbered := map[int]Admission{}
+	for _, class := range sortedKeys(d.admissions) {
+		number := numbers[class]
+		if number >= 0 {
+			renumbered[number] = d.admissions[class]
+			continue
 		}
-		s.toldAdmissions = told
+		d.lifted = append(d.lifted, Admission{Class: before[class], Fraction: 1, Retries: topology.defaultRetries})
+		lifts = true
 	}
+	d.admissions = renumbered
+	return lifts
 }
 
-// withdrawConfiguration goes back to the settings of before this turn, as no module runs by the new ones.
-func (c *Core) withdrawConfiguration(failed string) {
-	c.adopt(*c.previous)
-	c.previous = nil
-	for k := range c.configured {
-		if c.configured[k].Err == nil {
-			c.configured[k].Err = fmt.Errorf("the module fails by it: %.200s", failed)
+// revertConfiguration goes back to the settings from before this turn, as no module runs by the new ones.
+func (c *Core) revertConfiguration(failure string) {
+	c.adopt(*c.configuration.previous)
+	c.configuration.previous = nil
+	for k := range c.configuration.results {
+		result := &c.configuration.results[k]
+		if result.Err == nil {
+			result.Err = fmt.Errorf("%w: %.*s", ErrModuleFails, maxFailureText, failure)
 			c.Counters.ConfigurationsApplied--
 			c.Counters.ConfigurationsRefused++
 		}
 	}
 }
 
-// formerZones are those that have left the settings while this governor runs: their proxies may still be here, and are
-// reported of.
-func (c *Core) formerZones(now []string) []string {
-	var former []string
-	for _, zone := range append(slices.Clone(c.former), c.names.Zones...) {
-		if zone != "" && !slices.Contains(now, zone) && !slices.Contains(former, zone) {
-			former = append(former, zone)
+// zonesLeft returns the zones that have left the settings since the controller started. Their proxies may still be connected,
+// and reports of them are taken.
+func (c *Core) zonesLeft(zones []string) []string {
+	var left []string
+	for _, zone := range append(slices.Clone(c.formerZones), c.names.Zones...) {
+		if zone != "" && !slices.Contains(zones, zone) && !slices.Contains(left, zone) {
+			left = append(left, zone)
 		}
 	}
-	return former[max(0, len(former)-maxFormerZones):]
+	return left[max(0, len(left)-maxFormerZones):]
 }
 
-// renumbered says for each old name what its number is among the new ones, below 0 where it is gone.
-func renumbered(before, after []string) []int {
-	numbers := make([]int, 0, len(before)+1)
+// newNumbers returns for each old name its number among the new ones; below 0: it is not among them.
+func newNumbers(before, after []string) []int {
+	numbers := make([]int, 0, len(before)+1) // one more for a caller that appends
 	for _, name := range before {
 		numbers = append(numbers, slices.Index(after, name))
 	}
 	return numbers
 }
 
-// sameOrder leaves names that were there before at their numbers if there are as many as before: tables are dealt by the
-// numbers of zones. New ones take the places of those that are gone.
+// sameOrder returns the new names with those that were there before at their old numbers, if there are as many as before: the
+// module assigns tables by the numbers of zones. New names take the numbers of those that are gone.
 func sameOrder(before, after []string) []string {
 	if len(before) != len(after) {
 		return after
 	}
-	var fresh []string
+	var added []string
 	for _, name := range after {
 		if !slices.Contains(before, name) {
-			fresh = append(fresh, name)
+			added = append(added, name)
 		}
 	}
 	order := slices.Clone(before)
 	for k, name := range order {
 		if !slices.Contains(after, name) {
-			order[k], fresh = fresh[0], fresh[1:]
+			order[k] = added[0]
+			added = added[1:]
 		}
 	}
 	return order
--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -32,22 +32,22 @@
 // Names keep their meaning whatever becomes of their order: levels, tables, reports and usage go by names.
 func TestNamesThatMoveKeepTheirMeaning(t *testing.T) {
 	c, s := core()
-	turn := func(notes []any, orders ...control.Command) TurnResult {
+	turn := func(notes []Input, orders ...control.Command) TurnResult {
 		t.Helper()
 		s.turns = [][]control.Command{append([]control.Command{}, orders...)}
 		if len(orders) == 0 {
 			s.turns = nil
 		}
-		o := c.Turn(c.lastSweep, notes)
+		o := c.Turn(c.lastEviction, notes)
 		if o.Panic != "" {
 			t.Fatal(o.Panic)
 		}
 		return o
 	}
-	turn([]any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}},
+	turn([]Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}},
 		line(0, 1, 1), line(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
 		control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}, control.SetAdmission{Table: 0, Class: 0, Fraction: 0.7})
-	o := turn([]any{
+	o := turn([]Input{
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // by the old numbers yet
 		changed(2, namesOf("order,new,read", "b,a", "m0,m2"), s),
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 2}},
@@ -86,14 +86,14 @@
 // A traffic group that leaves is let in again at every proxy that was told otherwise, once.
 func TestAGroupThatLeavesIsLetIn(t *testing.T) {
 	c, s := core([]control.Command{line(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}})
-	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}})
-	if got := text(c.Turn(1, []any{changed(2, namesOf("read", "a,b", "m1,m2"), s)})); got != "1: order~1/1; 2: order~1/1" {
+	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}})
+	if got := text(c.Turn(1, []Input{changed(2, namesOf("read", "a,b", "m1,m2"), s)})); got != "1: order~1/1; 2: order~1/1" {
 		t.Error(got)
 	}
-	if got := text(c.Turn(2, []any{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Invalid != 1 {
+	if got := text(c.Turn(2, []Input{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Invalid != 1 {
 		t.Errorf("%q, %d strange", got, c.Counters.Invalid)
 	}
-	if got := text(c.Turn(3, []any{changed(3, namesOf("order,read", "a,b", "m1,m2"), s)})); got != "" {
+	if got := text(c.Turn(3, []Input{changed(3, namesOf("order,read", "a,b", "m1,m2"), s)})); got != "" {
 		t.Error(got)
 	}
 }
@@ -101,8 +101,8 @@
 // Proxies of a zone that has left stay, are reported of, and are not let in anew; a zone that comes back is theirs again.
 func TestAZoneThatLeaves(t *testing.T) {
 	c, s := core()
-	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-	o := c.Turn(1, []any{changed(2, namesOf("read,order", "a", "m1,m2"), s), Outcomes{Zone: "b", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
+	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	o := c.Turn(1, []Input{changed(2, namesOf("read,order", "a", "m1,m2"), s), Outcomes{Zone: "b", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
 		StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, Outcomes{Zone: "c", Replica: "x"}})
 	if len(o.CloseStreams) != 1 || o.CloseStreams[0] != 2 || c.Counters.Invalid != 2 || c.Counters.ConnectedProxies != 1 {
 		t.Errorf("%v ended, %d strange, %d joined", o.CloseStreams, c.Counters.Invalid, c.Counters.ConnectedProxies)
@@ -113,7 +113,7 @@
 	if err := c.CurrentTopology().CheckCollector("b"); err == nil {
 		t.Error("a collector of the zone may come")
 	}
-	c.Turn(2, []any{changed(3, namesOf("read,order", "a,c,b", "m1,m2"), s)})
+	c.Turn(2, []Input{changed(3, namesOf("read,order", "a,c,b", "m1,m2"), s)})
 	if told := s.told[0].(control.SettingsChanged); told.Proxies[0].Zone != 2 || told.Replicas[0].Zone != 2 {
 		t.Errorf("told %+v", told)
 	}
@@ -122,10 +122,10 @@
 // What cannot change while the governor runs is refused with its key, and nothing of it is taken.
 func TestWhatNeedsARestartIsRefused(t *testing.T) {
 	c, s := core()
-	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	next := changed(2, namesOf("read", "a", "m1"), s)
 	next.Settings.Admission = control.AdmitRate
-	o := c.Turn(1, []any{next})
+	o := c.Turn(1, []Input{next})
 	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "domain.admit") ||
 		len(s.told) != 0 || len(c.names.Zones) != 2 || !c.ConfigurationVersion().IsZero() || c.Counters.ConfigurationsRefused != 1 {
 		t.Errorf("%+v %+v", o.Configured, s.told)
@@ -141,21 +141,21 @@
 // runs, though the running one failed to take them over, are in force.
 func TestSettingsByWhichTheModuleFails(t *testing.T) {
 	c, s := core()
-	c.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	s.turns = [][]control.Command{panics}
-	o := c.Turn(1, []any{changed(2, namesOf("read", "a", "m1"), pit{})})
+	o := c.Turn(1, []Input{changed(2, namesOf("read", "a", "m1"), pit{})})
 	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "the module fails by it") {
 		t.Fatalf("%+v", o.Configured)
 	}
-	if !c.ConfigurationVersion().IsZero() || len(c.names.Zones) != 2 || c.proxies[4].opened.Zone != 1 || c.replicas.known[1].Zone != 1 || len(o.CloseStreams) != 0 {
+	if !c.ConfigurationVersion().IsZero() || len(c.names.Zones) != 2 || c.streams.byProxy[4].opened.Zone != 1 || c.replicas.byNumber[1].Zone != 1 || len(o.CloseStreams) != 0 {
 		t.Errorf("not as before: %s %v", c.ConfigurationVersion(), c.names)
 	}
 	if _, again := s.told[len(s.told)-1].(control.StreamOpened); !again {
 		t.Errorf("told %+v", s.told)
 	}
 	s.turns = [][]control.Command{panics}
-	o = c.Turn(2, []any{changed(3, namesOf("read", "a", "m1"), s)})
-	if len(o.Configured) != 1 || o.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 3 || c.proxies[4].opened.Zone != 1 || c.Counters.ConfigurationsApplied != 1 {
+	o = c.Turn(2, []Input{changed(3, namesOf("read", "a", "m1"), s)})
+	if len(o.Configured) != 1 || o.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 3 || c.streams.byProxy[4].opened.Zone != 1 || c.Counters.ConfigurationsApplied != 1 {
 		t.Errorf("%+v %s", o.Configured, c.ConfigurationVersion())
 	}
 }
@@ -165,15 +165,15 @@
 	c, _ := core()
 	next, s := changed(2, namesOf("read", "a", "m1"), nil), &script{}
 	next.Start = func() Module { return s }
-	c.Turn(0, []any{next, list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
+	c.Turn(0, []Input{next, list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
 	if len(s.told) != 2 || c.ConfigurationVersion().Revision != 2 {
 		t.Errorf("told %+v", s.told)
 	}
 	c, s = core(panics, panics)
-	c.Turn(0, []any{list(true, "xr")})
+	c.Turn(0, []Input{list(true, "xr")})
 	s2 := &script{}
 	next.Start = func() Module { return s2 }
-	if o := c.Turn(1, []any{next}); len(o.Configured) != 1 || o.Configured[0].Err != nil || s2.told != nil {
+	if o := c.Turn(1, []Input{next}); len(o.Configured) != 1 || o.Configured[0].Err != nil || s2.told != nil {
 		t.Errorf("%+v, told %+v", o.Configured, s2.told)
 	}
 	if c.Turn(restartDelay+1, nil); len(s2.told) != 1 {
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -92,11 +92,11 @@
 func TestTurnsBecomePushes(t *testing.T) {
 	all := control.AllTables
 	steps := []struct {
-		notes  []any
+		notes  []Input
 		orders orders
 		want   string
 	}{
-		{[]any{list(true, "xr", "yr", "zr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}},
+		{[]Input{list(true, "xr", "yr", "zr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}},
 			orders{line(0, 1, 1), line(0, 2, 0.5), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, "1: full x=1 y=0.5 #1"},
 		{nil, orders{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // may shut who knows whom
 		{nil, orders{line(0, 2, 0.7), control.RequestAck{Nonce: 3}}, "1: y=0.7 #3; 2: y=0.7 #3"},
@@ -110,16 +110,16 @@
 		{nil, orders{control.SetAdmission{Table: 0, Class: 1, Fraction: 0.7, Retries: 2}}, "1: order~0.5/2; 2: order~0.5/2"},
 		{nil, orders{control.Bind{Proxy: 4, Table: 1}}, "1: full z=1 order~0.5/1"},
 		{nil, orders{line(0, 2, 0.7), control.RequestAck{Nonce: 7}}, "2: y=0.7 #7"},
-		{[]any{StreamClosed{1}}, orders{line(1, 3, 2)}, ""},
+		{[]Input{StreamClosed{1}}, orders{line(1, 3, 2)}, ""},
 		{nil, orders{control.SetEjected{Replica: 1, Ejected: true}}, "2: -x"},
-		{[]any{StreamOpened{Stream: 3, Proxy: 4, Zone: "b"}}, orders{control.Bind{Proxy: 4, Table: 0}}, "3: full x=1 y=0.7 z=2 -x +y +z order~0.5/2"},
-		{[]any{StreamOpened{Stream: 4, Proxy: 5, Zone: "b"}}, nil, "4: order~0.5/1"},
+		{[]Input{StreamOpened{Stream: 3, Proxy: 4, Zone: "b"}}, orders{control.Bind{Proxy: 4, Table: 0}}, "3: full x=1 y=0.7 z=2 -x +y +z order~0.5/2"},
+		{[]Input{StreamOpened{Stream: 4, Proxy: 5, Zone: "b"}}, nil, "4: order~0.5/1"},
 		{nil, orders{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 8}}, "3: -y #8; 4: -y #8"}, // 4 is bound to nothing yet
-		{[]any{OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
-		{[]any{Ack{Stream: 3, Nonce: 8}, OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
-		{[]any{OutboxDrained{4}}, nil, "4: -x -y order~0.5/1 #8"},
-		{[]any{StreamClosed{3}, StreamClosed{4}, StreamOpened{Stream: 5, Proxy: 4, Zone: "b", WithoutTable: true}}, nil, "5: order~0.5/1"},
-		{[]any{OutboxDrained{5}}, nil, "5: -x -y order~0.5/1"},
+		{[]Input{OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
+		{[]Input{Ack{Stream: 3, Nonce: 8}, OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
+		{[]Input{OutboxDrained{4}}, nil, "4: -x -y order~0.5/1 #8"},
+		{[]Input{StreamClosed{3}, StreamClosed{4}, StreamOpened{Stream: 5, Proxy: 4, Zone: "b", WithoutTable: true}}, nil, "5: order~0.5/1"},
+		{[]Input{OutboxDrained{5}}, nil, "5: -x -y order~0.5/1"},
 		{nil, orders{control.Bind{Proxy: 7}, control.Bind{Proxy: 4, Table: 1}, line(1, 3, 0)}, "5: full order~0.5/1"},
 	}
 	c, s := core()
@@ -134,8 +134,8 @@
 // Who has nothing to be told is told so all the same, as its outbox takes nothing else before.
 func TestAnEmptiedOutboxIsAlwaysAnswered(t *testing.T) {
 	c, _ := core()
-	c.Turn(0, []any{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-	if o := c.Turn(1, []any{OutboxDrained{1}}); len(o.Updates) != 1 || !o.Updates[0].Update.Resync || c.Counters.Updates != 0 {
+	c.Turn(0, []Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	if o := c.Turn(1, []Input{OutboxDrained{1}}); len(o.Updates) != 1 || !o.Updates[0].Update.Resync || c.Counters.Updates != 0 {
 		t.Errorf("%+v", o.Updates)
 	}
 }
@@ -145,7 +145,7 @@
 	c, _ := core(orders{line(0, 1, 1), line(0, 2, 1), control.SetAdmission{Table: control.AllTables, Fraction: 0.5},
 		control.SetEjected{Replica: 2, Ejected: true}, control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}},
 		orders{line(0, 1, 2), control.RequestAck{Nonce: 2}})
-	c.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}})
+	c.Turn(0, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}})
 	c.Turn(1, nil)
 	// A bind: itself, two lines, one level, one withdrawn; each with its mark; then a line and a mark each.
 	if n := c.Counters; n.CostSent != 2*(5+1)+2*2 || n.AckRequests != 4 || n.FullTables != 2 {
@@ -153,36 +153,41 @@
 	}
 }
 
+// unknownInput is an input that the core does not know.
+type unknownInput struct{}
+
+func (unknownInput) input() {}
+
 func TestWhatTheModuleIsTold(t *testing.T) {
 	usage := control.Demand{Proxy: 4, Requests: 3}
 	for name, c := range map[string]struct {
-		notes []any
+		notes []Input
 		want  []control.Event
 		end   []StreamID
 	}{
-		"joined":          {[]any{StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
-		"no such proxy":   {[]any{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []StreamID{2, 3}},
-		"again":           {[]any{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
-		"a newer stream":  {[]any{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
-		"an older stream": {[]any{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []StreamID{0}},
-		"left":            {[]any{StreamClosed{1}, StreamClosed{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
-		"answered":        {[]any{Ack{Stream: 1, Nonce: 7, Delay: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
-		"answered twice":  {[]any{Ack{Stream: 1, Nonce: 7}, Ack{Stream: 1, Nonce: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
-		"another's mark":  {[]any{Ack{Stream: 1, Nonce: 8}, Ack{Stream: 3, Nonce: 7}}, nil, nil},
-		"an old mark":     {[]any{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
-		"usage":           {[]any{Demand{1, "order", usage}, Demand{0, "read", usage}}, []control.Event{control.Demand{Proxy: 4, Class: 1, Requests: 3}, usage}, nil},
-		"usage of old":    {[]any{Demand{3, "order", usage}, Demand{1, "no such", usage}, Demand{0, "read", control.Demand{Proxy: 8}}}, nil, nil},
-		"sums":            {[]any{Outcomes{"b", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
-		"spoilt sums": {[]any{Outcomes{"q", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "y", control.Outcomes{Attempts: 2, Failures: 3}},
+		"joined":          {[]Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
+		"no such proxy":   {[]Input{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []StreamID{2, 3}},
+		"again":           {[]Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
+		"a newer stream":  {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
+		"an older stream": {[]Input{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []StreamID{0}},
+		"left":            {[]Input{StreamClosed{1}, StreamClosed{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
+		"answered":        {[]Input{Ack{Stream: 1, Nonce: 7, Delay: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
+		"answered twice":  {[]Input{Ack{Stream: 1, Nonce: 7}, Ack{Stream: 1, Nonce: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
+		"another's mark":  {[]Input{Ack{Stream: 1, Nonce: 8}, Ack{Stream: 3, Nonce: 7}}, nil, nil},
+		"an old mark":     {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
+		"usage":           {[]Input{Demand{1, "order", usage}, Demand{0, "read", usage}}, []control.Event{control.Demand{Proxy: 4, Class: 1, Requests: 3}, usage}, nil},
+		"usage of old":    {[]Input{Demand{3, "order", usage}, Demand{1, "no such", usage}, Demand{0, "read", control.Demand{Proxy: 8}}}, nil, nil},
+		"sums":            {[]Input{Outcomes{"b", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
+		"spoilt sums": {[]Input{Outcomes{"q", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "y", control.Outcomes{Attempts: 2, Failures: 3}},
 			Outcomes{"b", "y", control.Outcomes{Attempts: maxReportCount + 1}}, Outcomes{"b", "y", control.Outcomes{ResponseTime: maxTimeouts*2e9 + 1}},
 			Outcomes{"b", "y", control.Outcomes{Period: maxReportPeriod + 1}}}, nil, nil},
-		"spoilt usage": {[]any{Demand{1, "order", control.Demand{Proxy: 4, Requests: maxReportCount + 1}},
+		"spoilt usage": {[]Input{Demand{1, "order", control.Demand{Proxy: 4, Requests: maxReportCount + 1}},
 			Demand{1, "order", control.Demand{Proxy: 4, Failures: maxReportCount + 1}}, Demand{0, "read", control.Demand{Proxy: 4, Period: maxReportPeriod + 1}}}, nil, nil},
-		"a spoilt answer":   {[]any{Ack{Stream: 1, Nonce: 7, Delay: maxReportPeriod + 1}}, nil, nil},
-		"something unknown": {[]any{"rain"}, nil, nil},
+		"a spoilt answer":   {[]Input{Ack{Stream: 1, Nonce: 7, Delay: maxReportPeriod + 1}}, nil, nil},
+		"something unknown": {[]Input{unknownInput{}}, nil, nil},
 	} {
 		c0, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
-		c0.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+		c0.Turn(0, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 		o := c0.Turn(1, c.notes)
 		if !reflect.DeepEqual(s.told, c.want) || !reflect.DeepEqual(o.CloseStreams, c.end) {
 			t.Errorf("%s: told %+v, ends %v", name, s.told, o.CloseStreams)
@@ -209,15 +214,15 @@
 		{list(true, "yr", "w?"), "2r3r", 3},          // x is gone
 		{list(false, "yg", "xr"), "2g1r", 3},
 	} {
-		c.Turn(int64(k), []any{step.l})
+		c.Turn(int64(k), []Input{step.l})
 		if got := states(s.told[0]); got != step.want || c.Counters.Invalid != step.odd {
 			t.Errorf("list %d: %s, %d odd", k, got, c.Counters.Invalid)
 		}
 	}
-	if l := c.currentList(); !l.Full || states(l) != "1r3r" {
+	if l := c.replicas.currentList(); !l.Full || states(l) != "1r3r" {
 		t.Errorf("standing list %+v", l)
 	}
-	if k := c.replicas.known[1].HardwareClass; k != 1 || indexOrLast(c.names.HardwareClasses, "new kind") != 2 {
+	if k := c.replicas.byNumber[1].HardwareClass; k != 1 || indexOrLast(c.names.HardwareClasses, "new kind") != 2 {
 		t.Errorf("kinds %d", k)
 	}
 }
@@ -226,7 +231,7 @@
 func TestStartsStayThroughStepsOfTheWallClock(t *testing.T) {
 	c, s := core()
 	at := func(wall, up int64) int64 {
-		c.Turn(wall, []any{ReplicaList{ReadAt: 500e9, ReadAtWall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: up}}}})
+		c.Turn(wall, []Input{ReplicaList{ReadAt: 500e9, ReadAtWall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: up}}}})
 		return s.told[0].(control.ReplicasListed).Entries[0].Start
 	}
 	for k, step := range [][3]int64{{1000e9, 990e9, 490e9}, {5000e9, 990e9, 490e9}, {5000e9, 4999e9, 499e9},
@@ -243,20 +248,20 @@
 		kept bool
 	}{
 		"nobody":   {func(*Core) {}, false},
-		"a table":  {func(c *Core) { c.tables[3] = map[uint32]float64{1: 1} }, true},
-		"a stream": {func(c *Core) { c.proxies[4].toldEjected[1] = true }, false},
+		"a table":  {func(c *Core) { c.routing.tables[3] = map[uint32]float64{1: 1} }, true},
+		"a stream": {func(c *Core) { c.streams.byProxy[4].delivered.ejections[1] = true }, false},
 	} {
 		g, _ := core()
-		g.Turn(0, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-		g.Turn(1, []any{list(true, "yr")})
-		g.ejected[1] = true
+		g.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+		g.Turn(1, []Input{list(true, "yr")})
+		g.routing.ejected[1] = true
 		c.held(g)
-		g.sweep(nameRetention)
-		if g.replicas.known[1] == nil {
+		g.evict(nameRetention)
+		if g.replicas.byNumber[1] == nil {
 			t.Errorf("%s: forgotten early", name)
 		}
-		g.sweep(nameRetention + 1)
-		if _, kept := g.replicas.numbers["x"]; kept != c.kept || g.ejected[1] != c.kept || g.replicas.known[2] == nil {
+		g.evict(nameRetention + 1)
+		if _, kept := g.replicas.numbers["x"]; kept != c.kept || g.routing.ejected[1] != c.kept || g.replicas.byNumber[2] == nil {
 			t.Errorf("%s: kept %v", name, kept)
 		}
 	}
@@ -264,22 +269,22 @@
 
 // Streams hold no names for ever, yet who is back after it was forgotten is let in where it was shut out.
 func TestWhoWasForgottenIsLetInAgain(t *testing.T) {
-	for _, others := range []int{0, maxForgottenEjections} {
+	for _, others := range []int{0, maxEvictedEjections} {
 		c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}}, orders{control.SetEjected{Replica: 1, Ejected: true}, line(0, 1, 0)})
 		joined := StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}
-		c.Turn(0, []any{list(true, "xr"), joined})
-		c.Turn(1, []any{list(true)})
-		c.proxies[4].toldEjected[1] = true
+		c.Turn(0, []Input{list(true, "xr"), joined})
+		c.Turn(1, []Input{list(true)})
+		c.streams.byProxy[4].delivered.ejections[1] = true
 		for k := range others {
-			c.replicas.known[uint32(100+k)] = &replica{name: fmt.Sprint("o", k), ListedReplica: control.ListedReplica{State: control.Gone}}
-			c.proxies[4].toldEjected[uint32(100+k)] = true
+			c.replicas.byNumber[uint32(100+k)] = &replica{name: fmt.Sprint("o", k), ListedReplica: control.ListedReplica{State: control.Gone}}
+			c.streams.byProxy[4].delivered.ejections[uint32(100+k)] = true
 		}
-		c.sweep(nameRetention + 2)
-		if len(c.replicas.known) != 0 || len(c.proxies[4].toldEjected) != 0 || len(c.replicas.forgottenEjections) > maxForgottenEjections {
-			t.Errorf("%d names, %d told, %d shut", len(c.replicas.known), len(c.proxies[4].toldEjected), len(c.replicas.forgottenEjections))
+		c.evict(nameRetention + 2)
+		if len(c.replicas.byNumber) != 0 || len(c.streams.byProxy[4].delivered.ejections) != 0 || len(c.replicas.evictedEjections) > maxEvictedEjections {
+			t.Errorf("%d names, %d told, %d shut", len(c.replicas.byNumber), len(c.streams.byProxy[4].delivered.ejections), len(c.replicas.evictedEjections))
 		}
 		s.turns = []orders{{line(0, 2, 1)}}
-		if got := text(c.Turn(nameRetention+3, []any{list(true, "xr")})); got != "1: x=1 +x" {
+		if got := text(c.Turn(nameRetention+3, []Input{list(true, "xr")})); got != "1: x=1 +x" {
 			t.Errorf("after %d others: %s", others, got)
 		}
 	}
@@ -288,9 +293,9 @@
 func TestAPanicStartsAFreshModule(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.SetEjected{Replica: 1, Ejected: true}}, panics,
 		orders{line(0, 2, 1), line(0, 1, 1), control.Bind{Proxy: 4}}, panics, panics)
-	c.Turn(0, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Rate: 3}})
-	o := c.Turn(1, []any{list(false, "yt")})
-	want := []control.Event{c.currentList(), control.StreamOpened{Proxy: 4, Zone: 0, Rate: 3}}
+	c.Turn(0, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Rate: 3}})
+	o := c.Turn(1, []Input{list(false, "yt")})
+	want := []control.Event{c.replicas.currentList(), control.StreamOpened{Proxy: 4, Zone: 0, Rate: 3}}
 	if !strings.HasPrefix(o.Panic, "scripted at") || !reflect.DeepEqual(s.told, want) || c.Counters.ModuleRestarts != 1 {
 		t.Errorf("told %+v after %.40q", s.told, o.Panic)
 	}
@@ -301,7 +306,7 @@
 		t.Errorf("a module that fails at once: %+v", o)
 	}
 	s.turns, s.told = []orders{{control.SetEjected{Replica: 1, Ejected: true}}}, nil
-	if o = c.Turn(3, []any{StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}}); s.told != nil || o.NextTurn != 2+restartDelay {
+	if o = c.Turn(3, []Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}}); s.told != nil || o.NextTurn != 2+restartDelay {
 		t.Errorf("asked while it rests: %+v", o)
 	}
 	if o = c.Turn(2+restartDelay, nil); len(s.told) != 3 || text(o) != "1: -x; 2: -x" {
@@ -314,24 +319,24 @@
 func TestWhoOwesAnAnswerInSilenceHasLeft(t *testing.T) {
 	mark := control.RequestAck{Nonce: 1}
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, mark})
-	c.Turn(5, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 6, Zone: "b"}})
+	c.Turn(5, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 6, Zone: "b"}})
 	for _, step := range []struct {
 		at     int64
-		notes  []any
+		notes  []Input
 		orders orders
 		told   []control.Event
 		want   string
 	}{
-		{4 + minSilenceTimeout/2, []any{StreamActive{3}}, nil, nil, ""},
-		{5 + minSilenceTimeout/2, []any{Demand{2, "read", control.Demand{Proxy: 5}}}, nil, []control.Event{control.Demand{Proxy: 5}}, ""},
+		{4 + minSilenceTimeout/2, []Input{StreamActive{3}}, nil, nil, ""},
+		{5 + minSilenceTimeout/2, []Input{Demand{2, "read", control.Demand{Proxy: 5}}}, nil, []control.Event{control.Demand{Proxy: 5}}, ""},
 		{5 + minSilenceTimeout, nil, nil, nil, ""},
 		{6 + minSilenceTimeout, nil, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
 		{7 + minSilenceTimeout, nil, orders{control.SetEjected{Replica: 1, Ejected: true}, mark}, nil, "1: -x #1; 2: -x #1; 3: -x #1"},
-		{8 + minSilenceTimeout, []any{Ack{Stream: 1, Nonce: 1}}, nil, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, ""},
-		{9 + minSilenceTimeout, []any{Ack{Stream: 2, Nonce: 1}, Ack{Stream: 3, Nonce: 1}}, nil,
+		{8 + minSilenceTimeout, []Input{Ack{Stream: 1, Nonce: 1}}, nil, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, ""},
+		{9 + minSilenceTimeout, []Input{Ack{Stream: 2, Nonce: 1}, Ack{Stream: 3, Nonce: 1}}, nil,
 			[]control.Event{control.Ack{Proxy: 5, Nonce: 1}, control.Ack{Proxy: 6, Nonce: 1}}, ""},
 		{9 + 2*minSilenceTimeout, nil, orders{mark}, nil, ""},
-		{9 + 9*minSilenceTimeout, []any{StreamClosed{1}}, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
+		{9 + 9*minSilenceTimeout, []Input{StreamClosed{1}}, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
 	} {
 		s.turns = []orders{step.orders}
 		o := c.Turn(step.at, step.notes)
@@ -344,7 +349,7 @@
 
 func TestTheLogNamesReplicas(t *testing.T) {
 	c, _ := core(orders{control.Log{Text: "replica 1 sick: 1 of 1 missed"}, control.Log{Text: "replica 9 sick"}, control.Log{Text: "calm"}})
-	o := c.Turn(0, []any{list(true, "xr")})
+	o := c.Turn(0, []Input{list(true, "xr")})
 	if want := []string{"replica x sick: 1 of 1 missed", "replica 9 sick", "calm"}; !slices.Equal(o.Logs, want) {
 		t.Errorf("logged %q", o.Logs)
 	}
@@ -372,12 +377,12 @@
 func TestNobodyIsLeftUntold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, s := core()
-		c.Turn(0, []any{list(true, "xr", "yr", "zr")})
+		c.Turn(0, []Input{list(true, "xr", "yr", "zr")})
 		stream := StreamID(0)
 		now := int64(1)
 		draw := func(what string, most int) int { return rapid.IntRange(0, most).Draw(t, what) }
 		for range draw("turns", 30) {
-			var notes []any
+			var notes []Input
 			for range draw("notes", 4) {
 				proxy := draw("proxy", 5)
 				switch draw("note", 5) {
@@ -417,18 +422,18 @@
 			now += int64(draw("span", 6)) * 2e9
 			c.Turn(now, notes)
 			at := 0
-			for table, seats := range c.bound {
+			for table, seats := range c.streams.byTable {
 				for proxy, s := range seats {
-					if at++; c.proxies[proxy] != s || s.table != table {
-						t.Fatalf("%d sits at %d, not at %d", proxy, s.table, table)
+					if at++; c.streams.byProxy[proxy] != s || s.binding.table != table {
+						t.Fatalf("%d sits at %d, not at %d", proxy, s.binding.table, table)
 					}
 				}
 			}
-			if at != len(c.proxies) {
-				t.Fatalf("%d seats of %d", at, len(c.proxies))
+			if at != len(c.streams.byProxy) {
+				t.Fatalf("%d seats of %d", at, len(c.streams.byProxy))
 			}
-			for proxy, s := range c.proxies {
-				if p, reached := c.buildUpdate(s, &turnChanges{fullTables: map[int]endpointList{}, changedTables: map[int]endpointList{}}, false); c.pausedUntil <= now && (reached || p.lineCount() > 0 || p.Resync) {
+			for proxy, s := range c.streams.byProxy {
+				if p, reached := c.buildUpdate(s, &turnChanges{fullTables: map[int]endpointList{}, changedTables: map[int]endpointList{}}, false); c.module.pausedUntil <= now && (reached || p.cost() > 0 || p.Resync) {
 					t.Fatalf("%d is still to be told %+v", proxy, p)
 				}
 			}
@@ -439,7 +444,7 @@
 // tight is a core with a channel of so many lines, and a cap of so many messages a proxy in 10 s; a replica x in table 0.
 func tight(lines, messages int, turns ...[]control.Command) (*Core, *script) {
 	c, s := core(turns...)
-	c.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: lines, ChannelRate: 100, MessageOverhead: 4, MaxMessages: messages, MessageWindow: 10e9, MaxTransit: 1e8})
+	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: lines, ChannelRate: 100, MessageOverhead: 4, MaxMessages: messages, MessageWindow: 10e9, MaxTransit: 1e8})
 	return c, s
 }
 
@@ -447,9 +452,9 @@
 // it is by then, once answers make room.
 func TestWhatTheChannelHasNoRoomForWaitsAndGoes(t *testing.T) {
 	c, s := tight(28, 0, orders{line(0, 1, 1), line(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}})
-	joined := []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}}
+	joined := []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}}
 	steps := []struct {
-		notes  []any
+		notes  []Input
 		orders orders
 		want   string
 	}{
@@ -457,9 +462,9 @@
 		{nil, orders{line(0, 1, 2), control.RequestAck{Nonce: 2}}, "1: x=2 #2"},
 		{nil, orders{line(0, 1, 3), line(0, 2, 0.5), control.RequestAck{Nonce: 3}}, ""},
 		{nil, orders{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 4}}, ""},
-		{[]any{Ack{Stream: 1, Nonce: 1}}, nil, "1: x=3 y=0.5 -y #4"},
-		{[]any{Ack{Stream: 2, Nonce: 1}}, nil, "2: x=3 y=0.5 -y #4"},
-		{[]any{Ack{Stream: 1, Nonce: 4}, Ack{Stream: 2, Nonce: 4}}, nil, ""},
+		{[]Input{Ack{Stream: 1, Nonce: 1}}, nil, "1: x=3 y=0.5 -y #4"},
+		{[]Input{Ack{Stream: 2, Nonce: 1}}, nil, "2: x=3 y=0.5 -y #4"},
+		{[]Input{Ack{Stream: 1, Nonce: 4}, Ack{Stream: 2, Nonce: 4}}, nil, ""},
 	}
 	for k, step := range steps {
 		s.turns = []orders{step.orders}
@@ -467,8 +472,8 @@
 			t.Errorf("turn %d: got  %s\nwant %s", k, got, step.want)
 		}
 	}
-	if c.account.Queued() != 0 || c.Counters.StreamsEnqueued == 0 {
-		t.Errorf("%d lines wait, %d were held", c.account.Queued(), c.Counters.StreamsEnqueued)
+	if c.delivery.account.Queued() != 0 || c.Counters.StreamsEnqueued == 0 {
+		t.Errorf("%d lines wait, %d were held", c.delivery.account.Queued(), c.Counters.StreamsEnqueued)
 	}
 }
 
@@ -476,7 +481,7 @@
 // gets a proxy more messages than it may, and what was held is not lost with them.
 func TestNothingGoesAroundTheCapOfAProxy(t *testing.T) {
 	c, s := tight(0, 3)
-	notes, sent := []any{list(true, "xr")}, 0
+	notes, sent := []Input{list(true, "xr")}, 0
 	for k := range 400 {
 		notes = append(notes, StreamOpened{Stream: StreamID(k/100 + 1), Proxy: 4, Zone: "a"}, OutboxDrained{StreamID(k/100 + 1)})
 		s.turns = []orders{{line(0, 1, float64(k+1)), control.Bind{Proxy: 4}, control.RequestAck{Nonce: uint64(k)}}}
@@ -500,15 +505,15 @@
 // A replica that is gone for long is named for as long as somebody has not been told.
 func TestWhoIsHeldIsStillNamed(t *testing.T) {
 	c, s := tight(11, 0, orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, orders{line(0, 1, 0), control.RequestAck{Nonce: 2}})
-	c.account.ChannelRate = 1 // so slow that what is not answered is charged for a minute
-	c.Turn(1, []any{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
-	if got := text(c.Turn(2, []any{list(true, "yr")})); got != "" || len(s.turns) > 0 {
+	c.delivery.account.ChannelRate = 1 // so slow that what is not answered is charged for a minute
+	c.Turn(1, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
+	if got := text(c.Turn(2, []Input{list(true, "yr")})); got != "" || len(s.turns) > 0 {
 		t.Fatalf("got %s", got)
 	}
-	for at := sweepInterval; at <= nameRetention+4*sweepInterval; at += sweepInterval { // it lives, but does not answer
-		c.Turn(at, []any{StreamActive{1}})
+	for at := evictionInterval; at <= nameRetention+4*evictionInterval; at += evictionInterval { // it lives, but does not answer
+		c.Turn(at, []Input{StreamActive{1}})
 	}
-	if got := text(c.Turn(nameRetention+5*sweepInterval, []any{Ack{Stream: 1, Nonce: 1}})); got != "1: x=0 #2" {
+	if got := text(c.Turn(nameRetention+5*evictionInterval, []Input{Ack{Stream: 1, Nonce: 1}})); got != "1: x=0 #2" {
 		t.Errorf("got %s", got)
 	}
 }
@@ -517,8 +522,8 @@
 // ever: who has waited longest comes first.
 func TestABusyChannelGetsMessagesThatAreNew(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 1}, control.Bind{Proxy: 2}, control.Bind{Proxy: 3}, control.RequestAck{Nonce: 1}})
-	c.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 1 << 20, ChannelRate: 100, MessageOverhead: 4, MaxTransit: 1e7}) // busy from 4 lines on
-	notes := []any{list(true, "xr", "yr")}
+	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 1 << 20, ChannelRate: 100, MessageOverhead: 4, MaxTransit: 1e7}) // busy from 4 lines on
+	notes := []Input{list(true, "xr", "yr")}
 	for proxy := 1; proxy <= 3; proxy++ {
 		notes = append(notes, StreamOpened{Stream: StreamID(proxy), Proxy: proxy, Zone: "a", WithoutTable: true})
 	}
@@ -535,7 +540,7 @@
 		want   string
 	}{{Ack{Stream: 1, Nonce: 1}, "2: full x=99 #101"}, {Ack{Stream: 2, Nonce: 101}, "3: full x=99 #101"}, {Ack{Stream: 3, Nonce: 101}, "1: x=99 #101"}} {
 		s.turns = nil
-		if got := text(c.Turn(1e9, []any{step.answer})); got != step.want {
+		if got := text(c.Turn(1e9, []Input{step.answer})); got != step.want {
 			t.Errorf("got %s, want %s", got, step.want)
 		}
 	}
@@ -545,16 +550,16 @@
 // answer speaks for the module's as well.
 func TestMissingAnswersAreAskedFor(t *testing.T) {
 	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
-	c.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 40, ChannelRate: 100, MessageOverhead: 4, MaxMessages: 2, MessageWindow: 10e9, MaxTransit: 1e8})
-	c.Turn(1e9, []any{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-	if got := text(c.Turn(3e9, []any{StreamActive{1}})); got != "" {
+	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 40, ChannelRate: 100, MessageOverhead: 4, MaxMessages: 2, MessageWindow: 10e9, MaxTransit: 1e8})
+	c.Turn(1e9, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	if got := text(c.Turn(3e9, []Input{StreamActive{1}})); got != "" {
 		t.Errorf("after 2 s %s", got)
 	}
 	if got := text(c.Turn(3e9+1, nil)) + text(c.Turn(6e9, nil)); got != "1: #32775" {
 		t.Errorf("after more, once for all under a cap of 2: %s", got)
 	}
-	c.Turn(7e9, []any{Ack{Stream: 1, Nonce: 32775}})
-	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.told, want) || c.account.Queued() != 0 || len(c.proxies[4].unacked) != 0 {
-		t.Errorf("told %+v, %d lines wait", s.told, c.account.Queued())
+	c.Turn(7e9, []Input{Ack{Stream: 1, Nonce: 32775}})
+	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.told, want) || c.delivery.account.Queued() != 0 || len(c.streams.byProxy[4].unacked) != 0 {
+		t.Errorf("told %+v, %d lines wait", s.told, c.delivery.account.Queued())
 	}
 }
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -3,195 +3,224 @@
 import (
 	"maps"
 	"slices"
+
+	"lilacbend/internal/sendbudget"
 )
 
-// This file says whose update goes out when: within the channel and the cap of each proxy, those that keep proxies away from
-// replicas first.
+// deliveryState holds what is to be sent when. Updates that keep proxies away from replicas are urgent and go first. What the
+// channel or a proxy's message cap has no capacity for waits here, the oldest first, and is brought up to date until it
+// goes: an update that waits in the channel instead is stale when it arrives, and costs its overhead each time.
+type deliveryState struct {
+	account *sendbudget.Account // outlives modules and streams
+	due     map[int]*stream     // by proxy: those to be looked at with the next updates, whether or not a command concerns them
+	urgent  []*stream           // with urgent pending changes, the longest first
+	normal  []*stream           // with pending changes, the longest first; urgent ones are skipped here
+	acks    ackDeadlines
 
-// maxUnacked bounds the nonces that one stream may leave unanswered: a proxy gets a few messages a second and
-// answers speak for all before them, so so many are hours of silence.
-const maxUnacked = 4096
+	lastCatchUp    int64  // when unbound streams were last looked at
+	ownAckRequests uint64 // how many there were, so that each asks another proxy
+}
 
-// concernedProxies are the proxies that the changes concern, or that are due: no others are looked at, as there may be ten
-// thousand of them.
-func (c *Core) concernedProxies(n *turnChanges) []int {
-	all := c.due
-	c.due = map[int]*stream{}
-	for table := range n.endpoints {
-		maps.Copy(all, c.bound[table])
-	}
-	for id := range n.ejections {
-		for _, table := range c.tablesWith(id) {
-			maps.Copy(all, c.bound[table])
-		}
-	}
-	for table := range n.admissions {
-		maps.Copy(all, c.streamsReached(table))
+func newDeliveryState(account *sendbudget.Account) deliveryState {
+	return deliveryState{account: account, due: map[int]*stream{}}
+}
+
+// markDue has a stream looked at with the next updates.
+func (d *deliveryState) markDue(s *stream) { d.due[s.opened.Proxy] = s }
+
+// unmarkDue undoes markDue.
+func (d *deliveryState) unmarkDue(s *stream) {
+	if d.due[s.opened.Proxy] == s {
+		delete(d.due, s.opened.Proxy)
 	}
-	return slices.Sorted(maps.Keys(all))
 }
 
-// sendUpdates makes one update for each proxy that the changes concern, those first that keep proxies away from replicas. What
-// has no room in the channel waits in a queue, the oldest in front, and goes with all that has become new by then: a
-// message that waits in the channel instead is stale when it comes, and each costs its head.
-func (c *Core) sendUpdates(n *turnChanges, now int64, o *TurnResult) {
-	c.account.Expire(now)
-	c.catchUpUnbound(now)
-	var urgent, rest []*stream
-	for _, proxy := range c.concernedProxies(n) {
-		s := c.proxies[proxy]
+// takeDue returns the streams that are due, by proxy, and starts anew with none.
+func (d *deliveryState) takeDue() map[int]*stream {
+	due := d.due
+	d.due = map[int]*stream{}
+	return due
+}
+
+// sendUpdates sends one update for each proxy that the changes concern, urgent ones first, as far as there is capacity.
+// Within each urgency, streams that have waited precede the others.
+func (c *Core) sendUpdates(t *turn, changes *turnChanges) {
+	c.delivery.account.Expire(t.now)
+	c.catchUpUnbound(t.now)
+	urgent, normal := c.sortByUrgency(changes)
+	c.delivery.urgent = c.sendPending(t, c.delivery.urgent, true, changes)
+	c.sendOrEnqueue(t, urgent, true, changes)
+	c.delivery.normal = c.sendPending(t, c.delivery.normal, false, changes)
+	c.sendOrEnqueue(t, normal, false, changes)
+	c.requestMissingAck(t)
+}
+
+// sortByUrgency returns the streams that the changes concern, in the order of their proxies. Those that wait already get the
+// changes added to what waits.
+func (c *Core) sortByUrgency(changes *turnChanges) (urgent, normal []*stream) {
+	for _, proxy := range c.concernedProxies(changes) {
+		s := c.streams.byProxy[proxy]
 		switch {
 		case s == nil:
 		case s.pending != nil:
-			c.enqueue(s, n)
-		case c.isUrgent(s, n.ejections):
+			c.enqueue(s, changes)
+		case c.isUrgent(s, changes.ejections):
 			urgent = append(urgent, s)
 		default:
-			rest = append(rest, s)
+			normal = append(normal, s)
 		}
 	}
-	c.drainQueue(&c.urgentQueue, true, n, now, o)
-	c.sendOrEnqueue(urgent, true, n, now, o)
-	c.drainQueue(&c.normalQueue, false, n, now, o)
-	c.sendOrEnqueue(rest, false, n, now, o)
-	c.requestMissingAck(now, o)
+	return urgent, normal
 }
 
-// ownNonceOffset is half the way round of the nonces that a proxy can answer: the module's last ones are never near.
-const ownNonceOffset, nonceModulus = 1 << 15, 1 << 16
+// concernedProxies returns the proxies that the changes concern or that are due, in order. No others are looked at, as there
+// may be ten thousand of them.
+func (c *Core) concernedProxies(changes *turnChanges) []int {
+	concerned := c.delivery.takeDue()
+	for table := range changes.endpoints {
+		maps.Copy(concerned, c.streams.byTable[table])
+	}
+	for replica := range changes.ejections {
+		for _, table := range c.routing.tablesWith(replica) {
+			maps.Copy(concerned, c.streams.byTable[table])
+		}
+	}
+	for table := range changes.admissions {
+		maps.Copy(concerned, c.streams.reachedBy(table))
+	}
+	return slices.Sorted(maps.Keys(concerned))
+}
 
-// requestMissingAck has a proxy answer a nonce of the core's own when acks are missing and nothing is written: the proxies by
-// turns, as the one that is asked may have vanished.
-func (c *Core) requestMissingAck(now int64, o *TurnResult) {
-	if !c.account.NeedsAckRequest(now) {
-		return
+// isUrgent reports whether an update keeps a proxy away from a replica. A full one does, or the rest of a table whose subset
+// cannot be used: it replaces what the proxy held when it connected, which may name any replica that is ejected.
+func (c *Core) isUrgent(s *stream, ejections map[uint32]bool) bool {
+	if s.binding.needsFull && s.binding.table >= 0 && c.drainGrace > 0 {
+		return true
 	}
-	var owing []int
-	for proxy, s := range c.proxies {
-		if len(s.unacked) > 0 && c.account.UnderMessageCap(proxy, now) {
-			owing = append(owing, proxy)
-		}
+	if c.sendsRest(s, true) {
+		return true
 	}
-	if len(owing) == 0 {
-		return
+	for replica := range ejections {
+		if c.routing.ejected[replica] && !s.delivered.ejections[replica] && c.concerns(s, replica) {
+			return true
+		}
 	}
-	slices.Sort(owing)
-	s := c.proxies[owing[c.ackRequests%uint64(len(owing))]]
-	nonce := (s.unacked[len(s.unacked)-1].nonce + ownNonceOffset) % nonceModulus
-	if s.unacked[len(s.unacked)-1].own {
-		nonce = (s.unacked[len(s.unacked)-1].nonce + 1) % nonceModulus
-	}
-	c.ackRequests++
-	c.Counters.OwnAckRequests++
-	p := Update{WantsAck: true, Nonce: nonce}
-	s.unacked = append(s.unacked, sentMessage{p.Nonce, c.account.Charge(s.opened.Proxy, p.lineCount(), now), true})
-	o.Updates = append(o.Updates, OutgoingUpdate{s.id, p, s.unacked[len(s.unacked)-1].number})
+	return false
 }
 
-// sendOrEnqueue tells streams that wait for nothing of the changes, behind those that wait.
-func (c *Core) sendOrEnqueue(streams []*stream, urgent bool, n *turnChanges, now int64, o *TurnResult) {
-	queue := &c.normalQueue
+// sendOrEnqueue sends streams the changes, or holds them back behind those that wait already.
+func (c *Core) sendOrEnqueue(t *turn, streams []*stream, urgent bool, changes *turnChanges) {
+	queue := &c.delivery.normal
 	if urgent {
-		queue = &c.urgentQueue
+		queue = &c.delivery.urgent
 	}
 	for _, s := range streams {
-		if len(*queue) > 0 || !c.account.Fits(s.opened.Proxy, c.maxLines(s, n, urgent), urgent, now) {
-			c.enqueue(s, n)
+		if len(*queue) > 0 || !c.fits(t, s, urgent, changes) {
+			c.enqueue(s, changes)
 			continue
 		}
-		c.sendUpdate(s, n, urgent, now, o)
+		c.sendUpdate(t, s, urgent, changes)
 	}
 }
 
-// drainQueue writes what has waited, for as long as the channel has room.
-func (c *Core) drainQueue(queue *[]*stream, urgent bool, n *turnChanges, now int64, o *TurnResult) {
-	var stay []*stream
-	for k, s := range *queue {
-		if s.pending == nil || s.pending.urgent != urgent || c.proxies[s.opened.Proxy] != s { // gone already, or in the other queue
+// fits reports whether the next update of a stream is within the channel's budget and the proxy's message cap.
+func (c *Core) fits(t *turn, s *stream, urgent bool, changes *turnChanges) bool {
+	return c.delivery.account.Fits(s.opened.Proxy, c.maxCost(s, changes, urgent), urgent, t.now)
+}
+
+// sendPending sends what a queue holds for as long as the channel has capacity, and returns the streams that go on waiting.
+// One that is at its proxy's message cap holds up nobody else.
+func (c *Core) sendPending(t *turn, queue []*stream, urgent bool, changes *turnChanges) (waiting []*stream) {
+	for k, s := range queue {
+		if s.pending == nil || s.pending.urgent != urgent || !c.streams.isCurrent(s) { // sent by now, or of the other queue
 			continue
 		}
-		if !c.account.HasRoom(urgent) {
-			stay = append(stay, (*queue)[k:]...)
-			break
+		if !c.delivery.account.HasRoom(urgent) {
+			return append(waiting, queue[k:]...)
 		}
-		all := s.pending.merged(n, s.table)
-		if !c.account.Fits(s.opened.Proxy, c.maxLines(s, all, urgent), urgent, now) {
-			stay = append(stay, s)
+		pending := s.pending.forOneStream(s.binding.table, changes)
+		if !c.fits(t, s, urgent, pending) {
+			waiting = append(waiting, s)
 			continue
 		}
 		s.pending = nil
-		c.sendUpdate(s, all, urgent, now, o)
+		c.sendUpdate(t, s, urgent, pending)
 	}
-	*queue = stay
+	return waiting
 }
 
-// isUrgent says whether a message keeps a proxy away from a replica. A whole table, or the first part of one, does: it replaces
-// what the proxy brought, which may name any replica that is ejected.
-func (c *Core) isUrgent(s *stream, ejections map[uint32]bool) bool {
-	if s.needsFull && s.table >= 0 && c.drainGrace > 0 || s.restDue && c.partUnusable(s) {
-		return true
-	}
-	for id := range ejections {
-		if c.ejected[id] && !s.toldEjected[id] && c.concerns(s, id) {
-			return true
-		}
-	}
-	return false
-}
-
-// sendUpdate makes the message of a stream and charges it.
-func (c *Core) sendUpdate(s *stream, n *turnChanges, urgent bool, now int64, o *TurnResult) {
-	p, reached := c.buildUpdate(s, n, urgent)
-	fresh := reached && n.wantsAck
-	if fresh {
-		p.WantsAck, p.Nonce = true, n.nonce
+// sendUpdate builds the update of a stream, charges it and sends it, if it says anything.
+func (c *Core) sendUpdate(t *turn, s *stream, urgent bool, changes *turnChanges) {
+	update, reached := c.buildUpdate(s, changes, urgent)
+	wantsNewAck := reached && changes.wantsAck
+	last := len(s.unacked) - 1
+	switch {
+	case wantsNewAck:
+		update.WantsAck = true
+		update.Nonce = changes.nonce
 		c.Counters.CostRequested++
 		c.Counters.AckRequests++
-	} else if last := len(s.unacked) - 1; p.Resync && last >= 0 { // what asked for it may have been lost
-		p.WantsAck, p.Nonce = true, s.unacked[last].nonce
-	}
-	lines := p.lineCount()
-	if lines > 0 || p.Resync { // an emptied outbox waits for it, whatever there is to say
-		number := c.account.Charge(s.opened.Proxy, lines, now)
-		if fresh { // an answer to a nonce sent once more may be one to its first message, and clears no more than that
-			s.unacked = append(s.unacked, sentMessage{nonce: p.Nonce, number: number})
-			s.unacked = s.unacked[max(0, len(s.unacked)-maxUnacked):]
-			if s.silentSince == 0 {
-				s.silentSince = now
-				c.awaited = append(c.awaited, awaitedAck{s, now})
-			}
-		}
-		o.Updates = append(o.Updates, OutgoingUpdate{s.id, p, number})
+	case update.Resync && last >= 0: // the update that asked for the last ack may have been lost
+		update.WantsAck = true
+		update.Nonce = s.unacked[last].nonce
 	}
-	if c.Counters.CostSent += int64(lines); lines > 0 {
+	units := update.cost()
+	c.Counters.CostSent += int64(units)
+	if units > 0 {
 		c.Counters.Updates++
 	}
+	if units == 0 && !update.Resync { // an outbox that was drained waits for its resync, empty or not
+		return
+	}
+	number := c.delivery.account.Charge(s.opened.Proxy, units, t.now)
+	// A nonce that is sent once more is not entered again: its ack may be to the first message and clears no more than that.
+	if wantsNewAck {
+		s.unacked.add(sentMessage{nonce: update.Nonce, number: number})
+		c.delivery.acks.await(s, t.now)
+	}
+	t.send(s, update, number)
+}
+
+func (t *turn) send(s *stream, update Update, number uint64) {
+	t.result.Updates = append(t.result.Updates, OutgoingUpdate{Stream: s.id, Update: update, Number: number})
 }
 
-// enqueue keeps what the changes mean to a stream until there is room for it.
-func (c *Core) enqueue(s *stream, n *turnChanges) {
+// enqueue holds back what the changes mean to a stream. A stream is in the queue of normal changes from then on, and in the
+// other one once something urgent is among its changes.
+func (c *Core) enqueue(s *stream, changes *turnChanges) {
 	if s.pending == nil {
 		c.Counters.StreamsEnqueued++
-		s.pending = &pendingChanges{endpoints: map[uint32]bool{}, ejections: map[uint32]bool{}}
-		c.normalQueue = append(c.normalQueue, s)
-	}
-	maps.Copy(s.pending.endpoints, n.endpoints[s.table])
-	for id := range n.ejections {
-		if c.concerns(s, id) {
-			s.pending.ejections[id] = true
-		}
+		s.pending = newPendingChanges()
+		c.delivery.normal = append(c.delivery.normal, s)
 	}
+	s.pending.add(changes, s.binding.table, func(replica uint32) bool { return c.concerns(s, replica) })
 	if !s.pending.urgent && c.isUrgent(s, s.pending.ejections) {
 		s.pending.urgent = true
-		c.urgentQueue = append(c.urgentQueue, s)
-	}
-	if n.wantsAck {
-		s.pending.wantsAck, s.pending.nonce = true, n.nonce
+		c.delivery.urgent = append(c.delivery.urgent, s)
 	}
 }
 
-// merged are changes for one stream alone: those that were pending, the last of them among them.
-func (h *pendingChanges) merged(n *turnChanges, table int) *turnChanges {
-	return &turnChanges{endpoints: map[int]map[uint32]bool{table: h.endpoints}, ejections: h.ejections, wantsAck: h.wantsAck, nonce: h.nonce,
-		fullTables: n.fullTables, changedTables: map[int]endpointList{}}
+// The delay after which an unbound proxy is caught up is a fraction of the drain grace, as is the time between two looks.
+const (
+	catchUpDelayFraction    = 2
+	catchUpIntervalFraction = 8
+)
+
+// catchUpUnbound tells streams that have been unbound for a while of everything that is ejected. What a proxy held when it
+// connected may name replicas ejected before, and in a reconnect storm, or if no replica is left for its table, its own
+// table may come too late to say so.
+func (c *Core) catchUpUnbound(now int64) {
+	if c.drainGrace <= 0 || len(c.routing.ejected) == 0 || now-c.delivery.lastCatchUp < c.drainGrace/catchUpIntervalFraction {
+		return
+	}
+	c.delivery.lastCatchUp = now
+	all := &turnChanges{ejections: c.routing.ejected}
+	unboundStreams := c.streams.byTable[unbound]
+	for _, proxy := range slices.Sorted(maps.Keys(unboundStreams)) {
+		s := unboundStreams[proxy]
+		if !s.caughtUp && now-s.unboundSince > c.drainGrace/catchUpDelayFraction {
+			s.caughtUp = true
+			c.enqueue(s, all)
+		}
+	}
 }
--- a/internal/controller/partial_test.go
+++ b/internal/controller/partial_test.go
@@ -9,11 +9,11 @@
 // A stream that has a part of its table hears of what is new of the part alone, and of all else with the rest of the table.
 func TestAPartOfATableAndItsRest(t *testing.T) {
 	steps := []struct {
-		notes  []any
+		notes  []Input
 		orders orders
 		want   string
 	}{
-		{[]any{list(true, "xr", "yr", "zr", "vr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}},
+		{[]Input{list(true, "xr", "yr", "zr", "vr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}},
 			orders{line(0, 1, 1), line(0, 2, 0.5), line(0, 3, 2), line(0, 4, 1),
 				control.BindSubset{Proxy: 4, Replicas: []uint32{2, 1}, Unejected: 1}, control.RequestAck{Nonce: 1}}, "1: full y=0.5 x=1 +y #1"},
 		{nil, orders{line(0, 3, 3), control.RequestAck{Nonce: 2}}, ""},
--- /dev/null
+++ b/internal/controller/restore.go
@@ -0,0 +1,105 @@
+package controller
+
+import (
+	"slices"
+
+	"lilacbend/control"
+	"lilacbend/internal/learnedstate"
+)
+
+// Installation returns what learned state has to fit.
+func (t Topology) Installation() learnedstate.Installation {
+	return learnedstate.Installation{Classes: t.names.Classes, HardwareClasses: t.names.HardwareClasses, Proxies: t.proxies}
+}
+
+// restoredReplicas returns what was learned of the replicas of a list.
+func (c *Core) restoredReplicas(learned *learnedstate.AgedState, entries []control.ListedReplica, now int64) []control.Event {
+	if learned == nil {
+		return nil
+	}
+	var events []control.Event
+	for _, entry := range entries {
+		r := c.replicas.byNumber[entry.Replica]
+		if r == nil || entry.State == control.Gone {
+			continue
+		}
+		last, age, weight := learned.Lookup(r.name, r.zone, r.hardwareClass, r.upSince, now)
+		if weight == 0 {
+			continue
+		}
+		c.Counters.ReplicasRestored++
+		events = append(events, control.ReplicaRestored{
+			LearnedReplica: learnedReplica(entry.Replica, last),
+			Weight:         weight,
+			Age:            age,
+		})
+	}
+	return events
+}
+
+// learnedReplica returns what was learned of a replica under its present number.
+func learnedReplica(number uint32, r learnedstate.Replica) control.LearnedReplica {
+	return control.LearnedReplica{
+		Replica:         number,
+		Table:           r.Table,
+		PlacementKey:    r.PlacementKey,
+		Speed:           r.Speed,
+		SampleCount:     r.SampleCount,
+		EjectedFor:      r.EjectedFor,
+		Probation:       r.Probation,
+		Ejections:       r.Ejections,
+		SinceLastSample: r.SinceLastSample,
+	}
+}
+
+// restoredFleet returns what was learned of the fleet as a whole; none if nothing of it counts any more.
+func (c *Core) restoredFleet(learned *learnedstate.AgedState, now int64) []control.Event {
+	if learned == nil {
+		return nil
+	}
+	weight := learned.Weight(now)
+	if weight == 0 {
+		return nil
+	}
+	fleet := control.LearnedFleet{
+		Tables:                learned.Tables,
+		Bindings:              learned.Bindings,
+		BaselineResponseTimes: c.restoredResponseTimes(learned.BaselineResponseTimes),
+		RequestRates:          c.restoredRequestRates(learned.RequestRates),
+		AdmissionThreshold:    learned.AdmissionThreshold,
+		MaxSuccessRate:        learned.MaxSuccessRate,
+		RetriesStopped:        learned.RetriesStopped,
+	}
+	return []control.Event{control.FleetRestored{LearnedFleet: fleet, Weight: weight}}
+}
+
+func (c *Core) restoredResponseTimes(learned []learnedstate.ResponseTimes) [][]float64 {
+	baselines := make([][]float64, c.hardwareClasses+1)
+	for _, r := range learned {
+		class := c.baselineIndex(r.HardwareClass)
+		if class >= 0 {
+			baselines[class] = r.Times
+		}
+	}
+	return baselines
+}
+
+func (c *Core) restoredRequestRates(learned []learnedstate.RequestRate) []control.ClassRate {
+	var rates []control.ClassRate
+	for _, r := range learned {
+		class := slices.Index(c.names.Classes, r.Class)
+		if class >= 0 {
+			rates = append(rates, control.ClassRate{Proxy: r.Proxy, Class: class, Rate: r.Rate})
+		}
+	}
+	return rates
+}
+
+// baselineIndex returns the index of a hardware class in control.LearnedFleet.BaselineResponseTimes; below 0: there is none
+// of this name. All together have the last index and no name.
+func (t Topology) baselineIndex(name string) int {
+	if name == "" {
+		return t.hardwareClasses
+	}
+	return slices.Index(t.names.HardwareClasses, name)
+}
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -3,146 +3,179 @@
 import (
 	"slices"
 	"strings"
+	"time"
 
 	"lilacbend/control"
 	"lilacbend/internal/learnedstate"
 )
 
-// This file turns what the module has learned into a memory by names, and a memory into what a module is told.
-
-// defaultSnapshotInterval is how often the module is asked what it has learned where nothing else is said: a fresh module
-// after a panic starts from there, and a few seconds cost it little of what it knows.
-const defaultSnapshotInterval = int64(5 * 1e9)
+const (
+	// defaultSnapshotInterval is how often the module is asked for a snapshot, in nanoseconds. A new module starts from the last
+	// one after a panic, and a few seconds cost it little of what was learned.
+	defaultSnapshotInterval = int64(5 * time.Second)
+	// defaultHalfLife is the time after which learned state counts half, in nanoseconds: most faults of a replica pass within
+	// minutes.
+	defaultHalfLife = int64(time.Minute)
+	// settleTime is for how long a controller that began from a snapshot leaves that one in place, in nanoseconds: until its
+	// proxies have connected and have reported for a while, a snapshot of its own would hold less. A controller that is
+	// restarted again and again goes on from the last complete one, at its true age.
+	settleTime = int64(10 * time.Second)
+)
 
-// settleTime is for how long a governor that began from a memory leaves that one in place: until its proxies have
-// joined and a span of their requests has come, what it could say instead would know less. One that is killed again and
-// again then goes on from the last whole one, at its true age.
-const settleTime = int64(10 * 1e9)
+// snapshotState says when the module is asked for what it has learned, and holds what it starts from.
+type snapshotState struct {
+	interval    int64
+	halfLife    int64
+	restored    *learnedstate.AgedState // of an earlier controller; nil: there is none
+	last        *learnedstate.AgedState // the last that a module here has returned
+	requestedAt int64                   // 0: never
+	settledAt   int64                   // before that a snapshot would hold less than restored
+}
 
-// defaultHalfLife is that of what was learned where nothing else is said: most troubles of a replica pass in minutes.
-const defaultHalfLife = int64(60 * 1e9)
+func newSnapshotState() snapshotState {
+	return snapshotState{interval: defaultSnapshotInterval, halfLife: defaultHalfLife}
+}
 
-// SnapshotRestored is an input: what an earlier governor had learned, fitted to this place. It comes before the first list.
-type SnapshotRestored struct{ Snapshot *learnedstate.AgedState }
+// due reports whether the module is to be asked for a snapshot with this turn.
+func (s *snapshotState) due(now int64) bool {
+	if s.requestedAt == 0 {
+		s.requestedAt = now
+		if s.restored != nil {
+			s.requestedAt = now + max(0, settleTime-s.interval)
+			s.settledAt = now + settleTime
+		}
+	}
+	if now-s.requestedAt < s.interval {
+		return false
+	}
+	s.requestedAt = now
+	return true
+}
 
-// Installation is what a memory has to fit.
-func (c Topology) Installation() learnedstate.Installation {
-	return learnedstate.Installation{Classes: c.names.Classes, HardwareClasses: c.names.HardwareClasses, Proxies: c.proxies}
+// lastLearned returns what a new module starts from: the last snapshot taken here, else the one of an earlier controller.
+func (s *snapshotState) lastLearned() *learnedstate.AgedState {
+	if s.last != nil {
+		return s.last
+	}
+	return s.restored
 }
 
-// SetSnapshotPolicy has the module asked for what it has learned every so long; halfLife is that of what is learned.
-func (c *Core) SetSnapshotPolicy(every, halfLife int64) {
-	c.snapshotInterval, c.halfLife = every, halfLife
+// discard drops all learned state.
+func (s *snapshotState) discard() {
+	s.last = nil
+	s.restored = nil
 }
 
-// lastLearned is what a fresh module is told: what its predecessor here had learned, or what was brought.
-func (c *Core) lastLearned() *learnedstate.AgedState {
-	if c.lastSnapshot != nil {
-		return c.lastSnapshot
-	}
-	return c.restored
+// SetSnapshotPolicy sets how often the module is asked for a snapshot and the half-life of learned state, both in nanoseconds.
+func (c *Core) SetSnapshotPolicy(interval, halfLife int64) {
+	c.snapshots.interval = interval
+	c.snapshots.halfLife = halfLife
 }
 
-// restoredReplicas tells what is known of the replicas of a list.
-func (c *Core) restoredReplicas(past *learnedstate.AgedState, entries []control.ListedReplica, now int64) (all []control.Event) {
-	if past == nil {
+// FinalSnapshot asks the module for a snapshot before the controller ends; nil: it fails, or would hold less than what the
+// controller began from.
+func (c *Core) FinalSnapshot(now int64) *learnedstate.State {
+	if now < c.snapshots.settledAt {
 		return nil
 	}
-	for _, e := range entries {
-		m := c.replicas.known[e.Replica]
-		if m == nil || e.State == control.Gone {
-			continue
-		}
-		r, age, weight := past.Lookup(m.name, m.zone, m.kind, m.upSince, now)
-		if weight == 0 {
-			continue
-		}
-		c.Counters.ReplicasRestored++
-		all = append(all, control.ReplicaRestored{Weight: weight, Age: age, LearnedReplica: control.LearnedReplica{Replica: e.Replica, Table: r.Table,
-			PlacementKey: r.PlacementKey, Speed: r.Speed, SampleCount: r.SampleCount, EjectedFor: r.EjectedFor, Probation: r.Probation, Ejections: r.Ejections, SinceLastSample: r.SinceLastSample}})
-	}
-	return all
+	c.snapshots.requestedAt = now - c.snapshots.interval
+	return c.Turn(now, nil).Snapshot
 }
 
-// restoredFleet tells what is known of all together.
-func (c *Core) restoredFleet(past *learnedstate.AgedState, now int64) []control.Event {
-	if past == nil || past.Weight(now) == 0 {
-		return nil
-	}
-	f := control.LearnedFleet{Tables: past.Tables, Bindings: past.Bindings, AdmissionThreshold: past.AdmissionThreshold, MaxSuccessRate: past.MaxSuccessRate, RetriesStopped: past.RetriesStopped,
-		BaselineResponseTimes: make([][]float64, c.kinds+1)}
-	for _, calm := range past.BaselineResponseTimes {
-		if k := c.kindIndex(calm.HardwareClass); k >= 0 {
-			f.BaselineResponseTimes[k] = calm.Times
-		}
-	}
-	for _, u := range past.RequestRates {
-		if g := slices.Index(c.names.Classes, u.Class); g >= 0 {
-			f.RequestRates = append(f.RequestRates, control.ClassRate{Proxy: u.Proxy, Class: g, Rate: u.Rate})
+// ListFromSnapshot returns the listed replicas of a snapshot as an endpoint list, for a start at which discovery may not
+// answer.
+func ListFromSnapshot(state learnedstate.State) ReplicaList {
+	list := ReplicaList{Revision: state.Revision, Complete: true}
+	for _, r := range state.Replicas {
+		if r.State == control.Gone {
+			continue
 		}
+		list.Members = append(list.Members, Member{
+			ID:            r.ID,
+			Zone:          r.Zone,
+			HardwareClass: r.HardwareClass,
+			State:         r.State,
+			Weight:        r.Weight,
+			UpSince:       r.UpSince,
+		})
 	}
-	return []control.Event{control.FleetRestored{LearnedFleet: f, Weight: past.Weight(now)}}
+	return list
 }
 
-// kindIndex is the number of a kind in the order of LearnedFleet.UsualResponseTimes, below 0 where there is no such kind.
-func (c Topology) kindIndex(name string) int {
-	if name == "" {
-		return c.kinds
+// snapshot returns by names what the module has learned, together with what an earlier controller had learned of replicas
+// that are not listed now, and keeps it for a new module.
+func (c *Core) snapshot(learned control.Snapshot, now int64) learnedstate.State {
+	state := learnedstate.State{
+		Revision:              c.replicas.revision,
+		Classes:               c.names.Classes,
+		Replicas:              c.snapshotReplicas(learned.Replicas),
+		BaselineResponseTimes: c.snapshotResponseTimes(learned.BaselineResponseTimes),
+		RequestRates:          c.snapshotRequestRates(learned.RequestRates),
+		Bindings:              learned.Bindings,
+		Tables:                learned.Tables,
+		AdmissionThreshold:    learned.AdmissionThreshold,
+		MaxSuccessRate:        learned.MaxSuccessRate,
+		RetriesStopped:        learned.RetriesStopped,
 	}
-	return slices.Index(c.names.HardwareClasses, name)
+	if c.snapshots.restored != nil {
+		state = learnedstate.Merge(state, c.snapshots.restored.State, c.snapshots.restored.Age(now), c.snapshots.halfLife)
+	}
+	c.snapshots.last = learnedstate.NewAgedState(state, now, 0, c.snapshots.halfLife)
+	return state
 }
 
-// snapshot turns what the module has learned into a memory, adds what was brought of replicas that are not
-// listed, and keeps it for a fresh module.
-func (c *Core) snapshot(l control.Snapshot, now int64) learnedstate.State {
-	m := learnedstate.State{Revision: c.revision, Classes: c.names.Classes, Tables: l.Tables, Bindings: l.Bindings, AdmissionThreshold: l.AdmissionThreshold,
-		MaxSuccessRate: l.MaxSuccessRate, RetriesStopped: l.RetriesStopped}
-	for _, k := range l.Replicas {
-		r := c.replicas.known[k.Replica]
+// snapshotReplicas returns what was learned of the listed replicas, in the order of their names.
+func (c *Core) snapshotReplicas(learned []control.LearnedReplica) []learnedstate.Replica {
+	var replicas []learnedstate.Replica
+	for _, l := range learned {
+		r := c.replicas.byNumber[l.Replica]
 		if r == nil || r.State == control.Gone {
 			continue
 		}
-		m.Replicas = append(m.Replicas, learnedstate.Replica{ID: r.name, Zone: r.zone, HardwareClass: r.kind, UpSince: r.upSince, State: r.State,
-			Weight: r.Weight, Speed: k.Speed, SampleCount: k.SampleCount, PlacementKey: k.PlacementKey, Table: k.Table, EjectedFor: k.EjectedFor, Probation: k.Probation,
-			Ejections: k.Ejections, SinceLastSample: k.SinceLastSample})
-	}
-	slices.SortFunc(m.Replicas, func(a, b learnedstate.Replica) int { return strings.Compare(a.ID, b.ID) })
-	for k, answers := range l.BaselineResponseTimes {
-		if len(answers) > 0 && k == c.kinds {
-			m.BaselineResponseTimes = append(m.BaselineResponseTimes, learnedstate.ResponseTimes{Times: answers})
-		} else if len(answers) > 0 && k < len(c.names.HardwareClasses) {
-			m.BaselineResponseTimes = append(m.BaselineResponseTimes, learnedstate.ResponseTimes{HardwareClass: c.names.HardwareClasses[k], Times: answers})
-		}
-	}
-	for _, u := range l.RequestRates {
-		if u.Class >= 0 && u.Class < len(c.names.Classes) {
-			m.RequestRates = append(m.RequestRates, learnedstate.RequestRate{Proxy: u.Proxy, Class: c.names.Classes[u.Class], Rate: u.Rate})
-		}
-	}
-	if c.restored != nil {
-		m = learnedstate.Merge(m, c.restored.State, c.restored.Age(now), c.halfLife)
+		replicas = append(replicas, learnedstate.Replica{
+			ID:              r.name,
+			Zone:            r.zone,
+			HardwareClass:   r.hardwareClass,
+			UpSince:         r.upSince,
+			State:           r.State,
+			Weight:          r.Weight,
+			Speed:           l.Speed,
+			SampleCount:     l.SampleCount,
+			PlacementKey:    l.PlacementKey,
+			Table:           l.Table,
+			EjectedFor:      l.EjectedFor,
+			Probation:       l.Probation,
+			Ejections:       l.Ejections,
+			SinceLastSample: l.SinceLastSample,
+		})
 	}
-	c.lastSnapshot = learnedstate.NewAgedState(m, now, 0, c.halfLife)
-	return m
+	slices.SortFunc(replicas, func(a, b learnedstate.Replica) int { return strings.Compare(a.ID, b.ID) })
+	return replicas
 }
 
-// ListFromSnapshot makes a list of the members of a memory, for a start at which discovery may not answer.
-func ListFromSnapshot(m learnedstate.State) ReplicaList {
-	l := ReplicaList{Revision: m.Revision, Complete: true}
-	for _, r := range m.Replicas {
-		if r.State != control.Gone {
-			l.Members = append(l.Members, Member{ID: r.ID, Zone: r.Zone, HardwareClass: r.HardwareClass, State: r.State, Weight: r.Weight, UpSince: r.UpSince})
+// snapshotResponseTimes returns the baselines by the names of the hardware classes. The last one is of all together and has
+// no name.
+func (c *Core) snapshotResponseTimes(baselines [][]float64) []learnedstate.ResponseTimes {
+	var responseTimes []learnedstate.ResponseTimes
+	for class, times := range baselines {
+		switch {
+		case len(times) == 0:
+		case class == c.hardwareClasses:
+			responseTimes = append(responseTimes, learnedstate.ResponseTimes{Times: times})
+		case class < len(c.names.HardwareClasses):
+			name := c.names.HardwareClasses[class]
+			responseTimes = append(responseTimes, learnedstate.ResponseTimes{HardwareClass: name, Times: times})
 		}
 	}
-	return l
+	return responseTimes
 }
 
-// FinalSnapshot is what the module has learned, asked for once more at the end; nil where it fails, or knows less than what
-// it began from.
-func (c *Core) FinalSnapshot(now int64) *learnedstate.State {
-	if now < c.settledAt {
-		return nil
+func (c *Core) snapshotRequestRates(learned []control.ClassRate) []learnedstate.RequestRate {
+	var rates []learnedstate.RequestRate
+	for _, r := range learned {
+		if r.Class >= 0 && r.Class < len(c.names.Classes) {
+			rates = append(rates, learnedstate.RequestRate{Proxy: r.Proxy, Class: c.names.Classes[r.Class], Rate: r.Rate})
+		}
 	}
-	c.snapshotRequestedAt = now - c.snapshotInterval
-	return c.Turn(now, nil).Snapshot
+	return rates
 }
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -21,7 +21,7 @@
 
 func remembering(turns ...[]control.Command) (*Core, *script) {
 	c, s := core(turns...)
-	c.kinds = 3 // two named, and one for all others
+	c.hardwareClasses = 3 // two named, and one for all others
 	return c, s
 }
 
@@ -40,24 +40,24 @@
 func TestWhatWasBroughtIsToldOnceAReplicaIsListed(t *testing.T) {
 	c, s := remembering()
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9, Table: 1}
-	c.Turn(100e9, []any{SnapshotRestored{past(100e9, defaultHalfLife, x)}, list(true, "yr")})
+	c.Turn(100e9, []Input{SnapshotRestored{past(100e9, defaultHalfLife, x)}, list(true, "yr")})
 	all, fleet := recalledIn(s.told)
 	if _, first := s.told[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
 		!reflect.DeepEqual(fleet[0].BaselineResponseTimes, [][]float64{nil, {0.1}, nil, {0.2}}) || !reflect.DeepEqual(fleet[0].RequestRates, []control.ClassRate{{Proxy: 4, Class: 1, Rate: 3}}) {
 		t.Errorf("told %+v", s.told)
 	}
-	c.Turn(100e9+defaultHalfLife, []any{list(false, "xr")}) // ages meanwhile
+	c.Turn(100e9+defaultHalfLife, []Input{list(false, "xr")}) // ages meanwhile
 	all, _ = recalledIn(s.told)
 	want := []control.ReplicaRestored{{LearnedReplica: control.LearnedReplica{Replica: 2, Speed: 0.5, SampleCount: 9, Table: 1}, Weight: 0.25, Age: 2 * defaultHalfLife}}
 	if !reflect.DeepEqual(all, want) {
 		t.Errorf("told %+v", s.told)
 	}
 	again := list(false, "xt")
-	if c.Turn(100e9+defaultHalfLife, []any{again}); len(s.told) != 1 {
+	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(s.told) != 1 {
 		t.Errorf("told once more: %+v", s.told)
 	}
 	again.Members[0].UpSince = 999e9 // it has started since
-	if c.Turn(100e9+defaultHalfLife, []any{again}); len(s.told) != 1 || c.Counters.ReplicasRestored != 1 {
+	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(s.told) != 1 || c.Counters.ReplicasRestored != 1 {
 		t.Errorf("another start is taken for the remembered one: %+v", s.told)
 	}
 }
@@ -66,7 +66,7 @@
 	c, s := remembering(nil, nil, learned(0.25), panics)
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
 	z := learnedstate.Replica{ID: "z", Zone: "b", HardwareClass: "m2", Speed: 4, SampleCount: 9}
-	c.Turn(100e9, []any{SnapshotRestored{past(100e9, 0, x, z)}, list(true, "xr", "yr")})
+	c.Turn(100e9, []Input{SnapshotRestored{past(100e9, 0, x, z)}, list(true, "xr", "yr")})
 	if o := c.Turn(100e9+defaultSnapshotInterval, nil); o.Snapshot != nil || c.FinalSnapshot(100e9+settleTime-1) != nil {
 		t.Error("what was brought is overwritten by one who knows less")
 	}
@@ -86,7 +86,7 @@
 func TestAModuleThatFailsByWhatItIsToldStartsBare(t *testing.T) {
 	c, s := remembering(nil, panics, panics, nil)
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
-	c.Turn(100e9, []any{SnapshotRestored{past(100e9, 0, x)}, list(true, "xr")})
+	c.Turn(100e9, []Input{SnapshotRestored{past(100e9, 0, x)}, list(true, "xr")})
 	o := c.Turn(101e9, nil)
 	if all, fleet := recalledIn(s.told); len(all)+len(fleet) != 0 || len(s.told) != 1 || c.Counters.RestartsWithoutState != 1 || o.NextTurn != 0 {
 		t.Errorf("told %+v, %d bare, due %d", s.told, c.Counters.RestartsWithoutState, o.NextTurn)
--- a/internal/controller/topology.go
+++ b/internal/controller/topology.go
@@ -3,83 +3,123 @@
 import (
 	"fmt"
 	"slices"
+	"time"
 
 	"lilacbend/control"
 	"lilacbend/internal/sendbudget"
 	"lilacbend/settings"
 )
 
+// Reports whose figures are beyond these bounds are malformed. No setting bounds counts or rates: the bounds are far above
+// what one machine sends, and below what a sum of thousands could overflow by.
 const (
-	// Sums wait while their counters cannot be reached. What tells of a longer time than any such outage, and than
-	// some reports, or of more than any proxy can send in it, was spoilt on the way. No setting bounds counts or rates: these
-	// are far over what one machine sends, and under what a sum of thousands could overflow by.
-	maxReportPeriod, maxReportIntervals = int64(600 * 1e9), 4
-	maxReportCount, maxRequestRate      = 1 << 24, 1e6
-	// A channel may be slower than stated, and a proxy or a governor may stand still: so many times, for so long.
-	channelSlowdown, maxStall = 5, int64(2 * 1e9)
-	// Good answers come before the client gives up, and sums carry some noise.
+	// maxReportPeriod is the longest period of a report, in nanoseconds, unless reports come more seldom: sums wait while the
+	// controllers cannot be reached, and no outage that they wait for is longer.
+	maxReportPeriod = int64(600 * time.Second)
+	// maxReportIntervals is how many report intervals a report may cover where that is more.
+	maxReportIntervals = 4
+	// maxReportCount is the largest count of requests or attempts.
+	maxReportCount = 1 << 24
+	// maxRequestRate is the largest forecast of a proxy's requests a second.
+	maxRequestRate = 1e6
+	// maxTimeouts is the longest mean response time in timeouts: successful responses come before the client gives up, and
+	// sums carry some noise.
 	maxTimeouts = 4
 )
 
-// Topology says which proxies, zones and traffic classes there are, and which figures can be. It changes with the settings, as a whole.
+const (
+	// minSilenceTimeout is the shortest time, in nanoseconds, after which a proxy that owes an ack and is silent is reported as
+	// disconnected.
+	minSilenceTimeout = int64(10 * time.Second)
+	// channelSlowdown is how many times slower than stated the channel may be before proxies count as silent.
+	channelSlowdown = 5
+	// maxStall is how long a proxy or a controller may stand still, in nanoseconds, before the same.
+	maxStall = int64(2 * time.Second)
+)
+
+// Topology says which proxies, zones, hardware classes and traffic classes there are, and which figures are possible. It is a
+// value: settings that change replace it as a whole.
 type Topology struct {
 	names           settings.Names
 	proxies         int
-	kinds           int   // of the settings, those that it does not name among them
-	maxResponseTime int64 // the longest mean time that can be
-	maxPeriod       int64 // the longest time that sums can tell of
+	hardwareClasses int   // those of the settings, and one for all that they do not name
+	maxResponseTime int64 // the longest possible mean
+	maxPeriod       int64 // the longest possible period of a report
 	drainGrace      int64
-	silenceTimeout  int64 // in which who owes an answer gives it, unless it has vanished
+	silenceTimeout  int64 // within which a proxy that owes an ack gives it, unless it has vanished
 	bounds          sendbudget.Bounds
-
-	admission      control.AdmissionMode
-	defaultRetries control.RetryPolicy // what proxies do by themselves
-	former         []string            // zones that have left the settings while the governor runs
+	admission       control.AdmissionMode
+	defaultRetries  control.RetryPolicy // what proxies do unless told otherwise
+	formerZones     []string            // that have left the settings since the controller started
 }
 
-// NewTopology makes a topology of what the settings name.
-func NewTopology(names settings.Names, p control.Settings) Topology {
-	c := Topology{names: names, proxies: p.Proxies, kinds: p.HardwareClasses, drainGrace: p.DrainGrace,
-		maxPeriod: max(maxReportPeriod, maxReportIntervals*p.ReportInterval), bounds: sendbudget.Bounds{ChannelLimit: p.ChannelLimit, ChannelRate: p.ChannelRate,
-			MessageOverhead: p.MessageOverhead, MaxMessages: p.MaxMessages, MessageWindow: p.MessageWindow, MaxTransit: p.MaxTransit, DrainGrace: p.DrainGrace},
-		admission: p.Admission, defaultRetries: p.DefaultRetries}
-	c.silenceTimeout = minSilenceTimeout
-	if p.ChannelRate > 0 { // told as left sooner, all of a fleet would join anew by a channel that is full, and fill it again
-		full := int64(float64(p.ChannelLimit) / p.ChannelRate * 1e9)
-		c.silenceTimeout = max(c.silenceTimeout, channelSlowdown*full+2*p.MaxTransit+maxStall)
+// NewTopology returns the topology of some settings.
+func NewTopology(names settings.Names, s control.Settings) Topology {
+	t := Topology{
+		names:           names,
+		proxies:         s.Proxies,
+		hardwareClasses: s.HardwareClasses,
+		maxPeriod:       max(maxReportPeriod, maxReportIntervals*s.ReportInterval),
+		drainGrace:      s.DrainGrace,
+		silenceTimeout:  silenceTimeout(s),
+		bounds: sendbudget.Bounds{
+			ChannelLimit:    s.ChannelLimit,
+			ChannelRate:     s.ChannelRate,
+			MessageOverhead: s.MessageOverhead,
+			MaxMessages:     s.MaxMessages,
+			MessageWindow:   s.MessageWindow,
+			MaxTransit:      s.MaxTransit,
+			DrainGrace:      s.DrainGrace,
+		},
+		admission:      s.Admission,
+		defaultRetries: s.DefaultRetries,
+	}
+	for _, class := range s.Classes {
+		t.maxResponseTime = max(t.maxResponseTime, maxTimeouts*class.Timeout)
 	}
-	for _, g := range p.Classes {
-		c.maxResponseTime = max(c.maxResponseTime, maxTimeouts*g.Timeout)
+	return t
+}
+
+// silenceTimeout returns how long a full and slow channel takes together with a stall, at least minSilenceTimeout. A shorter
+// one would report a fleet as disconnected whose updates wait in the channel, and binding it anew would fill that again.
+func silenceTimeout(s control.Settings) int64 {
+	if s.ChannelRate <= 0 {
+		return minSilenceTimeout
 	}
-	return c
+	drainTime := int64(float64(s.ChannelLimit) / s.ChannelRate * float64(time.Second))
+	return max(minSilenceTimeout, channelSlowdown*drainTime+2*s.MaxTransit+maxStall)
 }
 
-// CheckCollector says what is wrong with a collector of a zone.
-func (c Topology) CheckCollector(zone string) error {
-	if !c.hasZone(zone) {
+// CheckCollector returns an error if a collector cannot be of a zone.
+func (t Topology) CheckCollector(zone string) error {
+	if !t.hasZone(zone) {
 		return fmt.Errorf("no zone %.40q", zone)
 	}
 	return nil
 }
 
-// hasZone says whether there is such a zone. Where the settings name none all are in one, whatever peers call it.
-func (c Topology) hasZone(name string) bool {
-	return len(c.names.Zones) == 0 || slices.Contains(c.names.Zones, name)
+// CheckProxy returns an error if a proxy cannot connect as it says.
+func (t Topology) CheckProxy(opened StreamOpened) error {
+	if opened.Proxy < 0 || opened.Proxy >= t.proxies || opened.Rate > maxRequestRate {
+		return fmt.Errorf("no proxy %d of rate %v", opened.Proxy, opened.Rate)
+	}
+	return t.CheckCollector(opened.Zone)
 }
 
-// CheckProxy says what is wrong with a joining.
-func (c Topology) CheckProxy(h StreamOpened) error {
-	if h.Proxy < 0 || h.Proxy >= c.proxies || h.Rate > maxRequestRate {
-		return fmt.Errorf("no proxy %d of rate %v", h.Proxy, h.Rate)
-	}
-	return c.CheckCollector(h.Zone)
+// hasZone reports whether there is a zone. Where the settings name none, all are in one, whatever peers call it.
+func (t Topology) hasZone(name string) bool {
+	return len(t.names.Zones) == 0 || slices.Contains(t.names.Zones, name)
 }
 
-func (c Topology) validOutcomes(m Outcomes) bool {
-	return (c.hasZone(m.Zone) || slices.Contains(c.former, m.Zone)) && m.Attempts <= maxReportCount && m.Failures <= m.Attempts &&
-		m.ResponseTime <= c.maxResponseTime && m.Period <= c.maxPeriod
+// validOutcomes reports whether the figures of a report are possible. Proxies of a former zone may still be connected.
+func (t Topology) validOutcomes(o Outcomes) bool {
+	if !t.hasZone(o.Zone) && !slices.Contains(t.formerZones, o.Zone) {
+		return false
+	}
+	return o.Attempts <= maxReportCount && o.Failures <= o.Attempts && o.ResponseTime <= t.maxResponseTime && o.Period <= t.maxPeriod
 }
 
-func (c Topology) validDemand(d Demand) bool {
-	return d.Requests <= maxReportCount && d.Failures <= maxReportCount && d.Period <= c.maxPeriod
+// validDemand reports whether the figures of a report are possible.
+func (t Topology) validDemand(d Demand) bool {
+	return d.Requests <= maxReportCount && d.Failures <= maxReportCount && d.Period <= t.maxPeriod
 }
--- a/internal/controller/update.go
+++ b/internal/controller/update.go
@@ -7,179 +7,199 @@
 	"lilacbend/control"
 )
 
-// This file builds the update of one proxy.
-
-// concerns says whether an ejection concerns the stream: what an unbound proxy brought with it is not known.
-func (c *Core) concerns(s *stream, id uint32) bool {
-	_, has := c.tables[s.table][id]
-	return has && (s.partial == nil || s.partial[id]) || s.table < 0
+// concerns reports whether an ejection concerns a stream: the replica is in what the stream has of its table, or the stream
+// is bound to none, so that what its proxy holds is not known.
+func (c *Core) concerns(s *stream, replica uint32) bool {
+	if s.binding.table < 0 {
+		return true
+	}
+	if _, listed := c.routing.tables[s.binding.table][replica]; !listed {
+		return false
+	}
+	return s.binding.subset == nil || s.binding.subset.replicas[replica]
 }
 
-// maxLines is how many lines the next message of a stream could have: all admissions go with some.
-func (c *Core) maxLines(s *stream, n *turnChanges, urgent bool) int {
-	heads := 1 + len(c.names.Classes) + 1
-	if s.needsFull && s.partial != nil {
-		return heads + len(s.partial) + s.restoredCount
+// maxCost returns the most cost units that the next update of a stream can have. All admissions count, as they may go with
+// any update.
+func (c *Core) maxCost(s *stream, changes *turnChanges, urgent bool) int {
+	fixed := 1 + len(c.names.Classes) + 1 // full, an admission for each class, and the ack request
+	part := s.binding.subset
+	if s.binding.needsFull && part != nil {
+		return fixed + len(part.replicas) + part.confirmed
 	}
-	return heads + c.maxEndpointLines(s, n, urgent) + c.maxEjectionLines(s, n) + len(s.lifted)
+	return fixed + c.maxEndpointCost(s, changes, urgent) + c.maxEjectionCost(s, changes) + len(s.delivered.lifted)
 }
 
-// maxEndpointLines counts the endpoints of the next message, with those lines that say whether one is ejected.
-func (c *Core) maxEndpointLines(s *stream, n *turnChanges, urgent bool) int {
-	changed := n.endpoints[s.table]
-	count := len(changed)
-	if s.needsFull || c.sendsRest(s, urgent) {
-		count = len(c.tables[s.table])
-		for id := range c.tables[s.table] {
-			count += c.ejectionLines(s, id)
+// maxEndpointCost counts the endpoints of the next update, and with each whether it is ejected.
+func (c *Core) maxEndpointCost(s *stream, changes *turnChanges, urgent bool) int {
+	changed := changes.endpoints[s.binding.table]
+	units := len(changed)
+	if s.binding.needsFull || c.sendsRest(s, urgent) {
+		table := c.routing.tables[s.binding.table]
+		units = len(table)
+		for replica := range table {
+			units += c.ejectionCost(s, replica)
 		}
 	}
-	if s.needsFull {
-		return count
+	if s.binding.needsFull {
+		return units
 	}
-	for id := range changed {
-		count += c.ejectionLines(s, id)
+	for replica := range changed {
+		units += c.ejectionCost(s, replica)
 	}
-	return count
+	return units
 }
 
-// maxEjectionLines counts the lines that say whether a replica is ejected, beside those of the endpoints.
-func (c *Core) maxEjectionLines(s *stream, n *turnChanges) int {
-	ejections := n.ejections
-	if s.needsFull && s.table < 0 {
-		ejections = c.ejected
+// maxEjectionCost counts the ejections of the next update that do not go with an endpoint.
+func (c *Core) maxEjectionCost(s *stream, changes *turnChanges) int {
+	ejections := changes.ejections
+	if s.binding.needsFull && s.binding.table < 0 {
+		ejections = c.routing.ejected
 	}
-	count := 0
-	for id := range ejections {
-		if _, counted := n.endpoints[s.table][id]; !counted || s.needsFull {
-			count += c.ejectionLines(s, id)
+	units := 0
+	for replica := range ejections {
+		if _, counted := changes.endpoints[s.binding.table][replica]; !counted || s.binding.needsFull {
+			units += c.ejectionCost(s, replica)
 		}
 	}
-	return count
+	return units
 }
 
-// ejectionLines is 1 if a proxy has to be told whether a replica is ejected, as it may hold otherwise, else 0.
-func (c *Core) ejectionLines(s *stream, id uint32) int {
-	toldEjected, told := s.toldEjected[id]
-	if c.ejected[id] != toldEjected || !told && !s.blank {
+// ejectionCost is 1 if the proxy has to be told whether a replica is ejected, as it may hold otherwise, else 0.
+func (c *Core) ejectionCost(s *stream, replica uint32) int {
+	if s.delivered.mayDiffer(replica, c.routing.ejected[replica]) {
 		return 1
 	}
 	return 0
 }
 
-// lineCount counts as the proxies' channel does.
-func (p Update) lineCount() int {
-	lines := len(p.Endpoints) + len(p.Ejected) + len(p.Restored) + len(p.Admissions)
-	if p.Full {
-		lines++
-	}
-	if p.WantsAck {
-		lines++
-	}
-	return lines
-}
-
-// buildUpdate builds the update of a stream, and returns whether the turn's commands reach the stream. An urgent one leaves out
-// the rest of a table that the stream has a part of, unless nothing else is left to it.
-func (c *Core) buildUpdate(s *stream, n *turnChanges, urgent bool) (u Update, reached bool) {
-	needsFull := s.needsFull
-	s.needsFull = false
-	u.Full = needsFull && s.table >= 0
-	u.Resync = s.needsResync
-	s.needsResync = false
-	if u.Full {
+// buildUpdate builds the next update of a stream and records what it says as delivered. It reports whether the turn's
+// commands reach the stream, even if the update says nothing. An urgent update leaves out the rest of a table that the
+// stream has a subset of, unless nothing of the subset can be used.
+func (c *Core) buildUpdate(s *stream, changes *turnChanges, urgent bool) (update Update, reached bool) {
+	needsFull := s.binding.needsFull
+	s.binding.needsFull = false
+	update.Full = needsFull && s.binding.table >= 0
+	update.Resync = s.binding.needsResync
+	s.binding.needsResync = false
+	if update.Full {
 		c.Counters.FullTables++
-		s.toldAdmissions = map[int]Admission{}
+		s.delivered.admissions = map[int]Admission{}
 	}
-	c.addEndpoints(s, c.endpointsDue(s, n, u.Full, urgent), &u)
-	if !u.Full { // a full one replaces the table and all admissions
-		ejections := n.ejections
-		if needsFull { // its messages were lost while it was bound to nothing
-			ejections = c.ejected
+	c.addEndpoints(s, c.dueEndpoints(s, changes, update.Full, urgent), &update)
+	if !update.Full { // a full update has the ejections of its table and replaces all admissions
+		ejections := changes.ejections
+		if needsFull { // the updates that were lost went to a proxy bound to no table
+			ejections = c.routing.ejected
 		}
-		reached = c.addEjections(s, ejections, &u)
-		u.Admissions = append(u.Admissions, s.lifted...)
+		reached = c.addEjections(s, ejections, &update)
+		update.Admissions = append(update.Admissions, s.delivered.lifted...)
 	}
-	s.lifted = nil
-	c.addAdmissions(s, &u)
-	if s.restDue {
-		c.due[s.opened.Proxy] = s
+	s.delivered.lifted = nil
+	c.addAdmissions(s, &update)
+	if s.binding.subset != nil && s.binding.subset.restDue {
+		c.delivery.markDue(s)
 	}
-	tableChanged := s.partial == nil && len(n.endpoints[s.table]) > 0
-	admissionsChanged := n.admissions[control.AllTables] || n.admissions[s.table]
-	return u, reached || u.lineCount() > 0 || tableChanged || admissionsChanged
+	return update, reached || update.cost() > 0 || changes.reach(s.binding)
+}
+
+// reach reports whether the changes of endpoints and admissions concern a binding.
+func (t *turnChanges) reach(b binding) bool {
+	tableChanged := b.subset == nil && len(t.endpoints[b.table]) > 0
+	return tableChanged || t.admissions[control.AllTables] || t.admissions[b.table]
 }
 
-// endpointsDue returns the endpoints that go with the next update: the whole table, a part of it, or what has changed.
-func (c *Core) endpointsDue(s *stream, n *turnChanges, full, urgent bool) endpointList {
+// dueEndpoints returns the endpoints that go with the next update: all of the table, a subset of it, or what has changed.
+func (c *Core) dueEndpoints(s *stream, changes *turnChanges, full, urgent bool) endpointList {
+	table := s.binding.table
 	switch {
-	case full && c.partUsable(s):
-		return c.firstOfPart(s)
+	case full && c.hasUsableSubset(s):
+		return c.subsetEndpoints(s)
 	case full:
-		s.partial = nil
-		s.restDue = false
-		return endpointsOf(c, s.table, c.tables[s.table], n.fullTables)
+		s.binding.subset = nil
+		return sharedEndpoints(c, table, c.routing.tables[table], changes.fullTables)
 	case c.sendsRest(s, urgent):
-		return c.restOfTable(s, n)
-	case s.partial != nil:
-		return c.changesOfPart(s, n)
+		return c.restEndpoints(s, changes)
+	case s.binding.subset != nil:
+		return c.subsetChanges(s, changes)
 	}
-	return endpointsOf(c, s.table, n.endpoints[s.table], n.changedTables)
+	return sharedEndpoints(c, table, changes.endpoints[table], changes.changedTables)
 }
 
-// addEndpoints adds endpoints to an update, and whether they are ejected. Of the first update of a part only the first
-// restoredCount replicas are told not to be ejected.
-func (c *Core) addEndpoints(s *stream, list endpointList, u *Update) {
-	u.Endpoints = list.endpoints
-	for k, id := range list.ids {
-		if c.tables[s.table][id] > 0 && (!u.Full || s.partial == nil || k < s.restoredCount) {
-			c.addEjection(s, id, u)
+// addEndpoints adds endpoints to an update, and whether they are ejected. The first update of a subset confirms only its
+// first replicas.
+func (c *Core) addEndpoints(s *stream, list endpointList, update *Update) {
+	update.Endpoints = list.endpoints
+	confirmed := len(list.replicas)
+	if update.Full && s.binding.subset != nil {
+		confirmed = s.binding.subset.confirmed
+	}
+	for k, replica := range list.replicas {
+		if k < confirmed && c.routing.tables[s.binding.table][replica] > 0 {
+			c.addEjection(s, replica, update)
 		}
 	}
 }
 
-// addEjections adds whether replicas are ejected, and returns whether that concerns the stream.
-func (c *Core) addEjections(s *stream, replicas map[uint32]bool, u *Update) (concerned bool) {
-	for _, id := range slices.Sorted(maps.Keys(replicas)) {
-		if c.concerns(s, id) {
+// addEjections adds whether replicas are ejected, and reports whether any of that concerns the stream.
+func (c *Core) addEjections(s *stream, replicas map[uint32]bool, update *Update) (concerned bool) {
+	for _, replica := range slices.Sorted(maps.Keys(replicas)) {
+		if c.concerns(s, replica) {
 			concerned = true
-			c.addEjection(s, id, u)
+			c.addEjection(s, replica, update)
 		}
 	}
 	return concerned
 }
 
-// addAdmissions adds the admissions that the stream was not told of. Those of all tables go with every later update.
-func (c *Core) addAdmissions(s *stream, u *Update) {
-	for class := range c.names.Classes {
-		admission, set := c.admissionOf(s.table, class)
-		if told, has := s.toldAdmissions[class]; set && (!has || told != admission) {
-			u.Admissions = append(u.Admissions, admission)
-			s.toldAdmissions[class] = admission
-		}
+// addEjection adds whether a replica is ejected, if the proxy may hold otherwise.
+func (c *Core) addEjection(s *stream, replica uint32, update *Update) {
+	ejected := c.routing.ejected[replica]
+	if !s.delivered.mayDiffer(replica, ejected) {
+		return
+	}
+	s.delivered.ejections[replica] = ejected
+	name := c.replicas.byNumber[replica].name
+	if ejected {
+		update.Ejected = append(update.Ejected, name)
+	} else {
+		update.Restored = append(update.Restored, name)
 	}
 }
 
-// addEjection says whether a replica is ejected, if the proxy may think otherwise.
-func (c *Core) addEjection(s *stream, id uint32, p *Update) {
-	if c.ejectionLines(s, id) > 0 {
-		if s.toldEjected[id] = c.ejected[id]; c.ejected[id] {
-			p.Ejected = append(p.Ejected, c.replicas.known[id].name)
-		} else {
-			p.Restored = append(p.Restored, c.replicas.known[id].name)
+// addAdmissions adds the admissions that the proxy was not told of. Those of all tables reach a stream with its next update
+// for any reason.
+func (c *Core) addAdmissions(s *stream, update *Update) {
+	for class, name := range c.names.Classes {
+		command, set := c.routing.admission(s.binding.table, class)
+		if !set {
+			continue
+		}
+		admission := Admission{Class: name, Fraction: command.Fraction, Retries: command.Retries}
+		if delivered, known := s.delivered.admissions[class]; !known || delivered != admission {
+			update.Admissions = append(update.Admissions, admission)
+			s.delivered.admissions[class] = admission
 		}
 	}
 }
 
-// endpointsOf is a table, or what changed of it, as lines: worked out once for all its proxies.
-func endpointsOf[V any](c *Core, table int, ids map[uint32]V, done map[int]endpointList) endpointList {
-	t, has := done[table]
-	if !has {
-		t.ids = slices.Sorted(maps.Keys(ids))
-		for _, id := range t.ids {
-			t.endpoints = append(t.endpoints, WeightedEndpoint{c.replicas.known[id].name, c.tables[table][id]})
-		}
-		done[table] = t
+// sharedEndpoints returns the endpoints of a table for some replicas, made once for all its streams: made holds those that
+// are made already.
+func sharedEndpoints[V any](c *Core, table int, replicas map[uint32]V, made map[int]endpointList) endpointList {
+	list, isMade := made[table]
+	if !isMade {
+		list = c.endpointsIn(table, slices.Sorted(maps.Keys(replicas)))
+		made[table] = list
+	}
+	return list
+}
+
+// endpointsIn lists replicas with their names and their weights in a table.
+func (c *Core) endpointsIn(table int, replicas []uint32) endpointList {
+	list := endpointList{replicas: replicas}
+	for _, replica := range replicas {
+		endpoint := WeightedEndpoint{Replica: c.replicas.byNumber[replica].name, Weight: c.routing.tables[table][replica]}
+		list.endpoints = append(list.endpoints, endpoint)
 	}
-	return t
+	return list
 }
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -222,7 +222,7 @@
 }
 
 // report reads what a peer that is known says.
-func (p *peer) report(f *fields) any {
+func (p *peer) report(f *fields) controller.Input {
 	switch {
 	case f.kind == "ack" && p.role == proxy:
 		a := parseAck(f)
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -83,11 +83,11 @@
 }
 
 // told waits for so many notes.
-func told(t *testing.T, s *Server, n int) (notes []any) {
+func told(t *testing.T, s *Server, n int) (notes []controller.Input) {
 	for late := time.After(10 * time.Second); len(notes) < n; {
 		select {
 		case <-s.exchange.Ready():
-			notes = append(notes, slices.DeleteFunc(s.exchange.Take(), func(n any) bool {
+			notes = append(notes, slices.DeleteFunc(s.exchange.Take(), func(n controller.Input) bool {
 				_, out := n.(controller.MessageSent)
 				return out
 			})...)
--- a/internal/eventloop/exchange.go
+++ b/internal/eventloop/exchange.go
@@ -39,7 +39,7 @@
 type Exchange struct {
 	Tally     Tally
 	mu        sync.Mutex
-	events    []any
+	events    []controller.Input
 	maxEvents int
 	ready     chan struct{}
 	outboxes  map[controller.StreamID]*Outbox
@@ -59,7 +59,7 @@
 
 // Publish leaves an event for the core. Sums are lost when the inbox is full; what each connection or call tells
 // once or twice is not.
-func (x *Exchange) Publish(event any) {
+func (x *Exchange) Publish(event controller.Input) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch event.(type) {
@@ -92,7 +92,7 @@
 func (x *Exchange) Ready() <-chan struct{} { return x.ready }
 
 // Take empties the inbox.
-func (x *Exchange) Take() []any {
+func (x *Exchange) Take() []controller.Input {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	events := x.events
