--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -14,48 +14,48 @@
 	"lilacbend/settings"
 )
 
-// script is a module that gives the orders of its next line, and keeps what it was told.
-type script struct {
-	turns [][]control.Command
-	told  []control.Event
+// scriptedModule returns the commands of its next turn and keeps the events that it got.
+type scriptedModule struct {
+	turns  [][]control.Command
+	events []control.Event
 }
 
-func (s *script) Turn(_ int64, events []control.Event) []control.Command {
-	s.told = nil
+func (s *scriptedModule) Turn(_ int64, events []control.Event) []control.Command {
+	s.events = nil
 	for _, e := range events {
 		if _, asked := e.(control.SnapshotRequested); !asked {
-			s.told = append(s.told, e)
+			s.events = append(s.events, e)
 		}
 	}
 	if len(s.turns) == 0 {
 		return nil
 	}
-	orders := s.turns[0]
+	commands := s.turns[0]
 	s.turns = s.turns[1:]
-	if orders != nil && len(orders) == 0 {
+	if commands != nil && len(commands) == 0 {
 		panic("scripted")
 	}
-	return orders
+	return commands
 }
 
-var panics = []control.Command{}
+var panicking = []control.Command{}
 
-func core(turns ...[]control.Command) (*Core, *script) {
-	s := &script{turns: turns}
+func core(turns ...[]control.Command) (*Core, *scriptedModule) {
+	s := &scriptedModule{turns: turns}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1", "m2"}}
 	return New(func() Module { return s }, NewTopology(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}}})), s
 }
 
-func list(whole bool, members ...string) ReplicaList {
-	l := ReplicaList{Complete: whole, ReadAt: 1000e9, ReadAtWall: 1000e9}
-	for _, m := range members { // the name, and a letter of its state: r, t, g, or ? for odd
+func list(complete bool, members ...string) ReplicaList {
+	l := ReplicaList{Complete: complete, ReadAt: 1000e9, ReadAtWall: 1000e9}
+	for _, m := range members { // the name, and a letter of its state: r, t, g, or ? for unusable
 		l.Members = append(l.Members, Member{ID: m[:len(m)-1], Zone: "b", HardwareClass: "m2", Weight: 1, Unusable: m[len(m)-1] == '?',
 			State: control.State(max(0, strings.IndexByte("rtg", m[len(m)-1])))})
 	}
 	return l
 }
 
-// text writes what goes out in one line a push.
+// text writes the updates of a turn in one line.
 func text(o TurnResult) string {
 	var out []string
 	for _, s := range o.Updates {
@@ -83,56 +83,56 @@
 	return strings.Join(out, "; ")
 }
 
-type orders = []control.Command
+type commands = []control.Command
 
-func line(table int, id uint32, weight float64) control.SetEndpoint {
+func endpoint(table int, id uint32, weight float64) control.SetEndpoint {
 	return control.SetEndpoint{Table: table, Replica: id, Weight: weight}
 }
 
-func TestTurnsBecomePushes(t *testing.T) {
+func TestTurnSendsOneUpdatePerStream(t *testing.T) {
 	all := control.AllTables
 	steps := []struct {
-		notes  []Input
-		orders orders
-		want   string
+		inputs   []Input
+		commands commands
+		want     string
 	}{
 		{[]Input{list(true, "xr", "yr", "zr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}},
-			orders{line(0, 1, 1), line(0, 2, 0.5), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, "1: full x=1 y=0.5 #1"},
-		{nil, orders{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // may shut who knows whom
-		{nil, orders{line(0, 2, 0.7), control.RequestAck{Nonce: 3}}, "1: y=0.7 #3; 2: y=0.7 #3"},
-		{nil, orders{line(1, 3, 1), control.RequestAck{Nonce: 4}}, ""}, // nobody has the table
-		{nil, orders{control.SetEjected{Replica: 3, Ejected: true}}, ""},
-		{nil, orders{control.SetEjected{Replica: 1, Ejected: true}, control.RequestAck{Nonce: 5}}, "1: -x #5; 2: -x #5"},
-		{nil, orders{line(0, 3, 1)}, "1: z=1 -z; 2: z=1 -z"}, // laid for who is withdrawn already
-		{nil, orders{control.SetEjected{Replica: 1}, line(0, 3, 0), control.RequestAck{Nonce: 6}}, "1: z=0 +x #6; 2: z=0 +x #6"},
-		{nil, orders{control.SetEjected{Replica: 3}, line(0, 3, 2)}, "1: z=2 +z; 2: z=2 +z"},
-		{nil, orders{control.SetAdmission{Table: all, Class: 1, Fraction: 0.5, Retries: 1}}, "1: order~0.5/1; 2: order~0.5/1"},
-		{nil, orders{control.SetAdmission{Table: 0, Class: 1, Fraction: 0.7, Retries: 2}}, "1: order~0.5/2; 2: order~0.5/2"},
-		{nil, orders{control.Bind{Proxy: 4, Table: 1}}, "1: full z=1 order~0.5/1"},
-		{nil, orders{line(0, 2, 0.7), control.RequestAck{Nonce: 7}}, "2: y=0.7 #7"},
-		{[]Input{StreamClosed{1}}, orders{line(1, 3, 2)}, ""},
-		{nil, orders{control.SetEjected{Replica: 1, Ejected: true}}, "2: -x"},
-		{[]Input{StreamOpened{Stream: 3, Proxy: 4, Zone: "b"}}, orders{control.Bind{Proxy: 4, Table: 0}}, "3: full x=1 y=0.7 z=2 -x +y +z order~0.5/2"},
+			commands{endpoint(0, 1, 1), endpoint(0, 2, 0.5), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, "1: full x=1 y=0.5 #1"},
+		{nil, commands{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // it may eject anyone
+		{nil, commands{endpoint(0, 2, 0.7), control.RequestAck{Nonce: 3}}, "1: y=0.7 #3; 2: y=0.7 #3"},
+		{nil, commands{endpoint(1, 3, 1), control.RequestAck{Nonce: 4}}, ""}, // no proxy is bound to the table
+		{nil, commands{control.SetEjected{Replica: 3, Ejected: true}}, ""},
+		{nil, commands{control.SetEjected{Replica: 1, Ejected: true}, control.RequestAck{Nonce: 5}}, "1: -x #5; 2: -x #5"},
+		{nil, commands{endpoint(0, 3, 1)}, "1: z=1 -z; 2: z=1 -z"}, // added while it is ejected
+		{nil, commands{control.SetEjected{Replica: 1}, endpoint(0, 3, 0), control.RequestAck{Nonce: 6}}, "1: z=0 +x #6; 2: z=0 +x #6"},
+		{nil, commands{control.SetEjected{Replica: 3}, endpoint(0, 3, 2)}, "1: z=2 +z; 2: z=2 +z"},
+		{nil, commands{control.SetAdmission{Table: all, Class: 1, Fraction: 0.5, Retries: 1}}, "1: order~0.5/1; 2: order~0.5/1"},
+		{nil, commands{control.SetAdmission{Table: 0, Class: 1, Fraction: 0.7, Retries: 2}}, "1: order~0.5/2; 2: order~0.5/2"},
+		{nil, commands{control.Bind{Proxy: 4, Table: 1}}, "1: full z=1 order~0.5/1"},
+		{nil, commands{endpoint(0, 2, 0.7), control.RequestAck{Nonce: 7}}, "2: y=0.7 #7"},
+		{[]Input{StreamClosed{1}}, commands{endpoint(1, 3, 2)}, ""},
+		{nil, commands{control.SetEjected{Replica: 1, Ejected: true}}, "2: -x"},
+		{[]Input{StreamOpened{Stream: 3, Proxy: 4, Zone: "b"}}, commands{control.Bind{Proxy: 4, Table: 0}}, "3: full x=1 y=0.7 z=2 -x +y +z order~0.5/2"},
 		{[]Input{StreamOpened{Stream: 4, Proxy: 5, Zone: "b"}}, nil, "4: order~0.5/1"},
-		{nil, orders{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 8}}, "3: -y #8; 4: -y #8"}, // 4 is bound to nothing yet
+		{nil, commands{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 8}}, "3: -y #8; 4: -y #8"}, // the second is unbound
 		{[]Input{OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
 		{[]Input{Ack{Stream: 3, Nonce: 8}, OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
 		{[]Input{OutboxDrained{4}}, nil, "4: -x -y order~0.5/1 #8"},
 		{[]Input{StreamClosed{3}, StreamClosed{4}, StreamOpened{Stream: 5, Proxy: 4, Zone: "b", WithoutTable: true}}, nil, "5: order~0.5/1"},
 		{[]Input{OutboxDrained{5}}, nil, "5: -x -y order~0.5/1"},
-		{nil, orders{control.Bind{Proxy: 7}, control.Bind{Proxy: 4, Table: 1}, line(1, 3, 0)}, "5: full order~0.5/1"},
+		{nil, commands{control.Bind{Proxy: 7}, control.Bind{Proxy: 4, Table: 1}, endpoint(1, 3, 0)}, "5: full order~0.5/1"},
 	}
 	c, s := core()
 	for k, step := range steps {
-		s.turns = []orders{step.orders}
-		if got := text(c.Turn(int64(k)*1e9, step.notes)); got != step.want {
+		s.turns = []commands{step.commands}
+		if got := text(c.Turn(int64(k)*1e9, step.inputs)); got != step.want {
 			t.Errorf("turn %d: got  %s\nwant %s", k, got, step.want)
 		}
 	}
 }
 
-// Who has nothing to be told is told so all the same, as its outbox takes nothing else before.
-func TestAnEmptiedOutboxIsAlwaysAnswered(t *testing.T) {
+// A stream whose outbox was drained gets a resync even if there is nothing to say: its outbox takes nothing else before.
+func TestDrainedOutboxIsAlwaysAnswered(t *testing.T) {
 	c, _ := core()
 	c.Turn(0, []Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	if o := c.Turn(1, []Input{OutboxDrained{1}}); len(o.Updates) != 1 || !o.Updates[0].Update.Resync || c.Counters.Updates != 0 {
@@ -140,14 +140,14 @@
 	}
 }
 
-// The lines the module's channel is charged are those that go out, as long as nothing is said twice.
-func TestLinesAreCountedAsOrdered(t *testing.T) {
-	c, _ := core(orders{line(0, 1, 1), line(0, 2, 1), control.SetAdmission{Table: control.AllTables, Fraction: 0.5},
+// The cost units of the module's commands are those of the updates, as long as nothing is sent twice.
+func TestCostRequestedIsTheCostSent(t *testing.T) {
+	c, _ := core(commands{endpoint(0, 1, 1), endpoint(0, 2, 1), control.SetAdmission{Table: control.AllTables, Fraction: 0.5},
 		control.SetEjected{Replica: 2, Ejected: true}, control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}},
-		orders{line(0, 1, 2), control.RequestAck{Nonce: 2}})
+		commands{endpoint(0, 1, 2), control.RequestAck{Nonce: 2}})
 	c.Turn(0, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}})
 	c.Turn(1, nil)
-	// A bind: itself, two lines, one level, one withdrawn; each with its mark; then a line and a mark each.
+	// A bind: itself, two endpoints, one admission, one ejection, each with its ack request; then an endpoint and an ack request each.
 	if n := c.Counters; n.CostSent != 2*(5+1)+2*2 || n.AckRequests != 4 || n.FullTables != 2 {
 		t.Errorf("%+v", n)
 	}
@@ -158,39 +158,39 @@
 
 func (unknownInput) input() {}
 
-func TestWhatTheModuleIsTold(t *testing.T) {
-	usage := control.Demand{Proxy: 4, Requests: 3}
+func TestInputsBecomeEvents(t *testing.T) {
+	demand := control.Demand{Proxy: 4, Requests: 3}
 	for name, c := range map[string]struct {
-		notes []Input
-		want  []control.Event
-		end   []StreamID
+		inputs []Input
+		want   []control.Event
+		end    []StreamID
 	}{
-		"joined":          {[]Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
-		"no such proxy":   {[]Input{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []StreamID{2, 3}},
-		"again":           {[]Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
-		"a newer stream":  {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
-		"an older stream": {[]Input{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []StreamID{0}},
-		"left":            {[]Input{StreamClosed{1}, StreamClosed{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
-		"answered":        {[]Input{Ack{Stream: 1, Nonce: 7, Delay: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
-		"answered twice":  {[]Input{Ack{Stream: 1, Nonce: 7}, Ack{Stream: 1, Nonce: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
-		"another's mark":  {[]Input{Ack{Stream: 1, Nonce: 8}, Ack{Stream: 3, Nonce: 7}}, nil, nil},
-		"an old mark":     {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
-		"usage":           {[]Input{Demand{1, "order", usage}, Demand{0, "read", usage}}, []control.Event{control.Demand{Proxy: 4, Class: 1, Requests: 3}, usage}, nil},
-		"usage of old":    {[]Input{Demand{3, "order", usage}, Demand{1, "no such", usage}, Demand{0, "read", control.Demand{Proxy: 8}}}, nil, nil},
-		"sums":            {[]Input{Outcomes{"b", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
-		"spoilt sums": {[]Input{Outcomes{"q", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "y", control.Outcomes{Attempts: 2, Failures: 3}},
+		"connected":                  {[]Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
+		"no such proxy":              {[]Input{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []StreamID{2, 3}},
+		"twice by one stream":        {[]Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
+		"a newer stream":             {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
+		"an older stream":            {[]Input{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []StreamID{0}},
+		"disconnected":               {[]Input{StreamClosed{1}, StreamClosed{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
+		"acknowledged":               {[]Input{Ack{Stream: 1, Nonce: 7, Delay: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
+		"acknowledged twice":         {[]Input{Ack{Stream: 1, Nonce: 7}, Ack{Stream: 1, Nonce: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
+		"a nonce of another":         {[]Input{Ack{Stream: 1, Nonce: 8}, Ack{Stream: 3, Nonce: 7}}, nil, nil},
+		"a nonce of an older stream": {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
+		"demand":                     {[]Input{Demand{1, "order", demand}, Demand{0, "read", demand}}, []control.Event{control.Demand{Proxy: 4, Class: 1, Requests: 3}, demand}, nil},
+		"stale demand":               {[]Input{Demand{3, "order", demand}, Demand{1, "no such", demand}, Demand{0, "read", control.Demand{Proxy: 8}}}, nil, nil},
+		"outcomes":                   {[]Input{Outcomes{"b", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
+		"impossible outcomes": {[]Input{Outcomes{"q", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "y", control.Outcomes{Attempts: 2, Failures: 3}},
 			Outcomes{"b", "y", control.Outcomes{Attempts: maxReportCount + 1}}, Outcomes{"b", "y", control.Outcomes{ResponseTime: maxTimeouts*2e9 + 1}},
 			Outcomes{"b", "y", control.Outcomes{Period: maxReportPeriod + 1}}}, nil, nil},
-		"spoilt usage": {[]Input{Demand{1, "order", control.Demand{Proxy: 4, Requests: maxReportCount + 1}},
+		"impossible demand": {[]Input{Demand{1, "order", control.Demand{Proxy: 4, Requests: maxReportCount + 1}},
 			Demand{1, "order", control.Demand{Proxy: 4, Failures: maxReportCount + 1}}, Demand{0, "read", control.Demand{Proxy: 4, Period: maxReportPeriod + 1}}}, nil, nil},
-		"a spoilt answer":   {[]Input{Ack{Stream: 1, Nonce: 7, Delay: maxReportPeriod + 1}}, nil, nil},
-		"something unknown": {[]Input{unknownInput{}}, nil, nil},
+		"an impossible delay": {[]Input{Ack{Stream: 1, Nonce: 7, Delay: maxReportPeriod + 1}}, nil, nil},
+		"something unknown":   {[]Input{unknownInput{}}, nil, nil},
 	} {
-		c0, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
+		c0, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
 		c0.Turn(0, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-		o := c0.Turn(1, c.notes)
-		if !reflect.DeepEqual(s.told, c.want) || !reflect.DeepEqual(o.CloseStreams, c.end) {
-			t.Errorf("%s: told %+v, ends %v", name, s.told, o.CloseStreams)
+		o := c0.Turn(1, c.inputs)
+		if !reflect.DeepEqual(s.events, c.want) || !reflect.DeepEqual(o.CloseStreams, c.end) {
+			t.Errorf("%s: events %+v, closes %v", name, s.events, o.CloseStreams)
 		}
 	}
 }
@@ -202,7 +202,7 @@
 	return out
 }
 
-func TestTheListKeepsItsNumbers(t *testing.T) {
+func TestReplicasKeepTheirNumbers(t *testing.T) {
 	c, s := core()
 	for k, step := range []struct {
 		l    ReplicaList
@@ -210,13 +210,13 @@
 		odd  int64
 	}{
 		{list(true, "xr", "yr", "z?"), "1r2r", 1},
-		{list(false, "y?", "wr", "xt"), "2r3r1t", 2}, // what cannot be read stays as it was
+		{list(false, "y?", "wr", "xt"), "2r3r1t", 2}, // what cannot be read stays as it is
 		{list(true, "yr", "w?"), "2r3r", 3},          // x is gone
 		{list(false, "yg", "xr"), "2g1r", 3},
 	} {
 		c.Turn(int64(k), []Input{step.l})
-		if got := states(s.told[0]); got != step.want || c.Counters.Invalid != step.odd {
-			t.Errorf("list %d: %s, %d odd", k, got, c.Counters.Invalid)
+		if got := states(s.events[0]); got != step.want || c.Counters.Invalid != step.odd {
+			t.Errorf("list %d: %s, %d unusable", k, got, c.Counters.Invalid)
 		}
 	}
 	if l := c.replicas.currentList(); !l.Full || states(l) != "1r3r" {
@@ -227,12 +227,12 @@
 	}
 }
 
-// A step of the wall clock between two answers must not look like a restart of every replica.
-func TestStartsStayThroughStepsOfTheWallClock(t *testing.T) {
+// A step of the wall clock between two lists must not look like a restart of every replica.
+func TestStartTimesSurviveStepsOfTheWallClock(t *testing.T) {
 	c, s := core()
 	at := func(wall, up int64) int64 {
 		c.Turn(wall, []Input{ReplicaList{ReadAt: 500e9, ReadAtWall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: up}}}})
-		return s.told[0].(control.ReplicasListed).Entries[0].Start
+		return s.events[0].(control.ReplicasListed).Entries[0].Start
 	}
 	for k, step := range [][3]int64{{1000e9, 990e9, 490e9}, {5000e9, 990e9, 490e9}, {5000e9, 4999e9, 499e9},
 		{400e9, 4999e9, 499e9}, {400e9, 900e9, 500e9}, {400e9, 1, 100e9 + 1}, {9000e9, 2, 1}, {400e9, 0, 0}} {
@@ -242,7 +242,7 @@
 	}
 }
 
-func TestNamesAreForgottenInTheEnd(t *testing.T) {
+func TestNamesAreEvictedOnceNobodyNeedsThem(t *testing.T) {
 	for name, c := range map[string]struct {
 		held func(c *Core)
 		kept bool
@@ -258,7 +258,7 @@
 		c.held(g)
 		g.evict(nameRetention)
 		if g.replicas.byNumber[1] == nil {
-			t.Errorf("%s: forgotten early", name)
+			t.Errorf("%s: evicted early", name)
 		}
 		g.evict(nameRetention + 1)
 		if _, kept := g.replicas.numbers["x"]; kept != c.kept || g.routing.ejected[1] != c.kept || g.replicas.byNumber[2] == nil {
@@ -267,12 +267,12 @@
 	}
 }
 
-// Streams hold no names for ever, yet who is back after it was forgotten is let in where it was shut out.
-func TestWhoWasForgottenIsLetInAgain(t *testing.T) {
+// Streams keep no names for ever, yet a replica that returns after its name was evicted is restored where it was ejected.
+func TestEvictedReplicaIsRestoredWhenItReturns(t *testing.T) {
 	for _, others := range []int{0, maxEvictedEjections} {
-		c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}}, orders{control.SetEjected{Replica: 1, Ejected: true}, line(0, 1, 0)})
-		joined := StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}
-		c.Turn(0, []Input{list(true, "xr"), joined})
+		c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}}, commands{control.SetEjected{Replica: 1, Ejected: true}, endpoint(0, 1, 0)})
+		connected := StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}
+		c.Turn(0, []Input{list(true, "xr"), connected})
 		c.Turn(1, []Input{list(true)})
 		c.streams.byProxy[4].delivered.ejections[1] = true
 		for k := range others {
@@ -281,100 +281,98 @@
 		}
 		c.evict(nameRetention + 2)
 		if len(c.replicas.byNumber) != 0 || len(c.streams.byProxy[4].delivered.ejections) != 0 || len(c.replicas.evictedEjections) > maxEvictedEjections {
-			t.Errorf("%d names, %d told, %d shut", len(c.replicas.byNumber), len(c.streams.byProxy[4].delivered.ejections), len(c.replicas.evictedEjections))
+			t.Errorf("%d names, %d reported, %d evicted ejections", len(c.replicas.byNumber), len(c.streams.byProxy[4].delivered.ejections), len(c.replicas.evictedEjections))
 		}
-		s.turns = []orders{{line(0, 2, 1)}}
+		s.turns = []commands{{endpoint(0, 2, 1)}}
 		if got := text(c.Turn(nameRetention+3, []Input{list(true, "xr")})); got != "1: x=1 +x" {
 			t.Errorf("after %d others: %s", others, got)
 		}
 	}
 }
 
-func TestAPanicStartsAFreshModule(t *testing.T) {
-	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.SetEjected{Replica: 1, Ejected: true}}, panics,
-		orders{line(0, 2, 1), line(0, 1, 1), control.Bind{Proxy: 4}}, panics, panics)
+func TestPanicStartsANewModule(t *testing.T) {
+	c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.SetEjected{Replica: 1, Ejected: true}}, panicking,
+		commands{endpoint(0, 2, 1), endpoint(0, 1, 1), control.Bind{Proxy: 4}}, panicking, panicking)
 	c.Turn(0, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", Rate: 3}})
 	o := c.Turn(1, []Input{list(false, "yt")})
 	want := []control.Event{c.replicas.currentList(), control.StreamOpened{Proxy: 4, Zone: 0, Rate: 3}}
-	if !strings.HasPrefix(o.Panic, "scripted at") || !reflect.DeepEqual(s.told, want) || c.Counters.ModuleRestarts != 1 {
-		t.Errorf("told %+v after %.40q", s.told, o.Panic)
+	if !strings.HasPrefix(o.Panic, "scripted at") || !reflect.DeepEqual(s.events, want) || c.Counters.ModuleRestarts != 1 {
+		t.Errorf("events %+v after %.40q", s.events, o.Panic)
 	}
-	if got := text(o); got != "1: full x=1 y=1 +x +y" { // what the last module had withdrawn is let in again
-		t.Errorf("pushes %s", got)
+	if got := text(o); got != "1: full x=1 y=1 +x +y" { // what the failed module had ejected is restored
+		t.Errorf("updates %s", got)
 	}
 	if o = c.Turn(2, nil); o.Panic == "" || o.NextTurn != 2+restartDelay {
 		t.Errorf("a module that fails at once: %+v", o)
 	}
-	s.turns, s.told = []orders{{control.SetEjected{Replica: 1, Ejected: true}}}, nil
-	if o = c.Turn(3, []Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}}); s.told != nil || o.NextTurn != 2+restartDelay {
-		t.Errorf("asked while it rests: %+v", o)
+	s.turns, s.events = []commands{{control.SetEjected{Replica: 1, Ejected: true}}}, nil
+	if o = c.Turn(3, []Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}}); s.events != nil || o.NextTurn != 2+restartDelay {
+		t.Errorf("asked while it is paused: %+v", o)
 	}
-	if o = c.Turn(2+restartDelay, nil); len(s.told) != 3 || text(o) != "1: -x; 2: -x" {
-		t.Errorf("told %+v, pushes %s", s.told, text(o))
+	if o = c.Turn(2+restartDelay, nil); len(s.events) != 3 || text(o) != "1: -x; 2: -x" {
+		t.Errorf("events %+v, updates %s", s.events, text(o))
 	}
 }
 
-// A machine that vanished leaves its stream open: nothing must wait for it, and it must miss nothing if it was
-// only slow.
-func TestWhoOwesAnAnswerInSilenceHasLeft(t *testing.T) {
-	mark := control.RequestAck{Nonce: 1}
-	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, mark})
+// A machine that vanished leaves its stream open: nothing must wait for it, and it must miss nothing if it was only slow.
+func TestSilentProxyThatOwesAnAckIsReportedAsDisconnected(t *testing.T) {
+	ack := control.RequestAck{Nonce: 1}
+	c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, ack})
 	c.Turn(5, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 6, Zone: "b"}})
 	for _, step := range []struct {
-		at     int64
-		notes  []Input
-		orders orders
-		told   []control.Event
-		want   string
+		at       int64
+		inputs   []Input
+		commands commands
+		events   []control.Event
+		want     string
 	}{
 		{4 + minSilenceTimeout/2, []Input{StreamActive{3}}, nil, nil, ""},
 		{5 + minSilenceTimeout/2, []Input{Demand{2, "read", control.Demand{Proxy: 5}}}, nil, []control.Event{control.Demand{Proxy: 5}}, ""},
 		{5 + minSilenceTimeout, nil, nil, nil, ""},
 		{6 + minSilenceTimeout, nil, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
-		{7 + minSilenceTimeout, nil, orders{control.SetEjected{Replica: 1, Ejected: true}, mark}, nil, "1: -x #1; 2: -x #1; 3: -x #1"},
+		{7 + minSilenceTimeout, nil, commands{control.SetEjected{Replica: 1, Ejected: true}, ack}, nil, "1: -x #1; 2: -x #1; 3: -x #1"},
 		{8 + minSilenceTimeout, []Input{Ack{Stream: 1, Nonce: 1}}, nil, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, ""},
 		{9 + minSilenceTimeout, []Input{Ack{Stream: 2, Nonce: 1}, Ack{Stream: 3, Nonce: 1}}, nil,
 			[]control.Event{control.Ack{Proxy: 5, Nonce: 1}, control.Ack{Proxy: 6, Nonce: 1}}, ""},
-		{9 + 2*minSilenceTimeout, nil, orders{mark}, nil, ""},
+		{9 + 2*minSilenceTimeout, nil, commands{ack}, nil, ""},
 		{9 + 9*minSilenceTimeout, []Input{StreamClosed{1}}, nil, []control.Event{control.StreamClosed{Proxy: 4}}, ""},
 	} {
-		s.turns = []orders{step.orders}
-		o := c.Turn(step.at, step.notes)
-		o.Updates = slices.DeleteFunc(o.Updates, func(s OutgoingUpdate) bool { return s.Update.Nonce >= ownNonceOffset }) // see ask
-		if got := text(o); got != step.want || !reflect.DeepEqual(s.told, step.told) {
-			t.Errorf("at %d: told %+v, pushes %s", step.at, s.told, got)
+		s.turns = []commands{step.commands}
+		o := c.Turn(step.at, step.inputs)
+		o.Updates = slices.DeleteFunc(o.Updates, func(s OutgoingUpdate) bool { return s.Update.Nonce >= ownNonceOffset }) // see requestMissingAck
+		if got := text(o); got != step.want || !reflect.DeepEqual(s.events, step.events) {
+			t.Errorf("at %d: events %+v, updates %s", step.at, s.events, got)
 		}
 	}
 }
 
-func TestTheLogNamesReplicas(t *testing.T) {
-	c, _ := core(orders{control.Log{Text: "replica 1 sick: 1 of 1 missed"}, control.Log{Text: "replica 9 sick"}, control.Log{Text: "calm"}})
+func TestLogNamesReplicas(t *testing.T) {
+	c, _ := core(commands{control.Log{Text: "replica 1 sick: 1 of 1 missed"}, control.Log{Text: "replica 9 sick"}, control.Log{Text: "calm"}})
 	o := c.Turn(0, []Input{list(true, "xr")})
 	if want := []string{"replica x sick: 1 of 1 missed", "replica 9 sick", "calm"}; !slices.Equal(o.Logs, want) {
 		t.Errorf("logged %q", o.Logs)
 	}
 }
 
-func TestLateTimersDoNotPileUp(t *testing.T) {
+func TestTimersFireOnce(t *testing.T) {
 	wake := control.SetTimer{Timer: 3, After: 10}
-	c, s := core(orders{wake, control.SetTimer{Timer: 3, After: 20}, control.SetTimer{After: 50}}, orders{wake}, nil, nil)
+	c, s := core(commands{wake, control.SetTimer{Timer: 3, After: 20}, control.SetTimer{After: 50}}, commands{wake}, nil, nil)
 	if o := c.Turn(0, nil); o.NextTurn != 10 {
 		t.Errorf("due at %d", o.NextTurn)
 	}
-	if o := c.Turn(9, nil); o.NextTurn != 10 || len(s.told) != 0 {
-		t.Errorf("due at %d, told %v", o.NextTurn, s.told)
+	if o := c.Turn(9, nil); o.NextTurn != 10 || len(s.events) != 0 {
+		t.Errorf("due at %d, events %v", o.NextTurn, s.events)
 	}
-	if c.Turn(1000, nil); !slices.Equal(s.told, []control.Event{control.TimerFired{}, control.TimerFired{Timer: 3}}) {
-		t.Errorf("told %v", s.told)
+	if c.Turn(1000, nil); !slices.Equal(s.events, []control.Event{control.TimerFired{}, control.TimerFired{Timer: 3}}) {
+		t.Errorf("events %v", s.events)
 	}
-	if o := c.Turn(1001, nil); o.NextTurn != 0 || len(s.told) != 0 {
-		t.Errorf("due at %d, told %v", o.NextTurn, s.told)
+	if o := c.Turn(1001, nil); o.NextTurn != 0 || len(s.events) != 0 {
+		t.Errorf("due at %d, events %v", o.NextTurn, s.events)
 	}
 }
 
-// Whatever happens: after a turn nobody who was not looked at has anything left to be told, and each seat is where
-// it is looked for.
-func TestNobodyIsLeftUntold(t *testing.T) {
+// Whatever happens: after a turn no stream that was not looked at has changes unsent, and each binding is in its table.
+func TestNoStreamIsLeftWithChangesUnsent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, s := core()
 		c.Turn(0, []Input{list(true, "xr", "yr", "zr")})
@@ -382,29 +380,29 @@
 		now := int64(1)
 		draw := func(what string, most int) int { return rapid.IntRange(0, most).Draw(t, what) }
 		for range draw("turns", 30) {
-			var notes []Input
+			var inputs []Input
 			for range draw("notes", 4) {
 				proxy := draw("proxy", 5)
 				switch draw("note", 5) {
 				case 0, 1:
 					stream++
-					notes = append(notes, StreamOpened{Stream: stream, Proxy: proxy, Zone: "b", WithoutTable: draw("blank", 1) == 0})
+					inputs = append(inputs, StreamOpened{Stream: stream, Proxy: proxy, Zone: "b", WithoutTable: draw("blank", 1) == 0})
 				case 2:
-					notes = append(notes, StreamClosed{StreamID(draw("stream", int(stream)))})
+					inputs = append(inputs, StreamClosed{StreamID(draw("stream", int(stream)))})
 				case 3:
-					notes = append(notes, OutboxDrained{StreamID(draw("stream", int(stream)))})
+					inputs = append(inputs, OutboxDrained{StreamID(draw("stream", int(stream)))})
 				case 4:
-					notes = append(notes, StreamActive{StreamID(draw("stream", int(stream)))})
+					inputs = append(inputs, StreamActive{StreamID(draw("stream", int(stream)))})
 				default:
-					notes = append(notes, list(false, string("xyz"[draw("member", 2)])+string("rtg"[draw("state", 2)])))
+					inputs = append(inputs, list(false, string("xyz"[draw("member", 2)])+string("rtg"[draw("state", 2)])))
 				}
 			}
-			var given orders
-			for range draw("orders", 6) {
+			var given commands
+			for range draw("commands", 6) {
 				table, id := draw("table", 2), uint32(1+draw("replica", 2))
 				switch draw("order", 4) {
 				case 0:
-					given = append(given, line(table, id, float64(draw("weight", 2))))
+					given = append(given, endpoint(table, id, float64(draw("weight", 2))))
 				case 1:
 					given = append(given, control.Bind{Proxy: draw("proxy", 5), Table: table})
 				case 2:
@@ -416,79 +414,79 @@
 				}
 			}
 			if draw("fails", 20) == 0 {
-				given = panics
+				given = panicking
 			}
-			s.turns = []orders{given}
+			s.turns = []commands{given}
 			now += int64(draw("span", 6)) * 2e9
-			c.Turn(now, notes)
+			c.Turn(now, inputs)
 			at := 0
-			for table, seats := range c.streams.byTable {
-				for proxy, s := range seats {
+			for table, streams := range c.streams.byTable {
+				for proxy, s := range streams {
 					if at++; c.streams.byProxy[proxy] != s || s.binding.table != table {
-						t.Fatalf("%d sits at %d, not at %d", proxy, s.binding.table, table)
+						t.Fatalf("%d is bound to %d, not to %d", proxy, s.binding.table, table)
 					}
 				}
 			}
 			if at != len(c.streams.byProxy) {
-				t.Fatalf("%d seats of %d", at, len(c.streams.byProxy))
+				t.Fatalf("%d bindings of %d", at, len(c.streams.byProxy))
 			}
 			for proxy, s := range c.streams.byProxy {
 				if p, reached := c.buildUpdate(s, &turnChanges{fullTables: map[int]endpointList{}, changedTables: map[int]endpointList{}}, false); c.module.pausedUntil <= now && (reached || p.cost() > 0 || p.Resync) {
-					t.Fatalf("%d is still to be told %+v", proxy, p)
+					t.Fatalf("%d is still to be sent %+v", proxy, p)
 				}
 			}
 		}
 	})
 }
 
-// tight is a core with a channel of so many lines, and a cap of so many messages a proxy in 10 s; a replica x in table 0.
-func tight(lines, messages int, turns ...[]control.Command) (*Core, *script) {
+// limitedCore returns a core with a channel limit in cost units and a cap of messages for each proxy in 10 s.
+func limitedCore(limit, messages int, turns ...[]control.Command) (*Core, *scriptedModule) {
 	c, s := core(turns...)
-	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: lines, ChannelRate: 100, MessageOverhead: 4, MaxMessages: messages, MessageWindow: 10e9, MaxTransit: 1e8})
+	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: limit, ChannelRate: 100, MessageOverhead: 4, MaxMessages: messages, MessageWindow: 10e9, MaxTransit: 1e8})
 	return c, s
 }
 
-// What the core adds to the module's orders can fill a channel that the module takes for half empty. It waits, and goes as
-// it is by then, once answers make room.
-func TestWhatTheChannelHasNoRoomForWaitsAndGoes(t *testing.T) {
-	c, s := tight(28, 0, orders{line(0, 1, 1), line(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}})
-	joined := []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}}
+// What the core adds to the module's commands can fill a channel that the module takes for half empty. It waits, and is sent
+// as it stands by then, once acks free capacity.
+func TestChangesWaitForCapacityOfTheChannel(t *testing.T) {
+	c, s := limitedCore(28, 0, commands{endpoint(0, 1, 1), endpoint(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}})
+	connected := []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}}
 	steps := []struct {
-		notes  []Input
-		orders orders
-		want   string
+		inputs   []Input
+		commands commands
+		want     string
 	}{
-		{joined, s.turns[0], "1: full x=1 y=1 #1; 2: full x=1 y=1 #1"}, // 16 lines of 28
-		{nil, orders{line(0, 1, 2), control.RequestAck{Nonce: 2}}, "1: x=2 #2"},
-		{nil, orders{line(0, 1, 3), line(0, 2, 0.5), control.RequestAck{Nonce: 3}}, ""},
-		{nil, orders{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 4}}, ""},
+		{connected, s.turns[0], "1: full x=1 y=1 #1; 2: full x=1 y=1 #1"}, // 16 cost units of 28
+		{nil, commands{endpoint(0, 1, 2), control.RequestAck{Nonce: 2}}, "1: x=2 #2"},
+		{nil, commands{endpoint(0, 1, 3), endpoint(0, 2, 0.5), control.RequestAck{Nonce: 3}}, ""},
+		{nil, commands{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 4}}, ""},
 		{[]Input{Ack{Stream: 1, Nonce: 1}}, nil, "1: x=3 y=0.5 -y #4"},
 		{[]Input{Ack{Stream: 2, Nonce: 1}}, nil, "2: x=3 y=0.5 -y #4"},
 		{[]Input{Ack{Stream: 1, Nonce: 4}, Ack{Stream: 2, Nonce: 4}}, nil, ""},
 	}
 	for k, step := range steps {
-		s.turns = []orders{step.orders}
-		if got := text(c.Turn(int64(k)*1e7, step.notes)); got != step.want {
+		s.turns = []commands{step.commands}
+		if got := text(c.Turn(int64(k)*1e7, step.inputs)); got != step.want {
 			t.Errorf("turn %d: got  %s\nwant %s", k, got, step.want)
 		}
 	}
 	if c.delivery.account.Queued() != 0 || c.Counters.StreamsEnqueued == 0 {
-		t.Errorf("%d lines wait, %d were held", c.delivery.account.Queued(), c.Counters.StreamsEnqueued)
+		t.Errorf("%d cost units wait, %d streams were enqueued", c.delivery.account.Queued(), c.Counters.StreamsEnqueued)
 	}
 }
 
-// A stream that says again and again that its outbox was emptied, a module that fails, a proxy that joins anew: none of it
-// gets a proxy more messages than it may, and what was held is not lost with them.
-func TestNothingGoesAroundTheCapOfAProxy(t *testing.T) {
-	c, s := tight(0, 3)
-	notes, sent := []Input{list(true, "xr")}, 0
+// A stream whose outbox is drained again and again, a module that fails, a proxy that reconnects: none of it gets a proxy more
+// messages than its cap, and pending changes are not lost by it.
+func TestNothingCircumventsTheMessageCap(t *testing.T) {
+	c, s := limitedCore(0, 3)
+	inputs, sent := []Input{list(true, "xr")}, 0
 	for k := range 400 {
-		notes = append(notes, StreamOpened{Stream: StreamID(k/100 + 1), Proxy: 4, Zone: "a"}, OutboxDrained{StreamID(k/100 + 1)})
-		s.turns = []orders{{line(0, 1, float64(k+1)), control.Bind{Proxy: 4}, control.RequestAck{Nonce: uint64(k)}}}
+		inputs = append(inputs, StreamOpened{Stream: StreamID(k/100 + 1), Proxy: 4, Zone: "a"}, OutboxDrained{StreamID(k/100 + 1)})
+		s.turns = []commands{{endpoint(0, 1, float64(k+1)), control.Bind{Proxy: 4}, control.RequestAck{Nonce: uint64(k)}}}
 		if k%7 == 3 {
-			s.turns = []orders{panics}
+			s.turns = []commands{panicking}
 		}
-		sent, notes = sent+len(c.Turn(int64(k)*1e7, notes).Updates), nil
+		sent, inputs = sent+len(c.Turn(int64(k)*1e7, inputs).Updates), nil
 		if sent > 3 || k < 40 && sent > 1 {
 			t.Fatalf("%d messages in %d ms, the first alone has no pace to keep", sent, 10*k)
 		}
@@ -502,15 +500,15 @@
 	}
 }
 
-// A replica that is gone for long is named for as long as somebody has not been told.
-func TestWhoIsHeldIsStillNamed(t *testing.T) {
-	c, s := tight(11, 0, orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, orders{line(0, 1, 0), control.RequestAck{Nonce: 2}})
-	c.delivery.account.ChannelRate = 1 // so slow that what is not answered is charged for a minute
+// A replica that has long been gone keeps its name for as long as some stream has not been sent its removal.
+func TestPendingChangesKeepNames(t *testing.T) {
+	c, s := limitedCore(11, 0, commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, commands{endpoint(0, 1, 0), control.RequestAck{Nonce: 2}})
+	c.delivery.account.ChannelRate = 1 // so slow that what is not acknowledged is charged for a minute
 	c.Turn(1, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
 	if got := text(c.Turn(2, []Input{list(true, "yr")})); got != "" || len(s.turns) > 0 {
 		t.Fatalf("got %s", got)
 	}
-	for at := evictionInterval; at <= nameRetention+4*evictionInterval; at += evictionInterval { // it lives, but does not answer
+	for at := evictionInterval; at <= nameRetention+4*evictionInterval; at += evictionInterval { // it lives, but acknowledges nothing
 		c.Turn(at, []Input{StreamActive{1}})
 	}
 	if got := text(c.Turn(nameRetention+5*evictionInterval, []Input{Ack{Stream: 1, Nonce: 1}})); got != "1: x=0 #2" {
@@ -518,18 +516,18 @@
 	}
 }
 
-// A thousand small changes while the channel is busy are one message for each proxy, and no proxy waits behind others for
-// ever: who has waited longest comes first.
-func TestABusyChannelGetsMessagesThatAreNew(t *testing.T) {
-	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 1}, control.Bind{Proxy: 2}, control.Bind{Proxy: 3}, control.RequestAck{Nonce: 1}})
-	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 1 << 20, ChannelRate: 100, MessageOverhead: 4, MaxTransit: 1e7}) // busy from 4 lines on
-	notes := []Input{list(true, "xr", "yr")}
+// Many small changes while the channel is busy are one update for each proxy, and no proxy waits behind others for ever: the
+// one that has waited longest comes first.
+func TestPendingChangesAreBroughtUpToDate(t *testing.T) {
+	c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 1}, control.Bind{Proxy: 2}, control.Bind{Proxy: 3}, control.RequestAck{Nonce: 1}})
+	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 1 << 20, ChannelRate: 100, MessageOverhead: 4, MaxTransit: 1e7}) // busy from 4 cost units on
+	inputs := []Input{list(true, "xr", "yr")}
 	for proxy := 1; proxy <= 3; proxy++ {
-		notes = append(notes, StreamOpened{Stream: StreamID(proxy), Proxy: proxy, Zone: "a", WithoutTable: true})
+		inputs = append(inputs, StreamOpened{Stream: StreamID(proxy), Proxy: proxy, Zone: "a", WithoutTable: true})
 	}
-	got := []string{text(c.Turn(1, notes))}
+	got := []string{text(c.Turn(1, inputs))}
 	for k := range 100 {
-		s.turns = []orders{{line(0, 1, float64(k)), control.RequestAck{Nonce: uint64(k + 2)}}}
+		s.turns = []commands{{endpoint(0, 1, float64(k)), control.RequestAck{Nonce: uint64(k + 2)}}}
 		got = append(got, text(c.Turn(int64(k+2), nil)))
 	}
 	if sent := strings.Join(got, ""); sent != "1: full x=1 #1" {
@@ -546,10 +544,10 @@
 	}
 }
 
-// All answers are lost, and nothing is written that could be answered: a mark of the core's own is, after a while, and its
-// answer speaks for the module's as well.
-func TestMissingAnswersAreAskedFor(t *testing.T) {
-	c, s := core(orders{line(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
+// All acks are lost, and nothing is sent that could be acknowledged: after a while the core requests an ack of its own, which
+// covers the module's as well.
+func TestMissingAcksAreRequested(t *testing.T) {
+	c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
 	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 40, ChannelRate: 100, MessageOverhead: 4, MaxMessages: 2, MessageWindow: 10e9, MaxTransit: 1e8})
 	c.Turn(1e9, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	if got := text(c.Turn(3e9, []Input{StreamActive{1}})); got != "" {
@@ -559,7 +557,7 @@
 		t.Errorf("after more, once for all under a cap of 2: %s", got)
 	}
 	c.Turn(7e9, []Input{Ack{Stream: 1, Nonce: 32775}})
-	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.told, want) || c.delivery.account.Queued() != 0 || len(c.streams.byProxy[4].unacked) != 0 {
-		t.Errorf("told %+v, %d lines wait", s.told, c.delivery.account.Queued())
+	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.events, want) || c.delivery.account.Queued() != 0 || len(c.streams.byProxy[4].unacked) != 0 {
+		t.Errorf("events %+v, %d cost units wait", s.events, c.delivery.account.Queued())
 	}
 }
--- a/internal/controller/capped_test.go
+++ b/internal/controller/messagecap_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// A proxy that joins again and again uses up its cap of messages. A drain that is told then reaches the others of its table all
-// the same, within the grace: the core holds what is for that one alone, and the module must not keep the order back from all.
-func TestOneCappedProxyHoldsUpNoWithdrawal(t *testing.T) {
+// A proxy that reconnects again and again uses up its message cap. A drain that is listed then still reaches the other proxies
+// of its table within the grace: the core holds back only what is for that proxy, and the module must not delay the rest.
+func TestCappedProxyDoesNotDelayOthers(t *testing.T) {
 	const grace = 2 * second
 	p := cappedSettings(grace, 6)
 	p.ChannelRate, p.ChannelLimit = 1200, 1800
@@ -48,28 +48,28 @@
 		owner[stream] = proxy
 		return controller.StreamOpened{Stream: stream, Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true}
 	}
-	notes := []controller.Input{list("")}
+	inputs := []controller.Input{list("")}
 	for proxy := range p.Proxies {
-		notes = append(notes, join(proxy))
+		inputs = append(inputs, join(proxy))
 	}
-	told := int64(0)
+	drainedAt := int64(0)
 	for now := second; now < 12*second; now += second / 10 {
-		o := core.Turn(now, notes)
-		notes = nil
+		o := core.Turn(now, inputs)
+		inputs = nil
 		for _, s := range o.Updates {
 			if s.Update.WantsAck && s.Stream > 0 {
-				notes = append(notes, controller.MessageSent{Number: s.Number}, controller.Ack{Stream: s.Stream, Nonce: s.Update.Nonce})
+				inputs = append(inputs, controller.MessageSent{Number: s.Number}, controller.Ack{Stream: s.Stream, Nonce: s.Update.Nonce})
 			}
 			drops := slices.Contains(s.Update.Endpoints, controller.WeightedEndpoint{Replica: "s-0"}) || slices.Contains(s.Update.Ejected, "s-0")
-			if told > 0 && drops && now <= told+grace {
+			if drainedAt > 0 && drops && now <= drainedAt+grace {
 				left[owner[s.Stream]] = true
 			}
 		}
 		switch {
 		case now < 26*second/10 && (now/(second/10))%4 == 0: // with the first that is all that may be used but for one
-			notes = append(notes, join(0))
-		case told == 0 && now >= 3*second:
-			told, notes = now, append(notes, list("s-0"))
+			inputs = append(inputs, join(0))
+		case drainedAt == 0 && now >= 3*second:
+			drainedAt, inputs = now, append(inputs, list("s-0"))
 		}
 	}
 	for proxy := 1; proxy < p.Proxies; proxy++ {
@@ -79,9 +79,9 @@
 	}
 }
 
-// A release drains forty replicas one after the other, faster than a proxy may get messages. Each proxy is told of each within
-// the grace: the cap is not used up by the first thirty.
-func TestAReleaseOfMoreStepsThanMessagesKeepsTheGrace(t *testing.T) {
+// A release drains forty replicas one after the other, faster than a proxy may get messages. Each proxy stops sending to each
+// within the grace: the first thirty do not use up the cap.
+func TestDrainGraceHoldsForMoreStepsThanMessages(t *testing.T) {
 	const (
 		grace    = 2 * second
 		replicas = 60
@@ -95,9 +95,9 @@
 	for k := range replicas {
 		list.Members = append(list.Members, controller.Member{ID: fmt.Sprint("s-", k), Zone: "a", HardwareClass: "m1", Weight: 1})
 	}
-	notes := []controller.Input{list}
+	inputs := []controller.Input{list}
 	for proxy := range p.Proxies {
-		notes = append(notes, controller.StreamOpened{Stream: controller.StreamID(proxy + 1), Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true})
+		inputs = append(inputs, controller.StreamOpened{Stream: controller.StreamID(proxy + 1), Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true})
 	}
 	holds, messages := map[controller.StreamID]map[string]bool{}, map[controller.StreamID]int{}
 	drained := map[string]int64{}
@@ -106,10 +106,10 @@
 			m := list.Members[k]
 			m.State = control.Draining
 			drained[m.ID] = now
-			notes = append(notes, controller.ReplicaList{Revision: 1, ReadAt: now, ReadAtWall: now, Members: []controller.Member{m}})
+			inputs = append(inputs, controller.ReplicaList{Revision: 1, ReadAt: now, ReadAtWall: now, Members: []controller.Member{m}})
 		}
-		o := core.Turn(now, notes)
-		notes = nil
+		o := core.Turn(now, inputs)
+		inputs = nil
 		for _, s := range o.Updates {
 			held := holds[s.Stream]
 			if held == nil || s.Update.Full {
@@ -125,9 +125,9 @@
 			if now >= 4*second {
 				messages[s.Stream]++
 			}
-			notes = append(notes, controller.MessageSent{Number: s.Number})
+			inputs = append(inputs, controller.MessageSent{Number: s.Number})
 			if s.Update.WantsAck {
-				notes = append(notes, controller.Ack{Stream: s.Stream, Nonce: s.Update.Nonce})
+				inputs = append(inputs, controller.Ack{Stream: s.Stream, Nonce: s.Update.Nonce})
 			}
 		}
 		for id, at := range drained {
--- a/internal/controller/reconfigure_test.go
+++ b/internal/controller/reconfigure_test.go
@@ -13,10 +13,10 @@
 	"lilacbend/settings"
 )
 
-// This file changes the settings of core and module together while they run, in the world of the channel's bounds.
+// This file changes the settings of core and module while the simulation runs.
 
 // group is a traffic group of the world's by its name.
-func group(name string) control.TrafficClass {
+func classNamed(name string) control.TrafficClass {
 	g := control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}
 	switch name {
 	case "order":
@@ -27,22 +27,22 @@
 	return g
 }
 
-// configure has the world's next turn bring settings, by names.
-func (w *channelWorld) configure(number uint64, p control.Settings, names settings.Names) {
+// configure has the next turn take settings in.
+func (w *simulation) configure(number uint64, p control.Settings, names settings.Names) {
 	p.Zones, p.HardwareClasses, p.Classes = len(names.Zones), len(names.HardwareClasses)+1, nil
 	for _, name := range names.Classes {
-		p.Classes = append(p.Classes, group(name))
+		p.Classes = append(p.Classes, classNamed(name))
 	}
-	w.provision = p
-	w.notes = append(w.notes, controller.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: p,
-		Start: func() controller.Module { return moody{policy.New(p), w} }})
+	w.settings = p
+	w.inputs = append(w.inputs, controller.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: p,
+		Start: func() controller.Module { return failingModule{policy.New(p), w} }})
 }
 
 var worldNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 
-// The bounds of the channel and the rules hold for any sequence of changes, among crowds, releases, faults and a module that
-// fails now and then; after the last change everybody is served as from the start.
-func TestTheRulesHoldThroughChangesOfSettings(t *testing.T) {
+// The limits of the channel and the invariants hold for any sequence of changes, among reconnect storms, releases, faults and a
+// module that fails now and then; after the last change everybody is served as from the start.
+func TestInvariantsHoldThroughChangesOfSettings(t *testing.T) {
 	t.Parallel()
 	zones := [][]string{{"a", "b"}, {"b", "a"}, {"a", "b", "c"}, {"c", "b", "a"}, {"b"}, {"a", "c"}, {}}
 	groups := [][]string{{"read", "order"}, {"order", "read"}, {"browse", "read", "order"}, {"order"}, {"read", "browse"}}
@@ -50,8 +50,8 @@
 		draw := rand.New(rand.NewSource(seed))
 		proxies := 2 + draw.Intn(39)
 		limit := (20 + draw.Intn(41)) * proxies
-		w := newChannelWorld(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), trueLines)
-		original, number := w.provision, uint64(1)
+		w := newSimulation(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), updateCost)
+		original, number := w.settings, uint64(1)
 		for range 1 + draw.Intn(60) {
 			if draw.Intn(3) == 0 {
 				number++
@@ -60,7 +60,7 @@
 				p.DrainGrace, p.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
 				p.ChannelLimit, p.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
 				if w.waits > 0 || len(w.stalled) > 0 { // what waits may be over a bound that has just shrunk
-					p.ChannelLimit, p.MaxMessages = w.provision.ChannelLimit, w.provision.MaxMessages
+					p.ChannelLimit, p.MaxMessages = w.settings.ChannelLimit, w.settings.MaxMessages
 				}
 				w.configure(number, p, settings.Names{Classes: groups[draw.Intn(len(groups))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
 			}
@@ -79,17 +79,17 @@
 			wrong = fmt.Sprintf("%s in force, not %d", version, number+1)
 		}
 		if wrong != "" {
-			t.Fatalf("seed %d, %d proxies, %d replicas, %d lines: %s", seed, proxies, len(w.names), limit, wrong)
+			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d: %s", seed, proxies, len(w.names), limit, wrong)
 		}
 	}
 }
 
-// Settings that say the same in another order change nothing: not one message more, and the same tables at every proxy.
-func TestTheSameSettingsInAnotherOrderChangeNothing(t *testing.T) {
+// Settings that say the same in another order change nothing: not one update more, and the same tables at every proxy.
+func TestReorderedSettingsChangeNothing(t *testing.T) {
 	for seed := range int64(12) {
-		var worlds []*channelWorld
+		var worlds []*simulation
 		for k := range 2 {
-			w := newChannelWorld(seed, 30, 24, 2, 4000, 4000, trueLines)
+			w := newSimulation(seed, 30, 24, 2, 4000, 4000, updateCost)
 			for at := range w.proxies {
 				w.join(at)
 			}
@@ -100,7 +100,7 @@
 						slices.Reverse(names.Classes)
 						slices.Reverse(names.Zones)
 					}
-					w.configure(uint64(step), w.provision, names)
+					w.configure(uint64(step), w.settings, names)
 				}
 				w.step([]int{3, 5, 5, 5}[step%4])
 			}
@@ -108,19 +108,19 @@
 		}
 		a, b := worlds[0], worlds[1]
 		if a.core.Counters.Updates != b.core.Counters.Updates || a.core.Counters.CostSent != b.core.Counters.CostSent || b.core.Counters.ConfigurationsApplied != 5 {
-			t.Fatalf("seed %d: %d messages of %d lines, and %d of %d with the changes", seed, a.core.Counters.Updates, a.core.Counters.CostSent, b.core.Counters.Updates, b.core.Counters.CostSent)
+			t.Fatalf("seed %d: %d updates of %d cost units, and %d of %d with the changes", seed, a.core.Counters.Updates, a.core.Counters.CostSent, b.core.Counters.Updates, b.core.Counters.CostSent)
 		}
 		for k := range a.proxies {
-			if fmt.Sprint(a.proxies[k].lines, a.proxies[k].shut) != fmt.Sprint(b.proxies[k].lines, b.proxies[k].shut) {
-				t.Fatalf("seed %d, proxy %d: %v and %v", seed, k, a.proxies[k].lines, b.proxies[k].lines)
+			if fmt.Sprint(a.proxies[k].endpoints, a.proxies[k].ejected) != fmt.Sprint(b.proxies[k].endpoints, b.proxies[k].ejected) {
+				t.Fatalf("seed %d, proxy %d: %v and %v", seed, k, a.proxies[k].endpoints, b.proxies[k].endpoints)
 			}
 		}
 	}
 }
 
-// calm is a world in which all have joined and been bound, and nothing else happens any more.
-func calm(t testing.TB, proxies, replicas int) *channelWorld {
-	w := newChannelWorld(1, proxies, replicas, 1, 1<<16, 1<<16, trueLines)
+// settledSimulation returns a simulation in which all proxies are connected and bound, and nothing else happens any more.
+func settledSimulation(t testing.TB, proxies, replicas int) *simulation {
+	w := newSimulation(1, proxies, replicas, 1, 1<<16, 1<<16, updateCost)
 	for k := range w.proxies {
 		w.join(k)
 	}
@@ -130,10 +130,10 @@
 	return w
 }
 
-// A change that moves nobody sends nobody a table: what was laid out stays.
-func TestAChangeOfFiguresSendsNoTables(t *testing.T) {
-	w, control := calm(t, 40, 24), calm(t, 40, 24)
-	p := w.provision
+// A change that leaves all assignments as they are sends no tables.
+func TestChangedFiguresSendNoTables(t *testing.T) {
+	w, control := settledSimulation(t, 40, 24), settledSimulation(t, 40, 24)
+	p := w.settings
 	p.DrainGrace, p.ReportInterval, p.ChannelRate, p.ChannelLimit, p.MaxTransit, p.Proxies = 5*second, second/2, p.ChannelRate/2, p.ChannelLimit/2, second/3, p.Proxies+1
 	w.configure(2, p, worldNames)
 	if wrong := w.settle(20 * second); wrong != "" || w.core.ConfigurationVersion().Revision != 2 {
@@ -141,23 +141,23 @@
 	}
 	control.settle(20 * second)
 	if got, want := w.core.Counters, control.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
-		t.Errorf("%d whole tables and %d lines, without the change %d and %d", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
+		t.Errorf("%d full tables and %d cost units, without the change %d and %d", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
 	}
 }
 
-// Where tables have to be dealt anew nobody is without lines on the way.
-func TestTablesThatAreDealtAnew(t *testing.T) {
+// While tables are assigned anew no proxy is without endpoints.
+func TestReassignedTablesLeaveNoProxyEmpty(t *testing.T) {
 	for name, change := range map[string]func(p *control.Settings, names *settings.Names){
-		"a zone more":         func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"a", "b", "c"} },
-		"one in front":        func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"c", "a", "b"} },
-		"a zone less":         func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"b"} },
-		"no zones":            func(_ *control.Settings, names *settings.Names) { names.Zones = nil },
-		"more proxies":        func(p *control.Settings, _ *settings.Names) { p.Proxies *= 10 },
-		"fewer":               func(p *control.Settings, _ *settings.Names) { p.Proxies /= 4 },
-		"shared by governors": func(p *control.Settings, _ *settings.Names) { p.Controllers = 4 },
+		"a zone more":           func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"a", "b", "c"} },
+		"one in front":          func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"c", "a", "b"} },
+		"a zone less":           func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"b"} },
+		"no zones":              func(_ *control.Settings, names *settings.Names) { names.Zones = nil },
+		"more proxies":          func(p *control.Settings, _ *settings.Names) { p.Proxies *= 10 },
+		"fewer":                 func(p *control.Settings, _ *settings.Names) { p.Proxies /= 4 },
+		"shared by controllers": func(p *control.Settings, _ *settings.Names) { p.Controllers = 4 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := calm(t, 60, 36)
+			w := settledSimulation(t, 60, 36)
 			for _, m := range w.states { // a third zone's replicas are there already
 				if m.ID >= "s-0024" && m.ID < "s-0030" {
 					m.Zone = "c"
@@ -168,13 +168,13 @@
 			if wrong := w.settle(30 * second); wrong != "" {
 				t.Fatal(wrong)
 			}
-			p, names := w.provision, worldNames
+			p, names := w.settings, worldNames
 			change(&p, &names)
 			w.configure(2, p, names)
 			for range 200 {
 				w.pass(second / 10)
 				for k, proxy := range w.proxies {
-					if len(proxy.lines) == 0 {
+					if len(proxy.endpoints) == 0 {
 						t.Fatalf("proxy %d has no line", k)
 					}
 				}
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -8,24 +8,24 @@
 	"lilacbend/internal/learnedstate"
 )
 
-func past(at, age int64, replicas ...learnedstate.Replica) *learnedstate.AgedState {
+func agedState(at, age int64, replicas ...learnedstate.Replica) *learnedstate.AgedState {
 	m := learnedstate.State{Tables: 2, AdmissionThreshold: 0.5, Replicas: replicas, BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {HardwareClass: "m9", Times: []float64{9}}},
 		RequestRates: []learnedstate.RequestRate{{Proxy: 4, Class: "order", Rate: 3}}, Bindings: []control.Binding{{Proxy: 4, Table: 1}}}
 	return learnedstate.NewAgedState(m, at, age, defaultHalfLife)
 }
 
-func learned(speed float64) orders {
-	return orders{control.Snapshot{Replicas: []control.LearnedReplica{{Replica: 1, Speed: speed, SampleCount: 3}, {Replica: 99, Speed: 1}},
+func learned(speed float64) commands {
+	return commands{control.Snapshot{Replicas: []control.LearnedReplica{{Replica: 1, Speed: speed, SampleCount: 3}, {Replica: 99, Speed: 1}},
 		LearnedFleet: control.LearnedFleet{BaselineResponseTimes: [][]float64{nil, {0.3}, {7}, {0.4}}, RequestRates: []control.ClassRate{{Proxy: 4, Class: 1, Rate: 2}, {Proxy: 4, Class: 7}}, AdmissionThreshold: 1}}}
 }
 
-func remembering(turns ...[]control.Command) (*Core, *script) {
+func restoringCore(turns ...[]control.Command) (*Core, *scriptedModule) {
 	c, s := core(turns...)
 	c.hardwareClasses = 3 // two named, and one for all others
 	return c, s
 }
 
-func recalledIn(events []control.Event) (all []control.ReplicaRestored, fleet []control.FleetRestored) {
+func restoredEvents(events []control.Event) (all []control.ReplicaRestored, fleet []control.FleetRestored) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case control.ReplicaRestored:
@@ -37,36 +37,36 @@
 	return all, fleet
 }
 
-func TestWhatWasBroughtIsToldOnceAReplicaIsListed(t *testing.T) {
-	c, s := remembering()
+func TestRestoredStateIsReportedOnceAReplicaIsListed(t *testing.T) {
+	c, s := restoringCore()
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9, Table: 1}
-	c.Turn(100e9, []Input{SnapshotRestored{past(100e9, defaultHalfLife, x)}, list(true, "yr")})
-	all, fleet := recalledIn(s.told)
-	if _, first := s.told[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
+	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, defaultHalfLife, x)}, list(true, "yr")})
+	all, fleet := restoredEvents(s.events)
+	if _, first := s.events[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
 		!reflect.DeepEqual(fleet[0].BaselineResponseTimes, [][]float64{nil, {0.1}, nil, {0.2}}) || !reflect.DeepEqual(fleet[0].RequestRates, []control.ClassRate{{Proxy: 4, Class: 1, Rate: 3}}) {
-		t.Errorf("told %+v", s.told)
+		t.Errorf("events %+v", s.events)
 	}
 	c.Turn(100e9+defaultHalfLife, []Input{list(false, "xr")}) // ages meanwhile
-	all, _ = recalledIn(s.told)
+	all, _ = restoredEvents(s.events)
 	want := []control.ReplicaRestored{{LearnedReplica: control.LearnedReplica{Replica: 2, Speed: 0.5, SampleCount: 9, Table: 1}, Weight: 0.25, Age: 2 * defaultHalfLife}}
 	if !reflect.DeepEqual(all, want) {
-		t.Errorf("told %+v", s.told)
+		t.Errorf("events %+v", s.events)
 	}
 	again := list(false, "xt")
-	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(s.told) != 1 {
-		t.Errorf("told once more: %+v", s.told)
+	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(s.events) != 1 {
+		t.Errorf("reported once more: %+v", s.events)
 	}
 	again.Members[0].UpSince = 999e9 // it has started since
-	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(s.told) != 1 || c.Counters.ReplicasRestored != 1 {
-		t.Errorf("another start is taken for the remembered one: %+v", s.told)
+	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(s.events) != 1 || c.Counters.ReplicasRestored != 1 {
+		t.Errorf("another start is taken for the remembered one: %+v", s.events)
 	}
 }
 
-func TestAFreshModuleStartsFromWhatWasLearnedHere(t *testing.T) {
-	c, s := remembering(nil, nil, learned(0.25), panics)
+func TestNewModuleStartsFromTheLastSnapshot(t *testing.T) {
+	c, s := restoringCore(nil, nil, learned(0.25), panicking)
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
 	z := learnedstate.Replica{ID: "z", Zone: "b", HardwareClass: "m2", Speed: 4, SampleCount: 9}
-	c.Turn(100e9, []Input{SnapshotRestored{past(100e9, 0, x, z)}, list(true, "xr", "yr")})
+	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, 0, x, z)}, list(true, "xr", "yr")})
 	if o := c.Turn(100e9+defaultSnapshotInterval, nil); o.Snapshot != nil || c.FinalSnapshot(100e9+settleTime-1) != nil {
 		t.Error("what was brought is overwritten by one who knows less")
 	}
@@ -76,24 +76,24 @@
 		t.Fatalf("learned %+v", o.Snapshot)
 	}
 	o = c.Turn(100e9+settleTime+defaultHalfLife, nil)
-	all, fleet := recalledIn(s.told)
+	all, fleet := restoredEvents(s.events)
 	if o.Panic == "" || len(all) != 1 || all[0].Speed != 0.25 || all[0].Weight != 0.5 || len(fleet) != 1 {
-		t.Errorf("told %+v after %.20q", s.told, o.Panic)
+		t.Errorf("events %+v after %.20q", s.events, o.Panic)
 	}
 }
 
-// What was learned may be what a module fails by: it is left out before the module rests.
-func TestAModuleThatFailsByWhatItIsToldStartsBare(t *testing.T) {
-	c, s := remembering(nil, panics, panics, nil)
+// The learned state may be what a module fails by: it is left out before the module is paused.
+func TestModuleThatFailsByItsLearnedStateStartsWithoutIt(t *testing.T) {
+	c, s := restoringCore(nil, panicking, panicking, nil)
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
-	c.Turn(100e9, []Input{SnapshotRestored{past(100e9, 0, x)}, list(true, "xr")})
+	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, 0, x)}, list(true, "xr")})
 	o := c.Turn(101e9, nil)
-	if all, fleet := recalledIn(s.told); len(all)+len(fleet) != 0 || len(s.told) != 1 || c.Counters.RestartsWithoutState != 1 || o.NextTurn != 0 {
-		t.Errorf("told %+v, %d bare, due %d", s.told, c.Counters.RestartsWithoutState, o.NextTurn)
+	if all, fleet := restoredEvents(s.events); len(all)+len(fleet) != 0 || len(s.events) != 1 || c.Counters.RestartsWithoutState != 1 || o.NextTurn != 0 {
+		t.Errorf("events %+v, %d without state, due %d", s.events, c.Counters.RestartsWithoutState, o.NextTurn)
 	}
 }
 
-func TestTheListOfAMemory(t *testing.T) {
+func TestListFromSnapshotNamesListedReplicas(t *testing.T) {
 	m := learnedstate.State{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, Weight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
 	want := ReplicaList{Revision: 7, Complete: true, Members: []Member{{ID: "x", Zone: "a", HardwareClass: "m1", State: control.Draining, Weight: 2, UpSince: 5}}}
 	if got := ListFromSnapshot(m); !reflect.DeepEqual(got, want) {
--- /dev/null
+++ b/internal/controller/streams_test.go
@@ -0,0 +1,162 @@
+package controller
+
+import (
+	"slices"
+	"testing"
+
+	"lilacbend/control"
+)
+
+func testStream(id StreamID, proxy int) *stream {
+	s := &stream{id: id, opened: control.StreamOpened{Proxy: proxy}, binding: binding{table: unbound}}
+	s.delivered.reset()
+	return s
+}
+
+func TestStreamSetBindsEachStreamToOneTable(t *testing.T) {
+	set := newStreamSet()
+	s := testStream(1, 4)
+	set.add(s)
+	for _, table := range []int{unbound, 2, 2, 0} {
+		set.bind(s, table)
+		for other, bound := range set.byTable {
+			if (bound[4] == s) != (other == table) {
+				t.Errorf("bound to %d: table %d has %v", table, other, bound)
+			}
+		}
+	}
+	if reached := set.reachedBy(control.AllTables); reached[4] != s {
+		t.Errorf("all tables reach %v", reached)
+	}
+	if reached := set.reachedBy(2); len(reached) != 0 {
+		t.Errorf("a table that the stream has left reaches %v", reached)
+	}
+	set.remove(s)
+	if set.isCurrent(s) || len(set.byProxy)+len(set.byID)+len(set.byTable[0]) != 0 {
+		t.Errorf("a removed stream stays: %+v", set)
+	}
+}
+
+func TestStreamSetKeepsTheSuccessorOfAReplacedStream(t *testing.T) {
+	set := newStreamSet()
+	old, next := testStream(1, 4), testStream(2, 4)
+	set.add(old)
+	set.bind(old, 0)
+	set.remove(old)
+	set.add(next)
+	set.bind(next, 0)
+	set.unbind(old)
+	if set.byTable[0][4] != next || set.isCurrent(old) || !set.isCurrent(next) {
+		t.Errorf("the successor is not the proxy's stream: %+v", set)
+	}
+}
+
+func TestDeliveredStateDiffersUntilItIsReported(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		delivered deliveredState
+		ejected   bool
+		want      bool
+	}{
+		{"unknown proxy, not ejected", deliveredState{}, false, true},
+		{"proxy without a table, not ejected", deliveredState{ejectsOnlyReported: true}, false, false},
+		{"proxy without a table, ejected", deliveredState{ejectsOnlyReported: true}, true, true},
+		{"reported as ejected, ejected", deliveredState{ejections: map[uint32]bool{1: true}}, true, false},
+		{"reported as ejected, not ejected", deliveredState{ejections: map[uint32]bool{1: true}}, false, true},
+		{"reported as restored, not ejected", deliveredState{ejections: map[uint32]bool{1: false}}, false, false},
+	} {
+		if got := c.delivered.mayDiffer(1, c.ejected); got != c.want {
+			t.Errorf("%s: %v", c.name, got)
+		}
+	}
+}
+
+func TestDeliveredStateResetKeepsWhatIsStillToBeSent(t *testing.T) {
+	d := deliveredState{
+		ejectsOnlyReported: true,
+		ejections:          map[uint32]bool{1: true},
+		admissions:         map[int]Admission{0: {Class: "read"}},
+		lifted:             []Admission{{Class: "order"}},
+	}
+	d.reset()
+	if d.ejectsOnlyReported || len(d.ejections)+len(d.admissions) != 0 || len(d.lifted) != 1 {
+		t.Errorf("%+v", d)
+	}
+}
+
+func TestUnackedMessagesAckCoversAllBeforeIt(t *testing.T) {
+	u := unackedMessages{{nonce: 1}, {nonce: 2}, {nonce: 9, own: true}, {nonce: 3}}
+	if place := u.find(7); place >= 0 {
+		t.Errorf("a nonce that was not sent is found at %d", place)
+	}
+	nonce, found := u.takeCovered(u.find(9))
+	if !found || nonce != 2 || len(u) != 1 || u[0].nonce != 3 {
+		t.Errorf("nonce %d %v, left %v", nonce, found, u)
+	}
+	u.disown()
+	if _, found := u.takeCovered(0); found || len(u) != 0 {
+		t.Errorf("an ack of a failed module is the new one's; left %v", u)
+	}
+}
+
+func TestUnackedMessagesAreBounded(t *testing.T) {
+	var u unackedMessages
+	for nonce := range uint64(maxUnacked + 2) {
+		u.add(sentMessage{nonce: nonce})
+	}
+	if len(u) != maxUnacked || u[0].nonce != 2 {
+		t.Errorf("%d messages, the first %d", len(u), u[0].nonce)
+	}
+}
+
+func TestOwnNoncesAreFarFromTheModules(t *testing.T) {
+	for _, c := range []struct {
+		last sentMessage
+		want uint64
+	}{
+		{sentMessage{nonce: 7}, 7 + ownNonceOffset},
+		{sentMessage{nonce: ownNonceOffset + 1}, 1},
+		{sentMessage{nonce: 7 + ownNonceOffset, own: true}, 8 + ownNonceOffset},
+		{sentMessage{nonce: nonceModulus - 1, own: true}, 0},
+	} {
+		if got := (unackedMessages{{nonce: 3}, c.last}).nextOwnNonce(); got != c.want {
+			t.Errorf("after %+v: %d, want %d", c.last, got, c.want)
+		}
+	}
+}
+
+func TestAckDeadlinesNameWhoStaysSilent(t *testing.T) {
+	var d ackDeadlines
+	quiet, spoke, again := testStream(1, 1), testStream(2, 2), testStream(3, 3)
+	for _, s := range []*stream{quiet, spoke, again} {
+		d.await(s, 10)
+	}
+	d.await(quiet, 11) // owes one already
+	spoke.silent.since = 0
+	again.silent.since = 0
+	d.await(again, 12)
+	if overdue := d.takeOverdue(15, 5); overdue != nil {
+		t.Errorf("in time: %v", overdue)
+	}
+	if overdue := d.takeOverdue(16, 5); !slices.Equal(overdue, []*stream{quiet}) {
+		t.Errorf("overdue: %v", overdue)
+	}
+	if overdue := d.takeOverdue(18, 5); !slices.Equal(overdue, []*stream{again}) || len(d.awaited) != 0 {
+		t.Errorf("overdue later: %v, awaited %v", overdue, d.awaited)
+	}
+}
+
+func TestDeliveryStateTakesDueStreamsOnce(t *testing.T) {
+	d := newDeliveryState(nil)
+	s, other := testStream(1, 4), testStream(2, 4)
+	d.markDue(s)
+	d.unmarkDue(other) // another stream of the proxy
+	if due := d.takeDue(); due[4] != s {
+		t.Errorf("due %v", due)
+	}
+	d.markDue(s)
+	d.unmarkDue(s)
+	if due := d.takeDue(); len(due) != 0 {
+		t.Errorf("due once more: %v", due)
+	}
+}
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -10,31 +10,31 @@
 const second = int64(1e9)
 
 // Where the settings name no zones all peers are in one, whatever they call it.
-func TestADeploymentWithoutZones(t *testing.T) {
+func TestTopologyWithoutZonesTakesAnyZone(t *testing.T) {
 	p := control.Settings{Proxies: 2, Classes: []control.TrafficClass{{Timeout: second}}}
 	none := NewTopology(settings.Names{}, p)
 	some := NewTopology(settings.Names{Zones: []string{"a", "a-1"}}, p)
 	for _, zone := range []string{"", "a", "a-"} {
-		met := Outcomes{Zone: zone, Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: second}}
-		if none.CheckCollector(zone) != nil || none.CheckProxy(StreamOpened{Proxy: 1, Zone: zone}) != nil || !none.validOutcomes(met) {
+		report := Outcomes{Zone: zone, Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: second}}
+		if none.CheckCollector(zone) != nil || none.CheckProxy(StreamOpened{Proxy: 1, Zone: zone}) != nil || !none.validOutcomes(report) {
 			t.Errorf("%q is refused where there are no zones", zone)
 		}
 		known := zone == "a"
 		joins := some.CheckProxy(StreamOpened{Proxy: 1, Zone: zone}) == nil
-		if (some.CheckCollector(zone) == nil) != known || joins != known || some.validOutcomes(met) != known {
+		if (some.CheckCollector(zone) == nil) != known || joins != known || some.validOutcomes(report) != known {
 			t.Errorf("%q, where there are zones", zone)
 		}
 	}
 }
 
 // Reports that come once in a quarter of an hour tell of that long.
-func TestReportsThatComeSeldom(t *testing.T) {
+func TestTopologyTakesReportsOfSeveralIntervals(t *testing.T) {
 	const cycle = 900 * second
 	p := control.Settings{Proxies: 2, ReportInterval: cycle, Classes: []control.TrafficClass{{Timeout: second}}}
 	c := NewTopology(settings.Names{}, p)
 	for span, usable := range map[int64]bool{cycle: true, 2 * cycle: true, 5 * cycle: false} {
-		met := Outcomes{Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: span}}
-		if c.validOutcomes(met) != usable || c.validDemand(Demand{Demand: control.Demand{Period: span}}) != usable {
+		report := Outcomes{Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: span}}
+		if c.validOutcomes(report) != usable || c.validDemand(Demand{Demand: control.Demand{Period: span}}) != usable {
 			t.Errorf("a sum of %d s: not %v", span/second, usable)
 		}
 	}
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -17,9 +17,9 @@
 )
 
 // The benchmarks of this file give the slopes of docs/CAPACITY.md: each varies one input of a turn and leaves the others at
-// the shape of one governor of a mean service. They measure the core and the module alone, without sockets.
+// the shape of one controller of a mean service. They measure the core and the module alone, without sockets.
 
-// The channel of the fleet days: lines that may wait in it, and lines a second.
+// The channel of a fleet: cost units that may wait in it, and cost units a second.
 const (
 	channelLimit = 49200
 	channelRate  = 1200
@@ -33,7 +33,7 @@
 	settlingTurns  = 40
 )
 
-// turnShape is the size of one governor and what each of its turns brings.
+// turnShape is the size of one controller and what each of its turns takes in.
 type turnShape struct {
 	replicas, proxies, classes int
 	reports, demands, changes  int
@@ -45,15 +45,15 @@
 	return turnShape{replicas: 33, proxies: 480, classes: 3, reports: 40, interval: tickInterval}
 }
 
-// sizedWorld is a governor that all of its proxies have joined, behind a channel that delivers at once.
+// sizedWorld is a controller that all of its proxies are connected to, behind a channel that delivers at once.
 type sizedWorld struct {
-	*channelWorld
+	*simulation
 	shape   turnShape
 	classes []string
 	heap    uint64        // bytes that it holds once it has settled
 	used    time.Duration // processor time of all turns
-	pushes  int
-	lines   int // of all pushes, without heads
+	updates int
+	units   int // cost units of all updates, without overhead
 }
 
 func newSizedWorld(shape turnShape) *sizedWorld {
@@ -62,13 +62,13 @@
 	if shape.wide {
 		limit, rate = wideChannel, wideChannel
 	}
-	w := &sizedWorld{channelWorld: newChannelWorld(1, shape.proxies, shape.replicas, 5, limit, rate, trueLines), shape: shape}
-	w.provision.Classes = nil
+	w := &sizedWorld{simulation: newSimulation(1, shape.proxies, shape.replicas, 5, limit, rate, updateCost), shape: shape}
+	w.settings.Classes = nil
 	for k := range shape.classes {
 		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
-		w.provision.Classes = append(w.provision.Classes, control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent})
+		w.settings.Classes = append(w.settings.Classes, control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent})
 	}
-	w.core = controller.New(func() controller.Module { return policy.New(w.provision) }, controller.NewTopology(w.settingNames(), w.provision))
+	w.core = controller.New(func() controller.Module { return policy.New(w.settings) }, controller.NewTopology(w.settingNames(), w.settings))
 	for k := range w.proxies {
 		w.join(k)
 	}
@@ -93,16 +93,16 @@
 // turn has one turn, says how long it took, and delivers its messages before the next one.
 func (w *sizedWorld) turn(interval int64) time.Duration {
 	w.now += interval
-	events := w.notes
-	w.notes = nil
+	events := w.inputs
+	w.inputs = nil
 	usedBefore, began := threadTime(), time.Now()
 	outcome := w.core.Turn(w.now, events)
 	took := time.Since(began)
 	w.used += threadTime() - usedBefore
-	w.pushes += len(outcome.Updates)
+	w.updates += len(outcome.Updates)
 	for _, s := range outcome.Updates {
-		w.lines += trueLines(s.Update)
-		w.notes = append(w.notes, controller.MessageSent{Number: s.Number})
+		w.units += updateCost(s.Update)
+		w.inputs = append(w.inputs, controller.MessageSent{Number: s.Number})
 		w.apply(message{proxy: int(s.Stream) - 1, sent: s}) // streams are numbered from 1 as the proxies join
 	}
 	return took
@@ -119,10 +119,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// report adds what one turn of the shape is told.
+// report adds the inputs of one turn of the shape.
 func (w *sizedWorld) report() {
 	for range w.shape.reports {
-		w.notes = append(w.notes, controller.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))], Outcomes: control.Outcomes{
+		w.inputs = append(w.inputs, controller.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))], Outcomes: control.Outcomes{
 			Attempts:     20,
 			Failures:     w.Intn(2),
 			ResponseTime: second/10 + int64(w.Intn(int(second/20))),
@@ -131,7 +131,7 @@
 	}
 	for range w.shape.demands {
 		proxy := w.Intn(len(w.proxies))
-		w.notes = append(w.notes, controller.Demand{Stream: w.proxies[proxy].stream, Class: w.classes[w.Intn(len(w.classes))],
+		w.inputs = append(w.inputs, controller.Demand{Stream: w.proxies[proxy].stream, Class: w.classes[w.Intn(len(w.classes))],
 			Demand: control.Demand{Proxy: proxy, Requests: 5, Period: second}})
 	}
 	if w.shape.changes > 0 {
@@ -155,7 +155,7 @@
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	w := newSizedWorld(shape)
-	w.used, w.pushes, w.lines = 0, 0, 0
+	w.used, w.updates, w.units = 0, 0, 0
 	var spans []time.Duration
 	for b.Loop() {
 		w.report()
@@ -165,8 +165,8 @@
 	b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
 	b.ReportMetric(float64(spans[len(spans)*99/100])/1e6, "p99-ms")
 	b.ReportMetric(float64(w.used)/float64(len(spans))/1e6, "cpu-ms")
-	b.ReportMetric(float64(w.pushes)/float64(len(spans)), "pushes/turn")
-	b.ReportMetric(float64(w.lines)/float64(len(spans)), "lines/turn")
+	b.ReportMetric(float64(w.updates)/float64(len(spans)), "pushes/turn")
+	b.ReportMetric(float64(w.units)/float64(len(spans)), "lines/turn")
 	b.ReportMetric(float64(w.heap), "heap-B")
 	runtime.KeepAlive(w)
 }
@@ -229,11 +229,11 @@
 			version := revision.Version{Epoch: 1}
 			var spans []time.Duration
 			for b.Loop() {
-				changed := w.provision
+				changed := w.settings
 				changed.Classes = slices.Clone(changed.Classes)
 				changed.Classes[0].Timeout += int64(len(spans)%2) * second
 				version.Revision++
-				w.notes = append(w.notes, controller.Configure{Version: version, Names: w.settingNames(), Settings: changed,
+				w.inputs = append(w.inputs, controller.Configure{Version: version, Names: w.settingNames(), Settings: changed,
 					Start: func() controller.Module { return policy.New(changed) }})
 				spans = append(spans, w.turn(shape.interval))
 				if w.core.ConfigurationVersion() != version {
@@ -246,21 +246,21 @@
 	}
 }
 
-// All proxies join within one turn, at a governor of a mean service behind the channel of the fleet days.
+// All proxies connect within one turn to a controller of a mean service behind the channel of a fleet.
 func BenchmarkTurnThatBindsByProxies(b *testing.B) {
 	for _, proxies := range []int{48, 240, 480, 960, 1920} {
 		b.Run(fmt.Sprintf("proxies=%d", proxies), func(b *testing.B) {
 			var spans []time.Duration
 			for b.Loop() {
-				w := newChannelWorld(1, proxies, 33, 5, channelLimit, channelRate, trueLines)
+				w := newSimulation(1, proxies, 33, 5, channelLimit, channelRate, updateCost)
 				w.Rand = rand.New(rand.NewSource(1))
-				w.core.Turn(w.now, w.notes)
-				w.notes = nil
+				w.core.Turn(w.now, w.inputs)
+				w.inputs = nil
 				for k := range w.proxies {
 					w.join(k)
 				}
 				began := time.Now()
-				if o := w.core.Turn(w.now+tickInterval, w.notes); len(o.Updates) == 0 {
+				if o := w.core.Turn(w.now+tickInterval, w.inputs); len(o.Updates) == 0 {
 					b.Fatal("nobody is bound")
 				}
 				spans = append(spans, time.Since(began))
