--- a/cmd/lilacbend/sidecar.go
+++ b/cmd/lilacbend/sidecar.go
@@ -46,7 +46,7 @@
 				m, err := readManifest(or(cmd.Args().First(), file))
 				if err == nil {
 					fmt.Printf("%s would start: %s, proxy %d of zone %s, HTTP/1.1 on %s, HTTP/2 on %s, %d traffic groups, %d rules, %d governors\n",
-						m.File, m.Name, m.Proxy, m.Zone, or(m.H1, "nothing"), or(m.H2, "nothing"), len(m.Plan.Groups), len(m.Rules), len(m.Governors))
+						m.File, m.Name, m.Proxy, m.Zone, or(m.H1, "nothing"), or(m.H2, "nothing"), len(m.Plan.Classes), len(m.Rules), len(m.Governors))
 				}
 				return err
 			}}},
--- a/internal/controlclient/capacity_bench_test.go
+++ b/internal/controlclient/capacity_bench_test.go
@@ -122,7 +122,7 @@
 				pairs = append(pairs, fmt.Sprintf("stock-7c9d4f5b8-%05d:0.%d", k, 100+k%800))
 			}
 			words := []string{"push", "full", "1", "endpoints", strings.Join(pairs, ","), "nonce_out", "4711"}
-			core, err := dispatch.New(dispatch.Plan{Flows: 1, Groups: []dispatch.Group{{Name: "read"}}})
+			core, err := dispatch.New(dispatch.Config{MaxRequests: 1, Classes: []dispatch.Class{{Name: "read"}}})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -34,9 +34,12 @@
 
 // Core is what updates are applied to, and what counts the requests that came.
 type Core interface {
-	Apply(parts []dispatch.Push) error
-	Blank() bool // no update was applied yet
-	Usage() []dispatch.Usage
+	// Apply applies the parts of an update, all of them or none.
+	Apply(parts []dispatch.Update) error
+	// HasTables reports whether an update with tables was applied.
+	HasTables() bool
+	// TakeDemand returns the demand by traffic class since the last call.
+	TakeDemand() []dispatch.Demand
 }
 
 // Counters are what a client has counted.
@@ -130,9 +133,9 @@
 
 // sendHello says who the proxy is.
 func (c *Client) sendHello(w *messageWriter) error {
-	blank := "0"
-	if c.Core.Blank() {
-		blank = "1"
+	blank := "1"
+	if c.Core.HasTables() {
+		blank = "0"
 	}
 	return w.send("hello", "id", strconv.Itoa(c.ID), "site", c.Zone, "rps", formatNumber(c.Rate), "new", blank)
 }
@@ -183,7 +186,7 @@
 func (c *Client) apply(w *messageWriter, message updateMessage) error {
 	began := time.Now()
 	if err := c.Core.Apply(message.parts); err != nil {
-		if errors.Is(err, dispatch.ErrUnusable) {
+		if errors.Is(err, dispatch.ErrInvalidUpdate) {
 			c.Counters.Unusable.Add(1)
 		}
 		return err
@@ -203,7 +206,7 @@
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	if time.Since(c.demandSince) > maxReportAge { // what came while there was no governor tells nothing of now
-		c.Core.Usage()
+		c.Core.TakeDemand()
 		c.demandSince = time.Now()
 	}
 	for {
@@ -224,13 +227,13 @@
 func (c *Client) sendDemand(w *messageWriter) error {
 	period := time.Since(c.demandSince)
 	c.demandSince = c.demandSince.Add(period)
-	for class, usage := range c.Core.Usage() {
-		if usage.Flows == 0 && usage.Missed == 0 {
+	for class, usage := range c.Core.TakeDemand() {
+		if usage.Requests == 0 && usage.Failures == 0 {
 			continue
 		}
 		c.Counters.Demands.Add(1)
-		err := w.send("demand", "id", strconv.Itoa(c.ID), "lane", c.Classes[class], "count", strconv.Itoa(usage.Flows),
-			"fail", strconv.Itoa(usage.Missed), "over", formatNumber(millis(period)))
+		err := w.send("demand", "id", strconv.Itoa(c.ID), "lane", c.Classes[class], "count", strconv.Itoa(usage.Requests),
+			"fail", strconv.Itoa(usage.Failures), "over", formatNumber(millis(period)))
 		if err != nil {
 			return err
 		}
--- a/internal/controlclient/collectors_test.go
+++ b/internal/controlclient/collectors_test.go
@@ -18,9 +18,9 @@
 // reports runs a reporter, of one try at one replica for each interval, until the test ends or stops it.
 func reports(t *testing.T, interval time.Duration, collectors ...string) (r *Reporter, told *atomic.Int64, stop func()) {
 	told = &atomic.Int64{}
-	r = &Reporter{Collectors: collectors, Interval: interval, Sums: func() map[string]*dispatch.Sum {
+	r = &Reporter{Collectors: collectors, Interval: interval, Sums: func() map[string]*dispatch.Outcomes {
 		told.Add(1)
-		return map[string]*dispatch.Sum{"b": {Tries: 1}}
+		return map[string]*dispatch.Outcomes{"b": {Attempts: 1}}
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/internal/controlclient/crossings_test.go
+++ b/internal/controlclient/crossings_test.go
@@ -75,7 +75,7 @@
 				}
 				core.mu.Lock()
 				defer core.mu.Unlock()
-				if last := core.applied[len(core.applied)-1]; len(core.applied) != c.applied+1 || len(last) != 1 || len(last[0].Lines) != 0 || len(last[0].Shut) != 1 {
+				if last := core.applied[len(core.applied)-1]; len(core.applied) != c.applied+1 || len(last) != 1 || len(last[0].Weights) != 0 || len(last[0].Eject) != 1 {
 					t.Errorf("%+v", core.applied)
 				}
 			})
@@ -87,7 +87,7 @@
 // time in which it came, not over the second since that stream began.
 func TestWhatCameBetweenStreamsIsToldOverItsTime(t *testing.T) {
 	g := scriptedpeer.Listen(t)
-	core := &core{usage: []dispatch.Usage{{Flows: 7}}}
+	core := &core{usage: []dispatch.Demand{{Requests: 7}}}
 	began := time.Now()
 	steered(t, core, g)
 	for range 4 {
@@ -221,13 +221,13 @@
 func TestACollectorIsStartedAgainBetweenTwoReports(t *testing.T) {
 	l := scriptedpeer.Listen(t)
 	due, taken := make(chan int), atomic.Int64{}
-	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Sum {
+	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Outcomes {
 		n, ok := <-due
 		if !ok {
 			return nil
 		}
 		taken.Add(1)
-		return map[string]*dispatch.Sum{"b": {Tries: n}, "c": {Tries: n}}
+		return map[string]*dispatch.Outcomes{"b": {Attempts: n}, "c": {Attempts: n}}
 	}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -251,12 +251,12 @@
 // A collector that reads nothing holds up no end of a sidecar.
 func TestATellerEndsThoughItsCollectorReadsNothing(t *testing.T) {
 	l := scriptedpeer.Listen(t)
-	sums := map[string]*dispatch.Sum{}
+	sums := map[string]*dispatch.Outcomes{}
 	for k := range maxReplicas {
-		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Sum{Tries: 1}
+		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Outcomes{Attempts: 1}
 	}
 	calls := atomic.Int64{}
-	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Sum { calls.Add(1); return sums }}
+	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Outcomes { calls.Add(1); return sums }}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { teller.Run(ctx); close(ended) }()
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -29,10 +29,10 @@
 // goldenCore is a sidecar's core with fixed figures.
 type goldenCore struct{ blank bool }
 
-func (c *goldenCore) Apply([]dispatch.Push) error { time.Sleep(1500 * time.Microsecond); return nil }
-func (c *goldenCore) Blank() bool                 { return c.blank }
-func (c *goldenCore) Usage() []dispatch.Usage {
-	return []dispatch.Usage{{Flows: 19, Missed: 2}, {}, {Missed: 1}}
+func (c *goldenCore) Apply([]dispatch.Update) error { time.Sleep(1500 * time.Microsecond); return nil }
+func (c *goldenCore) HasTables() bool               { return !c.blank }
+func (c *goldenCore) TakeDemand() []dispatch.Demand {
+	return []dispatch.Demand{{Requests: 19, Failures: 2}, {}, {Failures: 1}}
 }
 
 // bytesWritten returns what act writes to a connection. It is for use in a synctest bubble.
@@ -77,10 +77,10 @@
 			return c.sendDemand(w)
 		}},
 		{"outcomes of a sidecar", func(w *messageWriter) error {
-			return (&collectorConn{writer: w}).sendSum("s-5", &dispatch.Sum{Tries: 212, Missed: 3, Answers: int64(209 * 41700 * time.Microsecond)})
+			return (&collectorConn{writer: w}).sendSum("s-5", &dispatch.Outcomes{Attempts: 212, Failures: 3, ResponseTime: time.Duration(209 * 41700 * time.Microsecond)})
 		}},
 		{"outcomes of a sidecar, all failed", func(w *messageWriter) error {
-			return (&collectorConn{writer: w}).sendSum("s-5", &dispatch.Sum{Tries: 3, Missed: 3})
+			return (&collectorConn{writer: w}).sendSum("s-5", &dispatch.Outcomes{Attempts: 3, Failures: 3})
 		}},
 		{"probe of a collector", func(w *messageWriter) error { return (&collectorConn{writer: w}).probe(1) }},
 		{"outcomes of a collector", func(w *messageWriter) error {
@@ -102,12 +102,12 @@
 func describe(m updateMessage) string {
 	text := fmt.Sprintf("wants ack %t, nonce %d, unfinished %t", m.wantsAck, m.nonce, m.unfinished)
 	for _, p := range m.parts {
-		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", p.Groups, p.Full, p.Shut, p.Let)
-		for _, replica := range slices.Sorted(maps.Keys(p.Lines)) {
-			text += fmt.Sprintf(" endpoint=%q:%g", replica, p.Lines[replica])
+		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", p.Classes, p.Full, p.Eject, p.Restore)
+		for _, replica := range slices.Sorted(maps.Keys(p.Weights)) {
+			text += fmt.Sprintf(" endpoint=%q:%g", replica, p.Weights[replica])
 		}
-		for _, level := range p.Levels {
-			text += fmt.Sprintf(" share=%g retries=%d", level.Share, level.Tries)
+		for _, level := range p.Settings {
+			text += fmt.Sprintf(" share=%g retries=%d", level.Admission, level.Retry)
 		}
 	}
 	return text
--- a/internal/controlclient/reporter.go
+++ b/internal/controlclient/reporter.go
@@ -21,7 +21,7 @@
 type Reporter struct {
 	Collectors  []string // in the order in which they are preferred
 	Interval    time.Duration
-	Sums        func() map[string]*dispatch.Sum // since it was last called, by replica
+	Sums        func() map[string]*dispatch.Outcomes // since it was last called, by replica
 	Seed        uint64
 	Lost        atomic.Int64 // sums that no collector took
 	Unconfirmed atomic.Int64 // sums that were sent on a connection that has ended since, and may have been lost with it
@@ -170,11 +170,11 @@
 }
 
 // sendSum sends the sum of one replica.
-func (c *collectorConn) sendSum(replica string, sum *dispatch.Sum) error {
+func (c *collectorConn) sendSum(replica string, sum *dispatch.Outcomes) error {
 	mean := 0.0
-	if succeeded := sum.Tries - sum.Missed; succeeded > 0 {
-		mean = float64(sum.Answers) / float64(succeeded) / float64(time.Millisecond)
+	if succeeded := sum.Attempts - sum.Failures; succeeded > 0 {
+		mean = float64(sum.ResponseTime) / float64(succeeded) / float64(time.Millisecond)
 	}
-	return c.writer.send("met", "target", replica, "count", strconv.Itoa(sum.Tries), "fail", strconv.Itoa(sum.Missed),
+	return c.writer.send("met", "target", replica, "count", strconv.Itoa(sum.Attempts), "fail", strconv.Itoa(sum.Failures),
 		"mean", formatNumber(mean))
 }
--- a/internal/controlclient/steering_test.go
+++ b/internal/controlclient/steering_test.go
@@ -24,10 +24,10 @@
 		fail  string
 	}{
 		{[]string{"push full 1 endpoints a:1.5,b:0.2 continued 1", "push eject a,b continued 1", "push restore c continued 1", "push routes x+y admit 0.9 policy 2 nonce_out 905"},
-			updateMessage{parts: []dispatch.Push{{Full: true, Lines: map[string]float64{"a": 1.5, "b": 0.2}}, {Shut: []string{"a", "b"}}, {Let: []string{"c"}},
-				{Groups: []string{"x", "y"}, Levels: []dispatch.Level{{Share: 0.9, Tries: control.RetryOnce}}}}, wantsAck: true, nonce: 905}, ""},
-		{[]string{"push nonce_out 0"}, updateMessage{parts: []dispatch.Push{{}}, wantsAck: true}, ""},
-		{[]string{"push later 7 full 0"}, updateMessage{parts: []dispatch.Push{{}}}, ""}, // a field of a later protocol
+			updateMessage{parts: []dispatch.Update{{Full: true, Weights: map[string]float64{"a": 1.5, "b": 0.2}}, {Eject: []string{"a", "b"}}, {Restore: []string{"c"}},
+				{Classes: []string{"x", "y"}, Settings: []dispatch.ClassSettings{{Admission: 0.9, Retry: control.RetryOnce}}}}, wantsAck: true, nonce: 905}, ""},
+		{[]string{"push nonce_out 0"}, updateMessage{parts: []dispatch.Update{{}}, wantsAck: true}, ""},
+		{[]string{"push later 7 full 0"}, updateMessage{parts: []dispatch.Update{{}}}, ""}, // a field of a later protocol
 		{[]string{"push endpoints a:1 continued 2"}, updateMessage{}, "continued"},
 		{[]string{"push endpoints a"}, updateMessage{}, "endpoints"}, {[]string{"push endpoints :1"}, updateMessage{}, "endpoints"}, {[]string{"push endpoints a:x"}, updateMessage{}, "endpoints"},
 		{[]string{"push admit 1"}, updateMessage{}, "admit and policy"}, {[]string{"push admit 1 policy x"}, updateMessage{}, "policy"}, {[]string{"push nonce_out -1"}, updateMessage{}, "nonce_out"},
@@ -61,7 +61,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		var p updateMessage
 		if err := p.addPart(strings.Split(text, " ")); err == nil {
-			d, _ := dispatch.New(dispatch.Plan{Flows: 1, Groups: []dispatch.Group{{Name: "x"}}})
+			d, _ := dispatch.New(dispatch.Config{MaxRequests: 1, Classes: []dispatch.Class{{Name: "x"}}})
 			d.Apply(1, p.parts...)
 		} else if len(p.parts) != 0 {
 			t.Errorf("%q: left %v after %v", text, p.parts, err)
@@ -72,12 +72,12 @@
 // core keeps what was applied.
 type core struct {
 	mu      sync.Mutex
-	applied [][]dispatch.Push
+	applied [][]dispatch.Update
 	fail    error
-	usage   []dispatch.Usage
+	usage   []dispatch.Demand
 }
 
-func (c *core) Apply(parts []dispatch.Push) error {
+func (c *core) Apply(parts []dispatch.Update) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fail == nil {
@@ -85,8 +85,8 @@
 	}
 	return c.fail
 }
-func (c *core) Blank() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.applied) == 0 }
-func (c *core) Usage() []dispatch.Usage {
+func (c *core) HasTables() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.applied) > 0 }
+func (c *core) TakeDemand() []dispatch.Demand {
 	return c.usage
 }
 func (c *core) pushes() int { c.mu.Lock(); defer c.mu.Unlock(); return len(c.applied) }
@@ -167,7 +167,7 @@
 }
 
 func TestAStreamAndWhatEndsIt(t *testing.T) {
-	g, c := listen(t), &core{usage: []dispatch.Usage{{Flows: 7, Missed: 2}}}
+	g, c := listen(t), &core{usage: []dispatch.Demand{{Requests: 7, Failures: 2}}}
 	cl := client(t, c, g)
 	conn := <-g.conns
 	g.hears(t, "hello id 0 site a rps 0.000 new 1")
@@ -189,7 +189,7 @@
 	g.hears(t, "gone")
 	conn = <-g.conns
 	c.mu.Lock()
-	c.fail = fmt.Errorf("%w: so", dispatch.ErrUnusable)
+	c.fail = fmt.Errorf("%w: so", dispatch.ErrInvalidUpdate)
 	c.mu.Unlock()
 	g.says(t, conn, "push full 1 endpoints a:1 nonce_out 6")
 	g.hears(t, "gone") // and no ack before
@@ -233,9 +233,9 @@
 	go func() { c.Serve(ctx, l); close(ended) }()
 	defer func() { stop(); <-ended }()
 	g.hears(t, "agent site a")
-	once := func(s map[string]*dispatch.Sum) func() map[string]*dispatch.Sum {
+	once := func(s map[string]*dispatch.Outcomes) func() map[string]*dispatch.Outcomes {
 		var mu sync.Mutex
-		return func() map[string]*dispatch.Sum {
+		return func() map[string]*dispatch.Outcomes {
 			mu.Lock()
 			defer mu.Unlock()
 			all := s
@@ -244,7 +244,7 @@
 		}
 	}
 	for k := range 2 {
-		teller := &Reporter{Collectors: []string{l.Addr().String()}, Interval: 20 * time.Millisecond, Sums: once(map[string]*dispatch.Sum{"b": {Tries: 10 + k, Missed: 1, Answers: int64(9+k) * 40e6}, "c": {Tries: 1, Missed: 1}})}
+		teller := &Reporter{Collectors: []string{l.Addr().String()}, Interval: 20 * time.Millisecond, Sums: once(map[string]*dispatch.Outcomes{"b": {Attempts: 10 + k, Failures: 1, ResponseTime: time.Duration(9+k) * 40e6}, "c": {Attempts: 1, Failures: 1}})}
 		go teller.Run(ctx)
 	}
 	g.hears(t, "outcomes site a target b count 21 fail 2 mean 40.000 over ")
--- a/internal/controlclient/update.go
+++ b/internal/controlclient/update.go
@@ -21,7 +21,7 @@
 
 // updateMessage is one message of a governor, put together from its parts.
 type updateMessage struct {
-	parts      []dispatch.Push
+	parts      []dispatch.Update
 	wantsAck   bool
 	nonce      uint64
 	unfinished bool // more parts follow
@@ -47,14 +47,14 @@
 	if err != nil {
 		return err
 	}
-	part.Levels = admission
-	m.parts = append(m.parts, part.Push)
+	part.Settings = admission
+	m.parts = append(m.parts, part.Update)
 	return nil
 }
 
 // partFields are the fields of one part. The two of an admission rate may come in either order.
 type partFields struct {
-	dispatch.Push
+	dispatch.Update
 	admit  string
 	policy string
 }
@@ -63,19 +63,19 @@
 func (m *updateMessage) setField(part *partFields, key, value string) (err error) {
 	switch key {
 	case "routes":
-		part.Groups = strings.Split(value, "+")
+		part.Classes = strings.Split(value, "+")
 	case "full":
 		part.Full, err = parseFlag(value)
 	case "endpoints":
-		part.Lines, err = parseEndpoints(value)
+		part.Weights, err = parseEndpoints(value)
 	case "admit":
 		part.admit = value
 	case "policy":
 		part.policy = value
 	case "eject":
-		part.Shut = strings.Split(value, ",")
+		part.Eject = strings.Split(value, ",")
 	case "restore":
-		part.Let = strings.Split(value, ",")
+		part.Restore = strings.Split(value, ",")
 	case "nonce_out":
 		m.wantsAck = true
 		m.nonce, err = strconv.ParseUint(value, 10, 64)
@@ -86,19 +86,19 @@
 }
 
 // admission reads the admission rate of a part and its retry policy, which come together; nil if neither is there.
-func (p partFields) admission() ([]dispatch.Level, error) {
+func (p partFields) admission() ([]dispatch.ClassSettings, error) {
 	if (p.admit == "") != (p.policy == "") {
 		return nil, fmt.Errorf("%w: admit and policy come together", errMalformed)
 	}
 	if p.admit == "" {
 		return nil, nil
 	}
-	share, shareErr := strconv.ParseFloat(p.admit, 64)
+	admission, admissionErr := strconv.ParseFloat(p.admit, 64)
 	policy, policyErr := strconv.Atoi(p.policy)
-	if errors.Join(shareErr, policyErr) != nil {
+	if errors.Join(admissionErr, policyErr) != nil {
 		return nil, fmt.Errorf("%w: admit=%.40q policy=%.40q", errMalformed, p.admit, p.policy)
 	}
-	return []dispatch.Level{{Share: share, Tries: control.RetryPolicy(policy)}}, nil
+	return []dispatch.ClassSettings{{Admission: admission, Retry: control.RetryPolicy(policy)}}, nil
 }
 
 // parseFlag reads 0 or 1.
--- /dev/null
+++ b/internal/dispatch/admission.go
@@ -0,0 +1,81 @@
+package dispatch
+
+import (
+	"time"
+
+	"lilacbend/control"
+)
+
+// admits reports whether the admission rate of a class admits one more request. Without settings of a controller all
+// requests are admitted.
+func (d *Dispatcher) admits(now int64, class int) bool {
+	t := &d.tables[class]
+	if !t.hasSettings {
+		return true
+	}
+	switch d.config.Admission {
+	case control.AdmitAll:
+		return true
+	case control.AdmitRate:
+		return t.bucket.take(now, t.settings.Admission)
+	default:
+		return d.admitsFraction(t.settings.Admission)
+	}
+}
+
+// admitsFraction admits a fraction of the requests by chance. It draws only where the fraction leaves a choice.
+func (d *Dispatcher) admitsFraction(fraction float64) bool {
+	if fraction >= 1 {
+		return true
+	}
+	return fraction > 0 && d.random(&d.admissions) <= fraction
+}
+
+// enqueue lets a request wait for capacity, unless too many wait or its time is over. The reason is that of its
+// rejection where it may not even begin to wait.
+func (d *Dispatcher) enqueue(now int64, r *Request, reason Reason) Step {
+	if !r.queued {
+		if d.queued >= d.config.MaxQueued {
+			return d.reject(r, reason)
+		}
+		d.queued++
+		r.queued = true
+		r.queuedSince = now
+	}
+	deadline := min(r.queuedSince+int64(d.config.MaxQueueTime), d.deadline(r))
+	if now >= deadline {
+		return d.reject(r, ErrQueueTimeout)
+	}
+	return Step{Wait: true, Deadline: deadline}
+}
+
+// dequeue takes a request out of those that wait, if it does.
+func (d *Dispatcher) dequeue(r *Request) {
+	if r.queued {
+		r.queued = false
+		d.queued--
+	}
+}
+
+// tokenBucket admits a rate of requests. It holds the tokens of at most one second.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt int64 // 0: never
+}
+
+// take takes a token, and reports whether there was one.
+func (b *tokenBucket) take(now int64, perSecond float64) bool {
+	if b.refilledAt == 0 {
+		b.tokens = perSecond
+	} else {
+		elapsed := max(0, now-b.refilledAt)
+		b.tokens += perSecond * float64(elapsed) / float64(time.Second)
+	}
+	b.tokens = min(b.tokens, max(1, perSecond))
+	b.refilledAt = now
+	if perSecond <= 0 || b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
--- /dev/null
+++ b/internal/dispatch/dispatcher.go
@@ -0,0 +1,141 @@
+// Package dispatch decides what a sidecar does with a request: whether it is admitted, which replica it is sent to,
+// whether a failed attempt is retried, and when the request is given up. It holds the tables that a controller has
+// sent and ejects replicas by the failures that this sidecar sees. Each request gets exactly one final step.
+//
+// The package does no I/O, reads no clock and starts no goroutine. Times are nanoseconds of any one clock, random
+// choices are drawn from a seed. A Dispatcher is not safe for concurrent use.
+package dispatch
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"lilacbend/control"
+)
+
+// Class is a traffic class with its settings.
+type Class struct {
+	Name string
+	control.TrafficClass
+}
+
+// Config is what a Dispatcher is given before its first request.
+type Config struct {
+	Seed      uint64
+	Classes   []Class
+	Pick      control.PickPolicy
+	Admission control.AdmissionMode
+
+	// AttemptTimeoutFactor is the timeout of an attempt that may be retried, in latency objectives of its class.
+	AttemptTimeoutFactor float64
+	// DefaultRetry is the retry policy of classes for which no controller has sent one.
+	DefaultRetry control.RetryPolicy
+
+	// MaxConsecutiveFailures is the number of failures in a row after which a replica is ejected; 0: never.
+	MaxConsecutiveFailures int
+	// EjectionTime is how long the first of consecutive ejections lasts.
+	EjectionTime time.Duration
+
+	// RetryBudgetRatio is the fraction of the requests that may be retries.
+	RetryBudgetRatio float64
+	// RetryBudgetBurst is the number of retries that may be saved up.
+	RetryBudgetBurst float64
+
+	MaxRequests           int // in flight
+	MaxRequestsPerReplica int // in flight; 0: no limit
+	MaxQueued             int // requests that wait for capacity
+	MaxQueueTime          time.Duration
+}
+
+// Dispatcher is the state of one sidecar.
+type Dispatcher struct {
+	config     Config
+	admissions randomSequence
+	picks      randomSequence
+	tables     []table // by class
+
+	ejected   map[string]bool // by a controller
+	endpoints map[string]Endpoint
+	replicas  map[string]*replicaState
+
+	retryTokens float64 // each allows one retry
+	hasTables   bool    // a controller has sent one
+	draining    bool
+	inFlight    int
+	queued      int
+	candidates  []candidate // scratch space of choose
+
+	outcomes map[string]*Outcomes // by replica
+	demand   []Demand             // by class
+
+	// Counters are what was counted since the start.
+	Counters Counters
+}
+
+// Counters are what a Dispatcher has counted.
+type Counters struct {
+	Requests      int64
+	Succeeded     int64
+	SucceededLate int64 // of those that succeeded, beyond the latency objective
+	Attempts      int64
+	Retries       int64
+	Ejections     int64
+	Rejected      map[Reason]int64 // before any attempt
+	Failed        map[Reason]int64 // after one or more attempts
+}
+
+// Clone returns a copy that later requests do not change.
+func (c Counters) Clone() Counters {
+	c.Rejected = maps.Clone(c.Rejected)
+	c.Failed = maps.Clone(c.Failed)
+	return c
+}
+
+// pickSeed separates the random sequence of picks from that of admissions.
+const pickSeed = 0x9e3779b97f4a7c15
+
+// New returns a Dispatcher without tables and endpoints.
+func New(config Config) (*Dispatcher, error) {
+	if len(config.Classes) == 0 || config.MaxRequests < 1 {
+		return nil, fmt.Errorf("%d traffic classes and at most %d requests in flight serve nobody",
+			len(config.Classes), config.MaxRequests)
+	}
+	return &Dispatcher{
+		config:      config,
+		picks:       randomSequence{seed: pickSeed},
+		tables:      make([]table, len(config.Classes)),
+		ejected:     map[string]bool{},
+		endpoints:   map[string]Endpoint{},
+		replicas:    map[string]*replicaState{},
+		retryTokens: config.RetryBudgetBurst,
+		outcomes:    map[string]*Outcomes{},
+		demand:      make([]Demand, len(config.Classes)),
+		Counters:    Counters{Rejected: map[Reason]int64{}, Failed: map[Reason]int64{}},
+	}, nil
+}
+
+// Class returns the index of a traffic class, or -1 if there is none of that name.
+func (d *Dispatcher) Class(name string) int {
+	return slices.IndexFunc(d.config.Classes, func(class Class) bool { return class.Name == name })
+}
+
+// Drain rejects all requests that come from now on.
+func (d *Dispatcher) Drain() { d.draining = true }
+
+// InFlight returns the number of requests that have no final step yet.
+func (d *Dispatcher) InFlight() int { return d.inFlight + d.queued }
+
+// randomSequence is a sequence of random numbers. Each purpose has one of its own: neighbouring numbers of one sequence
+// are correlated, so a request that one draw admits would bias the draw that picks its replica.
+type randomSequence struct {
+	seed  uint64
+	draws uint64
+}
+
+// random returns the next number of a sequence, above 0 and up to 1.
+func (d *Dispatcher) random(sequence *randomSequence) float64 {
+	sequence.draws++
+	return control.Random(d.config.Seed^sequence.seed, sequence.draws)
+}
--- /dev/null
+++ b/internal/dispatch/outlier_test.go
@@ -0,0 +1,117 @@
+package dispatch
+
+import (
+	"testing"
+)
+
+func TestReplicaThatFailsInARowIsEjected(t *testing.T) {
+	d := newDispatcher(t, nil, retryPolicy(0), Update{Weights: map[string]float64{"a1": 1000}})
+	for range 3 {
+		request, step := d.Begin(0, 0, true)
+		for step.Replica != "a1" {
+			d.AttemptEnded(0, request, Succeeded)
+			request, step = d.Begin(0, 0, true)
+		}
+		d.AttemptEnded(0, request, Broken)
+	}
+	for k := range 50 {
+		request, step := d.Begin(int64(k), 0, true)
+		if d.AttemptEnded(int64(k), request, Succeeded); step.Replica == "a1" {
+			t.Fatal("picked although it is ejected")
+		}
+	}
+	d.Apply(0, Update{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0}})
+	request, step := d.Begin(9, 0, true)
+	if step.Replica != "a1" {
+		t.Errorf("it is the only one left, and: %+v", step)
+	}
+	d.Cancel(request)
+	if d.InFlight() != 0 || d.replicas["a1"].inFlight != 0 || d.replicas["a1"].consecutiveFailures != 0 {
+		t.Errorf("a canceled request counts against its replica: %+v", d.replicas["a1"])
+	}
+}
+
+// After an ejection one request finds out whether the replica has recovered; if it has not, the next ejection is longer.
+func TestReplicaOnProbationGetsOneRequest(t *testing.T) {
+	d := newDispatcher(t, func(c *Config) { c.MaxRequests, c.MaxRequestsPerReplica = 100, 100 }, retryPolicy(0), Update{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0.001}})
+	now := int64(0)
+	fail := func(n int) {
+		var requests []*Request
+		for range n {
+			request, step := d.Begin(now, 0, true)
+			if step.Replica == "a1" {
+				requests = append(requests, request)
+			} else {
+				d.AttemptEnded(now, request, Succeeded)
+			}
+		}
+		for _, request := range requests {
+			d.AttemptEnded(now, request, Broken)
+		}
+		if n == 20 && len(requests) != 1 {
+			t.Errorf("at %d %d requests were sent to it", now, len(requests))
+		}
+	}
+	fail(10)
+	for _, duration := range []int64{5, 10, 20, 40, 40} {
+		if until := d.replicas["a1"].ejectedUntil - now; until != duration*second {
+			t.Errorf("ejected for %d, want %d", until, duration*second)
+		}
+		now += duration * second
+		fail(20)
+	}
+	now += 40 * second
+	request, step := d.Begin(now, 0, true)
+	if d.AttemptEnded(now, request, Succeeded); step.Replica != "a1" || d.replicas["a1"].consecutiveEjections != 0 {
+		t.Errorf("%+v, %+v", step, d.replicas["a1"])
+	}
+}
+
+func TestSilentReplicaIsAvoidedBeforeItFails(t *testing.T) {
+	d := newDispatcher(t, func(c *Config) { c.MaxRequests, c.MaxRequestsPerReplica = 100, 100 }, Update{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0.001}})
+	var first *Request
+	for k := range 3 {
+		request, step := d.Begin(0, 0, true)
+		if step.Replica != "a1" {
+			t.Fatalf("%d: %+v", k, step)
+		}
+		first = request
+	}
+	if request, step := d.Begin(second+1, 0, true); step.Replica != "b2" { // three in flight, none answered for the latency objective
+		t.Errorf("%+v", step)
+	} else {
+		d.AttemptEnded(second+1, request, Succeeded)
+	}
+	d.AttemptEnded(second+1, first, Succeeded)
+	if _, step := d.Begin(second+2, 0, true); step.Replica != "a1" {
+		t.Errorf("after an answer: %+v", step)
+	}
+}
+
+func TestAvoids(t *testing.T) {
+	const now = 10 * second
+	for _, c := range []struct {
+		name    string
+		replica replicaState
+		avoids  bool
+	}{
+		{"new", replicaState{}, false},
+		{"ejected", replicaState{ejectedUntil: now + 1}, true},
+		{"ejection is over", replicaState{ejectedUntil: now, consecutiveEjections: 1}, false},
+		{"on probation", replicaState{ejectedUntil: now, consecutiveEjections: 1, inFlight: 1}, true},
+		{"few in flight", replicaState{inFlight: 2, unansweredSince: 1}, false},
+		{"silent", replicaState{inFlight: 3, unansweredSince: now - second - 1}, true},
+		{"silent for no more than the objective", replicaState{inFlight: 3, unansweredSince: now - second}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := newDispatcher(t, nil)
+			if got := d.avoids(now, 0, &c.replica); got != c.avoids {
+				t.Errorf("avoided: %v", got)
+			}
+			d.config.MaxConsecutiveFailures = 0
+			if got := d.avoids(now, 0, &c.replica); got != (c.replica.ejectedUntil > now) {
+				t.Errorf("without ejections it is avoided: %v", got)
+			}
+		})
+	}
+}
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -1,105 +1,113 @@
 package dispatch
 
-import (
-	"lilacbend/control"
-)
+import "lilacbend/control"
 
-// open is a line that may be picked now.
-type open struct {
-	line    *line
-	replica *replica
+// candidate is an endpoint of a table that may be picked now.
+type candidate struct {
+	endpoint *weightedEndpoint
+	replica  *replicaState
 }
 
-// place says what is known of a replica, from its address on.
-func (d *Desk) place(id string) *replica {
-	r := d.replicas[id]
-	if r == nil {
-		r = &replica{}
-		d.replicas[id] = r
+// choose picks a replica for the next attempt, by the weights of the class's table. Replicas that this sidecar avoids
+// are picked only where there is no other: its guess is worth less than the controller's table. Replicas that a
+// controller has ejected, and those that drain or are not listed, are never picked.
+func (d *Dispatcher) choose(now int64, r *Request, scope retryScope) (replica string, reason Reason) {
+	reason = ErrNoReplica
+	for _, avoided := range [...]bool{false, true} {
+		candidates, atCapacity := d.findCandidates(now, r, scope, avoided)
+		if len(candidates) > 0 {
+			return d.pick(candidates).endpoint.replica, None
+		}
+		if atCapacity {
+			reason = ErrReplicasAtCapacity
+		}
 	}
-	return r
+	return "", reason
 }
 
-// choose picks a replica for a try: by weight among the lines that are not shut out, draining, shunned, tried
-// before or full. Avoided ones are taken before none at all, as a guess of ours is worth less than the governor's word;
-// shut out, draining and unknown ones never are. The second result says why there is none.
-func (d *Desk) choose(now int64, f *Flow, allowed func(Listed) bool) (id string, why Reason) {
-	t, budget := &d.tables[f.group], d.plan.Groups[f.group].LatencyObjective
-	why = NoReplica
-	var last []open
-	for _, avoided := range []bool{false, true} {
-		candidates := d.candidates[:0]
-		for k := range t.lines {
-			l := &t.lines[k]
-			listed, known := d.listed[l.replica]
-			if !known || listed.State != control.Ready || d.shut[l.replica] || f.tried(l.replica) || allowed != nil && !allowed(listed) {
-				continue
-			}
-			r := d.place(l.replica)
-			if r.avoided(now, d.plan.Strikes, budget) != avoided {
-				continue
-			}
-			if d.plan.ReplicaFlows > 0 && r.flows >= d.plan.ReplicaFlows {
-				why = Full
-				continue
-			}
-			candidates = append(candidates, open{l, r})
+// findCandidates returns the endpoints that may be picked, either those that are avoided or those that are not, and
+// whether any was left out because it is at capacity. The result is valid until the next call.
+func (d *Dispatcher) findCandidates(now int64, r *Request, scope retryScope, avoided bool) (candidates []candidate, atCapacity bool) {
+	candidates = d.candidates[:0]
+	endpoints := d.tables[r.class].endpoints
+	for k := range endpoints {
+		endpoint := &endpoints[k]
+		if !d.mayPick(r, endpoint.replica, scope) {
+			continue
+		}
+		replica := d.replica(endpoint.replica)
+		if d.avoids(now, r.class, replica) != avoided {
+			continue
 		}
-		if d.candidates = candidates[:0]; len(candidates) > 0 {
-			last = candidates
-			break
+		if d.config.MaxRequestsPerReplica > 0 && replica.inFlight >= d.config.MaxRequestsPerReplica {
+			atCapacity = true
+			continue
 		}
+		candidates = append(candidates, candidate{endpoint: endpoint, replica: replica})
 	}
-	if len(last) == 0 {
-		return "", why
+	d.candidates = candidates[:0]
+	return candidates, atCapacity
+}
+
+// mayPick reports whether a replica may get this request at all, whatever its load.
+func (d *Dispatcher) mayPick(r *Request, replica string, scope retryScope) bool {
+	listed, found := d.endpoints[replica]
+	if !found || listed.State != control.Ready {
+		return false
 	}
-	return d.draw(last).line.replica, None
+	return !d.ejected[replica] && !r.attempted(replica) && scope.contains(listed)
 }
 
-func (d *Desk) draw(from []open) open {
-	switch d.plan.Pick {
+// pick picks one of the candidates by the policy of the sidecar.
+func (d *Dispatcher) pick(candidates []candidate) candidate {
+	switch d.config.Pick {
 	case control.PickRoundRobin:
-		return rotate(from)
+		return pickRoundRobin(candidates)
 	case control.PickPowerOfTwo:
-		a, b := d.byChance(from), d.byChance(from)
-		if b.replica.flows < a.replica.flows {
-			return b
-		}
-		return a
+		return d.pickPowerOfTwo(candidates)
+	default:
+		return d.pickRandom(candidates)
 	}
-	return d.byChance(from)
 }
 
-func (d *Desk) byChance(from []open) open {
+// pickPowerOfTwo draws two candidates by weight and picks the one with fewer requests in flight.
+func (d *Dispatcher) pickPowerOfTwo(candidates []candidate) candidate {
+	first := d.pickRandom(candidates)
+	second := d.pickRandom(candidates)
+	if second.replica.inFlight < first.replica.inFlight {
+		return second
+	}
+	return first
+}
+
+// pickRandom draws a candidate by weight.
+func (d *Dispatcher) pickRandom(candidates []candidate) candidate {
 	total := 0.0
-	for _, o := range from {
-		total += o.line.weight
+	for _, c := range candidates {
+		total += c.endpoint.weight
 	}
-	drawn := d.chance(&d.picks) * total
-	for _, o := range from {
-		if drawn -= o.line.weight; drawn <= 0 {
-			return o
+	remaining := d.random(&d.picks) * total
+	for _, c := range candidates {
+		remaining -= c.endpoint.weight
+		if remaining <= 0 {
+			return c
 		}
 	}
-	return from[len(from)-1]
+	return candidates[len(candidates)-1] // rounding has left a rest
 }
 
-// rotate takes the line that has gained most since it was last taken: evenly by weight, and spread out.
-func rotate(from []open) open {
-	best, total := 0, 0.0
-	for k, o := range from {
-		total += o.line.weight
-		if o.line.credit += o.line.weight; o.line.credit > from[best].line.credit {
+// pickRoundRobin is smooth weighted round robin: each candidate earns its weight as credit, and the one with the most
+// credit pays for all.
+func pickRoundRobin(candidates []candidate) candidate {
+	best := 0
+	total := 0.0
+	for k, c := range candidates {
+		total += c.endpoint.weight
+		c.endpoint.credit += c.endpoint.weight
+		if c.endpoint.credit > candidates[best].endpoint.credit {
 			best = k
 		}
 	}
-	from[best].line.credit -= total
-	return from[best]
-}
-
-// chance draws from above 0 to 1. Each purpose has a row of its own: neighbours of one row are alike in parts, so
-// that whoever is let in by one draw would find the next one weighted.
-func (d *Desk) chance(row *row) float64 {
-	row.draws++
-	return control.Random(d.plan.Seed^row.seed, row.draws)
+	candidates[best].endpoint.credit -= total
+	return candidates[best]
 }
--- /dev/null
+++ b/internal/dispatch/retry.go
@@ -0,0 +1,134 @@
+package dispatch
+
+import (
+	"slices"
+
+	"lilacbend/control"
+)
+
+// retryScope restricts a retry to the replicas that recognize a duplicate of the first attempt that may have been
+// executed. The zero value allows all replicas.
+type retryScope struct {
+	restricted bool
+	scope      control.DeduplicationScope
+	zone       string
+	cell       string
+}
+
+// contains reports whether a retry may go to an endpoint.
+func (s retryScope) contains(endpoint Endpoint) bool {
+	if !s.restricted || s.scope == control.ScopeAll {
+		return true
+	}
+	if s.scope == control.ScopeZone {
+		return endpoint.Zone == s.zone
+	}
+	return endpoint.Zone == s.zone && endpoint.Cell == s.cell
+}
+
+// retry starts another attempt after one that failed, or gives the request up.
+func (d *Dispatcher) retry(now int64, r *Request, outcome Outcome) Step {
+	if now >= d.deadline(r) {
+		return d.fail(r, ErrTimeout)
+	}
+	if !d.mayRetry(r, outcome) {
+		return d.fail(r, d.reasonNotToRetry(r, outcome))
+	}
+	scope, inTime := d.retryScope(now, r)
+	if !inTime {
+		return d.fail(r, ErrNoTimeToRetry)
+	}
+	replica, reason := d.choose(now, r, scope)
+	if reason != None {
+		return d.fail(r, reason)
+	}
+	if !d.spendRetryToken() {
+		return d.fail(r, ErrRetryBudgetExhausted)
+	}
+	d.Counters.Retries++
+	return d.startAttempt(now, r, replica)
+}
+
+// mayRetry reports whether retry policy, idempotency and body allow a retry where the last of the attempts ends with an
+// outcome. Deduplication window, retry budget and timeout are checked when the retry starts.
+func (d *Dispatcher) mayRetry(r *Request, outcome Outcome) bool {
+	return d.policyAllowsRetry(r, outcome) && d.isSafeToRetry(r, outcome) && canResend(r, outcome)
+}
+
+// policyAllowsRetry reports whether the retry policy allows another attempt.
+func (d *Dispatcher) policyAllowsRetry(r *Request, outcome Outcome) bool {
+	switch d.retryPolicy(r.class) {
+	case control.RetryIfNotExecuted:
+		return outcome == NotExecuted && len(r.attempts) <= 1
+	case control.RetryOnce:
+		return len(r.attempts) <= 1
+	case control.RetryTwice:
+		return len(r.attempts) <= 2
+	default:
+		return false
+	}
+}
+
+// isSafeToRetry reports whether a second execution does no harm, or there was no first one. A request that is not
+// idempotent is retried only where it was certainly not executed, whatever the policy says.
+func (d *Dispatcher) isSafeToRetry(r *Request, outcome Outcome) bool {
+	return outcome == NotExecuted || d.config.Classes[r.class].Idempotency != control.NotIdempotent
+}
+
+// canResend reports whether the body of a request can be sent again, or has not been read yet.
+func canResend(r *Request, outcome Outcome) bool {
+	return r.replayable || outcome == NotExecuted && !r.bodyConsumed
+}
+
+// retryPolicy is that of the controller, or the default.
+func (d *Dispatcher) retryPolicy(class int) control.RetryPolicy {
+	t := &d.tables[class]
+	if t.hasSettings {
+		return t.settings.Retry
+	}
+	return d.config.DefaultRetry
+}
+
+// reasonNotToRetry is the reason by which a request is given up that may not be retried.
+func (d *Dispatcher) reasonNotToRetry(r *Request, outcome Outcome) Reason {
+	if outcome != NotExecuted && d.config.Classes[r.class].Idempotency != control.Idempotent {
+		return ErrMayHaveExecuted
+	}
+	return ErrAttemptsFailed
+}
+
+// retryScope returns where a retry may go, and whether it would end in time. A request with an idempotency key stays with
+// the replicas that know the key since the first attempt that may have been executed, and all of the retry has to fit
+// into the deduplication window, counted from the start of that attempt.
+func (d *Dispatcher) retryScope(now int64, r *Request) (scope retryScope, inTime bool) {
+	class := d.config.Classes[r.class]
+	k := slices.IndexFunc(r.attempts, func(a attempt) bool { return !a.notExecuted })
+	if class.Idempotency != control.IdempotentByKey || k < 0 {
+		return retryScope{}, true
+	}
+	first := r.attempts[k]
+	latestEnd := min(d.deadline(r), now+d.attemptTimeout(r.class))
+	if latestEnd-first.began >= class.DeduplicationWindow {
+		return retryScope{}, false
+	}
+	return retryScope{restricted: true, scope: class.DeduplicationScope, zone: first.zone, cell: first.cell}, true
+}
+
+// attemptTimeout is the timeout, in nanoseconds, of an attempt that may be retried.
+func (d *Dispatcher) attemptTimeout(class int) int64 {
+	return int64(d.config.AttemptTimeoutFactor * float64(d.config.Classes[class].LatencyObjective))
+}
+
+// earnRetryTokens adds to the retry budget what one admitted request earns.
+func (d *Dispatcher) earnRetryTokens() {
+	d.retryTokens = min(d.config.RetryBudgetBurst, d.retryTokens+d.config.RetryBudgetRatio)
+}
+
+// spendRetryToken takes a retry from the budget, and reports whether there was one.
+func (d *Dispatcher) spendRetryToken() bool {
+	if d.retryTokens < 1 {
+		return false
+	}
+	d.retryTokens--
+	return true
+}
--- /dev/null
+++ b/internal/dispatch/update_test.go
@@ -0,0 +1,50 @@
+package dispatch
+
+import (
+	"errors"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+)
+
+func TestUpdateIsAppliedCompletelyOrNotAtAll(t *testing.T) {
+	for name, update := range map[string]Update{
+		"class":  {Classes: []string{"reads"}, Full: true, Weights: map[string]float64{"z": 1}},
+		"weight": {Full: true, Weights: map[string]float64{"z": -1}}, "number": {Full: true, Weights: map[string]float64{"z": math.NaN()}},
+		"admission": {Full: true, Settings: []ClassSettings{{-0.5, 1}}, Eject: []string{"a1"}}, "retry policy": {Full: true, Settings: []ClassSettings{{1, 4}}}, "name": {Weights: map[string]float64{"": 1}},
+	} {
+		d := newDispatcher(t, nil)
+		if err := d.Apply(0, update); !errors.Is(err, ErrInvalidUpdate) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: %v", name, err)
+		}
+		if n := d.TableSizes(); n["read"] != 4 || n["payout"] != 4 || len(d.ejected) != 0 || d.tables[0].hasSettings {
+			t.Errorf("%s: left %v", name, n)
+		}
+	}
+	d := newDispatcher(t, nil, retryPolicy(2), Update{Eject: []string{"a1"}})
+	d.Apply(0, Update{Classes: []string{"order"}, Full: true, Weights: map[string]float64{"b1": 2}})
+	if n := d.TableSizes(); n["order"] != 1 || n["read"] != 4 || d.tables[1].hasSettings || !d.tables[0].hasSettings || !d.ejected["a1"] {
+		t.Errorf("a full table of one class: %v", n)
+	}
+}
+
+func TestSetWeightKeepsTheOrder(t *testing.T) {
+	var table table
+	for _, step := range []struct {
+		replica string
+		weight  float64
+		want    []weightedEndpoint
+	}{
+		{"b", 1, []weightedEndpoint{{replica: "b", weight: 1}}},
+		{"a", 2, []weightedEndpoint{{replica: "a", weight: 2}, {replica: "b", weight: 1}}},
+		{"b", 3, []weightedEndpoint{{replica: "a", weight: 2}, {replica: "b", weight: 3}}},
+		{"c", 0, []weightedEndpoint{{replica: "a", weight: 2}, {replica: "b", weight: 3}}},
+		{"a", 0, []weightedEndpoint{{replica: "b", weight: 3}}},
+	} {
+		table.setWeight(step.replica, step.weight)
+		if !slices.Equal(table.endpoints, step.want) {
+			t.Errorf("after %s of weight %v: %v, want %v", step.replica, step.weight, table.endpoints, step.want)
+		}
+	}
+}
--- a/internal/proxy/relay.go
+++ b/internal/proxy/relay.go
@@ -68,7 +68,7 @@
 // Relay passes flows on.
 type Relay struct {
 	mu       sync.Mutex
-	desk     *dispatch.Desk
+	desk     *dispatch.Dispatcher
 	places   chan struct{} // closed when a place is free, if any flow waits
 	waits    int
 	pool     *upstream.Pool
@@ -79,7 +79,7 @@
 }
 
 // New makes a relay round a core. Refusals are statuses by which replicas say that a flow did not run.
-func New(desk *dispatch.Desk, pool *upstream.Pool, clock func() int64, refusals []int, onlyOnce []bool) *Relay {
+func New(desk *dispatch.Dispatcher, pool *upstream.Pool, clock func() int64, refusals []int, onlyOnce []bool) *Relay {
 	r := &Relay{desk: desk, places: make(chan struct{}), pool: pool, clock: clock, refusals: map[int]bool{}, onlyOnce: onlyOnce,
 		Panics: func(string) {}}
 	for _, s := range refusals {
@@ -89,7 +89,7 @@
 }
 
 // With runs something on the core, between the steps of flows.
-func (r *Relay) With(do func(now int64, d *dispatch.Desk)) {
+func (r *Relay) With(do func(now int64, d *dispatch.Dispatcher)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do(r.clock(), r.desk)
@@ -110,7 +110,7 @@
 	relay  *Relay
 	leash  *upstream.Leash
 	out    Answerer
-	flow   *dispatch.Flow
+	flow   *dispatch.Request
 	up     upstream.Request
 	buffer *[]byte       // holds a small body, to be sent any number of times
 	again  rereader      // of it
@@ -136,7 +136,7 @@
 		}
 		if h.flow != nil {
 			r.mu.Lock()
-			r.desk.Abandon(h.flow) // nothing after its final step
+			r.desk.Cancel(h.flow) // nothing after its final step
 			r.free()
 			r.mu.Unlock()
 		}
@@ -158,14 +158,14 @@
 		return
 	}
 	small := h.Body == nil || h.buffer != nil
-	step := h.ask(func(now int64, d *dispatch.Desk) (s dispatch.Step) {
+	step := h.ask(func(now int64, d *dispatch.Dispatcher) (s dispatch.Step) {
 		h.flow, s = d.Begin(now, h.Group, small)
 		return s
 	})
 	for !h.begun {
 		switch {
 		case step.Final:
-			if h.res.Reason = step.Reason; step.Reason == dispatch.Gone {
+			if h.res.Reason = step.Reason; step.Reason == dispatch.ErrClientGone {
 				h.gone()
 				return
 			}
@@ -173,13 +173,13 @@
 			h.res.Broken = refuse(h.out, step.Reason) != nil
 			return
 		case step.Wait:
-			if !h.wait(step.Until) {
+			if !h.wait(step.Deadline) {
 				h.gone()
 				return
 			}
-			step = h.ask(func(now int64, d *dispatch.Desk) dispatch.Step { return d.Again(now, h.flow) })
+			step = h.ask(func(now int64, d *dispatch.Dispatcher) dispatch.Step { return d.Resume(now, h.flow) })
 		default:
-			h.res.Replica, h.res.Tries = step.Try, h.res.Tries+1
+			h.res.Replica, h.res.Tries = step.Replica, h.res.Tries+1
 			step = h.try(step)
 		}
 	}
@@ -187,7 +187,7 @@
 
 // gone: nobody is there to be answered.
 func (h *hop) gone() {
-	h.res.Reason, h.res.Broken = dispatch.Gone, true
+	h.res.Reason, h.res.Broken = dispatch.ErrClientGone, true
 	h.out.Break()
 }
 
@@ -276,7 +276,7 @@
 
 // ask asks the core. Who is to wait for a place is among those that are told of one before any other step of the core:
 // a place that is freed right then is not missed.
-func (h *hop) ask(do func(now int64, d *dispatch.Desk) dispatch.Step) dispatch.Step {
+func (h *hop) ask(do func(now int64, d *dispatch.Dispatcher) dispatch.Step) dispatch.Step {
 	r := h.relay
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -313,9 +313,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if h.passes.gone() {
-		r.desk.Spent(h.flow)
+		r.desk.BodyConsumed(h.flow)
 	}
-	s := r.desk.Ended(r.clock(), h.flow, how)
+	s := r.desk.AttemptEnded(r.clock(), h.flow, how)
 	r.free() // its place is free, even if it goes on elsewhere
 	return s
 }
@@ -323,7 +323,7 @@
 // try makes one try. Once the head of an answer has gone to the client it is the last.
 func (h *hop) try(s dispatch.Step) dispatch.Step {
 	r := h.relay
-	left := time.Duration(s.Until - r.clock())
+	left := time.Duration(s.Deadline - r.clock())
 	h.up = upstream.Request{Method: h.Method, Target: h.Target, Host: h.Host, Header: h.Header, Length: h.Length, Trailer: h.Trailer,
 		Fresh: r.onlyOnce[h.Group], Inform: h.out}
 	switch {
@@ -338,16 +338,16 @@
 	if err != nil {
 		var body *upstream.BodyError
 		if h.leash.IsCut() || errors.As(err, &body) { // neither says anything of the replica
-			return dispatch.Step{Final: true, Reason: dispatch.Gone}
+			return dispatch.Step{Final: true, Reason: dispatch.ErrClientGone}
 		}
 		return h.ended(outcome(err))
 	}
 	defer a.Close()
 	var next dispatch.Step
 	if a.StatusCode >= 500 {
-		how := dispatch.Broke
+		how := dispatch.Broken
 		if r.refusals[a.StatusCode] {
-			how = dispatch.NeverRan
+			how = dispatch.NotExecuted
 		}
 		if h.up.Halt != nil { // it may be read at this moment, and whether it was decides what is next
 			h.up.Halt()
@@ -358,7 +358,7 @@
 		h.res.Reason = next.Reason // and the replica's own answer is the final one
 	}
 	r.mu.Lock()
-	r.desk.Headed(r.clock(), h.flow)
+	r.desk.ResponseStarted(r.clock(), h.flow)
 	r.mu.Unlock()
 	a.Detach()
 	h.begun, h.res.Status = true, a.StatusCode
@@ -373,11 +373,11 @@
 	var up *upstream.Failure
 	switch {
 	case err == nil:
-		next = h.ended(dispatch.Good)
+		next = h.ended(dispatch.Succeeded)
 	case errors.As(err, &up) && !h.leash.IsCut():
-		next = h.ended(dispatch.Broke)
+		next = h.ended(dispatch.Broken)
 	default: // the client went, not the replica: abandoned at the end
-		next = dispatch.Step{Final: true, Reason: dispatch.Gone}
+		next = dispatch.Step{Final: true, Reason: dispatch.ErrClientGone}
 	}
 	h.res.Reason = next.Reason
 	return next
@@ -387,11 +387,11 @@
 	var f *upstream.Failure
 	switch {
 	case errors.As(err, &f) && f.Reach == upstream.Unsent:
-		return dispatch.NeverRan
+		return dispatch.NotExecuted
 	case errors.Is(err, context.DeadlineExceeded):
-		return dispatch.Late
+		return dispatch.TimedOut
 	}
-	return dispatch.Broke
+	return dispatch.Broken
 }
 
 // pass copies an answer to the client. A Failure is the replica's, any other error the client's.
--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/addresses.go
@@ -91,7 +91,7 @@
 // replicas reads the replicas of a sidecar without discovery.
 func (m *Manifest) replicas(top *strictyaml.Section) {
 	listed := top.Sections("replicas")
-	m.Replicas = map[string]dispatch.Listed{}
+	m.Replicas = map[string]dispatch.Endpoint{}
 	if len(listed) > 0 && m.Discovery != "" {
 		top.Fault("replicas", "are listed by discovery as well: give one of the two")
 	}
@@ -106,7 +106,7 @@
 // replica reads one of them.
 func (m *Manifest) replica(s *strictyaml.Section) {
 	var id string
-	var r dispatch.Listed
+	var r dispatch.Endpoint
 	s.Text("id", &id)
 	s.Text("zone", &r.Zone)
 	s.Text("cell", &r.Cell)
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -69,7 +69,7 @@
 			if got := heard(client); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
-			if n := s.Figures().Core.Tries; n != 2 {
+			if n := s.Figures().Core.Attempts; n != 2 {
 				t.Errorf("two flows were tried %d times", n)
 			}
 			if c.end != nil {
@@ -126,7 +126,7 @@
 	replica.Ends()
 	last.Ends()
 	nothingInHand(t, s)
-	if f := s.Figures().Core; f.Dropped[dispatch.Gone] != 5 {
+	if f := s.Figures().Core; f.Failed[dispatch.ErrClientGone] != 5 {
 		t.Errorf("%+v", f)
 	}
 }
@@ -142,7 +142,7 @@
 		client.Data(1, true, []byte("buy"))
 		replica := one.Take()
 		replica.Request()
-		s.list(false, map[string]dispatch.Listed{"r1": {Zone: "a", Address: two.At()}})
+		s.list(false, map[string]dispatch.Endpoint{"r1": {Zone: "a", Address: two.At()}})
 		if resetFirst {
 			client.Reset(1)
 			replica.Ends() // it has been heard
@@ -159,7 +159,7 @@
 		if resetFirst {
 			tries = 1
 		}
-		if f := s.Figures().Core; f.Tries != tries || f.Dropped[dispatch.Gone] != 1 {
+		if f := s.Figures().Core; f.Attempts != tries || f.Failed[dispatch.ErrClientGone] != 1 {
 			t.Errorf("reset first %v: %+v", resetFirst, f)
 		}
 	}
--- a/internal/sidecar/manifest.go
+++ b/internal/sidecar/manifest.go
@@ -23,9 +23,9 @@
 	Governors              []string
 	Collectors             []string // in the order in which they are preferred
 	Discovery              string
-	Replicas               map[string]dispatch.Listed // instead of discovery
+	Replicas               map[string]dispatch.Endpoint // instead of discovery
 	Rules                  []Rule
-	Plan                   dispatch.Plan
+	Plan                   dispatch.Config
 	Bounds                 ingress.Bounds
 	Refusals               []int
 	Connections, IdleConns int // to one replica
@@ -60,8 +60,8 @@
 	}
 	m := Manifest{File: file, Connections: 64, IdleConns: 16, IdleSpan: 30 * time.Second, ReplicaStall: 30 * time.Second, Report: time.Second,
 		Bounds: ingress.Bounds{Connections: 10000, Idle: time.Minute, Head: 10 * time.Second, Stall: 10 * time.Second, Streams: 100, Drain: 10 * time.Second},
-		Plan: dispatch.Plan{Pick: control.PickRandom, Admission: control.AdmitFraction, TryFactor: 1, Usual: control.RetryIfNotExecuted, Strikes: 5, Shun: 4e9,
-			RepeatShare: 0.1, RepeatBurst: 10, Flows: 1000, WaitMost: 200, WaitSpan: 5e8}}
+		Plan: dispatch.Config{Pick: control.PickRandom, Admission: control.AdmitFraction, AttemptTimeoutFactor: 1, DefaultRetry: control.RetryIfNotExecuted, MaxConsecutiveFailures: 5, EjectionTime: 4 * time.Second,
+			RetryBudgetRatio: 0.1, RetryBudgetBurst: 10, MaxRequests: 1000, MaxQueued: 200, MaxQueueTime: 500 * time.Millisecond}}
 	m.identity(top)
 	m.groups(top)
 	m.rules(top)
@@ -78,7 +78,7 @@
 func (m *Manifest) groups(top *strictyaml.Section) {
 	sections := top.Sections("groups")
 	for _, s := range sections {
-		g := dispatch.Group{}
+		g := dispatch.Class{}
 		var budget, expiry, window time.Duration
 		s.Text("name", &g.Name)
 		strictyaml.Choice(s, "effect", &g.Idempotency, effects)
@@ -93,7 +93,7 @@
 		}
 		deduped := g.Idempotency == control.IdempotentByKey && s.Has("effect")
 		switch {
-		case slices.ContainsFunc(m.Plan.Groups, func(o dispatch.Group) bool { return o.Name == g.Name }):
+		case slices.ContainsFunc(m.Plan.Classes, func(o dispatch.Class) bool { return o.Name == g.Name }):
 			s.Fault("name", "is %q, as an earlier group is", g.Name)
 		case strings.ContainsAny(g.Name, "+, \t") || s.Has("name") && g.Name == "":
 			s.Fault("name", "is %.40q, want a word without + and ,", g.Name)
@@ -105,10 +105,10 @@
 			s.Fault("effect", "has no scope and window unless it is deduped")
 		}
 		g.LatencyObjective, g.Timeout, g.DeduplicationWindow = budget.Nanoseconds(), expiry.Nanoseconds(), window.Nanoseconds()
-		m.Plan.Groups = append(m.Plan.Groups, g)
+		m.Plan.Classes = append(m.Plan.Classes, g)
 		s.Done()
 	}
-	if len(m.Plan.Groups) == 0 {
+	if len(m.Plan.Classes) == 0 {
 		top.Fault("groups", "are none: name at least one traffic group")
 	}
 }
@@ -120,13 +120,12 @@
 	if s == nil {
 		return
 	}
-	shun := time.Duration(m.Plan.Shun)
-	strictyaml.Choice(s, "usual", &m.Plan.Usual, retries)
-	s.Number("factor", &m.Plan.TryFactor, 0.1, 100)
-	s.Whole("strikes", &m.Plan.Strikes, 0, 1000)
-	s.Duration("shun", &shun, time.Millisecond, time.Hour)
-	s.Number("repeat_share", &m.Plan.RepeatShare, 0, 1)
-	s.Number("repeat_burst", &m.Plan.RepeatBurst, 0, 1e6)
+	strictyaml.Choice(s, "usual", &m.Plan.DefaultRetry, retries)
+	s.Number("factor", &m.Plan.AttemptTimeoutFactor, 0.1, 100)
+	s.Whole("strikes", &m.Plan.MaxConsecutiveFailures, 0, 1000)
+	s.Duration("shun", &m.Plan.EjectionTime, time.Millisecond, time.Hour)
+	s.Number("repeat_share", &m.Plan.RetryBudgetRatio, 0, 1)
+	s.Number("repeat_burst", &m.Plan.RetryBudgetBurst, 0, 1e6)
 	var words []string
 	s.Words("never_ran_statuses", &words)
 	for _, w := range words {
@@ -136,17 +135,15 @@
 		}
 		m.Refusals = append(m.Refusals, status)
 	}
-	m.Plan.Shun = shun.Nanoseconds()
 	s.Done()
 }
 
 func (m *Manifest) limits(top *strictyaml.Section) {
 	s := top.Section("limits")
-	wait := time.Duration(m.Plan.WaitSpan)
 	if s != nil {
-		s.Whole("flows", &m.Plan.Flows, 1, 1<<20)
-		s.Whole("waiting", &m.Plan.WaitMost, 0, 1<<20)
-		s.Duration("wait", &wait, 0, time.Minute)
+		s.Whole("flows", &m.Plan.MaxRequests, 1, 1<<20)
+		s.Whole("waiting", &m.Plan.MaxQueued, 0, 1<<20)
+		s.Duration("wait", &m.Plan.MaxQueueTime, 0, time.Minute)
 		s.Whole("replica_connections", &m.Connections, 1, 1<<16)
 		s.Whole("replica_idle", &m.IdleConns, 0, 1<<16)
 		s.Duration("replica_idle_time", &m.IdleSpan, time.Millisecond, time.Hour)
@@ -160,7 +157,7 @@
 		s.Whole("memory_mb", &m.Memory, 0, 1<<20)
 		s.Done()
 	}
-	m.Plan.WaitSpan, m.Plan.ReplicaFlows = wait.Nanoseconds(), m.Connections
+	m.Plan.MaxRequestsPerReplica = m.Connections
 	if l := top.Section("log"); l != nil {
 		l.Whole("every", &m.LogEvery, 0, 1<<30)
 		l.Done()
--- a/internal/sidecar/manifest_test.go
+++ b/internal/sidecar/manifest_test.go
@@ -120,7 +120,7 @@
 		t.Errorf("%v %v", waits, err)
 	}
 	other := text("flows: 500", "flows: 500")
-	other.Plan.Groups = other.Plan.Groups[:2]
+	other.Plan.Classes = other.Plan.Classes[:2]
 	if _, err := s.Reload(other); err == nil {
 		t.Error("other groups are taken over")
 	}
--- a/internal/sidecar/places_test.go
+++ b/internal/sidecar/places_test.go
@@ -60,7 +60,7 @@
 func TestAReplicaLeavesTheListAsItIsPicked(t *testing.T) {
 	r := startReplica(t, nil)
 	s := start(t, patient("usual: again", "usual: once"), r.Addr)
-	if err := (core{s.Sidecar}).Apply([]dispatch.Push{{Full: true, Lines: map[string]float64{"r0": 1}}}); err != nil {
+	if err := (core{s.Sidecar}).Apply([]dispatch.Update{{Full: true, Weights: map[string]float64{"r0": 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	end, flapped := make(chan struct{}), make(chan struct{})
@@ -71,8 +71,8 @@
 			case <-end:
 				return
 			default:
-				s.list(false, map[string]dispatch.Listed{"r0": {State: control.Gone}})
-				s.list(false, map[string]dispatch.Listed{"r0": {Address: r.Addr, Zone: "a"}})
+				s.list(false, map[string]dispatch.Endpoint{"r0": {State: control.Gone}})
+				s.list(false, map[string]dispatch.Endpoint{"r0": {Address: r.Addr, Zone: "a"}})
 			}
 		}
 	}()
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -21,7 +21,7 @@
 // rules reads which flows belong to which traffic group.
 func (m *Manifest) rules(top *strictyaml.Section) {
 	var names []string
-	for _, g := range m.Plan.Groups {
+	for _, g := range m.Plan.Classes {
 		names = append(names, g.Name)
 	}
 	for _, s := range top.Sections("rules") {
@@ -94,7 +94,7 @@
 			fields[textproto.CanonicalMIMEHeaderKey(name)] = value
 		}
 		r.Fields = fields
-		rules = append(rules, rule{r, slices.IndexFunc(m.Plan.Groups, func(g dispatch.Group) bool { return g.Name == r.Group }), prefix, open})
+		rules = append(rules, rule{r, slices.IndexFunc(m.Plan.Classes, func(g dispatch.Class) bool { return g.Name == r.Group }), prefix, open})
 	}
 	return func(method, host, path string, h http.Header) int {
 		for _, r := range rules {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -57,7 +57,7 @@
 		pool: upstream.NewPool(m.Connections, m.IdleConns, m.IdleSpan, m.ReplicaStall)}
 	var once []bool
 	var names []string
-	for _, g := range m.Plan.Groups {
+	for _, g := range m.Plan.Classes {
 		once, names = append(once, g.Idempotency == control.NotIdempotent), append(names, g.Name)
 	}
 	s.relay = proxy.New(desk, s.pool, s.now, m.Refusals, once)
@@ -67,8 +67,8 @@
 	}
 	s.server = ingress.New(m.Bounds, s.relay.Serve, m.Classify(), log, s.record)
 	s.client = &controlclient.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
-	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*dispatch.Sum) {
-		s.relay.With(func(_ int64, d *dispatch.Desk) { all = d.Sums() })
+	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*dispatch.Outcomes) {
+		s.relay.With(func(_ int64, d *dispatch.Dispatcher) { all = d.TakeOutcomes() })
 		return all
 	}}
 	if len(m.Replicas) > 0 {
@@ -82,27 +82,27 @@
 // core is the sidecar's core as the conversation with a governor sees it.
 type core struct{ *Sidecar }
 
-func (c core) Apply(parts []dispatch.Push) (err error) {
-	c.relay.With(func(now int64, d *dispatch.Desk) { err = d.Apply(now, parts...) })
+func (c core) Apply(parts []dispatch.Update) (err error) {
+	c.relay.With(func(now int64, d *dispatch.Dispatcher) { err = d.Apply(now, parts...) })
 	return err
 }
 
-func (c core) Blank() (blank bool) {
-	c.relay.With(func(_ int64, d *dispatch.Desk) { blank = d.Blank() })
-	return blank
+func (c core) HasTables() (has bool) {
+	c.relay.With(func(_ int64, d *dispatch.Dispatcher) { has = d.HasTables() })
+	return has
 }
 
-func (c core) Usage() (all []dispatch.Usage) {
-	c.relay.With(func(_ int64, d *dispatch.Desk) { all = d.Usage() })
+func (c core) TakeDemand() (all []dispatch.Demand) {
+	c.relay.With(func(_ int64, d *dispatch.Dispatcher) { all = d.TakeDemand() })
 	return all
 }
 
 // list takes over who there is. While no governor has pushed a table, all of them have one line each: a sidecar that
 // starts while governors are away serves.
-func (s *Sidecar) list(whole bool, members map[string]dispatch.Listed) {
-	s.relay.With(func(now int64, d *dispatch.Desk) {
-		d.List(whole, members)
-		d.Even(now)
+func (s *Sidecar) list(whole bool, members map[string]dispatch.Endpoint) {
+	s.relay.With(func(now int64, d *dispatch.Dispatcher) {
+		d.UpdateEndpoints(whole, members)
+		d.UseEqualWeights(now)
 	})
 }
 
@@ -155,7 +155,7 @@
 	if m.Memory > 0 { // the collector works harder near it; what is held is bounded by the other limits
 		debug.SetMemoryLimit(int64(memoryPart * float64(m.Memory) * (1 << 20)))
 	}
-	s.log.Info("sidecar serves", "http1", m.H1, "http2", m.H2, "governors", m.Governors, "groups", len(m.Plan.Groups))
+	s.log.Info("sidecar serves", "http1", m.H1, "http2", m.H2, "governors", m.Governors, "groups", len(m.Plan.Classes))
 	all.Go(func() { s.client.Run(talk) })
 	if len(m.Collectors) > 0 {
 		all.Go(func() { s.teller.Run(talk) })
@@ -202,10 +202,10 @@
 			if !ok {
 				continue
 			}
-			members := map[string]dispatch.Listed{}
+			members := map[string]dispatch.Endpoint{}
 			for _, m := range l.Members {
 				if !m.Unusable {
-					members[m.ID] = dispatch.Listed{Zone: m.Zone, Cell: m.Cell, Address: m.Address, State: m.State}
+					members[m.ID] = dispatch.Endpoint{Zone: m.Zone, Cell: m.Cell, Address: m.Address, State: m.State}
 				}
 			}
 			s.list(l.Complete, members)
@@ -215,7 +215,7 @@
 
 // Reload takes over what may change while it runs: which flows belong to which group. It names the rest.
 func (s *Sidecar) Reload(m Manifest) (waits []string, err error) {
-	if !reflect.DeepEqual(m.Plan.Groups, s.manifest.Plan.Groups) {
+	if !reflect.DeepEqual(m.Plan.Classes, s.manifest.Plan.Classes) {
 		return nil, errors.New("groups differ: start anew, since governors know them by their order")
 	}
 	s.server.Reclassify(m.Classify())
@@ -237,7 +237,7 @@
 	}
 	name := "none"
 	if group >= 0 {
-		name = s.manifest.Plan.Groups[group].Name
+		name = s.manifest.Plan.Classes[group].Name
 	}
 	s.log.Info("flow", "protocol", protocol, "method", method, "host", host, "path", path, "group", name, "status", r.Status,
 		"reason", r.Reason, "replica", r.Replica, "tries", r.Tries, "broken", r.Broken, "took", r.Took)
@@ -248,7 +248,7 @@
 	Governor string
 	Tables   map[string]int
 	InHand   int
-	Core     dispatch.Count
+	Core     dispatch.Counters
 	Replicas upstream.Count
 	Clients  map[string]int64
 	Steering map[string]int64
@@ -257,8 +257,8 @@
 // Figures tells the counters as of now.
 func (s *Sidecar) Figures() Figures {
 	f := Figures{Governor: s.client.Governor(), Replicas: s.pool.Figures()}
-	s.relay.With(func(_ int64, d *dispatch.Desk) {
-		f.Core, f.Tables, f.InHand = d.Count.Clone(), d.Tables(), d.InHand()
+	s.relay.With(func(_ int64, d *dispatch.Dispatcher) {
+		f.Core, f.Tables, f.InHand = d.Counters.Clone(), d.TableSizes(), d.InFlight()
 	})
 	c, t := &s.server.Count, &s.client.Counters
 	f.Clients = map[string]int64{"accepted": c.Accepted.Load(), "refused": c.Refused.Load(), "open": c.Open.Load(), "flows": c.Flows.Load(),
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -283,7 +283,7 @@
 			t.Errorf("%s: %v", path, got)
 		}
 	}
-	if n := s.Figures().Core.Repeats; n == 0 {
+	if n := s.Figures().Core.Retries; n == 0 {
 		t.Error("none was tried twice")
 	}
 	for key, n := range good.Runs() {
@@ -364,12 +364,12 @@
 		}
 	}
 	nothingInHand(t, s) // a flow is counted after its connection has been closed
-	if f := s.Figures().Core; f.Dropped["client-gone"] != 2 {
+	if f := s.Figures().Core; f.Failed["client-gone"] != 2 {
 		t.Errorf("%+v", f)
 	}
-	s.relay.With(func(_ int64, d *dispatch.Desk) {
-		for id, sum := range d.Sums() {
-			if sum.Missed != 0 {
+	s.relay.With(func(_ int64, d *dispatch.Dispatcher) {
+		for id, sum := range d.TakeOutcomes() {
+			if sum.Failures != 0 {
 				t.Errorf("%s is blamed for its clients: %+v", id, sum)
 			}
 		}
@@ -381,12 +381,12 @@
 	defer conn.Close()
 	io.WriteString(conn, "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n")
 	for range 100 {
-		if s.Figures().Core.Dropped["client-gone"] == 3 {
+		if s.Figures().Core.Failed["client-gone"] == 3 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	if f := s.Figures(); f.InHand != 0 || f.Core.Dropped["client-gone"] != 3 {
+	if f := s.Figures(); f.InHand != 0 || f.Core.Failed["client-gone"] != 3 {
 		t.Errorf("who takes nothing is still served: %+v", f)
 	}
 }
@@ -430,34 +430,34 @@
 	one, two := startReplica(t, nil), startReplica(t, nil)
 	one.Span.Store(int64(200 * time.Millisecond))
 	s := start(t, nil, one.Addr, two.Addr)
-	apply := func(parts ...dispatch.Push) {
+	apply := func(parts ...dispatch.Update) {
 		if err := (core{s.Sidecar}).Apply(parts); err != nil {
 			t.Error(err)
 		}
 	}
-	apply(dispatch.Push{Full: true, Lines: map[string]float64{"r0": 1}})
+	apply(dispatch.Update{Full: true, Weights: map[string]float64{"r0": 1}})
 	answers := make(chan string)
 	get := "GET /stock HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 	go func() { answers <- says(t, s.h1, get) }()
 	for one.Serves.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	apply(dispatch.Push{Shut: []string{"r0"}}) // the replica in use
+	apply(dispatch.Update{Eject: []string{"r0"}}) // the replica in use
 	if got := says(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
 		t.Errorf("all shut out: %q", got)
 	}
-	apply(dispatch.Push{Full: true, Lines: map[string]float64{"r1": 1}})
+	apply(dispatch.Update{Full: true, Weights: map[string]float64{"r1": 1}})
 	if got := says(t, s.h1, get); !strings.Contains(got, two.Addr) {
 		t.Errorf("another table: %q", got)
 	}
-	apply(dispatch.Push{Groups: []string{"stock"}, Full: true}) // empties one group alone
+	apply(dispatch.Update{Classes: []string{"stock"}, Full: true}) // empties one group alone
 	if got := says(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
 		t.Errorf("an empty table: %q", got)
 	}
 	if got := says(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, two.Addr) {
 		t.Errorf("another group: %q", got)
 	}
-	apply(dispatch.Push{Groups: []string{"order"}, Levels: []dispatch.Level{{Share: 0}}})
+	apply(dispatch.Update{Classes: []string{"order"}, Settings: []dispatch.ClassSettings{{Admission: 0}}})
 	if got := says(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "Lilacbend-Reason: level") || !strings.Contains(got, "Retry-After: ") {
 		t.Errorf("a closed level: %q", got)
 	}
