--- a/internal/ingress/crossings_test.go
+++ b/internal/ingress/crossings_test.go
@@ -82,10 +82,10 @@
 		reads:    make(chan struct{}, 100),
 	}
 	s := New(Bounds{Connections: 1, Idle: time.Minute, Head: time.Minute, Stall: time.Minute, Streams: 1, Drain: time.Minute},
-		func(_ *upstream.Leash, _ *proxy.Request, out proxy.Answerer) proxy.Result {
-			out.Head(http.StatusOK, http.Header{}, 2)
+		func(_ *upstream.Cancellation, _ *proxy.Request, out proxy.ResponseWriter) proxy.Result {
+			out.WriteHeader(http.StatusOK, http.Header{}, 2)
 			io.WriteString(out, "ok")
-			out.End(nil)
+			out.Finish(nil)
 			return proxy.Result{}
 		},
 		func(string, string, string, http.Header) int { return 0 }, slog.New(slog.DiscardHandler),
--- a/internal/ingress/front.go
+++ b/internal/ingress/front.go
@@ -37,7 +37,7 @@
 }
 
 // Serve passes a flow on and puts its answer into out.
-type Serve func(l *upstream.Leash, q *proxy.Request, out proxy.Answerer) proxy.Result
+type Serve func(l *upstream.Cancellation, q *proxy.Request, out proxy.ResponseWriter) proxy.Result
 
 // Classify says which traffic group a flow belongs to, below 0: none.
 type Classify func(method, host, path string, h http.Header) int
@@ -180,33 +180,33 @@
 }
 
 // flow serves one flow that has been read.
-func (s *Server) flow(l *upstream.Leash, protocol string, q *proxy.Request, out proxy.Answerer) {
+func (s *Server) flow(l *upstream.Cancellation, protocol string, q *proxy.Request, out proxy.ResponseWriter) {
 	path, _, _ := cut(q.Target)
-	q.Group = (*s.classify.Load())(q.Method, q.Host, path, q.Header)
+	q.Class = (*s.classify.Load())(q.Method, q.Host, path, q.Header)
 	s.Count.Flows.Add(1)
 	s.Count.InHand.Add(1)
 	defer s.Count.InHand.Add(-1)
 	var r proxy.Result
-	if q.Group < 0 {
+	if q.Class < 0 {
 		s.Count.Unclassified.Add(1)
 		r = proxy.Result{Status: http.StatusNotFound, Reason: "no-group"}
-		r.Broken = answer(out, http.StatusNotFound, "no-group") != nil
+		r.Incomplete = answer(out, http.StatusNotFound, "no-group") != nil
 	} else {
 		r = s.serve(l, q, out)
 	}
-	s.record(protocol, q.Method, q.Host, path, q.Group, r)
+	s.record(protocol, q.Method, q.Host, path, q.Class, r)
 }
 
 // answer is an answer of our own.
-func answer(out proxy.Answerer, status int, reason string) error {
-	h := http.Header{proxy.ReasonField: {reason}, "Content-Type": {"text/plain; charset=utf-8"}}
-	if err := out.Head(status, h, int64(len(reason)+1)); err != nil {
+func answer(out proxy.ResponseWriter, status int, reason string) error {
+	h := http.Header{proxy.ReasonHeader: {reason}, "Content-Type": {"text/plain; charset=utf-8"}}
+	if err := out.WriteHeader(status, h, int64(len(reason)+1)); err != nil {
 		return err
 	}
 	if _, err := io.WriteString(out, reason+"\n"); err != nil {
 		return err
 	}
-	return out.End(nil)
+	return out.Finish(nil)
 }
 
 func cut(target string) (path, query string, has bool) {
--- a/internal/ingress/h1.go
+++ b/internal/ingress/h1.go
@@ -35,7 +35,7 @@
 	// Used by one flow after the other.
 	in      patientReader
 	out     patientWriter
-	leash   upstream.Leash
+	leash   upstream.Cancellation
 	answer  h1Answer
 	q       proxy.Request
 	done    chan bool // the watch has ended; false: the client has gone
@@ -46,7 +46,7 @@
 func (c *h1) end() {
 	c.ended.Store(true)
 	c.conn.Close()
-	c.leash.Cut() // nobody may be watching: behind a flow with a body, or before another flow
+	c.leash.Cancel() // nobody may be watching: behind a flow with a body, or before another flow
 }
 
 // part ends the connection unless a flow is in hand; that one's answer says that it was the last.
@@ -139,13 +139,13 @@
 	*out = h1Answer{w: w, conn: c, method: req.Method, old: req.ProtoMinor == 0, last: req.Close || c.server.Parting()}
 	if req.Body != http.NoBody {
 		q.Body, q.Trailer = &endingBody{req.Body, c, r}, func() http.Header { return req.Trailer }
-		q.Halt = c.hush
-		q.Expects = httpguts100(req.Header)
+		q.StopBody = c.hush
+		q.ExpectContinue = httpguts100(req.Header)
 		q.Continue = func() error {
 			out.mu.Lock()
 			defer out.mu.Unlock()
 			if out.begun {
-				return upstream.ErrHalted
+				return upstream.ErrBodyStopped
 			}
 			out.continued = true
 			if _, err := w.WriteString("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
@@ -154,7 +154,7 @@
 			return w.Flush()
 		}
 	}
-	proxy.Clean(q.Header)
+	proxy.RemoveHopByHop(q.Header)
 	c.leash.Reset()
 	if c.ended.Load() {
 		return false
@@ -175,7 +175,7 @@
 		return false
 	}
 	if q.Body != nil { // what was not read of it is in front of the next one
-		if q.Expects && !out.continued {
+		if q.ExpectContinue && !out.continued {
 			return false
 		}
 		n, err := io.CopyN(io.Discard, req.Body, drainMost)
@@ -225,7 +225,7 @@
 			continue
 		}
 		if err != nil && !waits {
-			c.leash.Cut()
+			c.leash.Cancel()
 		}
 		c.done <- err == nil || waits
 		return
@@ -356,14 +356,14 @@
 	chunks    io.WriteCloser
 }
 
-func (a *h1Answer) Inform(status int, h http.Header) {
+func (a *h1Answer) WriteInformational(status int, h http.Header) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.old || a.begun {
 		return
 	}
 	a.line(status)
-	proxy.Clean(h).Write(a.w)
+	proxy.RemoveHopByHop(h).Write(a.w)
 	a.w.WriteString("\r\n")
 	a.w.Flush()
 }
@@ -376,7 +376,7 @@
 	a.w.WriteString("\r\n")
 }
 
-func (a *h1Answer) Head(status int, h http.Header, length int64) error {
+func (a *h1Answer) WriteHeader(status int, h http.Header, length int64) error {
 	a.mu.Lock()
 	a.begun, a.left = true, length
 	a.mu.Unlock()
@@ -427,7 +427,7 @@
 	return a.w.Write(p)
 }
 
-func (a *h1Answer) End(trailer http.Header) error {
+func (a *h1Answer) Finish(trailer http.Header) error {
 	if a.chunks != nil {
 		if err := a.chunks.Close(); err != nil {
 			return err
@@ -435,14 +435,14 @@
 		trailer.Write(a.w)
 		a.w.WriteString("\r\n")
 	} else if a.left > 0 && !a.bodiless {
-		a.Break()
+		a.Abort()
 		return errors.New("an answer shorter than its length")
 	}
 	return a.w.Flush()
 }
 
 // Break ends the connection, which is how HTTP/1 says that an answer is not whole.
-func (a *h1Answer) Break() {
+func (a *h1Answer) Abort() {
 	a.broken, a.last = true, true
 	a.w.Flush()
 	a.conn.conn.Close()
--- a/internal/ingress/h2.go
+++ b/internal/ingress/h2.go
@@ -208,7 +208,7 @@
 	c.mu.Lock()
 	c.ended = true
 	for _, s := range c.streams {
-		s.leash.Cut()
+		s.leash.Cancel()
 	}
 	c.wake()
 	c.mu.Unlock()
--- a/internal/ingress/h2_answer.go
+++ b/internal/ingress/h2_answer.go
@@ -30,18 +30,18 @@
 	begun  bool
 }
 
-func (a *h2Answer) Inform(status int, h http.Header) { a.inform(status, proxy.Clean(h)) }
+func (a *h2Answer) WriteInformational(status int, h http.Header) { a.inform(status, proxy.RemoveHopByHop(h)) }
 
 func (a *h2Answer) inform(status int, h http.Header) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.status != 0 {
-		return upstream.ErrHalted
+		return upstream.ErrBodyStopped
 	}
 	return a.headers(status, h, -1, false)
 }
 
-func (a *h2Answer) Head(status int, h http.Header, length int64) error {
+func (a *h2Answer) WriteHeader(status int, h http.Header, length int64) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.status, a.fields, a.length = status, h, length
@@ -158,7 +158,7 @@
 	}
 }
 
-func (a *h2Answer) End(trailer http.Header) error {
+func (a *h2Answer) Finish(trailer http.Header) error {
 	if a.length >= 0 && a.sent < a.length && !a.bodiless() {
 		return errors.New("an answer shorter than its length")
 	}
@@ -190,4 +190,4 @@
 }
 
 // Break leaves the stream to finish, which resets it.
-func (a *h2Answer) Break() {}
+func (a *h2Answer) Abort() {}
--- a/internal/ingress/h2_body.go
+++ b/internal/ingress/h2_body.go
@@ -25,7 +25,7 @@
 			return 0, err
 		case s.halted:
 			c.mu.Unlock()
-			return 0, upstream.ErrHalted
+			return 0, upstream.ErrBodyStopped
 		case s.inbox.Len() > 0:
 			n, _ := s.inbox.Read(p)
 			c.give(int64(n))
--- a/internal/ingress/h2_streams.go
+++ b/internal/ingress/h2_streams.go
@@ -19,7 +19,7 @@
 type stream struct {
 	id      uint32
 	conn    *h2
-	leash   upstream.Leash
+	leash   upstream.Cancellation
 	window  int64
 	reset   bool // by either side
 	over    bool // the answer has ended
@@ -44,7 +44,7 @@
 	c.give(int64(s.inbox.Len()))
 	s.inbox = bytes.Buffer{}
 	delete(c.streams, s.id)
-	s.leash.Cut()
+	s.leash.Cancel()
 	c.wake()
 }
 
@@ -111,7 +111,7 @@
 		out.head = q.Method == http.MethodHead
 		if !s.ended {
 			q.Body, q.Trailer = (*h2Body)(s), func() http.Header { return s.trailer }
-			q.Halt = s.halt
+			q.StopBody = s.halt
 			q.Continue = func() error { return out.inform(http.StatusContinue, nil) }
 		} else {
 			q.Length = 0
@@ -186,7 +186,7 @@
 	c.mu.Lock()
 	short := s.length >= 0 && s.got != s.length
 	if !bad && !short {
-		s.trailer, s.ended = proxy.Clean(h), true
+		s.trailer, s.ended = proxy.RemoveHopByHop(h), true
 		c.arrive(s)
 	}
 	c.mu.Unlock()
@@ -225,7 +225,7 @@
 			}
 			q.Length, _ = strconv.ParseInt(field.Value, 10, 64)
 		case "expect":
-			q.Expects = strings.EqualFold(field.Value, "100-continue")
+			q.ExpectContinue = strings.EqualFold(field.Value, "100-continue")
 		case "cookie":
 			cookies = append(cookies, field.Value)
 		default:
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -36,7 +36,7 @@
 	manifest Manifest
 	log      *slog.Logger
 	began    time.Time
-	relay    *proxy.Relay
+	proxy    *proxy.Proxy
 	pool     *upstream.Pool
 	server   *ingress.Server
 	client   *controlclient.Client
@@ -54,21 +54,20 @@
 		return nil, err
 	}
 	s := &Sidecar{manifest: m, log: log, began: time.Now(), lists: eventloop.New(), listeners: map[string]net.Listener{},
-		pool: upstream.NewPool(m.Connections, m.IdleConns, m.IdleSpan, m.ReplicaStall)}
+		pool: upstream.NewPool(upstream.Config{MaxConnections: m.Connections, MaxIdle: m.IdleConns, IdleTimeout: m.IdleSpan, StallTimeout: m.ReplicaStall})}
 	var once []bool
 	var names []string
 	for _, g := range m.Plan.Classes {
 		once, names = append(once, g.Idempotency == control.NotIdempotent), append(names, g.Name)
 	}
-	s.relay = proxy.New(desk, s.pool, s.now, m.Refusals, once)
-	s.relay.Panics = func(text string) {
+	s.proxy = proxy.New(desk, s.pool, proxy.Config{NotExecutedStatuses: m.Refusals, NonIdempotent: once, Now: s.now, OnPanic: func(text string) {
 		s.server.Count.Panics.Add(1)
 		log.Error("panic in a flow", "panic", text)
-	}
-	s.server = ingress.New(m.Bounds, s.relay.Serve, m.Classify(), log, s.record)
+	}})
+	s.server = ingress.New(m.Bounds, s.proxy.Serve, m.Classify(), log, s.record)
 	s.client = &controlclient.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
 	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*dispatch.Outcomes) {
-		s.relay.With(func(_ int64, d *dispatch.Dispatcher) { all = d.TakeOutcomes() })
+		s.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { all = d.TakeOutcomes() })
 		return all
 	}}
 	if len(m.Replicas) > 0 {
@@ -83,24 +82,24 @@
 type core struct{ *Sidecar }
 
 func (c core) Apply(parts []dispatch.Update) (err error) {
-	c.relay.With(func(now int64, d *dispatch.Dispatcher) { err = d.Apply(now, parts...) })
+	c.proxy.WithDispatcher(func(now int64, d *dispatch.Dispatcher) { err = d.Apply(now, parts...) })
 	return err
 }
 
 func (c core) HasTables() (has bool) {
-	c.relay.With(func(_ int64, d *dispatch.Dispatcher) { has = d.HasTables() })
+	c.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { has = d.HasTables() })
 	return has
 }
 
 func (c core) TakeDemand() (all []dispatch.Demand) {
-	c.relay.With(func(_ int64, d *dispatch.Dispatcher) { all = d.TakeDemand() })
+	c.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { all = d.TakeDemand() })
 	return all
 }
 
 // list takes over who there is. While no governor has pushed a table, all of them have one line each: a sidecar that
 // starts while governors are away serves.
 func (s *Sidecar) list(whole bool, members map[string]dispatch.Endpoint) {
-	s.relay.With(func(now int64, d *dispatch.Dispatcher) {
+	s.proxy.WithDispatcher(func(now int64, d *dispatch.Dispatcher) {
 		d.UpdateEndpoints(whole, members)
 		d.UseEqualWeights(now)
 	})
@@ -171,7 +170,7 @@
 		select {
 		case <-ctx.Done():
 		case now := <-sweep.C:
-			s.pool.Sweep(now)
+			s.pool.CloseIdle(now)
 		}
 	}
 	s.log.Info("sidecar drains", "in_hand", s.server.Count.InHand.Load())
@@ -240,7 +239,7 @@
 		name = s.manifest.Plan.Classes[group].Name
 	}
 	s.log.Info("flow", "protocol", protocol, "method", method, "host", host, "path", path, "group", name, "status", r.Status,
-		"reason", r.Reason, "replica", r.Replica, "tries", r.Tries, "broken", r.Broken, "took", r.Took)
+		"reason", r.Reason, "replica", r.Replica, "tries", r.Attempts, "broken", r.Incomplete, "took", r.Duration)
 }
 
 // Figures are the counters.
@@ -249,15 +248,15 @@
 	Tables   map[string]int
 	InHand   int
 	Core     dispatch.Counters
-	Replicas upstream.Count
+	Replicas upstream.Counters
 	Clients  map[string]int64
 	Steering map[string]int64
 }
 
 // Figures tells the counters as of now.
 func (s *Sidecar) Figures() Figures {
-	f := Figures{Governor: s.client.Governor(), Replicas: s.pool.Figures()}
-	s.relay.With(func(_ int64, d *dispatch.Dispatcher) {
+	f := Figures{Governor: s.client.Governor(), Replicas: s.pool.Counters()}
+	s.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) {
 		f.Core, f.Tables, f.InHand = d.Counters.Clone(), d.TableSizes(), d.InFlight()
 	})
 	c, t := &s.server.Count, &s.client.Counters
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -367,7 +367,7 @@
 	if f := s.Figures().Core; f.Failed["client-gone"] != 2 {
 		t.Errorf("%+v", f)
 	}
-	s.relay.With(func(_ int64, d *dispatch.Dispatcher) {
+	s.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) {
 		for id, sum := range d.TakeOutcomes() {
 			if sum.Failures != 0 {
 				t.Errorf("%s is blamed for its clients: %+v", id, sum)
--- /dev/null
+++ b/internal/upstream/response.go
@@ -0,0 +1,67 @@
+package upstream
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"time"
+)
+
+// Response is a response whose head has come. Its owner must call Close, which keeps the connection if the response
+// was read to its end and all of the request was sent. It must not be used after Close.
+type Response struct {
+	*http.Response
+	conn     *conn
+	cancel   *Cancellation
+	bodySent <-chan error // the result of sending the request's body; nil: it went out with the head
+	complete bool         // read to its end
+	streamed bool
+}
+
+// StreamBody lets the body outlive the deadline of the attempt: from now on each read has the pool's stall timeout.
+func (r *Response) StreamBody() { r.streamed = true }
+
+// Read reads the body of the response.
+func (r *Response) Read(p []byte) (int, error) {
+	if r.streamed {
+		r.cancel.allowRead(r.conn.pool.config.StallTimeout)
+	}
+	n, err := r.Response.Body.Read(p)
+	if errors.Is(err, io.EOF) {
+		r.complete = true
+		return n, err
+	}
+	if err != nil {
+		return n, &AttemptError{ResponseStarted, "response body", err}
+	}
+	return n, nil
+}
+
+// Close ends the attempt.
+func (r *Response) Close() {
+	c := r.conn
+	sent := r.finishSending()
+	reusable := sent && r.complete && !r.Response.Close
+	r.cancel.detach()
+	reusable = reusable && c.reader.Buffered() == 0 && !r.cancel.Canceled()
+	*r = Response{}
+	if reusable {
+		c.SetDeadline(time.Time{})
+	}
+	c.pool.release(c, reusable)
+}
+
+// finishSending reports whether all of the request was sent. If it is still being sent, the replica has answered
+// without reading all of it, and the connection is closed.
+func (r *Response) finishSending() bool {
+	if r.bodySent == nil {
+		return true
+	}
+	select {
+	case err := <-r.bodySent:
+		return err == nil
+	default:
+		r.conn.abort(r.bodySent)
+		return false
+	}
+}
