--- a/internal/ci/deploy_test.go
+++ b/internal/ci/deploy_test.go
@@ -10,6 +10,9 @@
 	"testing"
 )
 
+// repositoryRoot is the module's folder, from this package.
+const repositoryRoot = "../.."
+
 // deployList returns the strings of a list in deploy/balancer.toml.
 func deployList(t *testing.T, key string) []string {
 	t.Helper()
--- a/internal/ingress/h2_answer.go
+++ b/internal/ingress/h2_answer.go
@@ -30,7 +30,9 @@
 	begun  bool
 }
 
-func (a *h2Answer) WriteInformational(status int, h http.Header) { a.inform(status, proxy.RemoveHopByHop(h)) }
+func (a *h2Answer) WriteInformational(status int, h http.Header) {
+	a.inform(status, proxy.RemoveHopByHop(h))
+}
 
 func (a *h2Answer) inform(status int, h http.Header) error {
 	a.mu.Lock()
