--- a/policy/shared.go
+++ b/policy/shared.go
@@ -39,8 +39,8 @@
 	return control.Random(s.Seed, s.draws)
 }
 
-// placementKey draws the rank of a replica in a weighted random order: the highest key comes first, and a replica of twice the
+// drawPlacementKey draws the rank of a replica in a weighted random order: the highest key comes first, and a replica of twice the
 // weight is twice as likely to come before another one.
-func (s *sharedState) placementKey(weight float64) float64 {
+func (s *sharedState) drawPlacementKey(weight float64) float64 {
 	return math.Pow(s.random(), 1/math.Max(weight, minPlacementWeight))
 }
