--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -12,6 +12,10 @@
 	sender *pacing.Pacer
 }
 
+func newPacer(shared *sharedState) *pacer {
+	return &pacer{sharedState: shared, sender: pacing.New(&shared.Settings, time.Duration(beat))}
+}
+
 func (p *pacer) handle(m message) {
 	switch m := m.(type) {
 	case ejectionDue:
@@ -24,8 +28,8 @@
 		p.sender.Connected(m.Proxy, m.Rate)
 	case streamClosed:
 		p.sender.Disconnected(m.Proxy)
-	case replicaForgotten:
-		p.sender.Forget(m.id)
+	case replicaEvicted:
+		p.sender.Forget(m.replica)
 	case warmingReplicas:
 		p.sender.SetWarming(pacing.Warming{Replicas: m.replicas, Together: m.together})
 	case updateStep:
@@ -40,11 +44,11 @@
 }
 
 func (p *pacer) acknowledge(m acknowledged) {
-	if m.gone {
-		p.sender.Abandoned(m.mark)
+	if m.disconnected {
+		p.sender.Abandoned(m.nonce)
 		return
 	}
-	p.sender.Acknowledged(time.Duration(p.now), m.mark, m.all)
+	p.sender.Acknowledged(time.Duration(p.now), m.nonce, m.complete)
 }
 
 // send sends the turn's commands and reports them to the update, and to the bindings where an ack will follow.
@@ -57,6 +61,3 @@
 	}
 	p.enqueue(updateComponent, report)
 }
-
-// reconfigure puts the changed settings in force, which are shared already.
-func (p *pacer) reconfigure(newClasses []int) { p.sender.Reconfigure(p.Settings, newClasses) }
--- a/policy/pacing/pacing.go
+++ b/policy/pacing/pacing.go
@@ -55,7 +55,7 @@
 // Pacer is the only sender of commands to proxies. Its methods note what is to be sent and what is known of the proxies; Send,
 // once at the end of a turn, sends what the budgets admit. The rest waits for later turns.
 type Pacer struct {
-	settings     control.Settings
+	settings     *control.Settings
 	tickInterval time.Duration
 	warming      Warming
 
@@ -69,8 +69,9 @@
 	turn   turn
 }
 
-// New returns a Pacer for proxies of which nothing is known. A turn comes at least once in each tick interval.
-func New(settings control.Settings, tickInterval time.Duration) *Pacer {
+// New returns a Pacer for proxies of which nothing is known. It reads the settings at each call, so that changed settings hold at
+// once. A turn comes at least once in each tick interval.
+func New(settings *control.Settings, tickInterval time.Duration) *Pacer {
 	return &Pacer{
 		settings:     settings,
 		tickInterval: tickInterval,
@@ -78,22 +79,13 @@
 	}
 }
 
-// Reconfigure puts settings in force and renumbers the traffic classes: the element of each old number is the new one, below
-// 0 if the class no longer exists.
-func (p *Pacer) Reconfigure(settings control.Settings, newClasses []int) {
-	p.settings = settings
+// RenumberClasses follows changed traffic classes: newClasses has the new number of each old one, below 0 if the class no longer
+// exists.
+func (p *Pacer) RenumberClasses(newClasses []int) {
 	p.proxies.renumberClasses(newClasses)
 	p.urgent.renumberClasses(newClasses)
 }
 
-// newClass returns the new number of a traffic class, below 0 if there is none.
-func newClass(newClasses []int, class int) int {
-	if class < 0 || class >= len(newClasses) {
-		return -1
-	}
-	return newClasses[class]
-}
-
 // SetStep replaces what the update's open step has to send.
 func (p *Pacer) SetStep(step Step) { p.step = step }
 
--- a/policy/pacing/proxies.go
+++ b/policy/pacing/proxies.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"lilacbend/control"
+	"lilacbend/policy/internal/renumber"
 )
 
 // unbound is the table of a proxy that is connected and not bound yet: it may hold any table of an earlier controller.
@@ -140,9 +141,8 @@
 func (s *proxyStates) renumberClasses(newClasses []int) {
 	limited := map[int]bool{}
 	for class := range s.limited {
-		class = newClass(newClasses, class)
-		if class >= 0 {
-			limited[class] = true
+		if number, ok := renumber.Lookup(newClasses, class); ok {
+			limited[number] = true
 		}
 	}
 	s.limited = limited
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -12,19 +12,23 @@
 	sequence *update.Sequence
 }
 
+func newUpdater(shared *sharedState) *updater {
+	return &updater{sharedState: shared, sequence: update.New()}
+}
+
 func (u *updater) handle(m message) {
 	switch m := m.(type) {
 	case targetTables:
 		u.sequence.SetTarget(m.target())
-	case replicaForgotten:
-		u.sequence.Forget(m.id)
+	case replicaEvicted:
+		u.sequence.Forget(m.replica)
 	case bindRequested:
 		u.sequence.Rebind(m.Bind)
 	case messagesSent:
 		u.sequence.Sent(time.Duration(u.now), m.nonce, m.commands)
 		return // what is due next is worked out at the next ack, target or tick
 	case acknowledged:
-		u.sequence.Acknowledged(m.mark)
+		u.sequence.Acknowledged(m.nonce)
 	case tickStarted:
 		u.sequence.Expire(time.Duration(u.now))
 	default:
@@ -36,9 +40,9 @@
 
 // target returns the target tables in the terms of package update.
 func (t targetTables) target() update.Target {
-	weights := make(map[update.Endpoint]float64, len(t.lines))
-	for endpoint, weight := range t.lines {
-		weights[update.Endpoint{Table: endpoint.table, Replica: endpoint.id}] = weight
+	weights := make(map[update.Endpoint]float64, len(t.weights))
+	for endpoint, weight := range t.weights {
+		weights[update.Endpoint{Table: endpoint.table, Replica: endpoint.replica}] = weight
 	}
-	return update.Target{Weights: weights, Ejected: t.out}
+	return update.Target{Weights: weights, Ejected: t.ejected}
 }
