--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -14,16 +14,16 @@
 // zone; then all are assigned anew, and an update leads there.
 func (p *Policy) reconfigure(changed control.SettingsChanged) {
 	before := p.Settings
-	tables := p.placement.tables
+	tables := p.placement.placer.Tables()
 	keepsZones := p.keepsZones(changed, tables)
 	p.Settings = changed.Settings
-	p.placement.renumberKinds(changed.NewHardwareClasses, before.HardwareClasses)
+	p.placement.baselines.Renumber(changed.NewHardwareClasses, before.HardwareClasses, changed.HardwareClasses)
 	p.admission.renumberClasses(changed.NewClasses)
 	p.pacing.sender.RenumberClasses(changed.NewClasses)
 	p.binding.renumberZones(changed.Proxies)
 	p.listReplicas(control.ReplicasListed{Entries: slices.DeleteFunc(changed.Replicas, p.isListedAs)})
 	p.deliverAll()
-	p.placement.same = p.placement.same && sameForPlacement(before, changed.Settings)
+	p.placement.placed = p.placement.placed && sameForPlacement(before, changed.Settings)
 	if tables == 0 {
 		return
 	}
@@ -31,7 +31,7 @@
 	if keepsZones && p.placement.tablesUnder(before) == tablesAtStart {
 		return
 	}
-	p.placement.redeal(tables)
+	p.placement.placer.Reassign()
 	p.update.sequence.CancelRebinds()
 	p.pacing.sender.CancelBinds()
 	p.binding.reassign(tables, tablesAtStart, p.pacing.sender.Bindings())
