--- a/policy/binding_test.go
+++ b/policy/binding_test.go
@@ -20,10 +20,9 @@
 // Many proxies that disconnect at once empty no channel: what was written to them, and all before it, counts until somebody
 // acknowledges what was written later, or until it is overdue.
 func TestDisconnectingClearsNothingFromTheChannel(t *testing.T) {
-	settings := testSettings()
-	settings.ChannelLimit = 49200
-	settings.ChannelRate = 1200
-	p := New(settings)
+	p := newPolicyAt(0)
+	p.ChannelLimit = 49200
+	p.ChannelRate = 1200
 	addTable(p.pacing, 9996) // which costs a proxy 20,000 units: two for each endpoint and 8 for all else
 	for proxy := 1; proxy <= 2; proxy++ {
 		p.pacing.handle(streamOpened{control.StreamOpened{Proxy: proxy}})
@@ -32,8 +31,8 @@
 		p.binding.handle(messagesSent{nonce: uint64(proxy), proxies: []int{proxy}})
 	}
 	waiting := func() float64 { return p.pacing.sender.Waiting(time.Duration(p.now)) }
-	wantEqual(t, "both wait", waiting(), 40000.0)
-	waitingAfterAcks := func() float64 {
+	wantEqual(t, "both messages wait", waiting(), 40000.0)
+	queueAfterAcks := func() float64 {
 		for _, ack := range queued[acknowledged](p, pacingComponent) {
 			p.pacing.handle(ack)
 		}
@@ -41,12 +40,12 @@
 	}
 	p.binding.handle(streamClosed{control.StreamClosed{Proxy: 1}})
 	p.binding.handle(streamOpened{control.StreamOpened{Proxy: 2}})
-	wantEqual(t, "after a stream closed and one opened anew", waitingAfterAcks(), 40000.0)
+	wantEqual(t, "after a stream closed and one opened anew", queueAfterAcks(), 40000.0)
 	p.now = 34 * second
 	wantEqual(t, "the second message waits behind the first", waiting(), 20000.0)
 	p.binding.handle(messagesSent{nonce: 3, proxies: []int{2}})
 	p.binding.handle(ackReceived{control.Ack{Proxy: 2, Nonce: 3}})
-	wantEqual(t, "once a later nonce is acknowledged", waitingAfterAcks(), 0.0)
+	wantEqual(t, "once a later nonce is acknowledged", queueAfterAcks(), 0.0)
 }
 
 func TestFirstBindIsPacedAndMoveIsPartOfAnUpdate(t *testing.T) {
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -13,7 +13,7 @@
 }
 
 func newPacer(shared *sharedState) *pacer {
-	return &pacer{sharedState: shared, sender: pacing.New(shared.Settings, time.Duration(maxTickInterval))}
+	return &pacer{sharedState: shared, sender: pacing.New(&shared.Settings, time.Duration(maxTickInterval))}
 }
 
 func (p *pacer) handle(m message) {
@@ -61,6 +61,3 @@
 	}
 	p.enqueue(updateComponent, report)
 }
-
-// reconfigure puts the changed settings in force, which are shared already.
-func (p *pacer) reconfigure(newClasses []int) { p.sender.Reconfigure(p.Settings, newClasses) }
--- a/policy/pacer_test.go
+++ b/policy/pacer_test.go
@@ -18,13 +18,13 @@
 }
 
 func TestPacerReportsWhatItHasSent(t *testing.T) {
-	g := at(0)
-	p := g.queues[pacingComponent].component.(*pacer)
+	g := newPolicyAt(0)
+	p := g.pacing
 	addTable(p, 3)
-	want(t, "reports to bindings where no proxy is concerned", len(mail[messagesSent](g, bindingComponent)), 0)
-	first := mail[messagesSent](g, updateComponent)[0]
-	want(t, "commands", len(first.commands), 3)
-	want(t, "nonce", first.nonce, uint64(0))
+	wantEqual(t, "reports to bindings where no proxy is concerned", len(queued[messagesSent](g, bindingComponent)), 0)
+	first := queued[messagesSent](g, updateComponent)[0]
+	wantEqual(t, "commands", len(first.commands), 3)
+	wantEqual(t, "nonce", first.nonce, uint64(0))
 	g.out = nil
 	p.handle(streamOpened{control.StreamOpened{Proxy: 4, Rate: 1}})
 	p.handle(admissionChanged{control.SetAdmission{Class: 1, Fraction: 0.5}})
@@ -33,11 +33,11 @@
 	step := control.SetEndpoint{Replica: 1, Weight: 2}
 	p.handle(updateStep{0, []control.Command{step}})
 	p.handle(turnEnding{})
-	want(t, "commands", reflect.DeepEqual(g.out, []control.Command{step, control.SetEjected{Replica: 2, Ejected: true},
+	wantEqual(t, "commands", reflect.DeepEqual(g.out, []control.Command{step, control.SetEjected{Replica: 2, Ejected: true},
 		control.SetAdmission{Class: 1, Fraction: 0.5}, control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}), true)
 	report := messagesSent{1, []int{4}, []control.Command{step}}
-	want(t, "report to bindings", reflect.DeepEqual(mail[messagesSent](g, bindingComponent), []messagesSent{report}), true)
-	want(t, "report to the update", reflect.DeepEqual(mail[messagesSent](g, updateComponent)[1], report), true)
+	wantEqual(t, "report to bindings", reflect.DeepEqual(queued[messagesSent](g, bindingComponent), []messagesSent{report}), true)
+	wantEqual(t, "report to the update", reflect.DeepEqual(queued[messagesSent](g, updateComponent)[1], report), true)
 }
 
 func TestPacerPassesOnWhatItReceives(t *testing.T) {
@@ -56,8 +56,8 @@
 		{"a replica is forgotten", []message{replicaEvicted{2}}, cost, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := at(0)
-			p := g.queues[pacingComponent].component.(*pacer)
+			g := newPolicyAt(0)
+			p := g.pacing
 			addTable(p, 3)
 			p.handle(streamOpened{control.StreamOpened{Proxy: 4, Rate: 1}})
 			p.handle(bindRequested{control.Bind{Proxy: 4}})
@@ -66,8 +66,8 @@
 				p.handle(m)
 			}
 			_, bound := p.sender.Bindings()[4]
-			want(t, "bound", bound, c.bound)
-			want(t, "waiting", p.sender.Waiting(0), c.waiting)
+			wantEqual(t, "bound", bound, c.bound)
+			wantEqual(t, "waiting", p.sender.Waiting(0), c.waiting)
 		})
 	}
 }
@@ -78,7 +78,7 @@
 		settings := testSettings()
 		settings.ChannelLimit = 52
 		g := New(settings)
-		p := g.queues[pacingComponent].component.(*pacer)
+		p := g.pacing
 		addTable(p, 3)
 		p.handle(streamOpened{control.StreamOpened{Proxy: 4, Rate: 1}})
 		p.handle(bindRequested{control.Bind{Proxy: 4}})
@@ -90,11 +90,11 @@
 		}
 		p.handle(step)
 		p.handle(turnEnding{})
-		want(t, "unejected", len(orders[control.SetEjected](g.out)), unejected)
+		wantEqual(t, "unejected", len(ofType[control.SetEjected](g.out)), unejected)
 	}
 }
 
 func TestPacerRefusesMessagesOfOthers(t *testing.T) {
-	defer func() { want(t, "panics", recover() != nil, true) }()
-	at(0).queues[pacingComponent].component.handle(tickStarted{})
+	defer func() { wantEqual(t, "panics", recover() != nil, true) }()
+	newPolicyAt(0).queues[pacingComponent].component.handle(tickStarted{})
 }
--- a/policy/pacing/helpers_test.go
+++ b/policy/pacing/helpers_test.go
@@ -22,7 +22,7 @@
 	if change != nil {
 		change(&settings)
 	}
-	return New(settings, testTickInterval)
+	return New(&settings, testTickInterval)
 }
 
 // withTable returns a Pacer whose table 0 has 20 replicas of weight 1, and so many proxies bound to it.
--- a/policy/pacing/urgent.go
+++ b/policy/pacing/urgent.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"lilacbend/control"
+	"lilacbend/policy/internal/renumber"
 )
 
 // urgentQueue holds the commands that must not wait for the update: ejections, the latest first; then first binds and admission
@@ -50,8 +51,8 @@
 			kept = append(kept, command)
 			continue
 		}
-		admission.Class = newClass(newClasses, admission.Class)
-		if admission.Class >= 0 {
+		if class, ok := renumber.Lookup(newClasses, admission.Class); ok {
+			admission.Class = class
 			kept = append(kept, admission)
 		}
 	}
--- a/policy/pacing/urgent_test.go
+++ b/policy/pacing/urgent_test.go
@@ -46,18 +46,15 @@
 	}
 }
 
-func TestReconfigureKeepsAdmissionRatesOfKnownClasses(t *testing.T) {
+func TestRenumberingKeepsAdmissionRatesOfKnownClasses(t *testing.T) {
 	p := withTable(1, nil)
 	for class := range 3 {
 		p.SetAdmission(control.SetAdmission{Class: class, Fraction: 0.5})
 	}
 	p.Send(0)
 	assertEqual(t, "classes", p.proxies.limitedClasses(), 3)
-	settings := testSettings()
-	settings.ChannelLimit = 7
-	p.Reconfigure(settings, []int{1, -1, 0})
+	p.RenumberClasses([]int{1, -1, 0})
 	assertEqual(t, "classes", reflect.DeepEqual(p.proxies.limited, map[int]bool{0: true, 1: true}), true)
-	assertEqual(t, "settings", p.settings.ChannelLimit, 7)
 }
 
 func TestCancelledBindsAreNotSent(t *testing.T) {
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -18,7 +18,7 @@
 	p.Settings = changed.Settings
 	p.placement.baselines.Renumber(changed.NewHardwareClasses, before.HardwareClasses, changed.HardwareClasses)
 	p.admission.renumberClasses(changed.NewClasses)
-	p.pacing.reconfigure(changed.NewClasses)
+	p.pacing.sender.RenumberClasses(changed.NewClasses)
 	p.binding.renumberZones(changed.Proxies)
 	p.listReplicas(control.ReplicasListed{Entries: slices.DeleteFunc(changed.Replicas, p.isListedAs)})
 	p.deliverAll()
--- a/policy/updater_test.go
+++ b/policy/updater_test.go
@@ -10,7 +10,7 @@
 // lastStep is what the update has to send, as pacing was told last.
 func lastStep(t *testing.T, g *Policy) updateStep {
 	t.Helper()
-	steps := mail[updateStep](g, pacingComponent)
+	steps := queued[updateStep](g, pacingComponent)
 	if len(steps) == 0 {
 		t.Fatal("pacing was told of no step")
 	}
@@ -27,17 +27,17 @@
 }
 
 func TestUpdaterReportsItsStepAfterEachChange(t *testing.T) {
-	g := at(0)
-	u := g.queues[updateComponent].component.(*updater)
+	g := newPolicyAt(0)
+	u := g.update
 	addition := control.SetEndpoint{Table: 1, Replica: 2, Weight: 0.5}
 	bind := control.Bind{Proxy: 3, Table: 1}
 	u.handle(targetTables{map[tableEndpoint]float64{{1, 2}: 0.5}, map[uint32]bool{9: true, 8: true}})
 	wantStep(t, "target tables", g, 1, addition)
 	u.handle(bindRequested{bind})
 	wantStep(t, "additions come before rebinds", g, 1, addition)
-	steps := len(mail[updateStep](g, pacingComponent))
+	steps := len(queued[updateStep](g, pacingComponent))
 	u.handle(messagesSent{nonce: 7, proxies: []int{3}, commands: []control.Command{addition}})
-	want(t, "steps reported for what was sent", len(mail[updateStep](g, pacingComponent)), steps)
+	wantEqual(t, "steps reported for what was sent", len(queued[updateStep](g, pacingComponent)), steps)
 	u.handle(tickStarted{})
 	wantStep(t, "waits for the ack", g, 0)
 	u.handle(acknowledged{nonce: 7, complete: true})
@@ -58,6 +58,6 @@
 }
 
 func TestUpdaterRefusesMessagesOfOthers(t *testing.T) {
-	defer func() { want(t, "panics", recover() != nil, true) }()
-	at(0).queues[updateComponent].component.handle(turnEnding{})
+	defer func() { wantEqual(t, "panics", recover() != nil, true) }()
+	newPolicyAt(0).queues[updateComponent].component.handle(turnEnding{})
 }
