--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -32,9 +32,10 @@
 		{"overloaded: fails, but succeeds as often as its peers", 60, 40, 300 * time.Millisecond, 0, false},
 		{"fails about as the whole fleet does: not ejected", 9, 6, 200 * time.Millisecond, 0.35, false},
 		{"the whole fleet fails: nobody is ejected", 500, 500, 0, 0.9, false},
-		{"the fleet fails at the limit: still evaluated", 20, 20, 0, maxFleetFailureRate, true},
-		{"too few attempts: not evaluated", minAttempts - 1, minAttempts - 1, 0, 0, false},
-		{"just enough attempts: evaluated", minAttempts, minAttempts, 0, 0, true},
+		{"the fleet fails at the limit: still evaluated", 20, 20, 0, 0.4, true},
+		{"the fleet fails above the limit: nobody is ejected", 20, 20, 0, 0.41, false},
+		{"too few attempts: not evaluated", 4, 4, 0, 0, false},
+		{"just enough attempts: evaluated", 5, 5, 0, 0, true},
 		{"failure rate at the limit: not ejected", 20, 10, 100 * time.Millisecond, 0, false},
 		{"as many successes as the limit: not ejected", 20, 16, 100 * time.Millisecond, 0, false},
 		{"response time at the limit: late, not ejected", 20, 17, 400 * time.Millisecond, 0, false},
@@ -103,7 +104,7 @@
 		fleet              Fleet
 		want               state
 	}{
-		{"too few attempts: waits", minProbationAttempts - 1, minProbationAttempts - 1, calmFleet, unchanged},
+		{"too few attempts: waits", 2, 2, calmFleet, unchanged},
 		{"fails, though it succeeds as often as its peers: ejected", 60, 40, calmFleet, ejected},
 		{"fails and is late: ejected", 3, 3, Fleet{PeerSuccesses: 20}, ejected},
 		{"fails less than the limit: healthy", 10, 5, calmFleet, healthy},
@@ -137,7 +138,7 @@
 func TestOldSamplesAreNotEvaluated(t *testing.T) {
 	now := 100 * time.Second
 	d := observed(now, 10, 10, 0)
-	now += EvaluationPeriod
+	now += 4 * time.Second
 	if d.Evaluate(now, calmFleet, reportInterval); d.Ejected() {
 		t.Error("ejected by a sample that has expired")
 	}
--- a/policy/outlier/window_test.go
+++ b/policy/outlier/window_test.go
@@ -21,8 +21,8 @@
 		want      Window
 	}{
 		{"no reports", nil, 0, Window{}},
-		{"sums all of the period", []report{{now - 3*time.Second, 10, 2, 0}, {now, 5, 1, 0}}, 0, Window{Attempts: 15, Failures: 3}},
-		{"leaves out expired ones", []report{{now - EvaluationPeriod, 10, 2, 0}, {now, 5, 1, 0}}, 0, Window{Attempts: 5, Failures: 1}},
+		{"sums all of the period", []report{{now - 4*time.Second + 1, 10, 2, 0}, {now, 5, 1, 0}}, 0, Window{Attempts: 15, Failures: 3}},
+		{"leaves out expired ones", []report{{now - 4*time.Second, 10, 2, 0}, {now, 5, 1, 0}}, 0, Window{Attempts: 5, Failures: 1}},
 		{"leaves out those up to the start of the probation", []report{{now - 1, 10, 2, 0}, {now, 5, 1, 0}}, now - 1, Window{Attempts: 5, Failures: 1}},
 		{"weighs response times by successes", []report{{now, 10, 0, 200 * time.Millisecond}, {now, 40, 10, 600 * time.Millisecond}}, 0,
 			Window{Attempts: 50, Failures: 10, ResponseTime: 0.5}},
--- a/policy/placement/assignment_test.go
+++ b/policy/placement/assignment_test.go
@@ -108,6 +108,16 @@
 	}
 }
 
+func TestAssignIgnoresARememberedTableBeyondTheLast(t *testing.T) {
+	a := newAssignment()
+	a.RememberTableCount(8)
+	a.RememberTable(2, 8)
+	a.assign(control.Settings{Zones: 2, Proxies: 400, Controllers: 1}, replicasOf(40, 2))
+	if got := a.TableOf(2); got != 0 {
+		t.Errorf("got table %d, want the first of its zone", got)
+	}
+}
+
 func TestReassignKeepsTablesWhereTheirNumberAllows(t *testing.T) {
 	s := control.Settings{Zones: 2, Proxies: 400, Controllers: 1}
 	a := newAssignment()
--- a/policy/placement/balance_test.go
+++ b/policy/placement/balance_test.go
@@ -55,8 +55,8 @@
 		connected int // of six
 		want      float64
 	}{
-		{"just connected: forecast and what came", now, 3, (10*forecastTime + 160) / forecastTime},
-		{"connected for long: forecast counts less", 0, 3, (10*forecastTime + 160) / (forecastTime + 8)},
+		{"just connected: forecast and what came", now, 3, (10*4 + 160) / 4.0},
+		{"connected for long: forecast counts less", 0, 3, (10*4 + 160) / (4.0 + 8)},
 		{"less than half of the proxies are connected", 0, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"math"
 	"slices"
 	"testing"
 	"time"
@@ -140,8 +141,8 @@
 	}{
 		{"half of the limit for all proxies", 400, 1, 10, 4, 14},
 		{"several controllers share the proxies", 400, 3, 10, 4, 54},
-		{"never below the least size", 400, 1, 1000, 4, minTableSize},
-		{"nothing is set", 0, 0, 0, 0, minTableSize},
+		{"never below the least size", 400, 1, 1000, 4, 3},
+		{"nothing is set", 0, 0, 0, 0, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := control.Settings{ChannelLimit: c.limit, Controllers: c.controllers, Proxies: c.proxies, MessageOverhead: c.overhead}
@@ -205,7 +206,7 @@
 	for _, e := range plan.Endpoints[0] {
 		table := tableOf[e.Replica]
 		weights[table] += e.Weight
-		if table != 0 && e.Weight > 0.5 {
+		if table != 0 && (e.Weight > 0.5 || math.Abs(e.Weight*10-math.Round(e.Weight*10)) > 1e-9) {
 			t.Errorf("replica %d of table %d lends %v", e.Replica, table, e.Weight)
 		}
 	}
@@ -213,7 +214,7 @@
 		t.Errorf("by table %v, want all of table 0 and half of table 2", weights)
 	}
 	shortfall := 40*50.0/80/headroomByWeight - 10
-	if got := weights[1] + weights[2] + weights[3]; got < shortfall || got > shortfall+1.0/spilloverSteps {
+	if got := weights[1] + weights[2] + weights[3]; got < shortfall || got > shortfall+0.1 {
 		t.Errorf("spillover for %v, want about %v", got, shortfall)
 	}
 	for table := 1; table < 4; table++ {
@@ -223,6 +224,45 @@
 	}
 }
 
+func TestSpilloverOrder(t *testing.T) {
+	replica := func(id uint32, table int, spare float64, excluded bool) *placed {
+		return &placed{Replica: ready(id, table%2), table: table, spare: spare, excluded: excluded}
+	}
+	replicas := []*placed{
+		replica(1, 0, 1, false), // of the table itself
+		replica(2, 1, 1, false), // of the other zone
+		replica(3, 2, 1, false), // of the same zone
+		replica(4, 2, 0, false), // needed by its own table
+		replica(5, 2, 1, true),
+		replica(6, 3, 0.1, false),
+		replica(7, 2, 0.1, false),
+	}
+	for _, c := range []struct {
+		name                string
+		bare                bool
+		sameZone, otherZone []uint32
+	}{
+		{"those that can spare something", false, []uint32{3, 7}, []uint32{2, 6}},
+		{"a table without any of its own: all that serve", true, []uint32{3, 4, 7}, []uint32{2, 6}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var ids []uint32
+			for _, r := range spilloverOrder(0, 2, c.bare, replicas) {
+				ids = append(ids, r.ID)
+			}
+			if len(ids) != len(c.sameZone)+len(c.otherZone) {
+				t.Fatalf("got %v", ids)
+			}
+			first, last := ids[:len(c.sameZone)], ids[len(c.sameZone):]
+			slices.Sort(first)
+			slices.Sort(last)
+			if !slices.Equal(first, c.sameZone) || !slices.Equal(last, c.otherZone) {
+				t.Errorf("got %v, then %v", first, last)
+			}
+		})
+	}
+}
+
 func TestPlaceIsDeterministic(t *testing.T) {
 	in := Input{Settings: settings(), Proxies: []Proxy{{ID: 1, Table: 1, Rate: 100}, {ID: 2, Table: 0, Rate: 1}, {ID: 3, Table: 0, Rate: 1}}}
 	for id := uint32(1); id <= 30; id++ {
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -73,24 +73,16 @@
 	}
 }
 
-// evaluateFleet compares the replicas with each other. It tells each what it is compared with, and admission how loaded the fleet is.
+// evaluateFleet compares the replicas with each other. It tells each what it is compared with, and admission how loaded the fleet
+// is. Every sum goes over the replicas by ascending ID.
 func (p *planner) evaluateFleet() {
 	ids := ordered.Keys(p.statuses)
-	replicas := make([]weight.Replica, len(ids))
-	window := outlier.FleetWindow{}
-	load := slowstart.NewFleet(p.OverloadMultiple)
-	for k, id := range ids {
-		status := p.statuses[id]
-		replicas[k] = status.comparison()
-		load.Add(status.load())
-		if status.inService() && !p.placer.Excluded(id) {
-			window.Add(status.window)
-		}
-	}
-	estimator := weight.NewEstimator(p.baselines, p.HardwareClasses, replicas)
-	p.baselines.Sample(time.Duration(p.now), estimator)
-	recovery := load.Recovery(window.FailureRate(), p.demand.lost)
+	window := p.serviceWindow(ids)
+	recovery := p.recovery(ids, window)
 	p.together = recovery.Together
+	replicas := p.comparisons(ids)
+	estimator := weight.NewEstimator(p.baselines, p.HardwareClasses, replicas)
+	p.baselines.Sample(time.Duration(p.now), estimator) // the goals use this sample too
 	for k, id := range ids {
 		status := p.statuses[id]
 		p.enqueue(status.queue, fleetBaseline{
@@ -113,7 +105,36 @@
 	})
 }
 
-// inService reports whether a replica is to get its full part of the requests.
+// serviceWindow sums the attempts at the replicas in service.
+func (p *planner) serviceWindow(ids []uint32) *outlier.FleetWindow {
+	window := &outlier.FleetWindow{}
+	for _, id := range ids {
+		status := p.statuses[id]
+		if status.inService() && !p.placer.Excluded(id) {
+			window.Add(status.window)
+		}
+	}
+	return window
+}
+
+// recovery returns how replicas that warm up are treated.
+func (p *planner) recovery(ids []uint32, window *outlier.FleetWindow) slowstart.Recovery {
+	fleet := slowstart.NewFleet(p.OverloadMultiple)
+	for _, id := range ids {
+		fleet.Add(p.statuses[id].load())
+	}
+	return fleet.Recovery(window.FailureRate(), p.demand.lost)
+}
+
+func (p *planner) comparisons(ids []uint32) []weight.Replica {
+	replicas := make([]weight.Replica, len(ids))
+	for k, id := range ids {
+		replicas[k] = p.statuses[id].comparison()
+	}
+	return replicas
+}
+
+// inService reports whether a replica is to get requests by its weight, so that its failures are the fleet's.
 func (s replicaStatus) inService() bool {
 	return s.State == control.Ready && !s.ejected && !s.heldBack && !s.onProbation
 }
--- a/policy/slowstart/slowstart_test.go
+++ b/policy/slowstart/slowstart_test.go
@@ -36,9 +36,10 @@
 		ejected  bool
 		min, max float64
 	}{
-		{"half of the time: a third of the overload multiple", 5 * time.Second, 0, 0, false, 0.79, 0.81},
+		{"half of the time: a third of the overload multiple", 5 * time.Second, 0, 0, false, 0.7999, 0.8001},
 		{"nearly warmed up: no more than a warmed-up one", 9 * time.Second, 0, 0, false, 1, 1},
-		{"known for a moment: at most the entry fraction", 9 * time.Second, start + 6*time.Second, 0, false, entryFraction, entryFraction},
+		{"known for a moment: at most the entry fraction", 9 * time.Second, start + 4*time.Second + 1, 0, false, 0.5, 0.5},
+		{"known for the entry time: as by its age", 9 * time.Second, start + 4*time.Second, 0, false, 1, 1},
 		{"half of the requests are lost: a quarter", 9 * time.Second, 0, 0.5, false, 0.25, 0.25},
 		{"ejected: nothing", 9 * time.Second, 0, 0, true, 0, 0},
 		{"ejected and warmed up: as any other, as ejection excludes it", 10 * time.Second, 0, 0, true, 1, 1},
@@ -82,6 +83,12 @@
 	}
 }
 
+func TestReplicaWithoutAStartIsWarmedUpAtAnyTime(t *testing.T) {
+	if config.WarmingUp(config.Duration/2, Replica{}) {
+		t.Error("warming up")
+	}
+}
+
 func TestCapacityFraction(t *testing.T) {
 	now := 100 * time.Second
 	for _, c := range []struct {
@@ -115,8 +122,8 @@
 	}{
 		{"nothing is known of the fleet", warming, false, 0, true},
 		{"calm fleet", warming, true, 0, false},
-		{"losses at the limit", warming, true, maxLostFraction, false},
-		{"losses above the limit", warming, true, 2 * maxLostFraction, true},
+		{"losses at the limit", warming, true, 0.3, false},
+		{"losses above the limit", warming, true, 0.31, true},
 		{"warmed up", Replica{}, false, 2 * maxLostFraction, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/weight/estimate_test.go
+++ b/policy/weight/estimate_test.go
@@ -49,11 +49,11 @@
 		sinceLast, sinceKnown time.Duration
 		want                  float64 // towards 16
 	}{
-		{"known for long: in the settle time", settleTime, time.Hour, 16},
-		{"known for long: half way in half of it", settleTime / 2, time.Hour, 4},
-		{"just known: in the least settle time", minSettleTime, 0, 16},
-		{"just known: a quarter of the way in a quarter of it", minSettleTime / 4, 0, 2},
-		{"known for twice the least: half way", minSettleTime, 2 * settleDivisor * minSettleTime, 4},
+		{"known for long: in the settle time", 4 * time.Second, time.Hour, 16},
+		{"known for long: half way in half of it", 2 * time.Second, time.Hour, 4},
+		{"just known: in the least settle time", time.Second, 0, 16},
+		{"just known: a quarter of the way in a quarter of it", time.Second / 4, 0, 2},
+		{"known for 16 s: half way in 1 s", time.Second, 16 * time.Second, 4},
 		{"first evaluation: at once", time.Hour, 0, 16},
 		{"no time has passed", 0, time.Hour, 1},
 	} {
--- a/policy/weight/weight_test.go
+++ b/policy/weight/weight_test.go
@@ -34,6 +34,49 @@
 	}
 }
 
+func TestGoalMixesAFewSamplesWithTheMeanOfTheClass(t *testing.T) {
+	few := healthy(8, 0, 0.1)
+	many := healthy(24, 0, 0.1)
+	e := NewEstimator(NewBaselines(), 1, []Replica{few, many})
+	for _, c := range []struct {
+		replica Replica
+		want    float64 // half and one and a half of the mean, beside 8 of the mean
+	}{{few, 0.75}, {many, 1.375}} {
+		if got := e.Goal(c.replica); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("%v successes: got %v, want %v", c.replica.Attempts, got, c.want)
+		}
+	}
+}
+
+func TestCapacity(t *testing.T) {
+	settled := make([]float64, 15)
+	for k := range settled {
+		settled[k] = 0.1
+	}
+	baselines := baselinesOf(map[int][]float64{0: {0.1}, 3: settled}) // of all classes: the last
+	for _, c := range []struct {
+		name    string
+		class   int
+		replica Replica
+		want    float64
+	}{
+		{"idle", 0, healthy(40, 0, 0.1), 100},
+		{"busy", 0, healthy(80, 0, 0.2), 100},
+		{"of a class without baselines: an idle one is at most twice as slow", 1, healthy(80, 0, 0.4), 100},
+		{"full queue: counts up to five times", 1, healthy(144, 0, 2), 100},
+		{"failures of a busy one took its time", 1, healthy(100, 20, 0.4), 116},
+		{"of many failures those count that there are successes for", 1, healthy(100, 90, 0.4), 20.5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := c.replica
+			r.HardwareClass = c.class
+			if got := NewEstimator(baselines, 3, nil).capacity(r); math.Abs(got-c.want) > 1e-9 {
+				t.Errorf("got %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
 func TestGoalWithListedWeights(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -42,8 +85,8 @@
 	}{
 		{"as its class", 0.1, 1},
 		{"late at the limit", 0.2, 1},
-		{"slow", 0.4, 0.25},
-		{"so slow that the least goal counts", 9, minGoal},
+		{"slow", 0.25, 0.4},
+		{"so slow that the least goal counts", 9, 1.0 / 16},
 		{"no successes", 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -110,7 +153,7 @@
 	if got := e.FleetResponseTime(); math.Abs(got-0.25) > 1e-12 {
 		t.Errorf("mean response time %v, want 0.25", got)
 	}
-	if got := e.SlowResponseTime(0); math.Abs(got-slowResponseFactor*0.25) > 1e-12 {
+	if got := e.SlowResponseTime(0); math.Abs(got-2*0.25) > 1e-12 {
 		t.Errorf("slow from %v", got)
 	}
 	if got := e.PeerSuccesses(7); got != 0 {
