--- a/policy/planner.go
+++ b/policy/planner.go
@@ -45,9 +45,9 @@
 		p.statuses[n.Replica] = n
 	case demandSummary:
 		p.demand = n
-	case replicaForgotten:
-		delete(p.statuses, n.id)
-		p.placer.Forget(n.id)
+	case replicaEvicted:
+		delete(p.statuses, n.replica)
+		p.placer.Forget(n.replica)
 	case proxyBound:
 		p.putProxy(n.connectedProxy)
 	case replicaRestored:
@@ -123,7 +123,7 @@
 	for _, id := range ids {
 		fleet.Add(p.statuses[id].load())
 	}
-	return fleet.Recovery(window.FailureRate(), p.demand.lost)
+	return fleet.Recovery(window.FailureRate(), p.demand.failedFraction)
 }
 
 func (p *planner) comparisons(ids []uint32) []weight.Replica {
@@ -172,8 +172,8 @@
 		Proxies:  p.proxies,
 		Demand: placement.Demand{
 			Period:   time.Duration(demandSpan),
-			Requests: p.demand.flows,
-			Newest:   p.demand.fresh,
+			Requests: p.demand.requests,
+			Newest:   p.demand.latestRequests,
 		},
 	})
 	if !ok {
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -49,7 +49,7 @@
 			plannerOf(g, status)
 		}
 		plannerOf(g, statusOf(21, 0, control.Gone)) // carries nothing
-		p.handle(demandSummary{lost: 0.8})
+		p.handle(demandSummary{failedFraction: 0.8})
 		p.evaluateFleet()
 		for _, queue := range []int{fixedComponents, fixedComponents + 19} {
 			if got, lost := mail[fleetBaseline](g, queue)[0].lostFraction, map[bool]float64{false: 0.8}[c.suffice]; got != lost {
@@ -69,7 +69,7 @@
 	status := statusOf(1, 0, control.Ready)
 	status.window = outlier.Window{Attempts: 100, Failures: 10}
 	p := plannerOf(g, status)
-	p.handle(demandSummary{lost: 0.9}) // requests without a response
+	p.handle(demandSummary{failedFraction: 0.9}) // requests without a response
 	p.evaluateFleet()
 	n := mail[fleetBaseline](g, fixedComponents)[0]
 	want(t, "ejection goes by the mean, slow start by the worst", n.health.FailureRate < 0.11 && n.lostFraction == 0.9, true)
@@ -96,7 +96,7 @@
 			eleventh.window.Attempts = 10
 		}
 		plannerOf(g, eleventh)
-		p.handle(demandSummary{lost: 0.8})
+		p.handle(demandSummary{failedFraction: 0.8})
 		p.evaluateFleet()
 		want(t, "lost", mail[fleetBaseline](g, fixedComponents+9)[0].lostFraction, lost)
 	}
@@ -117,7 +117,7 @@
 			}
 			plannerOf(g, status)
 		}
-		p.handle(demandSummary{lost: lost})
+		p.handle(demandSummary{failedFraction: lost})
 		p.evaluateFleet()
 		want(t, "together", p.warming().together, together)
 		want(t, "those that warm up", len(p.warming().replicas), 5)
