--- a/internal/eventloop/exchange.go
+++ b/internal/eventloop/exchange.go
@@ -39,15 +39,15 @@
 type Exchange struct {
 	Tally     Tally
 	mu        sync.Mutex
-	events    []any
+	events    []controller.Input
 	maxEvents int
 	ready     chan struct{}
-	outboxes  map[controller.Stream]*Outbox
+	outboxes  map[controller.StreamID]*Outbox
 }
 
 // New makes an empty exchange.
 func New() *Exchange {
-	return &Exchange{maxEvents: maxEvents, ready: make(chan struct{}, 1), outboxes: map[controller.Stream]*Outbox{}}
+	return &Exchange{maxEvents: maxEvents, ready: make(chan struct{}, 1), outboxes: map[controller.StreamID]*Outbox{}}
 }
 
 // Expect has the inbox hold what so many proxies may say.
@@ -59,7 +59,7 @@
 
 // Publish leaves an event for the core. Sums are lost when the inbox is full; what each connection or call tells
 // once or twice is not.
-func (x *Exchange) Publish(event any) {
+func (x *Exchange) Publish(event controller.Input) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch event.(type) {
@@ -92,7 +92,7 @@
 func (x *Exchange) Ready() <-chan struct{} { return x.ready }
 
 // Take empties the inbox.
-func (x *Exchange) Take() []any {
+func (x *Exchange) Take() []controller.Input {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	events := x.events
@@ -101,7 +101,7 @@
 }
 
 // Open makes the outbox of a stream; end ends its connection, whatever it is at.
-func (x *Exchange) Open(stream controller.Stream, end func()) *Outbox {
+func (x *Exchange) Open(stream controller.StreamID, end func()) *Outbox {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	b := &Outbox{stream: stream, end: end, exchange: x, ready: make(chan struct{}, 1)}
@@ -119,7 +119,7 @@
 }
 
 // End ends a stream.
-func (x *Exchange) End(s controller.Stream) {
+func (x *Exchange) End(s controller.StreamID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if b := x.outboxes[s]; b != nil {
@@ -138,7 +138,7 @@
 
 // Outbox holds what waits for one stream.
 type Outbox struct {
-	stream          controller.Stream
+	stream          controller.StreamID
 	end             func()
 	exchange        *Exchange
 	items           []Item
