--- a/policy/admission.go
+++ b/policy/admission.go
@@ -63,10 +63,10 @@
 		BaselineResponseTime: m.baselineResponseTime,
 	}
 	if a.retries.Evaluate(now, load.FailureRate) {
-		a.say("retries stopped %v: failure rate %.2f", a.retries.Stopped(), load.FailureRate)
+		a.logf("retries stopped %v: failure rate %.2f", a.retries.Stopped(), load.FailureRate)
 	}
 	if a.threshold.Evaluate(now, load, demand) {
-		a.say("overload %v: failure rate %.2f, response time %.3fs, admission threshold %.2f of %d classes", a.threshold.Overloaded(),
+		a.logf("overload %v: failure rate %.2f, response time %.3fs, admission threshold %.2f of %d classes", a.threshold.Overloaded(),
 			load.TypicalFailureRate, load.ResponseTime, a.threshold.Admitted(), len(a.Classes))
 	}
 	for _, class := range a.threshold.ClassFractions() {
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -43,7 +43,7 @@
 	a.handle(fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1})
 	wantEqual(t, "retries afterwards", queued[admissionChanged](p, pacingComponent)[2].Retries, control.RetryIfNotExecuted)
 	var lines []string
-	for _, line := range ofType[control.Log](p.out) {
+	for _, line := range ofType[control.Log](p.commands) {
 		lines = append(lines, line.Text)
 	}
 	want := []string{
--- a/policy/binding.go
+++ b/policy/binding.go
@@ -8,13 +8,6 @@
 	"lilacbend/policy/pacing"
 )
 
-// connectedProxy is a proxy that has a table.
-type connectedProxy struct {
-	control.StreamOpened
-	since int64 // when its stream opened
-	table int
-}
-
 // binder is the component of package binding.
 type binder struct {
 	*sharedState
@@ -83,7 +76,7 @@
 }
 
 func (b *binder) reportBound(proxy binding.Proxy) {
-	b.enqueue(placementComponent, proxyBound{connectedProxy{proxy.StreamOpened, int64(proxy.ConnectedAt), proxy.Table}})
+	b.enqueue(placementComponent, proxyBound{proxy})
 }
 
 // disconnect forgets a proxy: nothing is awaited of it any more.
--- a/policy/binding_test.go
+++ b/policy/binding_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"lilacbend/control"
+	"lilacbend/policy/binding"
 	"lilacbend/policy/pacing"
 )
 
@@ -54,7 +55,7 @@
 	p.binding.handle(streamOpened{opened})
 	p.binding.handle(tablesAssigned{[]int{0, 1}})
 	wantEqual(t, "first bind", queued[bindRequested](p, pacingComponent)[0], bindRequested{control.Bind{Proxy: 1, Table: 1}})
-	wantEqual(t, "reported to placement", queued[proxyBound](p, placementComponent)[0], proxyBound{connectedProxy{opened, 5 * second, 1}})
+	wantEqual(t, "reported to placement", queued[proxyBound](p, placementComponent)[0], proxyBound{binding.Proxy{StreamOpened: opened, ConnectedAt: 5 * time.Second, Table: 1}})
 	wantEqual(t, "moves", len(queued[bindRequested](p, updateComponent)), 0)
 	p.binding.handle(tablesAssigned{[]int{0, 0}})
 	wantEqual(t, "move", queued[bindRequested](p, updateComponent)[0], bindRequested{control.Bind{Proxy: 1, Table: 0}})
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -69,14 +69,3 @@
 	}
 	return commands
 }
-
-// Earlier names of the helpers above, for the tests of components that still use them.
-
-func at(now int64) *Policy                     { return newPolicyAt(now) }
-func mail[M message](p *Policy, queue int) []M { return queued[M](p, queue) }
-func orders[T any](all []control.Command) []T  { return ofType[T](all) }
-
-func want(t *testing.T, what string, got, want any) {
-	t.Helper()
-	wantEqual(t, what, got, want)
-}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -2,6 +2,7 @@
 
 import (
 	"lilacbend/control"
+	"lilacbend/policy/binding"
 	"lilacbend/policy/outlier"
 )
 
@@ -38,9 +39,9 @@
 
 // Messages with what a component has worked out.
 type (
-	tablesAssigned struct{ tables []int }   // placement to binding: the table that serves the proxies of each table
-	proxyBound     struct{ connectedProxy } // binding to placement
-	fleetBaseline  struct {                 // placement to replica
+	tablesAssigned struct{ tables []int }        // placement to binding: the table that serves the proxies of each table
+	proxyBound     struct{ proxy binding.Proxy } // binding to placement: a proxy that has a table
+	fleetBaseline  struct {                      // placement to replica
 		health       outlier.Fleet
 		weightGoal   float64 // against its listed weight
 		lostFraction float64 // of the requests, as replicas that warm up count it
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -54,7 +54,7 @@
 // send sends the turn's commands and reports them to the update, and to the bindings where an ack will follow.
 func (p *pacer) send() {
 	sent := p.sender.Send(time.Duration(p.now))
-	p.out = append(p.out, sent.Commands...)
+	p.commands = append(p.commands, sent.Commands...)
 	report := messagesSent{nonce: sent.Nonce, proxies: sent.Proxies, commands: sent.StepCommands}
 	if len(sent.Proxies) > 0 {
 		p.enqueue(bindingComponent, report)
--- a/policy/pacer_test.go
+++ b/policy/pacer_test.go
@@ -25,7 +25,7 @@
 	first := queued[messagesSent](g, updateComponent)[0]
 	wantEqual(t, "commands", len(first.commands), 3)
 	wantEqual(t, "nonce", first.nonce, uint64(0))
-	g.out = nil
+	g.commands = nil
 	p.handle(streamOpened{control.StreamOpened{Proxy: 4, Rate: 1}})
 	p.handle(admissionChanged{control.SetAdmission{Class: 1, Fraction: 0.5}})
 	p.handle(bindRequested{control.Bind{Proxy: 4}})
@@ -33,7 +33,7 @@
 	step := control.SetEndpoint{Replica: 1, Weight: 2}
 	p.handle(updateStep{0, []control.Command{step}})
 	p.handle(turnEnding{})
-	wantEqual(t, "commands", reflect.DeepEqual(g.out, []control.Command{step, control.SetEjected{Replica: 2, Ejected: true},
+	wantEqual(t, "commands", reflect.DeepEqual(g.commands, []control.Command{step, control.SetEjected{Replica: 2, Ejected: true},
 		control.SetAdmission{Class: 1, Fraction: 0.5}, control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}), true)
 	report := messagesSent{1, []int{4}, []control.Command{step}}
 	wantEqual(t, "report to bindings", reflect.DeepEqual(queued[messagesSent](g, bindingComponent), []messagesSent{report}), true)
@@ -90,7 +90,7 @@
 		}
 		p.handle(step)
 		p.handle(turnEnding{})
-		wantEqual(t, "unejected", len(ofType[control.SetEjected](g.out)), unejected)
+		wantEqual(t, "unejected", len(ofType[control.SetEjected](g.commands)), unejected)
 	}
 }
 
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -7,6 +7,7 @@
 
 	"lilacbend/control"
 	"lilacbend/policy/admission"
+	"lilacbend/policy/binding"
 	"lilacbend/policy/internal/ordered"
 	"lilacbend/policy/outlier"
 	"lilacbend/policy/placement"
@@ -50,7 +51,7 @@
 		delete(p.statuses, n.replica)
 		p.placer.Forget(n.replica)
 	case proxyBound:
-		p.putProxy(n.connectedProxy)
+		p.putProxy(n.proxy)
 	case replicaRestored:
 		p.placer.RememberTable(n.Replica, n.Table)
 	case fleetRestored:
@@ -237,9 +238,9 @@
 	})
 }
 
-func (p *planner) putProxy(c connectedProxy) {
-	proxy := placement.Proxy{ID: c.Proxy, Table: c.table, Rate: c.Rate, Since: time.Duration(c.since)}
-	k, ok := p.findProxy(c.Proxy)
+func (p *planner) putProxy(bound binding.Proxy) {
+	proxy := placement.Proxy{ID: bound.Proxy, Table: bound.Table, Rate: bound.Rate, Since: bound.ConnectedAt}
+	k, ok := p.findProxy(bound.Proxy)
 	if !ok {
 		p.proxies = slices.Insert(p.proxies, k, proxy)
 	}
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"testing"
+	"time"
 
 	"lilacbend/control"
+	"lilacbend/policy/binding"
 	"lilacbend/policy/outlier"
 )
 
@@ -37,7 +39,7 @@
 		suffice         bool
 	}{{1, 0, 10, false}, {4, 4, 10, false}, {6, 6, 10, true}, {9, 9, 10, true}, {6, 6, 15, false}, {9, 9, 15, true}, {9, 9, 40, false},
 		{10, 1, 10, true}, {10, 0, 12, false}, {0, 10, 12, false}, {10, 2, 15, false}, {10, 6, 15, true}} {
-		g := at(10 * second)
+		g := newPolicyAt(10 * second)
 		g.OverloadMultiple = 4
 		p := plannerOf(g)
 		for id := uint32(1); id <= 20; id++ {
@@ -52,33 +54,33 @@
 		p.handle(demandSummary{failedFraction: 0.8})
 		p.evaluateFleet()
 		for _, queue := range []int{fixedComponents, fixedComponents + 19} {
-			if got, lost := mail[fleetBaseline](g, queue)[0].lostFraction, map[bool]float64{false: 0.8}[c.suffice]; got != lost {
+			if got, lost := queued[fleetBaseline](g, queue)[0].lostFraction, map[bool]float64{false: 0.8}[c.suffice]; got != lost {
 				t.Errorf("%+v: replica %d is told that %v is lost, want %v", c, queue-fixedComponents+1, got, lost)
 			}
 		}
 	}
-	g := at(100 * second)
+	g := newPolicyAt(100 * second)
 	r := observed(g, 0, 0, 0)
 	r.entry.Start = r.now - second
 	r.handle(fleetBaseline{weightGoal: 1, lostFraction: 0.6})
-	want(t, "held back", mail[replicaStatus](g, placementComponent)[0].heldBack, true)
+	wantEqual(t, "held back", queued[replicaStatus](g, placementComponent)[0].heldBack, true)
 }
 
 func TestLostRequestsTellWarmingReplicasOfACollapse(t *testing.T) {
-	g := at(10 * second)
+	g := newPolicyAt(10 * second)
 	status := statusOf(1, 0, control.Ready)
 	status.window = outlier.Window{Attempts: 100, Failures: 10}
 	p := plannerOf(g, status)
 	p.handle(demandSummary{failedFraction: 0.9}) // requests without a response
 	p.evaluateFleet()
-	n := mail[fleetBaseline](g, fixedComponents)[0]
-	want(t, "ejection goes by the mean, slow start by the worst", n.health.FailureRate < 0.11 && n.lostFraction == 0.9, true)
+	n := queued[fleetBaseline](g, fixedComponents)[0]
+	wantEqual(t, "ejection goes by the mean, slow start by the worst", n.health.FailureRate < 0.11 && n.lostFraction == 0.9, true)
 }
 
 // What was attempted at a replica that has begun to drain is attempted at the others next.
 func TestAttemptsAtDrainingReplicasCountForWarmingOnes(t *testing.T) {
 	for state, lost := range map[control.State]float64{control.Ready: 0, control.Draining: 0.8} {
-		g := at(10 * second)
+		g := newPolicyAt(10 * second)
 		g.OverloadMultiple = 4
 		p := plannerOf(g)
 		for id := uint32(1); id <= 10; id++ {
@@ -98,7 +100,7 @@
 		plannerOf(g, eleventh)
 		p.handle(demandSummary{failedFraction: 0.8})
 		p.evaluateFleet()
-		want(t, "lost", mail[fleetBaseline](g, fixedComponents+9)[0].lostFraction, lost)
+		wantEqual(t, "lost", queued[fleetBaseline](g, fixedComponents+9)[0].lostFraction, lost)
 	}
 }
 
@@ -106,7 +108,7 @@
 // carry their part.
 func TestWarmingReplicasAreRestoredTogetherWhereMuchIsLost(t *testing.T) {
 	for lost, together := range map[float64]bool{0.2: false, 0.8: true} {
-		g := at(10 * second)
+		g := newPolicyAt(10 * second)
 		g.OverloadMultiple = 4
 		p := plannerOf(g)
 		for id := uint32(1); id <= 10; id++ {
@@ -119,14 +121,14 @@
 		}
 		p.handle(demandSummary{failedFraction: lost})
 		p.evaluateFleet()
-		want(t, "together", p.warming().together, together)
-		want(t, "those that warm up", len(p.warming().replicas), 5)
-		want(t, "lost, as they count it", mail[fleetBaseline](g, fixedComponents+9)[0].lostFraction, 0.0)
+		wantEqual(t, "together", p.warming().together, together)
+		wantEqual(t, "those that warm up", len(p.warming().replicas), 5)
+		wantEqual(t, "lost, as they count it", queued[fleetBaseline](g, fixedComponents+9)[0].lostFraction, 0.0)
 	}
 }
 
 func TestAFewReplicasThatFailAreNoOverload(t *testing.T) {
-	g := at(10 * second)
+	g := newPolicyAt(10 * second)
 	for id := uint32(1); id <= 4; id++ {
 		status := statusOf(id, 0, control.Ready)
 		if status.window.Attempts = 10; id == 1 {
@@ -135,12 +137,12 @@
 		plannerOf(g, status)
 	}
 	plannerOf(g).evaluateFleet()
-	f := mail[fleetLoad](g, admissionComponent)[0]
-	want(t, "a quarter of all fails, of most nothing", f.failureRate == 0.25 && f.typicalFailureRate < 0.01, true)
+	f := queued[fleetLoad](g, admissionComponent)[0]
+	wantEqual(t, "a quarter of all fails, of most nothing", f.failureRate == 0.25 && f.typicalFailureRate < 0.01, true)
 }
 
 func TestFleetLoadCountsReplicasInService(t *testing.T) {
-	g := at(10 * second)
+	g := newPolicyAt(10 * second)
 	for id, change := range []func(*replicaStatus){
 		func(*replicaStatus) {},
 		func(s *replicaStatus) { s.warmingUp = true },
@@ -155,46 +157,46 @@
 		plannerOf(g, status)
 	}
 	plannerOf(g).evaluateFleet()
-	f := mail[fleetLoad](g, admissionComponent)[0]
-	want(t, "in service", f.inService, 2.0)
-	want(t, "attempts a second", f.attemptRate, 20.0)
-	want(t, "failure rate", f.failureRate, 0.25)
-	want(t, "response time of the one that is healthy and warmed up", f.responseTime, 0.25)
+	f := queued[fleetLoad](g, admissionComponent)[0]
+	wantEqual(t, "in service", f.inService, 2.0)
+	wantEqual(t, "attempts a second", f.attemptRate, 20.0)
+	wantEqual(t, "failure rate", f.failureRate, 0.25)
+	wantEqual(t, "response time of the one that is healthy and warmed up", f.responseTime, 0.25)
 }
 
 func TestEjectionsGoBeforeTables(t *testing.T) {
-	g := at(0)
+	g := newPolicyAt(0)
 	p := plannerOf(g, statusOf(1, 0, control.Ready), statusOf(2, 0, control.Draining))
 	p.handle(placementDue{})
 	sent := g.queues[pacingComponent].waiting
-	want(t, "messages", len(sent), 2)
-	want(t, "first", sent[0], message(ejectionDue{2}))
-	targets := mail[targetTables](g, updateComponent)[0]
-	want(t, "ejected", targets.ejected[2] && !targets.ejected[1], true)
-	want(t, "weight", targets.weights[tableEndpoint{0, 1}], 1.0)
-	want(t, "tables", len(mail[tablesAssigned](g, bindingComponent)[0].tables), 1)
+	wantEqual(t, "messages", len(sent), 2)
+	wantEqual(t, "first", sent[0], message(ejectionDue{2}))
+	targets := queued[targetTables](g, updateComponent)[0]
+	wantEqual(t, "ejected", targets.ejected[2] && !targets.ejected[1], true)
+	wantEqual(t, "weight", targets.weights[tableEndpoint{0, 1}], 1.0)
+	wantEqual(t, "tables", len(queued[tablesAssigned](g, bindingComponent)[0].tables), 1)
 }
 
 func TestPlacementIsRepeatedOnlyAfterAChange(t *testing.T) {
-	g := at(0)
+	g := newPolicyAt(0)
 	p := plannerOf(g, statusOf(1, 0, control.Ready))
 	p.handle(placementDue{})
 	p.handle(placementDue{})
-	want(t, "plans without a change", len(mail[targetTables](g, updateComponent)), 1)
-	p.handle(proxyBound{connectedProxy{control.StreamOpened{Proxy: 3, Rate: 5}, 0, 0}})
+	wantEqual(t, "plans without a change", len(queued[targetTables](g, updateComponent)), 1)
+	p.handle(proxyBound{binding.Proxy{StreamOpened: control.StreamOpened{Proxy: 3, Rate: 5}}})
 	p.handle(placementDue{})
-	want(t, "plans after a change", len(mail[targetTables](g, updateComponent)), 2)
+	wantEqual(t, "plans after a change", len(queued[targetTables](g, updateComponent)), 2)
 }
 
 func TestProxiesAreInOrderOfTheirIDs(t *testing.T) {
-	p := plannerOf(at(0))
+	p := plannerOf(newPolicyAt(0))
 	for _, id := range []int{5, 2, 9, 2} {
-		p.handle(proxyBound{connectedProxy{control.StreamOpened{Proxy: id, Rate: float64(id)}, int64(id), 1}})
+		p.handle(proxyBound{binding.Proxy{StreamOpened: control.StreamOpened{Proxy: id, Rate: float64(id)}, ConnectedAt: time.Duration(id), Table: 1}})
 	}
 	p.handle(streamClosed{control.StreamClosed{Proxy: 5}})
 	p.handle(streamClosed{control.StreamClosed{Proxy: 7}})
-	want(t, "proxies", len(p.proxies), 2)
-	want(t, "first", p.proxies[0].ID, 2)
-	want(t, "last", p.proxies[1].ID, 9)
-	want(t, "its rate", p.proxies[1].Rate, 9.0)
+	wantEqual(t, "proxies", len(p.proxies), 2)
+	wantEqual(t, "first", p.proxies[0].ID, 2)
+	wantEqual(t, "last", p.proxies[1].ID, 9)
+	wantEqual(t, "its rate", p.proxies[1].Rate, 9.0)
 }
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -99,7 +99,7 @@
 // report writes a change of health into the log.
 func (r *replica) report(change outlier.Change) {
 	if change.Happened() {
-		r.say("replica %d %s", r.entry.Replica, change)
+		r.logf("replica %d %s", r.entry.Replica, change)
 	}
 }
 
--- a/policy/replica_test.go
+++ b/policy/replica_test.go
@@ -19,7 +19,7 @@
 }
 
 func TestReplicaLogsChangesOfItsHealth(t *testing.T) {
-	g := at(100 * second)
+	g := newPolicyAt(100 * second)
 	r := observed(g, 10, 10, 0)
 	r.handle(calmBaseline)
 	r.now += 3 * second
@@ -29,7 +29,7 @@
 	r.handle(calmBaseline)
 	r.handle(replicaRestored{control.ReplicaRestored{LearnedReplica: control.LearnedReplica{Speed: 1, Probation: true}, Weight: 1}})
 	var texts []string
-	for _, line := range orders[control.Log](g.out) {
+	for _, line := range ofType[control.Log](g.commands) {
 		texts = append(texts, line.Text)
 	}
 	if wanted := []string{
@@ -43,21 +43,21 @@
 }
 
 func TestReplicaStatusSaysHowItsHealthIs(t *testing.T) {
-	g := at(100 * second)
+	g := newPolicyAt(100 * second)
 	r := observed(g, 10, 10, 0)
 	r.handle(calmBaseline)
 	r.now += 3 * second
 	r.handle(calmBaseline)
-	statuses := mail[replicaStatus](g, placementComponent)
-	want(t, "ejected", statuses[0].ejected && !statuses[0].onProbation, true)
-	want(t, "then on probation", !statuses[1].ejected && statuses[1].onProbation, true)
+	statuses := queued[replicaStatus](g, placementComponent)
+	wantEqual(t, "ejected", statuses[0].ejected && !statuses[0].onProbation, true)
+	wantEqual(t, "then on probation", !statuses[1].ejected && statuses[1].onProbation, true)
 	r.handle(replicaRestored{control.ReplicaRestored{LearnedReplica: control.LearnedReplica{Speed: 1, Probation: true}, Weight: 1}})
-	restored := mail[replicaStatus](g, placementComponent)[2]
-	want(t, "on probation by an earlier controller: in service with a penalty", !restored.onProbation && restored.penalty > 0, true)
+	restored := queued[replicaStatus](g, placementComponent)[2]
+	wantEqual(t, "on probation by an earlier controller: in service with a penalty", !restored.onProbation && restored.penalty > 0, true)
 }
 
 func TestWarmingReplicaGetsLessInACollapse(t *testing.T) {
-	g := at(100 * second)
+	g := newPolicyAt(100 * second)
 	r := observed(g, 0, 0, 0)
 	r.entry.Start = r.now - second
 	calm := r.status().weight
@@ -70,35 +70,35 @@
 }
 
 func TestWarmingReplicaIsHeldBackUntilTheFleetIsKnown(t *testing.T) {
-	g := at(100 * second)
+	g := newPolicyAt(100 * second)
 	r := newReplica(&g.sharedState, fixedComponents, control.ListedReplica{})
 	r.handle(replicaListed{control.ListedReplica{Replica: 9, Weight: 1, Start: 99 * second}})
-	want(t, "held back", mail[replicaStatus](g, placementComponent)[0].heldBack, true)
+	wantEqual(t, "held back", queued[replicaStatus](g, placementComponent)[0].heldBack, true)
 	r.handle(fleetBaseline{weightGoal: 1})
-	want(t, "held back afterwards", mail[replicaStatus](g, placementComponent)[1].heldBack, false)
+	wantEqual(t, "held back afterwards", queued[replicaStatus](g, placementComponent)[1].heldBack, false)
 }
 
 func TestRestartedReplicaIsNew(t *testing.T) {
-	r := observed(at(100*second), 10, 10, 0)
+	r := observed(newPolicyAt(100*second), 10, 10, 0)
 	r.handle(calmBaseline)
-	want(t, "ejected before", r.detector.Ejected(), true)
+	wantEqual(t, "ejected before", r.detector.Ejected(), true)
 	e := r.entry
 	e.Start = r.now - second
 	r.handle(replicaListed{e})
-	want(t, "ejected", r.detector.Ejected(), false)
-	want(t, "warming up", r.status().warmingUp, true)
+	wantEqual(t, "ejected", r.detector.Ejected(), false)
+	wantEqual(t, "warming up", r.status().warmingUp, true)
 }
 
 func TestEjectedWarmingReplicaHasNoCapacity(t *testing.T) {
-	r := observed(at(100*second), 10, 10, 0)
+	r := observed(newPolicyAt(100*second), 10, 10, 0)
 	r.entry.Start = r.now - second
-	want(t, "healthy", r.status().capacityFraction > 0, true)
+	wantEqual(t, "healthy", r.status().capacityFraction > 0, true)
 	r.handle(calmBaseline)
-	want(t, "ejected", r.status().capacityFraction, 0.0)
+	wantEqual(t, "ejected", r.status().capacityFraction, 0.0)
 }
 
 func TestCapacityFollowsTheWeightGoalAtOnce(t *testing.T) {
-	g := at(100 * second)
+	g := newPolicyAt(100 * second)
 	observed(g, 0, 0, 0).handle(fleetBaseline{weightGoal: 0.5})
-	want(t, "capacity", mail[replicaStatus](g, placementComponent)[0].capacity, 0.5)
+	wantEqual(t, "capacity", queued[replicaStatus](g, placementComponent)[0].capacity, 0.5)
 }
--- a/policy/shared.go
+++ b/policy/shared.go
@@ -3,11 +3,14 @@
 import (
 	"fmt"
 	"math"
+	"time"
 
 	"lilacbend/control"
 )
 
 const (
+	// second is the unit of durations in package control, which are in nanoseconds, as a number.
+	second = int64(time.Second)
 	// maxTickInterval is the longest time between two ticks: what changes without a report, such as the end of an ejection, is
 	// noticed as late at most.
 	maxTickInterval = second / 4
@@ -21,11 +24,11 @@
 // sharedState is what all components share: the settings, the time and the commands of this turn, and the queues.
 type sharedState struct {
 	control.Settings
-	now     int64 // of this turn, in nanoseconds
-	draws   uint64
-	out     []control.Command // of this turn
-	queues  []*queue
-	pending []int // for each message that waits, its queue, in the order in which they were enqueued
+	now      int64 // of this turn, in nanoseconds
+	draws    uint64
+	commands []control.Command // of this turn
+	queues   []*queue
+	pending  []int // for each message that waits, its queue, in the order in which they were enqueued
 }
 
 // tickInterval returns the time between two ticks, in nanoseconds.
@@ -33,9 +36,9 @@
 	return max(1, min(s.ReportInterval/ticksPerReport, maxTickInterval))
 }
 
-// say writes a line for on-call engineers.
-func (s *sharedState) say(format string, args ...any) {
-	s.out = append(s.out, control.Log{Text: fmt.Sprintf(format, args...)})
+// logf writes a line for on-call engineers.
+func (s *sharedState) logf(format string, args ...any) {
+	s.commands = append(s.commands, control.Log{Text: fmt.Sprintf(format, args...)})
 }
 
 // random draws a number above 0 and up to 1. It depends on the seed and the number of earlier draws alone.
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -69,7 +69,7 @@
 // All messages of a phase are delivered before the next one begins.
 func (p *Policy) Turn(now int64, events []control.Event) []control.Command {
 	p.now = now
-	p.out = nil
+	p.commands = nil
 	due := duePhases{tick: !p.started}
 	if !p.started {
 		p.started = true
@@ -87,15 +87,15 @@
 	p.enqueue(pacingComponent, turnEnding{})
 	p.deliverAll()
 	if due.snapshot {
-		p.out = append(p.out, p.learned())
+		p.commands = append(p.commands, p.learned())
 	}
-	return p.out
+	return p.commands
 }
 
 // tick sets the next timer and compares the replicas with each other. The messages of evictions are delivered with those of
 // placement.
 func (p *Policy) tick() {
-	p.out = append(p.out, control.SetTimer{After: p.tickInterval()})
+	p.commands = append(p.commands, control.SetTimer{After: p.tickInterval()})
 	p.enqueue(placementComponent, tickStarted{})
 	p.enqueue(updateComponent, tickStarted{})
 	p.deliverAll()
