--- a/internal/sendbudget/account.go
+++ b/internal/sendbudget/account.go
@@ -1,296 +1,214 @@
-// Package sendbudget is the account of a governor's channel. Every message is charged to it, and to the proxy that it is for,
-// before it leaves, and only what shows that it has left the channel takes the charge back: so its bounds hold whatever
-// the channel, the proxies or the governor's own pace do. It has no I/O, no clock and no goroutine, and it decides nothing
-// but whether a message fits. Times are nanoseconds of any one clock.
 package sendbudget
 
-import "slices"
-
-const (
-	// Messages that keep proxies away from replicas may fill the channel; all others leave this part of it to them, as
-	// withdrawals for all proxies of a governor take about so much.
-	keptPart = 16
-	// Messages on their way, and the answers to those before them on theirs, keep the channel busy: so many times the
-	// longest way, there and back and there and back. Urgent ones may fill it twice as long.
-	ways = 4
-	// What is urgent waits behind all that is in the channel: ordinary messages keep it busy for no longer than this part of
-	// the grace, urgent ones twice as long.
-	gracePart = 4
-	// A channel may be slower than stated for a while, to a 24th of its pace. What nobody answers is taken for sent when
-	// that would have sent all that waited with it, and some time more. It is no longer taken for what keeps the channel
-	// busy a good deal earlier, as the answer may be lost.
-	slowest, usual, lostSpan = 24, 4, int64(30 * 1e9)
-	// So many marks fit into a channel that is full otherwise.
-	asks = 4
-	// What is urgent and waits for its turn among a proxy's spaced messages waits no longer than this part of what the grace
-	// leaves beside the way; where no grace is known half of the messages are spaced.
-	spacingPart, spacedPart = 2, 2
-	// A message comes in pieces and enters the channel with its last one, so messages of different streams change places
-	// by more than the platform's longest way (0.26 s was too short in four plays of four). What has gone out so long
-	// before another that is answered has left; what was written a way before has so in all likelihood.
-	pieces = int64(2 * 1e9)
-)
-
-// Bounds are what the platform says of the channel.
-type Bounds struct {
-	ChannelLimit    int     // that may wait in it, heads included; 0: any number
-	ChannelRate     float64 // lines a second, when all is well
-	MessageOverhead int     // lines that a message costs beside its own
-	MaxMessages     int     // that one proxy may get within Span; 0: any number
-	MessageWindow   int64
-	MaxTransit      int64 // the longest from the channel to a proxy
-	DrainGrace      int64 // in which a proxy has to get what keeps it away from a replica; 0: not known
-}
-
-// Account holds the charges of one governor, over all modules and streams that it has had.
+// Account holds the charges of one controller, across all modules and streams that it has had.
 type Account struct {
 	Bounds
-	waits   int       // what may
-	likely  int       // what does in all likelihood: it says how busy the channel is, and no more
-	open    []message // in the order written, from the number first on
-	first   uint64
-	proxies map[int]*proxyAccount
+	queued       int       // units that may wait in the channel
+	likelyQueued int       // units that are likely to wait in it: how busy it is, and nothing else
+	messages     []message // in the order charged, from the first that is not known to have left
+	firstNumber  uint64    // of messages[0]
+	proxies      map[int]*proxyAccount
 }
 
-// message is one message that may still wait.
+// message is one that may still wait in the channel.
 type message struct {
-	proxy  int
-	lines  int // 0: known to have left
-	likely int // 0: likely to have left
-	at     int64
-	span   int64 // that the channel at its pace takes to send what waited, and this
-	wrote  int64 // when its last byte was known to have gone out, 0: not yet
-}
-
-// proxyAccount is what is charged to one proxy.
-type proxyAccount struct {
-	open  []uint64 // messages that it may well still get, in the order written
-	got   []int64  // when it answered others, of the last span: it may have got them just then
-	wrote []int64  // when messages were written to it, of the last span
-}
-
-// used is how many messages of the span a proxy was written, or may have got, whichever is more.
-func (p *proxyAccount) used() int { return max(len(p.wrote), len(p.open)+len(p.got)) }
-
-// forget drops the times before one.
-func (p *proxyAccount) forget(before int64) {
-	past := func(at int64) bool { return at < before }
-	p.wrote, p.got = slices.DeleteFunc(p.wrote, past), slices.DeleteFunc(p.got, past)
+	proxy       int
+	units       int   // 0: known to have left
+	likelyUnits int   // 0: likely to have left
+	chargedAt   int64 // when it was about to be written
+	sendTime    int64 // that the channel takes when all is well to send what waited, and this
+	writtenAt   int64 // when its last byte was known to have been written; 0: not yet
 }
 
-// New makes an account of an empty channel.
+// New returns an account of an empty channel.
 func New(b Bounds) *Account { return &Account{Bounds: b, proxies: map[int]*proxyAccount{}} }
 
-// Queued is how many lines may still wait in the channel.
-func (a *Account) Queued() int { return a.waits }
+// Queued returns how many units may still wait in the channel.
+func (a *Account) Queued() int { return a.queued }
 
-// HasRoom says whether the channel takes messages now: a few are enough for it to be busy until answers come, and the rest
-// had better wait outside, where they can be brought up to date.
+// HasRoom reports whether the channel takes messages now. A few keep it busy until acks arrive; the rest had better wait
+// outside, where they can be brought up to date.
 func (a *Account) HasRoom(urgent bool) bool {
-	span := ways * a.MaxTransit
-	if a.DrainGrace > 0 {
-		span = min(span, a.DrainGrace/gracePart)
-	}
-	busy := a.ChannelRate * float64(span) / 1e9
-	if urgent {
-		busy *= 2
-	}
-	return busy <= 0 || float64(a.likely) < busy
+	busy := a.busyUnits(urgent)
+	return busy <= 0 || float64(a.likelyQueued) < busy
 }
 
-// NeedsAckRequest says that something is charged, nothing was written for so long that all of it must have entered the channel, and
-// there is room for a mark: its answer would tell that all has left. Without one a channel that is full of messages whose
-// answers are lost stays full, and nothing goes that could be answered.
+// NeedsAckRequest reports that something is charged, that nothing was written for so long that all of it must have entered the
+// channel, and that an ack request fits: its ack would show that everything has left. Otherwise a channel that is full of
+// messages whose acks are lost stays full, and nothing is sent that could be acknowledged.
 func (a *Account) NeedsAckRequest(now int64) bool {
-	return a.waits > 0 && now-a.open[len(a.open)-1].at > pieces && (a.ChannelLimit == 0 || a.waits+a.MessageOverhead+1 <= a.ChannelLimit)
-}
-
-// Fits says whether a message of so many lines to a proxy keeps the bounds. One that keeps it away from a replica is
-// urgent.
-func (a *Account) Fits(proxy, lines int, urgent bool, now int64) bool {
-	if !a.HasRoom(urgent) {
+	if a.queued == 0 {
 		return false
 	}
-	most := a.ChannelLimit - min(asks*(a.MessageOverhead+1), a.ChannelLimit/keptPart)
-	if !urgent {
-		most -= most / keptPart
-	}
-	if a.ChannelLimit > 0 && a.waits+lines+a.MessageOverhead > most {
+	last := a.messages[len(a.messages)-1]
+	if now-last.chargedAt <= reorderWindow {
 		return false
 	}
-	return a.UnderMessageCap(proxy, now) && a.paced(proxy, now)
+	return a.ChannelLimit == 0 || a.queued+a.MessageOverhead+1 <= a.ChannelLimit
 }
 
-// spaced is how many of the messages that a proxy may get within Span are spaced: the last ones, as many as make their
-// spacing short enough.
-func (a *Account) spaced() int {
-	limit := (a.DrainGrace - a.MaxTransit) / spacingPart
-	if a.DrainGrace == 0 {
-		return a.MaxMessages - a.MaxMessages/spacedPart
-	}
-	if limit <= 0 {
-		return a.MaxMessages
+// Fits reports whether a message of some units to a proxy keeps all bounds. One that keeps the proxy away from a replica is
+// urgent.
+func (a *Account) Fits(proxy, units int, urgent bool, now int64) bool {
+	if !a.HasRoom(urgent) {
+		return false
 	}
-	return min(a.MaxMessages, int((a.countedSpan()+limit-1)/limit))
-}
-
-// countedSpan is for how long a message counts: until its answer, after the ways there and back, is a span old.
-func (a *Account) countedSpan() int64 { return a.MessageWindow + ways*a.MaxTransit }
-
-// spacing is the time between two messages to a proxy that has got its first ones of a span. Without it a proxy that is told of
-// each of many changes by itself uses its cap up, and is told of no withdrawal until the first of its messages are a span old.
-func (a *Account) spacing() int64 { return a.countedSpan() / int64(a.spaced()) }
-
-// paced says whether a message to a proxy may go now as far as its pace is concerned.
-func (a *Account) paced(proxy int, now int64) bool {
-	p := a.proxies[proxy]
-	if p == nil || a.MaxMessages == 0 || len(p.wrote) == 0 {
-		return true
+	if a.ChannelLimit > 0 && a.queued+units+a.MessageOverhead > a.messageLimit(urgent) {
+		return false
 	}
-	return p.used() < a.MaxMessages-a.spaced() || now-p.wrote[len(p.wrote)-1] >= a.spacing()
-}
-
-// UnderMessageCap says whether a proxy stays under its cap with one more message.
-func (a *Account) UnderMessageCap(proxy int, now int64) bool {
-	p := a.proxies[proxy]
-	if p == nil || a.MaxMessages == 0 {
-		return true
-	}
-	p.forget(now - a.MessageWindow)
-	return p.used() < a.MaxMessages
-}
-
-// Charge enters a message that is about to be written, and says its number.
-func (a *Account) Charge(proxy, lines int, now int64) (number uint64) {
-	lines = max(1, lines+a.MessageOverhead)
-	a.waits, a.likely = a.waits+lines, a.likely+lines
+	return a.UnderMessageCap(proxy, now) && a.keepsSpacing(proxy, now)
+}
+
+// Charge enters a message that is about to be written and returns its number.
+func (a *Account) Charge(proxy, units int, now int64) (number uint64) {
+	units = max(1, units+a.MessageOverhead)
+	a.queued += units
+	a.likelyQueued += units
+	number = a.firstNumber + uint64(len(a.messages))
+	a.messages = append(a.messages, message{
+		proxy:       proxy,
+		units:       units,
+		likelyUnits: units,
+		chargedAt:   now,
+		sendTime:    a.sendTime(a.queued),
+	})
 	p := a.proxies[proxy]
 	if p == nil {
 		p = &proxyAccount{}
 		a.proxies[proxy] = p
 	}
-	number = a.first + uint64(len(a.open))
-	span := int64(0)
-	if a.ChannelRate > 0 {
-		span = int64(float64(a.waits) / a.ChannelRate * 1e9)
-	}
-	a.open = append(a.open, message{proxy: proxy, lines: lines, likely: lines, at: now, span: span})
-	p.open, p.wrote = append(p.open, number), append(p.wrote, now)
+	p.outstanding = append(p.outstanding, number)
+	p.chargedAt = append(p.chargedAt, now)
 	return number
 }
 
-// MarkSent says that all of a message has gone out.
+// lookUp returns the message of a number; nil: it has left.
+func (a *Account) lookUp(number uint64) *message {
+	if number < a.firstNumber || number-a.firstNumber >= uint64(len(a.messages)) {
+		return nil
+	}
+	return &a.messages[number-a.firstNumber]
+}
+
+// MarkSent enters that all bytes of a message have been written.
 func (a *Account) MarkSent(number uint64, now int64) {
-	if number >= a.first && number-a.first < uint64(len(a.open)) {
-		c := &a.open[number-a.first]
-		if c.wrote = now; c.likely == 0 {
-			a.free(number, now)
-		}
+	m := a.lookUp(number)
+	if m == nil {
+		return
+	}
+	m.writtenAt = now
+	if m.likelyUnits == 0 {
+		a.assumeReceived(number, now)
 	}
 }
 
-// Acknowledge takes back what an answer of a proxy to a message shows to have left: all that was written to it up to then,
-// and, as messages leave in the order in which they come, what had gone out to anybody so long before this one was begun
-// that it must have come first. What has not gone out may come in any moment: a stalled writer's too.
+// Acknowledge takes back what the ack of a proxy to a message shows to have left: all that was sent to it up to then and, as
+// messages leave in the order in which they enter, what was written to anybody so long before this one was charged that it
+// must have entered first. What has not been written may enter at any moment, of a stalled writer too.
 func (a *Account) Acknowledge(proxy int, number uint64, now int64) {
 	if p := a.proxies[proxy]; p != nil {
-		for len(p.open) > 0 && p.open[0] <= number {
-			p.open, p.got = p.open[1:], append(p.got, now)
-		}
+		p.acknowledge(number, now)
 	}
-	if number >= a.first && number-a.first < uint64(len(a.open)) {
-		at := a.open[number-a.first].at
-		for k := range a.open[:number-a.first+1] {
-			switch c, n := &a.open[k], a.first+uint64(k); {
-			case c.proxy == proxy:
-				a.clear(n)
-			case c.wrote > 0 && c.wrote < at-pieces:
-				a.sent(n, now)
-			case c.at < at-a.MaxTransit:
-				a.ease(n, now)
-			}
-		}
+	if acknowledged := a.lookUp(number); acknowledged != nil {
+		a.takeBackUpTo(number, *acknowledged, proxy, now)
 	}
 	a.trim()
 }
 
-// Disconnect turns what a proxy that has left may still get into what it may have got just now: messages to it do not outlive
-// its stream. Whether they still wait in the channel is not known, so it stays charged.
+// takeBackUpTo takes back the messages up to an acknowledged one as far as its ack shows that they have left.
+func (a *Account) takeBackUpTo(last uint64, acknowledged message, proxy int, now int64) {
+	for number := a.firstNumber; number <= last; number++ {
+		m := a.lookUp(number)
+		switch {
+		case m.proxy == proxy:
+			m.takeBack(a)
+		case m.writtenAt > 0 && m.writtenAt < acknowledged.chargedAt-reorderWindow:
+			a.markLeft(number, now)
+		case m.chargedAt < acknowledged.chargedAt-a.MaxTransit:
+			a.markLikelyLeft(number, now)
+		}
+	}
+}
+
+// Disconnect enters that the stream of a proxy has ended. What the proxy might still get it may have got just now, as messages
+// do not outlive their stream. Whether they still wait in the channel is not known, so they stay charged to it.
 func (a *Account) Disconnect(proxy int, now int64) {
 	p := a.proxies[proxy]
 	if p == nil {
 		return
 	}
-	for range p.open {
-		p.got = append(p.got, now)
+	p.disconnect(now)
+	for k := range a.messages {
+		m := &a.messages[k]
+		if m.proxy == proxy && m.writtenAt == 0 { // no more of it will be written
+			m.writtenAt = now
+		}
 	}
-	p.open = nil
-	for k := range a.open {
-		if c := &a.open[k]; c.proxy == proxy && c.wrote == 0 { // nothing more goes out
-			c.wrote = now
+}
+
+// Expire takes back what has waited for so long that it must have left, though nobody has acknowledged it.
+func (a *Account) Expire(now int64) {
+	for k := range a.messages {
+		m := &a.messages[k]
+		if now <= m.chargedAt+a.MaxTransit+usualSlowdown*m.sendTime {
+			break
+		}
+		number := a.firstNumber + uint64(k)
+		a.markLikelyLeft(number, now)
+		if now > m.chargedAt+a.MaxTransit+maxSlowdown*m.sendTime+lostDelay {
+			a.markLeft(number, now)
 		}
 	}
+	a.trim()
 }
 
-// Evict forgets proxies of which nothing is charged any more.
+// Evict expires messages and drops the proxies of which nothing is charged any more.
 func (a *Account) Evict(now int64) {
 	a.Expire(now)
 	for proxy, p := range a.proxies {
 		p.forget(now - a.MessageWindow)
-		if len(p.open)+len(p.wrote)+len(p.got) == 0 {
+		if p.isEmpty() {
 			delete(a.proxies, proxy)
 		}
 	}
 }
 
-func (a *Account) clear(number uint64) {
-	c := &a.open[number-a.first]
-	a.waits, a.likely = a.waits-c.lines, a.likely-c.likely
-	c.lines, c.likely = 0, 0
+// takeBack frees the units of a message.
+func (m *message) takeBack(a *Account) {
+	a.queued -= m.units
+	a.likelyQueued -= m.likelyUnits
+	m.units = 0
+	m.likelyUnits = 0
 }
 
-// ease takes a message as likely to have left.
-func (a *Account) ease(number uint64, now int64) {
-	c := &a.open[number-a.first]
-	if a.likely, c.likely = a.likely-c.likely, 0; c.wrote > 0 {
-		a.free(number, now)
+// markLikelyLeft takes a message as likely to have left the channel.
+func (a *Account) markLikelyLeft(number uint64, now int64) {
+	m := a.lookUp(number)
+	a.likelyQueued -= m.likelyUnits
+	m.likelyUnits = 0
+	if m.writtenAt > 0 {
+		a.assumeReceived(number, now)
 	}
 }
 
-// free counts a message that its proxy has not answered as one that it gets now, or as late as its way takes: if answers
-// are lost it would get no more than its cap of messages for as long as the channel might hold them.
-func (a *Account) free(number uint64, now int64) {
-	if p := a.proxies[a.open[number-a.first].proxy]; p != nil {
-		if k := slices.Index(p.open, number); k >= 0 {
-			p.open, p.got = slices.Delete(p.open, k, k+1), append(p.got, now+a.MaxTransit)
-		}
-	}
+// markLeft takes back a message that has left the channel without an ack of its own.
+func (a *Account) markLeft(number uint64, now int64) {
+	a.assumeReceived(number, now)
+	a.lookUp(number).takeBack(a)
 }
 
-// sent takes back a message that has left.
-func (a *Account) sent(number uint64, now int64) {
-	a.free(number, now)
-	a.clear(number)
-}
-
-// Expire takes back what has waited for so long that it must have left, though nobody has answered.
-func (a *Account) Expire(now int64) {
-	for k := range a.open {
-		c := &a.open[k]
-		if now <= c.at+a.MaxTransit+usual*c.span {
-			break
-		}
-		if a.ease(a.first+uint64(k), now); now > c.at+a.MaxTransit+slowest*c.span+lostSpan {
-			a.sent(a.first+uint64(k), now)
-		}
+// assumeReceived counts a message without an ack as received now, or as late as its transit takes. Otherwise a proxy whose acks
+// are lost would get no more than its cap of messages for as long as the channel might hold them.
+func (a *Account) assumeReceived(number uint64, now int64) {
+	if p := a.proxies[a.lookUp(number).proxy]; p != nil {
+		p.assumeReceived(number, now+a.MaxTransit)
 	}
-	a.trim()
 }
 
-// trim forgets the oldest messages as far as all of them have left.
+// trim drops the oldest messages as far as all of them have left.
 func (a *Account) trim() {
-	for len(a.open) > 0 && a.open[0].lines == 0 {
-		a.open = a.open[1:]
-		a.first++
+	for len(a.messages) > 0 && a.messages[0].units == 0 {
+		a.messages = a.messages[1:]
+		a.firstNumber++
 	}
 }
--- a/internal/sendbudget/account_test.go
+++ b/internal/sendbudget/account_test.go
@@ -12,21 +12,21 @@
 	return New(Bounds{ChannelLimit: 160, ChannelRate: 200, MessageOverhead: 4, MaxMessages: 3, MessageWindow: 10 * second, MaxTransit: second / 4})
 }
 
-func TestAChannelIsFullUntilAnswersShowThatItIsNot(t *testing.T) {
+func TestChannelIsFullUntilAcksShowThatItIsNot(t *testing.T) {
 	a := account()
 	first := a.Charge(1, 96, 0)
 	a.MarkSent(first, second/20)
 	if a.Fits(2, 38, false, 0) || !a.Fits(2, 37, false, 0) || !a.Fits(2, 46, true, 0) || a.Fits(2, 47, true, 0) {
-		t.Error("with 100 of 160 lines taken, 37 more fit and 46 that are urgent, heads not counted")
+		t.Error("with 100 of 160 units taken, 37 more fit and 46 that are urgent, overheads not counted")
 	}
 	other := a.Charge(2, 16, second/10)
-	a.Disconnect(1, second/5) // tells nothing of the channel
+	a.Disconnect(1, second/5) // says nothing of the channel
 	if a.Queued() != 120 {
-		t.Errorf("%d wait after a leaving", a.Queued())
+		t.Errorf("%d wait after a disconnection", a.Queued())
 	}
 	a.Acknowledge(2, other, second)
 	if a.Queued() != 100 {
-		t.Errorf("%d wait: the other was written in about the same moment", a.Queued())
+		t.Errorf("%d wait: the other was written at about the same time", a.Queued())
 	}
 	stalled := a.Charge(3, 16, second)
 	third := a.Charge(2, 6, 4*second)
@@ -36,45 +36,45 @@
 	a.Disconnect(3, 5*second)
 	fourth := a.Charge(2, 6, 8*second)
 	a.Acknowledge(2, fourth, 9*second)
-	a.MarkSent(stalled, 9*second)     // gone from the account
-	a.Acknowledge(1, first, 9*second) // late, of what is taken back already
-	if a.Queued() != 0 || len(a.open) != 0 {
-		t.Errorf("%d wait, %d open", a.Queued(), len(a.open))
+	a.MarkSent(stalled, 9*second)     // no longer in the account
+	a.Acknowledge(1, first, 9*second) // late, of what was taken back already
+	if a.Queued() != 0 || len(a.messages) != 0 {
+		t.Errorf("%d wait, %d messages", a.Queued(), len(a.messages))
 	}
 }
 
-// More than keeps the channel busy until answers come had better wait outside, where it is brought up to date: 100 lines a
-// second for four ways of 0.25 s.
-func TestABusyChannelTakesNoMore(t *testing.T) {
+// More than keeps the channel busy until acks arrive had better wait outside, where it is brought up to date: 100 units a
+// second for four transits of 0.25 s.
+func TestBusyChannelHasNoRoom(t *testing.T) {
 	a := account()
 	a.ChannelLimit, a.ChannelRate = 1<<20, 100
 	if a.Charge(1, 95, 0); !a.HasRoom(false) || !a.Fits(2, 1000, false, 0) {
-		t.Error("99 lines leave room for any one message")
+		t.Error("99 units leave room for any one message")
 	}
 	if a.Charge(1, 0, 0); a.HasRoom(false) || !a.HasRoom(true) {
-		t.Error("103 lines are enough, but not for what is urgent")
+		t.Error("103 units are enough, but not for urgent messages")
 	}
 	if a.Charge(1, 93, 0); a.HasRoom(true) {
-		t.Error("200 lines are enough for that too")
+		t.Error("200 units are enough for those too")
 	}
 	later := a.Charge(2, 6, second)
 	if a.Acknowledge(2, later, 2*second); a.Queued() != 200 || !a.HasRoom(false) {
-		t.Errorf("%d wait: messages in pieces change places, but the channel goes on by what is likely", a.Queued())
+		t.Errorf("%d wait: messages in reorderWindow change places, but the channel goes on by what is likely", a.Queued())
 	}
 }
 
-// A proxy may get what it has not answered yet in any moment, and may have got the rest just before it answered.
-func TestTheCapOfAProxyCountsWhatItMayGet(t *testing.T) {
+// A proxy may receive what it has not acknowledged at any moment, and may have received the rest just before its ack.
+func TestMessageCapCountsWhatAProxyMayReceive(t *testing.T) {
 	a := account()
 	n := a.Charge(1, 1, 0)
 	a.Charge(1, 1, 0)
 	a.Charge(1, 1, second)
 	if a.Fits(1, 1, true, 9*second) || a.Fits(1, 1, true, 10*second+1) {
-		t.Error("a fourth fits though all three may come now")
+		t.Error("a fourth fits though all three may be received now")
 	}
 	a.Acknowledge(1, n, 9*second)
 	if a.Fits(1, 1, true, 19*second) || !a.Fits(1, 1, true, 19*second+1) || !a.Fits(2, 1, false, 9*second) {
-		t.Error("the first was answered at 9 s")
+		t.Error("the first was acknowledged at 9 s")
 	}
 	a.Disconnect(1, 20*second)
 	if a.Fits(1, 1, true, 20*second) && a.Fits(1, 1, true, 30*second) != true {
@@ -85,9 +85,9 @@
 	}
 }
 
-// A proxy that is told of each of many changes by itself would use its cap up in a few seconds, and be told of no withdrawal for the
-// rest of the span: after a first part its messages are spaced, so that none ever waits for longer than the spacing.
-func TestNoMessageWaitsForTheSpanOfItsCap(t *testing.T) {
+// A proxy that is sent each of many changes by itself would use up its cap in a few seconds and get no ejection for the rest of
+// the window: after a first part its messages are spaced, so that none ever waits for longer than the spacing.
+func TestNoMessageWaitsLongerThanTheSpacing(t *testing.T) {
 	for name, answer := range map[string]int64{"at once": 0, "late": second, "never": -1} {
 		a := New(Bounds{MaxMessages: 30, MessageWindow: 10 * second, MaxTransit: second / 4, DrainGrace: 2 * second})
 		var wrote []int64
@@ -105,22 +105,22 @@
 				continue
 			}
 			if waited := now - asked; waited > a.spacing() {
-				t.Errorf("answered %s: waited %d ms at %d ms", name, waited/1e6, now/1e6)
+				t.Errorf("acknowledged %s: waited %d ms at %d ms", name, waited/1e6, now/1e6)
 			}
 			a.MarkSent(a.Charge(1, 1, now), now)
 			wrote, asked = append(wrote, now), -1
 			if first := len(wrote) - 1 - a.MaxMessages; first >= 0 && now-wrote[first] < a.MessageWindow {
-				t.Fatalf("answered %s: %d messages within %d ms", name, a.MaxMessages+1, (now-wrote[first])/1e6)
+				t.Fatalf("acknowledged %s: %d messages within %d ms", name, a.MaxMessages+1, (now-wrote[first])/1e6)
 			}
 		}
 		if len(wrote) < 60 {
-			t.Errorf("answered %s: only %d messages in a minute", name, len(wrote))
+			t.Errorf("acknowledged %s: only %d messages in a minute", name, len(wrote))
 		}
 	}
 }
 
-// The spacing keeps to the grace: as few messages are spaced as that allows, so that the others go at once.
-func TestTheSpacingFollowsTheGrace(t *testing.T) {
+// The spacing keeps to the drain grace: as few messages are spaced as that allows, so that the others go at once.
+func TestSpacingFollowsTheDrainGrace(t *testing.T) {
 	for _, c := range []struct {
 		messages    int
 		grace, most int64
@@ -128,57 +128,57 @@
 	}{
 		{30, 2 * second, 875 * second / 1000, 13},
 		{20, 4 * second, 1875 * second / 1000, 6},
-		{6, 2 * second, 11 * second / 6, 6}, // as short as can be
+		{6, 2 * second, 11 * second / 6, 6}, // as short as possible
 		{30, second / 4, 11 * second / 30, 30},
 		{30, 0, 11 * second / 15, 15},
 	} {
 		a := New(Bounds{MaxMessages: c.messages, MessageWindow: 10 * second, MaxTransit: second / 4, DrainGrace: c.grace})
-		if a.spaced() != c.spaced || a.spacing() > c.most {
-			t.Errorf("%d messages, a grace of %d ms: %d spaced by %d ms", c.messages, c.grace/1e6, a.spaced(), a.spacing()/1e6)
+		if a.spacedMessages() != c.spaced || a.spacing() > c.most {
+			t.Errorf("%d messages, a grace of %d ms: %d spaced by %d ms", c.messages, c.grace/1e6, a.spacedMessages(), a.spacing()/1e6)
 		}
 	}
 }
 
-// A proxy whose answers are lost is written to again: not after all that the channel might still hold has gone.
-func TestLostAnswersDoNotSilenceAProxy(t *testing.T) {
+// A proxy whose acks are lost gets messages again, and not only after all that the channel might still hold has left.
+func TestLostAcksDoNotBlockAProxy(t *testing.T) {
 	a := account()
 	for range 3 {
-		a.MarkSent(a.Charge(1, 16, 0), 1) // 60 lines, at a quarter of 200 a second 1.2 s, and on the way for 0.25 s
+		a.MarkSent(a.Charge(1, 16, 0), 1) // 60 units, at a quarter of 200 a second 1.2 s, and in transit for 0.25 s
 	}
 	a.Expire(2 * second)
 	if a.Fits(1, 16, true, 12*second) || !a.Fits(1, 16, true, 13*second) || a.Queued() != 60 {
-		t.Errorf("%d wait; three messages it may have got until 2.25 s", a.Queued())
+		t.Errorf("%d wait; it may have received three messages until 2.25 s", a.Queued())
 	}
 }
 
-// With nobody left to answer, charges go when a channel at a 24th of its pace would have sent them, and 30 s more.
-func TestWhatNobodyCanAnswerIsForgottenLate(t *testing.T) {
+// With nobody left to acknowledge them, charges expire when a channel at a 24th of its rate would have sent them, and 30 s later.
+func TestChargesWithoutAcksExpireLate(t *testing.T) {
 	a := account()
 	a.Charge(1, 96, 0)
 	a.Disconnect(1, 0)
-	at := 12*second + second/4 + lostSpan
+	at := 12*second + second/4 + lostDelay
 	if a.Expire(at); a.Fits(2, 60, true, at) {
 		t.Error("too early")
 	}
 	if a.Expire(at + 1); !a.Fits(2, 60, true, at+1) {
-		t.Error("100 lines at 50 a second, on the way for 0.25 s, and 30 s")
+		t.Error("100 units at a 24th of 200 a second, in transit for 0.25 s, and 30 s")
 	}
 }
 
-// However slow the channel is and whatever answers are lost, the lines in it stay under the limit, and no proxy gets
-// more messages in a span than it may: written or received.
+// However slow the channel is and whichever acks are lost, the units in it stay under the limit, and no proxy gets more messages
+// in a window than its cap: sent or received.
 func TestBoundsHoldForAnyChannel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type message struct {
 			proxy  int
 			number uint64
-			lines  int
+			units  int
 		}
 		b := Bounds{ChannelLimit: rapid.IntRange(40, 400).Draw(t, "limit"), ChannelRate: 100, MessageOverhead: 4, MaxMessages: rapid.IntRange(1, 5).Draw(t, "cap"),
 			MessageWindow: 10 * second, MaxTransit: second / 4}
 		a := New(b)
 		var queue []message
-		now, lines := int64(0), 0
+		now, units := int64(0), 0
 		written, received := map[int][]int64{}, map[int][]int64{}
 		within := func(times []int64) (n int) {
 			for _, at := range times {
@@ -193,10 +193,10 @@
 			proxy := rapid.IntRange(0, 3).Draw(t, "proxy")
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1, 2:
-				n := rapid.IntRange(1, 60).Draw(t, "lines")
+				n := rapid.IntRange(1, 60).Draw(t, "units")
 				if a.Fits(proxy, n, rapid.Bool().Draw(t, "urgent"), now) {
 					queue = append(queue, message{proxy, a.Charge(proxy, n, now), n + b.MessageOverhead})
-					lines += n + b.MessageOverhead
+					units += n + b.MessageOverhead
 					if rapid.Bool().Draw(t, "gone out") {
 						a.MarkSent(queue[len(queue)-1].number, now)
 					}
@@ -204,62 +204,62 @@
 						t.Fatalf("%d messages written to %d", within(written[proxy]), proxy)
 					}
 				}
-			case 3: // some leave, and the answer of the last of each may be lost
+			case 3: // some leave, and their acks may be lost
 				for n := rapid.IntRange(0, len(queue)).Draw(t, "sent"); n > 0; n-- {
 					m := queue[0]
-					queue, lines = queue[1:], lines-m.lines
+					queue, units = queue[1:], units-m.units
 					if received[m.proxy] = append(received[m.proxy], now); within(received[m.proxy]) > b.MaxMessages {
 						t.Fatalf("%d messages received by %d", within(received[m.proxy]), m.proxy)
 					}
-					if rapid.Bool().Draw(t, "answered") {
+					if rapid.Bool().Draw(t, "acknowledged") {
 						a.Acknowledge(m.proxy, m.number, now)
 					}
 				}
 			case 4:
 				a.Evict(now)
 			}
-			if lines > b.ChannelLimit || a.Queued() < lines {
-				t.Fatalf("%d lines wait, %d by the account, %d may", lines, a.Queued(), b.ChannelLimit)
+			if units > b.ChannelLimit || a.Queued() < units {
+				t.Fatalf("%d units wait, %d by the account, %d may", units, a.Queued(), b.ChannelLimit)
 			}
 		}
 	})
 }
 
-// What was charged and then dropped, never written, half written, or written and reset may wait in the channel still: it stays
+// What was charged and then dropped, never written, half written, or written and reset may still wait in the channel: it stays
 // charged until something shows that it has left, and none of it for good.
-func TestWhateverBecomesOfAMessageItsChargeStaysAndGoes(t *testing.T) {
+func TestChargeOutlivesItsMessageAndExpires(t *testing.T) {
 	for name, end := range map[string]func(a *Account, n uint64){
 		"dropped, its stream lives":      func(*Account, uint64) {},
 		"never written, its stream ends": func(a *Account, n uint64) { a.Disconnect(1, 1) },
 		"half written, its stream ends":  func(a *Account, n uint64) { a.Disconnect(1, second/10) },
 		"written, and reset":             func(a *Account, n uint64) { a.MarkSent(n, second/10); a.Disconnect(1, second/5) },
-		"reset, and its writer told after": func(a *Account, n uint64) {
+		"reset, and reported as sent after": func(a *Account, n uint64) {
 			a.Disconnect(1, second/10)
 			a.MarkSent(n, second/5)
 		},
 	} {
 		a := account()
 		end(a, a.Charge(1, 16, 0))
-		early := a.Charge(2, 6, pieces)
-		if a.Acknowledge(2, early, pieces+second/4); a.Queued() != 20 {
-			t.Errorf("%s: %d lines wait after an answer to what was written in about the same moment", name, a.Queued())
+		early := a.Charge(2, 6, reorderWindow)
+		if a.Acknowledge(2, early, reorderWindow+second/4); a.Queued() != 20 {
+			t.Errorf("%s: %d units wait after an ack to what was written at about the same time", name, a.Queued())
 		}
-		late := a.Charge(3, 6, pieces+second)
-		if a.Acknowledge(3, late, 2*pieces); a.Queued() != 0 != (name == "dropped, its stream lives") {
-			t.Errorf("%s: %d lines wait after an answer to what was written long after", name, a.Queued())
+		late := a.Charge(3, 6, reorderWindow+second)
+		if a.Acknowledge(3, late, 2*reorderWindow); a.Queued() != 0 != (name == "dropped, its stream lives") {
+			t.Errorf("%s: %d units wait after an ack to what was written long after", name, a.Queued())
 		}
-		own := a.Charge(1, 6, 3*pieces) // by its next stream, or by this one once it reads again
-		if a.Acknowledge(1, own, 3*pieces+second/4); a.Queued() != 0 || len(a.open) != 0 {
-			t.Errorf("%s: %d lines wait after its own answer", name, a.Queued())
+		own := a.Charge(1, 6, 3*reorderWindow) // by its next stream, or by this one once it reads again
+		if a.Acknowledge(1, own, 3*reorderWindow+second/4); a.Queued() != 0 || len(a.messages) != 0 {
+			t.Errorf("%s: %d units wait after its own ack", name, a.Queued())
 		}
 		a = account()
 		end(a, a.Charge(1, 16, 0))
-		if a.Expire(lostSpan); a.Queued() != 20 {
-			t.Errorf("%s: %d lines wait with nobody to answer", name, a.Queued())
+		if a.Expire(lostDelay); a.Queued() != 20 {
+			t.Errorf("%s: %d units wait with nobody to acknowledge", name, a.Queued())
 		}
-		a.Evict(2 * lostSpan) // what nobody answered counts as got just now
-		if a.Evict(4 * lostSpan); a.Queued() != 0 || len(a.open)+len(a.proxies) != 0 {
-			t.Errorf("%s: %d lines wait for good, %d open, %d proxies", name, a.Queued(), len(a.open), len(a.proxies))
+		a.Evict(2 * lostDelay) // what nobody acknowledged counts as received just now
+		if a.Evict(4 * lostDelay); a.Queued() != 0 || len(a.messages)+len(a.proxies) != 0 {
+			t.Errorf("%s: %d units wait for good, %d messages, %d proxies", name, a.Queued(), len(a.messages), len(a.proxies))
 		}
 	}
 }
