--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -14,6 +14,7 @@
 
 	"lilacbend/control"
 	"lilacbend/internal/configapi"
+	"lilacbend/internal/filewriter"
 	"lilacbend/internal/golden"
 	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/revision"
@@ -57,7 +58,7 @@
 
 func TestStateExportPrintsTheGoldenFile(t *testing.T) {
 	folder := t.TempDir()
-	if _, err := snapshot.Write(snapshot.Directory(folder), goldenState(), 1); err != nil {
+	if _, err := snapshot.Write(filewriter.Directory(folder), goldenState(), 1); err != nil {
 		t.Fatal(err)
 	}
 	for _, subcommand := range [][]string{{"export"}, {"show", "--json"}} {
--- a/cmd/lilacbend/hold.go
+++ b/cmd/lilacbend/hold.go
@@ -5,15 +5,15 @@
 	"errors"
 	"time"
 
-	"lilacbend/internal/snapshot"
+	"lilacbend/internal/filewriter"
 )
 
 // holdFolder holds a folder for this process. One that is held is waited for, as whoever held it before a restart may still be
 // ending: until ctx ends, and no longer than that may take.
-func holdFolder(ctx context.Context, folder snapshot.Directory, who string) (lock *snapshot.Lock, err error) {
+func holdFolder(ctx context.Context, folder filewriter.Directory, who string) (lock *filewriter.Lock, err error) {
 	err = whileInUse(ctx, func() (inUse bool, err error) {
 		lock, err = folder.Acquire(who)
-		var held *snapshot.LockedError
+		var held *filewriter.LockedError
 		return errors.As(err, &held), err
 	})
 	return lock, err
--- a/cmd/lilacbend/kept.go
+++ b/cmd/lilacbend/kept.go
@@ -7,8 +7,8 @@
 
 	"lilacbend/internal/configcache"
 	"lilacbend/internal/controller"
+	"lilacbend/internal/filewriter"
 	"lilacbend/internal/revision"
-	"lilacbend/internal/snapshot"
 	"lilacbend/settings"
 )
 
@@ -17,7 +17,7 @@
 	service string
 	digest  configcache.Digest // of the settings in the governor's own file
 	keeper  *configcache.Writer
-	lock    *snapshot.Lock
+	lock    *filewriter.Lock
 
 	record   *configcache.Record // of before the restart; nil: there is none that can be used
 	topology controller.Topology // of its settings
@@ -30,7 +30,7 @@
 	if following.Folder == "" {
 		return nil
 	}
-	folder := snapshot.Directory(following.Folder)
+	folder := filewriter.Directory(following.Folder)
 	lock, err := holdFolder(ctx, folder, or(c.name, "a governor"))
 	if err != nil {
 		log.Warn("the configuration in force is neither read nor kept", "folder", following.Folder, "error", err)
--- a/cmd/lilacbend/kept_test.go
+++ b/cmd/lilacbend/kept_test.go
@@ -14,8 +14,8 @@
 
 	"lilacbend/experiment/scriptedpeer"
 	"lilacbend/internal/configcache"
+	"lilacbend/internal/filewriter"
 	"lilacbend/internal/revision"
-	"lilacbend/internal/snapshot"
 )
 
 // keepingFile is an operator file of a governor that keeps what it follows. A server that is not to answer is a listener of the
@@ -55,7 +55,7 @@
 	if first.says("kept configuration") {
 		t.Errorf("there was nothing to keep: %s", first.out)
 	}
-	scriptedpeer.Until(t, "it is not kept", func() bool { _, found, _ := configcache.Load(snapshot.Directory(kept)); return found })
+	scriptedpeer.Until(t, "it is not kept", func() bool { _, found, _ := configcache.Load(filewriter.Directory(kept)); return found })
 	for _, p := range []*child{follower, writer, first} {
 		p.ends(syscall.SIGTERM)
 	}
@@ -70,7 +70,7 @@
 	for _, p := range []*child{second, writer} {
 		p.ends(syscall.SIGTERM)
 	}
-	if r, found, err := configcache.Load(snapshot.Directory(kept)); !found || err != nil || !bytes.Contains(r.Settings, []byte(`"proxy_count":7`)) {
+	if r, found, err := configcache.Load(filewriter.Directory(kept)); !found || err != nil || !bytes.Contains(r.Settings, []byte(`"proxy_count":7`)) {
 		t.Errorf("kept: %+v %v %v", r, found, err)
 	}
 }
@@ -127,7 +127,7 @@
 
 // The governor of before a restart still holds its folder as the next one begins: that waits for it.
 func TestAFolderThatIsStillHeld(t *testing.T) {
-	folder := snapshot.Directory(filepath.Join(t.TempDir(), "kept"))
+	folder := filewriter.Directory(filepath.Join(t.TempDir(), "kept"))
 	before, err := folder.Acquire("n6")
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	began := time.Now()
-	var held *snapshot.LockedError
+	var held *filewriter.LockedError
 	if _, err := holdFolder(t.Context(), folder, "n8"); !errors.As(err, &held) || held.Owner == "" {
 		t.Errorf("a folder that stays held: %v", err)
 	}
--- a/cmd/lilacbend/state.go
+++ b/cmd/lilacbend/state.go
@@ -16,6 +16,7 @@
 
 	"lilacbend/internal/controller"
 	"lilacbend/internal/eventloop"
+	"lilacbend/internal/filewriter"
 	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/operator"
 	"lilacbend/internal/snapshot"
@@ -29,7 +30,7 @@
 type archive struct {
 	name   string
 	keeper *snapshot.Writer
-	lock   *snapshot.Lock
+	lock   *filewriter.Lock
 	stop   context.CancelFunc
 	log    *slog.Logger
 	read   string // the generation that the start began with
@@ -43,7 +44,7 @@
 	if r.Folder == "" {
 		return nil
 	}
-	folder := snapshot.Directory(r.Folder)
+	folder := filewriter.Directory(r.Folder)
 	lock, err := holdFolder(ctx, folder, or(c.name, "a governor"))
 	if err != nil {
 		log.Warn("state is neither read nor kept", "folder", r.Folder, "error", err)
@@ -67,16 +68,16 @@
 	return a
 }
 
-func (a *archive) recall(folder snapshot.Directory, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Exchange, base clock) {
-	g, found, refused, err := snapshot.Latest(folder)
-	if a.refuse = len(refused); err != nil {
+func (a *archive) recall(folder filewriter.Directory, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Exchange, base clock) {
+	g, err := snapshot.Latest(folder)
+	if a.refuse = len(g.Refused); err != nil {
 		a.log.Warn("state cannot be read", "folder", r.Folder, "error", err)
 		return
 	}
-	for _, f := range refused {
+	for _, f := range g.Refused {
 		a.log.Warn("state refused", "file", filepath.Join(r.Folder, f.Name), "error", f.Err)
 	}
-	if !found {
+	if !g.Found {
 		a.log.Info("no state to begin with", "folder", r.Folder)
 		return
 	}
@@ -205,16 +206,16 @@
 		return snapshot.Generation{}, err
 	}
 	if !info.IsDir() {
-		return snapshot.Read(snapshot.Directory(filepath.Dir(at)), filepath.Base(at))
+		return snapshot.Read(filewriter.Directory(filepath.Dir(at)), filepath.Base(at))
 	}
-	g, found, refused, err := snapshot.Latest(snapshot.Directory(at))
-	if err == nil && !found {
-		err = fmt.Errorf("%s: no whole generation among %d files", at, len(refused))
-		if len(refused) > 0 {
-			err = fmt.Errorf("%w: %w", err, refused[0])
+	g, err := snapshot.Latest(filewriter.Directory(at))
+	if err == nil && !g.Found {
+		err = fmt.Errorf("%s: no whole generation among %d files", at, len(g.Refused))
+		if len(g.Refused) > 0 {
+			err = fmt.Errorf("%w: %w", err, g.Refused[0])
 		}
 	}
-	return g, err
+	return g.Generation, err
 }
 
 func export(out io.Writer, m learnedstate.State) error {
@@ -237,7 +238,7 @@
 		}
 		return err
 	}
-	whole, refused, err := snapshot.ReadAll(snapshot.Directory(at))
+	whole, refused, err := snapshot.ReadAll(filewriter.Directory(at))
 	switch {
 	case err != nil:
 		return err
@@ -263,12 +264,12 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", from, err)
 	}
-	lock, err := snapshot.Directory(at).Acquire("import")
+	lock, err := filewriter.Directory(at).Acquire("import")
 	if err != nil {
 		return fmt.Errorf("%s: %w: end it first", at, err)
 	}
 	defer lock.Release()
-	g, err := snapshot.Write(snapshot.Directory(at), m, 1<<20)
+	g, err := snapshot.Write(filewriter.Directory(at), m, 1<<20)
 	if err == nil {
 		fmt.Fprintf(out, "%s: generation %d, %d replicas\n", filepath.Join(at, g.Name), g.Number, len(m.Replicas))
 	}
@@ -282,12 +283,12 @@
 	if _, err := os.Stat(at); err != nil {
 		return err
 	}
-	lock, err := snapshot.Directory(at).Acquire("prune")
+	lock, err := filewriter.Directory(at).Acquire("prune")
 	if err != nil {
 		return fmt.Errorf("%s: %w: a governor prunes its own folder", at, err)
 	}
 	defer lock.Release()
-	removed, err := snapshot.Prune(snapshot.Directory(at), keep)
+	removed, err := snapshot.Prune(filewriter.Directory(at), keep)
 	fmt.Fprintf(out, "%s: removed %d files\n", at, len(removed))
 	return err
 }
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"lilacbend/experiment/scriptedpeer"
+	"lilacbend/internal/filewriter"
 	"lilacbend/internal/learnedstate"
 	"lilacbend/internal/operator"
 	"lilacbend/internal/resp"
@@ -155,7 +156,7 @@
 		if stop(); !out.has("read again") || !out.has("msg=counters") {
 			t.Errorf("%s", out)
 		}
-		whole, refused, err := snapshot.ReadAll(snapshot.Directory(c.operator.State.Folder))
+		whole, refused, err := snapshot.ReadAll(filewriter.Directory(c.operator.State.Folder))
 		if len(whole) != 2 || len(refused) != 0 || err != nil {
 			t.Errorf("%d whole, refused %v, %v", len(whole), refused, err)
 		}
@@ -194,7 +195,7 @@
 		{"prune --keep 0 " + folder, "", "--keep is 0"},
 		{"prune " + folder, "removed 1 files", ""},
 		{"verify " + filepath.Join(folder, "state-0000000000000002.lbs"), "is whole: generation 2", ""},
-		{"verify " + file, "", "no state of a governor"},
+		{"verify " + file, "", "not a controller's state"},
 		{"verify", "", "no folder: name one"},
 	} {
 		out, err := run(strings.Fields(c.args)...)
@@ -209,7 +210,7 @@
 	if out, err := run("export", folder); err != nil || out != string(paper) {
 		t.Errorf("the newest whole one: %v", err)
 	}
-	lock, err := snapshot.Directory(folder).Acquire("n0")
+	lock, err := filewriter.Directory(folder).Acquire("n0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/experiment/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -85,10 +85,11 @@
 	if err != nil {
 		return nil, err
 	}
-	kept, _, _, err := snapshot.Decode(raw)
+	generation, err := snapshot.Decode(raw)
 	if err != nil {
 		return nil, fmt.Errorf("what was kept is not read: %w", err)
 	}
+	kept := generation.State
 	age := kept.Taken.Age(learnedstate.Timestamp{Wall: w.Now()})
 	switch m {
 	case Old:
--- a/internal/configcache/record.go
+++ b/internal/configcache/record.go
@@ -1,6 +1,6 @@
-// Package configcache keeps the settings that a governor has in force on its own disk, so that it begins with them after a
-// restart though no configuration server can be reached. Encoding and the choice whether a record may be used have no I/O;
-// the keeper writes from a goroutine of its own.
+// Package configcache keeps the settings that a controller has in force on its own disk, so that it begins with them after a
+// restart even if no configuration server can be reached. Encoding a record and checking whether it may be used have no I/O;
+// the Writer has a goroutine of its own.
 package configcache
 
 import (
@@ -18,24 +18,24 @@
 const (
 	// format is the version of the file's form.
 	format = 1
-	// headerMax bounds the header of a file, in bytes.
-	headerMax = 4 << 10
-	// FileMax bounds a file, in bytes.
-	FileMax = headerMax + configstore.SettingsMax
+	// maxHeaderSize bounds the header of a file, in bytes.
+	maxHeaderSize = 4 << 10
+	// MaxFileSize bounds a file, in bytes.
+	MaxFileSize = maxHeaderSize + configstore.SettingsMax
 )
 
-// Record is what was in force at a governor.
+// Record is the settings in force at a controller.
 type Record struct {
 	Service  string
 	Version  revision.Version
-	Start    Digest // of the settings in the governor's own file when the record was made
-	Settings []byte // as a server sent them
+	Start    Digest // of the settings in the controller's own file when the record was made
+	Settings []byte // as a configuration server sent them
 }
 
-// Digest names settings by their contents; spaces between the words of their JSON do not count.
+// Digest identifies settings by their contents, whatever the white space in their JSON is.
 type Digest string
 
-// DigestOf is the digest of settings.
+// DigestOf returns the digest of settings.
 func DigestOf(settings []byte) Digest {
 	var compact bytes.Buffer
 	if json.Compact(&compact, settings) == nil {
@@ -47,16 +47,16 @@
 
 // header is the first line of a file. The settings follow as they are.
 type header struct {
-	Format  int              `json:"format"`
-	Service string           `json:"service"`
-	Version revision.Version `json:"version"`
-	Start   Digest           `json:"start"`
-	Sum     string           `json:"sum"` // of the header without it, and of the settings
+	Format   int              `json:"format"`
+	Service  string           `json:"service"`
+	Version  revision.Version `json:"version"`
+	Start    Digest           `json:"start"`
+	Checksum string           `json:"sum"` // of the header with an empty checksum, and of the settings
 }
 
-// sum is over all that a record says.
-func (h header) sum(settings []byte) (string, error) {
-	h.Sum = ""
+// checksum returns the checksum of a header and settings.
+func (h header) checksum(settings []byte) (string, error) {
+	h.Checksum = ""
 	line, err := json.Marshal(h)
 	if err != nil {
 		return "", err
@@ -67,14 +67,14 @@
 	return hex.EncodeToString(sum.Sum(nil)), nil
 }
 
-// Encode is the file of a record.
+// Encode returns the file of a record.
 func Encode(r Record) ([]byte, error) {
 	h := header{Format: format, Service: r.Service, Version: r.Version, Start: r.Start}
-	sum, err := h.sum(r.Settings)
+	checksum, err := h.checksum(r.Settings)
 	if err != nil {
 		return nil, err
 	}
-	h.Sum = sum
+	h.Checksum = checksum
 	line, err := json.Marshal(h)
 	if err != nil {
 		return nil, err
@@ -82,16 +82,18 @@
 	return append(append(line, '\n'), r.Settings...), nil
 }
 
-// The reasons why a file cannot be read.
+// Reasons why a file cannot be read.
 var (
+	// ErrDamaged is a file that has changed since it was written.
 	ErrDamaged = errors.New("it is not as it was written")
-	ErrNewer   = errors.New("a newer program wrote it")
+	// ErrNewer is a file of a newer program.
+	ErrNewer = errors.New("a newer program wrote it")
 )
 
-// Decode reads a file. The error is ErrDamaged or ErrNewer.
+// Decode returns the record of a file. The error is an ErrDamaged or ErrNewer.
 func Decode(raw []byte) (Record, error) {
 	line, settings, found := bytes.Cut(raw, []byte{'\n'})
-	if !found || len(line) > headerMax {
+	if !found || len(line) > maxHeaderSize {
 		return Record{}, fmt.Errorf("%w: there is no header", ErrDamaged)
 	}
 	var h header
@@ -101,23 +103,24 @@
 	if h.Format > format {
 		return Record{}, fmt.Errorf("%w: its format is %d, this program reads %d", ErrNewer, h.Format, format)
 	}
-	sum, err := h.sum(settings)
-	if err != nil || h.Format != format || sum != h.Sum || !h.Version.Valid() || h.Version.IsZero() {
+	checksum, err := h.checksum(settings)
+	asWritten := err == nil && h.Format == format && checksum == h.Checksum
+	if !asWritten || !h.Version.Valid() || h.Version.IsZero() {
 		return Record{}, ErrDamaged
 	}
 	return Record{Service: h.Service, Version: h.Version, Start: h.Start, Settings: settings}, nil
 }
 
-// OtherServiceError says that a record is of another service.
+// OtherServiceError is a record of another service.
 type OtherServiceError struct{ Service string }
 
 func (e *OtherServiceError) Error() string { return fmt.Sprintf("it is of service %q", e.Service) }
 
-// ErrStartChanged says that the governor's own file has other settings than when the record was made: whoever changed
-// them wants them in force, as where all servers are lost.
-var ErrStartChanged = errors.New("the settings in the governor's own file have changed since")
+// ErrStartChanged is a record from before the settings in the controller's own file were changed: whoever changed them wants
+// them in force, as where all configuration servers are lost.
+var ErrStartChanged = errors.New("the settings in the controller's own file have changed since")
 
-// CheckUsable says whether a governor of a service whose own file has some settings may begin with a record.
+// CheckUsable returns an error if a controller of a service, whose own file has some settings, may not begin with a record.
 func (r Record) CheckUsable(service string, start Digest) error {
 	if r.Service != service {
 		return &OtherServiceError{r.Service}
--- a/internal/configcache/record_test.go
+++ b/internal/configcache/record_test.go
@@ -25,7 +25,7 @@
 	return raw
 }
 
-func TestARecordIsReadAsItWasWritten(t *testing.T) {
+func TestRecordIsDecodedAsItWasEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := Record{
 			Service:  rapid.StringMatching(`[a-z0-9.-]{1,40}`).Draw(t, "service"),
@@ -43,8 +43,8 @@
 	})
 }
 
-// Whatever a disk makes of a file, it is refused or read as it was written.
-func TestADamagedRecordIsRefused(t *testing.T) {
+// Whatever a disk makes of a file, it is refused or decoded as it was written.
+func TestDamagedRecordIsRefused(t *testing.T) {
 	want := recordOf(`{"domain":{"push_rate":1200}}`)
 	raw := encoded(t, want)
 	refused := func(what string, damaged []byte) {
@@ -75,7 +75,7 @@
 	if _, err := Decode(newer); !errors.Is(err, ErrNewer) {
 		t.Errorf("a file of a newer program: %v", err)
 	}
-	if _, err := Decode([]byte(strings.Repeat("x", headerMax+1) + "\n")); !errors.Is(err, ErrDamaged) {
+	if _, err := Decode([]byte(strings.Repeat("x", maxHeaderSize+1) + "\n")); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a header without end: %v", err)
 	}
 	zero := want
@@ -98,10 +98,10 @@
 	})
 }
 
-func TestWhichRecordsMayBeUsed(t *testing.T) {
+func TestCheckUsable(t *testing.T) {
 	r := recordOf(`{}`)
 	if err := r.CheckUsable("orders", DigestOf([]byte("{ \"a\" : 1 }\n"))); err != nil {
-		t.Errorf("other spaces in the governor's own file: %v", err)
+		t.Errorf("other spaces in the controller's own file: %v", err)
 	}
 	if err := r.CheckUsable("orders", DigestOf([]byte(`{"a":2}`))); !errors.Is(err, ErrStartChanged) {
 		t.Errorf("another own file: %v", err)
--- a/internal/configcache/keeper_test.go
+++ b/internal/configcache/writer_test.go
@@ -15,7 +15,7 @@
 	"lilacbend/internal/revision"
 )
 
-// disk is a folder in memory that fails as it is told to.
+// disk is a directory in memory that fails when it is set to.
 type disk struct {
 	mu     sync.Mutex
 	file   []byte
@@ -44,20 +44,20 @@
 	return d.fail
 }
 
-func (d *disk) failing(err error) {
+func (d *disk) setError(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fail = err
 }
 
-func numbered(revisionNumber uint64) Record {
+func recordNumbered(revisionNumber uint64) Record {
 	r := recordOf(`{}`)
 	r.Version.Revision = revisionNumber
 	return r
 }
 
-// held is the revision on a disk; 0: there is none.
-func held(t *testing.T, d *disk) uint64 {
+// revisionOn returns the revision on a disk; 0: there is none.
+func revisionOn(t *testing.T, d *disk) uint64 {
 	t.Helper()
 	r, found, err := Load(d)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return r.Version.Revision
 }
 
-// keeping runs a keeper on virtual time until the test ends it.
-func keeping(t *testing.T, d *disk) (k *Writer, out *bytes.Buffer, end func()) {
+// start runs a writer on virtual time until the test ends it.
+func start(t *testing.T, d *disk) (k *Writer, out *bytes.Buffer, end func()) {
 	out = &bytes.Buffer{}
 	k = NewWriter(d, 1, slog.New(slog.NewTextHandler(out, nil)))
 	ctx, stop := context.WithCancel(t.Context())
@@ -79,50 +79,50 @@
 	return k, out, func() { stop(); <-ended }
 }
 
-func TestTheNewestIsKept(t *testing.T) {
+func TestWriterWritesTheNewestRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &disk{takes: time.Second}
-		k, _, end := keeping(t, d)
-		k.Submit(numbered(1))
+		k, _, end := start(t, d)
+		k.Submit(recordNumbered(1))
 		synctest.Wait()
 		began := time.Now()
 		for n := range uint64(50) {
-			k.Submit(numbered(2 + n))
+			k.Submit(recordNumbered(2 + n))
 		}
 		if time.Since(began) > 0 {
 			t.Errorf("the disk held it up for %v", time.Since(began))
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if got := held(t, d); got != 51 || d.writes != 2 {
+		if got := revisionOn(t, d); got != 51 || d.writes != 2 {
 			t.Errorf("revision %d after %d writes, want 51 after 2", got, d.writes)
 		}
 		end()
 	})
 }
 
-// A disk that fails is tried again with longer and longer pauses, with the newest that there is then, and the log says once that it
-// fails and once that it does no more.
-func TestADiskThatFails(t *testing.T) {
+// Writes to a failing disk are retried less and less often, with the newest record that there is then. The log has the first
+// failure and the first success after it.
+func TestWriterRetriesOnAFailingDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &disk{}
-		d.failing(errors.New("no space"))
-		k, out, end := keeping(t, d)
-		k.Submit(numbered(1))
+		d.setError(errors.New("no space"))
+		k, out, end := start(t, d)
+		k.Submit(recordNumbered(1))
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
 		if d.writes < 10 || d.writes > 40 {
-			t.Errorf("%d tries in ten minutes", d.writes)
+			t.Errorf("%d attempts in ten minutes", d.writes)
 		}
-		if said := strings.Count(out.String(), "is not kept"); said != 1 {
-			t.Errorf("said %d times: %s", said, out)
+		if said := strings.Count(out.String(), "configuration not cached"); said != 1 {
+			t.Errorf("logged %d times: %s", said, out)
 		}
-		k.Submit(numbered(2))
+		k.Submit(recordNumbered(2))
 		synctest.Wait()
-		d.failing(nil)
-		time.Sleep(retryMost)
+		d.setError(nil)
+		time.Sleep(maxRetryInterval)
 		synctest.Wait()
-		if got := held(t, d); got != 2 || !strings.Contains(out.String(), "is kept again") {
+		if got := revisionOn(t, d); got != 2 || !strings.Contains(out.String(), "configuration cached again") {
 			t.Errorf("revision %d: %s", got, out)
 		}
 		if written, failed := k.Counters.Written.Load(), k.Counters.Failed.Load(); written != 1 || failed < 10 {
@@ -132,21 +132,21 @@
 	})
 }
 
-func TestWhatCameLastIsWrittenAtTheEnd(t *testing.T) {
+func TestWriterWritesTheLastRecordAtTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &disk{takes: time.Second}
-		k, _, end := keeping(t, d)
-		k.Submit(numbered(1))
+		k, _, end := start(t, d)
+		k.Submit(recordNumbered(1))
 		synctest.Wait() // the first is being written
-		k.Submit(numbered(2))
+		k.Submit(recordNumbered(2))
 		end()
-		if got := held(t, d); got != 2 {
+		if got := revisionOn(t, d); got != 2 {
 			t.Errorf("revision %d, want 2", got)
 		}
 	})
 }
 
-func TestWhatALoadFinds(t *testing.T) {
+func TestLoad(t *testing.T) {
 	if _, found, err := Load(&disk{}); found || err != nil {
 		t.Errorf("an empty folder: %v %v", found, err)
 	}
@@ -156,7 +156,7 @@
 	if _, found, err := Load(&disk{file: []byte("x\n")}); found || !errors.Is(err, ErrDamaged) {
 		t.Errorf("a damaged file: %v %v", found, err)
 	}
-	r, found, err := Load(&disk{file: encoded(t, numbered(3))})
+	r, found, err := Load(&disk{file: encoded(t, recordNumbered(3))})
 	if !found || err != nil || r.Version != (revision.Version{Epoch: 7, Revision: 3}) {
 		t.Errorf("%+v %v %v", r, found, err)
 	}
--- a/internal/snapshot/bench_test.go
+++ b/internal/snapshot/bench_test.go
@@ -5,10 +5,11 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/internal/filewriter"
 	"lilacbend/internal/learnedstate"
 )
 
-// large is the memory of 1,000 replicas and 10,000 proxies with three traffic groups.
+// large is the state of 1,000 replicas and 10,000 proxies with three traffic classes.
 func large() learnedstate.State {
 	m := learnedstate.State{Controller: "n0", Classes: []string{"read", "order", "payout"}, Tables: 40, AdmissionThreshold: 1}
 	for k := range 1000 {
@@ -43,15 +44,15 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, _, err := Decode(raw); err != nil {
+		if _, err := Decode(raw); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// A write to a folder, synced, with the generations before it read and pruned.
+// BenchmarkWrite writes to a directory, synced, with the generations before it read and pruned.
 func BenchmarkWrite(b *testing.B) {
-	m, dir := large(), Directory(b.TempDir())
+	m, dir := large(), filewriter.Directory(b.TempDir())
 	for b.Loop() {
 		if _, err := Write(dir, m, 3); err != nil {
 			b.Fatal(err)
--- /dev/null
+++ b/internal/snapshot/clock.go
@@ -0,0 +1,37 @@
+package snapshot
+
+import (
+	"os"
+	"strconv"
+	"strings"
+	"time"
+
+	"lilacbend/internal/learnedstate"
+)
+
+// Where Linux says which start of the machine this is, and how many seconds ago that was.
+const (
+	bootIDFile = "/proc/sys/kernel/random/boot_id"
+	uptimeFile = "/proc/uptime"
+)
+
+// Now returns the time as this machine shows it. If the machine does not say when it started, only the wall clock is set.
+func Now() learnedstate.Timestamp {
+	now := learnedstate.Timestamp{Wall: time.Now().UnixNano()}
+	boot, err := os.ReadFile(bootIDFile)
+	if err != nil {
+		return now
+	}
+	uptime, err := os.ReadFile(uptimeFile)
+	if err != nil {
+		return now
+	}
+	text, _, _ := strings.Cut(string(uptime), " ")
+	seconds, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		return now
+	}
+	now.Boot = strings.TrimSpace(string(boot))
+	now.Up = int64(seconds * float64(time.Second))
+	return now
+}
--- /dev/null
+++ b/internal/snapshot/format2.go
@@ -0,0 +1,174 @@
+package snapshot
+
+import (
+	"maps"
+	"slices"
+
+	"lilacbend/control"
+	"lilacbend/internal/learnedstate"
+)
+
+// body2 is the body of format 2, in CBOR in a generation and in JSON when it is exported.
+type body2 struct {
+	Controller            string            `cbor:"1,keyasint" json:"governor"`
+	Wall                  int64             `cbor:"2,keyasint" json:"taken_ns"`
+	Boot                  string            `cbor:"3,keyasint,omitempty" json:"boot"`
+	Up                    int64             `cbor:"4,keyasint,omitempty" json:"up_ns"`
+	Revision              int64             `cbor:"5,keyasint" json:"revision"`
+	Classes               []string          `cbor:"6,keyasint" json:"groups"`
+	Replicas              []replica2        `cbor:"7,keyasint" json:"replicas"`
+	BaselineResponseTimes []responseTimes2  `cbor:"8,keyasint" json:"calm"`
+	RequestRates          map[int][]float64 `cbor:"9,keyasint" json:"flows"`  // by proxy, in the order of Classes
+	Bindings              map[int]int       `cbor:"10,keyasint" json:"seats"` // table by proxy
+	Tables                int               `cbor:"11,keyasint" json:"tables"`
+	AdmissionThreshold    float64           `cbor:"12,keyasint" json:"line"`
+	MaxSuccessRate        float64           `cbor:"13,keyasint" json:"served"`
+	RetriesStopped        bool              `cbor:"14,keyasint,omitempty" json:"once"`
+}
+
+type replica2 struct {
+	ID              string  `cbor:"1,keyasint" json:"id"`
+	Zone            string  `cbor:"2,keyasint" json:"zone"`
+	HardwareClass   string  `cbor:"3,keyasint" json:"kind"`
+	UpSince         int64   `cbor:"4,keyasint,omitempty" json:"up_since_ns"`
+	State           int     `cbor:"5,keyasint,omitempty" json:"state"`
+	Weight          float64 `cbor:"6,keyasint" json:"size"`
+	Speed           float64 `cbor:"7,keyasint" json:"speed"`
+	SampleCount     float64 `cbor:"8,keyasint" json:"evidence"`
+	PlacementKey    float64 `cbor:"9,keyasint" json:"ticket"`
+	Table           int     `cbor:"10,keyasint,omitempty" json:"table"`
+	EjectedFor      int64   `cbor:"11,keyasint,omitempty" json:"rest_ns"`
+	Probation       bool    `cbor:"12,keyasint,omitempty" json:"trial"`
+	Ejections       int     `cbor:"13,keyasint,omitempty" json:"relapses"`
+	SinceLastSample int64   `cbor:"14,keyasint,omitempty" json:"idle_ns"`
+}
+
+type responseTimes2 struct {
+	HardwareClass string    `cbor:"1,keyasint" json:"kind"`
+	Times         []float64 `cbor:"2,keyasint" json:"answers_s"`
+}
+
+// newBody2 returns the body of a state.
+func newBody2(state learnedstate.State) body2 {
+	body := body2{
+		Controller:         state.Controller,
+		Wall:               state.Taken.Wall,
+		Boot:               state.Taken.Boot,
+		Up:                 state.Taken.Up,
+		Revision:           state.Revision,
+		Classes:            state.Classes,
+		Replicas:           make([]replica2, 0, len(state.Replicas)),
+		RequestRates:       newRequestRates2(state),
+		Bindings:           map[int]int{},
+		Tables:             state.Tables,
+		AdmissionThreshold: state.AdmissionThreshold,
+		MaxSuccessRate:     state.MaxSuccessRate,
+		RetriesStopped:     state.RetriesStopped,
+	}
+	for _, r := range state.Replicas {
+		body.Replicas = append(body.Replicas, newReplica2(r))
+	}
+	for _, r := range state.BaselineResponseTimes {
+		body.BaselineResponseTimes = append(body.BaselineResponseTimes, responseTimes2(r))
+	}
+	for _, b := range state.Bindings {
+		body.Bindings[b.Proxy] = b.Table
+	}
+	return body
+}
+
+func newReplica2(r learnedstate.Replica) replica2 {
+	return replica2{
+		ID:              r.ID,
+		Zone:            r.Zone,
+		HardwareClass:   r.HardwareClass,
+		UpSince:         r.UpSince,
+		State:           int(r.State),
+		Weight:          r.Weight,
+		Speed:           r.Speed,
+		SampleCount:     r.SampleCount,
+		PlacementKey:    r.PlacementKey,
+		Table:           r.Table,
+		EjectedFor:      r.EjectedFor,
+		Probation:       r.Probation,
+		Ejections:       r.Ejections,
+		SinceLastSample: r.SinceLastSample,
+	}
+}
+
+// newRequestRates2 returns the request rates by proxy and the order of the traffic classes. They are rounded to what a float32
+// has, as more digits mean nothing in a rate.
+func newRequestRates2(state learnedstate.State) map[int][]float64 {
+	numbers := map[string]int{}
+	for number, class := range state.Classes {
+		numbers[class] = number
+	}
+	rates := map[int][]float64{}
+	for _, r := range state.RequestRates {
+		number, known := numbers[r.Class]
+		if !known {
+			continue
+		}
+		if rates[r.Proxy] == nil {
+			rates[r.Proxy] = make([]float64, len(state.Classes))
+		}
+		rates[r.Proxy][number] = float64(float32(r.Rate))
+	}
+	return rates
+}
+
+// state returns the state of a body.
+func (b body2) state() learnedstate.State {
+	state := learnedstate.State{
+		Controller:         b.Controller,
+		Taken:              learnedstate.Timestamp{Wall: b.Wall, Boot: b.Boot, Up: b.Up},
+		Revision:           b.Revision,
+		Classes:            b.Classes,
+		RequestRates:       b.requestRates(),
+		Tables:             b.Tables,
+		AdmissionThreshold: b.AdmissionThreshold,
+		MaxSuccessRate:     b.MaxSuccessRate,
+		RetriesStopped:     b.RetriesStopped,
+	}
+	for _, r := range b.Replicas {
+		state.Replicas = append(state.Replicas, r.replica())
+	}
+	for _, r := range b.BaselineResponseTimes {
+		state.BaselineResponseTimes = append(state.BaselineResponseTimes, learnedstate.ResponseTimes(r))
+	}
+	for _, proxy := range slices.Sorted(maps.Keys(b.Bindings)) {
+		state.Bindings = append(state.Bindings, control.Binding{Proxy: proxy, Table: b.Bindings[proxy]})
+	}
+	return state
+}
+
+func (b body2) requestRates() []learnedstate.RequestRate {
+	var rates []learnedstate.RequestRate
+	for _, proxy := range slices.Sorted(maps.Keys(b.RequestRates)) {
+		for number, rate := range b.RequestRates[proxy] {
+			if number < len(b.Classes) && rate != 0 {
+				rates = append(rates, learnedstate.RequestRate{Proxy: proxy, Class: b.Classes[number], Rate: rate})
+			}
+		}
+	}
+	return rates
+}
+
+func (r replica2) replica() learnedstate.Replica {
+	return learnedstate.Replica{
+		ID:              r.ID,
+		Zone:            r.Zone,
+		HardwareClass:   r.HardwareClass,
+		UpSince:         r.UpSince,
+		State:           control.State(r.State),
+		Weight:          r.Weight,
+		Speed:           r.Speed,
+		SampleCount:     r.SampleCount,
+		PlacementKey:    r.PlacementKey,
+		Table:           r.Table,
+		EjectedFor:      r.EjectedFor,
+		Probation:       r.Probation,
+		Ejections:       r.Ejections,
+		SinceLastSample: r.SinceLastSample,
+	}
+}
--- a/internal/snapshot/vault_test.go
+++ b/internal/snapshot/generations_test.go
@@ -23,6 +23,7 @@
 	"pgregory.net/rapid"
 
 	"lilacbend/control"
+	"lilacbend/internal/filewriter"
 	"lilacbend/internal/learnedstate"
 )
 
@@ -37,7 +38,7 @@
 	return m
 }
 
-func TestWhatIsWrittenIsReadAgain(t *testing.T) {
+func TestStateIsDecodedAsItWasEncoded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := sample(rapid.IntRange(0, 1<<40).Draw(t, "k"))
 		for k := range rapid.IntRange(0, 50).Draw(t, "replicas") {
@@ -48,8 +49,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, generation, format, err := Decode(raw); err != nil || generation != 7 || format != Format || !reflect.DeepEqual(got, m) {
-			t.Fatalf("generation %d, format %d, %v:\n%+v\n%+v", generation, format, err, got, m)
+		if got, err := Decode(raw); err != nil || got.Number != 7 || got.Format != Format || !reflect.DeepEqual(got.State, m) {
+			t.Fatalf("generation %d, format %d, %v:\n%+v\n%+v", got.Number, got.Format, err, got.State, m)
 		}
 		paper, err := Export(m)
 		if err != nil {
@@ -61,30 +62,30 @@
 	})
 }
 
-// A power cut leaves any prefix; a disk that goes bad flips any byte. None is ever used.
-func TestNoPartAndNoFlippedByteIsUsed(t *testing.T) {
+// A power cut may leave any prefix, and a failing disk may change any byte. Neither is ever used.
+func TestTornAndChangedFilesAreRefused(t *testing.T) {
 	raw, err := Encode(sample(1), 3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range raw {
-		if _, _, _, err := Decode(raw[:n]); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNotSnapshot) {
+		if _, err := Decode(raw[:n]); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNotSnapshot) {
 			t.Errorf("the first %d bytes: %v", n, err)
 		}
 		for _, bits := range []byte{1, 0x80, 0xff} {
 			bad := append([]byte(nil), raw...)
 			bad[n] ^= bits
-			if _, _, _, err := Decode(bad); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNotSnapshot) {
+			if _, err := Decode(bad); !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNotSnapshot) {
 				t.Errorf("byte %d ^ %#x: %v", n, bits, err)
 			}
 		}
 	}
-	if _, _, _, err := Decode(append(raw, 0)); !errors.Is(err, ErrDamaged) {
+	if _, err := Decode(append(raw, 0)); !errors.Is(err, ErrDamaged) {
 		t.Errorf("a byte more: %v", err)
 	}
 }
 
-// forge makes a file whose sums hold, whatever its body is.
+// forge returns a file whose checksums match, whatever its body is.
 func forge(format uint32, body []byte) []byte {
 	head := binary.BigEndian.AppendUint32([]byte(magic), format)
 	head = binary.BigEndian.AppendUint32(head, uint32(len(body)))
@@ -93,7 +94,7 @@
 	return append(binary.BigEndian.AppendUint64(head, xxhash.Sum64(head)), body...)
 }
 
-func TestCraftedFilesAskForNothing(t *testing.T) {
+func TestCraftedFilesAllocateNothing(t *testing.T) {
 	huge := []byte{0xa1, 0x07, 0x9b, 0, 0, 0, 1, 0, 0, 0, 0}                         // replicas: a list of 2^32
 	deep := append([]byte{0xa1, 0x07}, []byte(strings.Repeat("\x81", 1<<16))...)     // lists in lists
 	long := []byte{0xa1, 0x01, 0x7b, 0x0f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff} // a name of 2^60 bytes
@@ -105,18 +106,18 @@
 	}
 	for name, body := range map[string][]byte{"huge": huge, "deep": deep, "long": long, "twice": twice, "many": many, "empty": nil, "text": []byte("hello")} {
 		var before, after = heap(), uint64(0)
-		_, _, _, err := Decode(forge(Format, body))
+		_, err := Decode(forge(Format, body))
 		if after = heap(); !errors.Is(err, ErrDamaged) || after > before+64<<20 {
 			t.Errorf("%s: %v, %d bytes", name, err, after-before)
 		}
 	}
-	if _, _, _, err := Decode(forge(Format+1, []byte{0xa0})); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "3") {
+	if _, err := Decode(forge(Format+1, []byte{0xa0})); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "3") {
 		t.Errorf("a newer format: %v", err)
 	}
-	if _, _, _, err := Decode(forge(0, []byte{0xa0})); !errors.Is(err, ErrNotSnapshot) {
+	if _, err := Decode(forge(0, []byte{0xa0})); !errors.Is(err, ErrNotSnapshot) {
 		t.Errorf("format 0: %v", err)
 	}
-	if _, _, _, err := Decode(make([]byte, fileMost+1)); !errors.Is(err, ErrTooLarge) {
+	if _, err := Decode(make([]byte, maxFileSize+1)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a large one: %v", err)
 	}
 	dir := t.TempDir()
@@ -126,7 +127,7 @@
 	}
 	large.Truncate(100 << 30) // a hundred times the usual, and more; nothing of it is read
 	large.Close()
-	if _, err := Read(Directory(dir), fileName(9)); !errors.Is(err, ErrTooLarge) {
+	if _, err := Read(filewriter.Directory(dir), fileName(9)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a file of 100 GiB: %v", err)
 	}
 }
@@ -137,10 +138,10 @@
 	return uint64(s.Maxrss) << 10
 }
 
-// Files as programs wrote them: testdata/format1.lbs and format2.lbs are never written anew.
-func TestKeptFilesOfEachFormatAreRead(t *testing.T) {
+// The files are as programs wrote them: testdata/format1.lbs and format2.lbs are never written anew.
+func TestFilesOfEachFormatAreDecoded(t *testing.T) {
 	for format, want := range map[int]learnedstate.State{1: {Controller: "n0", Taken: learnedstate.Timestamp{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
-		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, EjectedFor: firstEjection, Ejections: 2, SinceLastSample: 1e9},
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, EjectedFor: format1Ejection, Ejections: 2, SinceLastSample: 1e9},
 			{ID: "y", Zone: "b", HardwareClass: "m2", Weight: 2, Speed: 2, SampleCount: 16, Probation: true}},
 		BaselineResponseTimes: []learnedstate.ResponseTimes{{Times: []float64{0.125}}, {HardwareClass: "m1", Times: []float64{0.25}}},
 		RequestRates:          []learnedstate.RequestRate{{Proxy: 3, Class: "read", Rate: 10}, {Proxy: 3, Class: "order", Rate: 10}}}, 2: sample(41)} {
@@ -148,21 +149,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, generation, of, err := Decode(raw)
-		if err != nil || generation != 12 || of != format || !reflect.DeepEqual(got, want) {
-			t.Errorf("format %d: generation %d of %d, %v\n%+v\n%+v", format, generation, of, err, got, want)
+		got, err := Decode(raw)
+		if err != nil || got.Number != 12 || got.Format != format || !reflect.DeepEqual(got.State, want) {
+			t.Errorf("format %d: generation %d of %d, %v\n%+v\n%+v", format, got.Number, got.Format, err, got.State, want)
 		}
 	}
 }
 
-// broken is a folder whose disk fails as told.
-type broken struct {
+// failingStorage is a directory whose disk fails as it says.
+type failingStorage struct {
 	Storage
 	replace, list, remove error
 	slow                  chan struct{}
 }
 
-func (b *broken) Replace(name string, data []byte) error {
+func (b *failingStorage) Replace(name string, data []byte) error {
 	if b.slow != nil {
 		<-b.slow
 	}
@@ -172,22 +173,22 @@
 	return b.Storage.Replace(name, data)
 }
 
-func (b *broken) List() ([]string, error) {
+func (b *failingStorage) List() ([]string, error) {
 	if b.list != nil {
 		return nil, b.list
 	}
 	return b.Storage.List()
 }
 
-func (b *broken) Remove(name string) error {
+func (b *failingStorage) Remove(name string) error {
 	if b.remove != nil {
 		return b.remove
 	}
 	return b.Storage.Remove(name)
 }
 
-func TestGenerationsFollowEachOther(t *testing.T) {
-	dir := Directory(t.TempDir())
+func TestWriteKeepsTheNewestGenerations(t *testing.T) {
+	dir := filewriter.Directory(t.TempDir())
 	for k := 1; k <= 6; k++ {
 		if g, err := Write(dir, sample(k), 3); err != nil || g.Number != uint64(k) {
 			t.Fatalf("%d: %+v %v", k, g, err)
@@ -202,21 +203,21 @@
 	os.WriteFile(path(6), raw[:len(raw)/2], 0o600)                              // torn
 	os.WriteFile(path(7), forge(Format+1, []byte{0xa0}), 0o600)                 // of a newer program
 	os.WriteFile(path(8), raw, 0o600)                                           // a copy under another name
-	os.WriteFile(filepath.Join(string(dir), "."+fileName(9)+"123"), raw, 0o600) // half a write
-	g, found, refused, err := Latest(dir)
-	if err != nil || !found || g.Number != 5 || len(refused) != 3 {
-		t.Fatalf("%d %v %v %v", g.Number, found, refused, err)
-	}
-	for k, e := range []error{ErrNotSnapshot, ErrDamaged, ErrDamaged} {
-		if k != 1 && !errors.Is(refused[k], e) {
-			t.Errorf("refused %v", refused[k])
+	os.WriteFile(filepath.Join(string(dir), "."+fileName(9)+"123"), raw, 0o600) // an unfinished write
+	newest, err := Latest(dir)
+	if err != nil || !newest.Found || newest.Number != 5 || len(newest.Refused) != 3 {
+		t.Fatalf("%d %v %v %v", newest.Number, newest.Found, newest.Refused, err)
+	}
+	for k, e := range []error{ErrNotSnapshot, ErrNewer, ErrDamaged} {
+		if !errors.Is(newest.Refused[k], e) {
+			t.Errorf("refused %v, want %v", newest.Refused[k], e)
 		}
 	}
-	if g, err = Write(dir, sample(9), 2); err != nil || g.Number != 9 {
+	if g, err := Write(dir, sample(9), 2); err != nil || g.Number != 9 {
 		t.Fatalf("%d %v", g.Number, err)
 	}
 	if got, _ := dir.List(); !reflect.DeepEqual(got, []string{fileName(5), fileName(6), fileName(7), fileName(8), fileName(9)}) {
-		t.Errorf("two whole ones, what is newer and what is damaged among them: %v", got)
+		t.Errorf("two complete ones, what is newer and what is damaged among them: %v", got)
 	}
 	if _, err = Write(dir, sample(10), 1); err != nil {
 		t.Fatal(err)
@@ -226,30 +227,30 @@
 	}
 }
 
-func TestAFailingDiskLeavesTheLastGeneration(t *testing.T) {
-	dir := Directory(t.TempDir())
+func TestFailingDiskLeavesTheLastGeneration(t *testing.T) {
+	dir := filewriter.Directory(t.TempDir())
 	if _, err := Write(dir, sample(1), 3); err != nil {
 		t.Fatal(err)
 	}
-	for _, d := range []*broken{{replace: syscall.ENOSPC}, {replace: syscall.EIO}, {replace: syscall.EROFS}, {replace: syscall.EACCES},
+	for _, d := range []*failingStorage{{replace: syscall.ENOSPC}, {replace: syscall.EIO}, {replace: syscall.EROFS}, {replace: syscall.EACCES},
 		{list: syscall.EIO}, {list: fs.ErrNotExist}} {
 		d.Storage = dir
 		_, err := Write(d, sample(2), 3)
 		if want := errors.Join(d.replace, d.list); err == nil || !errors.Is(want, errors.Unwrap(errors.Unwrap(err))) && !strings.Contains(err.Error(), want.Error()) {
 			t.Errorf("%v: %v", want, err)
 		}
-		if g, found, _, err := Latest(dir); err != nil || !found || g.Number != 1 {
+		if g, err := Latest(dir); err != nil || !g.Found || g.Number != 1 {
 			t.Errorf("left %d: %v", g.Number, err)
 		}
 	}
-	gone := Directory(filepath.Join(string(dir), "none"))
+	gone := filewriter.Directory(filepath.Join(string(dir), "none"))
 	if _, err := Write(gone, sample(1), 3); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no folder: %v", err)
 	}
-	if _, _, _, err := Latest(gone); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := Latest(gone); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no folder: %v", err)
 	}
-	full := Directory("/dev") // a real disk's word for no room
+	full := filewriter.Directory("/dev") // a real disk's error for no space
 	if n, err := os.OpenFile("/dev/full", os.O_WRONLY, 0); err == nil {
 		_, err = n.Write([]byte("x"))
 		n.Close()
@@ -259,40 +260,7 @@
 	}
 }
 
-func TestOneGovernorAFolder(t *testing.T) {
-	dir := Directory(filepath.Join(t.TempDir(), "made", "here"))
-	first, err := dir.Acquire("n0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var held *LockedError
-	if _, err := dir.Acquire("n1"); !errors.As(err, &held) || held.Owner != fmt.Sprintf("n0, process %d", os.Getpid()) {
-		t.Errorf("%v", err)
-	}
-	first.Release()
-	again, err := dir.Acquire("n1")
-	if err != nil {
-		t.Fatal(err)
-	}
-	again.Release()
-	os.Chmod(string(dir), 0o777)
-	if _, err := dir.Acquire("n0"); err == nil || !strings.Contains(err.Error(), "others may write") {
-		t.Errorf("a folder for all: %v", err)
-	}
-	os.Chmod(string(dir), 0o700)
-	file := Directory(filepath.Join(string(dir), lockName, "under"))
-	if _, err := file.Acquire("n0"); !errors.Is(err, syscall.ENOTDIR) {
-		t.Errorf("a file for a folder: %v", err)
-	}
-	if os.Geteuid() == 0 {
-		os.Chown(string(dir), 12345, 12345)
-		if _, err := dir.Acquire("n0"); err == nil || !strings.Contains(err.Error(), "belongs to user 12345") {
-			t.Errorf("somebody else's: %v", err)
-		}
-	}
-}
-
-func keeper(t *testing.T, d Storage, again func() error) (*Writer, context.CancelFunc) {
+func runWriter(t *testing.T, d Storage, again func() error) (*Writer, context.CancelFunc) {
 	k := NewWriter(d, 3, time.Millisecond, again, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(context.Background())
 	go k.Run(ctx)
@@ -300,9 +268,9 @@
 	return k, stop
 }
 
-func TestASlowDiskHoldsUpNobodyAndGetsTheNewest(t *testing.T) {
-	dir, slow := Directory(t.TempDir()), make(chan struct{})
-	k, stop := keeper(t, &broken{Storage: dir, slow: slow}, nil)
+func TestSlowDiskHoldsUpNobodyAndGetsTheNewest(t *testing.T) {
+	dir, slow := filewriter.Directory(t.TempDir()), make(chan struct{})
+	k, stop := runWriter(t, &failingStorage{Storage: dir, slow: slow}, nil)
 	begun := time.Now()
 	for n := 1; n <= 1000; n++ {
 		k.Submit(sample(n))
@@ -313,14 +281,14 @@
 	stop()
 	close(slow)
 	<-k.Done()
-	g, found, _, err := Latest(dir)
-	if err != nil || !found || g.State.Revision != 1000 || k.Counters.Written.Load()+k.Counters.Skipped.Load() != 1000 {
+	g, err := Latest(dir)
+	if err != nil || !g.Found || g.State.Revision != 1000 || k.Counters.Written.Load()+k.Counters.Skipped.Load() != 1000 {
 		t.Errorf("the newest is %d, %d written, %d skipped: %v", g.State.Revision, k.Counters.Written.Load(), k.Counters.Skipped.Load(), err)
 	}
 }
 
-func TestAVanishedFolderIsHeldAgain(t *testing.T) {
-	dir := Directory(filepath.Join(t.TempDir(), "s"))
+func TestVanishedDirectoryIsReopened(t *testing.T) {
+	dir := filewriter.Directory(filepath.Join(t.TempDir(), "s"))
 	var mu sync.Mutex
 	taken := 0
 	again := func() error {
@@ -334,25 +302,25 @@
 		t.Fatal("not taken")
 	}
 	os.RemoveAll(string(dir))
-	k, _ := keeper(t, dir, again)
+	k, _ := runWriter(t, dir, again)
 	k.Submit(sample(1))
 	for k.Counters.Written.Load() == 0 && k.Counters.Failed.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if g, found, _, _ := Latest(dir); !found || g.Number != 1 || taken != 2 {
-		t.Errorf("found %v, taken %d times", found, taken)
+	if g, _ := Latest(dir); !g.Found || g.Number != 1 || taken != 2 {
+		t.Errorf("found %v, acquired %d times", g.Found, taken)
 	}
 }
 
-// TestMain is a writer without end when asked to be, for the test that kills it.
+// TestMain writes without end when asked to, for the test that kills it.
 func TestMain(m *testing.M) {
-	if at := os.Getenv("VAULT_TEST_WRITES"); at != "" {
+	if at := os.Getenv("SNAPSHOT_TEST_WRITES"); at != "" {
 		for k := 1; ; k++ {
 			big := sample(k)
 			for n := range 2000 {
 				big.Replicas = append(big.Replicas, learnedstate.Replica{ID: fmt.Sprint("r", n), Speed: float64(k)})
 			}
-			if _, err := Write(Directory(at), big, 2); err != nil {
+			if _, err := Write(filewriter.Directory(at), big, 2); err != nil {
 				fmt.Fprintln(os.Stderr, err)
 				os.Exit(3)
 			}
@@ -362,10 +330,10 @@
 	os.Exit(m.Run())
 }
 
-// The process is killed at random points of its writes. Each time a whole generation is found, never older than
-// the last one that was reported as written, and all of one moment.
-func TestKilledWhileWriting(t *testing.T) {
-	dir, kills := Directory(t.TempDir()), 200
+// The process is killed at random points of its writes. Each time a complete generation is found, never older than the last one
+// that was reported as written, and all of one state.
+func TestKilledWriterLeavesACompleteGeneration(t *testing.T) {
+	dir, kills := filewriter.Directory(t.TempDir()), 200
 	if testing.Short() {
 		kills = 30
 	}
@@ -373,7 +341,7 @@
 	var last uint64
 	for kill := range kills {
 		writer := exec.Command(os.Args[0])
-		writer.Env = append(os.Environ(), "VAULT_TEST_WRITES="+string(dir))
+		writer.Env = append(os.Environ(), "SNAPSHOT_TEST_WRITES="+string(dir))
 		pipe, err := writer.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -389,16 +357,16 @@
 		writer.Process.Kill()
 		io.Copy(said, pipe)
 		writer.Wait()
-		g, found, refused, err := Latest(dir)
-		if err != nil || len(refused) > 0 || !found && (last > 0 || said.Len() > 0) {
-			t.Fatalf("kill %d: found %v, refused %v, %v", kill, found, refused, err)
+		g, err := Latest(dir)
+		if err != nil || len(g.Refused) > 0 || !g.Found && (last > 0 || said.Len() > 0) {
+			t.Fatalf("kill %d: found %v, refused %v, %v", kill, g.Found, g.Refused, err)
 		}
-		if written := uint64(strings.Count(said.String(), "\n")); found && (g.Number < last+written || g.Number > last+written+1) {
+		if written := uint64(strings.Count(said.String(), "\n")); g.Found && (g.Number < last+written || g.Number > last+written+1) {
 			t.Fatalf("kill %d: generation %d after %d and %d more", kill, g.Number, last, written)
 		}
 		for _, r := range g.State.Replicas[min(2, len(g.State.Replicas)):] {
 			if r.Speed != float64(g.State.Revision) {
-				t.Fatalf("kill %d: %v of another moment than %d", kill, r.Speed, g.State.Revision)
+				t.Fatalf("kill %d: %v of another state than %d", kill, r.Speed, g.State.Revision)
 			}
 		}
 		last = g.Number
@@ -416,12 +384,12 @@
 
 func FuzzDecode(f *testing.F) {
 	raw, _ := Encode(sample(1), 3)
-	f.Add(raw[headSize:])
+	f.Add(raw[headerSize:])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		for format := range uint32(4) { // the sums hold, so that the body is read
-			m, _, _, err := Decode(forge(format, body))
+		for format := range uint32(4) { // the checksums match, so that the body is decoded
+			generation, err := Decode(forge(format, body))
 			if err == nil {
-				if _, err := Encode(m, 1); err != nil && !errors.Is(err, ErrTooLarge) {
+				if _, err := Encode(generation.State, 1); err != nil && !errors.Is(err, ErrTooLarge) {
 					t.Errorf("read, but not to be written: %v", err)
 				}
 			}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -43,14 +43,14 @@
 
 func TestSnapshotOfTheGoldenFileIsDecodedAndEncodedAgain(t *testing.T) {
 	held := golden.Read(t, snapshotFile)
-	decoded, generation, format, err := Decode(held)
-	if err != nil || generation != snapshotGeneration || format != Format {
-		t.Fatalf("generation %d, format %d: %v", generation, format, err)
+	decoded, err := Decode(held)
+	if err != nil || decoded.Number != snapshotGeneration || decoded.Format != Format {
+		t.Fatalf("generation %d, format %d: %v", decoded.Number, decoded.Format, err)
 	}
-	if want := goldenSnapshot(); !reflect.DeepEqual(decoded, want) {
-		t.Errorf("got  %+v\nwant %+v", decoded, want)
+	if want := goldenSnapshot(); !reflect.DeepEqual(decoded.State, want) {
+		t.Errorf("got  %+v\nwant %+v", decoded.State, want)
 	}
-	again, err := Encode(decoded, generation)
+	again, err := Encode(decoded.State, decoded.Number)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	for at := range held {
 		changed := bytes.Clone(held)
 		changed[at] ^= 1
-		if _, _, _, err := Decode(changed); err == nil {
+		if _, err := Decode(changed); err == nil {
 			t.Errorf("byte %d changed: the snapshot is decoded", at)
 		}
 	}
