--- a/policy/messages.go
+++ b/policy/messages.go
@@ -1,21 +1,32 @@
 package policy
 
-import "lilacbend/control"
+import (
+	"lilacbend/control"
+	"lilacbend/policy/outlier"
+)
 
-// message is anything that one component tells another. Each message names its sender and receivers; a component panics on a
-// message that is not for it.
+// message is what one component sends to another. The comment of each message names its sender and its receivers; a component
+// panics on a message that is not for it.
 type message interface{ message() }
 
 // Messages that carry an event from the turn to the components that it concerns.
 type (
-	replicaListed    struct{ control.ListedReplica }
-	outcomesReported struct{ control.Outcomes }
-	replicaRestored  struct{ control.ReplicaRestored }
-	fleetRestored    struct{ control.FleetRestored }
-	streamOpened     struct{ control.StreamOpened }
-	streamClosed     struct{ control.StreamClosed }
-	demandReported   struct{ control.Demand }
-	ackReceived      struct{ control.Ack }
+	replicaListed    struct{ control.ListedReplica }   // to the replica
+	outcomesReported struct{ control.Outcomes }        // to the replica
+	replicaRestored  struct{ control.ReplicaRestored } // to the replica and placement
+	fleetRestored    struct{ control.FleetRestored }   // to binding, placement and admission
+	streamOpened     struct{ control.StreamOpened }    // to binding and pacing
+	streamClosed     struct{ control.StreamClosed }    // to binding, placement and pacing
+	demandReported   struct{ control.Demand }          // to admission
+	ackReceived      struct{ control.Ack }             // to binding
+)
+
+// Messages by which the turn starts a phase or evicts a replica.
+type (
+	tickStarted    struct{}                 // to placement and update: the tick interval has passed
+	placementDue   struct{}                 // to placement: all replicas have reported their status
+	turnEnding     struct{}                 // to pacing: send what the budget allows
+	replicaEvicted struct{ replica uint32 } // to placement, update and pacing: it has been gone for evictAfter
 )
 
 // Messages that ask for a command.
@@ -27,36 +38,47 @@
 
 // Messages with what a component has worked out.
 type (
-	tablesAssigned   struct{ tables []int }   // placement to binding: the table that serves the proxies of each table
-	proxyBound       struct{ connectedProxy } // binding to placement
-	tickStarted      struct{}
-	replicaForgotten struct{ id uint32 } // a replica is long gone
-	placementDue     struct{}            // the planner has heard from all replicas
-	turnEnding       struct{}            // the turn ends: the pacer sends
-	fleetBaseline    struct {            // planner to replica: of its kind, its own goal, of all: missed, lost
-		late, good, goal, bad, lost float64
+	tablesAssigned struct{ tables []int }   // placement to binding: the table that serves the proxies of each table
+	proxyBound     struct{ connectedProxy } // binding to placement
+	fleetBaseline  struct {                 // placement to replica
+		health       outlier.Fleet
+		weightGoal   float64 // against its listed weight
+		lostFraction float64 // of the requests, as replicas that warm up count it
 	}
-	replicaStatus struct { // replica to planner: what it can bear and what it was met with lately
+	replicaStatus struct { // replica to placement
 		control.ListedReplica
-		box                                      int
-		weight, size, ticket, tries, bad, answer float64
-		prior, confidence                        float64 // remembered speed, and how many tries it counts for
-		penalty                                  float64 // part of its weight that it lacks as it was sick by memory alone
-		able                                     float64 // part of its usual work that it can do, if it is cold
-		cold, sick, trial                        bool
+		queue            int
+		weight           float64 // of its endpoints, as fast as it is taken to be
+		capacity         float64 // the same by its weight goal, which weight follows
+		placementKey     float64
+		window           outlier.Window
+		rememberedSpeed  float64
+		confidence       float64 // number of attempts that rememberedSpeed counts for
+		penalty          float64 // fraction of its weight that it lacks as it was ejected before a restart of the controller
+		capacityFraction float64 // that it surely has while it warms up
+		warmingUp        bool
+		heldBack         bool // gets no requests as it is warming up
+		ejected          bool
+		onProbation      bool // after an ejection by this controller
 	}
-	fleetLoad struct { // planner to levels: tries a second, parts missed, of all and of most, answer times
-		tries, bad, most, answer, serves, calm float64
+	fleetLoad struct { // placement to admission
+		attemptRate          float64 // attempts a second
+		failureRate          float64 // fraction of the attempts that failed
+		typicalFailureRate   float64 // mean of the replicas without those that fail most
+		responseTime         float64 // mean of healthy replicas, in seconds
+		inService            float64 // how many replicas are in service
+		baselineResponseTime float64 // of the fastest hardware class without load, in seconds; infinite: not known
 	}
-	targetTables struct { // planner to sequence: weights, below 0: stays as it is
-		lines map[tableEndpoint]float64
-		out   map[uint32]bool
+	targetTables struct { // placement to update; a weight below 0: the endpoint stays as it is
+		weights map[tableEndpoint]float64
+		ejected map[uint32]bool
 	}
-	demandSummary struct { // levels to planner: part of the flows that got no answer; flows that came, by proxy
-		lost         float64
-		flows, fresh map[int]float64 // in the last few seconds; the newest, as of so long
+	demandSummary struct { // admission to placement
+		failedFraction float64         // of all requests of the last seconds
+		requests       map[int]float64 // of each proxy within demandSpan
+		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in demandSpan
 	}
-	warmingReplicas struct { // planner to pacer: the replicas that are cold, and whether they must be let in together
+	warmingReplicas struct { // placement to pacing: the replicas that warm up, and whether they are restored all at once
 		replicas map[uint32]bool
 		together bool
 	}
@@ -69,13 +91,14 @@
 		proxies []int
 		orders  []control.Command
 	}
-	acknowledged struct { // registry to pacer and sequence: somebody applied all up to the mark, or all have, or have left
-		mark      uint64
-		all, gone bool
+	acknowledged struct { // binding to pacing and update
+		nonce        uint64
+		complete     bool // nobody owes an acknowledgement of the nonce any more; else one proxy has acknowledged it
+		disconnected bool // the last proxies that owed it have disconnected
 	}
 	tableEndpoint struct {
-		table int
-		id    uint32
+		table   int
+		replica uint32
 	}
 )
 
@@ -93,7 +116,7 @@
 func (tablesAssigned) message()   {}
 func (proxyBound) message()       {}
 func (tickStarted) message()      {}
-func (replicaForgotten) message() {}
+func (replicaEvicted) message()   {}
 func (placementDue) message()     {}
 func (turnEnding) message()       {}
 func (fleetBaseline) message()    {}
