--- a/settings/capacity_bench_test.go
+++ b/settings/capacity_bench_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// channelLimit is the channel of the fleet days, in lines.
+// channelLimit is the channel limit of a large fleet, in lines.
 const channelLimit = 49200
 
-// The bytes of the settings and the time to read and check them, by their traffic classes: the slope of docs/CAPACITY.md
+// BenchmarkSettingsByClasses measures the bytes of the settings and the time to read and check them: the slope of docs/CAPACITY.md
 // for a configuration. The classes are those of the example, repeated under other names.
 func BenchmarkSettingsByClasses(b *testing.B) {
 	for _, classes := range []int{3, 48, 960, 14000} {
--- a/settings/decoder.go
+++ b/settings/decoder.go
@@ -14,7 +14,7 @@
 	maxMillis = 366 * 24 * 3600 * 1000
 	// maxCount is the largest count that is read.
 	maxCount = 1 << 20
-	// maxLines is more than any channel holds, and far from where sums of it overflow.
+	// maxLines is the largest number of channel lines that is read: more than any channel holds, and far from where sums overflow.
 	maxLines = 1 << 40
 	// maxNameLength is the longest name, in bytes: a peer's first message names its zone, and is read into one buffer of
 	// 4 KiB.
@@ -71,7 +71,7 @@
 func (d *decoder) fraction(path string) float64 {
 	number := d.number(path)
 	if number < 0 || number > 1 {
-		d.fail("setting %s=%v is not a share from 0 to 1", path, number)
+		d.fail("setting %s=%v is not a fraction from 0 to 1", path, number)
 	}
 	return number
 }
@@ -102,7 +102,7 @@
 	return int(number)
 }
 
-// lines reads a number of the channel's lines, which may have a fraction; round makes it whole.
+// lines reads a number of channel lines, which may have a fraction; round makes it whole.
 func (d *decoder) lines(path string, round func(float64) float64) int {
 	number := d.number(path)
 	if number < 0 || number > maxLines {
@@ -119,7 +119,7 @@
 	for _, name := range names {
 		switch {
 		case seen[name]:
-			d.fail("setting %s: %.40q is there twice", path, name)
+			d.fail("setting %s: %.40q is listed twice", path, name)
 		case len(name) > maxNameLength:
 			d.fail("setting %s: %.40q... has %d bytes, at most %d may be", path, name, len(name), maxNameLength)
 		case separator != "" && (name == "" || strings.Contains(name, separator)):
--- a/settings/service.go
+++ b/settings/service.go
@@ -2,8 +2,8 @@
 
 import "lilacbend/control"
 
-// Load reads the settings of a deployment from JSON as a governor takes them, and says what is wrong with them: the same
-// code whether they come with its start, from a configuration server, or to one. The seed is the governor's own.
+// Load decodes and checks the settings of a deployment from JSON as a controller uses them, whether they come from its own
+// file, from a configuration server, or to one. The seed is the controller's own.
 func Load(raw []byte, seed uint64) (Names, control.Settings, error) {
 	values, err := ParseJSON(raw)
 	if err != nil {
@@ -17,7 +17,7 @@
 	if err != nil {
 		return Names{}, control.Settings{}, err
 	}
-	decoded.HardwareClasses++ // one more for kinds that the settings do not name
-	decoded.HostQueues = true // the core does, by the channel's account
+	decoded.HardwareClasses++ // one more for those that the settings do not name
+	decoded.HostQueues = true // the core does, by its send budget
 	return names, decoded, nil
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,7 +10,7 @@
 // minMessages is how many messages of the smallest table a channel has to hold: one, and room for what cannot wait.
 const minMessages = 2
 
-// The words of the settings for the constants of the decision module.
+// The words of the settings for the constants of package control.
 var (
 	picks = map[string]control.PickPolicy{
 		"random": control.PickRandom,
@@ -34,10 +34,14 @@
 	}
 )
 
-// Names are the names of traffic classes, zones and kinds of replica. The decision module knows each by its index here.
-type Names struct{ Classes, Zones, HardwareClasses []string }
+// Names are the names of traffic classes, zones and hardware classes. The decision module knows each by its index here.
+type Names struct {
+	Classes         []string
+	Zones           []string
+	HardwareClasses []string
+}
 
-// Names decodes the names. There may be neither zones nor kinds. The error names the first setting that is wrong.
+// Names decodes the names. There may be neither zones nor hardware classes. The error names the first setting that is wrong.
 func (v Values) Names() (Names, error) {
 	d := &decoder{values: v}
 	names := Names{Zones: v["zones"], HardwareClasses: v["kinds"]}
@@ -87,9 +91,9 @@
 	to.ReportInterval = d.positiveNanos("domain.cycle_ms")
 }
 
-// decodeReplicas decodes the rules for replicas that drain or start slowly. A deployment without such a rule does not state its
-// figures. A replica whose slow start is not described is taken for the least able: it starts with nothing and falls over
-// as soon as it is sent more than it can do. Where no replica starts slowly, those figures have no effect.
+// decodeReplicas decodes the rules for draining replicas and for slow start. A deployment without such a rule does not state its
+// figures. A replica whose slow start is not described is taken for the least capable: it starts with no capacity and fails
+// as soon as it gets more than its capacity. Where no replica starts slowly, those figures have no effect.
 func (d *decoder) decodeReplicas(to *control.Settings) {
 	to.DrainGrace = optional(d, "invariants.drain_grace_ms", d.nanos, 0)
 	to.SlowStartFraction = optional(d, "invariants.cold_from", d.fraction, 0)
@@ -97,21 +101,21 @@
 	to.OverloadMultiple = optional(d, "invariants.tip_multiple", d.positive, 1)
 }
 
-// decodeProxies decodes how proxies pick replicas, admit requests and try again.
+// decodeProxies decodes how proxies pick replicas, admit requests and retry.
 func (d *decoder) decodeProxies(to *control.Settings) {
 	to.Pick = choice(d, "domain.pick", picks)
 	to.Admission = choice(d, "domain.admit", admissions)
 	to.AttemptTimeoutFactor = d.number("domain.try_factor")
 	to.DefaultRetries = control.RetryPolicy(d.count("domain.usual_how"))
 	if to.DefaultRetries > control.RetryTwice {
-		d.fail("setting domain.usual_how=%d is no way of trying again", to.DefaultRetries)
+		d.fail("setting domain.usual_how=%d is not a retry policy", to.DefaultRetries)
 	}
 }
 
 // refuseShards refuses sites whose replicas hold shards of the data.
 func (d *decoder) refuseShards() {
 	if shards := optional(d, "domain.shards", d.number, 0); shards != 0 {
-		d.fail("setting domain.shards=%v: sites with slices are not served", shards)
+		d.fail("setting domain.shards=%v: sites with shards are not supported", shards)
 	}
 }
 
@@ -153,14 +157,14 @@
 	}
 }
 
-// smallestTable is how many lines a message of the smallest table has: its head, the word that it is whole, three replicas
-// that may each be ejected as well, an admission rate for each traffic class, and a nonce.
-func smallestTable(head, classes int) int {
+// smallestTable returns the cost of a message of the smallest table in lines: its overhead, that it is full, three replicas that
+// may each be ejected as well, an admission rate for each traffic class, and an ack request.
+func smallestTable(overhead, classes int) int {
 	const (
-		full     = 1
-		replicas = 3
-		ejected  = 3
-		nonce    = 1
+		full       = 1
+		replicas   = 3
+		ejected    = 3
+		ackRequest = 1
 	)
-	return head + full + replicas + ejected + classes + nonce
+	return overhead + full + replicas + ejected + classes + ackRequest
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -53,7 +53,7 @@
 		{"domain.push_rate=1200.0\n", "", "setting domain.push_rate is missing"},
 		{"usual_how=1", "usual_how=x", `domain.usual_how="x" is not a number`},
 		{"admit=fraction", "admit=odd", `domain.admit="odd" is not known`},
-		{"shards=0", "shards=12", "slices are not served"},
+		{"shards=0", "shards=12", "shards are not supported"},
 		{"cycle_ms=500.0", "cycle_ms=0", "domain.cycle_ms=0 is not above 0"},
 		{"lanes.count=1", "lanes.count=0", "lanes.count=0 is not above 0"},
 	} {
@@ -84,11 +84,11 @@
 		{"deadline_ms=4000.0", "deadline_ms=-1", "lanes.0.deadline_ms=-1 is not above 0"},
 		{"deadline_ms=4000.0", "deadline_ms=1e15", "lanes.0.deadline_ms=1e+15 is not a time"},
 		{"window_ms=2500.0", "window_ms=-1", "lanes.0.window_ms=-1 is not a time"},
-		{"usual_how=1", "usual_how=4", "domain.usual_how=4 is no way"},
+		{"usual_how=1", "usual_how=4", "domain.usual_how=4 is not a retry policy"},
 		{"pending_max=1800.0", "pending_max=1e300", "domain.pending_max=1e+300 is not a number of lines"},
 		{"pending_max=1800.0", "pending_max=25.9", "domain.pending_max=25 is too small"},
 		{"envelope=4.0", "envelope=-1", "domain.envelope=-1 is not a number of lines"},
-		{"cold_from=0.18", "cold_from=1.1", "invariants.cold_from=1.1 is not a share"},
+		{"cold_from=0.18", "cold_from=1.1", "invariants.cold_from=1.1 is not a fraction"},
 		{"tip_multiple=4.0", "tip_multiple=0", "invariants.tip_multiple=0 is not above 0"},
 		{"shards=0", "shards=", "domain.shards=\"\" is not a number"},
 	} {
@@ -104,9 +104,9 @@
 		t.Error(err)
 	}
 	for _, c := range [][2]string{
-		{"zones=a,b,a\nlanes.count=0\n", `setting zones: "a" is there twice`},
+		{"zones=a,b,a\nlanes.count=0\n", `setting zones: "a" is listed twice`},
 		{"zones=a," + strings.Repeat("z", 1025) + "\nlanes.count=0\n", "setting zones: "},
-		{"lanes.count=2\nlanes.0.name=a\nlanes.1.name=a\n", `setting lanes.name: "a" is there twice`},
+		{"lanes.count=2\nlanes.0.name=a\nlanes.1.name=a\n", `setting lanes.name: "a" is listed twice`},
 		{"lanes.count=1\nlanes.0.name=a+b\n", `setting lanes.name: "a+b" cannot stand`},
 		{"lanes.count=1\nlanes.0.name=\n", `setting lanes.name: "" cannot stand`},
 	} {
--- a/settings/values.go
+++ b/settings/values.go
@@ -1,6 +1,6 @@
-// Package settings decodes the settings of a deployment: what a governor is told before its first turn. The same settings
+// Package settings decodes the settings of a deployment, which a controller reads before its first turn. The same settings
 // arrive as path=value lines on the simulator's wire and as nested JSON in a configuration file. The package checks that
-// they are complete and in range, and decides nothing.
+// they are complete and in range. Their keys appear in this package alone; package control has the terms that they become.
 package settings
 
 import (
@@ -14,7 +14,7 @@
 )
 
 // Values is the tree of settings, flattened: each dotted path with the values found there, of which a list has several. The
-// elements of a list of objects have paths of their own, such as lanes.0.name, and path.count tells how many there are.
+// elements of a list of objects have paths of their own, such as lanes.0.name, and path.count has their number.
 type Values map[string][]string
 
 // ParseLines reads path=value lines; commas separate the values of a list. A line without = is skipped.
@@ -81,7 +81,7 @@
 	v[path+".count"] = []string{strconv.Itoa(len(list))}
 }
 
-// scalarText is a JSON scalar as a configuration writes it; false for null, lists and objects.
+// scalarText returns a JSON scalar as a configuration writes it; false for null, lists and objects.
 func scalarText(value any) (string, bool) {
 	switch value := value.(type) {
 	case string:
