--- /dev/null
+++ b/internal/ingress/http2_frames.go
@@ -0,0 +1,214 @@
+package ingress
+
+import (
+	"fmt"
+	"time"
+
+	"golang.org/x/net/http2"
+)
+
+const (
+	// budgetPerSecond and maxBudget bound the control frames of a client (settings, pings, priorities, resets, window
+	// updates, empty or tiny data frames). A busy honest client sends a window update for some KiB.
+	budgetPerSecond = 200.0
+	maxBudget       = 2000.0
+	// frameCost is the cost of a control frame.
+	frameCost = 1.0
+	// resetCost is the cost of a stream that is reset or malformed: it has begun work that nobody wants.
+	resetCost = 10.0
+	// tinyFrame is the size in bytes below which data and window updates count as control frames.
+	tinyFrame = 64
+)
+
+// frameBudget bounds the work of a client's control frames.
+type frameBudget struct {
+	remaining  float64
+	refilledAt time.Time
+}
+
+func newFrameBudget() frameBudget {
+	return frameBudget{remaining: maxBudget, refilledAt: time.Now()}
+}
+
+// spend takes a cost from the budget. It returns errFlood when that is spent.
+func (b *frameBudget) spend(cost float64) error {
+	now := time.Now()
+	refilled := b.remaining + budgetPerSecond*now.Sub(b.refilledAt).Seconds()
+	b.remaining = min(maxBudget, refilled) - cost
+	b.refilledAt = now
+	if b.remaining < 0 {
+		return errFlood
+	}
+	return nil
+}
+
+// handleFrame handles one frame of the client.
+func (c *http2Conn) handleFrame(frame http2.Frame) error {
+	switch f := frame.(type) {
+	case *http2.MetaHeadersFrame:
+		return c.handleHeaders(f)
+	case *http2.DataFrame:
+		return c.handleData(f)
+	case *http2.SettingsFrame:
+		if err := c.budget.spend(frameCost); err != nil || f.IsAck() {
+			return err
+		}
+		return c.handleSettings(f)
+	case *http2.PingFrame:
+		if err := c.budget.spend(frameCost); err != nil || f.IsAck() {
+			return err
+		}
+		return c.write(func() error { return c.framer.WritePing(true, f.Data) })
+	case *http2.WindowUpdateFrame:
+		return c.handleWindowUpdate(f)
+	case *http2.RSTStreamFrame:
+		return c.handleReset(f)
+	case *http2.PushPromiseFrame, *http2.ContinuationFrame:
+		return errProtocol
+	default: // priorities, a client's own GOAWAY, unknown frames
+		return c.budget.spend(frameCost)
+	}
+}
+
+// handleReset ends a stream that its client does not want any more.
+func (c *http2Conn) handleReset(f *http2.RSTStreamFrame) error {
+	c.mu.Lock()
+	s := c.streams[f.StreamID]
+	unopened := f.StreamID > c.lastStream
+	c.mu.Unlock()
+	if unopened {
+		return errProtocol
+	}
+	c.server.Counters.Resets.Add(1)
+	if s != nil {
+		c.endStream(s, errStreamReset)
+	}
+	return c.budget.spend(resetCost)
+}
+
+// handleSettings takes over the client's settings and acknowledges them.
+func (c *http2Conn) handleSettings(f *http2.SettingsFrame) error {
+	if err := f.ForeachSetting(c.handleSetting); err != nil {
+		return err
+	}
+	return c.write(c.framer.WriteSettingsAck)
+}
+
+func (c *http2Conn) handleSetting(setting http2.Setting) error {
+	if err := setting.Valid(); err != nil {
+		return err
+	}
+	switch setting.ID {
+	case http2.SettingInitialWindowSize:
+		return c.setInitialWindow(int64(setting.Val))
+	case http2.SettingMaxFrameSize:
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.maxSendFrame = int(min(setting.Val, maxFrame))
+	case http2.SettingHeaderTableSize:
+		c.writeMu.Lock()
+		defer c.writeMu.Unlock()
+		c.encoder.SetMaxDynamicTableSizeLimit(min(setting.Val, maxHeaderTable))
+	}
+	return nil
+}
+
+// setInitialWindow changes the windows of all streams, also of those that are open.
+func (c *http2Conn) setInitialWindow(window int64) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	difference := window - c.initialSendWindow
+	c.initialSendWindow = window
+	for _, s := range c.streams {
+		s.sendWindow += difference
+		if s.sendWindow > maxWindow {
+			return errFlowControl
+		}
+	}
+	c.signalChange()
+	return nil
+}
+
+// handleWindowUpdate lets more be sent, on a stream or on the connection.
+func (c *http2Conn) handleWindowUpdate(f *http2.WindowUpdateFrame) error {
+	if f.Increment < tinyFrame {
+		if err := c.budget.spend(frameCost); err != nil {
+			return err
+		}
+	}
+	overflow, err := c.growWindow(f.StreamID, int64(f.Increment))
+	if overflow {
+		c.resetStream(f.StreamID, http2.ErrCodeFlowControl)
+	}
+	return err
+}
+
+// growWindow grows the window of a stream, or of the connection (stream 0). The stream has to be reset if its window
+// would be too large; for the connection that is an error.
+func (c *http2Conn) growWindow(id uint32, increment int64) (overflow bool, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	defer c.signalChange()
+	if id == 0 {
+		c.sendWindow += increment
+		if c.sendWindow > maxWindow {
+			return false, errFlowControl
+		}
+		return false, nil
+	}
+	if id > c.lastStream {
+		return false, errProtocol
+	}
+	s := c.streams[id]
+	if s == nil {
+		return false, nil
+	}
+	s.sendWindow += increment
+	return s.sendWindow > maxWindow, nil
+}
+
+// resetStream resets a stream for what its client did.
+func (c *http2Conn) resetStream(id uint32, code http2.ErrCode) {
+	c.mu.Lock()
+	s := c.streams[id]
+	c.lastStream = max(c.lastStream, id)
+	c.mu.Unlock()
+	if s != nil {
+		c.endStream(s, fmt.Errorf("%w: %v", errStreamReset, code))
+	}
+	c.write(func() error { return c.framer.WriteRSTStream(id, code) })
+	c.returnWindow(nil, 0)
+}
+
+// noteRead adds to the window that the connection returns to its client. The connection is locked; returnWindow sends it.
+func (c *http2Conn) noteRead(n int64) { c.windowToReturn += n }
+
+// returnWindow lets the client send as much as was read: n bytes on a stream at once, and on the connection once there is
+// enough of it. The stream may be nil.
+func (c *http2Conn) returnWindow(s *stream, n int64) {
+	c.mu.Lock()
+	connIncrement := int64(0)
+	if c.windowToReturn >= connWindow/4 {
+		connIncrement = c.windowToReturn
+		c.windowToReturn = 0
+	}
+	streamIncrement := n
+	if s == nil || s.bodyComplete || s.reset {
+		streamIncrement = 0
+	}
+	c.mu.Unlock()
+	if connIncrement == 0 && streamIncrement == 0 {
+		return
+	}
+	c.write(func() error {
+		if connIncrement > 0 {
+			if err := c.framer.WriteWindowUpdate(0, uint32(connIncrement)); err != nil {
+				return err
+			}
+		}
+		if streamIncrement > 0 {
+			return c.framer.WriteWindowUpdate(s.id, uint32(streamIncrement))
+		}
+		return nil
+	})
+}
--- /dev/null
+++ b/internal/ingress/http2_head.go
@@ -0,0 +1,77 @@
+package ingress
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+
+	"golang.org/x/net/http/httpguts"
+	"golang.org/x/net/http2"
+	"golang.org/x/net/http2/hpack"
+
+	"lilacbend/internal/proxy"
+)
+
+// parseHTTP2Request reads the head of a request. It refuses what HTTP/1.1, as replicas speak it, would read differently.
+func parseHTTP2Request(f *http2.MetaHeadersFrame) (*proxy.Request, error) {
+	request := &proxy.Request{
+		Method: f.PseudoValue("method"),
+		Target: f.PseudoValue("path"),
+		Host:   f.PseudoValue("authority"),
+		Header: http.Header{},
+		Length: -1,
+	}
+	if f.PseudoValue("scheme") == "" || !httpguts.ValidHeaderFieldName(request.Method) {
+		return nil, badRequest("scheme or method")
+	}
+	if err := checkTarget(request.Method, request.Target); err != nil {
+		return nil, err
+	}
+	var cookies []string
+	for _, field := range f.RegularFields() {
+		if field.Name == "cookie" {
+			cookies = append(cookies, field.Value)
+			continue
+		}
+		if err := addField(request, field); err != nil {
+			return nil, err
+		}
+	}
+	if len(cookies) > 0 { // HTTP/2 may split the field, HTTP/1.1 may not
+		request.Header.Set("Cookie", strings.Join(cookies, "; "))
+	}
+	if request.Host == "" || !httpguts.ValidHostHeader(request.Host) {
+		return nil, badRequest("host")
+	}
+	return request, nil
+}
+
+// addField adds a field to a request, or what it says of the request.
+func addField(request *proxy.Request, field hpack.HeaderField) error {
+	switch field.Name {
+	case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade":
+		return badRequest("%s in HTTP/2", field.Name)
+	case "te":
+		if field.Value != "trailers" {
+			return badRequest("te")
+		}
+	case "host":
+		if request.Host != "" && request.Host != field.Value {
+			return badRequest("two hosts")
+		}
+		request.Host = field.Value
+	case "content-length":
+		if request.Length >= 0 || !isLength(field.Value) {
+			return badRequest("length %.40q", field.Value)
+		}
+		request.Length, _ = strconv.ParseInt(field.Value, 10, 64)
+	case "expect":
+		request.ExpectContinue = strings.EqualFold(field.Value, "100-continue")
+	default:
+		if !httpguts.ValidHeaderFieldValue(field.Value) {
+			return badRequest("value of %s", field.Name)
+		}
+		request.Header.Add(field.Name, field.Value)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/ingress/server.go
@@ -0,0 +1,273 @@
+// Package ingress serves the clients of a sidecar: HTTP/1.1 on one port, and HTTP/2 without TLS, by prior knowledge, on
+// another. It reads requests, hands each to a handler and writes its one answer. What a client can make the sidecar hold
+// is bounded. The package decides nothing but whether a message can be used.
+package ingress
+
+import (
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"lilacbend/internal/dispatch"
+	"lilacbend/internal/proxy"
+	"lilacbend/internal/upstream"
+)
+
+const (
+	// maxHead bounds the head of a request, and the sum of the header fields of an HTTP/2 stream, in bytes.
+	maxHead = 16 << 10
+	// maxDiscard bounds how much of a body is read for nothing, in bytes, so that its connection can be kept.
+	maxDiscard = 64 << 10
+	// acceptRetry is the wait of a listener that cannot accept.
+	acceptRetry = 20 * time.Millisecond
+	// drainPause is the time between the first and the second GOAWAY: what a client has sent by then still counts.
+	// HTTP/1 has no such message, so there it is the time for a request that is on its way.
+	drainPause = 50 * time.Millisecond
+)
+
+// Reasons of answers that the ingress gives itself. They are part of the protocol: clients read them.
+const (
+	reasonNoClass      dispatch.Reason = "no-group"
+	reasonHeadTooLarge dispatch.Reason = "head-too-large"
+	reasonHeadTooSlow  dispatch.Reason = "head-too-slow"
+	reasonBadRequest   dispatch.Reason = "bad-request"
+)
+
+// Limits bound what clients can do.
+type Limits struct {
+	MaxConnections int           // on both ports together
+	IdleTimeout    time.Duration // of a connection without a request
+	HeadTimeout    time.Duration // for a head to arrive completely
+	StallTimeout   time.Duration // for one byte of a body to come, or one byte of an answer to be taken
+	MaxStreams     int           // at once on one HTTP/2 connection
+	DrainTimeout   time.Duration // for requests in flight at shutdown
+}
+
+// Handler carries a request to its answer.
+type Handler func(cancel *upstream.Cancellation, r *proxy.Request, out proxy.ResponseWriter) proxy.Result
+
+// Classifier returns the index of a request's traffic class; negative: there is none.
+type Classifier func(method, host, path string, header http.Header) int
+
+// Record is what is known of a request that has ended.
+type Record struct {
+	Protocol string // h1 or h2
+	Method   string
+	Host     string
+	Path     string
+	Class    int // negative: none
+	Result   proxy.Result
+}
+
+// Config is what a Server is given.
+type Config struct {
+	Limits   Limits
+	Handler  Handler
+	Classify Classifier
+	Log      *slog.Logger
+	// OnRequestEnd is called for each request that has ended. It must not wait.
+	OnRequestEnd func(Record)
+}
+
+// Counters are what a Server has counted, and what it has now.
+type Counters struct {
+	Accepted     atomic.Int64 // connections
+	Refused      atomic.Int64 // connections over the limit, or during shutdown
+	Requests     atomic.Int64
+	BadRequests  atomic.Int64
+	Unclassified atomic.Int64 // requests of no traffic class
+	Resets       atomic.Int64 // streams that clients have reset
+	Floods       atomic.Int64 // connections with too many control frames
+	Stalls       atomic.Int64 // streams whose client has sent or taken nothing for too long
+	Lost         atomic.Int64 // requests that shutdown has cut off
+	Panics       atomic.Int64
+	Open         atomic.Int64 // connections now
+	InFlight     atomic.Int64 // requests now
+}
+
+// Server serves any number of listeners.
+type Server struct {
+	Counters Counters
+
+	limits       Limits
+	handler      Handler
+	classifier   atomic.Pointer[Classifier]
+	log          *slog.Logger
+	onRequestEnd func(Record)
+
+	mu          sync.Mutex
+	conns       map[clientConn]struct{}
+	draining    chan struct{} // closed by Shutdown
+	connections sync.WaitGroup
+}
+
+// clientConn is a connection of either protocol.
+type clientConn interface {
+	// serve serves requests until the connection is over.
+	serve()
+	// drain makes it take no new request, and end once it has none.
+	drain()
+	// abort ends it at once.
+	abort()
+}
+
+// New returns a Server.
+func New(config Config) *Server {
+	s := &Server{
+		limits:       config.Limits,
+		handler:      config.Handler,
+		log:          config.Log,
+		onRequestEnd: config.OnRequestEnd,
+		conns:        map[clientConn]struct{}{},
+		draining:     make(chan struct{}),
+	}
+	s.SetClassifier(config.Classify)
+	return s
+}
+
+// SetClassifier changes how requests that come from now on are classified.
+func (s *Server) SetClassifier(classify Classifier) { s.classifier.Store(&classify) }
+
+// ServeHTTP1 accepts HTTP/1 connections until the listener is closed or the server shuts down.
+func (s *Server) ServeHTTP1(l net.Listener) {
+	s.accept(l, func(conn net.Conn) clientConn { return newHTTP1Conn(s, conn) })
+}
+
+// ServeHTTP2 accepts HTTP/2 connections until the listener is closed or the server shuts down.
+func (s *Server) ServeHTTP2(l net.Listener) {
+	s.accept(l, func(conn net.Conn) clientConn { return newHTTP2Conn(s, conn) })
+}
+
+func (s *Server) accept(l net.Listener, newConn func(net.Conn) clientConn) {
+	for {
+		conn, err := l.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err == nil {
+			s.admit(conn, newConn)
+			continue
+		}
+		s.log.Warn("cannot accept", "error", err)
+		select {
+		case <-s.draining:
+			return
+		case <-time.After(acceptRetry):
+		}
+	}
+}
+
+// admit serves a connection in a goroutine, which Shutdown waits for, or refuses it.
+func (s *Server) admit(conn net.Conn, newConn func(net.Conn) clientConn) {
+	c := newConn(conn)
+	if !s.register(c) {
+		s.Counters.Refused.Add(1)
+		conn.Close()
+		return
+	}
+	s.Counters.Accepted.Add(1)
+	s.Counters.Open.Add(1)
+	go func() {
+		defer s.connections.Done()
+		defer s.Counters.Open.Add(-1)
+		defer s.unregister(c)
+		c.serve()
+	}()
+}
+
+// register adds a connection, unless there are too many or the server shuts down.
+func (s *Server) register(c clientConn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.conns) >= s.limits.MaxConnections || s.Draining() {
+		return false
+	}
+	s.conns[c] = struct{}{}
+	s.connections.Add(1)
+	return true
+}
+
+func (s *Server) unregister(c clientConn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, c)
+}
+
+// Shutdown lets requests in flight end, within the drain timeout, and then ends what is left. It returns when all
+// connections have ended, with the number of requests that were cut off.
+func (s *Server) Shutdown() (lost int64) {
+	var told sync.WaitGroup
+	defer told.Wait()
+	s.mu.Lock()
+	close(s.draining)
+	for c := range s.conns {
+		told.Go(c.drain)
+	}
+	s.mu.Unlock()
+	ended := make(chan struct{})
+	go func() {
+		s.connections.Wait()
+		close(ended)
+	}()
+	select {
+	case <-ended:
+		return 0
+	case <-time.After(s.limits.DrainTimeout):
+	}
+	lost = s.Counters.InFlight.Load()
+	s.Counters.Lost.Add(lost)
+	s.mu.Lock()
+	for c := range s.conns {
+		told.Go(c.abort)
+	}
+	s.mu.Unlock()
+	<-ended
+	return lost
+}
+
+// Draining reports whether Shutdown was called.
+func (s *Server) Draining() bool {
+	select {
+	case <-s.draining:
+		return true
+	default:
+		return false
+	}
+}
+
+// serveRequest carries a request that was read to its answer.
+func (s *Server) serveRequest(cancel *upstream.Cancellation, protocol string, r *proxy.Request, out proxy.ResponseWriter) {
+	path, _, _ := strings.Cut(r.Target, "?")
+	r.Class = (*s.classifier.Load())(r.Method, r.Host, path, r.Header)
+	s.Counters.Requests.Add(1)
+	s.Counters.InFlight.Add(1)
+	defer s.Counters.InFlight.Add(-1)
+	var result proxy.Result
+	if r.Class < 0 {
+		s.Counters.Unclassified.Add(1)
+		err := writeAnswer(out, http.StatusNotFound, reasonNoClass)
+		result = proxy.Result{Status: http.StatusNotFound, Reason: reasonNoClass, Incomplete: err != nil}
+	} else {
+		result = s.handler(cancel, r, out)
+	}
+	s.onRequestEnd(Record{Protocol: protocol, Method: r.Method, Host: r.Host, Path: path, Class: r.Class, Result: result})
+}
+
+// writeAnswer writes an answer of the ingress itself.
+func writeAnswer(out proxy.ResponseWriter, status int, reason dispatch.Reason) error {
+	text := string(reason) + "\n"
+	header := http.Header{proxy.ReasonHeader: {string(reason)}, "Content-Type": {"text/plain; charset=utf-8"}}
+	if err := out.WriteHeader(status, header, int64(len(text))); err != nil {
+		return err
+	}
+	if _, err := io.WriteString(out, text); err != nil {
+		return err
+	}
+	return out.Finish(nil)
+}
--- a/internal/ingress/crossings_test.go
+++ b/internal/ingress/server_test.go
@@ -39,7 +39,7 @@
 func (c *heldConn) SetReadDeadline(t time.Time) error {
 	select {
 	case <-c.held.drains:
-		if time.Until(t) < time.Second { // the bounds of a flow are longer
+		if time.Until(t) < time.Second { // the deadlines of a request are later
 			c.once.Do(func() {
 				c.held.holds <- struct{}{}
 				<-c.held.release
@@ -70,9 +70,9 @@
 	}
 }
 
-// A drain finds a connection idle, and before it can end it a flow comes: the deadline falls into the reading of its
-// head. The flow is read on and answered, with the word that it was the last.
-func TestAFlowThatComesAsItsConnectionIsEnded(t *testing.T) {
+// A drain finds a connection idle, and before it can end it a request arrives: the deadline falls into the reading of its
+// head. The request is read on and answered, and the answer says that it was the last.
+func TestRequestThatArrivesAsItsConnectionIsDrained(t *testing.T) {
 	h := &held{
 		Listener: scriptedpeer.Listen(t).Listener,
 		drains:   make(chan struct{}),
@@ -81,23 +81,26 @@
 		idles:    make(chan struct{}, 100),
 		reads:    make(chan struct{}, 100),
 	}
-	s := New(Bounds{Connections: 1, Idle: time.Minute, Head: time.Minute, Stall: time.Minute, Streams: 1, Drain: time.Minute},
-		func(_ *upstream.Cancellation, _ *proxy.Request, out proxy.ResponseWriter) proxy.Result {
+	s := New(Config{
+		Limits: Limits{MaxConnections: 1, IdleTimeout: time.Minute, HeadTimeout: time.Minute, StallTimeout: time.Minute, MaxStreams: 1, DrainTimeout: time.Minute},
+		Handler: func(_ *upstream.Cancellation, _ *proxy.Request, out proxy.ResponseWriter) proxy.Result {
 			out.WriteHeader(http.StatusOK, http.Header{}, 2)
 			io.WriteString(out, "ok")
 			out.Finish(nil)
 			return proxy.Result{}
 		},
-		func(string, string, string, http.Header) int { return 0 }, slog.New(slog.DiscardHandler),
-		func(string, string, string, string, int, proxy.Result) {})
+		Classify:     func(string, string, string, http.Header) int { return 0 },
+		Log:          slog.New(slog.DiscardHandler),
+		OnRequestEnd: func(Record) {},
+	})
 	served := make(chan struct{})
-	go func() { s.Serve(h, false); close(served) }()
+	go func() { s.ServeHTTP1(h); close(served) }()
 	client := scriptedpeer.Dial(t, h.Addr().String())
 	// Before its first read it would be the connection itself that finds the drain and sets the deadline.
 	await(t, h.idles, "the connection is not read")
 	close(h.drains)
-	parted := make(chan int64)
-	go func() { parted <- s.Part() }()
+	shutdown := make(chan int64)
+	go func() { shutdown <- s.Shutdown() }()
 	await(t, h.holds, "the connection is not found idle")
 	client.Raw("G")
 	await(t, h.reads, "the rest of the head is not read")
@@ -108,8 +111,8 @@
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("%+v, %v", resp, err)
 	}
-	if lost := <-parted; lost != 0 || s.Count.BadRequests.Load() != 0 {
-		t.Errorf("%d lost, %d refused", lost, s.Count.BadRequests.Load())
+	if lost := <-shutdown; lost != 0 || s.Counters.BadRequests.Load() != 0 {
+		t.Errorf("%d lost, %d refused", lost, s.Counters.BadRequests.Load())
 	}
 	h.Close()
 	<-served
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/crossings_test.go
@@ -395,7 +395,7 @@
 			got += len(f.Data())
 			c.WriteWindowUpdate(0, uint32(max(64, len(f.Data()))))
 			if words == 0 { // the sidecar has hung up: what it had to say has all been written
-				scriptedpeer.Until(t, "it does not drain", s.server.Parting)
+				scriptedpeer.Until(t, "it does not drain", s.server.Draining)
 				time.Sleep(3 * 50 * time.Millisecond) // over its pauses: it would have closed
 				words++
 			}
@@ -428,7 +428,7 @@
 	replica.Request()
 	ended := make(chan struct{})
 	go func() { s.stop(); close(ended) }()
-	scriptedpeer.Until(t, "it does not drain", s.server.Parting)
+	scriptedpeer.Until(t, "it does not drain", s.server.Draining)
 	if got := health(); got != "503" {
 		t.Errorf("during: %q", got)
 	}
--- a/internal/sidecar/manifest.go
+++ b/internal/sidecar/manifest.go
@@ -26,7 +26,7 @@
 	Replicas               map[string]dispatch.Endpoint // instead of discovery
 	Rules                  []Rule
 	Plan                   dispatch.Config
-	Bounds                 ingress.Bounds
+	Bounds                 ingress.Limits
 	Refusals               []int
 	Connections, IdleConns int // to one replica
 	IdleSpan, ReplicaStall time.Duration
@@ -59,7 +59,7 @@
 		return Manifest{}, err
 	}
 	m := Manifest{File: file, Connections: 64, IdleConns: 16, IdleSpan: 30 * time.Second, ReplicaStall: 30 * time.Second, Report: time.Second,
-		Bounds: ingress.Bounds{Connections: 10000, Idle: time.Minute, Head: 10 * time.Second, Stall: 10 * time.Second, Streams: 100, Drain: 10 * time.Second},
+		Bounds: ingress.Limits{MaxConnections: 10000, IdleTimeout: time.Minute, HeadTimeout: 10 * time.Second, StallTimeout: 10 * time.Second, MaxStreams: 100, DrainTimeout: 10 * time.Second},
 		Plan: dispatch.Config{Pick: control.PickRandom, Admission: control.AdmitFraction, AttemptTimeoutFactor: 1, DefaultRetry: control.RetryIfNotExecuted, MaxConsecutiveFailures: 5, EjectionTime: 4 * time.Second,
 			RetryBudgetRatio: 0.1, RetryBudgetBurst: 10, MaxRequests: 1000, MaxQueued: 200, MaxQueueTime: 500 * time.Millisecond}}
 	m.identity(top)
@@ -148,12 +148,12 @@
 		s.Whole("replica_idle", &m.IdleConns, 0, 1<<16)
 		s.Duration("replica_idle_time", &m.IdleSpan, time.Millisecond, time.Hour)
 		s.Duration("replica_stall", &m.ReplicaStall, time.Millisecond, time.Hour)
-		s.Whole("connections", &m.Bounds.Connections, 1, 1<<20)
-		s.Whole("streams", &m.Bounds.Streams, 1, 1<<16)
-		s.Duration("idle", &m.Bounds.Idle, time.Millisecond, 24*time.Hour)
-		s.Duration("head", &m.Bounds.Head, time.Millisecond, time.Hour)
-		s.Duration("stall", &m.Bounds.Stall, time.Millisecond, time.Hour)
-		s.Duration("drain", &m.Bounds.Drain, 0, time.Hour)
+		s.Whole("connections", &m.Bounds.MaxConnections, 1, 1<<20)
+		s.Whole("streams", &m.Bounds.MaxStreams, 1, 1<<16)
+		s.Duration("idle", &m.Bounds.IdleTimeout, time.Millisecond, 24*time.Hour)
+		s.Duration("head", &m.Bounds.HeadTimeout, time.Millisecond, time.Hour)
+		s.Duration("stall", &m.Bounds.StallTimeout, time.Millisecond, time.Hour)
+		s.Duration("drain", &m.Bounds.DrainTimeout, 0, time.Hour)
 		s.Whole("memory_mb", &m.Memory, 0, 1<<20)
 		s.Done()
 	}
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -79,7 +79,7 @@
 }
 
 // Classify says which group the first rule that fits names.
-func (m Manifest) Classify() ingress.Classify {
+func (m Manifest) Classify() ingress.Classifier {
 	type rule struct {
 		Rule
 		group  int
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -61,10 +61,10 @@
 		once, names = append(once, g.Idempotency == control.NotIdempotent), append(names, g.Name)
 	}
 	s.proxy = proxy.New(desk, s.pool, proxy.Config{NotExecutedStatuses: m.Refusals, NonIdempotent: once, Now: s.now, OnPanic: func(text string) {
-		s.server.Count.Panics.Add(1)
+		s.server.Counters.Panics.Add(1)
 		log.Error("panic in a flow", "panic", text)
 	}})
-	s.server = ingress.New(m.Bounds, s.proxy.Serve, m.Classify(), log, s.record)
+	s.server = ingress.New(ingress.Config{Limits: m.Bounds, Handler: s.proxy.Serve, Classify: m.Classify(), Log: log, OnRequestEnd: s.record})
 	s.client = &controlclient.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
 	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*dispatch.Outcomes) {
 		s.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { all = d.TakeOutcomes() })
@@ -149,7 +149,11 @@
 			defer door.Close()
 			continue
 		}
-		all.Go(func() { s.server.Serve(l, key == "http2") })
+		serve := s.server.ServeHTTP1
+		if key == "http2" {
+			serve = s.server.ServeHTTP2
+		}
+		all.Go(func() { serve(l) })
 	}
 	if m.Memory > 0 { // the collector works harder near it; what is held is bounded by the other limits
 		debug.SetMemoryLimit(int64(memoryPart * float64(m.Memory) * (1 << 20)))
@@ -173,18 +177,18 @@
 			s.pool.CloseIdle(now)
 		}
 	}
-	s.log.Info("sidecar drains", "in_hand", s.server.Count.InHand.Load())
+	s.log.Info("sidecar drains", "in_hand", s.server.Counters.InFlight.Load())
 	for key, l := range s.listeners {
 		if key != "local" {
 			l.Close()
 		}
 	}
-	lost := s.server.Part()
+	lost := s.server.Shutdown()
 	hangUp()
 	s.pool.Close()
 	s.unlisten()
 	all.Wait()
-	s.log.Info("sidecar ends", "lost", lost, "flows", s.server.Count.Flows.Load())
+	s.log.Info("sidecar ends", "lost", lost, "flows", s.server.Counters.Requests.Load())
 	return nil
 }
 
@@ -217,7 +221,7 @@
 	if !reflect.DeepEqual(m.Plan.Classes, s.manifest.Plan.Classes) {
 		return nil, errors.New("groups differ: start anew, since governors know them by their order")
 	}
-	s.server.Reclassify(m.Classify())
+	s.server.SetClassifier(m.Classify())
 	now, next := s.manifest, m
 	now.Rules, next.Rules = nil, nil
 	a, b := reflect.ValueOf(now), reflect.ValueOf(next)
@@ -230,16 +234,16 @@
 }
 
 // record is told of each flow that has ended.
-func (s *Sidecar) record(protocol, method, host, path string, group int, r proxy.Result) {
+func (s *Sidecar) record(r ingress.Record) {
 	if n := s.flows.Add(1); s.manifest.LogEvery == 0 || n%int64(s.manifest.LogEvery) != 0 {
 		return
 	}
 	name := "none"
-	if group >= 0 {
-		name = s.manifest.Plan.Classes[group].Name
+	if r.Class >= 0 {
+		name = s.manifest.Plan.Classes[r.Class].Name
 	}
-	s.log.Info("flow", "protocol", protocol, "method", method, "host", host, "path", path, "group", name, "status", r.Status,
-		"reason", r.Reason, "replica", r.Replica, "tries", r.Attempts, "broken", r.Incomplete, "took", r.Duration)
+	s.log.Info("flow", "protocol", r.Protocol, "method", r.Method, "host", r.Host, "path", r.Path, "group", name, "status", r.Result.Status,
+		"reason", r.Result.Reason, "replica", r.Result.Replica, "tries", r.Result.Attempts, "broken", r.Result.Incomplete, "took", r.Result.Duration)
 }
 
 // Figures are the counters.
@@ -259,9 +263,9 @@
 	s.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) {
 		f.Core, f.Tables, f.InHand = d.Counters.Clone(), d.TableSizes(), d.InFlight()
 	})
-	c, t := &s.server.Count, &s.client.Counters
-	f.Clients = map[string]int64{"accepted": c.Accepted.Load(), "refused": c.Refused.Load(), "open": c.Open.Load(), "flows": c.Flows.Load(),
-		"in_hand": c.InHand.Load(), "bad_requests": c.BadRequests.Load(), "unclassified": c.Unclassified.Load(), "resets": c.Resets.Load(),
+	c, t := &s.server.Counters, &s.client.Counters
+	f.Clients = map[string]int64{"accepted": c.Accepted.Load(), "refused": c.Refused.Load(), "open": c.Open.Load(), "flows": c.Requests.Load(),
+		"in_hand": c.InFlight.Load(), "bad_requests": c.BadRequests.Load(), "unclassified": c.Unclassified.Load(), "resets": c.Resets.Load(),
 		"floods": c.Floods.Load(), "stalls": c.Stalls.Load(), "lost": c.Lost.Load(), "panics": c.Panics.Load()}
 	f.Steering = map[string]int64{"dials": t.Dials.Load(), "streams": t.Streams.Load(), "broken": t.Broken.Load(), "pushes": t.Updates.Load(),
 		"marks": t.Acks.Load(), "unusable": t.Unusable.Load(), "demands": t.Demands.Load(), "sums_lost": s.teller.Lost.Load(),
@@ -273,7 +277,7 @@
 func (s *Sidecar) door() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) {
-		if s.server.Parting() {
+		if s.server.Draining() {
 			http.Error(w, "drains", http.StatusServiceUnavailable)
 			return
 		}
