--- a/cmd/lilacbend/sidecar.go
+++ b/cmd/lilacbend/sidecar.go
@@ -46,16 +46,16 @@
 				m, err := readManifest(or(cmd.Args().First(), file))
 				if err == nil {
 					fmt.Printf("%s would start: %s, proxy %d of zone %s, HTTP/1.1 on %s, HTTP/2 on %s, %d traffic groups, %d rules, %d governors\n",
-						m.File, m.Name, m.Proxy, m.Zone, or(m.H1, "nothing"), or(m.H2, "nothing"), len(m.Plan.Classes), len(m.Rules), len(m.Governors))
+						m.File, m.Name, m.ProxyID, m.Zone, or(m.HTTP1, "nothing"), or(m.HTTP2, "nothing"), len(m.Dispatch.Classes), len(m.Rules), len(m.Controllers))
 				}
 				return err
 			}}},
 	}
 }
 
-func readManifest(file string) (sidecar.Manifest, error) {
+func readManifest(file string) (sidecar.Config, error) {
 	if file == "" {
-		return sidecar.Manifest{}, errors.New("no file is named: --manifest or LILACBEND_SIDECAR")
+		return sidecar.Config{}, errors.New("no file is named: --manifest or LILACBEND_SIDECAR")
 	}
 	return sidecar.Read(file)
 }
@@ -89,7 +89,7 @@
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "zone", Usage: "whose sidecars", Required: true, Destination: &c.Zone},
 			&cli.StringFlag{Name: "listen", Usage: "where sidecars connect, as host:port", Required: true, Destination: &listen},
-			&cli.StringSliceFlag{Name: "governor", Usage: "whom to tell, as host:port; any number", Required: true, Destination: &c.Governors},
+			&cli.StringSliceFlag{Name: "governor", Usage: "whom to tell, as host:port; any number", Required: true, Destination: &c.Controllers},
 			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "between two tellings", Destination: &c.Interval},
 			&cli.IntFlag{Name: "budget", Usage: "bytes a second, of reports to each governor; 0: no limit", Destination: &c.Budget},
 			&cli.IntFlag{Name: "sidecars", Value: 10000, Usage: "at the most", Destination: &c.MaxSidecars},
@@ -101,7 +101,7 @@
 			if c.Budget < 0 {
 				return fmt.Errorf("--budget is %d, want bytes a second, or 0 for no limit", c.Budget)
 			}
-			for _, g := range c.Governors {
+			for _, g := range c.Controllers {
 				if _, _, err := net.SplitHostPort(g); err != nil {
 					return fmt.Errorf("--governor: %w", err)
 				}
@@ -113,7 +113,7 @@
 			book := newLogbook(os.Stderr)
 			defer book.close()
 			c.Log = slog.New(slog.NewTextHandler(book, nil)).With("collector", c.Zone)
-			c.Log.Info("collector serves", "listen", listen, "governors", c.Governors)
+			c.Log.Info("collector serves", "listen", listen, "governors", c.Controllers)
 			c.Serve(ctx, l)
 			c.Log.Info("collector ends", "heard", c.Received.Load(), "told", c.Reported.Load(), "skipped", c.Skipped.Load())
 			return nil
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -48,7 +48,7 @@
 // Client holds a stream to one of several governors. While none answers, the core goes on with what it has.
 type Client struct {
 	Counters  Counters
-	Governors []string
+	Controllers []string
 	ID        int // of the proxy
 	Zone      string
 	Classes   []string
@@ -63,8 +63,8 @@
 	current     atomic.Pointer[string]
 }
 
-// Governor is the address of the governor that the stream is to; empty: there is none.
-func (c *Client) Governor() string {
+// Controller is the address of the governor that the stream is to; empty: there is none.
+func (c *Client) Controller() string {
 	if address := c.current.Load(); address != nil {
 		return *address
 	}
@@ -76,15 +76,15 @@
 	c.pool = resp.NewPool(clientPoolSize)
 	c.demandSince = time.Now()
 	retry := backoff.NewJittered(backoffInitial, backoffLimit, c.Seed)
-	at := c.ID % max(1, len(c.Governors))
-	for ctx.Err() == nil && len(c.Governors) > 0 {
+	at := c.ID % max(1, len(c.Controllers))
+	for ctx.Err() == nil && len(c.Controllers) > 0 {
 		began := time.Now()
-		err := c.followGovernor(ctx, c.Governors[at])
+		err := c.followGovernor(ctx, c.Controllers[at])
 		if ctx.Err() != nil {
 			return
 		}
-		c.streamLost(c.Governors[at], err)
-		at = (at + 1) % len(c.Governors)
+		c.streamLost(c.Controllers[at], err)
+		at = (at + 1) % len(c.Controllers)
 		if time.Since(began) > goodStreamAge {
 			retry.Reset()
 		}
--- a/internal/controlclient/collector.go
+++ b/internal/controlclient/collector.go
@@ -27,7 +27,7 @@
 // Collector sums the outcomes that a zone's sidecars report, and reports them to governors.
 type Collector struct {
 	Zone        string
-	Governors   []string
+	Controllers   []string
 	Interval    time.Duration // between two reports
 	Budget      int           // bytes a second that the reports to one governor may take; 0: no limit
 	Log         *slog.Logger
@@ -46,7 +46,7 @@
 	c.pool = resp.NewPool(collectorPoolSize)
 	var all sync.WaitGroup
 	defer all.Wait()
-	for k, address := range c.Governors {
+	for k, address := range c.Controllers {
 		pending := newPendingOutcomes(c.Interval, c.Budget)
 		c.pending = append(c.pending, pending)
 		all.Go(func() { c.followGovernor(ctx, address, pending, uint64(k)) })
--- a/internal/controlclient/crossings_test.go
+++ b/internal/controlclient/crossings_test.go
@@ -19,7 +19,7 @@
 func steered(t *testing.T, c Core, to ...*scriptedpeer.Listener) *Client {
 	cl := &Client{Zone: "a", Classes: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
 	for _, l := range to {
-		cl.Governors = append(cl.Governors, l.At())
+		cl.Controllers = append(cl.Controllers, l.At())
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -115,7 +115,7 @@
 	l := scriptedpeer.Listen(t)
 	c = &Collector{Zone: "a", Interval: every, Budget: budget, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	for _, g := range to {
-		c.Governors = append(c.Governors, g.At())
+		c.Controllers = append(c.Controllers, g.At())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -152,7 +152,7 @@
 func TestSumsWaitForAGovernorThatIsAway(t *testing.T) {
 	there, away := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	l := scriptedpeer.Listen(t)
-	c := &Collector{Zone: "a", Governors: []string{there.At(), away}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Controllers: []string{there.At(), away}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Serve(ctx, l.Listener); close(ended) }()
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -182,7 +182,7 @@
 func TestCollectorJoinsAndAnswersInBytes(t *testing.T) {
 	governor, inlet := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
-	c := &Collector{Zone: "a", Governors: []string{governor.At()}, Interval: time.Hour, MaxSidecars: 1, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Controllers: []string{governor.At()}, Interval: time.Hour, MaxSidecars: 1, Log: slog.New(slog.DiscardHandler)}
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Serve(ctx, inlet) }()
 	t.Cleanup(func() { stop(); <-ended })
--- a/internal/controlclient/steering_test.go
+++ b/internal/controlclient/steering_test.go
@@ -157,7 +157,7 @@
 func client(t *testing.T, c *core, to ...*governor) *Client {
 	cl := &Client{ID: 0, Zone: "a", Classes: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
 	for _, g := range to {
-		cl.Governors = append(cl.Governors, g.Addr().String())
+		cl.Controllers = append(cl.Controllers, g.Addr().String())
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -175,8 +175,8 @@
 	g.says(t, conn, "push eject b nonce_out 5")
 	g.hears(t, "ack id 0 seq 5 ms ")
 	g.hears(t, "demand id 0 lane x count 7 fail 2 over ")
-	if c.pushes() != 1 || cl.Governor() == "" {
-		t.Errorf("%d applied, steered by %q", c.pushes(), cl.Governor())
+	if c.pushes() != 1 || cl.Controller() == "" {
+		t.Errorf("%d applied, steered by %q", c.pushes(), cl.Controller())
 	}
 	g.says(t, conn, "push endpoints a:1 continued 1") // it dies between two parts of one message
 	conn.Close()
@@ -211,7 +211,7 @@
 	gone, there := listen(t), listen(t)
 	gone.Close()
 	c := &core{}
-	cl := &Client{Zone: "a", Core: c, Log: slog.New(slog.DiscardHandler), Governors: []string{silent.Addr().String(), gone.Addr().String(), there.Addr().String()}}
+	cl := &Client{Zone: "a", Core: c, Log: slog.New(slog.DiscardHandler), Controllers: []string{silent.Addr().String(), gone.Addr().String(), there.Addr().String()}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { cl.Run(ctx); close(ended) }()
@@ -227,7 +227,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &Collector{Zone: "a", Governors: []string{g.Addr().String()}, Interval: 300 * time.Millisecond, MaxSidecars: 2, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Controllers: []string{g.Addr().String()}, Interval: 300 * time.Millisecond, MaxSidecars: 2, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Serve(ctx, l); close(ended) }()
--- a/internal/sidecar/addresses.go
+++ b/internal/sidecar/addresses.go
@@ -33,44 +33,44 @@
 }
 
 // identity reads who the sidecar is, whom it serves, and whom it talks to.
-func (m *Manifest) identity(top *strictyaml.Section) {
+func (m *Config) identity(top *strictyaml.Section) {
 	top.Text("name", &m.Name)
 	top.Text("zone", &m.Zone)
-	top.Whole("proxy", &m.Proxy, 0, 1<<20)
+	top.Whole("proxy", &m.ProxyID, 0, 1<<20)
 	for _, key := range []string{"name", "zone", "proxy"} {
 		if !top.Has(key) {
 			top.Fault("", "lacks %s", key)
 		}
 	}
 	m.listeners(top)
-	addresses(top, "governors", &m.Governors)
+	addresses(top, "governors", &m.Controllers)
 	m.collectors(top)
 	address(top, "discovery", &m.Discovery)
 	m.replicas(top)
 }
 
 // listeners reads where clients are served.
-func (m *Manifest) listeners(top *strictyaml.Section) {
+func (m *Config) listeners(top *strictyaml.Section) {
 	if l := top.Section("listen"); l != nil {
-		address(l, "http1", &m.H1)
-		address(l, "http2", &m.H2)
+		address(l, "http1", &m.HTTP1)
+		address(l, "http2", &m.HTTP2)
 		address(l, "local", &m.Local)
 		l.Done()
 		at := map[string]string{}
-		for key, a := range map[string]string{"http1": m.H1, "http2": m.H2, "local": m.Local} {
+		for key, a := range map[string]string{"http1": m.HTTP1, "http2": m.HTTP2, "local": m.Local} {
 			if other, twice := at[a]; a != "" && twice {
 				l.Fault(max(key, other), "is the address of %s as well", min(key, other))
 			}
 			at[a] = key
 		}
 	}
-	if m.H1 == "" && m.H2 == "" {
+	if m.HTTP1 == "" && m.HTTP2 == "" {
 		top.Fault("listen", "serves nobody: give http1 or http2 an address")
 	}
 }
 
 // collectors reads one collector, or several in the order in which they are preferred.
-func (m *Manifest) collectors(top *strictyaml.Section) {
+func (m *Config) collectors(top *strictyaml.Section) {
 	var one string
 	address(top, "collector", &one)
 	addresses(top, "collectors", &m.Collectors)
@@ -89,9 +89,9 @@
 }
 
 // replicas reads the replicas of a sidecar without discovery.
-func (m *Manifest) replicas(top *strictyaml.Section) {
+func (m *Config) replicas(top *strictyaml.Section) {
 	listed := top.Sections("replicas")
-	m.Replicas = map[string]dispatch.Endpoint{}
+	m.Endpoints = map[string]dispatch.Endpoint{}
 	if len(listed) > 0 && m.Discovery != "" {
 		top.Fault("replicas", "are listed by discovery as well: give one of the two")
 	}
@@ -104,16 +104,16 @@
 }
 
 // replica reads one of them.
-func (m *Manifest) replica(s *strictyaml.Section) {
+func (m *Config) replica(s *strictyaml.Section) {
 	var id string
 	var r dispatch.Endpoint
 	s.Text("id", &id)
 	s.Text("zone", &r.Zone)
 	s.Text("cell", &r.Cell)
 	address(s, "address", &r.Address)
-	if _, twice := m.Replicas[id]; twice || id == "" || r.Address == "" {
+	if _, twice := m.Endpoints[id]; twice || id == "" || r.Address == "" {
 		s.Fault("", "wants an id of its own and an address")
 	}
-	m.Replicas[id] = r
+	m.Endpoints[id] = r
 	s.Done()
 }
--- a/internal/sidecar/manifest_test.go
+++ b/internal/sidecar/manifest_test.go
@@ -24,7 +24,7 @@
 `
 
 func TestWhatIsWrongWithAManifestIsNamed(t *testing.T) {
-	if m, err := Parse("s.yaml", []byte(whole)); err != nil || len(m.Rules) != 2 || m.Refusals[0] != 503 || m.Plan.Seed == 0 {
+	if m, err := Parse("s.yaml", []byte(whole)); err != nil || len(m.Rules) != 2 || m.NotExecutedStatuses[0] != 503 || m.Dispatch.Seed == 0 {
 		t.Fatalf("%+v %v", m, err)
 	}
 	for _, c := range [][3]string{
@@ -99,8 +99,8 @@
 
 func TestAReloadTakesRulesOverAndNamesTheRest(t *testing.T) {
 	s := start(t, nil, startReplica(t, nil).Addr)
-	text := func(old, new string) Manifest {
-		f := strings.NewReplacer("H1", `"127.0.0.1:0"`, "H2", `"127.0.0.1:00"`, "REPLICAS", `{id: r0, zone: a, address: "`+s.manifest.Replicas["r0"].Address+`"}`).Replace(file)
+	text := func(old, new string) Config {
+		f := strings.NewReplacer("H1", `"127.0.0.1:0"`, "H2", `"127.0.0.1:00"`, "REPLICAS", `{id: r0, zone: a, address: "`+s.manifest.Endpoints["r0"].Address+`"}`).Replace(file)
 		m, err := Parse("t.yaml", []byte(strings.Replace(f, old, new, 1)))
 		if err != nil {
 			t.Fatal(err)
@@ -116,11 +116,11 @@
 	if got := says(t, s.h1, "DELETE /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); !strings.Contains(got, " 200 ") {
 		t.Errorf("after: %q", got)
 	}
-	if waits, err := s.Reload(text("flows: 500", "flows: 600")); err != nil || len(waits) != 1 || waits[0] != "Plan" {
+	if waits, err := s.Reload(text("flows: 500", "flows: 600")); err != nil || len(waits) != 1 || waits[0] != "Dispatch" {
 		t.Errorf("%v %v", waits, err)
 	}
 	other := text("flows: 500", "flows: 500")
-	other.Plan.Classes = other.Plan.Classes[:2]
+	other.Dispatch.Classes = other.Dispatch.Classes[:2]
 	if _, err := s.Reload(other); err == nil {
 		t.Error("other groups are taken over")
 	}
--- a/internal/sidecar/rules.go
+++ b/internal/sidecar/rules.go
@@ -19,9 +19,9 @@
 }
 
 // rules reads which flows belong to which traffic group.
-func (m *Manifest) rules(top *strictyaml.Section) {
+func (m *Config) rules(top *strictyaml.Section) {
 	var names []string
-	for _, g := range m.Plan.Classes {
+	for _, g := range m.Dispatch.Classes {
 		names = append(names, g.Name)
 	}
 	for _, s := range top.Sections("rules") {
@@ -79,7 +79,7 @@
 }
 
 // Classify says which group the first rule that fits names.
-func (m Manifest) Classify() ingress.Classifier {
+func (m Config) Classify() ingress.Classifier {
 	type rule struct {
 		Rule
 		group  int
@@ -94,7 +94,7 @@
 			fields[textproto.CanonicalMIMEHeaderKey(name)] = value
 		}
 		r.Fields = fields
-		rules = append(rules, rule{r, slices.IndexFunc(m.Plan.Classes, func(g dispatch.Class) bool { return g.Name == r.Group }), prefix, open})
+		rules = append(rules, rule{r, slices.IndexFunc(m.Dispatch.Classes, func(g dispatch.Class) bool { return g.Name == r.Group }), prefix, open})
 	}
 	return func(method, host, path string, h http.Header) int {
 		for _, r := range rules {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -33,7 +33,7 @@
 
 // Sidecar is one running sidecar.
 type Sidecar struct {
-	manifest Manifest
+	manifest Config
 	log      *slog.Logger
 	began    time.Time
 	proxy    *proxy.Proxy
@@ -48,8 +48,8 @@
 }
 
 // New puts a sidecar together.
-func New(m Manifest, log *slog.Logger) (*Sidecar, error) {
-	desk, err := dispatch.New(m.Plan)
+func New(m Config, log *slog.Logger) (*Sidecar, error) {
+	desk, err := dispatch.New(m.Dispatch)
 	if err != nil {
 		return nil, err
 	}
@@ -57,21 +57,21 @@
 		pool: upstream.NewPool(upstream.Config{MaxConnections: m.Connections, MaxIdle: m.IdleConns, IdleTimeout: m.IdleSpan, StallTimeout: m.ReplicaStall})}
 	var once []bool
 	var names []string
-	for _, g := range m.Plan.Classes {
+	for _, g := range m.Dispatch.Classes {
 		once, names = append(once, g.Idempotency == control.NotIdempotent), append(names, g.Name)
 	}
-	s.proxy = proxy.New(desk, s.pool, proxy.Config{NotExecutedStatuses: m.Refusals, NonIdempotent: once, Now: s.now, OnPanic: func(text string) {
+	s.proxy = proxy.New(desk, s.pool, proxy.Config{NotExecutedStatuses: m.NotExecutedStatuses, NonIdempotent: once, Now: s.now, OnPanic: func(text string) {
 		s.server.Counters.Panics.Add(1)
 		log.Error("panic in a flow", "panic", text)
 	}})
-	s.server = ingress.New(ingress.Config{Limits: m.Bounds, Handler: s.proxy.Serve, Classify: m.Classify(), Log: log, OnRequestEnd: s.record})
-	s.client = &controlclient.Client{Governors: m.Governors, ID: m.Proxy, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Plan.Seed, Log: log}
-	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.Report, Seed: m.Plan.Seed, Sums: func() (all map[string]*dispatch.Outcomes) {
+	s.server = ingress.New(ingress.Config{Limits: m.Ingress, Handler: s.proxy.Serve, Classify: m.Classify(), Log: log, OnRequestEnd: s.record})
+	s.client = &controlclient.Client{Controllers: m.Controllers, ID: m.ProxyID, Zone: m.Zone, Classes: names, Core: core{s}, Seed: m.Dispatch.Seed, Log: log}
+	s.teller = &controlclient.Reporter{Collectors: m.Collectors, Interval: m.ReportInterval, Seed: m.Dispatch.Seed, Sums: func() (all map[string]*dispatch.Outcomes) {
 		s.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { all = d.TakeOutcomes() })
 		return all
 	}}
-	if len(m.Replicas) > 0 {
-		s.list(true, m.Replicas)
+	if len(m.Endpoints) > 0 {
+		s.list(true, m.Endpoints)
 	}
 	return s, nil
 }
@@ -107,7 +107,7 @@
 
 // Listen takes the addresses of the file, so that what is wrong with them is known before anything is served.
 func (s *Sidecar) Listen() error {
-	for key, at := range map[string]string{"http1": s.manifest.H1, "http2": s.manifest.H2, "local": s.manifest.Local} {
+	for key, at := range map[string]string{"http1": s.manifest.HTTP1, "http2": s.manifest.HTTP2, "local": s.manifest.Local} {
 		if at == "" {
 			continue
 		}
@@ -155,16 +155,16 @@
 		}
 		all.Go(func() { serve(l) })
 	}
-	if m.Memory > 0 { // the collector works harder near it; what is held is bounded by the other limits
-		debug.SetMemoryLimit(int64(memoryPart * float64(m.Memory) * (1 << 20)))
+	if m.MemoryMB > 0 { // the collector works harder near it; what is held is bounded by the other limits
+		debug.SetMemoryLimit(int64(memoryPart * float64(m.MemoryMB) * (1 << 20)))
 	}
-	s.log.Info("sidecar serves", "http1", m.H1, "http2", m.H2, "governors", m.Governors, "groups", len(m.Plan.Classes))
+	s.log.Info("sidecar serves", "http1", m.HTTP1, "http2", m.HTTP2, "governors", m.Controllers, "groups", len(m.Dispatch.Classes))
 	all.Go(func() { s.client.Run(talk) })
 	if len(m.Collectors) > 0 {
 		all.Go(func() { s.teller.Run(talk) })
 	}
 	if m.Discovery != "" {
-		r := discovery.New(m.Discovery, -1, s.lists, s.log, s.now, m.Plan.Seed)
+		r := discovery.New(m.Discovery, -1, s.lists, s.log, s.now, m.Dispatch.Seed)
 		all.Go(func() { r.Run(talk) })
 		all.Go(func() { s.follow(talk) })
 	}
@@ -217,8 +217,8 @@
 }
 
 // Reload takes over what may change while it runs: which flows belong to which group. It names the rest.
-func (s *Sidecar) Reload(m Manifest) (waits []string, err error) {
-	if !reflect.DeepEqual(m.Plan.Classes, s.manifest.Plan.Classes) {
+func (s *Sidecar) Reload(m Config) (waits []string, err error) {
+	if !reflect.DeepEqual(m.Dispatch.Classes, s.manifest.Dispatch.Classes) {
 		return nil, errors.New("groups differ: start anew, since governors know them by their order")
 	}
 	s.server.SetClassifier(m.Classify())
@@ -240,7 +240,7 @@
 	}
 	name := "none"
 	if r.Class >= 0 {
-		name = s.manifest.Plan.Classes[r.Class].Name
+		name = s.manifest.Dispatch.Classes[r.Class].Name
 	}
 	s.log.Info("flow", "protocol", r.Protocol, "method", r.Method, "host", r.Host, "path", r.Path, "group", name, "status", r.Result.Status,
 		"reason", r.Result.Reason, "replica", r.Result.Replica, "tries", r.Result.Attempts, "broken", r.Result.Incomplete, "took", r.Result.Duration)
@@ -259,7 +259,7 @@
 
 // Figures tells the counters as of now.
 func (s *Sidecar) Figures() Figures {
-	f := Figures{Governor: s.client.Governor(), Replicas: s.pool.Counters()}
+	f := Figures{Governor: s.client.Controller(), Replicas: s.pool.Counters()}
 	s.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) {
 		f.Core, f.Tables, f.InHand = d.Counters.Clone(), d.TableSizes(), d.InFlight()
 	})
