--- a/internal/sidecar/manifest.go
+++ b/internal/sidecar/manifest.go
@@ -18,21 +18,21 @@
 // Config is what a sidecar's file sets.
 type Config struct {
 	File, Name, Zone       string
-	ProxyID                  int
-	HTTP1, HTTP2, Local          string // addresses; empty: not served
-	Controllers              []string
+	ProxyID                int
+	HTTP1, HTTP2, Local    string // addresses; empty: not served
+	Controllers            []string
 	Collectors             []string // in the order in which they are preferred
 	Discovery              string
-	Endpoints               map[string]dispatch.Endpoint // instead of discovery
+	Endpoints              map[string]dispatch.Endpoint // instead of discovery
 	Rules                  []Rule
-	Dispatch                   dispatch.Config
-	Ingress                 ingress.Limits
-	NotExecutedStatuses               []int
+	Dispatch               dispatch.Config
+	Ingress                ingress.Limits
+	NotExecutedStatuses    []int
 	Connections, IdleConns int // to one replica
 	IdleSpan, ReplicaStall time.Duration
 	LogEvery               int // of so many flows one is logged; 0: none
-	ReportInterval                 time.Duration
-	MemoryMB                 int // MB that it keeps within; 0: no limit
+	ReportInterval         time.Duration
+	MemoryMB               int // MB that it keeps within; 0: no limit
 }
 
 var (
