--- a/policy/shared.go
+++ b/policy/shared.go
@@ -3,23 +3,12 @@
 import (
 	"fmt"
 	"math"
-	"time"
 
 	"lilacbend/control"
 )
 
-const (
-	// second is the unit of durations in package control, which are in nanoseconds, as a number.
-	second = int64(time.Second)
-	// maxTickInterval is the longest time between two ticks: what changes without a report, such as the end of an ejection, is
-	// noticed as late at most.
-	maxTickInterval = second / 4
-	// ticksPerReport is how many ticks fall into a report interval at least: a report is acted on half an interval after it
-	// was received at the latest.
-	ticksPerReport = 2
-	// minPlacementWeight stands for a listed weight of 0 in the draw of placement keys.
-	minPlacementWeight = 1e-6
-)
+// minPlacementWeight stands for a listed weight of 0 in the draw of placement keys.
+const minPlacementWeight = 1e-6
 
 // sharedState is what all components share: the settings, the time and the commands of this turn, and the queues.
 type sharedState struct {
