--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -75,7 +75,6 @@
 func at(now int64) *Policy                     { return newPolicyAt(now) }
 func mail[M message](p *Policy, queue int) []M { return queued[M](p, queue) }
 func orders[T any](all []control.Command) []T  { return ofType[T](all) }
-func some[T, A any](all []A) []T               { return ofType[T](all) }
 
 func want(t *testing.T, what string, got, want any) {
 	t.Helper()
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"lilacbend/control"
-	"lilacbend/policy/internal/renumber"
 	"lilacbend/policy/internal/zone"
 )
 
@@ -68,12 +67,3 @@
 	}
 	return p.binding.bindings.KeepsZones(rows, changed.Proxies)
 }
-
-// number returns the new number of an old one, below 0 where there is none.
-func number(newer []int, old int) int {
-	number, exists := renumber.Lookup(newer, old)
-	if !exists {
-		return -1
-	}
-	return number
-}
