--- a/policy/pacing/budget.go
+++ b/policy/pacing/budget.go
@@ -22,6 +22,8 @@
 //	admission rates, ejections             0.85                                0.95
 //	ejections, where the host queues       no limit                            no limit
 //	first binds, where the host queues     by size, see subset.go              no limit
+//
+// Whatever the budget, a bind waits until its table has an endpoint, and stepPass names what waits for other commands of the step.
 type budget struct {
 	channel  float64 // fraction of Settings.ChannelLimit
 	messages float64 // fraction of Settings.MaxMessages
--- a/policy/pacing/pacing.go
+++ b/policy/pacing/pacing.go
@@ -7,8 +7,9 @@
 //   - cost.go: which proxies a command reaches and how many cost units of the channel it takes.
 //   - channel.go: what may still wait in the channel; what an ack clears; when a message is taken for lost.
 //   - messagecap.go: how many messages each proxy was sent lately.
-//   - budget.go: how much of both each kind of command may use; why a command is not sent yet.
-//   - subset.go: which proxies get only a subset of their table first, and which one; partition.go divides the table.
+//   - budget.go: how much of both each kind of command may use: why a command is not sent yet.
+//   - subset.go: which proxies get only a subset of their table first, which one, and when they get the rest.
+//   - partition.go: how a table is divided into subsets.
 //   - order.go: the order of a turn's commands, and what is held back whatever the budget.
 //   - urgent.go: the queue of urgent commands: ejections, first binds and admission rates.
 //   - send.go: sending a command: its effects on the state of the proxies and on the turn.
--- a/policy/pacing/proxies.go
+++ b/policy/pacing/proxies.go
@@ -11,7 +11,8 @@
 // unbound is the table of a proxy that is connected and not bound yet: it may hold any table of an earlier controller.
 const unbound = -1
 
-// minRequestRate, in requests a second, is assumed for a proxy whose forecast is 0, so that such proxies are divided among subsets, too.
+// minRequestRate, in requests a second, is assumed for a proxy whose forecast is 0, so that such proxies are divided among subsets,
+// too.
 const minRequestRate = 1e-6
 
 // proxyStates is what the proxies hold once they have got everything that was sent.
--- a/policy/pacing/subset_test.go
+++ b/policy/pacing/subset_test.go
@@ -113,8 +113,8 @@
 	assertEqual(t, "proxies with a subset", len(p.proxies.subsets), 0)
 }
 
-// A warming replica gets nothing from subsets while the others have half of their table's weight: where some of a subset is ejected, or
-// a proxy sends more than it forecast, a warming one would get a load that it does not get from complete tables.
+// A warming replica gets nothing from subsets while the others have half of their table's weight: where some of a subset is
+// ejected, or a proxy sends more than it forecast, a warming one would get a load that it does not get from complete tables.
 func TestSubsetsAreOfWarmedUpReplicasWhileTheyHaveHalfOfTheWeight(t *testing.T) {
 	p := inStorm(20, 0, nil)
 	warming := map[uint32]bool{}
--- a/policy/update/changes_test.go
+++ b/policy/update/changes_test.go
@@ -58,8 +58,8 @@
 		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.5})
 }
 
-// An ejected replica still has endpoints, with weights of a time when it was warmed up: proxies pick it by them from the moment that it
-// is unejected.
+// An ejected replica still has endpoints, with weights of a time when it was warmed up: proxies pick it by them from the moment
+// that it is unejected.
 func TestAllWeightsOfAnUnejectedReplicaChangeWithIt(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 1, {1, 1}: 1, {2, 1}: 0.21},
 		Target{Weights: weights{{0, 1}: 0.2, {2, 1}: 0.2}}, replicas{1: true})
