--- a/policy/binding_test.go
+++ b/policy/binding_test.go
@@ -18,7 +18,7 @@
 }
 
 // Many proxies that disconnect at once empty no channel: what was written to them, and all before it, counts until somebody
-// acknowledges what was written later, or its time and more is over.
+// acknowledges what was written later, or until it is overdue.
 func TestDisconnectingClearsNothingFromTheChannel(t *testing.T) {
 	p := newPolicyAt(0)
 	p.ChannelLimit = 49200
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -13,7 +13,7 @@
 }
 
 func newPacer(shared *sharedState) *pacer {
-	return &pacer{sharedState: shared, sender: pacing.New(&shared.Settings, time.Duration(beat))}
+	return &pacer{sharedState: shared, sender: pacing.New(&shared.Settings, time.Duration(maxTickInterval))}
 }
 
 func (p *pacer) handle(m message) {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -37,7 +37,7 @@
 	}
 	for k := range int64(40) {
 		for _, r := range change.Replicas {
-			outcomes := control.Outcomes{Replica: r.Replica, Attempts: 20, ResponseTime: second / 10, Period: beat}
+			outcomes := control.Outcomes{Replica: r.Replica, Attempts: 20, ResponseTime: second / 10, Period: maxTickInterval}
 			switch r.Replica {
 			case 1:
 				outcomes.Failures = 20
@@ -48,7 +48,7 @@
 			events = append(events, outcomes)
 		}
 		events = append(events, control.Demand{Proxy: int(k), Class: int(k) % 3, Requests: 5, Period: second}, control.TimerFired{})
-		events = acksOf(p.Turn(100*second+k*beat, events))
+		events = acksOf(p.Turn(100*second+k*maxTickInterval, events))
 	}
 	if !p.replicas[1].detector.Ejected() {
 		t.Fatal("no replica is ejected")
@@ -145,7 +145,7 @@
 			if got := p.admission.threshold.Admitted(); math.Abs(got-c.want) > 1e-9 { // admit rounds; package admission tests the exact value
 				t.Errorf("threshold %v, want %v", got, c.want)
 			}
-			p.Turn(p.now+beat, []control.Event{control.TimerFired{}, control.Demand{Proxy: 1, Class: len(c.priorities) - 1, Requests: 1, Period: second}})
+			p.Turn(p.now+maxTickInterval, []control.Event{control.TimerFired{}, control.Demand{Proxy: 1, Class: len(c.priorities) - 1, Requests: 1, Period: second}})
 		})
 	}
 }
@@ -185,7 +185,7 @@
 			fresh.Turn(p.now, []control.Event{control.ReplicasListed{Full: true, Entries: change.Replicas}})
 			events := []control.Event{change}
 			for k := range int64(40) {
-				events = acksOf(p.Turn(p.now+k*beat/10, append(events, control.TimerFired{})))
+				events = acksOf(p.Turn(p.now+k*maxTickInterval/10, append(events, control.TimerFired{})))
 			}
 			tables := p.placement.placer.Tables()
 			wantEqual(t, "tables", tables, fresh.placement.placer.Tables())
