--- a/cmd/lilacbend/configuration.go
+++ b/cmd/lilacbend/configuration.go
@@ -20,12 +20,12 @@
 	watcher  *configwatch.Watcher
 	kept     *keptConfiguration // nil: nothing is kept
 	seed     uint64
-	exchange *eventloop.Exchange
+	exchange *eventloop.Queues
 	log      *slog.Logger
 }
 
 // newConfigurationFollower is nil where the operator file has no such section.
-func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, x *eventloop.Exchange, log *slog.Logger) (*configurationFollower, error) {
+func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, x *eventloop.Queues, log *slog.Logger) (*configurationFollower, error) {
 	following := c.operator.Configuration
 	if !following.On() {
 		return nil, nil
@@ -77,7 +77,7 @@
 		f.watcher.Refused(v, err)
 		return
 	}
-	f.exchange.Publish(controller.Configure{Version: v, Names: names, Settings: decoded,
+	f.exchange.Enqueue(controller.Configure{Version: v, Names: names, Settings: decoded,
 		Start: func() controller.Module { return policy.New(decoded) }})
 }
 
@@ -89,7 +89,7 @@
 			f.watcher.Refused(c.Version, c.Err)
 			continue
 		}
-		f.exchange.Expect(notesExpected(c.Settings.Proxies, len(c.Names.Classes)))
+		f.exchange.SetProxies(notesExpected(c.Settings.Proxies, len(c.Names.Classes)))
 		f.watcher.Applied(c.Version)
 		f.log.Info("configuration in force", "version", c.Version.String(), "proxies", c.Settings.Proxies, "traffic_groups", len(c.Names.Classes))
 	}
--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -64,17 +64,17 @@
 
 // run reads the configuration again whenever that is asked for, until ctx ends. Discovery moves; all else that a configuration
 // holds is for the next start. A configuration that cannot be used is logged and counted once.
-func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, x *eventloop.Exchange, log *slog.Logger) {
+func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, x *eventloop.Queues, log *slog.Logger) {
 	reloadOnHangup(ctx, r.hangups, func(signalled bool) error {
 		next, err := r.read()
 		if err != nil {
 			if signalled {
-				x.Tally.Misread.Add(1)
+				x.Counters.ReloadsFailed.Add(1)
 				log.Error("the new configuration cannot be used, the old one goes on", "error", err, "again_every", rereadLimit)
 			}
 			return err
 		}
-		x.Tally.Reloads.Add(1)
+		x.Counters.Reloads.Add(1)
 		log.Info("read again", "discovery", next.discovery)
 		client.Move(next.discovery)
 		if parts := running.changesAtRestart(next); len(parts) > 0 {
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -99,7 +99,7 @@
 }
 
 // reloading runs the part of a governor that reads its configuration again; a signal is sent when follow takes it.
-func reloading(t *testing.T, file, address string) (chan<- os.Signal, *eventloop.Exchange, *lines) {
+func reloading(t *testing.T, file, address string) (chan<- os.Signal, *eventloop.Queues, *lines) {
 	c, x, out := exampleConfiguration(t, "127.0.0.1:1"), eventloop.New(), &lines{}
 	asked, log := make(chan os.Signal), slog.New(slog.NewTextHandler(out, nil))
 	ctx, stop := context.WithCancel(context.Background())
@@ -123,8 +123,8 @@
 	write(t, file, exampleAt(t, a.At()))
 	asked <- syscall.SIGHUP // to where it is
 	asked <- syscall.SIGHUP // taken once the first has been read
-	scriptedpeer.Until(t, "not read twice", func() bool { return x.Tally.Reloads.Load() == 2 })
-	if dials := x.Tally.Dials.Load(); dials != 1 {
+	scriptedpeer.Until(t, "not read twice", func() bool { return x.Counters.Reloads.Load() == 2 })
+	if dials := x.Counters.Dials.Load(); dials != 1 {
 		t.Errorf("%d dials", dials)
 	}
 	replace(t, file, exampleAt(t, b.At()))
@@ -136,8 +136,8 @@
 	asked <- syscall.SIGHUP
 	back := a.Take()
 	there.Ends()
-	if got := back.Request(); got != wholeList || x.Tally.Reloads.Load() != 4 || x.Tally.Misread.Load() != 0 {
-		t.Errorf("asked %q, %d reloads", got, x.Tally.Reloads.Load())
+	if got := back.Request(); got != wholeList || x.Counters.Reloads.Load() != 4 || x.Counters.ReloadsFailed.Load() != 0 {
+		t.Errorf("asked %q, %d reloads", got, x.Counters.Reloads.Load())
 	}
 }
 
@@ -155,13 +155,13 @@
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		write(t, file, exampleAt(t, "127.0.0.1:2"))
-		for x.Tally.Reloads.Load() == 0 && time.Since(start) < time.Minute {
+		for x.Counters.Reloads.Load() == 0 && time.Since(start) < time.Minute {
 			time.Sleep(time.Millisecond)
 		}
 		// 50, 100, ... 800 ms apart, which is 1.55 s in all, then a second each: the next one is at 10.55 s.
 		want := 31*rereadInitial + 9*rereadLimit
-		if took := time.Since(start); took < want || took > want+2*time.Millisecond || x.Tally.Misread.Load() != 1 {
-			t.Errorf("taken over after %v, want %v; %d misread", took, want, x.Tally.Misread.Load())
+		if took := time.Since(start); took < want || took > want+2*time.Millisecond || x.Counters.ReloadsFailed.Load() != 1 {
+			t.Errorf("taken over after %v, want %v; %d misread", took, want, x.Counters.ReloadsFailed.Load())
 		}
 	})
 }
@@ -173,13 +173,13 @@
 	a.Take().Request()
 	asked <- syscall.SIGHUP
 	asked <- syscall.SIGHUP
-	scriptedpeer.Until(t, "not read twice", func() bool { return x.Tally.Misread.Load() == 2 })
+	scriptedpeer.Until(t, "not read twice", func() bool { return x.Counters.ReloadsFailed.Load() == 2 })
 	replace(t, file, exampleAt(t, b.At()))
 	asked <- syscall.SIGHUP
 	if got := b.Take().Request(); got != wholeList {
 		t.Errorf("asked %q", got)
 	}
-	if n := x.Tally.Misread.Load(); n != 2 || out.times("cannot be used") != 2 {
+	if n := x.Counters.ReloadsFailed.Load(); n != 2 || out.times("cannot be used") != 2 {
 		t.Errorf("%d misread, said %d times", n, out.times("cannot be used"))
 	}
 }
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -59,7 +59,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	base, x := clock{time.Now()}, eventloop.New()
-	x.Expect(notesExpected(c.settings.Proxies, len(c.names.Classes)))
+	x.SetProxies(notesExpected(c.settings.Proxies, len(c.names.Classes)))
 	own := controller.NewTopology(c.names, c.settings)
 	follower, err := newConfigurationFollower(ctx, c, own, x, log)
 	if err != nil {
@@ -69,7 +69,7 @@
 	core := controller.New(func() controller.Module { return policy.New(c.settings) }, own)
 	kept := openArchive(ctx, c.operator.State, &c, topology, core, x, base, log)
 	c.known.ReadAt, c.known.ReadAtWall = base.now(), base.start.UnixNano()
-	x.Publish(c.known)
+	x.Enqueue(c.known)
 	follower.resume()
 	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", c.known.Revision,
 		"replicas", len(c.known.Members), "proxies", c.settings.Proxies)
@@ -117,7 +117,7 @@
 }
 
 // drive is the one goroutine in which the core runs.
-func drive(ctx context.Context, core *controller.Core, x *eventloop.Exchange, base clock,
+func drive(ctx context.Context, core *controller.Core, x *eventloop.Queues, base clock,
 	asked <-chan os.Signal, kept *archive, follower *configurationFollower, server *controlserver.Server, log *slog.Logger) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -132,12 +132,12 @@
 		case <-x.Ready():
 		}
 		time.Sleep(gatherSpan)
-		o := core.Turn(base.now(), x.Take())
+		o := core.Turn(base.now(), x.Drain())
 		for _, s := range o.Updates {
 			x.Send(s)
 		}
 		for _, s := range o.CloseStreams {
-			x.End(s)
+			x.CloseStream(s)
 		}
 		for _, text := range o.Logs {
 			log.Info(text)
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -134,7 +134,7 @@
 			t.Fatal(err)
 		}
 		asked <- syscall.SIGHUP
-		for x.Tally.Reloads.Load()+x.Tally.Misread.Load() <= int64(k) {
+		for x.Counters.Reloads.Load()+x.Counters.ReloadsFailed.Load() <= int64(k) {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -144,7 +144,7 @@
 		t.Fatalf("discovery did not move: %v", err)
 	}
 	conn.Close()
-	if x.Tally.Reloads.Load() != 1 || x.Tally.Misread.Load() != 1 {
-		t.Errorf("%d taken over, %d not usable", x.Tally.Reloads.Load(), x.Tally.Misread.Load())
+	if x.Counters.Reloads.Load() != 1 || x.Counters.ReloadsFailed.Load() != 1 {
+		t.Errorf("%d taken over, %d not usable", x.Counters.Reloads.Load(), x.Counters.ReloadsFailed.Load())
 	}
 }
--- a/cmd/lilacbend/state.go
+++ b/cmd/lilacbend/state.go
@@ -40,7 +40,7 @@
 
 // openArchive holds the folder, tells the core of the newest whole generation that fits, and begins to keep. What
 // goes wrong with the folder is logged, and the governor goes on without. The list is the one to start with.
-func openArchive(ctx context.Context, r operator.Retention, c *configuration, topology controller.Topology, core *controller.Core, x *eventloop.Exchange, base clock, log *slog.Logger) *archive {
+func openArchive(ctx context.Context, r operator.Retention, c *configuration, topology controller.Topology, core *controller.Core, x *eventloop.Queues, base clock, log *slog.Logger) *archive {
 	if r.Folder == "" {
 		return nil
 	}
@@ -68,7 +68,7 @@
 	return a
 }
 
-func (a *archive) recall(folder filewriter.Directory, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Exchange, base clock) {
+func (a *archive) recall(folder filewriter.Directory, r operator.Retention, c *configuration, topology controller.Topology, x *eventloop.Queues, base clock) {
 	g, err := snapshot.Latest(folder)
 	if a.refuse = len(g.Refused); err != nil {
 		a.log.Warn("state cannot be read", "folder", r.Folder, "error", err)
@@ -92,7 +92,7 @@
 		c.known = controller.ListFromSnapshot(m)
 	}
 	a.read, a.age = g.Name, time.Duration(age)
-	x.Publish(controller.SnapshotRestored{Snapshot: learnedstate.NewAgedState(m, base.now(), age, r.HalfLife.Nanoseconds())})
+	x.Enqueue(controller.SnapshotRestored{Snapshot: learnedstate.NewAgedState(m, base.now(), age, r.HalfLife.Nanoseconds())})
 	a.log.Info("state read", "file", g.Name, "age", a.age.Round(time.Millisecond), "weight", fmt.Sprintf("%.2f", learnedstate.Weight(age, r.HalfLife.Nanoseconds())),
 		"replicas", len(m.Replicas), "list", c.known.Revision, "unfit", dropped.Replicas, "too_old", dropped.Expired, "usage_dropped", dropped.RequestRates, "groups_changed", dropped.ClassesChanged)
 }
--- a/experiment/scale/hollow.go
+++ b/experiment/scale/hollow.go
@@ -45,7 +45,7 @@
 	count  *messageCount
 	source ConfigurationSource
 
-	exchange *eventloop.Exchange
+	exchange *eventloop.Queues
 	module   *policy.Policy // the last that was started; for the goroutine of the core
 
 	mu      sync.Mutex
@@ -71,7 +71,7 @@
 		return fmt.Errorf("governor %d: %w", h.plan.Number, err)
 	}
 	h.exchange = eventloop.New()
-	h.exchange.Expect(first.provision.Proxies)
+	h.exchange.SetProxies(first.provision.Proxies)
 	h.offered = map[revision.Version]offer{{}: {marker: 1, done: func(error) {}}}
 	h.tell(checks.Event{Kind: checks.Started, Resumes: true})
 	defer h.tell(checks.Event{Kind: checks.Stopped})
@@ -110,7 +110,7 @@
 	h.mu.Lock()
 	h.offered[v] = offer{markerOf(body), done}
 	h.mu.Unlock()
-	h.exchange.Publish(controller.Configure{Version: v, Names: s.names, Settings: s.provision, Start: h.starting(s)})
+	h.exchange.Enqueue(controller.Configure{Version: v, Names: s.names, Settings: s.provision, Start: h.starting(s)})
 }
 
 // starting starts modules by settings.
@@ -157,7 +157,7 @@
 		case <-h.exchange.Ready():
 		}
 		time.Sleep(gatherSpan)
-		notes := h.exchange.Take()
+		notes := h.exchange.Drain()
 		seen.take(notes)
 		outcome := core.Turn(now(), notes)
 		h.count.turns.Add(1)
@@ -179,11 +179,11 @@
 // proxy joins, acknowledges what it is sent and reports a few requests a second.
 func (h *hollow) proxy(ctx context.Context, k int) {
 	stream := controller.StreamID(k + 1)
-	out := h.exchange.Open(stream, func() {})
+	out := h.exchange.OpenStream(stream, func() {})
 	defer out.Close()
 	random := rand.New(rand.NewPCG(h.plan.Seed, uint64(k)))
 	zone := zoneName(random.IntN(max(1, h.plan.Shape.Zones)))
-	h.exchange.Publish(controller.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, WithoutTable: true})
+	h.exchange.Enqueue(controller.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, WithoutTable: true})
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() { h.report(ctx, stream, k, random) })
@@ -192,9 +192,9 @@
 		if !ok {
 			return
 		}
-		h.exchange.Written(item.Number)
+		h.exchange.MessageSent(item.Number)
 		if item.WantsAck {
-			h.exchange.Publish(controller.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
+			h.exchange.Enqueue(controller.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
 		}
 	}
 }
@@ -208,7 +208,7 @@
 		case <-time.After(pause):
 		}
 		route := fmt.Sprintf("route-%d", random.IntN(h.plan.Shape.Routes))
-		h.exchange.Publish(controller.Demand{Stream: stream, Class: route,
+		h.exchange.Enqueue(controller.Demand{Stream: stream, Class: route,
 			Demand: control.Demand{Proxy: proxy, Requests: 1, Period: int64(time.Second)}})
 	}
 }
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -115,11 +115,11 @@
 		{[]Input{StreamOpened{Stream: 3, Proxy: 4, Zone: "b"}}, commands{control.Bind{Proxy: 4, Table: 0}}, "3: full x=1 y=0.7 z=2 -x +y +z order~0.5/2"},
 		{[]Input{StreamOpened{Stream: 4, Proxy: 5, Zone: "b"}}, nil, "4: order~0.5/1"},
 		{nil, commands{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 8}}, "3: -y #8; 4: -y #8"}, // the second is unbound
-		{[]Input{OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
-		{[]Input{Ack{Stream: 3, Nonce: 8}, OutboxDrained{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
-		{[]Input{OutboxDrained{4}}, nil, "4: -x -y order~0.5/1 #8"},
+		{[]Input{UpdatesDropped{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
+		{[]Input{Ack{Stream: 3, Nonce: 8}, UpdatesDropped{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
+		{[]Input{UpdatesDropped{4}}, nil, "4: -x -y order~0.5/1 #8"},
 		{[]Input{StreamClosed{3}, StreamClosed{4}, StreamOpened{Stream: 5, Proxy: 4, Zone: "b", WithoutTable: true}}, nil, "5: order~0.5/1"},
-		{[]Input{OutboxDrained{5}}, nil, "5: -x -y order~0.5/1"},
+		{[]Input{UpdatesDropped{5}}, nil, "5: -x -y order~0.5/1"},
 		{nil, commands{control.Bind{Proxy: 7}, control.Bind{Proxy: 4, Table: 1}, endpoint(1, 3, 0)}, "5: full order~0.5/1"},
 	}
 	c, s := core()
@@ -135,7 +135,7 @@
 func TestDrainedOutboxIsAlwaysAnswered(t *testing.T) {
 	c, _ := core()
 	c.Turn(0, []Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-	if o := c.Turn(1, []Input{OutboxDrained{1}}); len(o.Updates) != 1 || !o.Updates[0].Update.Resync || c.Counters.Updates != 0 {
+	if o := c.Turn(1, []Input{UpdatesDropped{1}}); len(o.Updates) != 1 || !o.Updates[0].Update.Resync || c.Counters.Updates != 0 {
 		t.Errorf("%+v", o.Updates)
 	}
 }
@@ -390,7 +390,7 @@
 				case 2:
 					inputs = append(inputs, StreamClosed{StreamID(draw("stream", int(stream)))})
 				case 3:
-					inputs = append(inputs, OutboxDrained{StreamID(draw("stream", int(stream)))})
+					inputs = append(inputs, UpdatesDropped{StreamID(draw("stream", int(stream)))})
 				case 4:
 					inputs = append(inputs, StreamActive{StreamID(draw("stream", int(stream)))})
 				default:
@@ -481,7 +481,7 @@
 	c, s := limitedCore(0, 3)
 	inputs, sent := []Input{list(true, "xr")}, 0
 	for k := range 400 {
-		inputs = append(inputs, StreamOpened{Stream: StreamID(k/100 + 1), Proxy: 4, Zone: "a"}, OutboxDrained{StreamID(k/100 + 1)})
+		inputs = append(inputs, StreamOpened{Stream: StreamID(k/100 + 1), Proxy: 4, Zone: "a"}, UpdatesDropped{StreamID(k/100 + 1)})
 		s.turns = []commands{{endpoint(0, 1, float64(k+1)), control.Bind{Proxy: 4}, control.RequestAck{Nonce: uint64(k)}}}
 		if k%7 == 3 {
 			s.turns = []commands{panicking}
--- a/internal/controller/handle.go
+++ b/internal/controller/handle.go
@@ -35,7 +35,7 @@
 		return c.handleStreamActive(input.Stream, t.now)
 	case MessageSent:
 		c.delivery.account.MarkSent(input.Number, t.now)
-	case OutboxDrained:
+	case UpdatesDropped:
 		c.handleOutboxDrained(input.Stream)
 	default:
 		c.Counters.Invalid++
--- a/internal/controller/input.go
+++ b/internal/controller/input.go
@@ -76,8 +76,8 @@
 // MessageSent reports that all bytes of an update have been written, by its number in the channel's account.
 type MessageSent struct{ Number uint64 }
 
-// OutboxDrained reports that a stream's outbox was full and has dropped its updates.
-type OutboxDrained struct{ Stream StreamID }
+// UpdatesDropped reports that a stream's outbox was full and has dropped its updates.
+type UpdatesDropped struct{ Stream StreamID }
 
 // SnapshotRestored brings what an earlier controller had learned, fitted to this installation. It precedes the first list.
 type SnapshotRestored struct{ Snapshot *learnedstate.AgedState }
@@ -99,6 +99,6 @@
 func (ReplicaList) input()      {}
 func (StreamActive) input()     {}
 func (MessageSent) input()      {}
-func (OutboxDrained) input()    {}
+func (UpdatesDropped) input()   {}
 func (SnapshotRestored) input() {}
 func (Configure) input()        {}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -153,7 +153,7 @@
 	case 6: // outboxes were drained
 		for range some {
 			if p := w.proxies[w.Intn(len(w.proxies))]; p.stream != 0 {
-				w.inputs = append(w.inputs, controller.OutboxDrained{Stream: p.stream})
+				w.inputs = append(w.inputs, controller.UpdatesDropped{Stream: p.stream})
 			}
 		}
 	case 7:
--- a/internal/controlserver/capacity_bench_test.go
+++ b/internal/controlserver/capacity_bench_test.go
@@ -54,18 +54,18 @@
 					f := parseFields(words)
 					switch m.name {
 					case "outcomes":
-						events.Publish(parseOutcomes(f))
+						events.Enqueue(parseOutcomes(f))
 					case "demand":
-						events.Publish(parseDemand(f))
+						events.Enqueue(parseDemand(f))
 					case "ack":
-						events.Publish(parseAck(f))
+						events.Enqueue(parseAck(f))
 					}
 					if f.err != nil {
 						b.Fatal(f.err)
 					}
 				}
 				r.Close()
-				events.Take()
+				events.Drain()
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/messagesEach, "ns/message")
 			b.ReportMetric(float64(raw.Len())/messagesEach, "B/message")
--- a/internal/controlserver/crossings_test.go
+++ b/internal/controlserver/crossings_test.go
@@ -50,7 +50,7 @@
 		}})
 		second.Say(joins)
 		second.Ends()
-		scriptedpeer.Until(t, "the connection is not over", func() bool { return s.exchange.Tally.Ended.Load() == 1 })
+		scriptedpeer.Until(t, "the connection is not over", func() bool { return s.exchange.Counters.Ended.Load() == 1 })
 		first.Say("outcomes site a target s-5 count 2 fail 0 mean 1 over 1")
 		if notes := told(t, s, 1); len(notes) != 1 || notes[0].(controller.Outcomes).Attempts != 2 {
 			t.Errorf("%s: told %+v", joins, notes)
@@ -83,7 +83,7 @@
 		}
 		c.Close()
 	}
-	scriptedpeer.Until(t, "strangers stay", func() bool { return s.exchange.Tally.Ended.Load() == 10 })
+	scriptedpeer.Until(t, "strangers stay", func() bool { return s.exchange.Counters.Ended.Load() == 10 })
 }
 
 // The end of the program waits for nobody who lingers, reads nothing, or is in the middle of a message.
@@ -119,7 +119,7 @@
 	for range 16 { // some megabytes: more than any kernel keeps for it
 		s.exchange.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Full: true, Endpoints: lines}})
 	}
-	scriptedpeer.Until(t, "nothing is written", func() bool { return s.exchange.Tally.Pushes.Load() > 0 })
+	scriptedpeer.Until(t, "nothing is written", func() bool { return s.exchange.Counters.UpdatesSent.Load() > 0 })
 	stop() // with all of them open
 	select {
 	case err := <-ended:
@@ -149,7 +149,7 @@
 	}
 	message := controller.Update{Full: true, Endpoints: lines, WantsAck: true, Nonce: 7}
 	for name, end := range map[string]func(*scriptedpeer.Conn, controller.StreamID){
-		"ended by us": func(_ *scriptedpeer.Conn, stream controller.StreamID) { s.exchange.End(stream) },
+		"ended by us": func(_ *scriptedpeer.Conn, stream controller.StreamID) { s.exchange.CloseStream(stream) },
 		"reset":       func(c *scriptedpeer.Conn, _ controller.StreamID) { c.Reset() },
 	} {
 		c, stream := join()
@@ -170,7 +170,7 @@
 		if notes := told(t, s, 1); len(notes) != 1 || notes[0] != (controller.StreamClosed{Stream: stream}) {
 			t.Errorf("%s: told %+v", name, notes)
 		}
-		for _, n := range s.exchange.Take() {
+		for _, n := range s.exchange.Drain() {
 			if _, written := n.(controller.MessageSent); written {
 				t.Errorf("%s: half a message counts as written", name)
 			}
@@ -219,8 +219,8 @@
 		s.exchange.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Ejected: []string{"s-1"}}})
 	}
 	bad.Ends()
-	if notes := told(t, s, 1); notes[0] != (controller.StreamClosed{Stream: second}) || s.exchange.Tally.Panics.Load() != 1 {
-		t.Errorf("told %+v, %d panics", notes, s.exchange.Tally.Panics.Load())
+	if notes := told(t, s, 1); notes[0] != (controller.StreamClosed{Stream: second}) || s.exchange.Counters.Panics.Load() != 1 {
+		t.Errorf("told %+v, %d panics", notes, s.exchange.Counters.Panics.Load())
 	}
 	if text, _ := good.Next(); text != "push eject s-1" {
 		t.Errorf("the other hears %q", text)
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -51,7 +51,7 @@
 	zone   string        // of a collector
 	role   role
 	id     int // of a proxy
-	out    *eventloop.Outbox
+	out    *eventloop.SendQueue
 	late   int           // bytes that a stranger may still be read after its deadline; 0: it has not passed
 	done   chan struct{} // closed when nothing more is read
 }
@@ -83,7 +83,7 @@
 // recoverPanic stops a panic at its connection, on the side that reads as on the one that writes.
 func (p *peer) recoverPanic() {
 	if v := recover(); v != nil {
-		p.server.exchange.Tally.Panics.Add(1)
+		p.server.exchange.Counters.Panics.Add(1)
 		p.server.log.Error("connection failed", "peer", p.role, "panic", v, "stack", string(debug.Stack()))
 	}
 }
@@ -122,19 +122,19 @@
 
 // ended counts what ended a connection, and says to a stranger why it is sent away, if that goes at once.
 func (p *peer) ended(err error) {
-	t := &p.server.exchange.Tally
+	t := &p.server.exchange.Counters
 	what := "connection ended: unreadable"
 	switch {
 	case errors.Is(err, errEvicted): // counted when it was
 		return
 	case errors.Is(err, errLate):
 		what = "connection ended: nobody joined"
-		t.Late.Add(1)
+		t.JoinTimeouts.Add(1)
 	case errors.Is(err, errStrange), errors.Is(err, resp.ErrNotWords):
 		what = "connection ended: not ours"
-		t.Strangers.Add(1)
+		t.UnknownPeers.Add(1)
 	case errors.Is(err, resp.ErrUnreadable), errors.Is(err, resp.ErrNoBuffer):
-		t.Unreadable.Add(1)
+		t.Malformed.Add(1)
 	default:
 		p.server.log.Debug("connection broke", "peer", p.role, "error", err)
 		return
@@ -159,10 +159,10 @@
 func (p *peer) leave() {
 	close(p.done)
 	p.conn.Close()
-	p.server.exchange.Tally.Ended.Add(1)
+	p.server.exchange.Counters.Ended.Add(1)
 	if p.out != nil {
 		p.out.Close()
-		p.server.exchange.Publish(controller.StreamClosed{Stream: p.stream})
+		p.server.exchange.Enqueue(controller.StreamClosed{Stream: p.stream})
 	}
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
@@ -191,7 +191,7 @@
 	if note := p.report(f); f.err != nil {
 		p.skip(f.err)
 	} else {
-		p.server.exchange.Publish(note)
+		p.server.exchange.Enqueue(note)
 	}
 	return nil
 }
@@ -211,10 +211,10 @@
 		}
 		if f.err == nil {
 			h.Stream, p.id = p.stream, h.Proxy
-			p.out = p.server.exchange.Open(p.stream, func() { p.conn.Close() })
+			p.out = p.server.exchange.OpenStream(p.stream, func() { p.conn.Close() })
 			p.server.all.Add(1)
 			go p.write()
-			p.server.exchange.Publish(h)
+			p.server.exchange.Enqueue(h)
 		}
 	default:
 		f.failf("%.40q before a joining", f.kind)
@@ -251,17 +251,17 @@
 
 // skip passes over a whole message that cannot be used: all the same a sign of life.
 func (p *peer) skip(err error) {
-	p.server.exchange.Tally.Skipped.Add(1)
+	p.server.exchange.Counters.Skipped.Add(1)
 	p.server.warn("message skipped", err, "peer", p.role, "from", p.conn.RemoteAddr())
 	if p.role == proxy {
-		p.server.exchange.Publish(controller.StreamActive{Stream: p.stream})
+		p.server.exchange.Enqueue(controller.StreamActive{Stream: p.stream})
 	}
 }
 
 func (p *peer) alive() error {
-	p.server.exchange.Tally.Alive.Add(1)
+	p.server.exchange.Counters.HealthChecks.Add(1)
 	if p.out != nil {
-		p.out.Alive()
+		p.out.AnswerHealthCheck()
 		return nil
 	}
 	p.conn.SetWriteDeadline(time.Now().Add(answerTimeout))
@@ -275,28 +275,28 @@
 	defer p.server.all.Done()
 	defer p.conn.Close()
 	defer p.recoverPanic()
-	tally := &p.server.exchange.Tally
+	tally := &p.server.exchange.Counters
 	for {
 		item, ok := p.out.Next(p.done)
 		if !ok {
 			return
 		}
 		messages := [][]string{{"alive"}}
-		if !item.Alive {
+		if !item.HealthCheckReply {
 			messages = EncodeUpdate(item.Update)
-			tally.Pushes.Add(1)
+			tally.UpdatesSent.Add(1)
 		}
 		for k, words := range messages {
 			n, err := resp.Write(p.conn, p.server.pool, words...)
-			tally.PushBytes.Add(int64(n))
+			tally.UpdateBytes.Add(int64(n))
 			if err != nil {
 				tally.WriteErrors.Add(1)
 				p.server.log.Debug("push broke off", "proxy", p.id, "part", k, "bytes", n, "error", err)
 				return
 			}
 		}
-		if !item.Alive {
-			p.server.exchange.Written(item.Number)
+		if !item.HealthCheckReply {
+			p.server.exchange.MessageSent(item.Number)
 		}
 	}
 }
--- a/internal/controlserver/peer_test.go
+++ b/internal/controlserver/peer_test.go
@@ -67,12 +67,12 @@
 		p := &peer{server: s, conn: conn, stream: 5, role: c.role, id: 17}
 		err := p.handle(strings.Fields(c.says))
 		var heard any
-		if notes := s.exchange.Take(); len(notes) > 0 {
+		if notes := s.exchange.Drain(); len(notes) > 0 {
 			heard = notes[0]
 		}
 		skips := c.role != stranger && (c.note == nil || c.note == spoke)
 		if !reflect.DeepEqual(heard, c.note) || errors.Is(err, errStrange) != (c.role == stranger) ||
-			s.exchange.Tally.Skipped.Load() != map[bool]int64{true: 1}[skips] {
+			s.exchange.Counters.Skipped.Load() != map[bool]int64{true: 1}[skips] {
 			t.Errorf("%v %q: note %+v, error %v", c.role, c.says, heard, err)
 		}
 	}
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -33,7 +33,7 @@
 
 // Server serves one listener.
 type Server struct {
-	exchange *eventloop.Exchange
+	exchange *eventloop.Queues
 	pool     *resp.Pool
 	log      *slog.Logger
 	most     int
@@ -49,7 +49,7 @@
 }
 
 // New makes a server that holds no more than so many descriptors.
-func New(x *eventloop.Exchange, pool *resp.Pool, log *slog.Logger, descriptors int, topology controller.Topology) *Server {
+func New(x *eventloop.Queues, pool *resp.Pool, log *slog.Logger, descriptors int, topology controller.Topology) *Server {
 	s := &Server{exchange: x, pool: pool, log: log, most: max(1, descriptors-reservedDescriptors),
 		peers: map[*peer]struct{}{}, queue: list.New(), zones: map[string]*peer{},
 		lastWarning: map[string]time.Time{}}
@@ -93,11 +93,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.peers) >= s.most && !s.evict() {
-		s.exchange.Tally.Refused.Add(1)
+		s.exchange.Counters.Refused.Add(1)
 		conn.Close()
 		return
 	}
-	s.exchange.Tally.Accepted.Add(1)
+	s.exchange.Counters.Accepted.Add(1)
 	s.last++
 	p := &peer{server: s, conn: conn, stream: s.last, done: make(chan struct{})}
 	p.place = s.queue.PushBack(p)
@@ -115,7 +115,7 @@
 	p := first.Value.(*peer)
 	s.drop(p)
 	p.conn.Close()
-	s.exchange.Tally.Evicted.Add(1)
+	s.exchange.Counters.Evicted.Add(1)
 	return true
 }
 
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -87,7 +87,7 @@
 	for late := time.After(10 * time.Second); len(notes) < n; {
 		select {
 		case <-s.exchange.Ready():
-			notes = append(notes, slices.DeleteFunc(s.exchange.Take(), func(n controller.Input) bool {
+			notes = append(notes, slices.DeleteFunc(s.exchange.Drain(), func(n controller.Input) bool {
 				_, out := n.(controller.MessageSent)
 				return out
 			})...)
@@ -112,10 +112,10 @@
 	c.hears(t, "push routes g admit 1 policy 0 nonce_out 3")
 	c.say(t, "probe")
 	c.hears(t, "alive")
-	if notes := s.exchange.Take(); len(notes) != 1 || notes[0] != (controller.MessageSent{Number: 7}) {
+	if notes := s.exchange.Drain(); len(notes) != 1 || notes[0] != (controller.MessageSent{Number: 7}) {
 		t.Errorf("%+v once both parts and what came after them have gone out", notes)
 	}
-	s.exchange.End(1)
+	s.exchange.CloseStream(1)
 	c.ends(t)
 	if notes := told(t, s, 1); notes[0] != (controller.StreamClosed{Stream: 1}) {
 		t.Errorf("%+v", notes)
@@ -177,8 +177,8 @@
 	reports.say(t, "outcomes site a target s-5 count 1 fail 0 mean 1 over 1")
 	io.WriteString(good, "*2\r\n$3\r\nack\r\n:1\r\n$-1\r\n")
 	good.say(t, "ack id 1 seq 1 ms 1")
-	if told(t, s, 4); s.exchange.Tally.Late.Load() != 3 || s.exchange.Tally.Skipped.Load() != 5 {
-		t.Errorf("%d late, %d skipped", s.exchange.Tally.Late.Load(), s.exchange.Tally.Skipped.Load())
+	if told(t, s, 4); s.exchange.Counters.JoinTimeouts.Load() != 3 || s.exchange.Counters.Skipped.Load() != 5 {
+		t.Errorf("%d late, %d skipped", s.exchange.Counters.JoinTimeouts.Load(), s.exchange.Counters.Skipped.Load())
 	}
 }
 
@@ -230,7 +230,7 @@
 	p.server.all.Add(1)
 	go io.WriteString(here, "x")
 	p.serve()
-	if s.all.Done(); s.exchange.Tally.Panics.Load() != 1 {
+	if s.all.Done(); s.exchange.Counters.Panics.Load() != 1 {
 		t.Error("no panic was counted")
 	}
 	if _, err := here.Write([]byte("x")); err == nil {
@@ -305,7 +305,7 @@
 	}
 	told(t, s, 2)
 	call(t, at).ends(t)
-	if s.exchange.Tally.Refused.Load() != 1 {
+	if s.exchange.Counters.Refused.Load() != 1 {
 		t.Error("nobody was refused")
 	}
 }
@@ -345,7 +345,7 @@
 	shut := controller.Update{Ejected: []string{"s-1"}}
 	s.exchange.Send(controller.OutgoingUpdate{Stream: 1, Update: shut})
 	here.Read(make([]byte, 1)) // the rest of this message is not read
-	for s.exchange.Tally.Emptied.Load() == 0 {
+	for s.exchange.Counters.QueuesDropped.Load() == 0 {
 		s.exchange.Send(controller.OutgoingUpdate{Stream: 1, Update: shut})
 	}
 	s.exchange.Send(controller.OutgoingUpdate{Stream: 2, Update: shut})
@@ -355,12 +355,12 @@
 		t.Errorf("%+v", notes)
 	}
 	here.Read(make([]byte, resp.BufferSize))
-	if notes := told(t, s, 1); notes[0] != (controller.OutboxDrained{Stream: 1}) {
+	if notes := told(t, s, 1); notes[0] != (controller.UpdatesDropped{Stream: 1}) {
 		t.Errorf("%+v", notes)
 	}
 	s.exchange.Send(controller.OutgoingUpdate{Stream: 1, Update: controller.Update{Resync: true, Full: true}})
 	here.Read(make([]byte, 1))
-	s.exchange.End(1) // replaced while it is being written to
+	s.exchange.CloseStream(1) // replaced while it is being written to
 	slow.ends(t)
 	if notes := told(t, s, 1); notes[0] != (controller.StreamClosed{Stream: 1}) {
 		t.Errorf("%+v", notes)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -48,7 +48,7 @@
 func (c *Client) followConnection(ctx context.Context) (answers int, err error) {
 	defer func() {
 		if v := recover(); v != nil {
-			c.exchange.Tally.Panics.Add(1)
+			c.exchange.Counters.Panics.Add(1)
 			c.synced = false
 			err = &CallError{StagePanic, fmt.Errorf("%v at %s", v, debug.Stack())}
 		}
@@ -83,7 +83,7 @@
 
 // connect dials the present address.
 func (c *Client) connect(ctx context.Context) (*pacedConn, error) {
-	c.exchange.Tally.Dials.Add(1)
+	c.exchange.Counters.Dials.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, "tcp", c.address)
@@ -116,7 +116,7 @@
 
 // call sends one request, reads the answer and applies it.
 func (c *Client) call(conn *pacedConn, reader *bufio.Reader) (answer, error) {
-	c.exchange.Tally.Calls.Add(1)
+	c.exchange.Counters.DiscoveryCalls.Add(1)
 	if err := c.send(conn); err != nil {
 		return answer{}, &CallError{StageSend, err}
 	}
@@ -134,10 +134,10 @@
 	}
 	changed, err := c.apply(body)
 	if err != nil {
-		c.exchange.Tally.Odd.Add(1)
+		c.exchange.Counters.InvalidLists.Add(1)
 		return answer{}, &CallError{StageList, err}
 	}
-	c.exchange.Tally.Answers.Add(1)
+	c.exchange.Counters.DiscoveryAnswers.Add(1)
 	return answer{changed: changed, keep: !response.Close && reader.Buffered() == 0}, nil
 }
 
@@ -189,6 +189,6 @@
 	c.staleAnswers = 0
 	list.ReadAt = c.clock()
 	list.ReadAtWall = time.Now().UnixNano()
-	c.exchange.Publish(list)
+	c.exchange.Enqueue(list)
 	return changed, nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -51,7 +51,7 @@
 	address  string
 	dial     dialFunc
 	moves    chan string // to another address, the newest alone
-	exchange *eventloop.Exchange
+	exchange *eventloop.Queues
 	log      *slog.Logger
 	clock    func() int64 // nanoseconds, for the time of a listing
 	retry    *backoff.Backoff
@@ -64,7 +64,7 @@
 }
 
 // New makes a client that holds the list of a revision already. The seed is for the jitter of its retries.
-func New(address string, revision int64, x *eventloop.Exchange, log *slog.Logger, clock func() int64, seed uint64) *Client {
+func New(address string, revision int64, x *eventloop.Queues, log *slog.Logger, clock func() int64, seed uint64) *Client {
 	return &Client{
 		address:  address,
 		dial:     new(net.Dialer).DialContext,
@@ -137,9 +137,9 @@
 
 // countFailure counts a failed connection, and logs it if the one before it did not fail.
 func (c *Client) countFailure(err error, answers int) {
-	c.exchange.Tally.CallErrors.Add(1)
+	c.exchange.Counters.DiscoveryErrors.Add(1)
 	if isTimeout(err) {
-		c.exchange.Tally.Timeouts.Add(1)
+		c.exchange.Counters.Timeouts.Add(1)
 		c.retry.Reset()
 	}
 	if !c.failing {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -23,7 +23,7 @@
 const someList = `{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"h:1","locality":"a","flavor":"m2",` +
 	`"cell":3,"phase":"Ready","size":1.5,"up_since_ms":2}]}`
 
-func client(known int64) (*Client, *eventloop.Exchange) {
+func client(known int64) (*Client, *eventloop.Queues) {
 	x := eventloop.New()
 	return New("", known, x, slog.New(slog.DiscardHandler), func() int64 { return 7 }, 1), x
 }
@@ -92,7 +92,7 @@
 		for _, a := range c.answers {
 			_, err = cl.apply(a)
 		}
-		if told := len(x.Take()); cl.revision != c.known || told != c.told || (err != nil) != c.fails || cl.synced == c.whole {
+		if told := len(x.Drain()); cl.revision != c.known || told != c.told || (err != nil) != c.fails || cl.synced == c.whole {
 			t.Errorf("%s: revision %d, %d told, whole next %v: %v", name, cl.revision, told, !cl.synced, err)
 		}
 	}
@@ -150,14 +150,14 @@
 		if err != nil && (failure.Stage != c.stage || !strings.Contains(err.Error(), c.says)) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if told := len(x.Take()); got.keep != c.kept || told != c.told {
+		if told := len(x.Drain()); got.keep != c.kept || told != c.told {
 			t.Errorf("%s: kept %v, %d told", name, got.keep, told)
 		}
 		conn.Close()
 	}
 	cl, x := client(41)
 	conn := answerOnce(t, path, sized[:9], sized[9:40], sized[40:99], sized[99:]) // longer than an answer may be late
-	if _, err := cl.call(conn, bufio.NewReader(conn)); err != nil || len(x.Take()) != 1 {
+	if _, err := cl.call(conn, bufio.NewReader(conn)); err != nil || len(x.Drain()) != 1 {
 		t.Errorf("in slow pieces: %v", err)
 	}
 	cl.synced = true
@@ -216,8 +216,8 @@
 	}
 	stop()
 	<-ended
-	if x.Tally.Timeouts.Load() != 1 || x.Tally.Dials.Load() != 4 || len(x.Take()) < 2 {
-		t.Errorf("%d dials", x.Tally.Dials.Load())
+	if x.Counters.Timeouts.Load() != 1 || x.Counters.Dials.Load() != 4 || len(x.Drain()) < 2 {
+		t.Errorf("%d dials", x.Counters.Dials.Load())
 	}
 }
 
@@ -257,8 +257,8 @@
 		}
 		c.Move(at) // it is there already
 	}
-	if time.Since(start) > time.Second || x.Tally.Dials.Load() != 2 || len(x.Take()) != 2 {
-		t.Errorf("%d dials in %v", x.Tally.Dials.Load(), time.Since(start))
+	if time.Since(start) > time.Second || x.Counters.Dials.Load() != 2 || len(x.Drain()) != 2 {
+		t.Errorf("%d dials in %v", x.Counters.Dials.Load(), time.Since(start))
 	}
 	stop()
 	<-ended
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -16,13 +16,13 @@
 func TestAnAnswerAndTheCloseOfItsConnection(t *testing.T) {
 	for name, way := range map[string]struct {
 		text  func(string) string
-		close func(*scriptedpeer.Conn, *eventloop.Exchange)
+		close func(*scriptedpeer.Conn, *eventloop.Queues)
 	}{
-		"said":            {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) { c.Ends() }},
-		"said and done":   {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) { c.Close() }},
-		"not said":        {strings.Clone, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) { c.Close() }},
-		"more than asked": {func(a string) string { return a + "HTTP/1.1" }, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) { c.Close() }},
-		"reset under the next call": {strings.Clone, func(c *scriptedpeer.Conn, _ *eventloop.Exchange) {
+		"said":            {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.Ends() }},
+		"said and done":   {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.Close() }},
+		"not said":        {strings.Clone, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.Close() }},
+		"more than asked": {func(a string) string { return a + "HTTP/1.1" }, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.Close() }},
+		"reset under the next call": {strings.Clone, func(c *scriptedpeer.Conn, _ *eventloop.Queues) {
 			c.Request()
 			c.Reset()
 		}},
@@ -41,7 +41,7 @@
 				conn = agent.Take()
 				expectRequest(t, conn, fmt.Sprintf(watchLine, revision))
 			}
-			if errs := x.Tally.CallErrors.Load(); errs != 0 || log.count("discovery") != 0 {
+			if errs := x.Counters.DiscoveryErrors.Load(); errs != 0 || log.count("discovery") != 0 {
 				t.Errorf("%d errors: %s", errs, log.text.String())
 			}
 			agent.Close()
@@ -113,7 +113,7 @@
 			next = after.Take()
 		}
 	}
-	if l := nextListing(t, x); l.Revision != 3 || len(x.Take()) > 0 {
+	if l := nextListing(t, x); l.Revision != 3 || len(x.Drain()) > 0 {
 		t.Errorf("told %+v", l)
 	}
 	expectRequest(t, next, fmt.Sprintf(watchLine, 3))
@@ -147,8 +147,8 @@
 	expectRequest(t, second, wholeListLine)
 	second.Raw(list(41, true, "Ready"))
 	expectRequest(t, second, fmt.Sprintf(watchLine, 41))
-	if l := nextListing(t, x); l.Revision != 41 || x.Tally.Dials.Load() != 3 {
-		t.Errorf("told %+v after %d dials", l, x.Tally.Dials.Load())
+	if l := nextListing(t, x); l.Revision != 41 || x.Counters.Dials.Load() != 3 {
+		t.Errorf("told %+v after %d dials", l, x.Counters.Dials.Load())
 	}
 }
 
@@ -185,7 +185,7 @@
 	} {
 		cl, x := client(c.known)
 		_, err := cl.apply(body(list(c.revision, true, "Ready")))
-		if got := len(x.Take()) == 1; got != c.told || (err != nil) != c.fails {
+		if got := len(x.Drain()) == 1; got != c.told || (err != nil) != c.fails {
 			t.Errorf("%s: told %v: %v", name, got, err)
 		}
 		if _, err := cl.apply(body(list(cl.revision, false, "Gone"))); (err != nil) != c.fails { // changes, where all is asked for
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -61,7 +61,7 @@
 }
 
 // startClient runs a client that holds the list of a revision, until the end of the test.
-func startClient(t *testing.T, address string, known int64) (*Client, *eventloop.Exchange, *logBuffer) {
+func startClient(t *testing.T, address string, known int64) (*Client, *eventloop.Queues, *logBuffer) {
 	x, log := eventloop.New(), &logBuffer{}
 	c := New(address, known, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, 1)
 	ctx, stop := context.WithCancel(context.Background())
@@ -72,14 +72,14 @@
 }
 
 // nextListing waits for the next listing.
-func nextListing(t *testing.T, x *eventloop.Exchange) controller.ReplicaList {
+func nextListing(t *testing.T, x *eventloop.Queues) controller.ReplicaList {
 	t.Helper()
 	select {
 	case <-x.Ready():
 	case <-time.After(scriptedpeer.Patience):
 		t.Fatal("nothing is told")
 	}
-	notes := x.Take()
+	notes := x.Drain()
 	return notes[len(notes)-1].(controller.ReplicaList)
 }
 
@@ -113,7 +113,7 @@
 
 // startClientWithDialer runs a client in a bubble of virtual time until its test ends.
 func startClientWithDialer(t *testing.T, seed uint64, dial dialFunc) (
-	*Client, *eventloop.Exchange, *logBuffer) {
+	*Client, *eventloop.Queues, *logBuffer) {
 	x, log := eventloop.New(), &logBuffer{}
 	c := New("agent:1", 40, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, seed)
 	c.dial = dial
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -152,16 +152,16 @@
 					}
 				}))
 				time.Sleep(span)
-				if calls := time.Duration(x.Tally.Calls.Load()); calls > c.most {
+				if calls := time.Duration(x.Counters.DiscoveryCalls.Load()); calls > c.most {
 					t.Errorf("%d calls in %v, want %d at most", calls, span, c.most)
 				}
 				if fails := log.count("discovery fails"); fails > 1 || (fails == 1) != c.fails || log.count("discovery answers") > 0 {
 					t.Errorf("log: %.400s", log.text.String())
 				}
-				if (x.Tally.CallErrors.Load() > 0) != c.fails {
-					t.Errorf("%d errors", x.Tally.CallErrors.Load())
+				if (x.Counters.DiscoveryErrors.Load() > 0) != c.fails {
+					t.Errorf("%d errors", x.Counters.DiscoveryErrors.Load())
 				}
-				if lists := time.Duration(len(x.Take())); lists < c.lists {
+				if lists := time.Duration(len(x.Drain())); lists < c.lists {
 					t.Errorf("%d lists told, want %d", lists, c.lists)
 				}
 			})
@@ -223,8 +223,8 @@
 				t.Errorf("dial %d came %v after the one before it, want %v", k, gap, most)
 			}
 		}
-		if len(dials) < 30 || x.Tally.Timeouts.Load() < 10 {
-			t.Errorf("%d dials, %d timed out", len(dials), x.Tally.Timeouts.Load())
+		if len(dials) < 30 || x.Counters.Timeouts.Load() < 10 {
+			t.Errorf("%d dials, %d timed out", len(dials), x.Counters.Timeouts.Load())
 		}
 	})
 }
--- a/internal/eventloop/exchange.go
+++ b/internal/eventloop/exchange.go
@@ -24,48 +24,48 @@
 	maxPendingProbes = maxQueuedItems / 2
 )
 
-// Tally counts what passes the sockets.
-type Tally struct {
-	Accepted, Refused, Evicted, Ended                atomic.Int64 // connections
-	Strangers, Late                                  atomic.Int64 // sent away: not ours, not joined in time
-	Skipped, Unreadable, Panics                      atomic.Int64 // of what was taken in
-	Pushes, PushBytes, Emptied, WriteErrors, Alive   atomic.Int64 // sent and answered
-	Calls, Answers, Dials, CallErrors, Odd, Timeouts atomic.Int64 // of discovery
-	Lost                                             atomic.Int64 // events
-	Reloads, Misread                                 atomic.Int64 // of the configuration: taken over, not usable
-}
-
-// Exchange holds one inbox and the outboxes.
-type Exchange struct {
-	Tally     Tally
+// Counters counts what passes the sockets.
+type Counters struct {
+	Accepted, Refused, Evicted, Ended                                                atomic.Int64 // connections
+	UnknownPeers, JoinTimeouts                                                       atomic.Int64 // sent away: not ours, not joined in time
+	Skipped, Malformed, Panics                                                       atomic.Int64 // of what was taken in
+	UpdatesSent, UpdateBytes, QueuesDropped, WriteErrors, HealthChecks               atomic.Int64 // sent and answered
+	DiscoveryCalls, DiscoveryAnswers, Dials, DiscoveryErrors, InvalidLists, Timeouts atomic.Int64 // of discovery
+	InputsDropped                                                                    atomic.Int64 // events
+	Reloads, ReloadsFailed                                                           atomic.Int64 // of the configuration: taken over, not usable
+}
+
+// Queues holds one inbox and the outboxes.
+type Queues struct {
+	Counters  Counters
 	mu        sync.Mutex
 	events    []controller.Input
 	maxEvents int
 	ready     chan struct{}
-	outboxes  map[controller.StreamID]*Outbox
+	outboxes  map[controller.StreamID]*SendQueue
 }
 
 // New makes an empty exchange.
-func New() *Exchange {
-	return &Exchange{maxEvents: maxEvents, ready: make(chan struct{}, 1), outboxes: map[controller.StreamID]*Outbox{}}
+func New() *Queues {
+	return &Queues{maxEvents: maxEvents, ready: make(chan struct{}, 1), outboxes: map[controller.StreamID]*SendQueue{}}
 }
 
-// Expect has the inbox hold what so many proxies may say.
-func (x *Exchange) Expect(proxies int) {
+// SetProxies has the inbox hold what so many proxies may say.
+func (x *Queues) SetProxies(proxies int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.maxEvents = maxEvents + maxEventsPerProxy*proxies
 }
 
-// Publish leaves an event for the core. Sums are lost when the inbox is full; what each connection or call tells
+// Enqueue leaves an event for the core. Sums are lost when the inbox is full; what each connection or call tells
 // once or twice is not.
-func (x *Exchange) Publish(event controller.Input) {
+func (x *Queues) Enqueue(event controller.Input) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch event.(type) {
 	case controller.Outcomes, controller.Demand, controller.Ack, controller.StreamActive:
 		if len(x.events) >= x.maxEvents {
-			x.Tally.Lost.Add(1)
+			x.Counters.InputsDropped.Add(1)
 			return
 		}
 	}
@@ -73,9 +73,9 @@
 	signal(x.ready)
 }
 
-// Written leaves the event that a message has gone out. It wakes nobody: it counts when answers come, and there is one
+// MessageSent leaves the event that a message has gone out. It wakes nobody: it counts when answers come, and there is one
 // for each message.
-func (x *Exchange) Written(number uint64) {
+func (x *Queues) MessageSent(number uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.events = append(x.events, controller.MessageSent{Number: number})
@@ -89,10 +89,10 @@
 }
 
 // Ready is signalled when events have come.
-func (x *Exchange) Ready() <-chan struct{} { return x.ready }
+func (x *Queues) Ready() <-chan struct{} { return x.ready }
 
-// Take empties the inbox.
-func (x *Exchange) Take() []controller.Input {
+// Drain empties the inbox.
+func (x *Queues) Drain() []controller.Input {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	events := x.events
@@ -100,17 +100,17 @@
 	return events
 }
 
-// Open makes the outbox of a stream; end ends its connection, whatever it is at.
-func (x *Exchange) Open(stream controller.StreamID, end func()) *Outbox {
+// OpenStream makes the outbox of a stream; end ends its connection, whatever it is at.
+func (x *Queues) OpenStream(stream controller.StreamID, end func()) *SendQueue {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	b := &Outbox{stream: stream, end: end, exchange: x, ready: make(chan struct{}, 1)}
+	b := &SendQueue{stream: stream, end: end, exchange: x, ready: make(chan struct{}, 1)}
 	x.outboxes[stream] = b
 	return b
 }
 
 // Send puts a push into the outbox of its stream, if there is still one.
-func (x *Exchange) Send(s controller.OutgoingUpdate) {
+func (x *Queues) Send(s controller.OutgoingUpdate) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if b := x.outboxes[s.Stream]; b != nil {
@@ -118,8 +118,8 @@
 	}
 }
 
-// End ends a stream.
-func (x *Exchange) End(s controller.StreamID) {
+// CloseStream ends a stream.
+func (x *Queues) CloseStream(s controller.StreamID) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if b := x.outboxes[s]; b != nil {
@@ -132,15 +132,15 @@
 // Item is what goes out on a stream: a push, or the word that the governor is there.
 type Item struct {
 	controller.Update
-	Number uint64 // of the push in the channel's account
-	Alive  bool
+	Number           uint64 // of the push in the channel's account
+	HealthCheckReply bool
 }
 
-// Outbox holds what waits for one stream.
-type Outbox struct {
+// SendQueue holds what waits for one stream.
+type SendQueue struct {
 	stream          controller.StreamID
 	end             func()
-	exchange        *Exchange
+	exchange        *Queues
 	items           []Item
 	probes          int  // to be answered: owed whatever becomes of the items
 	overflowed      bool // items were dropped: nothing goes until the whole state comes
@@ -149,13 +149,13 @@
 	ready           chan struct{}
 }
 
-func (b *Outbox) put(i Item) {
+func (b *SendQueue) put(i Item) {
 	switch {
 	case b.overflowed && !i.Resync:
 		return
 	case len(b.items) >= maxQueuedItems:
 		b.items, b.overflowed, b.resyncRequested = nil, true, false
-		b.exchange.Tally.Emptied.Add(1)
+		b.exchange.Counters.QueuesDropped.Add(1)
 	default:
 		b.overflowed = false
 		b.items = append(b.items, i)
@@ -163,8 +163,8 @@
 	signal(b.ready)
 }
 
-// Alive answers a probe that came on the stream, at the next end of a message; who reads none of the answers gets no more of them.
-func (b *Outbox) Alive() {
+// AnswerHealthCheck answers a probe that came on the stream, at the next end of a message; who reads none of the answers gets no more of them.
+func (b *SendQueue) AnswerHealthCheck() {
 	b.exchange.mu.Lock()
 	defer b.exchange.mu.Unlock()
 	b.probes = min(maxPendingProbes, b.probes+1)
@@ -172,7 +172,7 @@
 }
 
 // Next waits for the next item; false: the stream is over, or done is closed.
-func (b *Outbox) Next(done <-chan struct{}) (Item, bool) {
+func (b *SendQueue) Next(done <-chan struct{}) (Item, bool) {
 	for {
 		b.exchange.mu.Lock()
 		if b.closing {
@@ -182,7 +182,7 @@
 		if b.probes > 0 {
 			b.probes--
 			b.exchange.mu.Unlock()
-			return Item{Alive: true}, true
+			return Item{HealthCheckReply: true}, true
 		}
 		if len(b.items) > 0 {
 			i := b.items[0]
@@ -194,7 +194,7 @@
 		b.resyncRequested = b.resyncRequested || ask
 		b.exchange.mu.Unlock()
 		if ask {
-			b.exchange.Publish(controller.OutboxDrained{Stream: b.stream})
+			b.exchange.Enqueue(controller.UpdatesDropped{Stream: b.stream})
 		}
 		select {
 		case <-b.ready:
@@ -205,7 +205,7 @@
 }
 
 // Close forgets the outbox.
-func (b *Outbox) Close() {
+func (b *SendQueue) Close() {
 	b.exchange.mu.Lock()
 	defer b.exchange.mu.Unlock()
 	delete(b.exchange.outboxes, b.stream)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -41,7 +41,7 @@
 	server   *ingress.Server
 	client   *controlclient.Client
 	teller   *controlclient.Reporter
-	lists    *eventloop.Exchange
+	lists    *eventloop.Queues
 	flows    atomic.Int64
 
 	listeners map[string]net.Listener
@@ -196,7 +196,7 @@
 			return
 		case <-s.lists.Ready():
 		}
-		for _, note := range s.lists.Take() {
+		for _, note := range s.lists.Drain() {
 			l, ok := note.(controller.ReplicaList)
 			if !ok {
 				continue
