--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -81,8 +81,8 @@
 	return []control.Event{s.opened}
 }
 
-// handleAck clears the messages that an ack covers: the one of its nonce and all sent before it. The module is told of the
-// last nonce of its own among them.
+// handleAck clears the messages that an ack covers: the one of its nonce and all sent before it. The last nonce of the
+// module's own among them is reported to it.
 func (c *Core) handleAck(ack Ack, now int64) []control.Event {
 	s := c.streams.byID[ack.Stream]
 	if s == nil {
--- a/internal/controller/configure.go
+++ b/internal/controller/configure.go
@@ -15,8 +15,8 @@
 
 // Reasons why settings are refused.
 var (
-	// ErrNeedsRestart is a setting that cannot change while proxies are connected: what they were told before would mean
-	// something else to them.
+	// ErrNeedsRestart is a setting that cannot change while proxies are connected: what was sent to them before would mean
+	// something else.
 	ErrNeedsRestart = errors.New("setting domain.admit cannot change while the controller runs: restart it")
 	// ErrModuleFails is settings by which no module runs.
 	ErrModuleFails = errors.New("the module fails by it")
@@ -39,7 +39,7 @@
 }
 
 // configurationState is the version of the settings in force and what this turn has done with settings that came. Settings
-// are put in force as a whole or not at all; streams, what they were told, the channel's account and learned state stay.
+// are put in force as a whole or not at all; streams, what was delivered to them, the channel's account and learned state stay.
 type configurationState struct {
 	version  revision.Version      // zero: those of the start
 	previous *configuration        // before this turn; nil: the turn has changed nothing
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// configure puts settings in force. A module that has had a turn is told; another one starts by them.
+// configure puts settings in force. A module that has had a turn is notified; another one starts by them.
 func (c *Core) configure(configure Configure) []control.Event {
 	next := NewTopology(configure.Names, configure.Settings)
 	if err := c.Accepts(next); err != nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// renumberDelivered keeps what streams were told of each traffic class. An admission of a class that no longer exists is
+// renumberDelivered keeps what was delivered to streams of each traffic class. An admission of a class that no longer exists is
 // lifted once, so that no proxy goes on rejecting requests by an admission that nobody will change.
 func (c *Core) renumberDelivered(numbers []int, before []string) {
 	for _, proxy := range sortedKeys(c.streams.byProxy) {
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,6 +1,6 @@
 // Package controller is the core of a controller without I/O. A turn takes in what proxies, collectors, discovery and the
 // operator have reported since the last one, runs the decision module, and returns one update for each proxy that its
-// commands concern. The core maps names to the module's numbers and back, keeps what each stream was told, and holds
+// commands concern. The core maps names to the module's numbers and back, keeps what was delivered to each stream, and holds
 // updates back while the channel or a proxy's message cap has no capacity for them. It has no clock and no goroutine and
 // makes no routing decision. Times are nanoseconds of the caller's monotonic clock unless stated otherwise.
 package controller
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -17,7 +17,7 @@
 	normal  []*stream           // with pending changes, the longest first; urgent ones are skipped here
 	acks    ackDeadlines
 
-	lastCatchUp    int64  // when unbound streams were last looked at
+	lastCatchUp    int64  // when unbound streams were last checked
 	ownAckRequests uint64 // how many there were, so that each asks another proxy
 }
 
@@ -200,13 +200,13 @@
 	}
 }
 
-// The delay after which an unbound proxy is caught up is a fraction of the drain grace, as is the time between two looks.
+// The delay after which an unbound proxy is caught up is a fraction of the drain grace, as is the time between two checks.
 const (
 	catchUpDelayFraction    = 2
 	catchUpIntervalFraction = 8
 )
 
-// catchUpUnbound tells streams that have been unbound for a while of everything that is ejected. What a proxy held when it
+// catchUpUnbound sends all ejections to streams that have been unbound for a while. What a proxy held when it
 // connected may name replicas ejected before, and in a reconnect storm, or if no replica is left for its table, its own
 // table may come too late to say so.
 func (c *Core) catchUpUnbound(now int64) {
--- a/internal/controller/handle.go
+++ b/internal/controller/handle.go
@@ -89,7 +89,7 @@
 	return s
 }
 
-// handleStreamClosed drops a stream. The module is told, unless it was told already as the proxy was silent.
+// handleStreamClosed drops a stream. The module is notified, unless it was already, as the proxy was silent.
 func (c *Core) handleStreamClosed(id StreamID, now int64) []control.Event {
 	s := c.streams.byID[id]
 	if s == nil {
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -87,7 +87,7 @@
 	c.module.pausedUntil = t.now + restartDelay
 }
 
-// retryTurn runs the turn of a new module, which is told of everything that stands, and reports whether it succeeded.
+// retryTurn runs the turn of a new module, which is sent everything that stands, and reports whether it succeeded.
 func (c *Core) retryTurn(t *turn, failure string) bool {
 	t.fail(failure)
 	return c.runTurn(t, nil) == ""
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -167,8 +167,8 @@
 const nameRetention = int64(30 * time.Second)
 
 // maxEvictedEjections bounds the names that were evicted though they may be ejected at some stream: a few releases of a
-// thousand replicas. Past it every stream is taken to eject whoever it was not told about, which costs a unit for each
-// endpoint.
+// thousand replicas. Past it every stream is taken to eject whoever it got no report about, which costs a unit for
+// each endpoint.
 const maxEvictedEjections = 4 << 10
 
 // evictNames drops the names of replicas that have long been gone and that nobody needs any more.
@@ -205,7 +205,7 @@
 	return needed
 }
 
-// evictName drops the number of a replica. Its name is kept if some stream was told that it is ejected.
+// evictName drops the number of a replica. Its name is kept if its ejection was delivered to some stream.
 func (c *Core) evictName(number uint32, r *replica) {
 	delete(c.replicas.numbers, r.name)
 	delete(c.replicas.byNumber, number)
@@ -220,7 +220,7 @@
 	}
 }
 
-// assumeEjections takes all streams to eject whoever they were not told about.
+// assumeEjections takes all streams to eject whoever they got no report about.
 func (c *Core) assumeEjections() {
 	for _, s := range c.streams.byProxy {
 		s.delivered.ejectsOnlyReported = false
--- a/internal/controller/streams.go
+++ b/internal/controller/streams.go
@@ -26,7 +26,7 @@
 	silent    silence
 
 	unboundSince int64 // when it was last bound to no table
-	caughtUp     bool  // since then it was told of everything that is ejected
+	caughtUp     bool  // since then it was sent all ejections
 }
 
 // binding is the table of a stream and what of it is still due.
@@ -37,10 +37,10 @@
 	subset      *subset // nil: the stream gets all of the table
 }
 
-// deliveredState is what a stream's updates have told its proxy beside the table.
+// deliveredState is what a stream's updates have delivered beside the table.
 type deliveredState struct {
 	// ejectsOnlyReported says that the proxy ejects nobody that ejections does not name, as it held no assigned table when
-	// it connected. Otherwise it may eject anyone whom it was not told about.
+	// it connected. Otherwise it may eject anyone that ejections does not name.
 	ejectsOnlyReported bool
 	ejections          map[uint32]bool   // by replica; false: restored
 	admissions         map[int]Admission // by traffic class
@@ -63,7 +63,7 @@
 // silence says whether a proxy has kept silent though it owes an ack.
 type silence struct {
 	since    int64 // 0: it owes none, or has spoken since
-	reported bool  // the module was told that the proxy has disconnected
+	reported bool  // to the module, as disconnected
 }
 
 // sentMessage is an update that asked for an ack.
--- a/internal/controller/topology.go
+++ b/internal/controller/topology.go
@@ -49,7 +49,7 @@
 	silenceTimeout  int64 // within which a proxy that owes an ack gives it, unless it has vanished
 	bounds          sendbudget.Bounds
 	admission       control.AdmissionMode
-	defaultRetries  control.RetryPolicy // what proxies do unless told otherwise
+	defaultRetries  control.RetryPolicy // what proxies do unless an admission says otherwise
 	formerZones     []string            // that have left the settings since the controller started
 }
 
--- a/internal/controller/update.go
+++ b/internal/controller/update.go
@@ -65,7 +65,7 @@
 	return units
 }
 
-// ejectionCost is 1 if the proxy has to be told whether a replica is ejected, as it may hold otherwise, else 0.
+// ejectionCost is 1 if an update has to say whether a replica is ejected, as the proxy may hold otherwise, else 0.
 func (c *Core) ejectionCost(s *stream, replica uint32) int {
 	if s.delivered.mayDiffer(replica, c.routing.ejected[replica]) {
 		return 1
@@ -167,7 +167,7 @@
 	}
 }
 
-// addAdmissions adds the admissions that the proxy was not told of. Those of all tables reach a stream with its next update
+// addAdmissions adds the admissions that were not delivered. Those of all tables reach a stream with its next update
 // for any reason.
 func (c *Core) addAdmissions(s *stream, update *Update) {
 	for class, name := range c.names.Classes {
--- a/internal/sendbudget/account.go
+++ b/internal/sendbudget/account.go
@@ -166,7 +166,7 @@
 func (a *Account) Evict(now int64) {
 	a.Expire(now)
 	for proxy, p := range a.proxies {
-		p.forget(now - a.MessageWindow)
+		p.evict(now - a.MessageWindow)
 		if p.isEmpty() {
 			delete(a.proxies, proxy)
 		}
--- a/internal/sendbudget/bounds.go
+++ b/internal/sendbudget/bounds.go
@@ -90,7 +90,7 @@
 	return int64(float64(units) / b.ChannelRate * float64(time.Second))
 }
 
-// countedWindow returns for how long a message counts against a proxy's cap: until its ack, after its way there and back, is
+// countedWindow returns for how long a message counts against a proxy's cap: until its ack, after its transit there and back, is
 // a window old.
 func (b *Bounds) countedWindow() int64 { return b.MessageWindow + busyTransits*b.MaxTransit }
 
--- a/internal/sendbudget/messagecap.go
+++ b/internal/sendbudget/messagecap.go
@@ -15,8 +15,8 @@
 	return max(len(p.chargedAt), len(p.outstanding)+len(p.receivedAt))
 }
 
-// forget drops the times before one.
-func (p *proxyAccount) forget(before int64) {
+// evict drops the times before one.
+func (p *proxyAccount) evict(before int64) {
 	past := func(at int64) bool { return at < before }
 	p.chargedAt = slices.DeleteFunc(p.chargedAt, past)
 	p.receivedAt = slices.DeleteFunc(p.receivedAt, past)
@@ -59,7 +59,7 @@
 	if p == nil || a.MaxMessages == 0 {
 		return true
 	}
-	p.forget(now - a.MessageWindow)
+	p.evict(now - a.MessageWindow)
 	return p.used() < a.MaxMessages
 }
 
--- a/internal/sendbudget/messagecap_test.go
+++ b/internal/sendbudget/messagecap_test.go
@@ -19,11 +19,11 @@
 	if p.used() != 3 || len(p.outstanding) != 0 || p.receivedAt[2] != 40 {
 		t.Errorf("after all are received: %+v", p)
 	}
-	p.forget(40)
+	p.evict(40)
 	if p.used() != 1 || len(p.chargedAt) != 0 {
 		t.Errorf("after a window: %+v", p)
 	}
-	p.forget(41)
+	p.evict(41)
 	if !p.isEmpty() {
 		t.Errorf("left: %+v", p)
 	}
--- a/internal/snapshot/format1.go
+++ b/internal/snapshot/format1.go
@@ -30,12 +30,12 @@
 	Draining        bool    `cbor:"6,keyasint,omitempty"`
 	Speed           float64 `cbor:"7,keyasint"`
 	SampleCount     float64 `cbor:"8,keyasint"`
-	Health          string  `cbor:"9,keyasint,omitempty"` // healthy1, ejected1 or probation1
+	Health          string  `cbor:"9,keyasint,omitempty"` // ejected1, probation1 or empty
 	Ejections       int     `cbor:"10,keyasint,omitempty"`
 	SinceLastSample int64   `cbor:"11,keyasint,omitempty"`
 }
 
-// Health of a replica in format 1; of a healthy one it is empty.
+// Health of a replica in format 1; empty: healthy.
 const (
 	ejected1   = "sick"
 	probation1 = "trial"
--- a/settings/decoder.go
+++ b/settings/decoder.go
@@ -28,10 +28,18 @@
 	err    error
 }
 
+// Error is a setting that is missing or out of its range.
+type Error struct {
+	Path    string
+	Problem string // follows the path in the text
+}
+
+func (e *Error) Error() string { return "setting " + e.Path + e.Problem }
+
 // fail records what is wrong with a setting, unless something was wrong before.
-func (d *decoder) fail(format string, args ...any) {
+func (d *decoder) fail(path, format string, args ...any) {
 	if d.err == nil {
-		d.err = fmt.Errorf(format, args...)
+		d.err = &Error{Path: path, Problem: fmt.Sprintf(format, args...)}
 	}
 }
 
@@ -39,7 +47,7 @@
 func (d *decoder) list(path string) []string {
 	list, found := d.values[path]
 	if !found {
-		d.fail("setting %s is missing", path)
+		d.fail(path, " is missing")
 	}
 	return list
 }
@@ -52,7 +60,7 @@
 	text := d.text(path)
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		d.fail("setting %s=%q is not a number", path, text)
+		d.fail(path, "=%q is not a number", text)
 		return 0
 	}
 	return number
@@ -62,7 +70,7 @@
 func (d *decoder) positive(path string) float64 {
 	number := d.number(path)
 	if number <= 0 {
-		d.fail("setting %s=%v is not above 0", path, number)
+		d.fail(path, "=%v is not above 0", number)
 	}
 	return number
 }
@@ -71,7 +79,7 @@
 func (d *decoder) fraction(path string) float64 {
 	number := d.number(path)
 	if number < 0 || number > 1 {
-		d.fail("setting %s=%v is not a fraction from 0 to 1", path, number)
+		d.fail(path, "=%v is not a fraction from 0 to 1", number)
 	}
 	return number
 }
@@ -80,7 +88,7 @@
 func (d *decoder) nanos(path string) int64 {
 	millis := d.number(path)
 	if millis < 0 || millis > maxMillis {
-		d.fail("setting %s=%v is not a time from 0 to a year, in milliseconds", path, millis)
+		d.fail(path, "=%v is not a time from 0 to a year, in milliseconds", millis)
 		return 0
 	}
 	return control.Nanos(millis)
@@ -96,7 +104,7 @@
 func (d *decoder) count(path string) int {
 	number := d.number(path)
 	if number < 0 || number > maxCount || number != math.Trunc(number) {
-		d.fail("setting %s=%v is not a whole count", path, number)
+		d.fail(path, "=%v is not a whole count", number)
 		return 0
 	}
 	return int(number)
@@ -106,7 +114,7 @@
 func (d *decoder) lines(path string, round func(float64) float64) int {
 	number := d.number(path)
 	if number < 0 || number > maxLines {
-		d.fail("setting %s=%v is not a number of lines", path, number)
+		d.fail(path, "=%v is not a number of lines", number)
 		return 0
 	}
 	return int(round(number))
@@ -119,11 +127,11 @@
 	for _, name := range names {
 		switch {
 		case seen[name]:
-			d.fail("setting %s: %.40q is listed twice", path, name)
+			d.fail(path, ": %.40q is listed twice", name)
 		case len(name) > maxNameLength:
-			d.fail("setting %s: %.40q... has %d bytes, at most %d may be", path, name, len(name), maxNameLength)
+			d.fail(path, ": %.40q... has %d bytes, at most %d may be", name, len(name), maxNameLength)
 		case separator != "" && (name == "" || strings.Contains(name, separator)):
-			d.fail("setting %s: %q cannot stand in a list of names joined by %s", path, name, separator)
+			d.fail(path, ": %q cannot stand in a list of names joined by %s", name, separator)
 		}
 		seen[name] = true
 	}
@@ -134,7 +142,7 @@
 	word := d.text(path)
 	value, known := words[word]
 	if !known {
-		d.fail("setting %s=%q is not known", path, word)
+		d.fail(path, "=%q is not known", word)
 	}
 	return value
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -108,14 +108,14 @@
 	to.AttemptTimeoutFactor = d.number("domain.try_factor")
 	to.DefaultRetries = control.RetryPolicy(d.count("domain.usual_how"))
 	if to.DefaultRetries > control.RetryTwice {
-		d.fail("setting domain.usual_how=%d is not a retry policy", to.DefaultRetries)
+		d.fail("domain.usual_how", "=%d is not a retry policy", to.DefaultRetries)
 	}
 }
 
 // refuseShards refuses sites whose replicas hold shards of the data.
 func (d *decoder) refuseShards() {
 	if shards := optional(d, "domain.shards", d.number, 0); shards != 0 {
-		d.fail("setting domain.shards=%v: sites with shards are not supported", shards)
+		d.fail("domain.shards", "=%v: sites with shards are not supported", shards)
 	}
 }
 
@@ -152,7 +152,7 @@
 func (d *decoder) checkChannelLimit(decoded control.Settings) {
 	minimum := minMessages * smallestTable(decoded.MessageOverhead, len(decoded.Classes))
 	if decoded.ChannelLimit < minimum {
-		d.fail("setting domain.pending_max=%d is too small for %d messages of a table, which have %d lines",
+		d.fail("domain.pending_max", "=%d is too small for %d messages of a table, which have %d lines",
 			decoded.ChannelLimit, minMessages, minimum)
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -115,3 +116,16 @@
 		}
 	}
 }
+
+func TestErrorNamesThePathOfTheSetting(t *testing.T) {
+	for path, lines := range map[string]string{
+		"domain.push_rate": strings.Replace(exampleLines, "push_rate=1200.0", "push_rate=fast", 1),
+		"domain.shards":    strings.Replace(exampleLines, "shards=0", "shards=12", 1),
+		"lanes.0.slo_ms":   strings.Replace(exampleLines, "lanes.0.slo_ms=1200.0\n", "", 1),
+	} {
+		var wrong *Error
+		if _, err := ParseLines(lines).Decode(9); !errors.As(err, &wrong) || wrong.Path != path || err.Error() != "setting "+path+wrong.Problem {
+			t.Errorf("%v, want an error of %s", err, path)
+		}
+	}
+}
