--- a/policy/binding.go
+++ b/policy/binding.go
@@ -5,6 +5,7 @@
 
 	"lilacbend/control"
 	"lilacbend/policy/binding"
+	"lilacbend/policy/pacing"
 )
 
 // connectedProxy is a proxy that has a table.
@@ -25,7 +26,7 @@
 	return &binder{
 		sharedState: shared,
 		bindings:    binding.New(&shared.Settings),
-		acks:        binding.NewPendingAcks(marksMask),
+		acks:        binding.NewPendingAcks(pacing.NonceMask),
 	}
 }
 
@@ -45,7 +46,7 @@
 		b.enqueue(pacingComponent, acknowledged{nonce: nonce})
 		b.reportComplete(b.acks.Acknowledge(m.Proxy, nonce), false)
 	case messagesSent:
-		b.acks.Await(m.mark, m.proxies)
+		b.acks.Await(m.nonce, m.proxies)
 	default:
 		unexpected(b, m)
 	}
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -75,21 +75,21 @@
 	}
 	demandSummary struct { // admission to placement
 		failedFraction float64         // of all requests of the last seconds
-		requests       map[int]float64 // of each proxy within demandSpan
-		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in demandSpan
+		requests       map[int]float64 // of each proxy within admission.DemandWindow
+		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in that window
 	}
 	warmingReplicas struct { // placement to pacing: the replicas that warm up, and whether they are restored all at once
 		replicas map[uint32]bool
 		together bool
 	}
-	updateStep struct { // sequence to pacer: what the open step still has to send
-		adds   int // the first so many are additions
-		orders []control.Command
+	updateStep struct { // update to pacing: what the open step has to send
+		additions int // so many of the first commands are additions
+		commands  []control.Command
 	}
-	messagesSent struct { // pacer to registry and sequence: what went out, to whom, under which mark
-		mark    uint64
-		proxies []int
-		orders  []control.Command
+	messagesSent struct { // pacing to update and binding: what a turn has sent
+		nonce    uint64            // that the proxies are asked to acknowledge; 0: there are none
+		proxies  []int             // that got messages, ascending
+		commands []control.Command // of the update's step
 	}
 	acknowledged struct { // binding to pacing and update
 		nonce        uint64
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -34,11 +34,8 @@
 	p.binding = newBinder(shared)
 	p.placement = newPlanner(shared)
 	p.admission = newAdmissionController(shared)
-	p.update = &updater{sharedState: shared, laid: map[tableEndpoint]float64{}, out: map[uint32]bool{},
-		moves: map[int]int{}, open: map[uint64]int64{}}
-	p.pacing = &pacer{sharedState: shared, bound: map[int]int{}, members: map[int][]int{}, laid: map[int]map[uint32]float64{},
-		sendTimes: map[int][]int64{}, partial: map[int]*partial{}, rates: map[int]float64{},
-		ejected: map[uint32]bool{}, leveled: map[int]bool{}}
+	p.update = newUpdater(shared)
+	p.pacing = newPacer(shared)
 	p.queues = []*queue{
 		bindingComponent:   {component: p.binding},
 		placementComponent: {component: p.placement},
