--- a/internal/configcache/record.go
+++ b/internal/configcache/record.go
@@ -20,8 +20,8 @@
 	format = 1
 	// maxHeaderSize bounds the header of a file, in bytes.
 	maxHeaderSize = 4 << 10
-	// MaxFileSize bounds a file, in bytes.
-	MaxFileSize = maxHeaderSize + configstore.SettingsMax
+	// maxFileSize bounds a file, in bytes.
+	maxFileSize = maxHeaderSize + configstore.SettingsMax
 )
 
 // Record is the settings in force at a controller.
--- a/internal/configcache/writer.go
+++ b/internal/configcache/writer.go
@@ -28,7 +28,7 @@
 
 // Load reads the record of a directory; found is false where there is none.
 func Load(storage Storage) (r Record, found bool, err error) {
-	raw, err := storage.Read(fileName, MaxFileSize)
+	raw, err := storage.Read(fileName, maxFileSize)
 	if errors.Is(err, fs.ErrNotExist) {
 		return Record{}, false, nil
 	}
--- a/internal/filewriter/directory.go
+++ b/internal/filewriter/directory.go
@@ -13,8 +13,8 @@
 	"github.com/google/renameio/v2"
 )
 
-// MaxFiles is how many files of one directory are listed.
-const MaxFiles = 1 << 10
+// maxFiles is how many files of one directory are listed.
+const maxFiles = 1 << 10
 
 const (
 	filePermissions      = 0o600
@@ -37,7 +37,7 @@
 		return nil, err
 	}
 	defer directory.Close()
-	entries, err := directory.ReadDir(MaxFiles)
+	entries, err := directory.ReadDir(maxFiles)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
@@ -107,8 +107,8 @@
 // Remove removes a file.
 func (d Directory) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// LockName is the name of the file by which a directory is held.
-const LockName = "lock"
+// lockName is the name of the file by which a directory is held.
+const lockName = "lock"
 
 // maxOwnerText bounds what is read of the owner of a lock, in bytes.
 const maxOwnerText = 200
@@ -130,7 +130,7 @@
 	if err := d.checkOwner(); err != nil {
 		return nil, err
 	}
-	file, err := os.OpenFile(filepath.Join(string(d), LockName), os.O_RDWR|os.O_CREATE, filePermissions)
+	file, err := os.OpenFile(filepath.Join(string(d), lockName), os.O_RDWR|os.O_CREATE, filePermissions)
 	if err != nil {
 		return nil, fmt.Errorf("its lock: %w", err)
 	}
--- a/internal/filewriter/directory_test.go
+++ b/internal/filewriter/directory_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("a folder for all: %v", err)
 	}
 	os.Chmod(string(dir), 0o700)
-	file := Directory(filepath.Join(string(dir), LockName, "under"))
+	file := Directory(filepath.Join(string(dir), lockName, "under"))
 	if _, err := file.Acquire("n0"); !errors.Is(err, syscall.ENOTDIR) {
 		t.Errorf("a file for a folder: %v", err)
 	}
--- a/internal/learnedstate/age.go
+++ b/internal/learnedstate/age.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// MinWeight is the least weight of an entry, that after six half-lives. What weighs less changes no decision and is dropped.
-const MinWeight = 1.0 / 64
+// minWeight is the least weight of an entry, that after six half-lives. What weighs less changes no decision and is dropped.
+const minWeight = 1.0 / 64
 
-// Weight returns how much an age leaves of what was learned: half after each half-life, and nothing below MinWeight.
+// Weight returns how much an age leaves of what was learned: half after each half-life, and nothing below minWeight.
 func Weight(age, halfLife int64) float64 {
 	weight := math.Exp2(-float64(max(0, age)) / float64(max(1, halfLife)))
-	if weight < MinWeight {
+	if weight < minWeight {
 		return 0
 	}
 	return weight
--- a/internal/learnedstate/fit.go
+++ b/internal/learnedstate/fit.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// MaxResponseTimes is how many response times are kept of a hardware class.
-	MaxResponseTimes = 32
-	// MaxNameLength is the longest ID of a replica, in bytes.
-	MaxNameLength = 128
+	// maxResponseTimes is how many response times are kept of a hardware class.
+	maxResponseTimes = 32
+	// maxNameLength is the longest ID of a replica, in bytes.
+	maxNameLength = 128
 )
 
 // The decision module's own figures lie far within these bounds; what lies outside was not written by it.
@@ -124,7 +124,7 @@
 		r.Times = slices.DeleteFunc(slices.Clone(r.Times), func(seconds float64) bool {
 			return !within(seconds, minResponse, maxResponse)
 		})
-		r.Times = r.Times[max(0, len(r.Times)-MaxResponseTimes):]
+		r.Times = r.Times[max(0, len(r.Times)-maxResponseTimes):]
 		kept = append(kept, r)
 	}
 	return kept
@@ -135,7 +135,7 @@
 
 // valid reports whether the figures of a replica are possible.
 func (r Replica) valid() bool {
-	identified := r.ID != "" && len(r.ID) <= MaxNameLength
+	identified := r.ID != "" && len(r.ID) <= maxNameLength
 	listed := within(r.Weight, 0, math.MaxFloat64) && r.UpSince >= 0 && r.State >= control.Ready && r.State <= control.Gone
 	sampled := within(r.Speed, minSpeed, maxSpeed) && within(r.SampleCount, 0, maxSampleCount) && r.SinceLastSample >= 0
 	placed := within(r.PlacementKey, 0, 1) && r.Table >= 0 && r.Table <= maxTables
--- a/internal/learnedstate/state_test.go
+++ b/internal/learnedstate/state_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestWeightHalvesWithEachHalfLife(t *testing.T) {
-	for age, want := range map[int64]float64{-minute: 1, 0: 1, minute: 0.5, 2 * minute: 0.25, 6 * minute: MinWeight, 7 * minute: 0, math.MaxInt64: 0} {
+	for age, want := range map[int64]float64{-minute: 1, 0: 1, minute: 0.5, 2 * minute: 0.25, 6 * minute: minWeight, 7 * minute: 0, math.MaxInt64: 0} {
 		if got := Weight(age, minute); math.Abs(got-want) > 1e-12 {
 			t.Errorf("%d: %v, want %v", age, got, want)
 		}
