--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -76,7 +76,7 @@
 		}
 		x.Tally.Reloads.Add(1)
 		log.Info("read again", "discovery", next.discovery)
-		client.Move(next.discovery)
+		client.SetAddress(next.discovery)
 		if parts := running.changesAtRestart(next); len(parts) > 0 {
 			log.Warn("some of the new configuration waits for the next start", "fields", parts)
 		}
--- a/internal/discovery/capacity_bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -16,11 +16,11 @@
 	"lilacbend/internal/eventloop"
 )
 
-// The bytes of a whole list and the time to read it, by its members: the slope of docs/CAPACITY.md for discovery.
-func BenchmarkListingByMembers(b *testing.B) {
+// BenchmarkParseByMembers gives the bytes of a complete list and the time to decode it: discovery's slope in docs/CAPACITY.md.
+func BenchmarkParseByMembers(b *testing.B) {
 	for _, members := range []int{1, 33, 655, 9500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
-			raw := listing(b, members)
+			raw := completeList(b, members)
 			for b.Loop() {
 				l, err := Parse(raw)
 				if err != nil || len(l.Members) != members {
@@ -32,8 +32,8 @@
 	}
 }
 
-// listing is a whole list in discovery's words, with names as long as a deployment's.
-func listing(b *testing.B, members int) []byte {
+// completeList is a complete list in discovery's format, with names as long as a deployment's.
+func completeList(b *testing.B, members int) []byte {
 	revision, complete, size := int64(8461), true, 1.0
 	all := make([]memberMessage, members)
 	for k := range all {
@@ -65,8 +65,8 @@
 	return n, err
 }
 
-// A watch that ends without news: its bytes in both directions, heads included, and its time but for the wait.
-func BenchmarkWatchWithoutNews(b *testing.B) {
+// BenchmarkWatchWithoutChanges gives the bytes of a watch in both directions, headers included, and its time without the wait.
+func BenchmarkWatchWithoutChanges(b *testing.B) {
 	empty := `{"revision":8461,"complete":false,"members":[]}`
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -85,7 +85,7 @@
 	c.synced = true
 	r := bufio.NewReader(conn)
 	for b.Loop() {
-		if got, err := c.call(conn, r); got.changed || !got.keep || err != nil {
+		if got, err := c.call(conn, r); got.changed || !got.reusable || err != nil {
 			b.Fatal(got, err)
 		}
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -13,10 +13,10 @@
 	"lilacbend/internal/backoff"
 )
 
-// Stage is how far a call came before it failed.
+// Stage is how far a call got before it failed.
 type Stage string
 
-// The stages of a call, in their order; StagePanic may come at any time.
+// The stages of a call, in order. StagePanic may happen in any of them.
 const (
 	StageDial   Stage = "dial"
 	StageSend   Stage = "send"
@@ -26,31 +26,32 @@
 	StagePanic  Stage = "panic"
 )
 
-// CallError says at which stage a call failed, and why.
+// CallError reports the stage at which a call failed, and the cause.
 type CallError struct {
 	Stage Stage
 	Err   error
 }
 
+// Error returns the stage and the text of the cause.
 func (e *CallError) Error() string { return string(e.Stage) + ": " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// answer is what came of a call that did not fail.
-type answer struct {
-	changed bool // it told something new
-	keep    bool // the connection can be used again
+// callResult is the outcome of a call that did not fail.
+type callResult struct {
+	changed  bool // the answer had a new list or a change
+	reusable bool // the connection can carry another call
 }
 
-// followConnection calls on one connection until it fails or, without an error, until the other side has closed it after an
-// answer. It returns how many answers it got.
+// followConnection makes calls on one connection until a call fails or, without an error, until the service has closed the
+// connection after an answer. It returns the number of answers.
 func (c *Client) followConnection(ctx context.Context) (answers int, err error) {
 	defer func() {
 		if v := recover(); v != nil {
-			c.exchange.Tally.Panics.Add(1)
+			c.events.Tally.Panics.Add(1)
 			c.synced = false
-			err = &CallError{StagePanic, fmt.Errorf("%v at %s", v, debug.Stack())}
+			err = &CallError{Stage: StagePanic, Err: fmt.Errorf("%v at %s", v, debug.Stack())}
 		}
 	}()
 	conn, err := c.connect(ctx)
@@ -61,10 +62,11 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	for reader := bufio.NewReader(conn); ; answers++ {
+	reader := bufio.NewReader(conn)
+	for ; ; answers++ {
 		watch := c.synced
-		began := time.Now()
-		got, err := c.call(conn, reader)
+		start := time.Now()
+		result, err := c.call(conn, reader)
 		if err != nil {
 			return answers, c.failedCall(conn, err, answers)
 		}
@@ -72,76 +74,76 @@
 		if watch {
 			c.watchAnswered()
 		}
-		if !got.changed && time.Since(began) < watchTimeout/2 {
+		if !result.changed && time.Since(start) < watchTimeout/2 {
 			backoff.Sleep(ctx, idlePause)
 		}
-		if !got.keep {
+		if !result.reusable {
 			return answers + 1, nil
 		}
 	}
 }
 
-// connect dials the present address.
+// connect dials the current address.
 func (c *Client) connect(ctx context.Context) (*pacedConn, error) {
-	c.exchange.Tally.Dials.Add(1)
+	c.events.Tally.Dials.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, "tcp", c.address)
 	if err != nil {
-		return nil, &CallError{StageDial, err}
+		return nil, &CallError{Stage: StageDial, Err: err}
 	}
 	return &pacedConn{Conn: conn}, nil
 }
 
-// failedCall decides what a failed call means for the next one. It returns nil if the connection was only closed after an
-// earlier answer.
+// failedCall decides what a failed call means for the next one. It returns nil if the service only closed the connection
+// after an earlier answer.
 func (c *Client) failedCall(conn *pacedConn, err error, answers int) error {
 	switch {
 	case answers > 0 && !conn.received && !isTimeout(err):
 		return nil
-	case isTimeout(err) && conn.exhausted(): // something arrived all the time: what is asked next should not be longer
+	case isTimeout(err) && conn.exhausted(): // pieces kept arriving: a complete list would take even longer than a change
 		c.readTime = min(2*c.readTime, readTimeLimit)
-	default: // the service may be unable to answer what we asked
+	default: // the service may be unable to answer a watch
 		c.synced = false
 	}
 	return err
 }
 
-// shortenReadTime gives answers the usual time again after one that needed no more.
+// shortenReadTime restores the initial read time after an answer that fitted it.
 func (c *Client) shortenReadTime(conn *pacedConn) {
 	if time.Until(conn.latest) > c.readTime-initialReadTime {
 		c.readTime = initialReadTime
 	}
 }
 
-// call sends one request, reads the answer and applies it.
-func (c *Client) call(conn *pacedConn, reader *bufio.Reader) (answer, error) {
-	c.exchange.Tally.Calls.Add(1)
+// call sends one request, reads its answer and applies it.
+func (c *Client) call(conn *pacedConn, reader *bufio.Reader) (callResult, error) {
+	c.events.Tally.Calls.Add(1)
 	if err := c.send(conn); err != nil {
-		return answer{}, &CallError{StageSend, err}
+		return callResult{}, &CallError{Stage: StageSend, Err: err}
 	}
 	response, err := http.ReadResponse(reader, &http.Request{Method: http.MethodGet})
 	if err != nil {
-		return answer{}, &CallError{StageStatus, err}
+		return callResult{}, &CallError{Stage: StageStatus, Err: err}
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return answer{}, &CallError{StageStatus, fmt.Errorf("answered %s", response.Status)}
+		return callResult{}, &CallError{Stage: StageStatus, Err: fmt.Errorf("answered %s", response.Status)}
 	}
 	body, err := readBody(response.Body)
 	if err != nil {
-		return answer{}, err
+		return callResult{}, err
 	}
 	changed, err := c.apply(body)
 	if err != nil {
-		c.exchange.Tally.Odd.Add(1)
-		return answer{}, &CallError{StageList, err}
+		c.events.Tally.Odd.Add(1)
+		return callResult{}, &CallError{Stage: StageList, Err: err}
 	}
-	c.exchange.Tally.Answers.Add(1)
-	return answer{changed: changed, keep: !response.Close && reader.Buffered() == 0}, nil
+	c.events.Tally.Answers.Add(1)
+	return callResult{changed: changed, reusable: !response.Close && reader.Buffered() == 0}, nil
 }
 
-// send writes a request: for changes since our revision if we are synced, else for the whole list.
+// send writes a request: for changes since the revision in use if the client is synced, otherwise for the complete list.
 func (c *Client) send(conn *pacedConn) error {
 	query := ""
 	wait := time.Duration(0)
@@ -155,19 +157,19 @@
 }
 
 // readBody reads a body of at most maxBodySize bytes.
-func readBody(from io.Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(from, maxBodySize+1))
+func readBody(source io.Reader) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(source, maxBodySize+1))
 	if err != nil {
-		return nil, &CallError{StageBody, fmt.Errorf("after %d bytes: %w", len(body), err)}
+		return nil, &CallError{Stage: StageBody, Err: fmt.Errorf("after %d bytes: %w", len(body), err)}
 	}
 	if len(body) > maxBodySize {
-		return nil, &CallError{StageBody, fmt.Errorf("over %d bytes", maxBodySize)}
+		return nil, &CallError{Stage: StageBody, Err: fmt.Errorf("over %d bytes", maxBodySize)}
 	}
 	return body, nil
 }
 
-// apply passes on a list that is newer than ours, and says whether it told anything new. A whole list of our own revision is
-// passed on as well, and is new only if the whole list was asked for.
+// apply publishes a list that is newer than the one in use, and reports whether it is a change. A complete list of the
+// revision in use is published as well; it is a change only if the complete list was requested.
 func (c *Client) apply(body []byte) (changed bool, err error) {
 	list, err := Parse(body)
 	if err != nil {
@@ -176,7 +178,7 @@
 	switch {
 	case list.Revision < c.revision && (!list.Complete || c.staleAnswers+1 < staleAnswersLimit):
 		c.staleAnswers++
-		c.synced = false // ask for all of it
+		c.synced = false // request the complete list next
 		return false, fmt.Errorf("revision %d is older than ours, %d", list.Revision, c.revision)
 	case !list.Complete && !c.synced:
 		return false, errors.New("changes where the whole list was asked for")
@@ -189,6 +191,6 @@
 	c.staleAnswers = 0
 	list.ReadAt = c.clock()
 	list.ReadAtWall = time.Now().UnixNano()
-	c.exchange.Publish(list)
+	c.events.Publish(list)
 	return changed, nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery is the client of service discovery. It asks for the whole list of replicas, then watches it on a
-// connection that is kept, and passes each answer on to the exchange.
+// Package discovery is the client of service discovery. It requests the complete list of replicas, then watches it by long
+// polls on a persistent connection, and publishes each list and change to the event loop.
 package discovery
 
 import (
@@ -14,87 +14,90 @@
 
 const (
 	path = "/registry/instances"
-	// A watch waits so long for changes. What discovery has to tell counts as told 2 s after a wait, whether it has arrived
-	// or not, so short waits keep a connection that died silently from costing much.
+	// watchTimeout is how long a watch waits for changes. By the protocol, a change counts as delivered 2 s after the wait
+	// of a watch, whether it has arrived or not. A short wait bounds what a silently dead connection costs.
 	watchTimeout = 2 * time.Second
-	// An answer is late when nothing arrives for so much longer than was asked for: discovery's agent is on this machine and
+	// answerTimeout is how long nothing may arrive beyond the requested wait: discovery's agent is on the same machine and
 	// answers at once.
 	answerTimeout = time.Second
-	dialTimeout   = time.Second
-	// An answer that arrives in pieces may take longer. A connection that only drips is given up soon after what it has to
-	// tell counts as told; as all answers may be slow here, the next one then gets twice as long, up to the limit.
+	// dialTimeout bounds one attempt to connect.
+	dialTimeout = time.Second
+	// initialReadTime is how long an answer that arrives in pieces may take beyond the requested wait: a connection that
+	// trickles is closed soon after its change counts as delivered. As all answers may be slow, the next one then gets
+	// twice as long, up to readTimeLimit.
 	initialReadTime = 2500 * time.Millisecond
 	readTimeLimit   = 10 * time.Second
-	// The waits after failed calls: soon enough for a list that counts as told after 6 s, and no load for an agent that
-	// refuses. What timed out has waited already: the next call comes after the initial wait.
+	// backoffInitial and backoffLimit bound the backoff after failed calls: short enough for a list that counts as
+	// delivered after 6 s, long enough not to load an agent that refuses. After a timeout the backoff begins anew.
 	backoffInitial = 50 * time.Millisecond
 	backoffLimit   = time.Second
-	// An answer without changes that came much too soon is no reason to call in a tight loop; a watch goes on if the next
-	// call comes within 200 ms.
+	// idlePause separates calls that are answered at once without a change, so that they do not become a busy loop. By the
+	// protocol, a watch continues if the next call arrives within 200 ms.
 	idlePause = 100 * time.Millisecond
-	// A list of some ten thousand members; more would be held several times while it is read.
+	// maxBodySize, in bytes, is enough for some ten thousand members. Several copies of a body exist while it is decoded.
 	maxBodySize = 4 << 20
-	// A list older than ours is a stale copy, and changes nothing; after so many in a row, which take some fifteen seconds,
-	// discovery has lost its count and begun anew.
+	// staleAnswersLimit is how many answers in a row may be older than the list in use. They are stale copies and change
+	// nothing; at the limit, after about fifteen seconds, discovery has restarted its count of revisions.
 	staleAnswersLimit = 20
-	// At a new address it may count anew from the start: so few, which take 0.4 to 0.8 s, tell that it does: well within a
-	// drain's grace, which runs from the first of them. Fewer would let an agent that is only behind bring back replicas that
-	// drain.
+	// staleAnswersLimitAfterMove replaces staleAnswersLimit at a new address, where the count may be a different one. It
+	// is reached in under 1 s, well within the drain grace, which runs from the first of these answers. A lower limit would
+	// let an agent that only lags bring back draining replicas.
 	staleAnswersLimitAfterMove = 5
 )
 
 // dialFunc opens a connection, as net.Dialer does.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client follows one discovery service. Its methods but Move are for one goroutine.
+// Client follows one discovery service. All methods except SetAddress are for one goroutine.
 type Client struct {
-	address  string
-	dial     dialFunc
-	moves    chan string // to another address, the newest alone
-	exchange *eventloop.Exchange
-	log      *slog.Logger
-	clock    func() int64 // nanoseconds, for the time of a listing
-	retry    *backoff.Backoff
+	address   string
+	dial      dialFunc
+	addresses chan string // requested by SetAddress; holds only the latest
+	events    *eventloop.Exchange
+	log       *slog.Logger
+	clock     func() int64 // nanoseconds; the receive time of a list
+	retry     *backoff.Backoff
 
-	revision     int64 // of the list that we hold
-	synced       bool  // the list is from an answer of this service, so it can be watched
-	staleAnswers int   // in a row
-	failing      bool  // a failure was logged, and no watch has been answered since
-	readTime     time.Duration
+	revision     int64         // of the list in use
+	synced       bool          // the list came from this service, so it can be watched
+	staleAnswers int           // consecutive
+	failing      bool          // a failure was logged, and no watch has been answered since
+	readTime     time.Duration // how long an answer in pieces may take beyond the requested wait
 }
 
-// New makes a client that holds the list of a revision already. The seed is for the jitter of its retries.
-func New(address string, revision int64, x *eventloop.Exchange, log *slog.Logger, clock func() int64, seed uint64) *Client {
+// New returns a client that starts from a list of the given revision. The clock returns nanoseconds; the seed is for the
+// jitter of the backoff.
+func New(address string, revision int64, events *eventloop.Exchange, log *slog.Logger, clock func() int64, seed uint64) *Client {
 	return &Client{
-		address:  address,
-		dial:     new(net.Dialer).DialContext,
-		moves:    make(chan string, 1),
-		exchange: x,
-		log:      log,
-		clock:    clock,
-		retry:    backoff.NewJittered(backoffInitial, backoffLimit, seed),
-		revision: revision,
-		readTime: initialReadTime,
+		address:   address,
+		dial:      new(net.Dialer).DialContext,
+		addresses: make(chan string, 1),
+		events:    events,
+		log:       log,
+		clock:     clock,
+		retry:     backoff.NewJittered(backoffInitial, backoffLimit, seed),
+		revision:  revision,
+		readTime:  initialReadTime,
 	}
 }
 
-// Move goes over to the service at another address at once. Only one goroutine may call it.
-func (c *Client) Move(address string) {
+// SetAddress switches to the service at another address at once. Only one goroutine may call it.
+func (c *Client) SetAddress(address string) {
 	select {
-	case <-c.moves:
+	case <-c.addresses:
 	default:
 	}
-	c.moves <- address
+	c.addresses <- address
 }
 
-// Run follows discovery until ctx ends. At a new address it begins anew, with the whole list.
+// Run follows discovery until ctx ends. At a new address it first requests the complete list.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		follow, cancel := context.WithCancel(ctx)
+		followCtx, cancel := context.WithCancel(ctx)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			c.followAddress(follow)
+			c.followAddress(followCtx)
 		}()
 		next := c.nextAddress(ctx)
 		cancel()
@@ -105,13 +108,13 @@
 	}
 }
 
-// nextAddress waits for a move to another address than the present one, or for the end of ctx.
+// nextAddress blocks until SetAddress requests another address than the current one, or ctx ends.
 func (c *Client) nextAddress(ctx context.Context) string {
 	for {
 		select {
 		case <-ctx.Done():
 			return c.address
-		case address := <-c.moves:
+		case address := <-c.addresses:
 			if address != c.address {
 				return address
 			}
@@ -119,7 +122,7 @@
 	}
 }
 
-// followAddress makes connections to the present address, one after another, until ctx ends.
+// followAddress opens connections to the current address, one after another, until ctx ends.
 func (c *Client) followAddress(ctx context.Context) {
 	c.retry.Reset()
 	for ctx.Err() == nil {
@@ -127,7 +130,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil { // closed after an answer, which is no failure unless the next connection fails
+		if err == nil { // closed by the service after an answer, which is not a failure unless the next connection fails
 			continue
 		}
 		c.countFailure(err, answers)
@@ -135,11 +138,11 @@
 	}
 }
 
-// countFailure counts a failed connection, and logs it if the one before it did not fail.
+// countFailure counts a failed connection, and logs the first one of a series.
 func (c *Client) countFailure(err error, answers int) {
-	c.exchange.Tally.CallErrors.Add(1)
+	c.events.Tally.CallErrors.Add(1)
 	if isTimeout(err) {
-		c.exchange.Tally.Timeouts.Add(1)
+		c.events.Tally.Timeouts.Add(1)
 		c.retry.Reset()
 	}
 	if !c.failing {
@@ -148,7 +151,8 @@
 	c.failing = true
 }
 
-// watchAnswered ends a series of failures. A service that answers for the whole list but for no watch goes on failing.
+// watchAnswered ends a series of failures. A service that answers requests for the complete list but no watch is still
+// failing.
 func (c *Client) watchAnswered() {
 	c.retry.Reset()
 	if c.failing {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -35,9 +35,9 @@
 		t.Errorf("%+v %v", l, err)
 	}
 	for _, c := range []struct {
-		member string
-		state  control.State
-		odd    bool
+		member   string
+		state    control.State
+		unusable bool
 	}{
 		{`{"id":"s","phase":"Terminating"}`, control.Draining, false}, {`{"id":"s","phase":"Gone"}`, control.Gone, false},
 		{`{"id":"s","phase":"Sleeping"}`, 0, true}, {`{"id":"s"}`, 0, true}, {`{"phase":"Ready"}`, 0, true},
@@ -46,7 +46,7 @@
 		{`{"id":"` + strings.Repeat("s", maxIDLength+1) + `","phase":"Ready"}`, 0, true},
 	} {
 		l, err := Parse([]byte(`{"revision":1,"complete":false,"members":[` + c.member + `]}`))
-		if err != nil || l.Members[0].State != c.state || l.Members[0].Unusable != c.odd {
+		if err != nil || l.Members[0].State != c.state || l.Members[0].Unusable != c.unusable {
 			t.Errorf("%s: %+v %v", c.member, l, err)
 		}
 	}
@@ -59,73 +59,73 @@
 	}
 }
 
-func TestWhatIsOlderChangesNothing(t *testing.T) {
-	answer := func(revision int, whole bool) []byte {
-		return fmt.Appendf(nil, `{"revision":%d,"complete":%v,"members":[]}`, revision, whole)
+func TestApplyIgnoresStaleAnswers(t *testing.T) {
+	answer := func(revision int, complete bool) []byte {
+		return fmt.Appendf(nil, `{"revision":%d,"complete":%v,"members":[]}`, revision, complete)
 	}
 	moved, _ := client(41)
 	moved.staleAnswers = staleAnswersLimit - staleAnswersLimitAfterMove
 	for k := range staleAnswersLimitAfterMove {
 		if _, err := moved.apply(answer(3, true)); (err != nil) != (k+1 < staleAnswersLimitAfterMove) {
-			t.Errorf("answer %d of a new discovery that counts anew: %v", k, err)
+			t.Errorf("answer %d at a new address that counts anew: %v", k, err)
 		}
 	}
 	for name, c := range map[string]struct {
-		answers [][]byte
-		known   int64 // after the last
-		told    int
-		fails   bool // the last
-		whole   bool // what is asked for next
+		answers   [][]byte
+		known     int64 // after the last
+		published int
+		fails     bool // the last
+		complete  bool // the complete list is requested next
 	}{
-		"first":                 {[][]byte{answer(41, true)}, 41, 1, false, false},
-		"changes at first":      {[][]byte{answer(44, false)}, 41, 0, true, true},
-		"newer":                 {[][]byte{answer(41, true), answer(43, false)}, 43, 2, false, false},
-		"nothing new":           {[][]byte{answer(41, true), answer(41, false)}, 41, 1, false, false},
-		"the same list":         {[][]byte{answer(41, true), answer(41, true)}, 41, 2, false, false},
-		"older changes":         {[][]byte{answer(41, true), answer(40, false)}, 41, 1, true, true},
-		"an older list":         {[][]byte{answer(41, true), answer(40, true)}, 41, 1, true, true},
-		"not a list":            {[][]byte{answer(41, true), []byte("<html>")}, 41, 1, true, false},
-		"discovery begins anew": {slices.Repeat([][]byte{answer(3, true)}, staleAnswersLimit), 3, 1, false, false},
+		"first":            {[][]byte{answer(41, true)}, 41, 1, false, false},
+		"changes at first": {[][]byte{answer(44, false)}, 41, 0, true, true},
+		"newer":            {[][]byte{answer(41, true), answer(43, false)}, 43, 2, false, false},
+		"nothing new":      {[][]byte{answer(41, true), answer(41, false)}, 41, 1, false, false},
+		"the same list":    {[][]byte{answer(41, true), answer(41, true)}, 41, 2, false, false},
+		"older changes":    {[][]byte{answer(41, true), answer(40, false)}, 41, 1, true, true},
+		"an older list":    {[][]byte{answer(41, true), answer(40, true)}, 41, 1, true, true},
+		"not a list":       {[][]byte{answer(41, true), []byte("<html>")}, 41, 1, true, false},
+		"count restarted":  {slices.Repeat([][]byte{answer(3, true)}, staleAnswersLimit), 3, 1, false, false},
 	} {
 		cl, x := client(41)
 		var err error
 		for _, a := range c.answers {
 			_, err = cl.apply(a)
 		}
-		if told := len(x.Take()); cl.revision != c.known || told != c.told || (err != nil) != c.fails || cl.synced == c.whole {
-			t.Errorf("%s: revision %d, %d told, whole next %v: %v", name, cl.revision, told, !cl.synced, err)
+		if published := len(x.Take()); cl.revision != c.known || published != c.published || (err != nil) != c.fails || cl.synced == c.complete {
+			t.Errorf("%s: revision %d, %d published, complete list next %v: %v", name, cl.revision, published, !cl.synced, err)
 		}
 	}
 }
 
-// answerOnce is the other end of a connection: it reads one call, checks what it asks, and sends text.
+// answerOnce is the service's end of a connection: it reads one call, checks its request and sends the pieces.
 func answerOnce(t *testing.T, want string, pieces ...string) *pacedConn {
-	here, there := net.Pipe()
+	local, remote := net.Pipe()
 	go func() {
-		req, err := http.ReadRequest(bufio.NewReader(there))
+		req, err := http.ReadRequest(bufio.NewReader(remote))
 		if err == nil && req.URL.RequestURI() != want {
-			t.Errorf("asked %s, want %s", req.URL.RequestURI(), want)
+			t.Errorf("requested %s, want %s", req.URL.RequestURI(), want)
 		}
 		for k, text := range pieces {
 			time.Sleep(time.Duration(min(k, 1)) * answerTimeout * 2 / 5)
-			fmt.Fprint(there, text)
+			fmt.Fprint(remote, text)
 		}
-		there.Close()
+		remote.Close()
 	}()
-	return &pacedConn{Conn: here}
+	return &pacedConn{Conn: local}
 }
 
-func TestOneCall(t *testing.T) {
+func TestCallByAnswer(t *testing.T) {
 	chunked := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n",
 		60, someList[:60], len(someList)-60, someList[60:])
 	sized := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(someList), someList)
 	many := `{"revision":42,"complete":true,"members":[` + strings.Repeat(`{"id":"s-1","phase":"Ready"},`, 5000) + `{"id":"s-2","phase":"Ready"}]}`
 	for name, c := range map[string]struct {
-		text  string
-		stage Stage
-		says  string // in the error
-		kept  bool
-		told  int
+		text      string
+		stage     Stage
+		says      string // in the error
+		kept      bool
+		published int
 	}{
 		"sized":          {sized, "", "", true, 1},
 		"chunked":        {chunked, "", "", true, 1},
@@ -150,13 +150,13 @@
 		if err != nil && (failure.Stage != c.stage || !strings.Contains(err.Error(), c.says)) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if told := len(x.Take()); got.keep != c.kept || told != c.told {
-			t.Errorf("%s: kept %v, %d told", name, got.keep, told)
+		if published := len(x.Take()); got.reusable != c.kept || published != c.published {
+			t.Errorf("%s: kept %v, %d published", name, got.reusable, published)
 		}
 		conn.Close()
 	}
 	cl, x := client(41)
-	conn := answerOnce(t, path, sized[:9], sized[9:40], sized[40:99], sized[99:]) // longer than an answer may be late
+	conn := answerOnce(t, path, sized[:9], sized[9:40], sized[40:99], sized[99:]) // takes longer than answerTimeout
 	if _, err := cl.call(conn, bufio.NewReader(conn)); err != nil || len(x.Take()) != 1 {
 		t.Errorf("in slow pieces: %v", err)
 	}
@@ -167,8 +167,8 @@
 	}
 }
 
-// standIn is a discovery that serves each connection by the next of its ways, and the last way from then on.
-func standIn(t *testing.T, ways ...func(net.Conn)) net.Listener {
+// startServer serves each connection by the next handler, and by the last one from then on.
+func startServer(t *testing.T, handlers ...func(net.Conn)) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -179,14 +179,14 @@
 			if err != nil {
 				return
 			}
-			go ways[min(k, len(ways)-1)](conn)
+			go handlers[min(k, len(handlers)-1)](conn)
 		}
 	}()
 	return l
 }
 
-func TestFollowingAnUnsteadyDiscovery(t *testing.T) {
-	asked := make(chan string, 100)
+func TestRunRecoversFromFailedConnections(t *testing.T) {
+	requests := make(chan string, 100)
 	serving := func(conn net.Conn) {
 		defer conn.Close()
 		r := bufio.NewReader(conn)
@@ -195,14 +195,14 @@
 			if err != nil {
 				return
 			}
-			asked <- req.URL.RawQuery
+			requests <- req.URL.RawQuery
 			body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[]}`, revision, req.URL.RawQuery == "")
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}
 	}
 	garbage := func(conn net.Conn) { fmt.Fprint(conn, "garbage\r\n\r\n"); conn.Close() }
 	silent := func(conn net.Conn) { io.Copy(io.Discard, conn) }
-	l := standIn(t, func(conn net.Conn) { conn.Close() }, garbage, silent, serving)
+	l := startServer(t, func(conn net.Conn) { conn.Close() }, garbage, silent, serving)
 	defer l.Close()
 	c, x := client(41)
 	c.address = l.Addr().String()
@@ -210,8 +210,8 @@
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
 	for _, want := range []string{"", "since=50&timeout_ms=2000", "since=51&timeout_ms=2000"} {
-		if got := <-asked; got != want {
-			t.Errorf("asked %q, want %q", got, want)
+		if got := <-requests; got != want {
+			t.Errorf("requested %q, want %q", got, want)
 		}
 	}
 	stop()
@@ -221,24 +221,24 @@
 	}
 }
 
-// A move ends a call that waits, and the new address is asked for the whole list.
-func TestMovingBeginsANewConversation(t *testing.T) {
-	asked := make(chan string, 10)
+// A new address ends a waiting call, and the complete list is requested from it.
+func TestSetAddressRequestsCompleteList(t *testing.T) {
+	requests := make(chan string, 10)
 	list := func(conn net.Conn) {
 		r := bufio.NewReader(conn)
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		asked <- req.Host + " " + req.URL.RawQuery
+		requests <- req.Host + " " + req.URL.RawQuery
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(someList), someList)
 		if req, err = http.ReadRequest(r); err == nil { // a watch, which waits
-			asked <- req.Host + " " + req.URL.RawQuery
+			requests <- req.Host + " " + req.URL.RawQuery
 			io.Copy(io.Discard, conn)
 		}
 		conn.Close()
 	}
-	first, second := standIn(t, list), standIn(t, list)
+	first, second := startServer(t, list), startServer(t, list)
 	defer first.Close()
 	defer second.Close()
 	c, x := client(40)
@@ -249,13 +249,13 @@
 	start := time.Now()
 	for _, l := range []net.Listener{first, second} {
 		at := l.Addr().String()
-		c.Move(at)
+		c.SetAddress(at)
 		for _, query := range []string{"", "since=41&timeout_ms=2000"} {
-			if got := <-asked; got != at+" "+query {
-				t.Errorf("asked %q of %s", got, at)
+			if got := <-requests; got != at+" "+query {
+				t.Errorf("requested %q of %s", got, at)
 			}
 		}
-		c.Move(at) // it is there already
+		c.SetAddress(at) // the same address: no effect
 	}
 	if time.Since(start) > time.Second || x.Tally.Dials.Load() != 2 || len(x.Take()) != 2 {
 		t.Errorf("%d dials in %v", x.Tally.Dials.Load(), time.Since(start))
--- a/internal/discovery/conn.go
+++ b/internal/discovery/conn.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// pacedConn is a connection on which an answer may take long for as long as something arrives. Its read deadline moves with
-// each piece, up to a last one.
+// pacedConn is a connection whose read deadline is extended by each piece of an answer that arrives, up to a last
+// deadline.
 type pacedConn struct {
 	net.Conn
-	deadline time.Time // the next piece arrives by then
-	latest   time.Time // the last piece arrives by then
-	received bool      // some piece of the expected answer
+	deadline time.Time // for the next piece
+	latest   time.Time // for the complete answer; never before deadline
+	received bool      // a piece of the expected answer has arrived
 }
 
-// expect sets the deadlines for an answer that the other side may hold back for wait, and that may then take readTime if it
-// arrives in pieces.
+// expect sets the deadlines for an answer that the service may delay for wait, and that may then take readTime if it arrives
+// in pieces.
 func (c *pacedConn) expect(wait, readTime time.Duration) {
 	now := time.Now()
 	c.deadline = now.Add(wait + answerTimeout)
@@ -25,10 +25,10 @@
 	c.SetDeadline(c.deadline)
 }
 
-// Read reads, and moves the deadline on if something arrived. It never brings the deadline nearer: who sends the head of an
-// answer at once may wait with the rest for as long as with all of it.
-func (c *pacedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
+// Read reads, and extends the deadline if something arrived. It never shortens it: a service that sends the header of an
+// answer at once may delay the body as long as it may delay the whole answer.
+func (c *pacedConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	if n > 0 {
 		c.received = true
 		c.extendDeadline()
@@ -36,7 +36,7 @@
 	return n, err
 }
 
-// extendDeadline gives the next piece answerTimeout from now on, but not past the latest time.
+// extendDeadline allows answerTimeout for the next piece, but not past latest.
 func (c *pacedConn) extendDeadline() {
 	extended := time.Now().Add(answerTimeout)
 	if extended.After(c.latest) {
@@ -48,10 +48,10 @@
 	}
 }
 
-// exhausted says whether the answer has taken all of its time.
+// exhausted reports whether the answer has used up its time.
 func (c *pacedConn) exhausted() bool { return !time.Now().Before(c.latest) }
 
-// isTimeout says whether a call failed because nothing arrived in time.
+// isTimeout reports whether a call failed because nothing arrived in time.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -19,48 +19,48 @@
 	"lilacbend/internal/eventloop"
 )
 
-// What the client asks for; watchLine has a place for the revision.
+// The client's request lines; watchLine has a place for the revision.
 const (
-	watchLine     = "GET " + path + "?since=%d&timeout_ms=2000 HTTP/1.1"
-	wholeListLine = "GET " + path + " HTTP/1.1"
+	watchLine        = "GET " + path + "?since=%d&timeout_ms=2000 HTTP/1.1"
+	completeListLine = "GET " + path + " HTTP/1.1"
 )
 
-// list is an answer of discovery with one member, on a connection that is kept.
-func list(revision int64, whole bool, phase string) string {
-	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":"s-1","phase":%q}]}`, revision, whole, phase)
+// list is an answer of discovery with one member, on a persistent connection.
+func list(revision int64, complete bool, phase string) string {
+	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":"s-1","phase":%q}]}`, revision, complete, phase)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// unchanged is an answer to a watch that waited in vain.
+// unchanged is an answer to a watch without changes.
 func unchanged(revision int64) string {
 	body := fmt.Sprintf(`{"revision":%d,"complete":false,"members":[]}`, revision)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// withClose has an answer say that its connection ends.
+// withClose adds the header that announces the end of the connection to an answer.
 func withClose(answer string) string {
 	return strings.Replace(answer, "\r\n", "\r\nConnection: close\r\n", 1)
 }
 
-// logBuffer is a log to be read while it is written.
+// logBuffer is a log that can be read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (j *logBuffer) Write(b []byte) (int, error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.text.Write(b)
+func (l *logBuffer) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(b)
 }
 
-func (j *logBuffer) count(text string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return strings.Count(j.text.String(), text)
+func (l *logBuffer) count(text string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Count(l.text.String(), text)
 }
 
-// startClient runs a client that holds the list of a revision, until the end of the test.
+// startClient runs a client that starts from a list of the revision known, until the end of the test.
 func startClient(t *testing.T, address string, known int64) (*Client, *eventloop.Exchange, *logBuffer) {
 	x, log := eventloop.New(), &logBuffer{}
 	c := New(address, known, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, 1)
@@ -71,47 +71,48 @@
 	return c, x, log
 }
 
-// nextListing waits for the next listing.
-func nextListing(t *testing.T, x *eventloop.Exchange) controller.ReplicaList {
+// nextList waits for the next list.
+func nextList(t *testing.T, x *eventloop.Exchange) controller.ReplicaList {
 	t.Helper()
 	select {
 	case <-x.Ready():
 	case <-time.After(scriptedpeer.Patience):
-		t.Fatal("nothing is told")
+		t.Fatal("no list is published")
 	}
-	notes := x.Take()
-	return notes[len(notes)-1].(controller.ReplicaList)
+	events := x.Take()
+	return events[len(events)-1].(controller.ReplicaList)
 }
 
 // expectRequest reads a request, which must begin with this line.
 func expectRequest(t *testing.T, conn *scriptedpeer.Conn, want string) {
 	t.Helper()
 	if got := conn.Request(); got != want {
-		t.Errorf("asked %q, want %q", got, want)
+		t.Errorf("requested %q, want %q", got, want)
 	}
 }
 
-// script is what becomes of one connection to a scripted agent.
+// script is how a scripted agent serves one connection.
 type script func(agent net.Conn, r *bufio.Reader)
 
-// dialScripts makes a dialer whose connections run the next of the scripts, and the last from then on; nil: the dial hangs.
+// dialScripts returns a dialer whose connections run the next of the scripts, and the last from then on; nil: the dial hangs.
 func dialScripts(t *testing.T, scripts ...script) dialFunc {
 	var open sync.WaitGroup
 	t.Cleanup(open.Wait)
 	k := 0
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
-		w := scripts[min(k, len(scripts)-1)]
-		if k++; w == nil {
+		run := scripts[min(k, len(scripts)-1)]
+		k++
+		if run == nil {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		here, there := net.Pipe()
-		open.Go(func() { defer there.Close(); w(there, bufio.NewReader(there)) })
-		return here, nil
+		local, remote := net.Pipe()
+		open.Go(func() { defer remote.Close(); run(remote, bufio.NewReader(remote)) })
+		return local, nil
 	}
 }
 
-// startClientWithDialer runs a client in a bubble of virtual time until its test ends.
+// startClientWithDialer runs a client in a synctest bubble until its test ends.
 func startClientWithDialer(t *testing.T, seed uint64, dial dialFunc) (
 	*Client, *eventloop.Exchange, *logBuffer) {
 	x, log := eventloop.New(), &logBuffer{}
@@ -123,7 +124,7 @@
 	return c, x, log
 }
 
-// answerCalls has an agent answer one call with each text.
+// answerCalls answers one call with each text.
 func answerCalls(r *bufio.Reader, agent net.Conn, texts ...string) bool {
 	for _, text := range texts {
 		if _, err := http.ReadRequest(r); err != nil {
@@ -136,7 +137,7 @@
 	return true
 }
 
-// writePieces writes a text in pieces of a length, one each pause, until it or the connection ends.
+// writePieces writes text in pieces of length bytes, one each pause, until it or the connection ends.
 func writePieces(agent net.Conn, text string, length int, pause time.Duration) {
 	for ; len(text) > 0; text = text[min(length, len(text)):] {
 		if _, err := io.WriteString(agent, text[:min(length, len(text))]); err != nil {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -10,10 +10,10 @@
 	"lilacbend/internal/controller"
 )
 
-// maxIDLength is the longest id of a replica, in bytes, that fits the messages to proxies with room to spare.
+// maxIDLength is the longest id of a replica, in bytes. Longer ids could make a message to a proxy exceed its limit.
 const maxIDLength = 128
 
-// listMessage is an answer of discovery. Its pointers tell a field that is missing from one that is zero.
+// listMessage is an answer of discovery. A nil pointer is a missing field, as opposed to a zero one.
 type listMessage struct {
 	Revision *int64           `json:"revision"`
 	Complete *bool            `json:"complete"`
@@ -32,17 +32,17 @@
 	UpSince  float64  `json:"up_since_ms"`
 }
 
-// states are the states that discovery's phases stand for.
+// states maps discovery's phases to replica states.
 var states = map[string]control.State{
 	"Ready":       control.Ready,
 	"Terminating": control.Draining,
 	"Gone":        control.Gone,
 }
 
-// defaultWeight is the weight of a member whose size is not told.
+// defaultWeight is the weight of a member without a size.
 const defaultWeight = 1.0
 
-// Parse decodes an answer of discovery. A member that cannot be used stays in the listing, marked as odd.
+// Parse decodes an answer of discovery. A member that cannot be used stays in the list, marked as unusable.
 func Parse(raw []byte) (controller.ReplicaList, error) {
 	var message listMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -58,7 +58,7 @@
 	return list, nil
 }
 
-// decode turns a member into the core's form.
+// decode returns the member as the controller's type.
 func (m memberMessage) decode() controller.Member {
 	state, known := states[m.Phase]
 	weight := defaultWeight
@@ -79,12 +79,12 @@
 	}
 }
 
-// validID says whether an id can stand in the endpoint lists that proxies are sent.
+// validID reports whether an id can be written into the endpoint lists sent to proxies.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDLength && !strings.ContainsFunc(id, isDelimiter)
 }
 
-// isDelimiter says whether a character would end an id in a message, or is unprintable.
+// isDelimiter reports whether a character would end an id in a message, or is unprintable.
 func isDelimiter(r rune) bool {
 	return r == ',' || r == ':' || r <= ' ' || r == 0x7f
 }
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/race_test.go
@@ -11,9 +11,9 @@
 	"lilacbend/internal/eventloop"
 )
 
-// Agents that close each connection with its answer, in every way, are followed without a gap: the watch goes on at once
-// on the next connection, and nothing is said of a failure. One that is gone is a failure as before.
-func TestAnAnswerAndTheCloseOfItsConnection(t *testing.T) {
+// An agent that closes each connection after its answer, in any way, is followed without a gap: the watch continues on the
+// next connection and no failure is logged. An agent that no longer accepts connections is a failure.
+func TestConnectionClosedAfterAnswerIsNoFailure(t *testing.T) {
 	for name, way := range map[string]struct {
 		text  func(string) string
 		close func(*scriptedpeer.Conn, *eventloop.Exchange)
@@ -31,12 +31,12 @@
 			agent := scriptedpeer.Listen(t)
 			_, x, log := startClient(t, agent.At(), 40)
 			conn := agent.Take()
-			expectRequest(t, conn, wholeListLine)
+			expectRequest(t, conn, completeListLine)
 			for revision := int64(41); revision < 45; revision++ {
 				conn.Raw(way.text(list(revision, revision == 41, "Ready")))
 				way.close(conn, x)
-				if l := nextListing(t, x); l.Revision != revision {
-					t.Errorf("%d is told, want %d", l.Revision, revision)
+				if l := nextList(t, x); l.Revision != revision {
+					t.Errorf("%d is published, want %d", l.Revision, revision)
 				}
 				conn = agent.Take()
 				expectRequest(t, conn, fmt.Sprintf(watchLine, revision))
@@ -51,9 +51,9 @@
 	}
 }
 
-// An answer to a watch that is of no use is followed by the whole list, as what was asked may be what cannot be answered;
-// so is a watch that breaks.
-func TestAWatchWithoutUseIsFollowedByTheWholeList(t *testing.T) {
+// After an unusable answer to a watch, or a broken one, the client requests the complete list: the agent may be unable to
+// answer watches.
+func TestFailedWatchIsFollowedByCompleteList(t *testing.T) {
 	for name, answer := range map[string]string{
 		"not found": "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
 		"gone":      "HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n",
@@ -68,17 +68,17 @@
 			agent := scriptedpeer.Listen(t)
 			_, x, log := startClient(t, agent.At(), 40)
 			conn := agent.Take()
-			expectRequest(t, conn, wholeListLine)
+			expectRequest(t, conn, completeListLine)
 			conn.Raw(list(41, true, "Ready"))
 			expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
 			conn.Raw(answer)
 			conn.Close()
 			conn = agent.Take()
-			expectRequest(t, conn, wholeListLine)
+			expectRequest(t, conn, completeListLine)
 			conn.Raw(list(45, true, "Terminating"))
 			expectRequest(t, conn, fmt.Sprintf(watchLine, 45))
-			if l := nextListing(t, x); l.Revision != 45 || !l.Complete {
-				t.Errorf("told %+v", l)
+			if l := nextList(t, x); l.Revision != 45 || !l.Complete {
+				t.Errorf("published %+v", l)
 			}
 			if log.count("discovery fails") != 1 || log.count("discovery answers") != 0 {
 				t.Errorf("log: %s", log.text.String())
@@ -89,93 +89,93 @@
 	}
 }
 
-// What the old discovery is still delivering when it is moved from changes nothing, and what it has just delivered does not
-// outrank the new one, which counts from a lower revision.
-func TestTheOldDiscoveryDeliversWhileItIsMovedFrom(t *testing.T) {
+// An answer that is incomplete when the address changes is discarded, and one that has just arrived does not outrank the
+// service at the new address, which counts from a lower revision.
+func TestSetAddressDiscardsUnfinishedAnswer(t *testing.T) {
 	before, after := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	c, x, _ := startClient(t, before.At(), 40)
 	old := before.Take()
-	expectRequest(t, old, wholeListLine)
+	expectRequest(t, old, completeListLine)
 	old.Raw(list(41, true, "Ready"))
-	if l := nextListing(t, x); l.Revision != 41 {
-		t.Errorf("told %+v", l)
+	if l := nextList(t, x); l.Revision != 41 {
+		t.Errorf("published %+v", l)
 	}
 	expectRequest(t, old, fmt.Sprintf(watchLine, 41))
 	late := list(math.MaxInt64, true, "Ready")
 	old.Raw(late[:len(late)-1])
-	c.Move(after.At())
+	c.SetAddress(after.At())
 	next := after.Take() // only after the old conversation has ended
 	io.WriteString(old.Conn, late[len(late)-1:])
 	for k := range staleAnswersLimitAfterMove {
-		expectRequest(t, next, wholeListLine)
+		expectRequest(t, next, completeListLine)
 		next.Raw(list(3, true, "Terminating"))
 		if k+1 < staleAnswersLimitAfterMove {
 			next = after.Take()
 		}
 	}
-	if l := nextListing(t, x); l.Revision != 3 || len(x.Take()) > 0 {
-		t.Errorf("told %+v", l)
+	if l := nextList(t, x); l.Revision != 3 || len(x.Take()) > 0 {
+		t.Errorf("published %+v", l)
 	}
 	expectRequest(t, next, fmt.Sprintf(watchLine, 3))
 	next.Raw(late) // and what has come in full may be taken, or not
-	c.Move(before.At())
+	c.SetAddress(before.At())
 	for k := range staleAnswersLimitAfterMove {
 		old = before.Take()
-		expectRequest(t, old, wholeListLine)
+		expectRequest(t, old, completeListLine)
 		old.Raw(list(4, true, "Gone"))
-		if k == 0 && nextListing(t, x).Revision == 4 { // it was not
+		if k == 0 && nextList(t, x).Revision == 4 { // it was not
 			break
 		}
 	}
 	expectRequest(t, old, fmt.Sprintf(watchLine, 4))
 }
 
-// There and back before anybody has answered: the last address alone counts, and it is asked for the whole list.
-func TestMovingThereAndBack(t *testing.T) {
+// Two changes of the address before an answer: only the latest counts, and the complete list is requested from it.
+func TestSetAddressThereAndBackUsesLatest(t *testing.T) {
 	home, away := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	c, x, _ := startClient(t, home.At(), 40)
 	first := home.Take()
-	expectRequest(t, first, wholeListLine)
-	c.Move(away.At())
+	expectRequest(t, first, completeListLine)
+	c.SetAddress(away.At())
 	there := away.Take()
 	first.Ends()
-	expectRequest(t, there, wholeListLine)
-	c.Move(away.At()) // no move at all
-	c.Move(home.At())
+	expectRequest(t, there, completeListLine)
+	c.SetAddress(away.At()) // the same address: no effect
+	c.SetAddress(home.At())
 	second := home.Take()
 	there.Ends()
-	expectRequest(t, second, wholeListLine)
+	expectRequest(t, second, completeListLine)
 	second.Raw(list(41, true, "Ready"))
 	expectRequest(t, second, fmt.Sprintf(watchLine, 41))
-	if l := nextListing(t, x); l.Revision != 41 || x.Tally.Dials.Load() != 3 {
-		t.Errorf("told %+v after %d dials", l, x.Tally.Dials.Load())
+	if l := nextList(t, x); l.Revision != 41 || x.Tally.Dials.Load() != 3 {
+		t.Errorf("published %+v after %d dials", l, x.Tally.Dials.Load())
 	}
 }
 
-// A change that is made between an answer and the next call comes with that call.
-func TestAChangeBetweenTwoCalls(t *testing.T) {
+// A change made between an answer and the next call arrives with that call.
+func TestChangeBetweenTwoCallsIsReceived(t *testing.T) {
 	agent := scriptedpeer.Listen(t)
 	_, x, _ := startClient(t, agent.At(), 40)
 	conn := agent.Take()
-	expectRequest(t, conn, wholeListLine)
+	expectRequest(t, conn, completeListLine)
 	conn.Raw(list(41, true, "Ready"))
-	nextListing(t, x)
+	nextList(t, x)
 	expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
 	conn.Raw(unchanged(41)) // and now 42 is made
 	expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
 	conn.Raw(list(42, false, "Terminating"))
-	if l := nextListing(t, x); l.Revision != 42 || l.Complete || len(l.Members) != 1 {
-		t.Errorf("told %+v", l)
+	if l := nextList(t, x); l.Revision != 42 || l.Complete || len(l.Members) != 1 {
+		t.Errorf("published %+v", l)
 	}
 	expectRequest(t, conn, fmt.Sprintf(watchLine, 42))
 }
 
-// Revisions of all sizes, and the same again.
-func TestRevisionsThatAreOdd(t *testing.T) {
+// Revisions at the limits of int64, invalid ones, and repeated ones.
+func TestRevisionLimits(t *testing.T) {
 	body := func(answer string) []byte { return []byte(answer[strings.Index(answer, "{"):]) }
 	for name, c := range map[string]struct {
-		known, revision int64 // the second is of a whole list, in answer to a call for all of it
-		told, fails     bool
+		known, revision  int64 // revision is that of a complete list that was requested
+		published, fails bool
 	}{
 		"the largest":             {41, math.MaxInt64, true, false},
 		"the first of all":        {-1, 0, true, false},
@@ -185,10 +185,10 @@
 	} {
 		cl, x := client(c.known)
 		_, err := cl.apply(body(list(c.revision, true, "Ready")))
-		if got := len(x.Take()) == 1; got != c.told || (err != nil) != c.fails {
-			t.Errorf("%s: told %v: %v", name, got, err)
+		if got := len(x.Take()) == 1; got != c.published || (err != nil) != c.fails {
+			t.Errorf("%s: published %v: %v", name, got, err)
 		}
-		if _, err := cl.apply(body(list(cl.revision, false, "Gone"))); (err != nil) != c.fails { // changes, where all is asked for
+		if _, err := cl.apply(body(list(cl.revision, false, "Gone"))); (err != nil) != c.fails { // changes where the complete list was requested
 			t.Errorf("%s: changes then: %v", name, err)
 		}
 	}
@@ -199,7 +199,7 @@
 	}
 	l, err := Parse([]byte(`{"revision":5,"complete":false,"members":[{"id":"a","phase":"Gone","up_since_ms":1},` +
 		`{"id":"a","phase":"Ready","up_since_ms":2},{"id":"b","phase":"Gone"}]}`))
-	if err != nil || len(l.Members) != 3 || l.Members[1].UpSince != 2e6 { // in their order: the last one holds
+	if err != nil || len(l.Members) != 3 || l.Members[1].UpSince != 2e6 { // in order: the last entry for an id holds
 		t.Errorf("%+v %v", l, err)
 	}
 }
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -14,17 +14,16 @@
 	"time"
 )
 
-// What the protocol page says of silence: discovery's word counts as told so much after the wait of a watch, and a drain
-// has its grace and the slack from then on.
+// By the protocol, a change counts as delivered 2 s after the wait of a watch; the drain grace and its slack run from then.
 const (
-	toldAfter      = watchTimeout + 2*time.Second
+	deliveredAfter = watchTimeout + 2*time.Second
 	usualGrace     = 2*time.Second + 300*time.Millisecond
 	channelTransit = 100 * time.Millisecond // of a message to a proxy
 )
 
-// In virtual time: from the watch on, discovery has something to tell. Whatever then becomes of the connection and of two
-// dials, it is acted on in time, as the protocol counts: worst cases by the constants, and as measured.
-func TestHowLongSilenceTakes(t *testing.T) {
+// In virtual time: a change exists from the start of the watch. Whatever happens to the connection and to the next dials,
+// the change is published within the protocol's time; the worst cases follow from the constants.
+func TestSilenceIsDetectedWithinDrainGrace(t *testing.T) {
 	first := func(then func(agent net.Conn, r *bufio.Reader)) script {
 		return func(agent net.Conn, r *bufio.Reader) {
 			if answerCalls(r, agent, list(41, true, "Ready")) {
@@ -76,15 +75,15 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				_, x, _ := startClientWithDialer(t, 1, dialScripts(t, c.scripts...))
-				nextListing(t, x)
+				nextList(t, x)
 				since := time.Now()
-				for l := nextListing(t, x); l.Revision < 42 && time.Since(since) <= c.most; {
-					l = nextListing(t, x)
+				for l := nextList(t, x); l.Revision < 42 && time.Since(since) <= c.most; {
+					l = nextList(t, x)
 				}
 				if took := time.Since(since); took > c.most {
 					t.Errorf("it took %v, at most %v by the constants", took, c.most)
 				}
-				if c.most+channelTransit > toldAfter+usualGrace {
+				if c.most+channelTransit > deliveredAfter+usualGrace {
 					t.Errorf("%v by the constants is more than a drain's grace allows", c.most)
 				}
 			})
@@ -92,8 +91,8 @@
 	}
 }
 
-// An agent whose answers are all slow is read in the end: what is given up as it drips gets twice as long the next time.
-func TestAnswersThatAreAllSlow(t *testing.T) {
+// An agent whose answers are all slow is read in the end: after an answer that ran out of time the next one gets twice as long.
+func TestSlowAnswersGetMoreReadTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, x, _ := startClientWithDialer(t, 1, dialScripts(t, func(agent net.Conn, r *bufio.Reader) {
 			http.ReadRequest(r)
@@ -101,16 +100,16 @@
 			writePieces(agent, text, len(text)/16+1, answerTimeout/2) // eight seconds in all
 		}))
 		start := time.Now()
-		nextListing(t, x)
+		nextList(t, x)
 		if took := time.Since(start); took > 2*readTimeLimit {
 			t.Errorf("it took %v", took)
 		}
 	})
 }
 
-// Agents that answer every watch at once, that have no watches, or that refuse everything: a bounded number of calls, a
-// list that stays fresh where there is one, and a line for each change of mode.
-func TestTheNumberOfCallsIsBounded(t *testing.T) {
+// Agents that answer every watch at once, that have no watches, or that refuse everything: the number of calls is bounded,
+// the list stays fresh where there is one, and the log has one line for each series of failures.
+func TestCallRateIsBounded(t *testing.T) {
 	refused := "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 	same := list(41, true, "Ready")
 	either := func(whole, watch string) func(bool) string {
@@ -125,7 +124,7 @@
 	for name, c := range map[string]struct {
 		answer func(watch bool) string
 		most   time.Duration // calls
-		lists  time.Duration // told at least
+		lists  time.Duration // published at least
 		fails  bool
 	}{
 		"the same list at once":         {either(same, same), span/idlePause + 2, span/idlePause - 2, false},
@@ -162,7 +161,7 @@
 					t.Errorf("%d errors", x.Tally.CallErrors.Load())
 				}
 				if lists := time.Duration(len(x.Take())); lists < c.lists {
-					t.Errorf("%d lists told, want %d", lists, c.lists)
+					t.Errorf("%d lists published, want %d", lists, c.lists)
 				}
 			})
 		})
@@ -171,7 +170,7 @@
 
 // How long a discovery that counts from a lower revision takes to be believed after a move, from its first answer on,
 // which is when its list counts as told.
-func TestANewDiscoveryIsBelievedWithinADrainsGrace(t *testing.T) {
+func TestNewAddressIsAcceptedWithinDrainGrace(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			answered := make(chan time.Time, 2*staleAnswersLimitAfterMove)
@@ -183,21 +182,21 @@
 				answered <- time.Now()
 				io.Copy(io.Discard, r)
 			}))
-			nextListing(t, x)
-			c.Move("agent:2")
-			if l := nextListing(t, x); l.Revision != 3 {
-				t.Errorf("told %+v", l)
+			nextList(t, x)
+			c.SetAddress("agent:2")
+			if l := nextList(t, x); l.Revision != 3 {
+				t.Errorf("published %+v", l)
 			}
 			const most = (1 + 2 + 4 + 8) * backoffInitial // with the largest draws
 			if took := time.Since(<-answered); took > most || took < most/2 || most+channelTransit > usualGrace {
-				t.Errorf("believed after %v, %v to %v by the constants", took, most/2, most)
+				t.Errorf("accepted after %v, %v to %v by the constants", took, most/2, most)
 			}
 		})
 	}
 }
 
-// A dial that fails in any way is tried again soon, and what had waited already is not made to wait longer.
-func TestDialsThatFail(t *testing.T) {
+// A failed dial is retried with backoff; after a dial that timed out, only the initial backoff applies.
+func TestFailedDialsAreRetriedWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dialed := make(chan time.Duration, 200)
 		start := time.Now()
