--- a/cmd/lilacbend/configserver.go
+++ b/cmd/lilacbend/configserver.go
@@ -44,9 +44,9 @@
 		&cli.StringFlag{Name: "folder", Usage: "the settings, one file a service: makes this the writer", Destination: &o.Folder},
 		&cli.StringSliceFlag{Name: "follow", Usage: "a server to follow, as ADDRESS or ADDRESS=REGION; the writer first", Destination: &follow},
 		&cli.StringFlag{Name: "state", Usage: "keeps epoch and copy over restarts", Destination: &o.StateFile},
-		&cli.DurationFlag{Name: "poll", Usage: "how often the folder is looked at", Destination: &o.PollEvery},
-		&cli.IntFlag{Name: "connections", Usage: "at most", Destination: &o.Connections},
-		&cli.IntFlag{Name: "copies", Usage: "whole copies under way at most", Destination: &o.Copies},
+		&cli.DurationFlag{Name: "poll", Usage: "how often the folder is looked at", Destination: &o.PollInterval},
+		&cli.IntFlag{Name: "connections", Usage: "at most", Destination: &o.MaxConnections},
+		&cli.IntFlag{Name: "copies", Usage: "whole copies under way at most", Destination: &o.MaxCopies},
 	}
 	read := func() (configserver.Options, error) {
 		o.Follow = serversOf(follow)
@@ -88,14 +88,14 @@
 	if len(given.Follow) > 0 {
 		from.Follow = given.Follow
 	}
-	if given.PollEvery > 0 {
-		from.PollEvery = given.PollEvery
+	if given.PollInterval > 0 {
+		from.PollInterval = given.PollInterval
 	}
-	if given.Connections > 0 {
-		from.Connections = given.Connections
+	if given.MaxConnections > 0 {
+		from.MaxConnections = given.MaxConnections
 	}
-	if given.Copies > 0 {
-		from.Copies = given.Copies
+	if given.MaxCopies > 0 {
+		from.MaxCopies = given.MaxCopies
 	}
 	return from
 }
@@ -125,7 +125,7 @@
 			case <-ctx.Done():
 				return
 			case <-hangups:
-				s.Reread()
+				s.Rescan()
 			}
 		}
 	}()
@@ -231,16 +231,16 @@
 	for _, service := range s.Services {
 		for _, zone := range service.Zones {
 			var counts []string
-			for _, c := range zone.InForce {
-				counts = append(counts, fmt.Sprintf("%d at %s", c.Governors, c.Version))
+			for _, c := range zone.Active {
+				counts = append(counts, fmt.Sprintf("%d at %s", c.Controllers, c.Version))
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", service.Service, service.Version, zone.Zone, strings.Join(counts, ", "), zone.Lagging, zone.Refused)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", service.Service, service.Version, zone.Zone, strings.Join(counts, ", "), zone.Lagging, zone.Rejected)
 		}
 		if len(service.Zones) == 0 {
 			fmt.Fprintf(w, "%s\t%s\t-\tnobody\t0\t0\n", service.Service, service.Version)
 		}
 	}
 	for _, l := range s.Lagging {
-		fmt.Fprintf(w, "lags: %s\t%s\t%s\thas %s, wants %s\tfor %v\n", l.Instance, l.Service, l.Zone, l.InForce, l.Wants, time.Duration(l.ForMS)*time.Millisecond)
+		fmt.Fprintf(w, "lags: %s\t%s\t%s\thas %s, wants %s\tfor %v\n", l.Instance, l.Service, l.Zone, l.Active, l.Newest, time.Duration(l.ForMS)*time.Millisecond)
 	}
 }
--- a/cmd/lilacbend/configuration.go
+++ b/cmd/lilacbend/configuration.go
@@ -34,7 +34,7 @@
 	f.kept = openKeptConfiguration(ctx, c, own, log)
 	var err error
 	f.watcher, err = configwatch.New(configwatch.Options{Instance: c.name, Service: following.Service, Region: following.Region,
-		Zone: following.Zone, Servers: following.Servers, Seed: c.seed, Log: log, Offer: f.offer, InForce: f.kept.keep})
+		Zone: following.Zone, Servers: following.Servers, Seed: c.seed, Log: log, OnOffer: f.offer, OnActive: f.kept.keep})
 	return f, err
 }
 
@@ -74,7 +74,7 @@
 func (f *configurationFollower) offer(v revision.Version, raw []byte) {
 	names, decoded, err := settings.Load(raw, f.seed)
 	if err != nil {
-		f.watcher.Refused(v, err)
+		f.watcher.Rejected(v, err)
 		return
 	}
 	f.exchange.Publish(controller.Configure{Version: v, Names: names, Settings: decoded,
@@ -86,7 +86,7 @@
 	for _, c := range configured {
 		server.Reconfigure(core.CurrentTopology())
 		if c.Err != nil {
-			f.watcher.Refused(c.Version, c.Err)
+			f.watcher.Rejected(c.Version, c.Err)
 			continue
 		}
 		f.exchange.Expect(notesExpected(c.Settings.Proxies, len(c.Names.Classes)))
@@ -104,6 +104,6 @@
 		return slog.Attr{}
 	}
 	n, c := f.watcher.Counts(), core.Counters
-	return slog.Group("configuration", "version", f.watcher.InForce().String(), "changes", c.ConfigurationsApplied, "refused", n.Refused,
-		"requests", n.Requests, "dials", n.Dials, "failures", n.Failures, "sent_away", n.SentAway, "bytes_in", n.BytesIn, "bytes_out", n.BytesOut, f.kept.figures())
+	return slog.Group("configuration", "version", f.watcher.Active().String(), "changes", c.ConfigurationsApplied, "refused", n.Rejected,
+		"requests", n.Requests, "dials", n.Dials, "failures", n.Failures, "sent_away", n.Throttled, "bytes_in", n.BytesIn, "bytes_out", n.BytesOut, f.kept.figures())
 }
--- a/cmd/lilacbend/configuration_test.go
+++ b/cmd/lilacbend/configuration_test.go
@@ -100,13 +100,13 @@
 	governor.until("setting domain.admit cannot change while the controller runs")
 	scriptedpeer.Until(t, "the refusal is not known to the servers", func() bool {
 		s := status(t, at)
-		return len(s.Lagging) == 1 && s.Lagging[0].Instance == "n7" && s.Lagging[0].Refused == s.Services[0].Version
+		return len(s.Lagging) == 1 && s.Lagging[0].Instance == "n7" && s.Lagging[0].Rejected == s.Services[0].Version
 	})
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":6`)
 	governor.until("proxies=6")
 	scriptedpeer.Until(t, "somebody lags", func() bool {
 		s := status(t, at)
-		return len(s.Lagging) == 0 && len(s.Services) == 2 && len(s.Services[0].Zones) == 1 && s.Services[0].Zones[0].InForce[0].Governors == 1
+		return len(s.Lagging) == 0 && len(s.Services) == 2 && len(s.Services[0].Zones) == 1 && s.Services[0].Zones[0].Active[0].Controllers == 1
 	})
 	governor.tell(syscall.SIGUSR1)
 	governor.until("configuration.changes=3").until("configuration.refused=1")
--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -86,15 +86,15 @@
 		{Server: "s0", Region: "r0", Writer: true, Version: at(32), Faults: []configapi.Fault{{File: "stock.json", Reason: "unexpected end"}},
 			Services: []configapi.ServiceStatus{{Name: "orders", Version: at(31), Bytes: 905, History: history(0)}, {Name: "stock", Version: at(28), Bytes: 17}},
 			Watchers: []configapi.Watcher{
-				{Instance: "s1", Region: "r1", InForce: at(32), HeardMS: 3},
-				{Instance: "n1", Service: "orders", Zone: "a", Region: "r0", InForce: at(31), HeardMS: 40},
-				{Instance: "n2", Service: "orders", Zone: "a", Region: "r0", InForce: at(30), HeardMS: 50},
-				{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", InForce: at(29), HeardMS: 70_000},
+				{Instance: "s1", Region: "r1", Active: at(32), LastSeenMS: 3},
+				{Instance: "n1", Service: "orders", Zone: "a", Region: "r0", Active: at(31), LastSeenMS: 40},
+				{Instance: "n2", Service: "orders", Zone: "a", Region: "r0", Active: at(30), LastSeenMS: 50},
+				{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: at(29), LastSeenMS: 70_000},
 			},
 			Counters: configapi.Counters{Requests: 1, Copies: 2}},
 		{Server: "s1", Region: "r1", Version: at(31), AgeMS: 12, Faults: []configapi.Fault{},
 			Services: []configapi.ServiceStatus{{Name: "orders", Version: at(31), Bytes: 905, History: history(-20)}},
-			Watchers: []configapi.Watcher{{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", InForce: at(29), Refused: at(31), HeardMS: 30}}},
+			Watchers: []configapi.Watcher{{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: at(29), Rejected: at(31), LastSeenMS: 30}}},
 	}
 }
 
--- a/experiment/scale/source.go
+++ b/experiment/scale/source.go
@@ -43,7 +43,7 @@
 	offer := func(v revision.Version, body []byte) {
 		apply(v, body, func(err error) {
 			if err != nil {
-				s.watcher.Refused(v, err)
+				s.watcher.Rejected(v, err)
 			} else {
 				s.watcher.Applied(v)
 			}
@@ -52,7 +52,7 @@
 	var err error
 	s.watcher, err = configwatch.New(configwatch.Options{Instance: fmt.Sprintf("governor-%d", s.plan.Number), Service: s.service,
 		Region: regionName(s.plan.Region), Zone: zoneName(s.plan.Number % max(1, s.plan.Shape.Zones)), Servers: s.plan.Servers,
-		Seed: s.plan.Seed, Offer: offer, InForce: s.keep})
+		Seed: s.plan.Seed, OnOffer: offer, OnActive: s.keep})
 	if err != nil {
 		panic(fmt.Sprintf("governor %d: %v", s.plan.Number, err)) // the rig's own plan is wrong
 	}
--- a/internal/configapi/configapi.go
+++ b/internal/configapi/configapi.go
@@ -1,6 +1,6 @@
-// Package configapi holds the messages between configuration servers and those that follow them. A follower asks in the
-// manner of discovery's watch: what it has (since), how long the server may wait for news (timeout_ms); the answer says
-// whether it is a whole copy (complete). The package has no I/O and no clock.
+// Package configapi holds the messages between configuration servers and their followers. A follower polls as discovery's
+// clients do: the query has the version in use (since) and how long the server may wait for a newer one (timeout_ms), the
+// answer says whether it is a complete copy. The package has no I/O and no clock.
 package configapi
 
 import (
@@ -13,91 +13,114 @@
 	"lilacbend/internal/revision"
 )
 
-// Paths of the server.
+// Paths of a server's requests.
 const (
 	WatchPath  = "/configuration"
 	StatusPath = "/status"
 )
 
 const (
-	// WaitMax is the longest that a server waits for news.
-	WaitMax = time.Minute
-	// NameMax is the longest name of a service, an instance, a zone or a region, in bytes.
-	NameMax = 128
+	// MaxWait is the longest that a server waits for a newer version.
+	MaxWait = time.Minute
+	// MaxNameLength is the longest name of a service, an instance, a zone or a region, in bytes.
+	MaxNameLength = 128
 )
 
-// Query is what a follower asks.
+// Query is a follower's poll.
 type Query struct {
-	Service  string           // whose settings; empty: those of all services
-	Since    revision.Version // what the follower has in force
-	Refused  revision.Version // the newest that the follower could not use, if any
-	Timeout  time.Duration    // for how long the server may wait for something newer
+	Service  string           // empty: all services
+	Since    revision.Version // active at the follower
+	Rejected revision.Version // the newest that the follower could not use, if any
+	Timeout  time.Duration    // how long the server may wait for a newer version
 	Instance string           // the follower's name
 	Zone     string
 	Region   string
 }
 
-// Keys of a query.
+// Parameters of a query.
 const (
-	keyService, keySince, keyRefused, keyTimeout = "service", "since", "refused", "timeout_ms"
-	keyInstance, keyZone, keyRegion              = "instance", "zone", "region"
+	keyService  = "service"
+	keySince    = "since"
+	keyRejected = "refused"
+	keyTimeout  = "timeout_ms"
+	keyInstance = "instance"
+	keyZone     = "zone"
+	keyRegion   = "region"
 )
 
-// Encode writes a query as path and parameters of a request.
+// Encode returns the path and the parameters of the request.
 func (q Query) Encode() string {
-	v := url.Values{}
-	set := func(key, value string) {
-		if value != "" {
-			v.Set(key, value)
-		}
-	}
-	set(keyService, q.Service)
-	set(keyInstance, q.Instance)
-	set(keyZone, q.Zone)
-	set(keyRegion, q.Region)
+	values := url.Values{}
+	setNonEmpty(values, keyService, q.Service)
+	setNonEmpty(values, keyInstance, q.Instance)
+	setNonEmpty(values, keyZone, q.Zone)
+	setNonEmpty(values, keyRegion, q.Region)
 	if !q.Since.IsZero() {
-		v.Set(keySince, q.Since.String())
+		values.Set(keySince, q.Since.String())
 	}
-	if !q.Refused.IsZero() {
-		v.Set(keyRefused, q.Refused.String())
+	if !q.Rejected.IsZero() {
+		values.Set(keyRejected, q.Rejected.String())
 	}
 	if q.Timeout > 0 {
-		v.Set(keyTimeout, strconv.FormatInt(q.Timeout.Milliseconds(), 10))
+		values.Set(keyTimeout, strconv.FormatInt(q.Timeout.Milliseconds(), 10))
+	}
+	return WatchPath + "?" + values.Encode()
+}
+
+func setNonEmpty(values url.Values, key, value string) {
+	if value != "" {
+		values.Set(key, value)
 	}
-	return WatchPath + "?" + v.Encode()
 }
 
 // ParseQuery reads the parameters of a request. The error names the parameter.
-func ParseQuery(v url.Values) (q Query, err error) {
-	for _, text := range []struct {
-		key  string
-		into *string
-	}{{keyService, &q.Service}, {keyInstance, &q.Instance}, {keyZone, &q.Zone}, {keyRegion, &q.Region}} {
-		if *text.into = v.Get(text.key); len(*text.into) > NameMax {
-			return Query{}, fmt.Errorf("%s has %d bytes, at most %d may be", text.key, len(*text.into), NameMax)
+func ParseQuery(values url.Values) (Query, error) {
+	var query Query
+	for _, name := range []struct {
+		key         string
+		destination *string
+	}{{keyService, &query.Service}, {keyInstance, &query.Instance}, {keyZone, &query.Zone}, {keyRegion, &query.Region}} {
+		value := values.Get(name.key)
+		if len(value) > MaxNameLength {
+			return Query{}, fmt.Errorf("%s has %d bytes, at most %d may be", name.key, len(value), MaxNameLength)
 		}
+		*name.destination = value
 	}
-	if q.Since, err = revision.Parse(v.Get(keySince)); err != nil {
-		return Query{}, fmt.Errorf("%s: %w", keySince, err)
+	for _, version := range []struct {
+		key         string
+		destination *revision.Version
+	}{{keySince, &query.Since}, {keyRejected, &query.Rejected}} {
+		value, err := revision.Parse(values.Get(version.key))
+		if err != nil {
+			return Query{}, fmt.Errorf("%s: %w", version.key, err)
+		}
+		*version.destination = value
 	}
-	if q.Refused, err = revision.Parse(v.Get(keyRefused)); err != nil {
-		return Query{}, fmt.Errorf("%s: %w", keyRefused, err)
+	timeout, err := parseTimeout(values.Get(keyTimeout))
+	if err != nil {
+		return Query{}, err
 	}
-	if text := v.Get(keyTimeout); text != "" {
-		ms, err := strconv.ParseInt(text, 10, 64)
-		if err != nil || ms < 0 || ms > WaitMax.Milliseconds() {
-			return Query{}, fmt.Errorf("%s=%.40q is not a whole number from 0 to %d", keyTimeout, text, WaitMax.Milliseconds())
-		}
-		q.Timeout = time.Duration(ms) * time.Millisecond
+	query.Timeout = timeout
+	return query, nil
+}
+
+// parseTimeout reads the milliseconds that a server may wait. An empty text is 0.
+func parseTimeout(text string) (time.Duration, error) {
+	if text == "" {
+		return 0, nil
+	}
+	milliseconds, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || milliseconds < 0 || milliseconds > MaxWait.Milliseconds() {
+		return 0, fmt.Errorf("%s=%.40q is not a whole number from 0 to %d", keyTimeout, text, MaxWait.Milliseconds())
 	}
-	return q, nil
+	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// Answer is what a server has for a query. Without services there is nothing newer than what the follower has.
+// Answer is a server's answer to a query. Without services there is no newer version than the follower's.
 type Answer struct {
-	revision.Version           // of the service that was asked for, or of the server's whole configuration
-	Complete         bool      `json:"complete"` // Services are all there are; else those that have changed
-	AgeMS            int64     `json:"age_ms"`   // since when the server has not heard of the writer; 0 at the writer
+	revision.Version           // of the service in the query, or of the server's whole configuration
+	Complete         bool      `json:"complete"` // Services are all there are; otherwise those that have changed
+	AgeMS            int64     `json:"age_ms"`   // how long ago the server last heard from the writer; 0 at the writer
 	Services         []Service `json:"services"`
 }
 
@@ -109,30 +132,24 @@
 	Removed  bool            `json:"removed,omitempty"`
 }
 
-// Refusal is the answer to a query that is not served.
+// Refusal is the body of the answer to a query that is not served.
 type Refusal struct {
 	Reason       string `json:"error"`
-	RetryAfterMS int64  `json:"retry_after_ms,omitempty"` // when to come back; 0: not said
+	RetryAfterMS int64  `json:"retry_after_ms,omitempty"` // when to poll again; 0: unknown
 }
 
-// Check says what is wrong with an answer to a query, whatever its settings mean.
+// Check returns what is wrong with an answer to a query. It does not look into the settings.
 func (a Answer) Check(q Query) error {
 	switch {
 	case !a.Valid() || a.AgeMS < 0:
 		return fmt.Errorf("version %s or age %d ms is out of range", a.Version, a.AgeMS)
-	case a.Epoch == 0: // a server without any configuration, or something else that speaks JSON
+	case a.Epoch == 0: // a server without any configuration, or another program that answers with JSON
 		return fmt.Errorf("version %s has no epoch", a.Version)
 	}
-	for _, s := range a.Services {
-		switch {
-		case s.Name == "" || len(s.Name) > NameMax:
-			return fmt.Errorf("a service is called %.40q", s.Name)
-		case q.Service != "" && s.Name != q.Service:
-			return fmt.Errorf("service %s was asked for, not %s", q.Service, s.Name)
-		case s.Newer(a.Version):
-			return fmt.Errorf("service %s has version %s, the answer %s", s.Name, s.Version, a.Version)
-		case !s.Removed && len(s.Settings) == 0:
-			return fmt.Errorf("service %s has no settings", s.Name)
+	for _, service := range a.Services {
+		err := a.checkService(service, q)
+		if err != nil {
+			return err
 		}
 	}
 	if q.Service != "" && len(a.Services) > 1 {
@@ -140,3 +157,17 @@
 	}
 	return nil
 }
+
+func (a Answer) checkService(service Service, q Query) error {
+	switch {
+	case service.Name == "" || len(service.Name) > MaxNameLength:
+		return fmt.Errorf("a service is called %.40q", service.Name)
+	case q.Service != "" && service.Name != q.Service:
+		return fmt.Errorf("service %s was asked for, not %s", q.Service, service.Name)
+	case service.Newer(a.Version):
+		return fmt.Errorf("service %s has version %s, the answer %s", service.Name, service.Version, a.Version)
+	case !service.Removed && len(service.Settings) == 0:
+		return fmt.Errorf("service %s has no settings", service.Name)
+	}
+	return nil
+}
--- a/internal/configapi/configapi_test.go
+++ b/internal/configapi/configapi_test.go
@@ -10,10 +10,10 @@
 	"lilacbend/internal/revision"
 )
 
-func TestQueriesSurviveTheirText(t *testing.T) {
+func TestQueryRoundTrip(t *testing.T) {
 	for _, q := range []Query{
 		{},
-		{Service: "orders & more", Since: revision.Version{Epoch: 7, Revision: 41}, Refused: revision.Version{Epoch: 7, Revision: 42},
+		{Service: "orders & more", Since: revision.Version{Epoch: 7, Revision: 41}, Rejected: revision.Version{Epoch: 7, Revision: 42},
 			Timeout: 2500 * time.Millisecond, Instance: "n=0", Zone: "z/1", Region: "r?"},
 	} {
 		at, err := url.Parse(q.Encode())
@@ -26,10 +26,10 @@
 	}
 }
 
-func TestQueriesThatAreRefusedNameTheParameter(t *testing.T) {
+func TestParseQueryNamesInvalidParameter(t *testing.T) {
 	for query, says := range map[string]string{
 		"since=7": "since: version", "refused=a.b": "refused: epoch", "timeout_ms=-1": "timeout_ms=", "timeout_ms=60001": "timeout_ms=",
-		"timeout_ms=1s": "timeout_ms=", "service=" + strings.Repeat("x", NameMax+1): "service has 129 bytes", "instance=" + strings.Repeat("x", 4096): "instance has",
+		"timeout_ms=1s": "timeout_ms=", "service=" + strings.Repeat("x", MaxNameLength+1): "service has 129 bytes", "instance=" + strings.Repeat("x", 4096): "instance has",
 	} {
 		v, err := url.ParseQuery(query)
 		if err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestAnswersThatCannotBe(t *testing.T) {
+func TestCheckRejectsInvalidAnswers(t *testing.T) {
 	one := Query{Service: "orders"}
 	for text, says := range map[string]string{
 		`{"epoch":9007199254740993,"revision":1}`: "out of range",
--- a/internal/configapi/encode.go
+++ b/internal/configapi/encode.go
@@ -8,63 +8,65 @@
 	"lilacbend/internal/revision"
 )
 
-// WriteTo writes an answer as JSON, the same as package encoding/json does, though without reading the settings again: they
-// are JSON in its shortest form already, and most of an answer.
-func (a Answer) WriteTo(w io.Writer) (written int64, err error) {
-	c := &countingWriter{w: w}
-	head := append(appendVersion([]byte{'{'}, a.Version), `,"complete":`...)
+// WriteTo writes an answer as JSON, byte for byte as encoding/json does, but without parsing the settings: they are compact
+// JSON already, and most of an answer.
+func (a Answer) WriteTo(destination io.Writer) (written int64, err error) {
+	writer := &answerWriter{destination: destination}
+	head := appendVersion([]byte{'{'}, a.Version)
+	head = append(head, `,"complete":`...)
 	head = strconv.AppendBool(head, a.Complete)
 	head = append(head, `,"age_ms":`...)
 	head = strconv.AppendInt(head, a.AgeMS, 10)
 	head = append(head, `,"services":[`...)
-	c.write(head)
-	for k, s := range a.Services {
+	writer.write(head)
+	for k, service := range a.Services {
 		if k > 0 {
-			c.write([]byte{','})
+			writer.write([]byte{','})
 		}
-		c.service(s)
+		writer.writeService(service)
 	}
-	c.write([]byte(`]}`))
-	return c.written, c.err
+	writer.write([]byte(`]}`))
+	return writer.written, writer.err
 }
 
-// countingWriter writes until the first error.
-type countingWriter struct {
-	w       io.Writer
-	written int64
-	err     error
+// answerWriter writes until the first error, and counts the bytes.
+type answerWriter struct {
+	destination io.Writer
+	written     int64
+	err         error
 }
 
-func (c *countingWriter) write(b []byte) {
-	if c.err != nil {
+func (w *answerWriter) write(raw []byte) {
+	if w.err != nil {
 		return
 	}
 	var n int
-	n, c.err = c.w.Write(b)
-	c.written += int64(n)
+	n, w.err = w.destination.Write(raw)
+	w.written += int64(n)
 }
 
-func (c *countingWriter) service(s Service) {
-	name, err := json.Marshal(s.Name)
-	if err != nil && c.err == nil {
-		c.err = err
+func (w *answerWriter) writeService(service Service) {
+	name, err := json.Marshal(service.Name)
+	if err != nil && w.err == nil {
+		w.err = err
 	}
 	head := append([]byte(`{"name":`), name...)
-	head = appendVersion(append(head, ','), s.Version)
-	if len(s.Settings) > 0 {
+	head = append(head, ',')
+	head = appendVersion(head, service.Version)
+	if len(service.Settings) > 0 {
 		head = append(head, `,"settings":`...)
 	}
-	c.write(head)
-	c.write(s.Settings)
-	if s.Removed {
-		c.write([]byte(`,"removed":true`))
+	w.write(head)
+	w.write(service.Settings)
+	if service.Removed {
+		w.write([]byte(`,"removed":true`))
 	}
-	c.write([]byte{'}'})
+	w.write([]byte{'}'})
 }
 
-func appendVersion(b []byte, v revision.Version) []byte {
-	b = append(b, `"epoch":`...)
-	b = strconv.AppendUint(b, v.Epoch, 10)
-	b = append(b, `,"revision":`...)
-	return strconv.AppendUint(b, v.Revision, 10)
+func appendVersion(buffer []byte, version revision.Version) []byte {
+	buffer = append(buffer, `"epoch":`...)
+	buffer = strconv.AppendUint(buffer, version.Epoch, 10)
+	buffer = append(buffer, `,"revision":`...)
+	return strconv.AppendUint(buffer, version.Revision, 10)
 }
--- a/internal/configapi/encode_test.go
+++ b/internal/configapi/encode_test.go
@@ -11,8 +11,7 @@
 	"lilacbend/internal/revision"
 )
 
-// An answer is written as the standard library writes it.
-func TestAnswersAreWrittenAsJSON(t *testing.T) {
+func TestWriteToMatchesEncodingJSON(t *testing.T) {
 	version := rapid.Custom(func(t *rapid.T) revision.Version {
 		return revision.Version{Epoch: rapid.Uint64Range(0, revision.Max).Draw(t, "epoch"), Revision: rapid.Uint64Range(0, revision.Max).Draw(t, "revision")}
 	})
@@ -36,27 +35,27 @@
 	})
 }
 
-// full takes some bytes and then no more.
-type full struct{ room int }
+// limitedWriter accepts capacity bytes and fails then.
+type limitedWriter struct{ capacity int }
 
-func (f *full) Write(b []byte) (int, error) {
-	n := min(len(b), f.room)
-	if f.room -= n; n < len(b) {
+func (f *limitedWriter) Write(b []byte) (int, error) {
+	n := min(len(b), f.capacity)
+	if f.capacity -= n; n < len(b) {
 		return n, errors.New("full")
 	}
 	return n, nil
 }
 
-func TestAWriterThatFailsIsSaid(t *testing.T) {
+func TestWriteToReturnsWriteError(t *testing.T) {
 	a := Answer{Services: []Service{{Name: "orders", Settings: json.RawMessage(`{}`)}}}
 	var all bytes.Buffer
-	whole, err := a.WriteTo(&all)
+	size, err := a.WriteTo(&all)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for room := range int(whole) {
-		if n, err := a.WriteTo(&full{room}); err == nil || n != int64(room) {
-			t.Errorf("with room for %d: %d, %v", room, n, err)
+	for capacity := range int(size) {
+		if n, err := a.WriteTo(&limitedWriter{capacity}); err == nil || n != int64(capacity) {
+			t.Errorf("with a capacity of %d: %d, %v", capacity, n, err)
 		}
 	}
 }
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -16,14 +16,14 @@
 const messagesFile = "messages.golden"
 
 func goldenStatus() Status {
-	inForce := revision.Version{Epoch: 7, Revision: 30}
+	active := revision.Version{Epoch: 7, Revision: 30}
 	newest := revision.Version{Epoch: 7, Revision: 31}
 	return Status{
 		Server: "s0", Region: "r0", Writer: true, Version: newest, AgeMS: 12,
 		Faults:   []Fault{{File: "orders.json", Reason: "unexpected end"}},
-		Services: []ServiceStatus{{Name: "orders", Version: newest, Bytes: 905, History: []Published{{inForce, 60_000}, {newest, 1500}}}},
-		Watchers: []Watcher{{Instance: "n7", Service: "orders", Zone: "a", Region: "r1", InForce: inForce, Refused: newest, HeardMS: 40}},
-		Counters: Counters{Requests: 1, Copies: 2, Changes: 3, SentAway: 4, Refused: 5, BytesOut: 6, WriteErrors: 7, Connections: 8},
+		Services: []ServiceStatus{{Name: "orders", Version: newest, Bytes: 905, History: []Published{{active, 60_000}, {newest, 1500}}}},
+		Watchers: []Watcher{{Instance: "n7", Service: "orders", Zone: "a", Region: "r1", Active: active, Rejected: newest, LastSeenMS: 40}},
+		Counters: Counters{Requests: 1, Copies: 2, Changes: 3, Throttled: 4, Refused: 5, BytesOut: 6, WriteErrors: 7, Connections: 8},
 	}
 }
 
@@ -31,7 +31,7 @@
 func messages(t *testing.T) []byte {
 	t.Helper()
 	version := revision.Version{Epoch: 7, Revision: 31}
-	query := Query{Service: "orders", Since: revision.Version{Epoch: 7, Revision: 30}, Refused: version, Timeout: 1500 * time.Millisecond, Instance: "n7", Zone: "a", Region: "r1"}
+	query := Query{Service: "orders", Since: revision.Version{Epoch: 7, Revision: 30}, Rejected: version, Timeout: 1500 * time.Millisecond, Instance: "n7", Zone: "a", Region: "r1"}
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "query\n%s\nquery of a server that holds nothing\n%s\nanswer\n", query.Encode(), Query{Instance: "s1"}.Encode())
 	answer := Answer{Version: version, Complete: true, AgeMS: 12, Services: []Service{
@@ -54,13 +54,13 @@
 	return b.Bytes()
 }
 
-func TestMessagesAreThoseOfTheGoldenFile(t *testing.T) {
+func TestMessagesMatchGoldenFile(t *testing.T) {
 	output := messages(t)
 	golden.Compare(t, messagesFile, output)
 	golden.CheckDetectsChange(t, messagesFile, output)
 }
 
-func TestQueryOfTheGoldenFileIsReadAndEncodedAgain(t *testing.T) {
+func TestQueryOfGoldenFileRoundTrip(t *testing.T) {
 	line := strings.Split(string(golden.Read(t, messagesFile)), "\n")[1]
 	path, parameters, _ := strings.Cut(line, "?")
 	values, err := url.ParseQuery(parameters)
--- a/internal/configcache/record.go
+++ b/internal/configcache/record.go
@@ -21,7 +21,7 @@
 	// headerMax bounds the header of a file, in bytes.
 	headerMax = 4 << 10
 	// FileMax bounds a file, in bytes.
-	FileMax = headerMax + configstore.SettingsMax
+	FileMax = headerMax + configstore.MaxSettingsSize
 )
 
 // Record is what was in force at a governor.
--- a/internal/configclient/client_test.go
+++ b/internal/configclient/client_test.go
@@ -34,7 +34,7 @@
 
 func millis(ms int64) int64 { return ms * int64(time.Millisecond) }
 
-func TestNearServersComeFirst(t *testing.T) {
+func TestOrderPrefersServersOfRegion(t *testing.T) {
 	for k := range 50 {
 		order := Order(fmt.Sprintf("n%d", k), "r0", append(threeServers, threeServers[0]))
 		if len(order) != 3 || order[2] != threeServers[2] {
@@ -42,12 +42,12 @@
 		}
 	}
 	if _, err := New(Options{}); err == nil {
-		t.Error("a follower of nobody")
+		t.Error("a follower without servers")
 	}
 }
 
-// The followers of a lost server spread evenly over all others, and nobody else moves.
-func TestTheFollowersOfALostServerSpread(t *testing.T) {
+// The followers of a lost server spread evenly over all others; no other follower changes its server.
+func TestOrderSpreadsFollowersOfLostServer(t *testing.T) {
 	var servers []Server
 	for k := range 8 {
 		servers = append(servers, Server{Address: fmt.Sprintf("10.0.0.%d:7000", k)})
@@ -76,17 +76,17 @@
 	}
 }
 
-// Versions only go up; a later epoch outranks any revision; the same settings under another name are not offered.
-func TestWhichAnswersCount(t *testing.T) {
+// Versions only increase; a later epoch outranks any revision; settings that are active already are not offered.
+func TestAnsweredOffersNewerVersions(t *testing.T) {
 	c := client(t, threeServers)
-	c.Next(0)
+	c.NextPoll(0)
 	for k, step := range []struct {
-		answer  configapi.Answer
-		refuse  bool
-		offer   bool
-		says    string
-		inForce string
-		refused string
+		answer   configapi.Answer
+		reject   bool
+		offer    bool
+		says     string
+		active   string
+		rejected string
 	}{
 		{answer(5, 3, `{"a":1}`), false, true, "", "5.3", "0.0"},
 		{answer(5, 3, ""), false, false, "", "5.3", "0.0"},
@@ -109,139 +109,139 @@
 		if offer != c.Pending() {
 			t.Errorf("step %d: pending %v", k, c.Pending())
 		}
-		if offer && step.refuse {
-			c.Refused(step.answer.Version)
+		if offer && step.reject {
+			c.Rejected(step.answer.Version)
 		} else if offer {
 			c.Applied(step.answer.Version, step.answer.Services[0].Settings)
 		}
-		ask := c.Next(0)
-		if got := c.InForce().String(); got != step.inForce || ask.Query.Since.String() != got || ask.Query.Refused.String() != step.refused {
-			t.Errorf("step %d: %s in force, refused %s", k, got, ask.Query.Refused)
+		poll := c.NextPoll(0)
+		if got := c.Active().String(); got != step.active || poll.Query.Since.String() != got || poll.Query.Rejected.String() != step.rejected {
+			t.Errorf("step %d: %s active, rejected %s", k, got, poll.Query.Rejected)
 		}
 	}
 }
 
-func TestAFailedServerIsLeftForTheNext(t *testing.T) {
+func TestFailedServerIsFollowedByNext(t *testing.T) {
 	c := client(t, threeServers)
 	order := c.Servers()
-	ask := c.Next(0)
-	if ask.Server != order[0] || ask.At != 0 || ask.Query.Timeout != 0 {
-		t.Fatalf("%+v", ask)
+	poll := c.NextPoll(0)
+	if poll.Server != order[0] || poll.At != 0 || poll.Query.Timeout != 0 {
+		t.Fatalf("%+v", poll)
 	}
 	c.Failed(0)
-	ask = c.Next(0)
-	if ask.Server != order[1] || ask.At < int64(pauseFirst)/2 || ask.At > int64(pauseFirst) {
-		t.Fatalf("%+v", ask)
+	poll = c.NextPoll(0)
+	if poll.Server != order[1] || poll.At < int64(failurePauseInitial)/2 || poll.At > int64(failurePauseInitial) {
+		t.Fatalf("%+v", poll)
 	}
-	if _, err := c.Answered(ask.At, answer(1, 1, `{}`)); err != nil {
+	if _, err := c.Answered(poll.At, answer(1, 1, `{}`)); err != nil {
 		t.Fatal(err)
 	}
 	c.Applied(revision.Version{Epoch: 1, Revision: 1}, nil)
-	if ask = c.Next(ask.At); ask.Server != order[1] || ask.Query.Timeout != GovernorWait || ask.Query.Since.String() != "1.1" {
-		t.Errorf("%+v", ask)
+	if poll = c.NextPoll(poll.At); poll.Server != order[1] || poll.Query.Timeout != ControllerPollWait || poll.Query.Since.String() != "1.1" {
+		t.Errorf("%+v", poll)
 	}
-	if ask = c.Next(int64(returnFirst) + 1); ask.Server != order[0] { // the nearest is tried again, and kept if it answers
-		t.Errorf("%+v", ask)
+	if poll = c.NextPoll(int64(failbackInitial) + 1); poll.Server != order[0] { // the preferred one is polled again, and used if it answers
+		t.Errorf("%+v", poll)
 	}
 }
 
-// Where nobody answers each of eight servers is tried again and again, without haste: whichever comes back is found.
-func TestWhereNobodyAnswers(t *testing.T) {
+// While no server answers, each of eight is polled in turn at a bounded rate, so that any one that recovers is found.
+func TestUnreachableServersArePolledInTurn(t *testing.T) {
 	var eight []Server
 	for k := range 8 {
 		eight = append(eight, Server{fmt.Sprintf("s%d", k), fmt.Sprintf("r%d", k/2)})
 	}
-	c, now, asked := client(t, eight), int64(0), map[string][]int64{}
-	tries := 0
-	for ; now < millis(120_000); tries++ {
-		ask := c.Next(now)
-		now = ask.At
-		asked[ask.Server.Address] = append(asked[ask.Server.Address], now)
+	c, now, polled := client(t, eight), int64(0), map[string][]int64{}
+	polls := 0
+	for ; now < millis(120_000); polls++ {
+		poll := c.NextPoll(now)
+		now = poll.At
+		polled[poll.Server.Address] = append(polled[poll.Server.Address], now)
 		c.Failed(now)
 	}
-	if tries > 120*2+10 {
-		t.Errorf("%d tries in two minutes", tries)
+	if polls > 120*2+10 {
+		t.Errorf("%d polls in two minutes", polls)
 	}
-	if len(asked) != len(eight) {
-		t.Errorf("only %d servers were tried", len(asked))
+	if len(polled) != len(eight) {
+		t.Errorf("only %d servers were polled", len(polled))
 	}
-	for at, times := range asked {
+	for at, times := range polled {
 		times = append(times, now)
 		for k := 1; k < len(times); k++ {
-			if gap := time.Duration(times[k] - times[k-1]); gap > max(retryMost, pauseMost*8) {
-				t.Errorf("%s was not tried for %v", at, gap)
+			if gap := time.Duration(times[k] - times[k-1]); gap > max(retryLimit, failurePauseLimit*8) {
+				t.Errorf("%s was not polled for %v", at, gap)
 			}
 		}
 	}
 }
 
-func TestABusyServerIsWaitedForAndThenLeft(t *testing.T) {
+func TestBusyServerIsPolledAgainAndThenLeft(t *testing.T) {
 	c := client(t, threeServers)
 	order, now := c.Servers(), int64(0)
-	for range busyMost {
-		if ask := c.Next(now); ask.Server != order[0] {
-			t.Fatalf("%+v", ask)
+	for range maxBusyAnswers {
+		if poll := c.NextPoll(now); poll.Server != order[0] {
+			t.Fatalf("%+v", poll)
 		}
 		c.Busy(now, 2*time.Second)
-		ask := c.Next(now)
-		if wait := time.Duration(ask.At - now); wait < 2*time.Second || wait > 2500*time.Millisecond {
+		poll := c.NextPoll(now)
+		if wait := time.Duration(poll.At - now); wait < 2*time.Second || wait > 2500*time.Millisecond {
 			t.Errorf("waits for %v", wait)
 		}
-		now = ask.At
+		now = poll.At
 	}
-	c.Next(now)
+	c.NextPoll(now)
 	c.Busy(now, 2*time.Second)
-	if ask := c.Next(now + millis(1000)); ask.Server != order[1] {
-		t.Errorf("%+v", ask)
+	if poll := c.NextPoll(now + millis(1000)); poll.Server != order[1] {
+		t.Errorf("%+v", poll)
 	}
 }
 
-// A server that is cut off from the writer is left for one that is not, but kept where no other answers.
-func TestAStaleServer(t *testing.T) {
+// A server that has lost the writer is left for one that has not, but used while no other answers.
+func TestStaleServerIsUsedOnlyWithoutBetter(t *testing.T) {
 	c := client(t, threeServers)
 	order, now := c.Servers(), int64(0)
 	stale := answer(1, 1, `{}`)
 	stale.AgeMS = staleAfter.Milliseconds() + 1
-	c.Next(now)
+	c.NextPoll(now)
 	if offer, err := c.Answered(now, stale); !offer || err != nil {
-		t.Fatal(offer, err) // old is better than nothing
+		t.Fatal(offer, err) // a stale version is better than none
 	}
 	c.Applied(stale.Version, nil)
 	for _, other := range order[1:] {
-		ask := c.Next(now)
-		if ask.Server != other {
-			t.Fatalf("%+v, want %s", ask, other.Address)
+		poll := c.NextPoll(now)
+		if poll.Server != other {
+			t.Fatalf("%+v, want %s", poll, other.Address)
 		}
-		now = ask.At
+		now = poll.At
 		c.Failed(now)
 	}
-	now += int64(pauseFirst)
-	ask := c.Next(now)
-	for k := 0; ask.Server != order[0] && k < 10; k++ {
-		now = ask.At
+	now += int64(failurePauseInitial)
+	poll := c.NextPoll(now)
+	for k := 0; poll.Server != order[0] && k < 10; k++ {
+		now = poll.At
 		c.Failed(now)
-		ask = c.Next(now)
+		poll = c.NextPoll(now)
 	}
-	if ask.Server != order[0] || ask.Query.Timeout > retryMost {
-		t.Errorf("%+v", ask)
+	if poll.Server != order[0] || poll.Query.Timeout > retryLimit {
+		t.Errorf("%+v", poll)
 	}
-	now = ask.At
+	now = poll.At
 	fresh := answer(1, 1, "")
 	if _, err := c.Answered(now, fresh); err != nil {
 		t.Fatal(err)
 	}
-	if ask = c.Next(now); ask.Server != order[0] || ask.Query.Timeout != GovernorWait {
-		t.Errorf("%+v", ask)
+	if poll = c.NextPoll(now); poll.Server != order[0] || poll.Query.Timeout != ControllerPollWait {
+		t.Errorf("%+v", poll)
 	}
-	behind := answer(1, 0, "") // restored, say
+	behind := answer(1, 0, "") // as after a restore
 	if offer, err := c.Answered(now, behind); offer || err != nil {
 		t.Error(offer, err)
 	}
 	left := false
-	for span := time.Duration(0); span <= retryMost && !left; span += retryFirst {
-		left = c.Next(now+int64(span)).Server != order[0]
+	for span := time.Duration(0); span <= retryLimit && !left; span += retryInitial {
+		left = c.NextPoll(now+int64(span)).Server != order[0]
 	}
 	if !left {
-		t.Errorf("stays with a server that is behind")
+		t.Errorf("keeps a server that is behind")
 	}
 }
--- a/internal/configclient/order.go
+++ b/internal/configclient/order.go
@@ -7,43 +7,43 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// Server is a configuration server and the region that it stands in.
+// Server is a configuration server and its region.
 type Server struct {
 	Address string
 	Region  string
 }
 
-// Order is the order in which a follower tries servers: those of its own region first; among each, by rendezvous hashing
-// of its name, so that the followers of a lost server spread over all others.
+// Order returns the servers in the order in which a follower prefers them: those of its own region first and, within each
+// group, by rendezvous hashing of the follower's name, so that the followers of a lost server spread over all others.
 func Order(instance, region string, servers []Server) []Server {
-	near, far := []string{}, []string{}
+	local, remote := []string{}, []string{}
 	regions := map[string]string{}
 	for _, s := range servers {
-		if _, twice := regions[s.Address]; twice {
+		if _, duplicate := regions[s.Address]; duplicate {
 			continue
 		}
 		regions[s.Address] = s.Region
 		if s.Region == region {
-			near = append(near, s.Address)
+			local = append(local, s.Address)
 		} else {
-			far = append(far, s.Address)
+			remote = append(remote, s.Address)
 		}
 	}
 	order := make([]Server, 0, len(regions))
-	for _, address := range append(ranked(instance, near), ranked(instance, far)...) {
-		order = append(order, Server{address, regions[address]})
+	for _, address := range append(ranked(instance, local), ranked(instance, remote)...) {
+		order = append(order, Server{Address: address, Region: regions[address]})
 	}
 	return order
 }
 
-// ranked puts addresses in the order of their hash with a key: the first is the library's choice, the next its choice
-// among the rest.
-func ranked(key string, addresses []string) (order []string) {
-	left := slices.Sorted(slices.Values(addresses))
-	for len(left) > 0 {
-		next := rendezvous.New(left, xxhash.Sum64String).Lookup(key)
+// ranked sorts addresses by their hash with a key: the first is the library's choice, the next its choice among the rest.
+func ranked(key string, addresses []string) []string {
+	var order []string
+	rest := slices.Sorted(slices.Values(addresses))
+	for len(rest) > 0 {
+		next := rendezvous.New(rest, xxhash.Sum64String).Lookup(key)
 		order = append(order, next)
-		left = slices.DeleteFunc(left, func(address string) bool { return address == next })
+		rest = slices.DeleteFunc(rest, func(address string) bool { return address == next })
 	}
 	return order
 }
--- a/internal/configserver/capacity_bench_test.go
+++ b/internal/configserver/bench_test.go
@@ -16,34 +16,34 @@
 )
 
 // The benchmarks of this file give the costs of serving configuration for docs/CAPACITY.md. Processor time is that of the
-// process, the asking side and its reading of the answer included.
+// process, including the client's and its decoding of the answer.
 
-// asker asks one server on one kept connection, and counts the bytes of both directions.
-type asker struct {
+// pollClient polls one server on one persistent connection, and counts the bytes of both directions.
+type pollClient struct {
 	address string
 	conn    net.Conn
 	reader  *bufio.Reader
 	bytes   int
 }
 
-func newAsker(b *testing.B, address string) *asker {
+func newPollClient(b *testing.B, address string) *pollClient {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { conn.Close() })
-	a := &asker{address: address, conn: conn}
+	a := &pollClient{address: address, conn: conn}
 	a.reader = bufio.NewReader(io.TeeReader(conn, a))
 	return a
 }
 
 // Write counts what was read.
-func (a *asker) Write(b []byte) (int, error) {
+func (a *pollClient) Write(b []byte) (int, error) {
 	a.bytes += len(b)
 	return len(b), nil
 }
 
-func (a *asker) ask(b *testing.B, q configapi.Query) configapi.Answer {
+func (a *pollClient) poll(b *testing.B, q configapi.Query) configapi.Answer {
 	n, err := fmt.Fprintf(a.conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", q.Encode(), a.address)
 	a.bytes += n
 	if err != nil {
@@ -74,12 +74,12 @@
 }
 
 // serving starts a writer whose folder has one service with so many traffic classes more than the example, and waits for it.
-func serving(b *testing.B, classes int) (a *asker, q configapi.Query, size int) {
+func serving(b *testing.B, classes int) (a *pollClient, q configapi.Query, size int) {
 	folder := b.TempDir()
 	settings := withClasses(b, classes)
 	write(b, folder, "orders.json", settings)
-	server := start(b, Options{Name: "s0", Region: "r0", Folder: folder, PollEvery: PollUsual})
-	a = newAsker(b, server.Address())
+	server := start(b, Options{Name: "s0", Region: "r0", Folder: folder, PollInterval: DefaultPollInterval})
+	a = newPollClient(b, server.Address())
 	q = configapi.Query{Service: "orders", Timeout: time.Millisecond, Instance: "stock-7c9d4f5b8-x2v9q", Zone: "zone-17", Region: "region-04"}
 	return a, q, len(settings)
 }
@@ -108,15 +108,15 @@
 	return bytes.TrimSpace(raw)
 }
 
-// A watch that ends without a change: bytes of both directions with heads, and processor time of both sides.
+// BenchmarkWatchWithoutChange gives the bytes of both directions with headers, and the processor time of both sides.
 func BenchmarkWatchWithoutChange(b *testing.B) {
 	a, q, _ := serving(b, 3)
-	answer := a.ask(b, q)
+	answer := a.poll(b, q)
 	q.Since = answer.Version
 	a.bytes = 0
 	before := processTime()
 	for b.Loop() {
-		if answer := a.ask(b, q); len(answer.Services) != 0 {
+		if answer := a.poll(b, q); len(answer.Services) != 0 {
 			b.Fatal("a change")
 		}
 	}
@@ -124,17 +124,17 @@
 	b.ReportMetric(float64(a.bytes)/float64(b.N), "B/watch")
 }
 
-// A whole copy of one service, by the bytes of its settings.
+// BenchmarkCopyByBytes gives the cost of a complete copy of one service.
 func BenchmarkCopyByBytes(b *testing.B) {
 	for _, classes := range []int{3, 48, 240, 960} {
 		_, _, size := serving(b, classes)
 		b.Run(fmt.Sprintf("bytes=%d", size), func(b *testing.B) {
 			a, q, _ := serving(b, classes)
-			a.ask(b, q)
+			a.poll(b, q)
 			a.bytes = 0
 			before := processTime()
 			for b.Loop() {
-				if answer := a.ask(b, q); len(answer.Services) != 1 {
+				if answer := a.poll(b, q); len(answer.Services) != 1 {
 					b.Fatal("no copy")
 				}
 			}
--- a/internal/configserver/deploy_test.go
+++ b/internal/configserver/deploy_test.go
@@ -23,10 +23,10 @@
 }
 
 // The files under deploy can be used as they are, and so can what stands in them as a comment.
-func TestTheFilesUnderDeploy(t *testing.T) {
+func TestFilesUnderDeployAreUsable(t *testing.T) {
 	const file, operatorFile = "../../deploy/configserver.yaml", "../../deploy/operator.yaml"
 	o, err := ReadFile(file)
-	if err != nil || o.Folder == "" || o.StateFile == "" || o.Connections != ConnectionsUsual || o.Copies != CopiesUsual || o.PollEvery != PollUsual {
+	if err != nil || o.Folder == "" || o.StateFile == "" || o.MaxConnections != DefaultMaxConnections || o.MaxCopies != DefaultMaxCopies || o.PollInterval != DefaultPollInterval {
 		t.Errorf("%+v %v", o, err)
 	}
 	follower := strings.Replace(string(uncommented(t, file, "# follow:")), "folder:", "# folder:", 1)
--- a/internal/configserver/failures_test.go
+++ b/internal/configserver/failures_test.go
@@ -11,24 +11,24 @@
 	"lilacbend/internal/configclient"
 )
 
-// A governor whose server is killed has the next change by another one.
-func TestAKilledServer(t *testing.T) {
+// A controller whose server is killed receives the next change from another one.
+func TestKilledServerIsReplacedByAnother(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder})
 	var regional []configclient.Server
-	var rigs []*rig
+	var servers []*runningServer
 	for k := range 3 {
 		r := start(t, Options{Name: fmt.Sprintf("s%d", k+1), Region: "r0", Follow: []configclient.Server{at(writer)}})
-		rigs, regional = append(rigs, r), append(regional, at(r))
+		servers, regional = append(servers, r), append(regional, at(r))
 	}
 	g := follow(t, "orders", regional...)
 	g.until("first")
 	for k, class := range []string{"second", "third"} {
-		for _, r := range rigs {
-			if w := r.Status().Watchers; len(w) == 1 && w[0].HeardMS < 6000 && r.Status().Counters.Connections == 1 {
-				r.http.Close() // its connections are reset, and nobody listens there any more
+		for _, r := range servers {
+			if w := r.Status().Watchers; len(w) == 1 && w[0].LastSeenMS < 6000 && r.Status().Counters.Connections == 1 {
+				r.http.Close() // its connections are reset, and it no longer listens
 				r.stop()
 				break
 			}
@@ -41,9 +41,9 @@
 	}
 }
 
-// A region that is cut off without a word goes on with what it has; once it is healed it catches up by what changed, and
-// its governors have a change that came meanwhile.
-func TestARegionThatIsCutOff(t *testing.T) {
+// A silently disconnected region keeps its configuration; once connected again it catches up by the changes, which reach its
+// controllers.
+func TestDisconnectedRegionCatchesUp(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	for k := range 20 {
@@ -58,30 +58,30 @@
 	way.set(true)
 	write(t, folder, "service-3.json", exampleSettings(t, "second"))
 	scriptedpeer.Until(t, "the writer does not change", func() bool { return writer.Version().Revision == 21 })
-	late := follow(t, "service-4", at(away)) // starts while the region is cut off
+	late := follow(t, "service-4", at(away)) // starts while the region is disconnected
 	late.until("first")
-	scriptedpeer.Until(t, "the cut is not noticed", func() bool { return away.log.count("configuration server fails") == 1 })
-	if away.Version().Revision != 20 || g.InForce().Revision == 21 {
-		t.Errorf("%s at the server, %s in force", away.Version(), g.InForce())
+	scriptedpeer.Until(t, "the disconnection is not noticed", func() bool { return away.log.count("configuration server fails") == 1 })
+	if away.Version().Revision != 20 || g.Active().Revision == 21 {
+		t.Errorf("%s at the server, %s in force", away.Version(), g.Active())
 	}
 	way.set(false)
 	way.close()
 	g.until("second")
 	if c := writer.Status().Counters; c.Copies != copies || c.Changes == 0 {
-		t.Errorf("caught up by a whole copy: %+v", c)
+		t.Errorf("caught up by a complete copy: %+v", c)
 	}
 }
 
-// Who takes its answer slowly, or not at all, is cut off, and its place for a whole copy is free again.
-func TestAFollowerThatTakesNothing(t *testing.T) {
+// A follower that receives its answer too slowly is disconnected, which frees its slots for copies.
+func TestFollowerThatDoesNotReadIsDisconnected(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	large := strings.Replace(string(exampleSettings(t, "first")), `"domain"`, fmt.Sprintf(`"remark": %q, "domain"`, strings.Repeat("x", 900<<10)), 1)
 	for k := range 8 {
 		write(t, folder, fmt.Sprintf("service-%d.json", k), []byte(large))
 	}
-	writer := start(t, Options{Name: "s0", Folder: folder, Copies: 1})
-	scriptedpeer.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 8 })
+	writer := start(t, Options{Name: "s0", Folder: folder, MaxCopies: 1})
+	scriptedpeer.Until(t, "no service is served", func() bool { return writer.Version().Revision == 8 })
 	conn, err := net.Dial("tcp", writer.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -91,27 +91,27 @@
 	fmt.Fprint(conn, "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n") // 7 MB, and nothing is read
 	scriptedpeer.Until(t, "it gets no copy", func() bool { return writer.Status().Counters.Copies == 1 })
 	g := follow(t, "service-3", at(writer))
-	scriptedpeer.Until(t, "nobody is sent away", func() bool { return g.Counts().SentAway > 0 })
+	scriptedpeer.Until(t, "no follower is throttled", func() bool { return g.Counts().Throttled > 0 })
 	g.until("first")
-	scriptedpeer.Until(t, "the slow one is not cut off", func() bool { return writer.Status().Counters.WriteErrors == 1 })
+	scriptedpeer.Until(t, "the slow follower is not disconnected", func() bool { return writer.Status().Counters.WriteErrors == 1 })
 }
 
-// A herd that begins at once is served within the bounds, each by one whole copy.
-func TestAHerd(t *testing.T) {
+// Many followers that start at once are served within the limits, each with one complete copy.
+func TestManyFollowersAtOnce(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
-	writer := start(t, Options{Name: "s0", Folder: folder, Copies: 2})
-	const herd = 200
-	var all []*governor
-	for range herd {
+	writer := start(t, Options{Name: "s0", Folder: folder, MaxCopies: 2})
+	const followers = 200
+	var all []*controllerClient
+	for range followers {
 		all = append(all, follow(t, "orders", at(writer)))
 	}
 	for _, g := range all {
 		g.until("first")
 	}
 	c := writer.Status().Counters
-	if c.Copies != herd || c.Connections != herd {
+	if c.Copies != followers || c.Connections != followers {
 		t.Errorf("%+v", c)
 	}
 	begun := time.Now()
@@ -119,11 +119,11 @@
 	for _, g := range all {
 		g.until("second")
 	}
-	t.Logf("%d sent away; a change in force at %d after %v", c.SentAway, herd, time.Since(begun))
+	t.Logf("%d throttled; a change active at %d after %v", c.Throttled, followers, time.Since(begun))
 }
 
-// Servers that begin without any configuration while the writer is lost do not ask each other without rest.
-func TestServersThatHaveNothing(t *testing.T) {
+// Servers without a configuration that have lost the writer poll each other with backoff.
+func TestServersWithoutConfigurationPollWithBackoff(t *testing.T) {
 	t.Parallel()
 	lost := configclient.Server{Address: scriptedpeer.Free(t)}
 	one, two := scriptedpeer.Free(t), scriptedpeer.Free(t)
@@ -131,7 +131,7 @@
 	second := start(t, Options{Name: "s2", Listen: two, Follow: []configclient.Server{lost, {Address: one}}})
 	const seconds, paceMost = 2, 10 // queries a second
 	time.Sleep(seconds * time.Second)
-	for _, r := range []*rig{first, second} {
+	for _, r := range []*runningServer{first, second} {
 		if asked := r.Status().Counters.Requests; asked == 0 || asked > seconds*paceMost {
 			t.Errorf("%s was asked %d times in %d s", r.Status().Server, asked, seconds)
 		}
--- a/internal/configserver/folder.go
+++ b/internal/configserver/folder.go
@@ -13,100 +13,101 @@
 )
 
 const (
-	// suffix is that of a file that holds the settings of a service; the rest of its name is the service's.
-	suffix = ".json"
-	// settleSpan is how old the last change of a file must be for its time and size to tell whether it has changed since:
-	// file systems keep times no finer than this.
-	settleSpan = 2 * time.Second
-	// fullEvery is how often all files are read whatever their times say.
-	fullEvery = time.Minute
+	// settingsSuffix is the suffix of files with settings; the rest of a file's name is the service's.
+	settingsSuffix = ".json"
+	// timestampResolution is how old the last change of a file must be for its time and size to show whether it has changed
+	// since. Timestamps of file systems are no coarser than this.
+	timestampResolution = 2 * time.Second
+	// fullScanInterval is how often all files are read, whether they seem unchanged or not.
+	fullScanInterval = time.Minute
 )
 
-// errChanging says that a file was written to while it was read.
-var errChanging = errors.New("it changes while it is read")
+// errFileChanging reports that a file was written to while it was read.
+var errFileChanging = errors.New("it changes while it is read")
 
-// errGone says that a folder that had settings has none any more.
-var errGone = errors.New("no settings are left in it, all services stay as they are")
+// errFolderEmpty reports that a folder that had settings has none.
+var errFolderEmpty = errors.New("no settings are left in it, all services stay as they are")
 
 // folder reads the settings of all services from the files of a folder.
 type folder struct {
-	path  string
-	files map[string]stamp // by name, those whose stamp tells whether they have changed
-	full  time.Time        // when all were read last
+	path     string
+	stamps   map[string]fileStamp // by file name, of files whose stamp shows whether they have changed
+	lastFull time.Time            // when all files were read
 }
 
-// stamp is what a file shows without being read.
-type stamp struct {
+// fileStamp is what is known of a file without reading it.
+type fileStamp struct {
 	size     int64
 	modified time.Time
 }
 
-// file is one that was read, or that cannot be.
-type file struct {
+// settingsFile is a file that was read, or the error of reading it.
+type settingsFile struct {
 	name     string
 	service  string
 	settings []byte
 	err      error
 }
 
-// scan reads the files that may have changed. Present are the services that have a file, of use or not. An error means that
-// the folder tells nothing.
-func (f *folder) scan(now time.Time, all bool) (read []file, present map[string]bool, err error) {
+// scan reads the files that may have changed, or all. Present are the services that have a file, whether it is usable or not.
+func (f *folder) scan(now time.Time, all bool) (read []settingsFile, present map[string]bool, err error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, nil, err
 	}
-	if all || f.files == nil || now.Sub(f.full) >= fullEvery {
-		f.files, f.full = map[string]stamp{}, now
+	if all || f.stamps == nil || now.Sub(f.lastFull) >= fullScanInterval {
+		f.stamps = map[string]fileStamp{}
+		f.lastFull = now
 	}
 	present = map[string]bool{}
 	for _, entry := range entries {
-		service, isSettings := strings.CutSuffix(entry.Name(), suffix)
+		service, isSettings := strings.CutSuffix(entry.Name(), settingsSuffix)
 		if !isSettings || strings.HasPrefix(service, ".") {
 			continue
 		}
 		present[service] = true
-		if one, changed := f.read(entry.Name(), now); changed {
-			one.service = service
-			read = append(read, one)
+		file, changed := f.read(entry.Name(), now)
+		if changed {
+			file.service = service
+			read = append(read, file)
 		}
 	}
 	return read, present, nil
 }
 
-// read reads a file unless its stamp tells that it is the one that was read last.
-func (f *folder) read(name string, now time.Time) (one file, changed bool) {
+// read reads a file, unless its stamp shows that it is unchanged since it was last read.
+func (f *folder) read(name string, now time.Time) (file settingsFile, changed bool) {
 	path := filepath.Join(f.path, name)
 	before, err := os.Stat(path)
 	if err != nil {
-		return file{name: name, err: err}, true
+		return settingsFile{name: name, err: err}, true
 	}
-	known, has := f.files[name]
-	if mark := (stamp{before.Size(), before.ModTime()}); has && known == mark {
-		return file{}, false
+	stamp := fileStamp{size: before.Size(), modified: before.ModTime()}
+	if known, ok := f.stamps[name]; ok && known == stamp {
+		return settingsFile{}, false
 	}
-	delete(f.files, name)
-	settings, err := readWhole(path, before)
-	if err == nil && now.Sub(before.ModTime()) > settleSpan {
-		f.files[name] = stamp{before.Size(), before.ModTime()}
+	delete(f.stamps, name)
+	settings, err := readUnchanged(path, before)
+	if err == nil && now.Sub(before.ModTime()) > timestampResolution {
+		f.stamps[name] = stamp
 	}
-	return file{name: name, settings: settings, err: err}, true
+	return settingsFile{name: name, settings: settings, err: err}, true
 }
 
-// readWhole reads a file that stays as it was.
-func readWhole(path string, before os.FileInfo) ([]byte, error) {
+// readUnchanged reads a file that does not change meanwhile.
+func readUnchanged(path string, before os.FileInfo) ([]byte, error) {
 	if !before.Mode().IsRegular() {
 		return nil, errors.New("it is no regular file")
 	}
-	if before.Size() > configstore.SettingsMax {
-		return nil, fmt.Errorf("it has %d bytes, at most %d may be", before.Size(), configstore.SettingsMax)
+	if before.Size() > configstore.MaxSettingsSize {
+		return nil, fmt.Errorf("it has %d bytes, at most %d may be", before.Size(), configstore.MaxSettingsSize)
 	}
 	opened, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer opened.Close()
-	settings, err := io.ReadAll(io.LimitReader(opened, configstore.SettingsMax+1))
+	settings, err := io.ReadAll(io.LimitReader(opened, configstore.MaxSettingsSize+1))
 	if err != nil {
 		return nil, err
 	}
@@ -115,12 +116,12 @@
 		return nil, err
 	}
 	if after.Size() != before.Size() || !after.ModTime().Equal(before.ModTime()) || int64(len(settings)) != before.Size() {
-		return nil, errChanging
+		return nil, errFileChanging
 	}
 	return settings, nil
 }
 
-// CheckFolder says how many services a folder holds, or what is wrong with its files.
+// CheckFolder returns the number of services in a folder, or what is wrong with its files.
 func CheckFolder(path string) (services int, err error) {
 	f := folder{path: path}
 	read, present, err := f.scan(time.Now(), true)
@@ -129,12 +130,12 @@
 	}
 	store := configstore.New(Check)
 	var faults []error
-	for _, one := range read {
-		if one.err == nil {
-			_, one.err = store.Put(one.service, one.settings, 0)
+	for _, file := range read {
+		if file.err == nil {
+			_, file.err = store.Put(file.service, file.settings, 0)
 		}
-		if one.err != nil {
-			faults = append(faults, fmt.Errorf("file %s: %w", one.name, one.err))
+		if file.err != nil {
+			faults = append(faults, fmt.Errorf("file %s: %w", file.name, file.err))
 		}
 	}
 	if len(faults) > 1 {
--- a/internal/configserver/golden_test.go
+++ b/internal/configserver/golden_test.go
@@ -17,8 +17,8 @@
 	goldenFolder = "testdata/folder"
 )
 
-// stateOf returns the state file of a server that begins with the state given, if any, and holds what it has read from its
-// folder, if it has one. It is for use in a synctest bubble, whose clock sets the epoch.
+// stateOf returns the state file of a server that starts with the state before, if any, and has scanned its folder, if it has
+// one. It is for use in a synctest bubble, whose clock sets the epoch.
 func stateOf(t *testing.T, o Options, before []byte) []byte {
 	t.Helper()
 	o.StateFile = filepath.Join(t.TempDir(), "state.json")
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	defer s.listener.Close()
-	s.rescan(true)
+	s.scan(true)
 	s.mu.Lock()
 	s.dirty = true
 	s.mu.Unlock()
@@ -48,7 +48,7 @@
 	return raw
 }
 
-func TestStateFileIsWrittenAsInTheGoldenFile(t *testing.T) {
+func TestStateFileMatchesGoldenFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		output := stateOf(t, Options{Name: "s0", Folder: goldenFolder}, nil)
 		golden.Compare(t, stateFile, output)
@@ -56,7 +56,7 @@
 	})
 }
 
-func TestStateFileOfTheGoldenFileIsReadAndWrittenAgain(t *testing.T) {
+func TestStateFileRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		held := golden.Read(t, stateFile)
 		follower := Options{Name: "s1", Follow: []configclient.Server{{Address: "127.0.0.1:1", Region: "r0"}}}
--- a/internal/configserver/rig_test.go
+++ b/internal/configserver/helpers_test.go
@@ -20,41 +20,41 @@
 	"lilacbend/internal/revision"
 )
 
-// journal is a log that is read while it is written.
-type journal struct {
+// logBuffer is a log that can be read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (j *journal) Write(b []byte) (int, error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.text.Write(b)
+func (l *logBuffer) Write(b []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.text.Write(b)
 }
 
-func (j *journal) count(text string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return strings.Count(j.text.String(), text)
+func (l *logBuffer) count(text string) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return strings.Count(l.text.String(), text)
 }
 
-// rig is a running server.
-type rig struct {
+// runningServer is a server that runs until stop or the end of the test.
+type runningServer struct {
 	*Server
 	t    testing.TB
-	log  *journal
+	log  *logBuffer
 	stop func()
 }
 
-func start(t testing.TB, o Options) *rig {
+func start(t testing.TB, o Options) *runningServer {
 	t.Helper()
-	r := &rig{t: t, log: &journal{}}
+	r := &runningServer{t: t, log: &logBuffer{}}
 	o.Log = slog.New(slog.NewTextHandler(r.log, nil))
 	if o.Listen == "" {
 		o.Listen = "127.0.0.1:0"
 	}
-	if o.PollEvery == 0 {
-		o.PollEvery = 20 * time.Millisecond
+	if o.PollInterval == 0 {
+		o.PollInterval = 20 * time.Millisecond
 	}
 	var err error
 	if r.Server, err = New(o); err != nil {
@@ -70,7 +70,7 @@
 			cancel()
 			select {
 			case err := <-ended:
-				if span := time.Since(begun); err != nil || span > 2*partingMost {
+				if span := time.Since(begun); err != nil || span > 2*shutdownTimeout {
 					t.Errorf("%s ended after %v: %v", o.Name, span, err)
 				}
 			case <-time.After(scriptedpeer.Patience):
@@ -107,8 +107,8 @@
 	}
 }
 
-// governor is a follower of one service that puts everything in force but what names the class "refused".
-type governor struct {
+// controllerClient is a follower of one service that applies every version but one that names the class "refused".
+type controllerClient struct {
 	*configwatch.Watcher
 	t    testing.TB
 	mu   sync.Mutex
@@ -116,11 +116,11 @@
 	has  string
 }
 
-func follow(t testing.TB, service string, servers ...configclient.Server) *governor {
+func follow(t testing.TB, service string, servers ...configclient.Server) *controllerClient {
 	t.Helper()
-	g := &governor{t: t}
+	g := &controllerClient{t: t}
 	var err error
-	g.Watcher, err = configwatch.New(configwatch.Options{Instance: "n0", Service: service, Region: "r0", Zone: "a", Servers: servers, Seed: 1, Offer: g.offer})
+	g.Watcher, err = configwatch.New(configwatch.Options{Instance: "n0", Service: service, Region: "r0", Zone: "a", Servers: servers, Seed: 1, OnOffer: g.offer})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 	return g
 }
 
-func (g *governor) offer(v revision.Version, settings []byte) {
+func (g *controllerClient) offer(v revision.Version, settings []byte) {
 	g.mu.Lock()
 	if len(g.seen) > 0 && !v.Newer(g.seen[len(g.seen)-1]) {
 		g.t.Errorf("%s is offered after %s", v, g.seen[len(g.seen)-1])
@@ -143,14 +143,14 @@
 	}
 	g.mu.Unlock()
 	if refuse {
-		g.Refused(v, fmt.Errorf("setting lanes.0.name is refused"))
+		g.Rejected(v, fmt.Errorf("setting lanes.0.name is refused"))
 	} else {
 		g.Applied(v)
 	}
 }
 
 // until waits until a class is in force.
-func (g *governor) until(class string) {
+func (g *controllerClient) until(class string) {
 	g.t.Helper()
 	scriptedpeer.Until(g.t, class+" is not in force", func() bool {
 		g.mu.Lock()
@@ -159,7 +159,9 @@
 	})
 }
 
-func at(r *rig) configclient.Server { return configclient.Server{Address: r.Address(), Region: "r0"} }
+func at(r *runningServer) configclient.Server {
+	return configclient.Server{Address: r.Address(), Region: "r0"}
+}
 
 // gate is a way to a server that can be cut without a word: connections stay, and nothing comes through any more.
 type gate struct {
--- /dev/null
+++ b/internal/configserver/listener.go
@@ -0,0 +1,59 @@
+package configserver
+
+import (
+	"errors"
+	"net"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// acceptRetryInterval is the pause after a failed accept, such as when no descriptor is left.
+const acceptRetryInterval = 50 * time.Millisecond
+
+// limitListener closes connections over a limit at once, so that their clients try another server.
+type limitListener struct {
+	net.Listener
+	limit   int64
+	open    atomic.Int64
+	refused atomic.Int64
+}
+
+// Accept waits for a connection within the limit.
+func (l *limitListener) Accept() (net.Conn, error) {
+	for {
+		conn, err := l.Listener.Accept()
+		if isTemporary(err) {
+			time.Sleep(acceptRetryInterval)
+			continue
+		}
+		if err != nil {
+			return nil, err
+		}
+		if l.open.Add(1) <= l.limit {
+			return &limitedConn{Conn: conn, listener: l}, nil
+		}
+		l.open.Add(-1)
+		l.refused.Add(1)
+		conn.Close()
+	}
+}
+
+// isTemporary reports whether accept failed for another reason than a closed listener.
+func isTemporary(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed)
+}
+
+// limitedConn counts against the limit until it is closed.
+type limitedConn struct {
+	net.Conn
+	listener *limitListener
+	once     sync.Once
+}
+
+// Close closes the connection.
+func (c *limitedConn) Close() error {
+	c.once.Do(func() { c.listener.open.Add(-1) })
+	return c.Conn.Close()
+}
--- /dev/null
+++ b/internal/configserver/optionsfile.go
@@ -0,0 +1,70 @@
+package configserver
+
+import (
+	"net"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"lilacbend/internal/configclient"
+	"lilacbend/internal/strictyaml"
+)
+
+// Limits of the values in a server's file.
+const (
+	minPollInterval    = 100 * time.Millisecond
+	maxPollInterval    = time.Hour
+	maxConnectionLimit = 1 << 20
+	maxCopyLimit       = 1 << 14
+)
+
+// ReadFile reads the file of a server, strictly. The error names file, line and key of all that is wrong.
+func ReadFile(file string) (Options, error) {
+	raw, err := strictyaml.Open(file)
+	if err != nil {
+		return Options{}, err
+	}
+	return ParseFile(file, raw)
+}
+
+// ParseFile parses the bytes of a server's file.
+func ParseFile(file string, raw []byte) (Options, error) {
+	document, top, err := strictyaml.Parse(file, raw)
+	if err != nil {
+		return Options{}, err
+	}
+	options := Options{PollInterval: DefaultPollInterval, MaxConnections: DefaultMaxConnections, MaxCopies: DefaultMaxCopies}
+	top.Text("name", &options.Name)
+	top.Text("region", &options.Region)
+	top.Text("listen", &options.Listen)
+	top.Text("folder", &options.Folder)
+	top.Text("state", &options.StateFile)
+	top.Duration("poll", &options.PollInterval, minPollInterval, maxPollInterval)
+	top.Whole("connections", &options.MaxConnections, 1, maxConnectionLimit)
+	top.Whole("copies", &options.MaxCopies, 1, maxCopyLimit)
+	options.Follow = configclient.ReadServers(top, "follow")
+	if _, _, err := net.SplitHostPort(options.Listen); err != nil {
+		top.Fault("listen", "is %.40q, want an address of host and port", options.Listen)
+	}
+	switch {
+	case options.Folder == "" && !top.Has("follow"):
+		top.Fault("", "lacks folder or follow: a writer reads a folder, all others follow servers")
+	case options.Folder != "" && top.Has("follow"):
+		top.Fault("follow", "is given beside folder: a writer follows nobody")
+	}
+	options.Folder = relativeTo(file, options.Folder)
+	options.StateFile = relativeTo(file, options.StateFile)
+	top.Done()
+	if err := document.Err(); err != nil {
+		return Options{}, err
+	}
+	return options, nil
+}
+
+// relativeTo returns a path, which is relative to the folder of a file unless it is absolute.
+func relativeTo(file, path string) string {
+	if strings.TrimSpace(path) == "" || filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(filepath.Dir(file), path)
+}
--- a/internal/configserver/file_test.go
+++ b/internal/configserver/optionsfile_test.go
@@ -9,15 +9,15 @@
 	"lilacbend/internal/configclient"
 )
 
-func TestTheFileOfAServer(t *testing.T) {
+func TestParseFile(t *testing.T) {
 	got, err := ParseFile("/etc/l/s.yaml", []byte("name: s0\nregion: r0\nlisten: 127.0.0.1:7000\nfolder: settings\nstate: /var/s.json\npoll: 2s\n"))
-	want := Options{Name: "s0", Region: "r0", Listen: "127.0.0.1:7000", Folder: "/etc/l/settings", StateFile: "/var/s.json", PollEvery: 2 * time.Second,
-		Connections: ConnectionsUsual, Copies: CopiesUsual}
+	want := Options{Name: "s0", Region: "r0", Listen: "127.0.0.1:7000", Folder: "/etc/l/settings", StateFile: "/var/s.json", PollInterval: 2 * time.Second,
+		MaxConnections: DefaultMaxConnections, MaxCopies: DefaultMaxCopies}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v %v", got, err)
 	}
 	got, err = ParseFile("s.yaml", []byte("listen: :7000\nfollow: [{address: 's0:7000', region: r0}, {address: 's1:7000'}]\ncopies: 3\nconnections: 9\n"))
-	if err != nil || !reflect.DeepEqual(got.Follow, []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000"}}) || got.Copies != 3 || got.Connections != 9 {
+	if err != nil || !reflect.DeepEqual(got.Follow, []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000"}}) || got.MaxCopies != 3 || got.MaxConnections != 9 {
 		t.Errorf("%+v %v", got, err)
 	}
 	for raw, says := range map[string]string{
--- a/internal/configserver/server.go
+++ b/internal/configserver/server.go
@@ -1,5 +1,5 @@
-// Package configserver is a configuration server: it reads the settings of all services from a folder, or follows other
-// servers, and serves whole copies and watches over HTTP/1.1.
+// Package configserver is a configuration server. It reads the settings of all services from a folder, as the writer, or
+// follows other servers, and serves complete copies and watches over HTTP/1.1.
 package configserver
 
 import (
@@ -12,7 +12,6 @@
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"lilacbend/internal/configapi"
@@ -22,212 +21,249 @@
 	"lilacbend/settings"
 )
 
-// What holds where the options do not say otherwise: 1,600 governors are shared by 8 servers, and all may come to one; a
-// copy takes some milliseconds.
+// Defaults of Options. 1,600 controllers share 8 servers, and all may connect to one; sending a copy takes some milliseconds.
 const (
-	ConnectionsUsual = 4096
-	CopiesUsual      = 64
-	PollUsual        = time.Second
+	DefaultMaxConnections = 4096
+	DefaultMaxCopies      = 64
+	DefaultPollInterval   = time.Second
 )
 
 const (
-	// headerMost and headerLate bound the head of a request.
-	headerMost, headerLate = 8 << 10, 5 * time.Second
-	// idleMost is how long a connection without a request is kept: longer than any follower pauses.
-	idleMost = 2 * time.Minute
-	// SIGKILL may follow 0.7 s after SIGTERM: connections get so long to end.
-	partingMost = 300 * time.Millisecond
-	// stateMost is for how much longer the last state is waited for.
-	stateMost = 100 * time.Millisecond
-	// saveEvery is the least time between two writes of the state file, which is all of the configuration. A server that starts
-	// with an older one loses nothing: a writer's epoch is later whatever it holds, and all others catch up.
-	saveEvery = 10 * time.Second
+	// maxHeaderSize (bytes) and headerTimeout limit the header of a request.
+	maxHeaderSize = 8 << 10
+	headerTimeout = 5 * time.Second
+	// idleTimeout is how long a connection without a request stays open: longer than any follower pauses.
+	idleTimeout = 2 * time.Minute
+	// shutdownTimeout is how long connections may take to end. SIGKILL may follow 0.7 s after SIGTERM.
+	shutdownTimeout = 300 * time.Millisecond
+	// finalSaveTimeout is how much longer Run waits for the last write of the state file.
+	finalSaveTimeout = 100 * time.Millisecond
+	// saveInterval is the shortest time between two writes of the state file, which holds the whole configuration. A server
+	// that starts with an older one loses nothing: a writer begins a later epoch, and all others catch up.
+	saveInterval = 10 * time.Second
 )
 
-// Options say what a server serves, and where.
+// Errors of New for Options that are neither a writer's nor a follower's.
+var (
+	ErrNoSource   = errors.New("neither a folder nor a server to follow is named")
+	ErrTwoSources = errors.New("both a folder and a server to follow are named: a writer follows nobody")
+)
+
+// Options describe a server.
 type Options struct {
 	Name   string
 	Region string
 	Listen string
-	// Folder holds one file of settings a service, for the writer. Follow are the servers that any other one follows, in
-	// the order in which they are preferred: the writer first.
+	// Folder has a file with the settings of each service, for the writer. Follow are the servers that any other server
+	// follows, in order of preference: the writer first. Exactly one of the two is set.
 	Folder string
 	Follow []configclient.Server
 	// StateFile keeps epoch and configuration over restarts; empty: nothing is kept.
-	StateFile   string
-	PollEvery   time.Duration // of the folder
-	Connections int           // at most
-	Copies      int           // whole copies under way at most
-	Seed        uint64
-	Log         *slog.Logger
+	StateFile      string
+	PollInterval   time.Duration // between scans of the folder
+	MaxConnections int
+	MaxCopies      int // sent at once
+	Seed           uint64
+	Log            *slog.Logger
 }
 
 // Server is one configuration server.
 type Server struct {
 	options  Options
 	start    time.Time
-	listener *boundedListener
+	listener *limitListener
 	http     *http.Server
 	closing  chan struct{}
-	rereads  chan struct{}
+	rescans  chan struct{}
 	counts   counters
-	watcher  *configwatch.Watcher // nil at the writer
-	folder   folder               // of the writer, read by one goroutine
-
-	mu      sync.Mutex // guards what follows
-	store   *configstore.Store
-	book    *configstore.Book
-	copies  *configstore.Copies
-	faults  map[string]string        // by file
-	changed map[string]chan struct{} // closed when a service changes; empty name: any
-	absent  map[string]bool          // services without a file at the last scan
-	dirty   bool                     // the state file is behind
-	rival   bool                     // another writer was told of
-}
+	upstream *configwatch.Watcher // nil at the writer
+	folder   folder               // of the writer, used by one goroutine
 
-type counters struct {
-	requests, copies, changes, sentAway, bytesOut, writeErrors atomic.Int64
+	mu            sync.Mutex // guards the following fields
+	store         *configstore.Store
+	watchers      *configstore.WatcherTable
+	copies        *configstore.CopyLimiter
+	faults        map[string]string        // reasons by file
+	changeSignals map[string]chan struct{} // closed when a service changes; empty name: any service
+	absent        map[string]bool          // services without a file at the last scan
+	dirty         bool                     // the state file is behind
+	anotherWriter bool                     // a second writer was logged
 }
 
-// Check says what is wrong with the settings of a service, by the code of a governor's start.
+// Check returns what is wrong with the settings of a service, as at a controller's start.
 func Check(raw []byte) error {
 	_, _, err := settings.Load(raw, 1)
 	return err
 }
 
-// New makes a server that listens already.
-func New(o Options) (*Server, error) {
+// New returns a server that listens, but does not serve before Run.
+func New(options Options) (*Server, error) {
 	switch {
-	case o.Folder == "" && len(o.Follow) == 0:
-		return nil, errors.New("neither a folder nor a server to follow is named")
-	case o.Folder != "" && len(o.Follow) > 0:
-		return nil, errors.New("both a folder and a server to follow are named: a writer follows nobody")
-	}
-	defaults(&o)
-	s := &Server{options: o, start: time.Now(), closing: make(chan struct{}), rereads: make(chan struct{}, 1),
-		store: configstore.New(Check), book: configstore.NewBook(), copies: configstore.NewCopies(o.Copies),
-		faults: map[string]string{}, changed: map[string]chan struct{}{}}
+	case options.Folder == "" && len(options.Follow) == 0:
+		return nil, ErrNoSource
+	case options.Folder != "" && len(options.Follow) > 0:
+		return nil, ErrTwoSources
+	}
+	setDefaults(&options)
+	s := &Server{
+		options:       options,
+		start:         time.Now(),
+		closing:       make(chan struct{}),
+		rescans:       make(chan struct{}, 1),
+		store:         configstore.New(Check),
+		watchers:      configstore.NewWatcherTable(),
+		copies:        configstore.NewCopyLimiter(options.MaxCopies),
+		faults:        map[string]string{},
+		changeSignals: map[string]chan struct{}{},
+	}
 	if err := s.restore(); err != nil {
 		return nil, err
 	}
-	if len(o.Follow) > 0 {
-		if err := s.follow(); err != nil {
+	if len(options.Follow) > 0 {
+		if err := s.followUpstream(); err != nil {
 			return nil, err
 		}
 	}
-	listener, err := net.Listen("tcp", o.Listen)
+	listener, err := net.Listen("tcp", options.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("cannot listen: %w", err)
 	}
-	s.listener = &boundedListener{Listener: listener, most: int64(o.Connections)}
-	s.http = &http.Server{Handler: s.handler(), ReadHeaderTimeout: headerLate, IdleTimeout: idleMost, MaxHeaderBytes: headerMost,
-		ErrorLog: log.New(io.Discard, "", 0)}
+	s.listener = &limitListener{Listener: listener, limit: int64(options.MaxConnections)}
+	s.http = &http.Server{
+		Handler:           s.handler(),
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderSize,
+		ErrorLog:          log.New(io.Discard, "", 0),
+	}
 	return s, nil
 }
 
-func defaults(o *Options) {
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+func setDefaults(options *Options) {
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.PollEvery <= 0 {
-		o.PollEvery = PollUsual
+	if options.PollInterval <= 0 {
+		options.PollInterval = DefaultPollInterval
 	}
-	if o.Connections <= 0 {
-		o.Connections = ConnectionsUsual
+	if options.MaxConnections <= 0 {
+		options.MaxConnections = DefaultMaxConnections
 	}
-	if o.Copies <= 0 {
-		o.Copies = CopiesUsual
+	if options.MaxCopies <= 0 {
+		options.MaxCopies = DefaultMaxCopies
 	}
 }
 
-// Address is where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
 func (s *Server) now() int64 { return time.Since(s.start).Nanoseconds() }
 
-// Reread has the folder read again at once, all of its files.
-func (s *Server) Reread() {
+// isWriter reports whether the server reads a folder and follows no other server.
+func (s *Server) isWriter() bool { return s.upstream == nil }
+
+// Rescan requests that all files of the folder are read at once.
+func (s *Server) Rescan() {
 	select {
-	case s.rereads <- struct{}{}:
+	case s.rescans <- struct{}{}:
 	default:
 	}
 }
 
-// Run serves until ctx ends, and ends soon after.
+// Run serves until ctx ends, and returns soon after.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	s.rescan(true)
+	s.scan(true)
 	s.options.Log.Info("serving configuration", "listen", s.Address(), "folder", s.options.Folder, "follows", len(s.options.Follow),
 		"version", s.Version().String(), "services", len(s.names()))
-	var all sync.WaitGroup
-	var broken error
-	all.Go(func() {
+	var goroutines sync.WaitGroup
+	var serveErr error
+	goroutines.Go(func() {
 		defer stop()
-		if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-			broken = err
+		err := s.http.Serve(s.listener)
+		if !errors.Is(err, http.ErrServerClosed) {
+			serveErr = err
 		}
 	})
-	if s.watcher != nil {
-		all.Go(func() { s.watcher.Run(ctx) })
+	if s.isWriter() {
+		goroutines.Go(func() { s.pollFolder(ctx) })
 	} else {
-		all.Go(func() { s.poll(ctx) })
+		goroutines.Go(func() { s.upstream.Run(ctx) })
 	}
-	all.Go(func() { s.keep(ctx) })
+	goroutines.Go(func() { s.saveChanges(ctx) })
 	<-ctx.Done()
-	close(s.closing)
-	parting, done := context.WithTimeout(context.Background(), partingMost)
-	defer done()
-	if s.http.Shutdown(parting) != nil {
-		s.http.Close()
-	}
+	s.shutdown()
 	ended := make(chan struct{})
-	go func() { all.Wait(); close(ended) }()
+	go func() {
+		goroutines.Wait()
+		close(ended)
+	}()
 	select {
 	case <-ended:
-		return broken
-	case <-time.After(stateMost):
+		return serveErr
+	case <-time.After(finalSaveTimeout):
 		s.options.Log.Warn("the state was not written in time")
 		return nil
 	}
 }
 
-// publish wakes those who wait for services.
+// shutdown answers waiting followers and closes all connections.
+func (s *Server) shutdown() {
+	close(s.closing)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	if s.http.Shutdown(ctx) != nil {
+		s.http.Close()
+	}
+}
+
+// publish wakes the followers that wait for services. The caller holds mu.
 func (s *Server) publish(services []string) {
 	if len(services) == 0 {
 		return
 	}
 	s.dirty = true
 	for _, name := range append([]string{""}, services...) {
-		if waiting := s.changed[name]; waiting != nil {
-			close(waiting)
-			delete(s.changed, name)
+		if signal := s.changeSignals[name]; signal != nil {
+			close(signal)
+			delete(s.changeSignals, name)
 		}
 	}
 }
 
-// waiting is closed when a service changes; the empty name stands for any.
-func (s *Server) waiting(service string) <-chan struct{} {
-	if s.changed[service] == nil {
-		s.changed[service] = make(chan struct{})
+// changeSignal returns a channel that is closed when a service changes, or any for the empty name. The caller holds mu.
+func (s *Server) changeSignal(service string) <-chan struct{} {
+	if s.changeSignals[service] == nil {
+		s.changeSignals[service] = make(chan struct{})
 	}
-	return s.changed[service]
+	return s.changeSignals[service]
 }
 
-// follow prepares following other servers.
-func (s *Server) follow() (err error) {
-	s.watcher, err = configwatch.New(configwatch.Options{Instance: s.options.Name, Region: s.options.Region, Servers: s.options.Follow,
-		Ordered: true, Seed: s.options.Seed, Log: s.options.Log, Take: s.take, Heard: s.heard})
-	if err == nil {
-		s.watcher.Begin(s.store.Version())
+// followUpstream prepares following other servers.
+func (s *Server) followUpstream() error {
+	upstream, err := configwatch.New(configwatch.Options{
+		Instance: s.options.Name,
+		Region:   s.options.Region,
+		Servers:  s.options.Follow,
+		Ordered:  true,
+		Seed:     s.options.Seed,
+		Log:      s.options.Log,
+		Merge:    s.merge,
+		OnAnswer: s.recordWriterAge,
+	})
+	if err != nil {
+		return err
 	}
-	return err
+	s.upstream = upstream
+	s.upstream.SetActive(s.store.Version())
+	return nil
 }
 
-func (s *Server) take(a configapi.Answer) error {
+func (s *Server) merge(answer configapi.Answer) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed, err := s.store.Merge(a, s.now())
+	changed, err := s.store.Merge(answer, s.now())
 	if err != nil {
 		return err
 	}
@@ -235,8 +271,8 @@
 	return nil
 }
 
-func (s *Server) heard(a configapi.Answer) {
+func (s *Server) recordWriterAge(answer configapi.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.store.Heard(a.AgeMS*int64(time.Millisecond), s.now())
+	s.store.WriterSeen(answer.AgeMS*int64(time.Millisecond), s.now())
 }
--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -17,8 +17,8 @@
 	"lilacbend/internal/revision"
 )
 
-// A change of a file is in force at a governor of another region's server; one that is refused leaves the last good one.
-func TestAChangeGetsFromAFileToAGovernor(t *testing.T) {
+// A change of a file becomes active at a controller of another region's server; an invalid one leaves the last valid one.
+func TestChangeOfFileReachesController(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
@@ -31,7 +31,7 @@
 	g.until("second")
 
 	write(t, folder, "orders.json", []byte(strings.Replace(string(exampleSettings(t, "third")), "push_rate", "rate", 1)))
-	scriptedpeer.Until(t, "a bad file is not refused", func() bool { return len(writer.Status().Faults) == 1 })
+	scriptedpeer.Until(t, "an invalid file is not rejected", func() bool { return len(writer.Status().Faults) == 1 })
 	fault := writer.Status().Faults[0]
 	if fault.File != "orders.json" || !strings.Contains(fault.Reason, "setting domain.push_rate is missing") {
 		t.Errorf("%+v", fault)
@@ -43,19 +43,19 @@
 	}
 
 	write(t, folder, "orders.json", exampleSettings(t, "refused")) // by the governor alone
-	scriptedpeer.Until(t, "a refusal is not told", func() bool {
+	scriptedpeer.Until(t, "a rejection is not reported", func() bool {
 		w := follower.Status().Watchers
-		return len(w) == 1 && w[0].Refused.Revision == 5 && w[0].InForce.Revision == 3
+		return len(w) == 1 && w[0].Rejected.Revision == 5 && w[0].Active.Revision == 3
 	})
 	write(t, folder, "orders.json", exampleSettings(t, "fourth"))
 	g.until("fourth")
-	if w := g.Counts(); w.Refused != 1 || w.Offered != 4 || len(writer.Status().Faults) != 0 || writer.log.count("file can be used again") != 1 {
+	if w := g.Counts(); w.Rejected != 1 || w.Offered != 4 || len(writer.Status().Faults) != 0 || writer.log.count("file can be used again") != 1 {
 		t.Errorf("%+v", w)
 	}
 }
 
-// What is half written, empty, vanished or not there to be read changes nothing.
-func TestFilesThatAreNotWhole(t *testing.T) {
+// A file that is incomplete, empty, too large or no regular file changes nothing.
+func TestUnusableFilesChangeNothing(t *testing.T) {
 	t.Parallel()
 	folder := filepath.Join(t.TempDir(), "settings")
 	if err := os.Mkdir(folder, 0o700); err != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// The folder is scanned by hand: a scan that has listed it as it goes away reports the files that it can no longer read beside it.
+// The test calls scan itself: a concurrent scan that has listed the folder before it is renamed reports unreadable files, too.
 func TestMissingAndEmptyFolderAreOneFaultEach(t *testing.T) {
 	t.Parallel()
 	folder := filepath.Join(t.TempDir(), "settings")
@@ -105,22 +105,22 @@
 		t.Fatal(err)
 	}
 	defer s.listener.Close()
-	s.rescan(true)
+	s.scan(true)
 	if faults := s.Status().Faults; len(faults) != 0 {
 		t.Fatalf("before anything is wrong: %v", faults)
 	}
 	if err := os.Rename(folder, folder+"-away"); err != nil {
 		t.Fatal(err)
 	}
-	s.rescan(false)
+	s.scan(false)
 	if faults := s.Status().Faults; len(faults) != 1 || faults[0].File != folder {
 		t.Errorf("a folder that is away: %v", faults)
 	}
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	s.rescan(false)
-	if faults := s.Status().Faults; len(faults) != 1 || faults[0].Reason != errGone.Error() {
+	s.scan(false)
+	if faults := s.Status().Faults; len(faults) != 1 || faults[0].Reason != errFolderEmpty.Error() {
 		t.Errorf("an empty folder: %v", faults)
 	}
 	if names := s.names(); len(names) != 2 {
@@ -128,36 +128,35 @@
 	}
 }
 
-// A service whose file is gone is served no more, though not at the first sight: files are replaced in two steps, too. Its
-// governors keep what they have.
-func TestAFileThatIsRemoved(t *testing.T) {
+// A service is removed when its file is missing in two scans: some programs replace a file in two steps.
+func TestRemovedFileRemovesService(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	write(t, folder, "stock.json", exampleSettings(t, "first"))
-	s, err := New(Options{Folder: folder, Listen: "127.0.0.1:0"}) // scanned by hand
+	s, err := New(Options{Folder: folder, Listen: "127.0.0.1:0"}) // scanned by the test
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.listener.Close()
-	s.rescan(true)
+	s.scan(true)
 	os.Remove(filepath.Join(folder, "orders.json"))
-	s.rescan(false)
+	s.scan(false)
 	write(t, folder, "orders.json", exampleSettings(t, "second"))
-	s.rescan(false)
+	s.scan(false)
 	if v := s.Version(); v.Revision != 3 || len(s.names()) != 2 {
 		t.Errorf("%s %v", v, s.names())
 	}
 	os.Remove(filepath.Join(folder, "orders.json"))
-	s.rescan(false)
-	s.rescan(false)
+	s.scan(false)
+	s.scan(false)
 	if v := s.Version(); v.Revision != 4 || len(s.names()) != 1 {
 		t.Errorf("%s %v", v, s.names())
 	}
 }
 
-// A server that is started again from an old copy serves it under a later epoch, and is followed.
-func TestARestoredServerIsFollowed(t *testing.T) {
+// A writer that starts from an old state serves it under a later epoch, and is followed.
+func TestRestoredWriterIsFollowed(t *testing.T) {
 	t.Parallel()
 	folder, state := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
@@ -183,7 +182,7 @@
 	}
 	writer = start(t, Options{Name: "s0", Folder: folder, StateFile: state, Listen: listen})
 	g.until("first")
-	if is := g.InForce(); is.Epoch <= was.Epoch || is.Revision >= was.Revision {
+	if is := g.Active(); is.Epoch <= was.Epoch || is.Revision >= was.Revision {
 		t.Errorf("%s in force after %s", is, was)
 	}
 	writer.stop() // and one that has lost its state, and whose clock is behind
@@ -194,19 +193,19 @@
 	ahead := late.store.Version().Epoch
 	late.mu.Unlock()
 	g.until("fourth")
-	if is := g.InForce(); is.Epoch < ahead {
+	if is := g.Active(); is.Epoch < ahead {
 		t.Errorf("%s in force, the epoch was %d", is, ahead)
 	}
 }
 
-// A writer whose clock is behind and whose state is lost hears of a later epoch by its first follower, and begins the one
-// after it; once it is followed, a later epoch tells of another writer, and it does not race with that one.
-func TestALaterEpochAtAFollower(t *testing.T) {
+// A writer that has lost its state and whose clock is behind sees a later epoch at its first follower, and begins the one
+// after it. Once it is followed, a later epoch is another writer's, with which it does not compete.
+func TestWriterBeginsLaterEpochThanFollower(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder})
-	scriptedpeer.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 1 })
+	scriptedpeer.Until(t, "no service is served", func() bool { return writer.Version().Revision == 1 })
 	ahead := revision.Version{Epoch: writer.Version().Epoch + 1000, Revision: 7}
 	if status, body := get(t, writer, "/configuration?service=orders&since="+ahead.String()); status != 200 || !strings.Contains(body, `"first"`) {
 		t.Errorf("%d %.100s", status, body)
@@ -228,8 +227,8 @@
 	}
 }
 
-// A bad state file is said and left out; a writer whose files are bad at its start serves those of its state.
-func TestTheStateFile(t *testing.T) {
+// An invalid state file is logged and ignored; a writer whose files are invalid at its start serves those of its state.
+func TestStateFileIsCheckedAtStart(t *testing.T) {
 	t.Parallel()
 	folder, state := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
@@ -262,7 +261,7 @@
 	}
 }
 
-func get(t testing.TB, r *rig, query string) (int, string) {
+func get(t testing.TB, r *runningServer, query string) (int, string) {
 	t.Helper()
 	resp, err := http.Get("http://" + r.Address() + query)
 	if err != nil {
@@ -276,12 +275,12 @@
 	return resp.StatusCode, string(body)
 }
 
-// The same by hand: what the operators' page shows.
-func TestQueriesByHand(t *testing.T) {
+// The responses that the operators' page shows.
+func TestResponseByQuery(t *testing.T) {
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
-	writer := start(t, Options{Name: "s0", Folder: folder, Copies: 1})
-	scriptedpeer.Until(t, "nothing is served", func() bool { return writer.Version().Revision == 1 })
+	writer := start(t, Options{Name: "s0", Folder: folder, MaxCopies: 1})
+	scriptedpeer.Until(t, "no service is served", func() bool { return writer.Version().Revision == 1 })
 	v := writer.Version().String()
 	for _, c := range []struct {
 		query, says string
@@ -301,26 +300,26 @@
 		}
 	}
 	writer.mu.Lock()
-	writer.copies.Admit(1, 0)
+	writer.copies.Acquire(1, 0)
 	writer.mu.Unlock()
 	status, body := get(t, writer, "/configuration?service=orders")
 	var refusal configapi.Refusal
 	if err := json.Unmarshal([]byte(body), &refusal); err != nil || status != 503 || refusal.RetryAfterMS < 100 {
 		t.Errorf("%d %s", status, body)
 	}
-	if c := writer.Status().Counters; c.SentAway != 1 || c.Copies != 2 {
+	if c := writer.Status().Counters; c.Throttled != 1 || c.Copies != 2 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// Followers over the bound of connections go elsewhere; who takes nothing holds no place for long.
-func TestConnectionsAreBounded(t *testing.T) {
+// Followers over the connection limit use another server.
+func TestConnectionsAreLimited(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
-	writer := start(t, Options{Name: "s0", Folder: folder, Connections: 3})
+	writer := start(t, Options{Name: "s0", Folder: folder, MaxConnections: 3})
 	second := start(t, Options{Name: "s1", Follow: []configclient.Server{at(writer)}})
-	scriptedpeer.Until(t, "nothing is served", func() bool { return second.Version().Revision == 1 }) // one of the three
+	scriptedpeer.Until(t, "no service is served", func() bool { return second.Version().Revision == 1 }) // one of the three
 	var held []net.Conn
 	for range 2 {
 		conn, err := net.Dial("tcp", writer.Address())
@@ -330,7 +329,7 @@
 		defer conn.Close()
 		held = append(held, conn)
 	}
-	scriptedpeer.Until(t, "they are not taken in", func() bool { return writer.Status().Counters.Connections == 3 })
+	scriptedpeer.Until(t, "they are not accepted", func() bool { return writer.Status().Counters.Connections == 3 })
 	g := follow(t, "orders", at(writer), configclient.Server{Address: second.Address(), Region: "far"})
 	g.until("first")
 	if c := writer.Status().Counters; c.Connections != 3 || c.Refused == 0 || g.Counts().Failures == 0 {
@@ -339,11 +338,11 @@
 	for _, conn := range held {
 		conn.Close()
 	}
-	scriptedpeer.Until(t, "places are not given free", func() bool { return writer.Status().Counters.Connections <= 2 })
+	scriptedpeer.Until(t, "connections are not released", func() bool { return writer.Status().Counters.Connections <= 2 })
 }
 
-// Told to end, a server ends at once though hundreds watch, and they are told.
-func TestItEndsAtOnceWhileMany(t *testing.T) {
+// A server shuts down at once while many followers wait for a change.
+func TestShutdownWithWaitingFollowers(t *testing.T) {
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder})
@@ -352,7 +351,7 @@
 	}
 	begun := time.Now()
 	writer.stop()
-	if span := time.Since(begun); span > 2*partingMost {
+	if span := time.Since(begun); span > 2*shutdownTimeout {
 		t.Errorf("%v", span)
 	}
 }
--- a/internal/configserver/state.go
+++ b/internal/configserver/state.go
@@ -15,8 +15,8 @@
 	"lilacbend/internal/configapi"
 )
 
-// restore reads the state file. A writer begins a later epoch than any it knows of, as it may have been restored from a
-// backup: what it serves then outranks what it served before.
+// restore reads the state file. A writer begins a later epoch than any that it knows of, as it may have been restored from
+// a backup: its configuration then outranks all that it served before.
 func (s *Server) restore() error {
 	if s.options.StateFile != "" {
 		if err := s.readState(); err != nil {
@@ -28,7 +28,7 @@
 	}
 	s.folder = folder{path: s.options.Folder}
 	epoch := max(s.store.Version().Epoch+1, uint64(max(1, s.start.UnixMilli())))
-	return s.store.Begin(epoch, s.now())
+	return s.store.BeginEpoch(epoch, s.now())
 }
 
 func (s *Server) readState() error {
@@ -39,32 +39,32 @@
 	if err != nil {
 		return err
 	}
-	var a configapi.Answer
-	if err := json.Unmarshal(raw, &a); err != nil {
+	var answer configapi.Answer
+	if err := json.Unmarshal(raw, &answer); err != nil {
 		return err
 	}
-	if err := a.Check(configapi.Query{}); err != nil {
+	if err := answer.Check(configapi.Query{}); err != nil {
 		return err
 	}
-	if !a.Complete {
+	if !answer.Complete {
 		return errors.New("it is no whole copy")
 	}
-	for _, service := range a.Services {
+	for _, service := range answer.Services {
 		if err := Check(service.Settings); err != nil {
 			return fmt.Errorf("service %s: %w", service.Name, err)
 		}
 	}
-	_, err = s.store.Merge(a, s.now())
+	_, err = s.store.Merge(answer, s.now())
 	return err
 }
 
-// keep writes the state file when the configuration has changed, and at the end.
-func (s *Server) keep(ctx context.Context) {
+// saveChanges writes the state file at intervals if the configuration has changed, and when ctx ends.
+func (s *Server) saveChanges(ctx context.Context) {
 	if s.options.StateFile == "" {
 		return
 	}
-	ticks := time.NewTicker(saveEvery)
-	defer ticks.Stop()
+	ticker := time.NewTicker(saveInterval)
+	defer ticker.Stop()
 	for failing := false; ; {
 		err := s.save()
 		if (err != nil) != failing {
@@ -75,11 +75,12 @@
 		case <-ctx.Done():
 			s.save()
 			return
-		case <-ticks.C:
+		case <-ticker.C:
 		}
 	}
 }
 
+// save writes the state file if it is behind.
 func (s *Server) save() error {
 	s.mu.Lock()
 	if !s.dirty {
@@ -87,9 +88,9 @@
 		return nil
 	}
 	s.dirty = false
-	a := s.store.Snapshot()
+	snapshot := s.store.Snapshot()
 	s.mu.Unlock()
-	err := writeState(s.options.StateFile, a)
+	err := writeState(s.options.StateFile, snapshot)
 	if err != nil {
 		s.mu.Lock()
 		s.dirty = true
@@ -98,15 +99,16 @@
 	return err
 }
 
-// writeState replaces the state file as a whole, service by service: a copy of all would be as large as the store.
-func writeState(path string, a configapi.Answer) error {
+// writeState replaces the state file atomically. It writes service by service, as all of it in memory would be as large as the
+// store.
+func writeState(path string, snapshot configapi.Answer) error {
 	pending, err := renameio.NewPendingFile(path, renameio.WithPermissions(0o600))
 	if err != nil {
 		return err
 	}
 	defer pending.Cleanup()
 	buffered := bufio.NewWriter(pending)
-	if _, err := a.WriteTo(buffered); err != nil {
+	if _, err := snapshot.WriteTo(buffered); err != nil {
 		return err
 	}
 	if err := buffered.Flush(); err != nil {
--- a/internal/configserver/writer.go
+++ b/internal/configserver/writer.go
@@ -4,151 +4,153 @@
 	"context"
 	"errors"
 	"maps"
-	"slices"
 	"strings"
 	"time"
 
-	"lilacbend/internal/configapi"
 	"lilacbend/internal/configstore"
 	"lilacbend/internal/revision"
 )
 
-// poll reads the folder now and again, and when asked.
-func (s *Server) poll(ctx context.Context) {
-	ticks := time.NewTicker(s.options.PollEvery)
-	defer ticks.Stop()
+// pollFolder scans the folder at intervals and on request, until ctx ends.
+func (s *Server) pollFolder(ctx context.Context) {
+	ticker := time.NewTicker(s.options.PollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-ticks.C:
-			s.rescan(false)
-		case <-s.rereads:
-			s.rescan(true)
+		case <-ticker.C:
+			s.scan(false)
+		case <-s.rescans:
+			s.scan(true)
 		}
 	}
 }
 
-// rescan takes over what the folder holds now.
-func (s *Server) rescan(all bool) {
-	if s.watcher != nil {
+// scan stores the changes of the folder. If all is true, it reads files that seem unchanged, too.
+func (s *Server) scan(all bool) {
+	if !s.isWriter() {
 		return
 	}
 	read, present, err := s.folder.scan(time.Now(), all)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.fault(s.options.Folder, err)
+		s.recordFault(s.options.Folder, err)
 		return
 	}
-	if len(present) == 0 && len(s.store.Names()) > 0 { // not mounted, most likely
-		s.fault(s.options.Folder, errGone)
+	if len(present) == 0 && len(s.store.Names()) > 0 { // most likely the folder is not mounted
+		s.recordFault(s.options.Folder, errFolderEmpty)
 		return
 	}
-	s.well(s.options.Folder)
-	changed := s.put(read)
-	absent := s.absent
-	s.absent = map[string]bool{}
-	for _, name := range s.store.Names() {
-		if present[name] {
-			continue
-		}
-		if s.absent[name] = true; absent[name] && s.store.Remove(name) { // some replace a file by removing it first
-			s.options.Log.Warn("service removed, its governors keep what they have", "service", name, "version", s.store.Version().String())
-			changed = append(changed, name)
-		}
-	}
+	s.clearFault(s.options.Folder)
+	changed := s.putFiles(read)
+	changed = append(changed, s.removeAbsent(present)...)
 	for name := range maps.Clone(s.faults) {
-		if name != s.options.Folder && !present[strings.TrimSuffix(name, suffix)] {
-			s.well(name)
+		if name != s.options.Folder && !present[strings.TrimSuffix(name, settingsSuffix)] {
+			s.clearFault(name)
 		}
 	}
 	s.publish(changed)
 }
 
-// put takes over files that were read.
-func (s *Server) put(read []file) (changed []string) {
-	for _, one := range read {
-		err := one.err
-		if errors.Is(err, errChanging) { // it is read again soon
+// putFiles stores files, and returns the services that changed.
+func (s *Server) putFiles(files []settingsFile) []string {
+	var changed []string
+	for _, file := range files {
+		if errors.Is(file.err, errFileChanging) { // it is read again at the next scan
 			continue
 		}
-		var is bool
-		if err == nil {
-			is, err = s.store.Put(one.service, one.settings, s.now())
-		}
+		isChanged, err := s.putFile(file)
 		if err != nil {
-			s.fault(one.name, err)
+			s.recordFault(file.name, err)
 			continue
 		}
-		s.well(one.name)
-		if is {
-			changed = append(changed, one.service)
-			s.options.Log.Info("configuration changed", "service", one.service, "version", s.store.Version().String())
+		s.clearFault(file.name)
+		if isChanged {
+			changed = append(changed, file.service)
+			s.options.Log.Info("configuration changed", "service", file.service, "version", s.store.Version().String())
 		}
 	}
 	return changed
 }
 
-// fault notes what is wrong with a file, and says it once.
-func (s *Server) fault(name string, err error) {
-	if reason := err.Error(); s.faults[name] != reason {
-		s.faults[name] = reason
-		s.options.Log.Error("file refused, the last good one stays", "file", name, "error", reason)
+func (s *Server) putFile(file settingsFile) (changed bool, err error) {
+	if file.err != nil {
+		return false, file.err
 	}
+	return s.store.Put(file.service, file.settings, s.now())
 }
 
-func (s *Server) well(name string) {
-	if _, had := s.faults[name]; had {
-		delete(s.faults, name)
-		s.options.Log.Info("file can be used again", "file", name)
+// removeAbsent removes the services that had no file in two scans in a row, as some programs replace a file by removing it
+// first. It returns the services that were removed.
+func (s *Server) removeAbsent(present map[string]bool) []string {
+	var removed []string
+	absentBefore := s.absent
+	s.absent = map[string]bool{}
+	for _, name := range s.store.Names() {
+		if present[name] {
+			continue
+		}
+		s.absent[name] = true
+		if absentBefore[name] && s.store.Remove(name) {
+			s.options.Log.Warn("service removed, its governors keep what they have", "service", name, "version", s.store.Version().String())
+			removed = append(removed, name)
+		}
 	}
+	return removed
 }
 
-// observe looks whether a follower has a later epoch in force than this writer's.
-func (s *Server) observe(v revision.Version) {
-	switch rival := s.store.Observe(v); {
-	case rival == configstore.NoRival || s.watcher != nil:
-	case rival == configstore.LostCount:
-		if err := s.store.Begin(v.Epoch+1, s.now()); err != nil {
-			s.fault(s.options.Folder, err)
-			return
-		}
-		s.options.Log.Warn("a follower has a later epoch in force, this one is begun after it", "follower", v.String(), "version", s.store.Version().String())
-		s.publish(s.store.Names())
-	case !s.rival:
-		s.rival = true
-		s.options.Log.Error("a follower has a later epoch in force: another writer is about, and this one is not followed", "follower", v.String(),
-			"version", s.store.Version().String())
+// recordFault records the fault of a file, and logs it if it is a new one.
+func (s *Server) recordFault(name string, err error) {
+	reason := err.Error()
+	if s.faults[name] == reason {
+		return
 	}
+	s.faults[name] = reason
+	s.options.Log.Error("file refused, the last good one stays", "file", name, "error", reason)
 }
 
-// Version is that of the whole configuration.
-func (s *Server) Version() revision.Version {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.store.Version()
+func (s *Server) clearFault(name string) {
+	if _, ok := s.faults[name]; !ok {
+		return
+	}
+	delete(s.faults, name)
+	s.options.Log.Info("file can be used again", "file", name)
 }
 
-func (s *Server) names() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.store.Names()
+// observe handles the version that is active at a follower. A writer that has lost its state begins a later epoch than the
+// follower's.
+func (s *Server) observe(active revision.Version) {
+	conflict := s.store.Observe(active)
+	if !s.isWriter() {
+		return
+	}
+	switch conflict {
+	case configstore.NoConflict:
+	case configstore.EpochLost:
+		s.beginEpochAfter(active)
+	case configstore.AnotherWriter:
+		s.reportAnotherWriter(active)
+	}
 }
 
-// Status is what the server knows.
-func (s *Server) Status() configapi.Status {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	now := s.now()
-	if s.watcher == nil {
-		s.store.Heard(0, now)
+func (s *Server) beginEpochAfter(active revision.Version) {
+	err := s.store.BeginEpoch(active.Epoch+1, s.now())
+	if err != nil {
+		s.recordFault(s.options.Folder, err)
+		return
 	}
-	status := configapi.Status{Server: s.options.Name, Region: s.options.Region, Writer: s.watcher == nil, Version: s.store.Version(),
-		AgeMS: s.store.Age(now) / int64(time.Millisecond), Faults: []configapi.Fault{}, Services: s.store.Services(now),
-		Watchers: s.book.Watchers(now), Counters: s.counts.counters(s.listener)}
-	for _, name := range slices.Sorted(maps.Keys(s.faults)) {
-		status.Faults = append(status.Faults, configapi.Fault{File: name, Reason: s.faults[name]})
+	s.options.Log.Warn("a follower has a later epoch in force, this one is begun after it",
+		"follower", active.String(), "version", s.store.Version().String())
+	s.publish(s.store.Names())
+}
+
+func (s *Server) reportAnotherWriter(active revision.Version) {
+	if s.anotherWriter {
+		return
 	}
-	return status
+	s.anotherWriter = true
+	s.options.Log.Error("a follower has a later epoch in force: another writer is about, and this one is not followed",
+		"follower", active.String(), "version", s.store.Version().String())
 }
--- /dev/null
+++ b/internal/configstore/answer.go
@@ -0,0 +1,111 @@
+package configstore
+
+import (
+	"lilacbend/internal/configapi"
+	"lilacbend/internal/revision"
+)
+
+// Result classifies the answer to a query.
+type Result int
+
+// Results of a query.
+const (
+	Unchanged      Result = iota // no newer version than the follower's: it may wait
+	Changed                      // a newer version
+	UnknownService               // no such service
+)
+
+// Answer returns the answer to a query as of now.
+func (s *Store) Answer(query configapi.Query, now int64) (configapi.Answer, Result) {
+	if query.Service != "" {
+		return s.answerService(query, now)
+	}
+	return s.answerAll(query, now)
+}
+
+func (s *Store) answerService(query configapi.Query, now int64) (configapi.Answer, Result) {
+	stored := s.services[query.Service]
+	if stored == nil {
+		return configapi.Answer{}, UnknownService
+	}
+	answer := configapi.Answer{Version: stored.Version, AgeMS: milliseconds(s.WriterAge(now)), Services: []configapi.Service{}}
+	if !stored.Version.Newer(revision.Latest(query.Since, query.Rejected)) {
+		return answer, Unchanged
+	}
+	answer.Complete = query.Since.Epoch != stored.Epoch
+	answer.Services = append(answer.Services, stored.Service)
+	return answer, Changed
+}
+
+func (s *Store) answerAll(query configapi.Query, now int64) (configapi.Answer, Result) {
+	answer := configapi.Answer{Version: s.version, AgeMS: milliseconds(s.WriterAge(now)), Services: []configapi.Service{}}
+	if !s.version.Newer(revision.Latest(query.Since, query.Rejected)) {
+		return answer, Unchanged
+	}
+	answer.Complete = query.Since.Epoch != s.version.Epoch || query.Since.Revision < s.compacted
+	for _, name := range s.Names() {
+		stored := s.services[name]
+		if answer.Complete || stored.Revision > query.Since.Revision {
+			answer.Services = append(answer.Services, stored.Service)
+		}
+	}
+	if answer.Complete {
+		return answer, Changed
+	}
+	for name, removedAt := range s.removed {
+		if removedAt > query.Since.Revision {
+			version := revision.Version{Epoch: s.version.Epoch, Revision: removedAt}
+			answer.Services = append(answer.Services, configapi.Service{Name: name, Version: version, Removed: true})
+		}
+	}
+	return answer, Changed
+}
+
+// Snapshot returns the whole configuration as an answer, which Merge restores after a restart.
+func (s *Store) Snapshot() configapi.Answer {
+	answer, _ := s.answerAll(configapi.Query{}, s.writerSeen)
+	answer.Complete = true
+	return answer
+}
+
+// Services returns the versions of all services and when they were received.
+func (s *Store) Services(now int64) []configapi.ServiceStatus {
+	services := make([]configapi.ServiceStatus, 0, len(s.services))
+	for _, name := range s.Names() {
+		stored := s.services[name]
+		status := configapi.ServiceStatus{Name: name, Version: stored.Version, Bytes: len(stored.Settings)}
+		for _, p := range stored.history {
+			status.History = append(status.History, configapi.Published{Version: p.version, AgoMS: milliseconds(now - p.at)})
+		}
+		services = append(services, status)
+	}
+	return services
+}
+
+// EpochConflict classifies a later epoch at a follower.
+type EpochConflict int
+
+// What a later epoch at a follower means to a writer.
+const (
+	NoConflict    EpochConflict = iota
+	EpochLost                   // no follower uses this epoch: the writer has lost its state and begins a later epoch
+	AnotherWriter               // followers use this epoch: there is a second writer
+)
+
+// Observe records the version that is active at a follower, and reports whether its epoch is later than the store's. Only a
+// writer must act on that; a server that follows receives the later epoch from its writer.
+func (s *Store) Observe(version revision.Version) EpochConflict {
+	switch {
+	case version.Epoch == s.version.Epoch && !version.IsZero():
+		s.followed = true
+	case version.Epoch > s.version.Epoch && s.followed:
+		return AnotherWriter
+	case version.Epoch > s.version.Epoch:
+		return EpochLost
+	}
+	return NoConflict
+}
+
+const nanosPerMilli = int64(1e6)
+
+func milliseconds(nanos int64) int64 { return nanos / nanosPerMilli }
--- /dev/null
+++ b/internal/configstore/merge.go
@@ -0,0 +1,103 @@
+package configstore
+
+import (
+	"fmt"
+
+	"lilacbend/internal/configapi"
+)
+
+// Merge stores another server's answer, all of it or nothing, and returns the services that changed. An answer of the stored
+// version changes nothing.
+func (s *Store) Merge(answer configapi.Answer, now int64) (changed []string, err error) {
+	switch {
+	case s.version.Newer(answer.Version):
+		return nil, fmt.Errorf("version %s is older than %s, which is held", answer.Version, s.version)
+	case answer.Version == s.version:
+		return nil, nil
+	case !answer.Complete && answer.Epoch != s.version.Epoch:
+		return nil, fmt.Errorf("changes of epoch %d where epoch %d is held", answer.Epoch, s.version.Epoch)
+	}
+	if err := s.checkMerge(answer); err != nil {
+		return nil, err
+	}
+	if answer.Complete {
+		changed = s.replaceAll(answer, now)
+	} else {
+		changed = s.applyChanges(answer, now)
+	}
+	if s.version.Epoch != answer.Epoch {
+		s.followed = false
+	}
+	s.version = answer.Version
+	return changed, nil
+}
+
+// checkMerge returns an error if the store would exceed its limits after merging an answer.
+func (s *Store) checkMerge(answer configapi.Answer) error {
+	sizes := map[string]int{}
+	if !answer.Complete {
+		for name, stored := range s.services {
+			sizes[name] = len(stored.Settings)
+		}
+	}
+	for _, update := range answer.Services {
+		if err := CheckName(update.Name); err != nil {
+			return err
+		}
+		if update.Removed {
+			delete(sizes, update.Name)
+		} else {
+			sizes[update.Name] = len(update.Settings)
+		}
+	}
+	total := 0
+	for _, size := range sizes {
+		total += size
+	}
+	if total > MaxTotalSize || len(sizes) > MaxServices {
+		return fmt.Errorf("%d services of %d bytes in all, at most %d of %d may be", len(sizes), total, MaxServices, MaxTotalSize)
+	}
+	return nil
+}
+
+// replaceAll makes the services of a complete copy the configuration.
+func (s *Store) replaceAll(answer configapi.Answer, now int64) []string {
+	var changed []string
+	listed := map[string]bool{}
+	for _, update := range answer.Services {
+		listed[update.Name] = !update.Removed
+	}
+	for _, name := range s.Names() {
+		if !listed[name] {
+			s.remove(name, answer.Revision)
+			changed = append(changed, name)
+		}
+	}
+	clear(s.removed)
+	s.compacted = answer.Revision
+	for _, update := range answer.Services {
+		if update.Removed {
+			continue
+		}
+		stored := s.services[update.Name]
+		if stored == nil || stored.Version != update.Version {
+			s.set(update, now)
+			changed = append(changed, update.Name)
+		}
+	}
+	return changed
+}
+
+// applyChanges stores the services that changed since the stored version.
+func (s *Store) applyChanges(answer configapi.Answer, now int64) []string {
+	var changed []string
+	for _, update := range answer.Services {
+		if update.Removed {
+			s.remove(update.Name, update.Revision)
+		} else {
+			s.set(update, now)
+		}
+		changed = append(changed, update.Name)
+	}
+	return changed
+}
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -1,6 +1,6 @@
-// Package configstore holds the configuration of all services on one server: which version each has, what a follower
-// lacks, who has what in force, and how many whole copies may be under way. It has no I/O, no clock and no goroutine; times
-// are nanoseconds of any one clock. Callers serialize access.
+// Package configstore holds the configuration of all services on one server: the version of each, the answer to a follower's
+// query, the active versions of followers, and how many complete copies may be sent at once. It has no I/O, no clock and no
+// goroutine; times are nanoseconds of any one clock. Callers serialize access.
 package configstore
 
 import (
@@ -16,37 +16,37 @@
 )
 
 const (
-	// ServicesMax is how many services one installation may have.
-	ServicesMax = 1 << 14
-	// SettingsMax is the largest settings of one service, in bytes.
-	SettingsMax = 1 << 20
-	// BytesMax bounds the settings of all services together, which a server keeps in memory.
-	BytesMax = 64 << 20
-	// removedMax is how many removed services are remembered one by one; whoever is further behind gets a whole copy.
-	removedMax = 1 << 12
-	// historyMax is how many versions of a service are remembered with their times, to say for how long a follower lags.
-	historyMax = 32
+	// MaxServices is how many services one installation may have.
+	MaxServices = 1 << 14
+	// MaxSettingsSize is the largest settings of one service, in bytes.
+	MaxSettingsSize = 1 << 20
+	// MaxTotalSize limits the settings of all services together, in bytes: a server keeps them in memory.
+	MaxTotalSize = 64 << 20
+	// maxRemoved is how many removed services are recorded. A follower that is further behind receives a complete copy.
+	maxRemoved = 1 << 12
+	// maxHistory is how many versions of a service are recorded with their times, which show for how long a follower lags.
+	maxHistory = 32
 )
 
-// Check says what is wrong with the settings of a service.
+// Check returns what is wrong with the settings of a service.
 type Check func(settings []byte) error
 
 // Store is the configuration of all services.
 type Store struct {
-	check     Check
-	version   revision.Version // of the whole
-	services  map[string]*service
-	removed   map[string]uint64 // revision with which a service was removed
-	compacted uint64            // removals up to this revision are forgotten
-	bytes     int
-	heard     int64 // when the writer is known to have been alive
-	followed  bool  // a follower has this epoch in force
+	check      Check
+	version    revision.Version // of the whole configuration
+	services   map[string]*service
+	removed    map[string]uint64 // revisions with which services were removed
+	compacted  uint64            // removals up to this revision are no longer in removed
+	bytes      int               // of all settings
+	writerSeen int64             // when the writer is known to have been running
+	followed   bool              // this epoch is active at a follower
 }
 
-// service is what the store knows of one service.
+// service is the stored state of one service.
 type service struct {
 	configapi.Service
-	history []published // the newest last
+	history []published // oldest first
 }
 
 type published struct {
@@ -54,43 +54,45 @@
 	at      int64
 }
 
-// neverHeard is how old the last word of the writer is taken to be before the first one.
-const neverHeard = int64(24 * 3600 * 1e9)
+// writerNeverSeen is how long ago the writer is taken to have been running before anything is known of it, in nanoseconds.
+const writerNeverSeen = int64(24 * 3600 * 1e9)
 
-// New makes an empty store whose settings have to pass a check.
+// New returns an empty store. Settings must pass check.
 func New(check Check) *Store {
-	return &Store{check: check, heard: -neverHeard, services: map[string]*service{}, removed: map[string]uint64{}}
+	return &Store{check: check, writerSeen: -writerNeverSeen, services: map[string]*service{}, removed: map[string]uint64{}}
 }
 
-// Version is that of the whole configuration.
+// Version returns the version of the whole configuration.
 func (s *Store) Version() revision.Version { return s.version }
 
-// Names are the services, in order.
+// Names returns the services, sorted.
 func (s *Store) Names() []string { return slices.Sorted(maps.Keys(s.services)) }
 
-// Begin starts an epoch, which must be later than the present one: revisions go on, and every service gets the new epoch.
-func (s *Store) Begin(epoch uint64, now int64) error {
+// BeginEpoch starts an epoch, which must be later than the current one. Revisions continue, and all services get the new
+// epoch.
+func (s *Store) BeginEpoch(epoch uint64, now int64) error {
 	if epoch <= s.version.Epoch || epoch > revision.Max {
 		return fmt.Errorf("epoch %d does not follow epoch %d", epoch, s.version.Epoch)
 	}
-	s.version.Epoch, s.followed = epoch, false
+	s.version.Epoch = epoch
+	s.followed = false
 	s.compacted = s.version.Revision
 	clear(s.removed)
-	for _, held := range s.services {
-		held.Epoch = epoch
-		held.publish(now)
+	for _, stored := range s.services {
+		stored.Epoch = epoch
+		stored.publish(now)
 	}
 	return nil
 }
 
-// Put takes over the settings of a service. They get a revision only if they pass the check and differ from those held;
-// otherwise the store stays as it is.
+// Put stores the settings of a service. They get a revision only if they are valid and differ from the stored ones; otherwise
+// the store does not change.
 func (s *Store) Put(name string, settings []byte, now int64) (changed bool, err error) {
 	if err := CheckName(name); err != nil {
 		return false, err
 	}
-	if len(settings) > SettingsMax {
-		return false, fmt.Errorf("%d bytes, at most %d may be", len(settings), SettingsMax)
+	if len(settings) > MaxSettingsSize {
+		return false, fmt.Errorf("%d bytes, at most %d may be", len(settings), MaxSettingsSize)
 	}
 	if err := s.check(settings); err != nil {
 		return false, err
@@ -99,11 +101,11 @@
 	if err := json.Compact(&compact, settings); err != nil {
 		return false, err
 	}
-	held := s.services[name]
-	if held != nil && bytes.Equal(held.Settings, compact.Bytes()) {
+	stored := s.services[name]
+	if stored != nil && bytes.Equal(stored.Settings, compact.Bytes()) {
 		return false, nil
 	}
-	if err := s.room(held, compact.Len()); err != nil {
+	if err := s.checkCapacity(stored, compact.Len()); err != nil {
 		return false, err
 	}
 	s.version.Revision++
@@ -111,55 +113,56 @@
 	return true, nil
 }
 
-// room says whether settings of a size fit in the place of those held.
-func (s *Store) room(held *service, size int) error {
+// checkCapacity returns an error if settings of a size do not fit in place of the stored ones.
+func (s *Store) checkCapacity(stored *service, size int) error {
 	total := s.bytes + size
-	if held != nil {
-		total -= len(held.Settings)
+	if stored != nil {
+		total -= len(stored.Settings)
 	}
-	if total > BytesMax {
-		return fmt.Errorf("the settings of all services would have %d bytes, at most %d may be", total, BytesMax)
+	if total > MaxTotalSize {
+		return fmt.Errorf("the settings of all services would have %d bytes, at most %d may be", total, MaxTotalSize)
 	}
-	if held == nil && len(s.services) >= ServicesMax {
+	if stored == nil && len(s.services) >= MaxServices {
 		return fmt.Errorf("there are %d services already, which is the most", len(s.services))
 	}
 	return nil
 }
 
-// Remove takes a service out. Governors that have its settings go on with them.
+// Remove removes a service. Controllers that have its settings keep them.
 func (s *Store) Remove(name string) (changed bool) {
 	if s.services[name] == nil {
 		return false
 	}
 	s.version.Revision++
-	s.drop(name, s.version.Revision)
+	s.remove(name, s.version.Revision)
 	return true
 }
 
 func (s *Store) set(update configapi.Service, now int64) {
-	held := s.services[update.Name]
-	if held == nil {
-		held = &service{}
-		s.services[update.Name] = held
+	stored := s.services[update.Name]
+	if stored == nil {
+		stored = &service{}
+		s.services[update.Name] = stored
 		delete(s.removed, update.Name)
 	}
-	s.bytes += len(update.Settings) - len(held.Settings)
-	held.Service = update
-	held.publish(now)
+	s.bytes += len(update.Settings) - len(stored.Settings)
+	stored.Service = update
+	stored.publish(now)
 }
 
-func (s *Store) drop(name string, at uint64) {
-	if held := s.services[name]; held != nil {
-		s.bytes -= len(held.Settings)
+// remove removes a service at a revision, and drops the oldest recorded removal beyond maxRemoved.
+func (s *Store) remove(name string, removedAt uint64) {
+	if stored := s.services[name]; stored != nil {
+		s.bytes -= len(stored.Settings)
 		delete(s.services, name)
 	}
-	s.removed[name] = at
-	if len(s.removed) <= removedMax {
+	s.removed[name] = removedAt
+	if len(s.removed) <= maxRemoved {
 		return
 	}
 	oldest := name
-	for other, revision := range s.removed {
-		if revision < s.removed[oldest] {
+	for other, at := range s.removed {
+		if at < s.removed[oldest] {
 			oldest = other
 		}
 	}
@@ -167,121 +170,32 @@
 	delete(s.removed, oldest)
 }
 
-func (held *service) publish(now int64) {
-	held.history = append(held.history, published{held.Version, now})
-	held.history = held.history[max(0, len(held.history)-historyMax):]
+// publish records the current version in the history.
+func (s *service) publish(now int64) {
+	s.history = append(s.history, published{version: s.Version, at: now})
+	s.history = s.history[max(0, len(s.history)-maxHistory):]
 }
 
-// Heard notes that the writer was alive so long ago.
-func (s *Store) Heard(age, now int64) { s.heard = max(s.heard, now-max(0, age)) }
+// WriterSeen records that the writer was running so long ago.
+func (s *Store) WriterSeen(age, now int64) { s.writerSeen = max(s.writerSeen, now-max(0, age)) }
 
-// Age is since when nothing is known of the writer.
-func (s *Store) Age(now int64) int64 { return max(0, now-s.heard) }
+// WriterAge returns how long ago the writer is known to have been running.
+func (s *Store) WriterAge(now int64) int64 { return max(0, now-s.writerSeen) }
 
-// Merge takes over what another server answered: all of it or nothing. It changes nothing where the answer is no newer.
-func (s *Store) Merge(a configapi.Answer, now int64) (changed []string, err error) {
-	switch {
-	case s.version.Newer(a.Version):
-		return nil, fmt.Errorf("version %s is older than %s, which is held", a.Version, s.version)
-	case a.Version == s.version:
-		return nil, nil
-	case !a.Complete && a.Epoch != s.version.Epoch:
-		return nil, fmt.Errorf("changes of epoch %d where epoch %d is held", a.Epoch, s.version.Epoch)
-	}
-	if err := s.mergeable(a); err != nil {
-		return nil, err
-	}
-	if a.Complete {
-		changed = s.replace(a, now)
-	} else {
-		changed = s.change(a, now)
-	}
-	if s.version.Epoch != a.Epoch {
-		s.followed = false
-	}
-	s.version = a.Version
-	return changed, nil
-}
-
-// mergeable says whether what an answer would leave is within the bounds.
-func (s *Store) mergeable(a configapi.Answer) error {
-	sizes := map[string]int{}
-	if !a.Complete {
-		for name, held := range s.services {
-			sizes[name] = len(held.Settings)
-		}
-	}
-	for _, update := range a.Services {
-		if err := CheckName(update.Name); err != nil {
-			return err
-		}
-		if delete(sizes, update.Name); !update.Removed {
-			sizes[update.Name] = len(update.Settings)
-		}
-	}
-	total := 0
-	for _, size := range sizes {
-		total += size
-	}
-	if total > BytesMax || len(sizes) > ServicesMax {
-		return fmt.Errorf("%d services of %d bytes in all, at most %d of %d may be", len(sizes), total, ServicesMax, BytesMax)
-	}
-	return nil
-}
-
-// replace makes a whole copy the configuration.
-func (s *Store) replace(a configapi.Answer, now int64) (changed []string) {
-	listed := map[string]bool{}
-	for _, update := range a.Services {
-		listed[update.Name] = !update.Removed
-	}
-	for _, name := range s.Names() {
-		if !listed[name] {
-			s.drop(name, a.Revision)
-			changed = append(changed, name)
-		}
-	}
-	clear(s.removed)
-	s.compacted = a.Revision
-	for _, update := range a.Services {
-		if update.Removed {
-			continue
-		}
-		if held := s.services[update.Name]; held == nil || held.Version != update.Version {
-			s.set(update, now)
-			changed = append(changed, update.Name)
-		}
-	}
-	return changed
-}
-
-// change merges what has changed since the version that is held.
-func (s *Store) change(a configapi.Answer, now int64) (changed []string) {
-	for _, update := range a.Services {
-		if update.Removed {
-			s.drop(update.Name, update.Revision)
-		} else {
-			s.set(update, now)
-		}
-		changed = append(changed, update.Name)
-	}
-	return changed
-}
-
-// CheckName says what is wrong with the name of a service: it is the name of a file too.
+// CheckName returns what is wrong with the name of a service, which is also the name of a file.
 func CheckName(name string) error {
 	switch {
 	case name == "" || strings.HasPrefix(name, "."):
 		return fmt.Errorf("%.40q is no name of a service: it is empty or begins with a dot", name)
-	case len(name) > configapi.NameMax:
-		return fmt.Errorf("%.40q... has %d bytes, at most %d may be", name, len(name), configapi.NameMax)
-	case strings.ContainsFunc(name, unusual):
+	case len(name) > configapi.MaxNameLength:
+		return fmt.Errorf("%.40q... has %d bytes, at most %d may be", name, len(name), configapi.MaxNameLength)
+	case strings.ContainsFunc(name, notAllowedInName):
 		return fmt.Errorf("%.40q is no name of a service: letters, digits, dots, dashes and underscores are", name)
 	}
 	return nil
 }
 
-func unusual(r rune) bool {
-	usual := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '.' || r == '-' || r == '_'
-	return !usual
+func notAllowedInName(r rune) bool {
+	allowed := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '.' || r == '-' || r == '_'
+	return !allowed
 }
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -14,7 +14,7 @@
 	"lilacbend/internal/revision"
 )
 
-// object passes whatever is a JSON object without the key "bad".
+// object accepts a JSON object without the key "bad".
 func object(settings []byte) error {
 	var o map[string]any
 	if err := json.Unmarshal(settings, &o); err != nil {
@@ -28,7 +28,7 @@
 
 func writer(t testing.TB, epoch uint64) *Store {
 	s := New(object)
-	if err := s.Begin(epoch, 0); err != nil {
+	if err := s.BeginEpoch(epoch, 0); err != nil {
 		t.Fatal(err)
 	}
 	return s
@@ -45,8 +45,8 @@
 	return revision.Version{Epoch: epoch, Revision: number}
 }
 
-// Only settings that pass and differ get a revision; what is refused leaves the last good ones in place.
-func TestARevisionIsGivenToWhatPassesAndDiffers(t *testing.T) {
+// Only valid settings that differ get a revision; rejected ones leave the last valid ones in place.
+func TestPutGivesRevisionToValidChange(t *testing.T) {
 	s := writer(t, 5)
 	for k, step := range []struct {
 		name, settings string
@@ -65,7 +65,7 @@
 		{".hidden", `{}`, false, "begins with a dot", 3},
 		{"a/b", `{}`, false, "no name of a service", 3},
 		{strings.Repeat("x", 129), `{}`, false, "129 bytes", 3},
-		{"large", `{"x":"` + strings.Repeat("x", SettingsMax) + `"}`, false, "at most 1048576", 3},
+		{"large", `{"x":"` + strings.Repeat("x", MaxSettingsSize) + `"}`, false, "at most 1048576", 3},
 	} {
 		changed, err := s.Put(step.name, []byte(step.settings), 0)
 		if changed != step.changed || (err != nil) != (step.says != "") || err != nil && !strings.Contains(err.Error(), step.says) || s.Version() != version(5, step.revision) {
@@ -73,7 +73,7 @@
 		}
 	}
 	a, result := s.Answer(configapi.Query{Service: "orders"}, 0)
-	if result != News || string(a.Services[0].Settings) != `{"a":2}` || a.Version != version(5, 3) || !a.Complete {
+	if result != Changed || string(a.Services[0].Settings) != `{"a":2}` || a.Version != version(5, 3) || !a.Complete {
 		t.Errorf("%+v %v", a.Services, result)
 	}
 	if !s.Remove("orders") || s.Remove("orders") || s.Version() != version(5, 4) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// What a follower is told depends on what it has: nothing, a change, or a whole copy.
-func TestWhatAFollowerIsTold(t *testing.T) {
+// The answer depends on the version that is active at the follower: unchanged, a change, or a complete copy.
+func TestAnswerByQuery(t *testing.T) {
 	s := writer(t, 5)
 	put(t, s, "orders", `{"a":1}`)  // 5.1
 	put(t, s, "payouts", `{"b":1}`) // 5.2
@@ -96,19 +96,19 @@
 		services string
 		version  revision.Version
 	}{
-		{configapi.Query{Service: "orders"}, News, true, "orders", version(5, 5)},
-		{configapi.Query{Service: "orders", Since: version(5, 1)}, News, false, "orders", version(5, 5)},
-		{configapi.Query{Service: "orders", Since: version(5, 5)}, Current, false, "", version(5, 5)},
-		{configapi.Query{Service: "orders", Since: version(5, 1), Refused: version(5, 5)}, Current, false, "", version(5, 5)},
-		{configapi.Query{Service: "orders", Since: version(4, 900)}, News, true, "orders", version(5, 5)},
-		{configapi.Query{Service: "orders", Since: version(6, 1)}, Current, false, "", version(5, 5)}, // who is ahead is told nothing older
-		{configapi.Query{Service: "payouts"}, Unknown, false, "", version(0, 0)},
-		{configapi.Query{Service: "stock", Since: version(5, 3)}, Current, false, "", version(5, 3)}, // others' changes are no news
-		{configapi.Query{}, News, true, "orders,stock", version(5, 5)},
-		{configapi.Query{Since: version(5, 3)}, News, false, "orders,-payouts", version(5, 5)},
-		{configapi.Query{Since: version(5, 4)}, News, false, "orders", version(5, 5)},
-		{configapi.Query{Since: version(5, 5)}, Current, false, "", version(5, 5)},
-		{configapi.Query{Since: version(4, 5)}, News, true, "orders,stock", version(5, 5)},
+		{configapi.Query{Service: "orders"}, Changed, true, "orders", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(5, 1)}, Changed, false, "orders", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(5, 5)}, Unchanged, false, "", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(5, 1), Rejected: version(5, 5)}, Unchanged, false, "", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(4, 900)}, Changed, true, "orders", version(5, 5)},
+		{configapi.Query{Service: "orders", Since: version(6, 1)}, Unchanged, false, "", version(5, 5)}, // a follower that is ahead gets nothing older
+		{configapi.Query{Service: "payouts"}, UnknownService, false, "", version(0, 0)},
+		{configapi.Query{Service: "stock", Since: version(5, 3)}, Unchanged, false, "", version(5, 3)}, // other services' changes do not matter
+		{configapi.Query{}, Changed, true, "orders,stock", version(5, 5)},
+		{configapi.Query{Since: version(5, 3)}, Changed, false, "orders,-payouts", version(5, 5)},
+		{configapi.Query{Since: version(5, 4)}, Changed, false, "orders", version(5, 5)},
+		{configapi.Query{Since: version(5, 5)}, Unchanged, false, "", version(5, 5)},
+		{configapi.Query{Since: version(4, 5)}, Changed, true, "orders,stock", version(5, 5)},
 	} {
 		a, result := s.Answer(c.query, 0)
 		var names []string
@@ -121,14 +121,14 @@
 		if result != c.result || a.Complete != c.complete || strings.Join(names, ",") != c.services || a.Version != c.version {
 			t.Errorf("%+v: %v, complete %v, %v, %s", c.query, result, a.Complete, names, a.Version)
 		}
-		if err := a.Check(c.query); result != Unknown && err != nil {
+		if err := a.Check(c.query); result != UnknownService && err != nil {
 			t.Errorf("%+v: %v", c.query, err)
 		}
 	}
 }
 
-// A server that was restored begins a later epoch: its lower revisions outrank the higher ones of the epoch before.
-func TestARestoredServerOutranksItsOwnPast(t *testing.T) {
+// A restored server begins a later epoch, whose lower revisions outrank the higher ones of the epoch before.
+func TestRestoredServerOutranksEarlierEpoch(t *testing.T) {
 	s := writer(t, 5)
 	put(t, s, "orders", `{"a":1}`)
 	backup := s.Snapshot()
@@ -141,48 +141,48 @@
 	if _, err := restored.Merge(backup, 0); err != nil {
 		t.Fatal(err)
 	}
-	if _, result := restored.Answer(ahead, 0); result != Current {
+	if _, result := restored.Answer(ahead, 0); result != Unchanged {
 		t.Errorf("a backup of the same epoch serves an older revision: %v", result)
 	}
-	if err := restored.Begin(5, 0); err == nil {
+	if err := restored.BeginEpoch(5, 0); err == nil {
 		t.Error("the same epoch began twice")
 	}
-	if err := restored.Begin(6, 0); err != nil {
+	if err := restored.BeginEpoch(6, 0); err != nil {
 		t.Fatal(err)
 	}
 	a, result := restored.Answer(ahead, 0)
-	if result != News || !a.Complete || a.Version != version(6, 1) || string(a.Services[0].Settings) != `{"a":1}` {
+	if result != Changed || !a.Complete || a.Version != version(6, 1) || string(a.Services[0].Settings) != `{"a":1}` {
 		t.Errorf("%v %s %v", result, a.Version, a.Complete)
 	}
-	if a, result = s.Answer(configapi.Query{Service: "orders", Since: version(6, 1)}, 0); result != Current {
+	if a, result = s.Answer(configapi.Query{Service: "orders", Since: version(6, 1)}, 0); result != Unchanged {
 		t.Errorf("the server of the epoch before goes on to serve %s", a.Version)
 	}
 }
 
-// A writer that has lost its count sees it by its first follower; one that is followed sees another writer.
-func TestALaterEpochAtAFollower(t *testing.T) {
+// A writer without followers that sees a later epoch has lost its state; one with followers sees another writer.
+func TestObserveLaterEpoch(t *testing.T) {
 	s := writer(t, 5)
-	if got := s.Observe(version(5, 0)); got != NoRival {
+	if got := s.Observe(version(5, 0)); got != NoConflict {
 		t.Errorf("own epoch: %v", got)
 	}
-	if got := s.Observe(version(6, 1)); got != Another {
+	if got := s.Observe(version(6, 1)); got != AnotherWriter {
 		t.Errorf("a later epoch, followed: %v", got)
 	}
 	s = writer(t, 5)
 	for _, v := range []revision.Version{{}, version(4, 9)} {
-		if got := s.Observe(v); got != NoRival {
+		if got := s.Observe(v); got != NoConflict {
 			t.Errorf("%s: %v", v, got)
 		}
 	}
-	if got := s.Observe(version(6, 1)); got != LostCount {
+	if got := s.Observe(version(6, 1)); got != EpochLost {
 		t.Errorf("a later epoch, not followed: %v", got)
 	}
-	if err := s.Begin(revision.Max+1, 0); err == nil {
+	if err := s.BeginEpoch(revision.Max+1, 0); err == nil {
 		t.Error("an epoch out of range began")
 	}
 }
 
-func TestAnswersThatAreNotMerged(t *testing.T) {
+func TestMergeRejectsInvalidAnswers(t *testing.T) {
 	s := writer(t, 5)
 	put(t, s, "orders", `{"a":1}`)
 	put(t, s, "orders", `{"a":2}`)
@@ -195,7 +195,7 @@
 		"4.900 is older than":  {Version: version(4, 900), Complete: true},
 		"changes of epoch 6":   {Version: version(6, 1)},
 		"no name of a service": {Version: version(5, 3), Services: []configapi.Service{update("a/b", 1)}},
-		"bytes in all":         {Version: version(5, 3), Services: []configapi.Service{update("x", BytesMax)}},
+		"bytes in all":         {Version: version(5, 3), Services: []configapi.Service{update("x", MaxTotalSize)}},
 	} {
 		if _, err := s.Merge(a, 0); err == nil || !strings.Contains(err.Error(), says) {
 			t.Errorf("%s: %v", says, err)
@@ -209,12 +209,12 @@
 	}
 }
 
-// Followers that merge what they are told, in steps that skip any number of revisions, hold at each of them exactly
-// what the writer held, through removals, epochs and forgotten removals.
-func TestFollowersHoldWhatTheWriterHeld(t *testing.T) {
+// Followers that merge answers, skipping any number of revisions, have at each version exactly the services that the writer
+// had, through removals, epochs and compacted removals.
+func TestFollowersConvergeToWriter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, followers := New(object), []*Store{New(object), New(object), New(object)}
-		if err := s.Begin(1, 0); err != nil {
+		if err := s.BeginEpoch(1, 0); err != nil {
 			t.Fatal(err)
 		}
 		names := []string{"a", "b", "c", "d", "e"}
@@ -224,7 +224,7 @@
 			case 0:
 				s.Remove(name)
 			case 1:
-				if err := s.Begin(s.Version().Epoch+1, 0); err != nil {
+				if err := s.BeginEpoch(s.Version().Epoch+1, 0); err != nil {
 					t.Fatal(err)
 				}
 			case 2:
@@ -243,7 +243,7 @@
 				f := followers[k]
 				a, result := from.Answer(configapi.Query{Since: f.Version()}, 0)
 				before := f.Version()
-				if _, err := f.Merge(a, 0); err != nil && result == News {
+				if _, err := f.Merge(a, 0); err != nil && result == Changed {
 					t.Fatal(err)
 				}
 				if before.Newer(f.Version()) {
@@ -254,7 +254,7 @@
 					if got, _ := json.Marshal(f.Snapshot().Services); string(got) != string(want) {
 						t.Fatalf("at %s: has %s, want %s", f.Version(), got, want)
 					}
-				} else if result == News {
+				} else if result == Changed {
 					t.Fatalf("was told of %s and is at %s", from.Version(), f.Version())
 				}
 			}
@@ -262,16 +262,16 @@
 	})
 }
 
-func TestForgottenRemovalsAskForAWholeCopy(t *testing.T) {
+func TestCompactedRemovalsNeedCompleteCopy(t *testing.T) {
 	s := writer(t, 1)
 	put(t, s, "kept", `{}`)
 	since := s.Version()
-	for k := range removedMax + 1 {
+	for k := range maxRemoved + 1 {
 		name := fmt.Sprintf("s-%d", k)
 		put(t, s, name, `{}`)
 		s.Remove(name)
 	}
-	if a, _ := s.Answer(configapi.Query{Since: since}, 0); !a.Complete || len(a.Services) != 1 || len(s.removed) != removedMax {
+	if a, _ := s.Answer(configapi.Query{Since: since}, 0); !a.Complete || len(a.Services) != 1 || len(s.removed) != maxRemoved {
 		t.Errorf("complete %v, %d services, %d removals kept", a.Complete, len(a.Services), len(s.removed))
 	}
 	if !slices.Equal(s.Names(), []string{"kept"}) {
--- a/internal/configstore/summary.go
+++ b/internal/configstore/summary.go
@@ -9,12 +9,12 @@
 	"lilacbend/internal/revision"
 )
 
-// Summary is what the servers of an installation know together.
+// Summary is the combined state of the servers of an installation.
 type Summary struct {
-	Version  revision.Version  `json:"version"` // the newest of any server
+	Version  revision.Version  `json:"version"` // the newest of all servers
 	Servers  []ServerSummary   `json:"servers"`
 	Services []ServiceSummary  `json:"services"`
-	Lagging  []Laggard         `json:"lagging"` // the longest first
+	Lagging  []LaggingWatcher  `json:"lagging"` // the one that lags for longest first
 	Faults   []configapi.Fault `json:"faults"`
 }
 
@@ -27,112 +27,148 @@
 	AgeMS   int64            `json:"age_ms"`
 }
 
-// ServiceSummary is the newest version of a service, and by zone what is in force.
+// ServiceSummary is the newest version of a service, and the active versions by zone.
 type ServiceSummary struct {
 	Service string           `json:"service"`
 	Version revision.Version `json:"version"`
 	Zones   []ZoneSummary    `json:"zones"`
 }
 
-// ZoneSummary counts a zone's governors by what they have in force.
+// ZoneSummary counts a zone's controllers by their active version.
 type ZoneSummary struct {
-	Zone    string         `json:"zone"`
-	InForce []VersionCount `json:"in_force"` // the newest first
-	Lagging int            `json:"lagging"`
-	Refused int            `json:"refused"`
+	Zone     string         `json:"zone"`
+	Active   []VersionCount `json:"in_force"` // newest first
+	Lagging  int            `json:"lagging"`
+	Rejected int            `json:"refused"`
 }
 
-// VersionCount is how many have a version in force.
+// VersionCount is the number of controllers at which a version is active.
 type VersionCount struct {
-	Version   revision.Version `json:"version"`
-	Governors int              `json:"governors"`
+	Version     revision.Version `json:"version"`
+	Controllers int              `json:"governors"`
 }
 
-// Laggard has not the newest version of its service in force.
-type Laggard struct {
+// LaggingWatcher is a controller at which the newest version of its service is not active.
+type LaggingWatcher struct {
 	configapi.Watcher
-	Wants revision.Version `json:"wants"`
-	ForMS int64            `json:"for_ms"` // since something newer than what it has was published
+	Newest revision.Version `json:"wants"`
+	ForMS  int64            `json:"for_ms"` // since a newer version than its active one was published
 }
 
-// Summarize puts together what several servers know. A governor that has changed its server is known to both: the one
-// that heard it last counts.
-func Summarize(all []configapi.Status) Summary {
-	s := Summary{Servers: []ServerSummary{}, Services: []ServiceSummary{}, Lagging: []Laggard{}, Faults: []configapi.Fault{}}
-	services, watchers := map[string]configapi.ServiceStatus{}, map[watcherKey]configapi.Watcher{}
-	for _, status := range all {
-		s.Version = revision.Latest(s.Version, status.Version)
-		s.Servers = append(s.Servers, ServerSummary{status.Server, status.Region, status.Writer, status.Version, status.AgeMS})
-		s.Faults = append(s.Faults, status.Faults...)
-		for _, service := range status.Services {
-			if known, has := services[service.Name]; !has || fuller(service, known) {
-				services[service.Name] = service
-			}
-		}
-		for _, w := range status.Watchers {
-			key := watcherKey{w.Service, w.Instance}
-			if known, has := watchers[key]; w.Service != "" && (!has || w.HeardMS < known.HeardMS) {
-				watchers[key] = w
-			}
-		}
+// Summarize combines the states of several servers. A controller that has changed its server is known to both; the one that
+// it polled last counts.
+func Summarize(statuses []configapi.Status) Summary {
+	summary := Summary{
+		Servers:  []ServerSummary{},
+		Services: []ServiceSummary{},
+		Lagging:  []LaggingWatcher{},
+		Faults:   []configapi.Fault{},
+	}
+	services := map[string]configapi.ServiceStatus{}
+	watchers := map[watcherKey]configapi.Watcher{}
+	for _, status := range statuses {
+		summary.Version = revision.Latest(summary.Version, status.Version)
+		summary.Servers = append(summary.Servers, ServerSummary{
+			Server:  status.Server,
+			Region:  status.Region,
+			Writer:  status.Writer,
+			Version: status.Version,
+			AgeMS:   status.AgeMS,
+		})
+		summary.Faults = append(summary.Faults, status.Faults...)
+		collectServices(services, status.Services)
+		collectWatchers(watchers, status.Watchers)
 	}
 	for _, name := range slices.Sorted(maps.Keys(services)) {
-		s.Services = append(s.Services, s.summarize(services[name], watchers))
+		summary.addService(services[name], watchers)
 	}
-	slices.SortStableFunc(s.Lagging, func(a, b Laggard) int {
+	slices.SortStableFunc(summary.Lagging, func(a, b LaggingWatcher) int {
 		return cmp.Or(cmp.Compare(b.ForMS, a.ForMS), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Instance, b.Instance))
 	})
-	return s
+	return summary
+}
+
+// collectServices adds a server's services, of which the more complete status of two servers stays.
+func collectServices(services map[string]configapi.ServiceStatus, added []configapi.ServiceStatus) {
+	for _, service := range added {
+		known, ok := services[service.Name]
+		if !ok || moreComplete(service, known) {
+			services[service.Name] = service
+		}
+	}
 }
 
-// fuller says whether one server knows more of a service: a newer version, or the same one for longer.
-func fuller(a, b configapi.ServiceStatus) bool {
-	if c := a.Version.Compare(b.Version); c != 0 {
-		return c > 0
+// moreComplete reports whether a has a newer version than b, or the same one and a longer history.
+func moreComplete(a, b configapi.ServiceStatus) bool {
+	order := a.Version.Compare(b.Version)
+	if order != 0 {
+		return order > 0
 	}
 	return len(a.History) > 0 && len(b.History) > 0 && a.History[0].AgoMS > b.History[0].AgoMS
 }
 
-func (s *Summary) summarize(service configapi.ServiceStatus, watchers map[watcherKey]configapi.Watcher) ServiceSummary {
-	type zone struct {
-		ZoneSummary
-		counts map[revision.Version]int
+// collectWatchers adds a server's followers other than servers, of which the most recent poll stays.
+func collectWatchers(watchers map[watcherKey]configapi.Watcher, added []configapi.Watcher) {
+	for _, w := range added {
+		if w.Service == "" {
+			continue
+		}
+		key := watcherKey{service: w.Service, instance: w.Instance}
+		known, ok := watchers[key]
+		if !ok || w.LastSeenMS < known.LastSeenMS {
+			watchers[key] = w
+		}
 	}
-	zones := map[string]*zone{}
+}
+
+// zoneCounts is a zone's summary while its watchers are counted.
+type zoneCounts struct {
+	ZoneSummary
+	versions map[revision.Version]int
+}
+
+// addService adds a service and its lagging watchers.
+func (s *Summary) addService(service configapi.ServiceStatus, watchers map[watcherKey]configapi.Watcher) {
+	zones := map[string]*zoneCounts{}
 	for _, w := range watchers {
 		if w.Service != service.Name {
 			continue
 		}
-		z := zones[w.Zone]
-		if z == nil {
-			z = &zone{ZoneSummary{Zone: w.Zone}, map[revision.Version]int{}}
-			zones[w.Zone] = z
+		zone := zones[w.Zone]
+		if zone == nil {
+			zone = &zoneCounts{ZoneSummary: ZoneSummary{Zone: w.Zone}, versions: map[revision.Version]int{}}
+			zones[w.Zone] = zone
 		}
-		z.counts[w.InForce]++
-		if service.Version.Newer(w.InForce) {
-			z.Lagging++
-			s.Lagging = append(s.Lagging, Laggard{w, service.Version, lag(service, w.InForce)})
+		zone.versions[w.Active]++
+		if service.Version.Newer(w.Active) {
+			zone.Lagging++
+			s.Lagging = append(s.Lagging, LaggingWatcher{Watcher: w, Newest: service.Version, ForMS: lagMS(service, w.Active)})
 		}
-		if w.Refused.Newer(w.InForce) {
-			z.Refused++
+		if w.Rejected.Newer(w.Active) {
+			zone.Rejected++
 		}
 	}
-	summary := ServiceSummary{Service: service.Name, Version: service.Version, Zones: []ZoneSummary{}}
+	added := ServiceSummary{Service: service.Name, Version: service.Version, Zones: []ZoneSummary{}}
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
-		z := zones[name]
-		versions := slices.SortedFunc(maps.Keys(z.counts), func(a, b revision.Version) int { return b.Compare(a) })
-		for _, v := range versions {
-			z.InForce = append(z.InForce, VersionCount{v, z.counts[v]})
-		}
-		summary.Zones = append(summary.Zones, z.ZoneSummary)
+		added.Zones = append(added.Zones, zones[name].summary())
+	}
+	s.Services = append(s.Services, added)
+}
+
+// summary returns the zone's summary with its active versions, newest first.
+func (z *zoneCounts) summary() ZoneSummary {
+	newestFirst := func(a, b revision.Version) int { return b.Compare(a) }
+	summary := z.ZoneSummary
+	for _, version := range slices.SortedFunc(maps.Keys(z.versions), newestFirst) {
+		summary.Active = append(summary.Active, VersionCount{Version: version, Controllers: z.versions[version]})
 	}
 	return summary
 }
 
-// lag is for how long something newer than a version has been there.
-func lag(service configapi.ServiceStatus, inForce revision.Version) int64 {
+// lagMS returns for how long there has been a newer version than the active one, in milliseconds.
+func lagMS(service configapi.ServiceStatus, active revision.Version) int64 {
 	for _, p := range service.History {
-		if p.Version.Newer(inForce) {
+		if p.Version.Newer(active) {
 			return p.AgoMS
 		}
 	}
--- a/internal/configwatch/connection.go
+++ b/internal/configwatch/connection.go
@@ -17,198 +17,207 @@
 )
 
 const (
-	// dialMost is how long a connection may take to be made.
-	dialMost = 2 * time.Second
-	// bodyLate is how long a body may take in all. A connection that only drips is given up.
-	bodyLate = 10 * time.Second
-	// serviceBody and allBody are the largest answers that are read.
-	serviceBody = configstore.SettingsMax + 4<<10
-	allBody     = configstore.BytesMax + configstore.ServicesMax*(configapi.NameMax+128)
-	// refusalBody is the largest refusal that is read.
-	refusalBody = 4 << 10
-	readBuffer  = 4 << 10
+	// dialTimeout bounds one attempt to connect.
+	dialTimeout = 2 * time.Second
+	// readTimeLimit is how long an answer may take beyond the requested wait. It ends connections that only trickle.
+	readTimeLimit = 10 * time.Second
+	// maxServiceBody and maxAllBody are the largest answers, in bytes, to followers of one service and of all.
+	maxServiceBody = configstore.MaxSettingsSize + 4<<10
+	maxAllBody     = configstore.MaxTotalSize + configstore.MaxServices*(configapi.MaxNameLength+128)
+	// maxRefusalBody limits the body of an answer with an error status, in bytes.
+	maxRefusalBody = 4 << 10
+	readBufferSize = 4 << 10
 )
 
-// Failure says how far a call came.
-type Failure struct {
-	Stage string
+// Stage is how far a call got before it failed.
+type Stage string
+
+// The stages of a call, in order.
+const (
+	StageDial   Stage = "dial"
+	StageSend   Stage = "send"
+	StageStatus Stage = "status"
+	StageBody   Stage = "body"
+	StageAnswer Stage = "answer"
+)
+
+// CallError reports the stage at which a call failed, and the cause.
+type CallError struct {
+	Stage Stage
 	Err   error
 }
 
-func (f *Failure) Error() string { return f.Stage + ": " + f.Err.Error() }
-func (f *Failure) Unwrap() error { return f.Err }
+// Error returns the stage and the text of the cause.
+func (e *CallError) Error() string { return string(e.Stage) + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *CallError) Unwrap() error { return e.Err }
 
-// SentAway is a server's refusal to serve a query now.
-type SentAway struct {
-	Status     int
-	Reason     string
-	RetryAfter time.Duration // 0: not said
-	Unknown    bool          // it has no such service
+// RefusalError reports that a server is working but does not serve a query.
+type RefusalError struct {
+	Status         int
+	Reason         string
+	RetryAfter     time.Duration // 0: unknown
+	UnknownService bool
 }
 
-func (s *SentAway) Error() string {
-	return fmt.Sprintf("sent away with status %d: %s", s.Status, s.Reason)
+// Error returns status and reason.
+func (e *RefusalError) Error() string {
+	return fmt.Sprintf("sent away with status %d: %s", e.Status, e.Reason)
 }
 
-// connection is the one connection that a follower keeps.
+// connection is the persistent connection of a follower. Its address is that of the server it is open to.
 type connection struct {
 	counts  *counters
 	address string
-	conn    *deadlined
+	conn    *pacedConn
 	reader  *bufio.Reader
 }
 
-// deadlined extends its deadline while something comes, up to a last one.
-type deadlined struct {
-	net.Conn
-	counts *counters
-	due    time.Time
-	until  time.Time
-	came   bool // something has, of this answer
-}
-
-func (d *deadlined) expect(wait time.Duration) {
-	now := time.Now()
-	d.due, d.until, d.came = now.Add(wait+configclient.AnswerLate), now.Add(wait+bodyLate), false
-	d.SetDeadline(d.due)
-}
-
-func (d *deadlined) Read(b []byte) (int, error) {
-	n, err := d.Conn.Read(b)
-	if n > 0 {
-		d.counts.bytesIn.Add(int64(n))
-		d.came = true
-		if later := time.Now().Add(configclient.AnswerLate); later.After(d.due) && later.Before(d.until) {
-			d.due = later
-			d.SetReadDeadline(later)
-		}
-	}
-	return n, err
-}
-
-func (d *deadlined) Write(b []byte) (int, error) {
-	n, err := d.Conn.Write(b)
-	d.counts.bytesOut.Add(int64(n))
-	return n, err
-}
-
-func (c *connection) close() {
-	if c.conn != nil {
-		c.conn.Close()
-		c.conn, c.reader, c.address = nil, nil, ""
-	}
-}
-
-// call asks a server. A kept connection that turns out to be closed is no failure: the query goes out on a new one.
-func (c *connection) call(ctx context.Context, ask configclient.Ask) (configapi.Answer, error) {
-	kept := c.conn != nil && c.address == ask.Server.Address
-	if !kept {
-		if err := c.dial(ctx, ask.Server.Address); err != nil {
+// call sends a query to a server and reads the answer. If the server has closed a reused connection, the query is sent again
+// on a new one.
+func (c *connection) call(ctx context.Context, poll configclient.Poll) (configapi.Answer, error) {
+	reused := c.conn != nil && c.address == poll.Server.Address
+	if !reused {
+		if err := c.dial(ctx, poll.Server.Address); err != nil {
 			return configapi.Answer{}, err
 		}
 	}
-	a, err := c.exchange(ctx, ask.Query)
-	if err == nil || !kept || c.conn == nil || c.conn.came || timedOut(err) || ctx.Err() != nil {
-		c.end(err)
-		return a, err
+	answer, err := c.roundTrip(ctx, poll.Query)
+	if err == nil || !reused || ctx.Err() != nil || !c.closedByServer(err) {
+		c.closeAfterFailure(err)
+		return answer, err
 	}
 	c.close()
-	if err := c.dial(ctx, ask.Server.Address); err != nil {
+	if err := c.dial(ctx, poll.Server.Address); err != nil {
 		return configapi.Answer{}, err
 	}
-	a, err = c.exchange(ctx, ask.Query)
-	c.end(err)
-	return a, err
+	answer, err = c.roundTrip(ctx, poll.Query)
+	c.closeAfterFailure(err)
+	return answer, err
+}
+
+// closedByServer reports whether a call failed because the connection was closed before any of the answer arrived.
+func (c *connection) closedByServer(err error) bool {
+	return c.conn != nil && !c.conn.received && !isTimeout(err)
 }
 
-// end closes a connection after a failed call; one that was answered, whatever the answer, is kept.
-func (c *connection) end(err error) {
-	if _, failed := err.(*Failure); failed {
+// closeAfterFailure closes the connection after a failed call. After an answer of any status it stays open.
+func (c *connection) closeAfterFailure(err error) {
+	var failure *CallError
+	if errors.As(err, &failure) {
 		c.close()
 	}
 }
 
-func timedOut(err error) bool {
-	timeout := net.Error(nil)
-	return errors.As(err, &timeout) && timeout.Timeout()
+func (c *connection) close() {
+	if c.conn == nil {
+		return
+	}
+	c.conn.Close()
+	c.conn = nil
+	c.reader = nil
+	c.address = ""
 }
 
-// dial replaces the connection. The one before is kept if no other can be made: while a lost server is tried now and again,
-// the one that answers meanwhile need not be connected to anew each time.
+// dial replaces the connection. The previous one stays if no new one can be made: while a lost server is retried, the one
+// that answers meanwhile need not be connected to again.
 func (c *connection) dial(ctx context.Context, address string) error {
 	c.counts.dials.Add(1)
-	soon, done := context.WithTimeout(ctx, dialMost)
-	defer done()
-	conn, err := new(net.Dialer).DialContext(soon, "tcp", address)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
+	defer cancel()
+	conn, err := new(net.Dialer).DialContext(dialCtx, "tcp", address)
 	if err != nil {
-		return &Failure{"dial", err}
+		return &CallError{Stage: StageDial, Err: err}
 	}
 	c.close()
-	c.address, c.conn = address, &deadlined{Conn: conn, counts: c.counts}
-	c.reader = bufio.NewReaderSize(c.conn, readBuffer)
+	c.address = address
+	c.conn = &pacedConn{Conn: conn, counts: c.counts}
+	c.reader = bufio.NewReaderSize(c.conn, readBufferSize)
 	return nil
 }
 
-// exchange sends a query on the open connection and reads the answer.
-func (c *connection) exchange(ctx context.Context, q configapi.Query) (a configapi.Answer, err error) {
+// roundTrip sends a query on the open connection and reads the answer.
+func (c *connection) roundTrip(ctx context.Context, query configapi.Query) (configapi.Answer, error) {
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	conn.expect(q.Timeout)
-	if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", q.Encode(), c.address); err != nil {
-		return a, &Failure{"send", err}
-	}
-	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodGet})
+	conn.expect(query.Timeout)
+	_, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", query.Encode(), c.address)
 	if err != nil {
-		return a, &Failure{"status", err}
+		return configapi.Answer{}, &CallError{Stage: StageSend, Err: err}
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return a, c.sentAway(resp)
+	response, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodGet})
+	if err != nil {
+		return configapi.Answer{}, &CallError{Stage: StageStatus, Err: err}
 	}
-	most := int64(serviceBody)
-	if q.Service == "" {
-		most = allBody
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return configapi.Answer{}, c.readRefusal(response)
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, most+1))
+	answer, err := readAnswer(response, query)
 	if err != nil {
-		return a, &Failure{fmt.Sprintf("body after %d bytes", len(body)), err}
+		return configapi.Answer{}, err
+	}
+	if response.Close {
+		c.close()
 	}
-	if int64(len(body)) > most {
-		return a, &Failure{"body", fmt.Errorf("over %d bytes", most)}
+	return answer, nil
+}
+
+// readAnswer reads and checks the body of an answer to a query.
+func readAnswer(response *http.Response, query configapi.Query) (configapi.Answer, error) {
+	limit := int64(maxServiceBody)
+	if query.Service == "" {
+		limit = maxAllBody
 	}
-	if err := json.Unmarshal(body, &a); err != nil {
-		return configapi.Answer{}, &Failure{"answer", err}
+	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
+	if err != nil {
+		return configapi.Answer{}, &CallError{Stage: StageBody, Err: fmt.Errorf("after %d bytes: %w", len(body), err)}
 	}
-	if err := a.Check(q); err != nil {
-		return configapi.Answer{}, &Failure{"answer", err}
+	if int64(len(body)) > limit {
+		return configapi.Answer{}, &CallError{Stage: StageBody, Err: fmt.Errorf("over %d bytes", limit)}
 	}
-	if resp.Close {
-		c.close()
+	var answer configapi.Answer
+	if err := json.Unmarshal(body, &answer); err != nil {
+		return configapi.Answer{}, &CallError{Stage: StageAnswer, Err: err}
 	}
-	return a, nil
+	if err := answer.Check(query); err != nil {
+		return configapi.Answer{}, &CallError{Stage: StageAnswer, Err: err}
+	}
+	return answer, nil
 }
 
-// sentAway reads the refusal of a query.
-func (c *connection) sentAway(resp *http.Response) error {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, refusalBody))
-	if err != nil || len(body) == refusalBody {
-		return &Failure{"status", fmt.Errorf("answered %s", resp.Status)}
+// readRefusal returns the error for an answer with another status than 200.
+func (c *connection) readRefusal(response *http.Response) error {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusalBody))
+	if err != nil || len(body) == maxRefusalBody {
+		return &CallError{Stage: StageStatus, Err: fmt.Errorf("answered %s", response.Status)}
 	}
 	var refusal configapi.Refusal
 	if err := json.Unmarshal(body, &refusal); err != nil {
-		return &Failure{"status", fmt.Errorf("answered %s", resp.Status)}
+		return &CallError{Stage: StageStatus, Err: fmt.Errorf("answered %s", response.Status)}
 	}
-	if resp.Close {
+	if response.Close {
 		c.close()
 	}
-	away := &SentAway{Status: resp.StatusCode, Reason: refusal.Reason, RetryAfter: time.Duration(refusal.RetryAfterMS) * time.Millisecond}
-	switch resp.StatusCode {
+	refused := &RefusalError{
+		Status:     response.StatusCode,
+		Reason:     refusal.Reason,
+		RetryAfter: time.Duration(refusal.RetryAfterMS) * time.Millisecond,
+	}
+	switch response.StatusCode {
 	case http.StatusNotFound:
-		away.Unknown = true
+		refused.UnknownService = true
+		return refused
 	case http.StatusServiceUnavailable:
-	default:
-		return &Failure{"status", away}
+		return refused
 	}
-	return away
+	// Any other status is a failure: the text of a RefusalError without its type.
+	return &CallError{Stage: StageStatus, Err: errors.New(refused.Error())}
+}
+
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -1,9 +1,10 @@
-// Package configwatch follows configuration servers over HTTP/1.1: one goroutine and one kept connection a follower. What
-// is asked of whom and which answers count is decided by package configclient.
+// Package configwatch follows configuration servers over HTTP/1.1, with one goroutine and one persistent connection for each
+// follower. Which server is polled and which answers are used is decided by package configclient.
 package configwatch
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"runtime/debug"
@@ -16,38 +17,44 @@
 	"lilacbend/internal/revision"
 )
 
-// Options say who follows whom and what becomes of the news.
+// Options describe a follower and what is done with new versions.
 type Options struct {
-	Instance string
+	Instance string // the follower's name
 	Service  string // empty: all services, for a server
 	Region   string
 	Zone     string
 	Servers  []configclient.Server
-	Ordered  bool // Servers stand in the order in which they are preferred
+	Ordered  bool // Servers are in order of preference
 	Seed     uint64
 	Log      *slog.Logger
-	// Offer hands settings of the service over. Applied or Refused has to be called for each, from any goroutine;
-	// nothing more is asked until then.
-	Offer func(v revision.Version, settings []byte)
-	// Take hands over what a server answered to a follower of all services. Its error refuses the answer.
-	Take func(a configapi.Answer) error
-	// InForce, if set, is told of each version of the service that has come into force, with its settings.
-	InForce func(v revision.Version, settings []byte)
-	// Heard, if set, is told of each answer, with or without news.
-	Heard func(a configapi.Answer)
+	// OnOffer receives new settings of the service. Applied or Rejected must be called for each, from any goroutine; no server
+	// is polled until then.
+	OnOffer func(version revision.Version, settings []byte)
+	// Merge stores an answer to a follower of all services. An error rejects the answer.
+	Merge func(answer configapi.Answer) error
+	// OnActive, if set, is called with each version of the service that has become active, and its settings.
+	OnActive func(version revision.Version, settings []byte)
+	// OnAnswer, if set, is called with each answer, whether it has a new version or not.
+	OnAnswer func(answer configapi.Answer)
 }
 
-// Counts are what a watcher has done so far.
+// Counts count a watcher's work since its start.
 type Counts struct {
-	Dials, Requests, Answers, Failures, SentAway int64
-	Offered, Refused                             int64 // versions
-	BytesIn, BytesOut                            int64
+	Dials     int64
+	Requests  int64
+	Answers   int64
+	Failures  int64
+	Throttled int64 // queries that a busy server did not serve
+	Offered   int64 // versions
+	Rejected  int64 // versions
+	BytesIn   int64
+	BytesOut  int64
 }
 
 type counters struct {
-	dials, requests, answers, failures, sentAway atomic.Int64
-	offered, refused                             atomic.Int64
-	bytesIn, bytesOut                            atomic.Int64
+	dials, requests, answers, failures, throttled atomic.Int64
+	offered, rejected                             atomic.Int64
+	bytesIn, bytesOut                             atomic.Int64
 }
 
 // Watcher follows configuration servers.
@@ -55,94 +62,110 @@
 	options Options
 	start   time.Time
 	counts  counters
-	verdict chan struct{} // rings when one has come
+	decided chan struct{} // signals that an offer was applied or rejected
 
 	mu      sync.Mutex
 	client  *configclient.Client
-	offered []byte // the settings that await their verdict
-	failing bool   // it was said that servers fail
+	offered []byte // settings that were neither applied nor rejected yet
+	failing bool   // a failure was logged, and no server has answered since
 }
 
-// New makes a watcher that has nothing in force.
-func New(o Options) (*Watcher, error) {
-	client, err := configclient.New(configclient.Options{Instance: o.Instance, Service: o.Service, Region: o.Region, Zone: o.Zone,
-		Servers: o.Servers, Ordered: o.Ordered, Seed: o.Seed})
+// New returns a watcher without an active version.
+func New(options Options) (*Watcher, error) {
+	client, err := configclient.New(configclient.Options{
+		Instance: options.Instance,
+		Service:  options.Service,
+		Region:   options.Region,
+		Zone:     options.Zone,
+		Servers:  options.Servers,
+		Ordered:  options.Ordered,
+		Seed:     options.Seed,
+	})
 	if err != nil {
 		return nil, err
 	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+	if options.Log == nil {
+		options.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Watcher{options: o, start: time.Now(), client: client, verdict: make(chan struct{}, 1)}, nil
+	return &Watcher{options: options, start: time.Now(), client: client, decided: make(chan struct{}, 1)}, nil
 }
 
-// Begin tells a watcher that has not run yet what is in force already.
-func (w *Watcher) Begin(v revision.Version) {
+// SetActive sets the active version of a watcher that does not run yet.
+func (w *Watcher) SetActive(version revision.Version) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.client.Applied(v, nil)
+	w.client.Applied(version, nil)
 }
 
-// Resume offers settings that were in force before a restart. It comes before Run, which asks nobody until Applied or Refused
-// has been called.
-func (w *Watcher) Resume(v revision.Version, settings []byte) {
+// Resume offers settings that were active before a restart. It is called before Run, which polls no server until Applied or
+// Rejected was called.
+func (w *Watcher) Resume(version revision.Version, settings []byte) {
 	w.mu.Lock()
-	w.client.Resume(v)
+	w.client.Resume(version)
 	w.offered = settings
 	w.mu.Unlock()
-	w.options.Offer(v, settings)
+	w.options.OnOffer(version, settings)
 }
 
-// Applied tells that a version that was offered is in force.
-func (w *Watcher) Applied(v revision.Version) {
+// Applied records that an offered version is active.
+func (w *Watcher) Applied(version revision.Version) {
 	w.mu.Lock()
-	before := w.client.InForce()
-	w.client.Applied(v, w.offered)
+	before := w.client.Active()
+	w.client.Applied(version, w.offered)
 	w.mu.Unlock()
-	w.tellInForce(before)
-	w.ring()
+	w.notifyActive(before)
+	w.signalDecided()
 }
 
-// tellInForce tells of the version in force if it is another one than before.
-func (w *Watcher) tellInForce(before revision.Version) {
+// notifyActive calls OnActive if the active version is another one than before.
+func (w *Watcher) notifyActive(before revision.Version) {
 	w.mu.Lock()
-	now, settings := w.client.InForce(), w.client.Settings()
+	active := w.client.Active()
+	settings := w.client.ActiveSettings()
 	w.mu.Unlock()
-	if w.options.InForce != nil && now != before {
-		w.options.InForce(now, settings)
+	if w.options.OnActive != nil && active != before {
+		w.options.OnActive(active, settings)
 	}
 }
 
-// Refused tells that a version that was offered cannot be used, and why. The last good one stays.
-func (w *Watcher) Refused(v revision.Version, reason error) {
-	w.counts.refused.Add(1)
-	w.options.Log.Error("configuration refused, the last good one stays", "version", v.String(), "in_force", w.InForce().String(), "error", reason)
+// Rejected records that an offered version cannot be used, and why. The active one stays.
+func (w *Watcher) Rejected(version revision.Version, reason error) {
+	w.counts.rejected.Add(1)
+	w.options.Log.Error("configuration refused, the last good one stays", "version", version.String(), "in_force", w.Active().String(), "error", reason)
 	w.mu.Lock()
-	w.client.Refused(v)
+	w.client.Rejected(version)
 	w.mu.Unlock()
-	w.ring()
+	w.signalDecided()
 }
 
-func (w *Watcher) ring() {
+func (w *Watcher) signalDecided() {
 	select {
-	case w.verdict <- struct{}{}:
+	case w.decided <- struct{}{}:
 	default:
 	}
 }
 
-// InForce is the version in force.
-func (w *Watcher) InForce() revision.Version {
+// Active returns the active version.
+func (w *Watcher) Active() revision.Version {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.client.InForce()
+	return w.client.Active()
 }
 
-// Counts are the figures so far.
+// Counts returns the current counts.
 func (w *Watcher) Counts() Counts {
 	c := &w.counts
-	return Counts{Dials: c.dials.Load(), Requests: c.requests.Load(), Answers: c.answers.Load(), Failures: c.failures.Load(),
-		SentAway: c.sentAway.Load(), Offered: c.offered.Load(), Refused: c.refused.Load(),
-		BytesIn: c.bytesIn.Load(), BytesOut: c.bytesOut.Load()}
+	return Counts{
+		Dials:     c.dials.Load(),
+		Requests:  c.requests.Load(),
+		Answers:   c.answers.Load(),
+		Failures:  c.failures.Load(),
+		Throttled: c.throttled.Load(),
+		Offered:   c.offered.Load(),
+		Rejected:  c.rejected.Load(),
+		BytesIn:   c.bytesIn.Load(),
+		BytesOut:  c.bytesOut.Load(),
+	}
 }
 
 func (w *Watcher) now() int64 { return time.Since(w.start).Nanoseconds() }
@@ -152,21 +175,21 @@
 	conn := &connection{counts: &w.counts}
 	defer conn.close()
 	for ctx.Err() == nil {
-		if !w.awaitVerdict(ctx) {
+		if !w.awaitDecision(ctx) {
 			return
 		}
 		w.mu.Lock()
-		ask := w.client.Next(w.now())
+		poll := w.client.NextPoll(w.now())
 		w.mu.Unlock()
-		if !sleep(ctx, time.Duration(ask.At-w.now())) {
+		if !sleep(ctx, time.Duration(poll.At-w.now())) {
 			return
 		}
-		w.once(ctx, conn, ask)
+		w.poll(ctx, conn, poll)
 	}
 }
 
-// awaitVerdict waits until nothing that was offered awaits its verdict.
-func (w *Watcher) awaitVerdict(ctx context.Context) bool {
+// awaitDecision blocks until no offer is pending, and reports whether ctx continues.
+func (w *Watcher) awaitDecision(ctx context.Context) bool {
 	for {
 		w.mu.Lock()
 		pending := w.client.Pending()
@@ -175,108 +198,108 @@
 			return true
 		}
 		select {
-		case <-w.verdict:
+		case <-w.decided:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// once asks once and takes the answer in.
-func (w *Watcher) once(ctx context.Context, conn *connection, ask configclient.Ask) {
+// poll polls once and handles the outcome.
+func (w *Watcher) poll(ctx context.Context, conn *connection, poll configclient.Poll) {
 	w.counts.requests.Add(1)
-	a, err := conn.call(ctx, ask)
+	answer, err := conn.call(ctx, poll)
 	if ctx.Err() != nil {
 		return
 	}
-	away, sentAway := err.(*SentAway)
+	var refusal *RefusalError
 	switch {
-	case sentAway && away.Unknown:
-		w.failed(ask, err, (*configclient.Client).Unknown)
-	case sentAway:
-		w.counts.sentAway.Add(1)
+	case err == nil:
+		w.answered(poll, answer)
+	case !errors.As(err, &refusal):
+		w.failed(poll, err, (*configclient.Client).Failed)
+	case refusal.UnknownService:
+		w.failed(poll, err, (*configclient.Client).Unknown)
+	default:
+		w.counts.throttled.Add(1)
 		w.mu.Lock()
-		w.client.Busy(w.now(), away.RetryAfter)
+		w.client.Busy(w.now(), refusal.RetryAfter)
 		w.mu.Unlock()
-	case err != nil:
-		w.failed(ask, err, (*configclient.Client).Failed)
-	default:
-		w.answered(ask, a)
 	}
 }
 
-// failed notes a call without use, and says so once until a server answers.
-func (w *Watcher) failed(ask configclient.Ask, err error, tell func(*configclient.Client, int64)) {
+// failed records a failed poll, and logs the first one of a series.
+func (w *Watcher) failed(poll configclient.Poll, err error, record func(*configclient.Client, int64)) {
 	w.counts.failures.Add(1)
 	w.mu.Lock()
-	tell(w.client, w.now())
+	record(w.client, w.now())
 	first := !w.failing
 	w.failing = true
 	w.mu.Unlock()
 	if first {
-		w.options.Log.Warn("configuration server fails, others are tried", "server", ask.Server.Address, "error", err)
+		w.options.Log.Warn("configuration server fails, others are tried", "server", poll.Server.Address, "error", err)
 	}
 }
 
-func (w *Watcher) answered(ask configclient.Ask, a configapi.Answer) {
+func (w *Watcher) answered(poll configclient.Poll, answer configapi.Answer) {
 	w.counts.answers.Add(1)
 	w.mu.Lock()
-	before := w.client.InForce()
-	offer, err := w.client.Answered(w.now(), a)
-	if offer && w.options.Service != "" {
-		w.offered = a.Services[0].Settings
+	before := w.client.Active()
+	offered, err := w.client.Answered(w.now(), answer)
+	if offered && w.options.Service != "" {
+		w.offered = answer.Services[0].Settings
 	}
-	back := err == nil && w.failing
-	if back {
+	recovered := err == nil && w.failing
+	if recovered {
 		w.failing = false
 	}
 	w.mu.Unlock()
 	if err != nil {
-		w.failed(ask, err, (*configclient.Client).Failed)
+		w.failed(poll, err, (*configclient.Client).Failed)
 		return
 	}
-	if back {
-		w.options.Log.Info("configuration server answers", "server", ask.Server.Address, "version", a.Version.String())
+	if recovered {
+		w.options.Log.Info("configuration server answers", "server", poll.Server.Address, "version", answer.Version.String())
 	}
-	if w.options.Heard != nil {
-		w.options.Heard(a)
+	if w.options.OnAnswer != nil {
+		w.options.OnAnswer(answer)
 	}
-	w.tellInForce(before) // by another name
-	if offer {
+	w.notifyActive(before) // the active settings may have got a new version
+	if offered {
 		w.counts.offered.Add(1)
-		w.offer(a)
+		w.offer(answer)
 	}
 }
 
-// offer hands an answer over; a fault in taking it refuses it.
-func (w *Watcher) offer(a configapi.Answer) {
+// offer hands a new version over. A panic of the receiver rejects it.
+func (w *Watcher) offer(answer configapi.Answer) {
 	defer func() {
 		if v := recover(); v != nil {
-			w.Refused(a.Version, fmt.Errorf("panic: %v at %s", v, debug.Stack()))
+			w.Rejected(answer.Version, fmt.Errorf("panic: %v at %s", v, debug.Stack()))
 		}
 	}()
 	if w.options.Service != "" {
-		w.options.Offer(a.Version, a.Services[0].Settings)
+		w.options.OnOffer(answer.Version, answer.Services[0].Settings)
 		return
 	}
-	if err := w.options.Take(a); err != nil {
-		w.Refused(a.Version, err)
+	if err := w.options.Merge(answer); err != nil {
+		w.Rejected(answer.Version, err)
 		return
 	}
-	w.Applied(a.Version)
+	w.Applied(answer.Version)
 }
 
-// sleep waits for a time, and says whether ctx goes on.
-func sleep(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
+// sleep blocks for a duration, and reports whether ctx continues.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// watching runs a watcher of orders until the end of the test; offers come on the channel.
-func watching(t *testing.T, servers ...*scriptedpeer.Listener) (*Watcher, chan revision.Version) {
+// startWatcher runs a watcher of orders until the end of the test; offers are sent to the channel.
+func startWatcher(t *testing.T, servers ...*scriptedpeer.Listener) (*Watcher, chan revision.Version) {
 	t.Helper()
 	var all []configclient.Server
 	for _, l := range servers {
@@ -41,21 +41,21 @@
 	}
 	offers := make(chan revision.Version, 10)
 	w, err := New(Options{Instance: instance, Service: "orders", Zone: "a", Servers: all, Ordered: true, Seed: 1,
-		Offer: func(v revision.Version, settings []byte) {
+		OnOffer: func(v revision.Version, settings []byte) {
 			if strings.Contains(string(settings), "panic") {
-				panic("as told")
+				panic("as requested")
 			}
 			offers <- v
 		}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	running(t, w)
+	run(t, w)
 	return w, offers
 }
 
-// running runs a watcher until the end of the test.
-func running(t *testing.T, w *Watcher) {
+// run runs a watcher until the end of the test.
+func run(t *testing.T, w *Watcher) {
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); w.Run(ctx) }()
@@ -69,30 +69,30 @@
 	})
 }
 
-// resuming runs a watcher that begins with version 1.4 until the end of the test; that one is the first offer.
-func resuming(t *testing.T, server *scriptedpeer.Listener, inForce func(revision.Version, []byte)) (w *Watcher, kept revision.Version, offers chan revision.Version) {
+// startResumed runs a watcher that resumes with version 1.4, which is the first offer, until the end of the test.
+func startResumed(t *testing.T, server *scriptedpeer.Listener, onActive func(revision.Version, []byte)) (w *Watcher, resumed revision.Version, offers chan revision.Version) {
 	t.Helper()
-	kept = revision.Version{Epoch: 1, Revision: 4}
+	resumed = revision.Version{Epoch: 1, Revision: 4}
 	offers = make(chan revision.Version, 10)
 	w, err := New(Options{Instance: instance, Service: "orders", Servers: []configclient.Server{{Address: server.At()}}, Seed: 1,
-		Offer: func(v revision.Version, _ []byte) { offers <- v }, InForce: inForce})
+		OnOffer: func(v revision.Version, _ []byte) { offers <- v }, OnActive: onActive})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Resume(kept, []byte(`{"a":4}`))
-	running(t, w)
-	return w, kept, offers
+	w.Resume(resumed, []byte(`{"a":4}`))
+	run(t, w)
+	return w, resumed, offers
 }
 
 func response(status, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-func news(number int, settings string) string {
+func changed(number int, settings string) string {
 	return response("200 OK", fmt.Sprintf(`{"epoch":1,"revision":%d,"complete":true,"age_ms":0,"services":[{"name":"orders","epoch":1,"revision":%d,"settings":%s}]}`, number, number, settings))
 }
 
-func take(t *testing.T, offers chan revision.Version) revision.Version {
+func receiveOffer(t *testing.T, offers chan revision.Version) revision.Version {
 	t.Helper()
 	select {
 	case v := <-offers:
@@ -103,82 +103,82 @@
 	}
 }
 
-// One connection is kept from watch to watch; since says what is in force, and nothing is asked while a verdict is awaited.
-func TestAWatchGoesOnOnOneConnection(t *testing.T) {
+// One connection is used for all watches; since is the active version, and no server is polled while an offer is pending.
+func TestWatchReusesConnection(t *testing.T) {
 	server := scriptedpeer.Listen(t)
-	w, offers := watching(t, server)
+	w, offers := startWatcher(t, server)
 	conn := server.Take()
 	if got := conn.Request(); got != "GET /configuration?instance="+instance+"&service=orders&zone=a HTTP/1.1" {
-		t.Errorf("asked %q", got)
+		t.Errorf("requested %q", got)
 	}
-	conn.Raw(news(1, `{"a":1}`))
-	v := take(t, offers)
-	if w.InForce() != (revision.Version{}) {
-		t.Errorf("%s in force before it was said", w.InForce())
+	conn.Raw(changed(1, `{"a":1}`))
+	v := receiveOffer(t, offers)
+	if w.Active() != (revision.Version{}) {
+		t.Errorf("%s active before it was applied", w.Active())
 	}
 	w.Applied(v)
 	if got := conn.Request(); got != "GET /configuration?instance="+instance+"&service=orders&since=1.1&timeout_ms=5000&zone=a HTTP/1.1" {
-		t.Errorf("asked %q", got)
+		t.Errorf("requested %q", got)
 	}
-	conn.Drip(news(2, `{"a":2}`))
-	w.Refused(take(t, offers), errors.New("setting a is 2"))
+	conn.Drip(changed(2, `{"a":2}`))
+	w.Rejected(receiveOffer(t, offers), errors.New("setting a is 2"))
 	if got := conn.Request(); got != "GET /configuration?instance="+instance+"&refused=1.2&service=orders&since=1.1&timeout_ms=5000&zone=a HTTP/1.1" {
-		t.Errorf("asked %q", got)
+		t.Errorf("requested %q", got)
 	}
-	conn.Raw(news(3, `{"panic":1}`))
+	conn.Raw(changed(3, `{"panic":1}`))
 	if got := conn.Request(); !strings.Contains(got, "refused=1.3&") {
-		t.Errorf("asked %q", got)
+		t.Errorf("requested %q", got)
 	}
-	if c := w.Counts(); c.Dials != 1 || c.Answers != 3 || c.Offered != 3 || c.Refused != 2 || c.Failures != 0 || c.BytesIn == 0 || c.BytesOut == 0 {
+	if c := w.Counts(); c.Dials != 1 || c.Answers != 3 || c.Offered != 3 || c.Rejected != 2 || c.Failures != 0 || c.BytesIn == 0 || c.BytesOut == 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// A follower that begins with what was in force before it asks nobody until that has its verdict, and then for what is newer. It
-// is told of each version that comes into force, also of one that is only another name.
-func TestAFollowerResumes(t *testing.T) {
-	type told struct {
+// A resumed follower polls no server until its version was applied, and then for a newer one. OnActive is called with each
+// version that becomes active, also with a new version of the same settings.
+func TestResumedVersionIsOfferedFirst(t *testing.T) {
+	type activation struct {
 		version  revision.Version
 		settings string
 	}
 	server := scriptedpeer.Listen(t)
-	var verdicts []told
-	inForce := make(chan told, 10)
-	w, kept, offers := resuming(t, server, func(v revision.Version, settings []byte) { inForce <- told{v, string(settings)} })
-	if got := take(t, offers); got != kept {
-		t.Errorf("offered %s, want %s", got, kept)
+	var activations []activation
+	active := make(chan activation, 10)
+	w, resumed, offers := startResumed(t, server, func(v revision.Version, settings []byte) { active <- activation{v, string(settings)} })
+	if got := receiveOffer(t, offers); got != resumed {
+		t.Errorf("offered %s, want %s", got, resumed)
 	}
 	server.None(200 * time.Millisecond)
-	w.Applied(kept)
+	w.Applied(resumed)
 	conn := server.Take()
 	if got := conn.Request(); !strings.Contains(got, "since=1.4&") {
-		t.Errorf("asked %q", got)
+		t.Errorf("requested %q", got)
 	}
-	conn.Raw(strings.Replace(news(1, `{"a":4}`), `"epoch":1`, `"epoch":2`, 2)) // a new writer, the same settings
+	conn.Raw(strings.Replace(changed(1, `{"a":4}`), `"epoch":1`, `"epoch":2`, 2)) // a new writer, the same settings
 	if got := conn.Request(); !strings.Contains(got, "since=2.1&") {
-		t.Errorf("asked %q", got)
+		t.Errorf("requested %q", got)
 	}
 	for range 2 {
-		verdicts = append(verdicts, <-inForce)
+		activations = append(activations, <-active)
 	}
-	if want := []told{{kept, `{"a":4}`}, {revision.Version{Epoch: 2, Revision: 1}, `{"a":4}`}}; !slices.Equal(verdicts, want) {
-		t.Errorf("%v, want %v", verdicts, want)
+	if want := []activation{{resumed, `{"a":4}`}, {revision.Version{Epoch: 2, Revision: 1}, `{"a":4}`}}; !slices.Equal(activations, want) {
+		t.Errorf("%v, want %v", activations, want)
 	}
 	if c := w.Counts(); c.Offered != 0 {
 		t.Errorf("%d offered by servers", c.Offered)
 	}
 }
 
-// What was in force before is refused now: the newest is asked for, and it is not offered again.
-func TestAFollowerWhoseFormerSettingsAreRefused(t *testing.T) {
+// A resumed version that is rejected is reported to servers and not offered again.
+func TestResumedVersionThatIsRejected(t *testing.T) {
 	server := scriptedpeer.Listen(t)
-	w, _, offers := resuming(t, server, func(v revision.Version, _ []byte) { t.Errorf("%s is said to be in force", v) })
-	w.Refused(take(t, offers), errors.New("setting a is 4"))
+	w, _, offers := startResumed(t, server, func(v revision.Version, _ []byte) { t.Errorf("%s is active", v) })
+	w.Rejected(receiveOffer(t, offers), errors.New("setting a is 4"))
 	conn := server.Take()
 	if got := conn.Request(); !strings.Contains(got, "refused=1.4&") || strings.Contains(got, "since=") {
-		t.Errorf("asked %q", got)
+		t.Errorf("requested %q", got)
 	}
-	conn.Raw(news(4, `{"a":4}`))
+	conn.Raw(changed(4, `{"a":4}`))
 	conn.Request()
 	select {
 	case v := <-offers:
@@ -187,20 +187,20 @@
 	}
 }
 
-// A kept connection that its server has closed is no failure; one that says that it closes is not used again.
-func TestAClosedConnectionIsNoFailure(t *testing.T) {
+// A reused connection that its server has closed is no failure; one whose close was announced is not used again.
+func TestClosedConnectionIsNoFailure(t *testing.T) {
 	server := scriptedpeer.Listen(t)
-	w, offers := watching(t, server)
+	w, offers := startWatcher(t, server)
 	conn := server.Take()
 	conn.Request()
-	conn.Raw(news(1, `{}`))
-	v := take(t, offers)
+	conn.Raw(changed(1, `{}`))
+	v := receiveOffer(t, offers)
 	conn.Close()
 	w.Applied(v)
 	conn = server.Take()
 	conn.Request()
-	conn.Raw(strings.Replace(news(2, `{"a":2}`), "\r\n", "\r\nConnection: close\r\n", 1))
-	w.Applied(take(t, offers))
+	conn.Raw(strings.Replace(changed(2, `{"a":2}`), "\r\n", "\r\nConnection: close\r\n", 1))
+	w.Applied(receiveOffer(t, offers))
 	conn = server.Take()
 	conn.Request()
 	if c := w.Counts(); c.Failures != 0 || c.Dials != 3 {
@@ -208,58 +208,58 @@
 	}
 }
 
-// Whatever a server answers that is of no use, the next one is asked, and nothing of it is offered.
-func TestAnswersOfNoUse(t *testing.T) {
+// After an unusable answer, nothing of which is offered, the next server is polled.
+func TestUnusableAnswersAreFailures(t *testing.T) {
 	for name, text := range map[string]string{
 		"not HTTP":        "+OK\r\n\r\n",
 		"an error":        response("500 Internal Server Error", "{}"),
 		"bad request":     response("400 Bad Request", `{"error":"since: no"}`),
 		"no JSON":         response("503 Service Unavailable", "busy"),
-		"long refusal":    response("503 Service Unavailable", strings.Repeat(" ", refusalBody)),
-		"cut off":         news(1, `{}`)[:100],
+		"long refusal":    response("503 Service Unavailable", strings.Repeat(" ", maxRefusalBody)),
+		"cut off":         changed(1, `{}`)[:100],
 		"no epoch":        response("200 OK", `{"revision":7}`),
 		"no answer":       response("200 OK", "<html>"),
-		"another service": strings.Replace(news(1, `{}`), "orders", "stocks", 1),
-		"no settings":     strings.Replace(news(1, `{}`), `"settings"`, `"setting_"`, 1),
-		"out of range":    strings.Replace(news(1, `{}`), `"epoch":1`, `"epoch":-`, 1),
-		"too long":        response("200 OK", strings.Repeat(" ", serviceBody+1)),
+		"another service": strings.Replace(changed(1, `{}`), "orders", "stocks", 1),
+		"no settings":     strings.Replace(changed(1, `{}`), `"settings"`, `"setting_"`, 1),
+		"out of range":    strings.Replace(changed(1, `{}`), `"epoch":1`, `"epoch":-`, 1),
+		"too long":        response("200 OK", strings.Repeat(" ", maxServiceBody+1)),
 		"not there":       response("404 Not Found", `{"error":"no service"}`),
 		"closed":          "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-			w, offers := watching(t, first, second)
+			w, offers := startWatcher(t, first, second)
 			conn := takeOwn(t, first)
 			go func() { conn.Write([]byte(text)); conn.Close() }()
 			other := takeOwn(t, second)
-			other.Raw(news(7, `{}`))
-			if v := take(t, offers); v.Revision != 7 || w.Counts().Failures != 1 {
+			other.Raw(changed(7, `{}`))
+			if v := receiveOffer(t, offers); v.Revision != 7 || w.Counts().Failures != 1 {
 				t.Errorf("%s offered, %+v", v, w.Counts())
 			}
 		})
 	}
 }
 
-// One that says nothing, or only drips, is given up; one that sends away is waited for as it says.
-func TestServersThatTakeTheirTime(t *testing.T) {
+// A silent or trickling server times out; a busy one is polled again after its Retry-After.
+func TestSlowAndBusyServers(t *testing.T) {
 	t.Run("silent", func(t *testing.T) {
 		t.Parallel()
 		first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-		_, offers := watching(t, first, second)
+		_, offers := startWatcher(t, first, second)
 		begun := time.Now()
 		takeOwn(t, first)
 		other := takeOwn(t, second)
-		if span := time.Since(begun); span < configclient.AnswerLate/2 {
-			t.Errorf("given up after %v", span)
+		if span := time.Since(begun); span < configclient.AnswerTimeout/2 {
+			t.Errorf("timed out after %v", span)
 		}
-		other.Raw(news(7, `{}`))
-		take(t, offers)
+		other.Raw(changed(7, `{}`))
+		receiveOffer(t, offers)
 	})
 	t.Run("dripping", func(t *testing.T) {
 		t.Parallel()
 		first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-		_, offers := watching(t, first, second)
+		_, offers := startWatcher(t, first, second)
 		conn := takeOwn(t, first)
 		go func() {
 			for _, err := conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n ")); err == nil; time.Sleep(200 * time.Millisecond) {
@@ -267,37 +267,37 @@
 			}
 		}()
 		other := takeOwn(t, second)
-		other.Raw(news(7, `{}`))
-		take(t, offers)
+		other.Raw(changed(7, `{}`))
+		receiveOffer(t, offers)
 	})
 	t.Run("busy", func(t *testing.T) {
 		t.Parallel()
 		server := scriptedpeer.Listen(t)
-		w, offers := watching(t, server)
+		w, offers := startWatcher(t, server)
 		conn := server.Take()
 		conn.Request()
 		conn.Raw(response("503 Service Unavailable", `{"error":"busy","retry_after_ms":300}`))
 		begun := time.Now()
 		conn.Request()
 		if span := time.Since(begun); span < 250*time.Millisecond {
-			t.Errorf("back after %v", span)
+			t.Errorf("polled again after %v", span)
 		}
-		conn.Raw(news(1, `{}`))
-		take(t, offers)
-		if c := w.Counts(); c.SentAway != 1 || c.Dials != 1 || c.Failures != 0 {
+		conn.Raw(changed(1, `{}`))
+		receiveOffer(t, offers)
+		if c := w.Counts(); c.Throttled != 1 || c.Dials != 1 || c.Failures != 0 {
 			t.Errorf("%+v", c)
 		}
 	})
 }
 
-// A follower of all services takes answers over itself; what it cannot take is not asked for again.
-func TestAFollowerOfAllServices(t *testing.T) {
+// A follower of all services merges answers itself; a version that it cannot merge is not requested again.
+func TestFollowerOfAllServicesMerges(t *testing.T) {
 	server := scriptedpeer.Listen(t)
-	taken, heard := make(chan configapi.Answer, 10), make(chan int64, 10)
+	merged, ages := make(chan configapi.Answer, 10), make(chan int64, 10)
 	w, err := New(Options{Instance: "s1", Servers: []configclient.Server{{Address: server.At()}}, Seed: 1,
-		Heard: func(a configapi.Answer) { heard <- a.AgeMS },
-		Take: func(a configapi.Answer) error {
-			taken <- a
+		OnAnswer: func(a configapi.Answer) { ages <- a.AgeMS },
+		Merge: func(a configapi.Answer) error {
+			merged <- a
 			if a.Revision == 5 {
 				return errors.New("not this one")
 			}
@@ -306,42 +306,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Begin(revision.Version{Epoch: 1, Revision: 3})
+	w.SetActive(revision.Version{Epoch: 1, Revision: 3})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); w.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
 	conn := server.Take()
-	for _, c := range []struct{ asks, answer string }{
+	for _, c := range []struct{ request, answer string }{
 		{"since=1.3&timeout_ms=2000", `{"epoch":1,"revision":4,"complete":false,"age_ms":40,"services":[{"name":"a","epoch":1,"revision":4,"removed":true}]}`},
 		{"since=1.4&", `{"epoch":1,"revision":4,"complete":false,"age_ms":41,"services":[]}`},
 		{"since=1.4&", `{"epoch":1,"revision":5,"complete":false,"age_ms":42,"services":[]}`},
 		{"refused=1.5&since=1.4&", `{"epoch":1,"revision":6,"complete":false,"age_ms":43,"services":[]}`},
 		{"since=1.6&", `{"epoch":1,"revision":6,"complete":false,"age_ms":44,"services":[]}`},
 	} {
-		if got := conn.Request(); !strings.Contains(got, c.asks) {
-			t.Errorf("asked %q, want %s", got, c.asks)
+		if got := conn.Request(); !strings.Contains(got, c.request) {
+			t.Errorf("requested %q, want %s", got, c.request)
 		}
 		conn.Raw(response("200 OK", c.answer))
 	}
 	for want := int64(40); want < 45; want++ {
-		if got := <-heard; got != want {
-			t.Errorf("heard %d, want %d", got, want)
+		if got := <-ages; got != want {
+			t.Errorf("received %d, want %d", got, want)
 		}
 	}
-	if len(taken) != 3 || w.InForce().Revision != 6 {
-		t.Errorf("%d taken, %s in force", len(taken), w.InForce())
+	if len(merged) != 3 || w.Active().Revision != 6 {
+		t.Errorf("%d merged, %s in force", len(merged), w.Active())
 	}
 }
 
-// A server that answers every watch at once, without news, is not asked without rest.
-func TestAServerThatDoesNotWait(t *testing.T) {
+// A server that answers every watch at once, without a change, is polled with backoff.
+func TestServerThatDoesNotWaitIsPolledWithBackoff(t *testing.T) {
 	server := scriptedpeer.Listen(t)
-	w, offers := watching(t, server)
+	w, offers := startWatcher(t, server)
 	conn := server.Take()
 	conn.Request()
-	conn.Raw(news(1, `{}`))
-	w.Applied(take(t, offers))
+	conn.Raw(changed(1, `{}`))
+	w.Applied(receiveOffer(t, offers))
 	begun := time.Now()
 	const answers = 4
 	for range answers {
@@ -349,19 +349,19 @@
 		conn.Raw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":0,"services":[]}`))
 	}
 	conn.Request()
-	// At least the pace, then halves of 0.1, 0.2, 0.4 and 0.8 s.
+	// At least minPollInterval, then halves of 0.1, 0.2, 0.4 and 0.8 s.
 	if span := time.Since(begun); span < 700*time.Millisecond {
-		t.Errorf("%d answers without news were asked for within %v", answers, span)
+		t.Errorf("%d answers without a change were polled within %v", answers, span)
 	}
 }
 
-// While a lost server is tried now and again, the connection to the one that answers meanwhile is kept.
-func TestTriesOfALostServerKeepTheConnection(t *testing.T) {
+// While a lost server is retried, the connection to the one that answers meanwhile stays open.
+func TestPollsOfLostServerKeepConnection(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	lost, regional := configclient.Server{Address: scriptedpeer.Free(t)}, configclient.Server{Address: server.At()}
 	offers := make(chan revision.Version, 1)
 	w, err := New(Options{Instance: instance, Service: "orders", Servers: []configclient.Server{lost, regional}, Ordered: true, Seed: 1,
-		Offer: func(v revision.Version, _ []byte) { offers <- v }})
+		OnOffer: func(v revision.Version, _ []byte) { offers <- v }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -371,8 +371,8 @@
 	t.Cleanup(func() { stop(); <-ended })
 	conn := server.Take()
 	conn.Request()
-	conn.Raw(news(1, `{}`))
-	w.Applied(take(t, offers))
+	conn.Raw(changed(1, `{}`))
+	w.Applied(receiveOffer(t, offers))
 	for tries := w.Counts().Failures; w.Counts().Failures < tries+3; {
 		conn.Request()
 		conn.Raw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":60000,"services":[]}`))
