--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -46,7 +46,7 @@
 		for id := uint32(1); id <= 4; id++ {
 			events = append(events, control.Outcomes{Replica: id, Attempts: 10, ResponseTime: second / 10, Period: second / 4})
 		}
-		p.Turn(100*second+k*beat, append(events, control.TimerFired{}))
+		p.Turn(100*second+k*maxTickInterval, append(events, control.TimerFired{}))
 	}
 	if speed := p.replicas[1].estimate.Speed; speed < 0.8 {
 		t.Errorf("after 4 s of responses like those of the others its speed is still %v", speed)
@@ -133,7 +133,7 @@
 			events = append(events, control.Outcomes{Replica: id, Attempts: 20, ResponseTime: second / 10, Period: second})
 		}
 		p.Turn(101*second, events)
-		p.Turn(101*second+beat, []control.Event{control.TimerFired{}})
+		p.Turn(101*second+maxTickInterval, []control.Event{control.TimerFired{}})
 		wantEqual(t, "ejected", r.detector.Ejected(), c.ejected)
 		wantEqual(t, "still on probation", r.detector.OnProbation() || r.detector.Penalty() > 0, false)
 	}
