--- a/cmd/lilacbend/config.go
+++ b/cmd/lilacbend/config.go
@@ -38,7 +38,7 @@
 	names       settings.Names
 	settings    control.Settings
 	digest      configcache.Digest // of the settings
-	operator    operator.Rulebook
+	operator    operator.File
 }
 
 // configurationFile is the configuration as its JSON has it.
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -23,7 +23,7 @@
 
 func stateful(t *testing.T, folder string) configuration {
 	c := exampleConfiguration(t, scriptedpeer.Free(t))
-	c.operator = operator.Rulebook{State: operator.Retention{Folder: folder, Every: 20 * time.Millisecond, HalfLife: time.Minute, Keep: 2}}
+	c.operator = operator.File{State: operator.Retention{Folder: folder, Every: 20 * time.Millisecond, HalfLife: time.Minute, Keep: 2}}
 	return c
 }
 
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,5 @@
-// Package backoff computes the waits between tries of something that fails: they grow exponentially up to a cap, and jitter
-// keeps those who failed together from trying again together. The package has no clock; Sleep waits for those who want to.
+// Package backoff computes the waits between retries: they grow exponentially up to a limit, and jitter keeps callers that
+// failed together from retrying together. Only Sleep uses a clock.
 package backoff
 
 import (
@@ -9,21 +9,23 @@
 	"lilacbend/control"
 )
 
-// Backoff yields the waits of one caller. It is not safe for concurrent use.
+// Backoff computes the waits of one caller. It is not safe for concurrent use.
 type Backoff struct {
-	initial, limit time.Duration
-	next           time.Duration // the next interval
-	jitter         bool
-	seed, draws    uint64
+	initial time.Duration
+	limit   time.Duration
+	next    time.Duration // the next interval
+	jitter  bool
+	seed    uint64
+	draws   uint64 // random numbers drawn so far
 }
 
-// New makes a Backoff without jitter: its first wait is initial, and each one after it twice as long, up to limit.
+// New returns a Backoff without jitter: its first wait is initial, and each one after it is twice as long, up to limit.
 func New(initial, limit time.Duration) *Backoff {
 	return &Backoff{initial: initial, limit: limit, next: initial}
 }
 
-// NewJittered makes a Backoff whose waits are each drawn from the upper half of an interval that grows as New's waits do. The
-// same seed gives the same draws.
+// NewJittered returns a Backoff whose waits are drawn from the upper half of an interval that grows as the waits of New do.
+// The same seed gives the same waits.
 func NewJittered(initial, limit time.Duration, seed uint64) *Backoff {
 	b := New(initial, limit)
 	b.jitter = true
@@ -31,7 +33,7 @@
 	return b
 }
 
-// Next returns the wait before the next try and doubles the interval.
+// Next returns the wait before the next retry and doubles the interval.
 func (b *Backoff) Next() time.Duration {
 	interval := b.next
 	b.next = min(2*interval, b.limit)
@@ -43,12 +45,12 @@
 	return half + time.Duration(control.Random(b.seed, b.draws)*float64(half))
 }
 
-// Reset has the next interval be the initial one, after a success.
+// Reset sets the next interval to the initial one, as after a success.
 func (b *Backoff) Reset() { b.next = b.initial }
 
-// Sleep waits for a time, or until ctx ends.
-func Sleep(ctx context.Context, wait time.Duration) {
-	timer := time.NewTimer(wait)
+// Sleep blocks for a duration, or until ctx ends.
+func Sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -15,7 +15,7 @@
 // intervals are those that grow from initial to limit.
 var intervals = []time.Duration{initial, 2 * initial, 4 * initial, 8 * initial, 16 * initial, limit, limit}
 
-func TestWaitsDoubleUpToTheLimit(t *testing.T) {
+func TestNextDoublesUpToLimit(t *testing.T) {
 	b := New(initial, limit)
 	for round := range 2 {
 		for k, want := range intervals {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestJitterDrawsFromTheUpperHalfOfTheInterval(t *testing.T) {
+func TestJitterDrawsFromUpperHalfOfInterval(t *testing.T) {
 	const (
 		seeds = 200
 		apart = 0.1 // of the interval
@@ -49,13 +49,13 @@
 	for k, interval := range intervals {
 		margin := time.Duration(apart * float64(interval))
 		if least[k] > interval/2+margin || most[k] < interval-margin {
-			t.Errorf("wait %d: all draws are from %v to %v of an interval of %v", k, least[k], most[k], interval)
+			t.Errorf("wait %d: all waits are from %v to %v of an interval of %v", k, least[k], most[k], interval)
 		}
 	}
 }
 
-// The same seed gives the same waits, and Reset starts the interval anew but does not repeat the draws.
-func TestDrawsFollowTheSeed(t *testing.T) {
+// The same seed gives the same waits, and Reset restarts the interval but does not repeat the random numbers.
+func TestSameSeedGivesSameWaits(t *testing.T) {
 	a, b := NewJittered(initial, limit, 7), NewJittered(initial, limit, 7)
 	first := a.Next()
 	if got := b.Next(); got != first {
--- a/internal/operator/following_test.go
+++ b/internal/operator/configuration_test.go
@@ -8,19 +8,19 @@
 	"lilacbend/internal/configclient"
 )
 
-func TestFollowingAConfiguration(t *testing.T) {
+func TestParseConfiguration(t *testing.T) {
 	raw := "configuration:\n  service: orders\n  region: r1\n  zone: a\n  servers: [{address: 's0:7000', region: r0}, {address: 's1:7000', region: r1}]\n"
-	book, err := Parse("o.yaml", []byte(raw))
+	file, err := Parse("o.yaml", []byte(raw))
 	want := Following{Service: "orders", Region: "r1", Zone: "a", Servers: []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000", Region: "r1"}}}
-	if err != nil || !reflect.DeepEqual(book.Configuration, want) || !book.Configuration.On() {
-		t.Errorf("%+v %v", book, err)
+	if err != nil || !reflect.DeepEqual(file.Configuration, want) || !file.Configuration.On() {
+		t.Errorf("%+v %v", file, err)
 	}
-	if off := (Rulebook{}); off.Configuration.On() || !reflect.DeepEqual(off.Differs(book), []string{"configuration"}) || len(book.Differs(book)) != 0 {
-		t.Errorf("%v", off.Differs(book))
+	if off := (File{}); off.Configuration.On() || !reflect.DeepEqual(off.Differs(file), []string{"configuration"}) || len(file.Differs(file)) != 0 {
+		t.Errorf("%v", off.Differs(file))
 	}
 	kept := "configuration:\n  service: orders\n  servers: [{address: 's0:7000'}]\n  folder: kept\n"
-	if book, err := Parse("/etc/o.yaml", []byte(kept)); err != nil || book.Configuration.Folder != "/etc/kept" {
-		t.Errorf("%+v %v", book, err)
+	if file, err := Parse("/etc/o.yaml", []byte(kept)); err != nil || file.Configuration.Folder != "/etc/kept" {
+		t.Errorf("%+v %v", file, err)
 	}
 	for raw, says := range map[string]string{
 		"configuration: {}":                                                                                     "configuration: lacks service",
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator file: what an installation switches on beyond what its platform asks for.
-// Without a file, or for what a file leaves out, everything is off.
+// Package operator reads the operator file: the features that an installation enables beyond what its platform requires.
+// Without a file, and for all that a file leaves out, they are disabled.
 package operator
 
 import (
@@ -11,91 +11,107 @@
 	"lilacbend/internal/strictyaml"
 )
 
-// Rulebook is what an operator file sets.
-type Rulebook struct {
-	File          string
+// File is the content of an operator file.
+type File struct {
+	Path          string // empty: no file
 	State         Retention
 	Configuration Following
 }
 
-// Retention says how what was learned is kept.
+// Retention describes how learned state is kept over restarts.
 type Retention struct {
-	Folder   string        // one governor's own; empty: nothing is kept
+	Folder   string        // of this controller alone; empty: nothing is kept
 	Every    time.Duration // between two writes
-	HalfLife time.Duration // in which what was learned counts half
+	HalfLife time.Duration // after which learned state has half its weight
 	Keep     int           // generations
 }
 
-// What holds where a file does not say otherwise: a write costs some ms of a disk, most troubles of a replica
-// pass in minutes, and three generations outlast two damaged ones.
-var usual = Retention{Every: 5 * time.Second, HalfLife: time.Minute, Keep: 3}
+// Limits of the values of the section state.
+const (
+	minEvery    = 100 * time.Millisecond
+	maxEvery    = time.Hour
+	minHalfLife = time.Second
+	maxHalfLife = 24 * time.Hour
+	maxKeep     = 100
+)
+
+// defaultRetention applies to all that a file leaves out. A write costs a disk some milliseconds, most faults of a replica last
+// minutes, and three generations leave one if two are damaged.
+var defaultRetention = Retention{Every: 5 * time.Second, HalfLife: time.Minute, Keep: 3}
 
-// Read reads an operator file; no name is no file. The error names file, line and key of all that is wrong.
-func Read(file string) (Rulebook, error) {
+// Read reads an operator file; an empty name is an empty file. The error names file, line and key of all that is wrong.
+func Read(file string) (File, error) {
 	if file == "" {
-		return Rulebook{}, nil
+		return File{}, nil
 	}
 	raw, err := strictyaml.Open(file)
 	if err != nil {
-		return Rulebook{}, err
+		return File{}, err
 	}
 	return Parse(file, raw)
 }
 
-// Parse reads the bytes of an operator file.
-func Parse(file string, raw []byte) (Rulebook, error) {
-	f, top, err := strictyaml.Parse(file, raw)
+// Parse parses the bytes of an operator file.
+func Parse(file string, raw []byte) (File, error) {
+	document, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
-		return Rulebook{}, err
+		return File{}, err
 	}
-	book := Rulebook{File: file}
-	if s := top.Section("state"); s != nil {
-		book.State = retention(file, s)
+	result := File{Path: file}
+	if section := top.Section("state"); section != nil {
+		result.State = readRetention(file, section)
 	}
-	if s := top.Section("configuration"); s != nil {
-		book.Configuration = following(file, s)
-		if folder := book.Configuration.Folder; folder != "" && filepath.Clean(folder) == filepath.Clean(book.State.Folder) {
-			s.Fault("folder", "is that of state: name another one")
+	if section := top.Section("configuration"); section != nil {
+		result.Configuration = readFollowing(file, section)
+		if sameFolder(result.Configuration.Folder, result.State.Folder) {
+			section.Fault("folder", "is that of state: name another one")
 		}
 	}
 	top.Done()
-	if err := f.Err(); err != nil {
-		return Rulebook{}, err
+	if err := document.Err(); err != nil {
+		return File{}, err
 	}
-	return book, nil
+	return result, nil
+}
+
+// sameFolder reports whether a folder is given and the same as another one.
+func sameFolder(folder, other string) bool {
+	return folder != "" && filepath.Clean(folder) == filepath.Clean(other)
 }
 
-func retention(file string, s *strictyaml.Section) Retention {
-	r := usual
-	s.Duration("every", &r.Every, 100*time.Millisecond, time.Hour)
-	s.Duration("half_life", &r.HalfLife, time.Second, 24*time.Hour)
-	s.Whole("keep", &r.Keep, 1, 100)
-	if !s.Has("folder") {
-		s.Fault("", "lacks folder: name one that lasts, for this governor alone")
+// readRetention reads the section state.
+func readRetention(file string, section *strictyaml.Section) Retention {
+	retention := defaultRetention
+	section.Duration("every", &retention.Every, minEvery, maxEvery)
+	section.Duration("half_life", &retention.HalfLife, minHalfLife, maxHalfLife)
+	section.Whole("keep", &retention.Keep, 1, maxKeep)
+	if !section.Has("folder") {
+		section.Fault("", "lacks folder: name one that lasts, for this governor alone")
 	}
-	readFolder(file, s, &r.Folder)
-	s.Done()
-	return r
+	readFolder(file, section, &retention.Folder)
+	section.Done()
+	return retention
 }
 
-// readFolder reads a folder of this governor's own, which may be left out. One that is relative is beside the file.
-func readFolder(file string, s *strictyaml.Section, folder *string) {
-	s.Text("folder", folder)
+// readFolder reads the optional folder of a section. A relative one is relative to the folder of the file.
+func readFolder(file string, section *strictyaml.Section, folder *string) {
+	section.Text("folder", folder)
 	switch {
-	case !s.Has("folder"):
+	case !section.Has("folder"):
 	case strings.TrimSpace(*folder) == "":
-		s.Fault("folder", "is empty: name a folder that lasts, for this governor alone")
+		section.Fault("folder", "is empty: name a folder that lasts, for this governor alone")
 	case !filepath.IsAbs(*folder):
 		*folder = filepath.Join(filepath.Dir(file), *folder)
 	}
 }
 
-// Differs names the sections that another rulebook sets otherwise.
-func (b Rulebook) Differs(other Rulebook) (sections []string) {
-	if b.State != other.State {
+// Differs returns the names of the sections in which another file differs.
+func (f File) Differs(other File) []string {
+	var sections []string
+	if f.State != other.State {
 		sections = append(sections, "state")
 	}
-	if !reflect.DeepEqual(b.Configuration, other.Configuration) {
+	if !reflect.DeepEqual(f.Configuration, other.Configuration) {
 		sections = append(sections, "configuration")
 	}
 	return sections
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestWhatAnOperatorFileSets(t *testing.T) {
+func TestParseState(t *testing.T) {
 	for _, c := range []struct {
 		raw  string
 		want Retention
@@ -15,9 +15,9 @@
 		{"state: {folder: /s}", Retention{"/s", 5 * time.Second, time.Minute, 3}},
 		{"state: {folder: s, every: 1s, half_life: 10m, keep: 7}", Retention{"/etc/s", time.Second, 10 * time.Minute, 7}},
 	} {
-		book, err := Parse("/etc/operator.yaml", []byte(c.raw))
-		if err != nil || book.State != c.want {
-			t.Errorf("%q: %+v %v", c.raw, book, err)
+		file, err := Parse("/etc/operator.yaml", []byte(c.raw))
+		if err != nil || file.State != c.want {
+			t.Errorf("%q: %+v %v", c.raw, file, err)
 		}
 	}
 	for raw, want := range map[string]string{
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestOrder(t *testing.T) {
+func TestNewerOrdersByEpochAndRevision(t *testing.T) {
 	for _, c := range []struct {
 		older, newer string
 	}{
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestVersionsSurviveTheirText(t *testing.T) {
+func TestVersionRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := Version{rapid.Uint64Range(0, Max).Draw(t, "epoch"), rapid.Uint64Range(0, Max).Draw(t, "revision")}
 		if got, err := Parse(v.String()); err != nil || got != v || !v.Valid() {
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestTextsThatAreNoVersions(t *testing.T) {
+func TestParseRejectsInvalidText(t *testing.T) {
 	for text, says := range map[string]string{
 		"7": "lacks the dot", "a.1": "epoch", "1.b": "revision", "-1.2": "epoch", "1.9007199254740993": "is over", "1.2.3": "revision",
 	} {
--- a/internal/strictyaml/form_test.go
+++ b/internal/strictyaml/document_test.go
@@ -42,7 +42,7 @@
 	return t, f.Err()
 }
 
-func TestWhatIsReadIsWhatIsWritten(t *testing.T) {
+func TestReadersReturnWrittenValues(t *testing.T) {
 	got, err := readTown("town:\n  name: a b\n  every: 1m\n  many: 3\n  part: 0.5\n  on: true\n  rows: [{id: x}, {id: y}]\n")
 	if err != nil || got.name != "a b" || got.every != time.Minute || got.many != 3 || got.part != 0.5 || !got.on ||
 		strings.Join(got.rows, "") != "xy" {
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestEachFaultNamesFileLineAndKey(t *testing.T) {
+func TestFaultsNameFileLineAndKey(t *testing.T) {
 	deep := strings.Repeat("{a: ", 40) + "1" + strings.Repeat("}", 40)
 	for _, c := range [][2]string{
 		{"town:\n  evry: 5s", "t.yaml:2:3: town.evry: is not known: did you mean every?"},
@@ -97,9 +97,9 @@
 	}
 }
 
-func TestAFileTooLargeOrNotThereIsNamed(t *testing.T) {
+func TestOpenNamesUnreadableFile(t *testing.T) {
 	large := filepath.Join(t.TempDir(), "large.yaml")
-	if err := os.WriteFile(large, make([]byte, fileMost+1), 0o600); err != nil {
+	if err := os.WriteFile(large, make([]byte, maxFileSize+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var f Fault
--- /dev/null
+++ b/internal/strictyaml/section.go
@@ -0,0 +1,133 @@
+package strictyaml
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"go.yaml.in/yaml/v3"
+)
+
+// Section is a mapping. The keys that are read are the known ones; Done reports all others.
+type Section struct {
+	document *Document
+	node     *yaml.Node
+	path     string
+	known    []string
+}
+
+// newSection returns the section of a node, or nil if it is no mapping.
+func (d *Document) newSection(node *yaml.Node, path string) *Section {
+	if node.Kind != yaml.MappingNode {
+		d.addFault(node, path, "is %s, want keys with values", describe(node))
+		return nil
+	}
+	section := &Section{document: d, node: node, path: path}
+	lines := map[string]int{}
+	for k := 0; k < len(node.Content); k += 2 {
+		key := node.Content[k]
+		if key.Kind != yaml.ScalarNode {
+			d.addFault(key, path, "a key is %s, want a plain word", describe(key))
+			continue
+		}
+		if first, duplicate := lines[key.Value]; duplicate {
+			d.addFault(key, keyPath(path, key.Value), "given twice, first in line %d", first)
+			continue
+		}
+		lines[key.Value] = key.Line
+	}
+	return section
+}
+
+// describe returns what a value is, for the text of a fault.
+func describe(node *yaml.Node) string {
+	switch {
+	case node.Kind == yaml.MappingNode:
+		return "a set of keys"
+	case node.Kind == yaml.SequenceNode:
+		return "a list"
+	case node.Tag == nullTag:
+		return "empty"
+	}
+	return fmt.Sprintf("%.40q", node.Value)
+}
+
+// find returns the value of a key, or nil, and makes the key known.
+func (s *Section) find(key string) *yaml.Node {
+	s.known = append(s.known, key)
+	for k := 0; k+1 < len(s.node.Content); k += 2 {
+		if s.node.Content[k].Value == key {
+			return s.node.Content[k+1]
+		}
+	}
+	return nil
+}
+
+// Has reports whether a key is given.
+func (s *Section) Has(key string) bool { return s.find(key) != nil }
+
+// Section returns the section of a key, or nil if the key is not given or its value is no section.
+func (s *Section) Section(key string) *Section {
+	node := s.find(key)
+	if node == nil {
+		return nil
+	}
+	return s.document.newSection(node, keyPath(s.path, key))
+}
+
+// Sections returns the sections of the list of a key.
+func (s *Section) Sections(key string) []*Section {
+	var sections []*Section
+	for k, entry := range s.entries(key) {
+		section := s.document.newSection(entry, entryPath(keyPath(s.path, key), k))
+		if section != nil {
+			sections = append(sections, section)
+		}
+	}
+	return sections
+}
+
+// entries returns the entries of the list of a key.
+func (s *Section) entries(key string) []*yaml.Node {
+	node := s.find(key)
+	if node == nil {
+		return nil
+	}
+	if node.Kind != yaml.SequenceNode {
+		s.document.addFault(node, keyPath(s.path, key), "is %s, want a list", describe(node))
+		return nil
+	}
+	return node.Content
+}
+
+// Fault reports that the value of a key is invalid, or that the section is if the key is empty.
+func (s *Section) Fault(key, reason string, args ...any) {
+	if key == "" {
+		s.document.addFault(s.node, s.path, reason, args...)
+		return
+	}
+	node := s.find(key)
+	if node == nil {
+		node = s.node
+	}
+	s.document.addFault(node, keyPath(s.path, key), reason, args...)
+}
+
+// Done reports every key that was not read, with the known key for which it may be a slip.
+func (s *Section) Done() {
+	slices.Sort(s.known)
+	known := slices.Compact(s.known)
+	for k := 0; k+1 < len(s.node.Content); k += 2 {
+		key := s.node.Content[k]
+		if key.Kind != yaml.ScalarNode || slices.Contains(known, key.Value) {
+			continue
+		}
+		path := keyPath(s.path, key.Value)
+		nearest := Nearest(key.Value, known)
+		if nearest != "" {
+			s.document.addFault(key, path, "is not known: did you mean %s?", nearest)
+			continue
+		}
+		s.document.addFault(key, path, "is not known: known here are %s", strings.Join(known, ", "))
+	}
+}
--- /dev/null
+++ b/internal/strictyaml/value.go
@@ -0,0 +1,155 @@
+package strictyaml
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"go.yaml.in/yaml/v3"
+)
+
+// scalar returns the scalar value of a key, or nil. A value of another kind is a fault, whose text says what is wanted.
+func (s *Section) scalar(key, want string) *yaml.Node {
+	node := s.find(key)
+	if node == nil {
+		return nil
+	}
+	if node.Kind != yaml.ScalarNode || node.Tag == nullTag {
+		s.document.addFault(node, keyPath(s.path, key), "is %s, want %s", describe(node), want)
+		return nil
+	}
+	return node
+}
+
+// Text reads a text. Like all readers it leaves the destination as it is if the key is not given or its value is invalid.
+func (s *Section) Text(key string, destination *string) {
+	node := s.scalar(key, "a word")
+	if node != nil {
+		*destination = node.Value
+	}
+}
+
+// numberFormat is how values of a type are written.
+type numberFormat[T cmp.Ordered] struct {
+	want    string // for the fault of a value that is no scalar
+	example string // for the fault of a scalar that cannot be parsed
+	parse   func(string) (T, error)
+}
+
+var (
+	durationFormat = numberFormat[time.Duration]{
+		want:    "a time such as 5s",
+		example: "a time with its unit, such as 250ms, 5s or 1m30s",
+		parse:   time.ParseDuration,
+	}
+	integerFormat = numberFormat[int]{want: "a whole number", example: "a whole number", parse: strconv.Atoi}
+	floatFormat   = numberFormat[float64]{want: "a number", example: "a number", parse: parseFloat}
+)
+
+func parseFloat(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
+
+// readNumber reads a value from least to most.
+func readNumber[T cmp.Ordered](s *Section, key string, destination *T, format numberFormat[T], least, most T) {
+	node := s.scalar(key, format.want)
+	if node == nil {
+		return
+	}
+	value, err := format.parse(node.Value)
+	isNaN := value != value
+	switch {
+	case err != nil || isNaN:
+		s.document.addFault(node, keyPath(s.path, key), "is %.40q, want %s", node.Value, format.example)
+	case value < least || value > most:
+		s.document.addFault(node, keyPath(s.path, key), "is %v, want %v to %v", value, least, most)
+	default:
+		*destination = value
+	}
+}
+
+// Duration reads a time with its unit, such as 250ms or 1m30s, from least to most.
+func (s *Section) Duration(key string, destination *time.Duration, least, most time.Duration) {
+	readNumber(s, key, destination, durationFormat, least, most)
+}
+
+// Whole reads an integer from least to most.
+func (s *Section) Whole(key string, destination *int, least, most int) {
+	readNumber(s, key, destination, integerFormat, least, most)
+}
+
+// Number reads a number from least to most.
+func (s *Section) Number(key string, destination *float64, least, most float64) {
+	readNumber(s, key, destination, floatFormat, least, most)
+}
+
+// Words reads a list of texts.
+func (s *Section) Words(key string, destination *[]string) {
+	node := s.find(key)
+	if node == nil || node.Kind != yaml.SequenceNode {
+		s.entries(key) // reports a value of another kind
+		return
+	}
+	words := make([]string, 0, len(node.Content))
+	for k, entry := range node.Content {
+		if entry.Kind != yaml.ScalarNode || entry.Tag == nullTag {
+			s.document.addFault(entry, entryPath(keyPath(s.path, key), k), "is %s, want a word", describe(entry))
+			continue
+		}
+		words = append(words, entry.Value)
+	}
+	*destination = words
+}
+
+// Pairs reads a section of texts with arbitrary keys.
+func (s *Section) Pairs(key string, destination *map[string]string) {
+	section := s.Section(key)
+	if section == nil {
+		return
+	}
+	pairs := map[string]string{}
+	for k := 0; k+1 < len(section.node.Content); k += 2 {
+		name := section.node.Content[k].Value
+		text := ""
+		section.Text(name, &text)
+		pairs[name] = text
+	}
+	*destination = pairs
+}
+
+// Choice reads a text that is one of the keys of choices, and sets the destination to its value.
+func Choice[T any](s *Section, key string, destination *T, choices map[string]T) {
+	node := s.scalar(key, "a word")
+	if node == nil {
+		return
+	}
+	if value, ok := choices[node.Value]; ok {
+		*destination = value
+		return
+	}
+	path := keyPath(s.path, key)
+	known := slices.Sorted(maps.Keys(choices))
+	nearest := Nearest(node.Value, known)
+	if nearest != "" {
+		s.document.addFault(node, path, "is %.40q: did you mean %s?", node.Value, nearest)
+		return
+	}
+	s.document.addFault(node, path, "is %.40q, want one of %s", node.Value, strings.Join(known, ", "))
+}
+
+// Switch reads true or false.
+func (s *Section) Switch(key string, destination *bool) {
+	node := s.scalar(key, "true or false")
+	if node == nil {
+		return
+	}
+	switch node.Value {
+	case "true":
+		*destination = true
+	case "false":
+		*destination = false
+	default:
+		s.document.addFault(node, keyPath(s.path, key), "is %.40q, want true or false", node.Value)
+	}
+}
