--- /dev/null
+++ b/cmd/lilacbend/collector.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"lilacbend/internal/controlclient"
+)
+
+// minReportInterval is the shortest interval between two reports of a collector.
+const minReportInterval = 50 * time.Millisecond
+
+// collectorCommand returns the command that runs the collector of a zone.
+func collectorCommand() *cli.Command {
+	collector := &controlclient.Collector{}
+	var listen string
+	return &cli.Command{
+		Name:  "collector",
+		Usage: "sum what a zone's sidecars met, and tell governors",
+		Flags: []cli.Flag{
+			&cli.StringFlag{Name: "zone", Usage: "whose sidecars", Required: true, Destination: &collector.Zone},
+			&cli.StringFlag{Name: "listen", Usage: "where sidecars connect, as host:port", Required: true, Destination: &listen},
+			&cli.StringSliceFlag{Name: "governor", Usage: "whom to tell, as host:port; any number", Required: true, Destination: &collector.Controllers},
+			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "between two tellings", Destination: &collector.Interval},
+			&cli.IntFlag{Name: "budget", Usage: "bytes a second, of reports to each governor; 0: no limit", Destination: &collector.Budget},
+			&cli.IntFlag{Name: "sidecars", Value: 10000, Usage: "at the most", Destination: &collector.MaxSidecars},
+		},
+		Action: func(ctx context.Context, _ *cli.Command) error {
+			err := checkCollector(collector)
+			if err != nil {
+				return err
+			}
+			return runCollector(ctx, collector, listen)
+		},
+	}
+}
+
+// checkCollector returns which flag of the command is invalid.
+func checkCollector(collector *controlclient.Collector) error {
+	if collector.Interval < minReportInterval || collector.MaxSidecars < 1 {
+		return fmt.Errorf("--every is %v, want %v or more; --sidecars is %d, want 1 or more", collector.Interval, minReportInterval, collector.MaxSidecars)
+	}
+	if collector.Budget < 0 {
+		return fmt.Errorf("--budget is %d, want bytes a second, or 0 for no limit", collector.Budget)
+	}
+	for _, address := range collector.Controllers {
+		if _, _, err := net.SplitHostPort(address); err != nil {
+			return fmt.Errorf("--governor: %w", err)
+		}
+	}
+	return nil
+}
+
+func runCollector(ctx context.Context, collector *controlclient.Collector, listen string) error {
+	listener, err := net.Listen("tcp", listen)
+	if err != nil {
+		return fmt.Errorf("--listen: %w", err)
+	}
+	logs := newLogWriter(os.Stderr)
+	defer logs.close()
+	collector.Log = slog.New(slog.NewTextHandler(logs, nil)).With("collector", collector.Zone)
+	collector.Log.Info("collector serves", "listen", listen, "governors", collector.Controllers)
+	collector.Serve(ctx, listener)
+	collector.Log.Info("collector ends", "heard", collector.Received.Load(), "told", collector.Reported.Load(), "skipped", collector.Skipped.Load())
+	return nil
+}
--- a/cmd/lilacbend/config.go
+++ b/cmd/lilacbend/config.go
@@ -17,7 +17,7 @@
 	"lilacbend/settings"
 )
 
-// options are what the command line and the environment say. What is set there takes precedence over the configuration file.
+// options are set by flags and the environment. They take precedence over the configuration file.
 type options struct {
 	name      string
 	listen    string
@@ -26,7 +26,7 @@
 	operator  string // the operator file
 }
 
-// configuration is all that one governor reads before it starts.
+// configuration is what a controller reads before it starts.
 type configuration struct {
 	name        string
 	listen      string // host:port
@@ -41,7 +41,7 @@
 	operator    operator.File
 }
 
-// configurationFile is the configuration as its JSON has it.
+// configurationFile is the JSON of the configuration file.
 type configurationFile struct {
 	Name      string
 	Listen    string
@@ -55,10 +55,12 @@
 	Settings json.RawMessage
 }
 
+var errNoConfiguration = errors.New("no configuration is named: PROXY_CONFIG or --config")
+
 // readConfiguration reads the configuration file and the operator file. The error names the file and what is wrong with it.
 func readConfiguration(opts options) (configuration, error) {
 	if opts.file == "" {
-		return configuration{}, errors.New("no configuration is named: PROXY_CONFIG or --config")
+		return configuration{}, errNoConfiguration
 	}
 	raw, err := os.ReadFile(opts.file)
 	if err != nil {
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// decodeKnown decodes the list to start with, which is taken for a whole one.
+// decodeKnown decodes the list to start with, which counts as complete.
 func decodeKnown(c *configuration, file configurationFile) error {
 	known, err := discovery.Parse(file.Known)
 	if err != nil {
@@ -141,7 +143,7 @@
 	return nil
 }
 
-// decodeSettings decodes the settings; the seed has to be decoded before.
+// decodeSettings decodes the settings, which need the seed: decodeSeed is called before.
 func decodeSettings(c *configuration, file configurationFile) (err error) {
 	c.names, c.settings, err = settings.Load(file.Settings, c.seed)
 	if err != nil {
@@ -151,9 +153,9 @@
 	return nil
 }
 
-// changesAtRestart names the parts of a new configuration that differ and that only the next start takes over.
+// changesAtRestart returns the parts of a new configuration that differ and take effect only at the next start.
 func (c configuration) changesAtRestart(next configuration) []string {
-	next.settings.Seed = c.settings.Seed // new with each start
+	next.settings.Seed = c.settings.Seed // differs at each start
 	var parts []string
 	if c.listen != next.listen {
 		parts = append(parts, "listen")
@@ -167,7 +169,7 @@
 	return append(parts, c.operator.Differs(next.operator)...)
 }
 
-// or is the first string, or the second if the first is empty.
+// or returns the first string, or the second if the first is empty.
 func or(first, second string) string {
 	if first != "" {
 		return first
--- a/cmd/lilacbend/config_test.go
+++ b/cmd/lilacbend/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestWhatIsWrongWithAConfigurationIsNamed(t *testing.T) {
+func TestParseConfigurationNamesFault(t *testing.T) {
 	good, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -53,3 +53,16 @@
 		}
 	}
 }
+
+func TestOrPrefersFirst(t *testing.T) {
+	for _, c := range []struct{ first, second, want string }{
+		{"", "", ""},
+		{"a", "", "a"},
+		{"", "b", "b"},
+		{"a", "b", "a"},
+	} {
+		if got := or(c.first, c.second); got != c.want {
+			t.Errorf("or(%q, %q) is %q, want %q", c.first, c.second, got, c.want)
+		}
+	}
+}
--- a/cmd/lilacbend/fleet_test.go
+++ b/cmd/lilacbend/fleet_test.go
@@ -46,7 +46,7 @@
 
 // Of 350 governors one is left: all proxies come to it at once, and each is bound to a table out of 1,024 replicas. Beside
 // them some read nothing, and some connect again and again.
-func TestAllProxiesOfAFleetComeAtOnce(t *testing.T) {
+func TestAllProxiesConnectAtOnce(t *testing.T) {
 	const governors, replicas, proxies = 350, 1024, 400
 	at := scriptedpeer.Free(t)
 	ctx, stop := context.WithCancel(context.Background())
--- a/cmd/lilacbend/configuration_test.go
+++ b/cmd/lilacbend/follow_test.go
@@ -71,7 +71,7 @@
 
 // A change of a file is in force at a running governor, by the program and its commands alone: the proxy that has joined
 // stays, the next one may have a number that only the new settings know, and what is refused is said by its key.
-func TestAChangeGetsFromTheFolderToARunningGovernor(t *testing.T) {
+func TestChangeOfFolderReachesRunningController(t *testing.T) {
 	folder := t.TempDir()
 	settingsFile(t, folder, "orders")
 	settingsFile(t, folder, "stock")
@@ -116,7 +116,7 @@
 }
 
 // Without its section a governor follows nothing, and says nothing of it.
-func TestWithoutTheSectionNothingIsFollowed(t *testing.T) {
+func TestWithoutSectionNothingIsFollowed(t *testing.T) {
 	agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen})
 	governor := run(t, file).until("serving")
@@ -128,7 +128,7 @@
 	governor.ends(syscall.SIGTERM)
 }
 
-func TestTheCommandsOfAConfigurationServer(t *testing.T) {
+func TestConfigserverCommands(t *testing.T) {
 	folder := t.TempDir()
 	settingsFile(t, folder, "orders")
 	file := filepath.Join(t.TempDir(), "s0.yaml")
@@ -136,7 +136,7 @@
 	command := func(args ...string) (string, error) {
 		var out bytes.Buffer
 		c := configserverCommand(nil, &out)
-		oneLine(c)
+		returnUsageErrors(c)
 		err := c.Run(context.Background(), append([]string{"configserver"}, args...))
 		return out.String(), err
 	}
--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestStateExportPrintsTheGoldenFile(t *testing.T) {
+func TestStateExportMatchesGoldenFile(t *testing.T) {
 	folder := t.TempDir()
 	if _, err := snapshot.Write(filewriter.Directory(folder), goldenState(), 1); err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestStateExportOfTheGoldenFileIsImportedAndExportedAgain(t *testing.T) {
+func TestStateExportRoundTrip(t *testing.T) {
 	folder := t.TempDir()
 	outputOf(t, state, "state", "import", "testdata/"+exportFile, folder)
 	golden.Compare(t, exportFile, outputOf(t, state, "state", "export", folder))
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestConfigserverStatusPrintsTheGoldenFile(t *testing.T) {
+func TestConfigserverStatusMatchesGoldenFile(t *testing.T) {
 	var addresses []string
 	for _, status := range goldenStatuses() {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/lilacbend/logbook_test.go
+++ b/cmd/lilacbend/logwriter_test.go
@@ -7,18 +7,18 @@
 )
 
 // A log that nobody reads holds up nobody, and is whole for who does.
-func TestALogThatIsNotReadHoldsUpNobody(t *testing.T) {
+func TestLogWriterNeverBlocks(t *testing.T) {
 	r, w := io.Pipe()
-	b := newLogbook(w)
-	for range 2 * logLines {
+	b := newLogWriter(w)
+	for range 2 * logBufferLines {
 		b.Write([]byte("line\n"))
 	}
-	if lost := b.lost.Load(); lost < logLines-1 || lost > logLines {
+	if lost := b.lost.Load(); lost < logBufferLines-1 || lost > logBufferLines {
 		t.Errorf("%d lines are lost", lost)
 	}
 	b.close() // gives up
-	go func() { <-b.end; w.Close() }()
-	if text, _ := io.ReadAll(r); strings.Count(string(text), "line\n") != 2*logLines-int(b.lost.Load()) {
+	go func() { <-b.done; w.Close() }()
+	if text, _ := io.ReadAll(r); strings.Count(string(text), "line\n") != 2*logBufferLines-int(b.lost.Load()) {
 		t.Errorf("%d bytes read", len(text))
 	}
 }
--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -12,20 +12,20 @@
 	"lilacbend/internal/eventloop"
 )
 
-// A file that cannot be used is one that is still being written, which takes milliseconds, or one that waits for a hand. It is
-// read again after rereadInitial, then half as often each time, down to once in rereadLimit: at the discovery that it names
-// lists count as told after 6 s, and one small file a second is no load.
+// rereadInitial and rereadLimit bound the backoff after which a file that cannot be used is read again: it is still being
+// written, which takes milliseconds, or has to be corrected. The limit is well below the 6 s after which a list of the service
+// discovery that the file names counts as delivered.
 const (
 	rereadInitial = 50 * time.Millisecond
 	rereadLimit   = time.Second
 )
 
-// reloadOnHangup calls load at each signal, until ctx ends. The signal may come before the file that load reads is whole, and
-// is not sent twice: after an error load is called again until it succeeds, or until the next signal. signalled tells load
-// whether a signal has just come.
+// reloadOnHangup calls load at each signal, until ctx ends. The signal may come before the file that load reads is complete, and
+// is not sent twice: after an error load is called again until it succeeds, or until the next signal. signalled is whether load
+// is called for a new signal.
 func reloadOnHangup(ctx context.Context, hangups <-chan os.Signal, load func(signalled bool) error) {
 	retry := backoff.New(rereadInitial, rereadLimit)
-	var due <-chan time.Time // nil: there is nothing to try again
+	var due <-chan time.Time // nil: there is nothing to retry
 	for {
 		signalled := false
 		select {
@@ -37,20 +37,21 @@
 		case <-due:
 		}
 		due = nil
-		if load(signalled) != nil {
+		err := load(signalled)
+		if err != nil {
 			due = time.After(retry.Next())
 		}
 	}
 }
 
-// reloader reads a governor's configuration again at each hangup signal.
+// reloader reads a controller's configuration again at each hangup signal.
 type reloader struct {
 	hangups <-chan os.Signal
-	options options // of the start
+	options options // of the command line
 }
 
-// read reads the configuration again. What it says of discovery now takes precedence over the options. A panic is an error,
-// as a file of no use is no reason to end.
+// read reads the configuration again. Its address of discovery takes precedence over the options now. A panic is returned as an
+// error: the program goes on with an unusable file.
 func (r reloader) read() (c configuration, err error) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -62,22 +63,23 @@
 	return readConfiguration(opts)
 }
 
-// run reads the configuration again whenever that is asked for, until ctx ends. Discovery moves; all else that a configuration
-// holds is for the next start. A configuration that cannot be used is logged and counted once.
-func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, x *eventloop.Exchange, log *slog.Logger) {
+// run reads the configuration again at each signal, until ctx ends. Only the address of discovery changes at once, all else at the
+// next start. A configuration that cannot be used is logged and counted once.
+func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, events *eventloop.Exchange, log *slog.Logger) {
 	reloadOnHangup(ctx, r.hangups, func(signalled bool) error {
 		next, err := r.read()
 		if err != nil {
 			if signalled {
-				x.Tally.Misread.Add(1)
+				events.Tally.Misread.Add(1)
 				log.Error("the new configuration cannot be used, the old one goes on", "error", err, "again_every", rereadLimit)
 			}
 			return err
 		}
-		x.Tally.Reloads.Add(1)
+		events.Tally.Reloads.Add(1)
 		log.Info("read again", "discovery", next.discovery)
 		client.SetAddress(next.discovery)
-		if parts := running.changesAtRestart(next); len(parts) > 0 {
+		parts := running.changesAtRestart(next)
+		if len(parts) > 0 {
 			log.Warn("some of the new configuration waits for the next start", "fields", parts)
 		}
 		return nil
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -55,7 +55,7 @@
 
 // A file that is half written, empty or missing when SIGHUP comes is taken over once it is whole, without a second SIGHUP,
 // and is complained of once.
-func TestSIGHUPBeforeTheFileIsWhole(t *testing.T) {
+func TestSIGHUPBeforeFileIsComplete(t *testing.T) {
 	for name, spoil := range map[string]func(file string, whole []byte){
 		"half written": func(file string, whole []byte) { write(t, file, whole[:len(whole)/2]) },
 		"empty":        func(file string, _ []byte) { write(t, file, nil) },
@@ -86,7 +86,7 @@
 }
 
 // SIGHUP round the end changes nothing of it: while a file is waited for, together with SIGTERM, and after it.
-func TestSIGHUPWhileItEnds(t *testing.T) {
+func TestSIGHUPDuringShutdown(t *testing.T) {
 	file, agent, at := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	write(t, file, exampleAt(t, agent.At()))
 	p := launch(t, file, at)
@@ -115,7 +115,7 @@
 }
 
 // Twice at once, to the same address, and from A to B and back to A: the last file read is the one that counts.
-func TestSIGHUPThereAndBack(t *testing.T) {
+func TestSIGHUPAddressThereAndBack(t *testing.T) {
 	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	asked, x, _ := reloading(t, file, a.At())
 	first := a.Take()
@@ -142,7 +142,7 @@
 }
 
 // In virtual time: a file that is not whole for long is read once in rereadLimit, and taken over by then.
-func TestAFileThatIsWaitedForLong(t *testing.T) {
+func TestIncompleteFileIsReadAgainWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		file, x, asked := filepath.Join(t.TempDir(), "config.json"), eventloop.New(), make(chan os.Signal)
 		c, log := exampleConfiguration(t, "127.0.0.1:1"), slog.New(slog.DiscardHandler)
@@ -167,7 +167,7 @@
 }
 
 // A second SIGHUP while a file is waited for is answered at once; each that finds it of no use is a line.
-func TestSIGHUPWhileAFileIsWaitedFor(t *testing.T) {
+func TestSIGHUPWhileFileIsRetried(t *testing.T) {
 	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	asked, x, out := reloading(t, file, a.At())
 	a.Take().Request()
@@ -186,7 +186,7 @@
 
 // The list of the configuration is out of date: it serves the proxies that come before discovery has answered, which is
 // asked for the whole list; who drains by then is withdrawn.
-func TestProxiesThatComeBeforeDiscoveryHasAnswered(t *testing.T) {
+func TestProxiesConnectBeforeDiscoveryAnswers(t *testing.T) {
 	agent, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	c := exampleConfiguration(t, at)
 	c.discovery = agent.At()
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -22,35 +22,49 @@
 )
 
 const (
-	// The collector and the runtime need room beside what is live: so much of the limit is ours.
-	memoryPart = 0.8
-	// Long messages may hold so much of it: any number of peers that send 1 MiB each stay under it.
-	buffersPart = 0.125
-	// What was sent together comes in pieces and over several connections; so long it is waited for, which
-	// is nothing beside the 100 ms and more that a message takes to a proxy.
-	gatherSpan = 2 * time.Millisecond
-	// A governor that is started anew may come while the one before it is still ending: an address in use is
-	// tried for longer than that takes, and then is a fault.
-	inUseMost, inUsePause = time.Second, 20 * time.Millisecond
-	// The inbox is sized for proxies that tell of a few traffic groups each; of so many more it is doubled, and so on.
-	groupsUsual = 4
-	// SIGKILL may follow 0.7 s after SIGTERM: connections get so long to end.
-	partingMost = 300 * time.Millisecond
+	// heapFraction is the fraction of the memory limit that is set for the Go runtime, which needs the rest for itself.
+	heapFraction = 0.8
+	// buffersFraction is the fraction of the memory limit for buffers of long messages: any number of peers that send 1 MiB
+	// each stays below it.
+	buffersFraction = 0.125
+	// batchDelay is how long a turn waits for events that were sent together but arrive in pieces or on several connections.
+	// It is short beside the 100 ms and more that a message takes to a proxy.
+	batchDelay = 2 * time.Millisecond
+	// classesPerEvent is how many traffic classes add the number of proxies once to the expected events.
+	classesPerEvent = 4
+	// shutdownTimeout is how long connections may take to end. SIGKILL may follow 0.7 s after SIGTERM.
+	shutdownTimeout = 300 * time.Millisecond
 )
 
-// clock shows one time base: the wall's at the start, and from then on the monotonic one.
+// unnamedOwner is the owner of a folder's lock if the controller has no name.
+const unnamedOwner = "a governor"
+
+// clock returns wall time that never goes back: the wall clock at the start plus the monotonic time since then.
 type clock struct{ start time.Time }
 
 func (c clock) now() int64 { return c.start.UnixNano() + time.Since(c.start).Nanoseconds() }
 
-// serve runs one governor until ctx ends.
+// process is one running controller with all that it uses.
+type process struct {
+	configuration configuration
+	clock         clock
+	events        *eventloop.Exchange
+	core          *controller.Core
+	follower      *configurationFollower
+	snapshots     *snapshotKeeper
+	server        *controlserver.Server
+	discovery     *discovery.Client
+	log           *slog.Logger
+}
+
+// serve runs one controller until ctx ends.
 func serve(ctx context.Context, c configuration, reload reloader, log *slog.Logger) error {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR1)
-	defer signal.Stop(asked)
-	debug.SetMemoryLimit(int64(memoryPart * float64(c.memory)))
+	reportRequests := make(chan os.Signal, 1)
+	signal.Notify(reportRequests, syscall.SIGUSR1)
+	defer signal.Stop(reportRequests)
+	debug.SetMemoryLimit(int64(heapFraction * float64(c.memory)))
 	listener, err := listen(ctx, c.listen, log)
-	if err != nil && ctx.Err() != nil { // told to end while it waited for its address: that is no fault
+	if err != nil && ctx.Err() != nil { // ended while it waited for its address, which is no failure
 		return nil
 	}
 	if err != nil {
@@ -58,97 +72,137 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	base, x := clock{time.Now()}, eventloop.New()
-	x.Expect(notesExpected(c.settings.Proxies, len(c.names.Classes)))
-	own := controller.NewTopology(c.names, c.settings)
-	follower, err := newConfigurationFollower(ctx, c, own, x, log)
+	p, err := newProcess(ctx, c, log)
 	if err != nil {
-		return fmt.Errorf("cannot follow a configuration: %w", err)
+		return err
 	}
-	topology := follower.topology(own)
-	core := controller.New(func() controller.Module { return policy.New(c.settings) }, own)
-	kept := openArchive(ctx, c.operator.State, &c, topology, core, x, base, log)
-	c.known.ReadAt, c.known.ReadAtWall = base.now(), base.start.UnixNano()
-	x.Publish(c.known)
-	follower.resume()
-	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", c.known.Revision,
-		"replicas", len(c.known.Members), "proxies", c.settings.Proxies)
-
-	pool := resp.NewPool(int(buffersPart * float64(c.memory)))
-	var all sync.WaitGroup
-	var broken error
-	server := controlserver.New(x, pool, log, c.descriptors, topology)
-	all.Go(func() {
+	var goroutines sync.WaitGroup
+	var serveErr error
+	goroutines.Go(func() {
 		defer stop()
-		broken = server.Serve(ctx, listener)
+		serveErr = p.server.Serve(ctx, listener)
 	})
-	client := discovery.New(c.discovery, c.known.Revision, x, log, base.now, c.seed)
-	all.Go(func() { client.Run(ctx) })
-	all.Go(func() { reload.run(ctx, c, client, x, log) })
-	all.Go(func() { follower.run(ctx) })
-	drive(ctx, core, x, base, asked, kept, follower, server, log)
-	kept.put(core.FinalSnapshot(base.now()))
-	kept.close()
-	report(log, core, x, kept, follower)
+	goroutines.Go(func() { p.discovery.Run(ctx) })
+	goroutines.Go(func() { reload.run(ctx, p.configuration, p.discovery, p.events, log) })
+	goroutines.Go(func() { p.follower.run(ctx) })
+	p.runCore(ctx, reportRequests)
+	p.snapshots.submit(p.core.FinalSnapshot(p.clock.now()))
+	p.snapshots.close()
+	p.logCounters()
 	ended := make(chan struct{})
-	go func() { all.Wait(); close(ended) }()
+	go func() {
+		goroutines.Wait()
+		close(ended)
+	}()
 	select {
 	case <-ended:
-		return broken
-	case <-time.After(partingMost):
+		return serveErr
+	case <-time.After(shutdownTimeout):
 		log.Warn("connections did not end in time")
 		return nil
 	}
 }
 
-// listen waits for an address in use, and says so once.
-func listen(ctx context.Context, address string, log *slog.Logger) (l net.Listener, err error) {
-	said := false
-	err = whileInUse(ctx, func() (inUse bool, err error) {
-		l, err = (&net.ListenConfig{}).Listen(ctx, "tcp", address)
+// newProcess prepares a controller. The events that it starts with are published in this order: learned state, the known list,
+// settings from before a restart.
+func newProcess(ctx context.Context, c configuration, log *slog.Logger) (*process, error) {
+	p := &process{configuration: c, clock: clock{start: time.Now()}, events: eventloop.New(), log: log}
+	p.events.Expect(expectedEvents(c.settings.Proxies, len(c.names.Classes)))
+	own := controller.NewTopology(c.names, c.settings)
+	follower, err := newConfigurationFollower(ctx, c, own, p.events, log)
+	if err != nil {
+		return nil, fmt.Errorf("cannot follow a configuration: %w", err)
+	}
+	p.follower = follower
+	topology := follower.topology(own)
+	p.core = controller.New(func() controller.Module { return policy.New(c.settings) }, own)
+	p.openSnapshots(ctx, topology)
+	known := &p.configuration.known
+	known.ReadAt = p.clock.now()
+	known.ReadAtWall = p.clock.start.UnixNano()
+	p.events.Publish(*known)
+	follower.resume()
+	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", known.Revision,
+		"replicas", len(known.Members), "proxies", c.settings.Proxies)
+	pool := resp.NewPool(int(buffersFraction * float64(c.memory)))
+	p.server = controlserver.New(p.events, pool, log, c.descriptors, topology)
+	p.discovery = discovery.New(c.discovery, known.Revision, p.events, log, p.clock.now, c.seed)
+	return p, nil
+}
+
+// openSnapshots restores learned state and starts to keep it, if the operator file says so. A newer list of replicas in it
+// replaces the known one.
+func (p *process) openSnapshots(ctx context.Context, topology controller.Topology) {
+	retention := p.configuration.operator.State
+	snapshots := openSnapshotKeeper(ctx, retention, p.configuration.name, p.log)
+	if snapshots == nil {
+		return
+	}
+	restored := snapshots.restore(p.configuration.known, topology, p.clock)
+	p.configuration.known = restored.list
+	if restored.state != nil {
+		p.events.Publish(controller.SnapshotRestored{Snapshot: restored.state})
+	}
+	p.core.SetSnapshotPolicy(retention.Every.Nanoseconds(), retention.HalfLife.Nanoseconds())
+	snapshots.start()
+	p.snapshots = snapshots
+}
+
+// expectedEvents is how many proxies' worth of events the queue is sized for, as each proxy reports its demand by class.
+func expectedEvents(proxies, classes int) int { return proxies * (1 + classes/classesPerEvent) }
+
+// listen listens on an address. It retries while the address is in use, which it logs once.
+func listen(ctx context.Context, address string, log *slog.Logger) (listener net.Listener, err error) {
+	logged := false
+	err = retryWhileInUse(ctx, func() (inUse bool, err error) {
+		listener, err = (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 		inUse = errors.Is(err, syscall.EADDRINUSE)
-		if inUse && !said {
-			said = true
-			log.Warn("the address is in use, waiting for it", "listen", address, "at_most", inUseMost)
+		if inUse && !logged {
+			logged = true
+			log.Warn("the address is in use, waiting for it", "listen", address, "at_most", inUseTimeout)
 		}
 		return inUse, err
 	})
-	return l, err
+	return listener, err
 }
 
-// drive is the one goroutine in which the core runs.
-func drive(ctx context.Context, core *controller.Core, x *eventloop.Exchange, base clock,
-	asked <-chan os.Signal, kept *archive, follower *configurationFollower, server *controlserver.Server, log *slog.Logger) {
+// runCore runs the core's turns until ctx ends. The core is used by this goroutine alone.
+func (p *process) runCore(ctx context.Context, reportRequests <-chan os.Signal) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-asked:
-			report(log, core, x, kept, follower)
+		case <-reportRequests:
+			p.logCounters()
 			continue
-		case <-timer.C: // after a stall it is late, and much waits to be read
-		case <-x.Ready():
-		}
-		time.Sleep(gatherSpan)
-		o := core.Turn(base.now(), x.Take())
-		for _, s := range o.Updates {
-			x.Send(s)
-		}
-		for _, s := range o.CloseStreams {
-			x.End(s)
-		}
-		for _, text := range o.Logs {
-			log.Info(text)
+		case <-timer.C:
+		case <-p.events.Ready():
 		}
-		kept.put(o.Snapshot)
-		follower.settle(o.Configured, core, server)
-		if o.Panic != "" {
-			log.Error("the module failed, a fresh one goes on", "panic", o.Panic)
-		}
-		if o.NextTurn > 0 {
-			timer.Reset(time.Duration(max(0, o.NextTurn-base.now())))
+		time.Sleep(batchDelay)
+		result := p.core.Turn(p.clock.now(), p.events.Take())
+		p.execute(result)
+		if result.NextTurn > 0 {
+			timer.Reset(time.Duration(max(0, result.NextTurn-p.clock.now())))
 		}
 	}
 }
+
+// execute carries out what a turn has decided.
+func (p *process) execute(result controller.TurnResult) {
+	for _, update := range result.Updates {
+		p.events.Send(update)
+	}
+	for _, stream := range result.CloseStreams {
+		p.events.End(stream)
+	}
+	for _, text := range result.Logs {
+		p.log.Info(text)
+	}
+	p.snapshots.submit(result.Snapshot)
+	p.follower.handleResults(result.Configured, p.core, p.server)
+	if result.Panic != "" {
+		p.log.Error("the module failed, a fresh one goes on", "panic", result.Panic)
+	}
+}
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -49,7 +49,7 @@
 }
 
 // A governor serves from its known list while discovery refuses, and ends soon after it is told to.
-func TestServingFromTheKnownList(t *testing.T) {
+func TestServeFromKnownList(t *testing.T) {
 	at, out := scriptedpeer.Free(t), &lines{}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
@@ -92,7 +92,7 @@
 	}
 	start := time.Now()
 	stop()
-	if err := <-ended; err != nil || time.Since(start) > 2*partingMost {
+	if err := <-ended; err != nil || time.Since(start) > 2*shutdownTimeout {
 		t.Errorf("ended after %v: %v", time.Since(start), err)
 	}
 	for _, says := range []string{"msg=serving", "discovery fails", "in.joins=1", "answered.alive=1", "sent.whole=1"} {
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestAnAddressInUseIsNamed(t *testing.T) {
+func TestAddressInUseIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 }
 
 // A configuration read again moves discovery, whatever was said of it at the start; a bad one changes nothing.
-func TestReadingTheConfigurationAgain(t *testing.T) {
+func TestReloadOfConfiguration(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/lilacbend/shapes_test.go
+++ b/cmd/lilacbend/settings_test.go
@@ -106,7 +106,7 @@
 	return said
 }
 
-func TestSettingsOfOddShapes(t *testing.T) {
+func TestSettingsOfUnusualSizes(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("n", 2000)
 	for name, c := range map[string]struct {
@@ -187,7 +187,7 @@
 }
 
 // Drawn shapes, all of them permitted, and the same every time.
-func TestDrawnSettingsKeepTheRules(t *testing.T) {
+func TestRandomSettingsKeepRules(t *testing.T) {
 	t.Parallel()
 	names := []string{"a", "a-1", "a-10", "1", "A", "b_2", "9.9"}
 	drawn := rapid.Custom(func(t *rapid.T) shape {
@@ -235,7 +235,7 @@
 }
 
 // One value of the settings is replaced by another of any kind: the start takes it or says in one line what is wrong.
-func FuzzAStartWithAnotherValue(f *testing.F) {
+func FuzzStartWithChangedValue(f *testing.F) {
 	for _, value := range []string{"null", "-1", "1e308", "0.5", "[]", "{}", `"a\nb"`, `["a"]`, "true", "12345678901234567890"} {
 		for k := range uint(40) {
 			f.Add(k, value)
@@ -267,7 +267,7 @@
 }
 
 // The program itself: one line on standard error, and an exit code other than 0.
-func TestARefusedStartEndsTheProgram(t *testing.T) {
+func TestInvalidConfigurationEndsProgram(t *testing.T) {
 	const asked = "LILACBEND_TEST_START"
 	if os.Getenv(asked) != "" {
 		os.Args = []string{"lilacbend"}
@@ -285,7 +285,7 @@
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	child := exec.Command(os.Args[0], "-test.run=^TestARefusedStartEndsTheProgram$")
+	child := exec.Command(os.Args[0], "-test.run=^TestInvalidConfigurationEndsProgram$")
 	child.Env = append(os.Environ(), asked+"=1", "PROXY_CONFIG="+file, "PROXY_LISTEN=127.0.0.1:0", "PROXY_DISCOVERY=127.0.0.1:1")
 	var out, log bytes.Buffer
 	child.Stdout, child.Stderr = &out, &log
--- /dev/null
+++ b/cmd/lilacbend/settingscache.go
@@ -0,0 +1,99 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+
+	"lilacbend/internal/configcache"
+	"lilacbend/internal/controller"
+	"lilacbend/internal/filewriter"
+	"lilacbend/internal/revision"
+	"lilacbend/settings"
+)
+
+// settingsCache keeps the active settings over a restart, in the folder that the operator file names. A nil one keeps nothing.
+type settingsCache struct {
+	service string
+	digest  configcache.Digest // of the settings in the controller's own file
+	writer  *configcache.Writer
+	lock    *filewriter.Lock
+
+	record   *configcache.Record // from before the restart; nil: there is none that can be used
+	topology controller.Topology // of the record's settings
+}
+
+// openSettingsCache acquires the folder and reads the settings from before the restart. Failures are logged, and the controller
+// uses its own file.
+func openSettingsCache(ctx context.Context, c configuration, own controller.Topology, log *slog.Logger) *settingsCache {
+	following := c.operator.Configuration
+	if following.Folder == "" {
+		return nil
+	}
+	folder := filewriter.Directory(following.Folder)
+	lock, err := acquireFolder(ctx, folder, or(c.name, unnamedOwner))
+	if err != nil {
+		log.Warn("the configuration in force is neither read nor kept", "folder", following.Folder, "error", err)
+		return nil
+	}
+	cache := &settingsCache{
+		service: following.Service,
+		digest:  c.digest,
+		writer:  configcache.NewWriter(folder, c.seed, log),
+		lock:    lock,
+	}
+	record, found, err := configcache.Load(folder)
+	if found {
+		err = cache.use(record, own, c.seed)
+	}
+	switch {
+	case err != nil:
+		log.Warn("the kept configuration is not used", "folder", following.Folder, "version", record.Version.String(), "error", err)
+	case found:
+		log.Info("the kept configuration is used", "folder", following.Folder, "version", record.Version.String())
+	}
+	return cache
+}
+
+// use makes a record the settings to start with, unless they are not for this controller.
+func (s *settingsCache) use(record configcache.Record, own controller.Topology, seed uint64) error {
+	if err := record.CheckUsable(s.service, s.digest); err != nil {
+		return err
+	}
+	names, decoded, err := settings.Load(record.Settings, seed)
+	if err != nil {
+		return fmt.Errorf("settings: %w", err)
+	}
+	topology := controller.NewTopology(names, decoded)
+	if err := own.Accepts(topology); err != nil {
+		return err
+	}
+	s.record = &record
+	s.topology = topology
+	return nil
+}
+
+// submit hands settings that have become active to the writer.
+func (s *settingsCache) submit(version revision.Version, raw []byte) {
+	if s == nil {
+		return
+	}
+	s.writer.Submit(configcache.Record{Service: s.service, Version: version, Start: s.digest, Settings: raw})
+}
+
+// run writes submitted settings until ctx ends.
+func (s *settingsCache) run(ctx context.Context) {
+	if s == nil {
+		return
+	}
+	s.writer.Run(ctx)
+	s.lock.Release()
+}
+
+// counters returns the counters of writing; empty if nothing is kept.
+func (s *settingsCache) counters() slog.Attr {
+	if s == nil {
+		return slog.Attr{}
+	}
+	return slog.Group("kept", "written", s.writer.Counters.Written.Load(), "failed", s.writer.Counters.Failed.Load())
+}
--- a/cmd/lilacbend/kept_test.go
+++ b/cmd/lilacbend/settingscache_test.go
@@ -44,7 +44,7 @@
 
 // All servers are lost, and a governor is started again: it serves by the version it had, knows the proxies of that version, and
 // takes the next one when a server is back, without a copy of what it has.
-func TestAGovernorBeginsWithWhatWasInForce(t *testing.T) {
+func TestRestartResumesActiveSettings(t *testing.T) {
 	folder, kept := t.TempDir(), filepath.Join(t.TempDir(), "kept")
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":6`)
 	writer, follower, at := configservers(t, folder)
@@ -76,7 +76,7 @@
 }
 
 // Whatever is found in the folder, a governor serves: by what was kept where that is whole and meant for it, else by its own file.
-func TestWhichKeptConfigurationIsUsed(t *testing.T) {
+func TestCachedSettingsAreUsedOnlyIfValid(t *testing.T) {
 	own := configcache.DigestOf(exampleSettings(t))
 	more := exampleSettings(t, `"proxy_count":4`, `"proxy_count":6`)
 	record := func(service string, start configcache.Digest, raw []byte) []byte {
@@ -126,36 +126,36 @@
 }
 
 // The governor of before a restart still holds its folder as the next one begins: that waits for it.
-func TestAFolderThatIsStillHeld(t *testing.T) {
+func TestAcquireFolderRetriesWhileLocked(t *testing.T) {
 	folder := filewriter.Directory(filepath.Join(t.TempDir(), "kept"))
 	before, err := folder.Acquire("n6")
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(inUseMost/4, before.Release)
-	lock, err := holdFolder(t.Context(), folder, "n7")
+	time.AfterFunc(inUseTimeout/4, before.Release)
+	lock, err := acquireFolder(t.Context(), folder, "n7")
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
 	var held *filewriter.LockedError
-	if _, err := holdFolder(t.Context(), folder, "n8"); !errors.As(err, &held) || held.Owner == "" {
+	if _, err := acquireFolder(t.Context(), folder, "n8"); !errors.As(err, &held) || held.Owner == "" {
 		t.Errorf("a folder that stays held: %v", err)
 	}
-	if waited := time.Since(began); waited < inUseMost || waited > 2*inUseMost {
-		t.Errorf("waited for %v, want %v", waited, inUseMost)
+	if waited := time.Since(began); waited < inUseTimeout || waited > 2*inUseTimeout {
+		t.Errorf("waited for %v, want %v", waited, inUseTimeout)
 	}
 	ended, end := context.WithCancel(t.Context())
 	end()
 	began = time.Now()
-	if _, err := holdFolder(ended, folder, "n8"); !errors.As(err, &held) || time.Since(began) > inUseMost/2 {
+	if _, err := acquireFolder(ended, folder, "n8"); !errors.As(err, &held) || time.Since(began) > inUseTimeout/2 {
 		t.Errorf("told to end: %v after %v", err, time.Since(began))
 	}
 	lock.Release()
 }
 
 // Two governors on one folder: the second keeps nothing and serves all the same. A folder that others may write to is not used.
-func TestAFolderThatIsNotItsOwn(t *testing.T) {
+func TestFolderOfAnotherOwnerIsNotUsed(t *testing.T) {
 	agent := scriptedpeer.Listen(t)
 	begin := func(folder string) *child {
 		file := configured(t, map[string]any{"discovery": agent.At(), "listen": scriptedpeer.Free(t), "name": "n7"})
--- a/cmd/lilacbend/shutdown_test.go
+++ b/cmd/lilacbend/shutdown_test.go
@@ -14,7 +14,7 @@
 
 // Told to end while it waits for an address that its predecessor still holds, a governor ends well; told nothing, it takes the
 // address once it is free.
-func TestToldToEndWhileTheAddressIsInUse(t *testing.T) {
+func TestSIGTERMWhileAddressIsInUse(t *testing.T) {
 	for name, end := range map[string][]syscall.Signal{"term": {syscall.SIGTERM}, "hangup, term, term": {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM}} {
 		l := scriptedpeer.Listen(t)
 		c := run(t, configured(t, map[string]any{"listen": l.At(), "discovery": "127.0.0.1:1"})).until("the address is in use")
@@ -35,7 +35,7 @@
 // The end waits for nobody: a proxy that reads nothing while it is written to, half a message, a stranger that lingers, a
 // collector in the middle of a report, discovery in the middle of a body, and a second and third signal. The address is free
 // for the successor at once.
-func TestTheEndOfAProcessWithAllInFlight(t *testing.T) {
+func TestShutdownWithAllInFlight(t *testing.T) {
 	disco, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	var members []map[string]any
 	for k := range 3000 {
@@ -79,7 +79,7 @@
 // A successor serves from what it knows to whoever comes back before discovery has answered, and the drain that discovery then
 // tells of reaches them at once. The acks are of marks of an earlier life. The governor may read that of mark 1 before or after it
 // has written a mark 1 of its own; its proxy counts as bound in the second case, and hears of the drain as a weight of 0.
-func TestProxiesComeBackBeforeDiscoveryHasAnswered(t *testing.T) {
+func TestProxiesReconnectBeforeDiscoveryAnswers(t *testing.T) {
 	disco, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := configured(t, map[string]any{"listen": at, "discovery": disco.At()})
 	c := run(t, file)
--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -29,7 +29,7 @@
 }
 
 // A file that is missing or half written when SIGHUP comes is taken over once it is whole, without a second SIGHUP.
-func TestASidecarsFileIsWaitedFor(t *testing.T) {
+func TestSidecarManifestIsReadAgain(t *testing.T) {
 	listen, file := scriptedpeer.Free(t), filepath.Join(t.TempDir(), "shop.yaml")
 	shop(t, file, listen, "127.0.0.1:9")
 	c := program(t, nil, "sidecar", "--manifest", file)
@@ -50,7 +50,7 @@
 
 // SIGTERM finds a flow in flight, and comes once more during the drain, with a SIGHUP: the flow has its whole answer, that
 // says that it was the last, and the exit is a clean one.
-func TestASidecarIsToldToEndTwiceWithAFlowInFlight(t *testing.T) {
+func TestSidecarSIGTERMTwiceWithRequestInFlight(t *testing.T) {
 	replica, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := filepath.Join(t.TempDir(), "shop.yaml")
 	shop(t, file, listen, replica.At())
@@ -74,7 +74,7 @@
 }
 
 // SIGTERM finds a collector with sidecars and with a governor that is not there: the exit is clean, and soon.
-func TestACollectorIsToldToEnd(t *testing.T) {
+func TestCollectorSIGTERM(t *testing.T) {
 	listen := scriptedpeer.Free(t)
 	c := program(t, nil, "collector", "--zone", "a", "--listen", listen, "--governor", scriptedpeer.Free(t), "--every", "50ms")
 	sidecar := scriptedpeer.DialWhenUp(t, listen)
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -81,7 +81,7 @@
 	t.Fatal("not called sick: ", out.String())
 }
 
-func TestARestartRemembersWhoIsSick(t *testing.T) {
+func TestRestartRestoresEjectedReplicas(t *testing.T) {
 	c := stateful(t, filepath.Join(t.TempDir(), "state"))
 	out, stop := start(t, c)
 	reports(t, c.listen, "box-2", out)
@@ -116,7 +116,7 @@
 }
 
 // Whatever is found in the folder, a governor serves; what it could not use it names, and leaves.
-func TestAGovernorServesWhateverItFinds(t *testing.T) {
+func TestControllerServesWithAnyStateFolder(t *testing.T) {
 	whole, _ := snapshot.Encode(learnedstate.State{Controller: "n9", Taken: snapshot.Now()}, 1)
 	for name, c := range map[string]struct{ raw, says string }{
 		"state-0000000000000001.lbs": {string(whole), `it is \"n9\"'s`},
@@ -141,7 +141,7 @@
 }
 
 // Written while asked for counters, to read its file again and to end: nothing is torn, and the end comes in time.
-func TestSignalsDuringWrites(t *testing.T) {
+func TestSignalsDuringSnapshotWrites(t *testing.T) {
 	for range 2 {
 		c := stateful(t, t.TempDir())
 		os.Chmod(c.operator.State.Folder, 0o700)
