--- /dev/null
+++ b/internal/simwire/event.go
@@ -0,0 +1,231 @@
+package simwire
+
+import (
+	"fmt"
+
+	"lilacbend/control"
+)
+
+// Event is the content of a received record: Configure, Killed or Input.
+type Event interface{ event() }
+
+// Configure starts an instance.
+type Configure struct {
+	Seed uint64
+	Text string // the settings
+}
+
+// Killed ends an instance.
+type Killed struct{}
+
+// Input is an event for the decision module of a running instance.
+type Input struct{ control.Event }
+
+func (Configure) event() {}
+func (Killed) event()    {}
+func (Input) event()     {}
+
+// Codes of received records, with the protocol's names.
+const (
+	codeStreamClosed        = 1000 // StreamDown
+	codeStreamOpened        = 1010 // Connected
+	codeKilled              = 1020 // Killed
+	codeRecorded            = 1030 // Recorded
+	codeDemand              = 1040 // Demand
+	codeOutcomes            = 1050 // TrafficReport
+	codeActivity            = 1060 // Activity
+	codeAck                 = 1070 // CaughtUp
+	codeGossip              = 1080 // Whisper
+	codeHealthCheckFinished = 1090 // StatusBack
+	codeTimerFired          = 1100 // Reminder
+	codeConfigure           = 1110 // Configure
+	codeReplicasListed      = 1120 // BackendsChanged
+	codeGiven               = 1130
+)
+
+// recordFormat is how the fields of a code are decoded.
+type recordFormat struct {
+	minSize int // in bytes, with the instance
+	decode  func(*fieldReader) (Event, error)
+}
+
+// recordFormats are the formats of the known codes. A code without decode has a known size and no use.
+var recordFormats = map[uint16]recordFormat{
+	codeStreamClosed:        {minSize: 6, decode: decodeStreamClosed},
+	codeStreamOpened:        {minSize: 12, decode: decodeStreamOpened},
+	codeKilled:              {minSize: 4, decode: decodeKilled},
+	codeRecorded:            {minSize: 14},
+	codeDemand:              {minSize: 24, decode: decodeDemand},
+	codeOutcomes:            {minSize: 34, decode: decodeOutcomes},
+	codeActivity:            {minSize: 24},
+	codeAck:                 {minSize: 22, decode: decodeAck},
+	codeGossip:              {minSize: 10},
+	codeHealthCheckFinished: {minSize: 19, decode: decodeHealthCheckFinished},
+	codeTimerFired:          {minSize: 12, decode: decodeTimerFired},
+	codeConfigure:           {minSize: 16, decode: decodeConfigure},
+	codeReplicasListed:      {minSize: 17, decode: decodeReplicasListed},
+	codeGiven:               {minSize: 7},
+}
+
+// decodeRecord returns the record of a code. Its event is nil if the record is to be skipped.
+func decodeRecord(code uint16, raw []byte) (Record, error) {
+	format, known := recordFormats[code]
+	if !known {
+		return Record{}, nil
+	}
+	if len(raw) < format.minSize {
+		return Record{}, fmt.Errorf("%d bytes of fields where %d are needed", len(raw), format.minSize)
+	}
+	fields := &fieldReader{rest: raw}
+	record := Record{Instance: fields.uint32()}
+	if format.decode == nil {
+		return record, nil
+	}
+	event, err := format.decode(fields)
+	if err != nil {
+		return record, err
+	}
+	record.Event = event
+	return record, nil
+}
+
+func decodeKilled(*fieldReader) (Event, error) { return Killed{}, nil }
+
+func decodeConfigure(fields *fieldReader) (Event, error) {
+	seed := fields.uint64()
+	size := uint64(fields.uint32())
+	if size > uint64(len(fields.rest)) {
+		return nil, fmt.Errorf("settings of %d bytes pass the record's end", size)
+	}
+	return Configure{Seed: seed, Text: string(fields.rest[:size])}, nil
+}
+
+func decodeStreamClosed(fields *fieldReader) (Event, error) {
+	return Input{control.StreamClosed{Proxy: int(fields.uint16())}}, nil
+}
+
+func decodeStreamOpened(fields *fieldReader) (Event, error) {
+	var opened control.StreamOpened
+	opened.Proxy = int(fields.uint16())
+	opened.Zone = int(fields.uint8())
+	opened.Rate = fields.float32()
+	return Input{opened}, nil
+}
+
+func decodeOutcomes(fields *fieldReader) (Event, error) {
+	var outcomes control.Outcomes
+	outcomes.Failures = int(fields.uint32())
+	outcomes.ResponseTime = fields.milliseconds()
+	outcomes.Attempts = int(fields.uint32())
+	outcomes.Replica = fields.uint32()
+	outcomes.Zone = int(fields.uint8())
+	outcomes.Period = fields.milliseconds()
+	inFlight, err := decodeLoadReport(fields)
+	if err != nil {
+		return nil, err
+	}
+	outcomes.InFlight = inFlight
+	return Input{outcomes}, nil
+}
+
+func decodeDemand(fields *fieldReader) (Event, error) {
+	var demand control.Demand
+	demand.Period = fields.milliseconds()
+	demand.Class = int(fields.uint16())
+	demand.Proxy = int(fields.uint16())
+	demand.Requests = int(fields.uint32())
+	demand.Failures = int(fields.uint32())
+	return Input{demand}, nil
+}
+
+func decodeAck(fields *fieldReader) (Event, error) {
+	var ack control.Ack
+	ack.Delay = fields.milliseconds()
+	ack.Proxy = int(fields.uint16())
+	ack.Nonce = fields.uint64()
+	return Input{ack}, nil
+}
+
+func decodeTimerFired(fields *fieldReader) (Event, error) {
+	return Input{control.TimerFired{Timer: fields.uint64()}}, nil
+}
+
+// healthCheckOK is the result of a health check that succeeded.
+const healthCheckOK = 1
+
+func decodeHealthCheckFinished(fields *fieldReader) (Event, error) {
+	var finished control.HealthCheckFinished
+	finished.Replica = fields.uint32()
+	finished.Succeeded = fields.uint16() == healthCheckOK
+	finished.Delay = fields.milliseconds()
+	_, err := decodeLoadReport(fields)
+	if err != nil {
+		return nil, err
+	}
+	return Input{finished}, nil
+}
+
+// inFlightUnknown is the number of requests in flight without a load report.
+const inFlightUnknown = -1
+
+// decodeLoadReport returns the first value of a load report, which is the number of requests in flight.
+func decodeLoadReport(fields *fieldReader) (float64, error) {
+	const valueSize = 4
+	count := int(fields.uint8())
+	if count*valueSize > len(fields.rest) {
+		return inFlightUnknown, fmt.Errorf("load report of %d values passes the record's end", count)
+	}
+	if count == 0 {
+		return inFlightUnknown, nil
+	}
+	return fields.float32(), nil
+}
+
+// Modes of a list of replicas, of which all others are complete lists, too.
+const (
+	listFailed  = 0
+	listChanges = 3
+)
+
+func decodeReplicasListed(fields *fieldReader) (Event, error) {
+	const entrySize = 21
+	fields.uint64() // the list's version: events arrive in order and none is missing
+	mode := fields.uint8()
+	count := uint64(fields.uint32())
+	if count*entrySize > uint64(len(fields.rest)) {
+		return nil, fmt.Errorf("%d list entries pass the record's end", count)
+	}
+	listed := control.ReplicasListed{Full: mode != listChanges, Failed: mode == listFailed}
+	for range count {
+		listed.Entries = append(listed.Entries, decodeReplica(fields))
+	}
+	return Input{listed}, nil
+}
+
+func decodeReplica(fields *fieldReader) control.ListedReplica {
+	var replica control.ListedReplica
+	replica.Replica = fields.uint32()
+	replica.Zone = int(fields.uint8())
+	replica.HardwareClass = int(fields.uint8())
+	fields.uint16() // its cell
+	replica.State = replicaState(fields.uint8())
+	replica.Weight = fields.float32()
+	replica.Start = fields.milliseconds()
+	return replica
+}
+
+// Phases of a replica, of which all others mean that it is gone.
+const (
+	phaseReady    = 0
+	phaseDraining = 2
+)
+
+func replicaState(phase uint8) control.State {
+	switch phase {
+	case phaseReady:
+		return control.Ready
+	case phaseDraining:
+		return control.Draining
+	}
+	return control.Gone
+}
--- a/internal/simwire/codec_test.go
+++ b/internal/simwire/frame_test.go
@@ -12,12 +12,12 @@
 	"lilacbend/control"
 )
 
-// The frames of the protocol note: three events, three orders.
+// The frames of the protocol's example: three events, three commands.
 const (
 	eventsHex = "00000000206ec040" + "56000000" + "03000000" +
 		"1a0422000000030000000100000000000000002048400e000000074a1203000000000000408f4000" +
 		"4c040c000000030000004d00000000000000" + "e80306000000050000002900"
-	ordersHex = "4f000000" + "f2030e000000030000000000403f7500f211902c" +
+	commandsHex = "4f000000" + "f2030e000000030000000000403f7500f211902c" +
 		"240414000000030000004d000000000000000000000000407f40" +
 		"1a0417000000050000001100" + "74776f2073657276657273206b6e6f776e"
 )
@@ -30,15 +30,15 @@
 	return b
 }
 
-func TestEventsOfTheNote(t *testing.T) {
+func TestReadBatchOfProtocolExample(t *testing.T) {
 	b, err := ReadBatch(bytes.NewReader(frame(t, eventsHex)))
 	if err != nil || len(b.Records) != 3 || b.Now != 8412250000 {
 		t.Fatalf("%v %+v", err, b)
 	}
 	wanted := []Record{
-		{3, control.Outcomes{Replica: 0x03124a07, Attempts: 14, Failures: 1, ResponseTime: 48250000, Period: 1e9, InFlight: -1}},
-		{3, control.TimerFired{Timer: 77}},
-		{5, control.StreamClosed{Proxy: 41}},
+		{3, Input{control.Outcomes{Replica: 0x03124a07, Attempts: 14, Failures: 1, ResponseTime: 48250000, Period: 1e9, InFlight: -1}}},
+		{3, Input{control.TimerFired{Timer: 77}}},
+		{5, Input{control.StreamClosed{Proxy: 41}}},
 	}
 	for k, w := range wanted {
 		if b.Records[k] != w {
@@ -47,23 +47,23 @@
 	}
 }
 
-func TestOrdersOfTheNote(t *testing.T) {
+func TestReplyOfProtocolExample(t *testing.T) {
 	var r Reply
 	r.Add(3, control.SetEndpoint{Table: 117, Replica: 0x2c9011f2, Weight: 0.75})
 	r.Add(3, control.SetTimer{Timer: 77, After: 500e6})
 	r.Add(5, control.Log{Text: "two servers known"})
-	if got := r.Frame(); !bytes.Equal(got, frame(t, ordersHex)) {
-		t.Errorf("got  %x\nwant %s", got, ordersHex)
+	if got := r.Frame(); !bytes.Equal(got, frame(t, commandsHex)) {
+		t.Errorf("got  %x\nwant %s", got, commandsHex)
 	}
 	if got := r.Frame(); !bytes.Equal(got, []byte{4, 0, 0, 0}) {
 		t.Errorf("empty reply %x", got)
 	}
 }
 
-func TestBrokenFramesAreNamed(t *testing.T) {
+func TestReadBatchNamesFaultOfFrame(t *testing.T) {
 	for _, c := range []struct {
 		name, says string
-		spoil      func(b []byte) []byte
+		change     func(b []byte) []byte
 	}{
 		{"cut header", "header cut off after 9 of 16", func(b []byte) []byte { return b[:9] }},
 		{"cut body", "cut off after 80 of 86", func(b []byte) []byte { return b[:80] }},
@@ -74,13 +74,14 @@
 		{"left over", "12 bytes are left over", func(b []byte) []byte { b[12] = 2; return b }},
 		{"load report", "load report of 9 values", func(b []byte) []byte { b[55] = 9; return b }},
 	} {
-		_, err := ReadBatch(bytes.NewReader(c.spoil(frame(t, eventsHex))))
+		_, err := ReadBatch(bytes.NewReader(c.change(frame(t, eventsHex))))
 		if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: got %v, want %q", c.name, err, c.says)
 		}
 	}
-	for whole, cut := frame(t, eventsHex), 1; cut < len(whole); cut++ {
-		if _, err := ReadBatch(bytes.NewReader(whole[:cut])); err == nil {
+	complete := frame(t, eventsHex)
+	for cut := 1; cut < len(complete); cut++ {
+		if _, err := ReadBatch(bytes.NewReader(complete[:cut])); err == nil {
 			t.Errorf("cut after %d bytes, no error", cut)
 		}
 	}
@@ -89,7 +90,7 @@
 	}
 }
 
-func TestUnknownRecordsAreSkipped(t *testing.T) {
+func TestReadBatchSkipsUnknownRecords(t *testing.T) {
 	b := frame(t, eventsHex)
 	binary.LittleEndian.PutUint16(b[16:], 4711)
 	if got, err := ReadBatch(bytes.NewReader(b)); err != nil || len(got.Records) != 2 {
@@ -98,14 +99,14 @@
 }
 
 func FuzzReadBatch(f *testing.F) {
-	whole := frame(f, eventsHex)
-	for cut := range len(whole) {
-		f.Add(whole[:cut])
+	complete := frame(f, eventsHex)
+	for cut := range len(complete) {
+		f.Add(complete[:cut])
 	}
-	f.Add(whole)
+	f.Add(complete)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		batch, err := ReadBatch(bytes.NewReader(b))
-		if err == nil && len(batch.Records) > len(b)/recordHeadBytes {
+		if err == nil && len(batch.Records) > len(b)/recordHeaderSize {
 			t.Errorf("%d records from %d bytes", len(batch.Records), len(b))
 		}
 	})
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -39,7 +39,7 @@
 // batch encodes a frame of one record.
 func batch(clockMillis float64, one []byte) []byte {
 	b := binary.LittleEndian.AppendUint64(nil, math.Float64bits(clockMillis))
-	b = binary.LittleEndian.AppendUint32(b, uint32(headerBytes+len(one)))
+	b = binary.LittleEndian.AppendUint32(b, uint32(batchHeaderSize+len(one)))
 	b = binary.LittleEndian.AppendUint32(b, 1)
 	return append(b, one...)
 }
@@ -86,14 +86,24 @@
 	}
 }
 
-// describe writes an event field by field.
-func describe(t *testing.T, event any) string {
+// describe returns the fields of an event as text.
+func describe(t *testing.T, event Event) string {
 	t.Helper()
 	switch ev := event.(type) {
 	case Configure:
 		return fmt.Sprintf("configure seed=%d text=%q", ev.Seed, ev.Text)
 	case Killed:
 		return "killed"
+	case Input:
+		return describeInput(t, ev.Event)
+	}
+	t.Fatalf("event %T is not described", event)
+	return ""
+}
+
+func describeInput(t *testing.T, event control.Event) string {
+	t.Helper()
+	switch ev := event.(type) {
 	case control.StreamClosed:
 		return fmt.Sprintf("stream closed proxy=%d", ev.Proxy)
 	case control.StreamOpened:
@@ -174,13 +184,13 @@
 	return b.Bytes()
 }
 
-func TestRecordsReadAreThoseOfTheGoldenFile(t *testing.T) {
+func TestReceivedRecordsMatchGoldenFile(t *testing.T) {
 	output := received(t)
 	golden.Compare(t, receivedFile, output)
 	golden.CheckDetectsChange(t, receivedFile, output)
 }
 
-func TestRecordsWrittenAreThoseOfTheGoldenFile(t *testing.T) {
+func TestSentRecordsMatchGoldenFile(t *testing.T) {
 	output := sent()
 	golden.Compare(t, sentFile, output)
 	golden.CheckDetectsChange(t, sentFile, output)
