--- a/cmd/experiment/points.go
+++ b/cmd/experiment/benchmarks.go
@@ -13,7 +13,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// pointsCommand turns the output of `go test -bench -count N` into the points of the capacity table.
+// pointsCommand returns the command that prints the medians of `go test -bench -count N`, which are the points of the capacity
+// table.
 func pointsCommand() *cli.Command {
 	return &cli.Command{Name: "points", Usage: "medians of a benchmark's output on standard input, by benchmark and unit",
 		Action: func(context.Context, *cli.Command) error {
@@ -35,32 +36,45 @@
 	values     []float64
 }
 
-// readBenchmarks reads lines of the form `BenchmarkName-8 N value unit value unit ...` in the order of first sight.
-func readBenchmarks(r io.Reader) ([]benchmarkResult, error) {
-	var all []benchmarkResult
-	for lines := bufio.NewScanner(r); lines.Scan(); {
+// readBenchmarks reads lines of the form `BenchmarkName-8 N value unit value unit ...`, in the order of their first lines.
+func readBenchmarks(output io.Reader) ([]benchmarkResult, error) {
+	var results []benchmarkResult
+	lines := bufio.NewScanner(output)
+	for lines.Scan() {
 		words := strings.Fields(lines.Text())
 		if len(words) < 4 || !strings.HasPrefix(words[0], "Benchmark") {
 			continue
 		}
-		name := words[0]
-		if at := strings.LastIndexByte(name, '-'); at > 0 { // the number of processors
-			name = name[:at]
-		}
+		name := withoutProcessors(words[0])
 		for k := 2; k+1 < len(words); k += 2 {
 			value, err := strconv.ParseFloat(words[k], 64)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", words[0], err)
 			}
-			at := slices.IndexFunc(all, func(b benchmarkResult) bool { return b.name == name && b.unit == words[k+1] })
-			if at < 0 {
-				at = len(all)
-				all = append(all, benchmarkResult{name: name, unit: words[k+1]})
-			}
-			all[at].values = append(all[at].values, value)
+			results = addValue(results, name, words[k+1], value)
 		}
 	}
-	return all, nil
+	return results, nil
+}
+
+// withoutProcessors returns a benchmark's name without the number of processors at its end.
+func withoutProcessors(name string) string {
+	end := strings.LastIndexByte(name, '-')
+	if end <= 0 {
+		return name
+	}
+	return name[:end]
+}
+
+// addValue adds a value to the result of its benchmark and unit.
+func addValue(results []benchmarkResult, name, unit string, value float64) []benchmarkResult {
+	index := slices.IndexFunc(results, func(r benchmarkResult) bool { return r.name == name && r.unit == unit })
+	if index < 0 {
+		index = len(results)
+		results = append(results, benchmarkResult{name: name, unit: unit})
+	}
+	results[index].values = append(results[index].values, value)
+	return results
 }
 
 func median(values []float64) float64 {
--- a/cmd/experiment/points_test.go
+++ b/cmd/experiment/benchmarks_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestMediansOfBenchmarks(t *testing.T) {
+func TestReadBenchmarks(t *testing.T) {
 	output := `goos: linux
 BenchmarkTurn/replicas=33-8   	     100	    334160 ns/op	         0.2955 cpu-ms
 BenchmarkTurn/replicas=33-8   	     100	    534160 ns/op	         0.1955 cpu-ms
@@ -26,6 +26,6 @@
 		}
 	}
 	if _, err := readBenchmarks(strings.NewReader("BenchmarkBad-8 100 many ns/op")); err == nil {
-		t.Error("a figure that is none is taken")
+		t.Error("a value that is no number is accepted")
 	}
 }
--- a/cmd/experiment/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -13,7 +13,7 @@
 	"lilacbend/internal/capacity"
 )
 
-// capacityCommand prints the tables of docs/CAPACITY.md, or writes them into the page.
+// capacityCommand returns the command that prints the tables of docs/CAPACITY.md, or writes them into the page.
 func capacityCommand() *cli.Command {
 	var page string
 	return &cli.Command{Name: "capacity", Usage: "print what each role spends at the target's size, from internal/capacity/table",
@@ -42,7 +42,7 @@
 		}}
 }
 
-// rewrite replaces the sections of a page, whole or not at all.
+// rewrite replaces the sections of a page, all of them or none.
 func rewrite(page string, sections map[string]string) error {
 	raw, err := os.ReadFile(page)
 	if err != nil {
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment measures what a change of the governor does, in virtual time or on loopback. All of its figures
-// are simulated. It is no part of the product.
+// Command experiment measures the effect of a change of the controller, in virtual time or on loopback. All of its results are
+// simulated. It is no part of the product.
 package main
 
 import (
--- a/cmd/experiment/restart.go
+++ b/cmd/experiment/restart.go
@@ -25,7 +25,7 @@
 		}}
 }
 
-// restartTable prints the mean share of flows that were not answered in their budget, and its spread over seeds.
+// restartTable prints the mean fraction of requests that were not answered in their latency budget, and its standard error.
 func restartTable(site emulator.Site, seeds int) error {
 	memories := []restart.Memory{restart.NoRestart, restart.None, restart.Kept, restart.Old, restart.Wrong}
 	fmt.Printf("%d replicas, %d proxies, load %.2f, %d seeds: percent of the flows of 10 s not answered in their budget (standard error)\n",
@@ -54,24 +54,27 @@
 	return out.Flush()
 }
 
-// restartRow plays all seeds with each memory, as many at a time as there are cores.
+// restartRow runs all seeds with each kind of state, as many at once as there are processors.
 func restartRow(site emulator.Site, t restart.Trouble, memories []restart.Memory, seeds int) ([][]float64, error) {
-	bad, failed := make([][]float64, len(memories)), make(chan error, seeds*len(memories))
-	places, all := make(chan struct{}, runtime.GOMAXPROCS(0)), sync.WaitGroup{}
+	bad := make([][]float64, len(memories))
+	failed := make(chan error, seeds*len(memories))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var runs sync.WaitGroup
 	for k, m := range memories {
 		bad[k] = make([]float64, seeds)
 		for seed := range seeds {
-			places <- struct{}{}
-			all.Go(func() {
-				defer func() { <-places }()
-				o, err := restart.Run(site, t, m, int64(seed+1))
-				if bad[k][seed] = o.Bad(); err != nil {
+			slots <- struct{}{}
+			runs.Go(func() {
+				defer func() { <-slots }()
+				outcome, err := restart.Run(site, t, m, int64(seed+1))
+				bad[k][seed] = outcome.Bad()
+				if err != nil {
 					failed <- fmt.Errorf("%s, %v, seed %d: %w", t.Name, m, seed+1, err)
 				}
 			})
 		}
 	}
-	all.Wait()
+	runs.Wait()
 	select {
 	case err := <-failed:
 		return nil, err
@@ -80,12 +83,16 @@
 	}
 }
 
-func meanAndError(of []float64) (mean, spread float64) {
-	for _, v := range of {
-		mean += v / float64(len(of))
+// meanAndError returns the mean of values and its standard error.
+func meanAndError(values []float64) (mean, standardError float64) {
+	count := float64(len(values))
+	for _, value := range values {
+		mean += value / count
 	}
-	for _, v := range of {
-		spread += (v - mean) * (v - mean)
+	squares := 0.0
+	for _, value := range values {
+		squares += (value - mean) * (value - mean)
 	}
-	return mean, math.Sqrt(spread/math.Max(1, float64(len(of)-1))) / math.Sqrt(float64(len(of)))
+	deviation := math.Sqrt(squares / math.Max(1, count-1))
+	return mean, deviation / math.Sqrt(count)
 }
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -19,25 +19,25 @@
 	"lilacbend/experiment/scale"
 )
 
-// hostCommand is the hidden command by which a scale run starts its processes.
+// hostCommand is the hidden command with which a scale run starts its processes.
 const hostCommand = "scale-host"
 
 var errFailedChecks = errors.New("checks failed")
 
-// scaleCommands are the scale run and the process that it starts many hollow governors in.
+// scaleCommands returns the command of a scale run, and the hidden one of a process with many hollow controllers.
 func scaleCommands() []*cli.Command {
 	var p scale.Plan
 	var out, program string
-	var real bool
+	var withReal bool
 	names := faultNames()
-	count := func(name, usage string, value int, into *int) cli.Flag {
-		return &cli.IntFlag{Name: name, Usage: usage, Value: value, Destination: into}
+	count := func(name, usage string, value int, destination *int) cli.Flag {
+		return &cli.IntFlag{Name: name, Usage: usage, Value: value, Destination: destination}
 	}
-	aDay := func(name, usage string, value float64, into *float64) cli.Flag {
-		return &cli.FloatFlag{Name: name, Usage: usage, Value: value, Destination: into}
+	perDay := func(name, usage string, value float64, destination *float64) cli.Flag {
+		return &cli.FloatFlag{Name: name, Usage: usage, Value: value, Destination: destination}
 	}
-	span := func(name, usage string, value time.Duration, into *time.Duration) cli.Flag {
-		return &cli.DurationFlag{Name: name, Usage: usage, Value: value, Destination: into}
+	span := func(name, usage string, value time.Duration, destination *time.Duration) cli.Flag {
+		return &cli.DurationFlag{Name: name, Usage: usage, Value: value, Destination: destination}
 	}
 	flags := []cli.Flag{
 		count("governors", "hollow ones", 100, &p.Governors),
@@ -54,17 +54,17 @@
 		&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &p.Seed},
 		span("phase", "how long each fault lasts", time.Minute, &p.Phase),
 		&cli.StringSliceFlag{Name: "fault", Usage: "played one after the other", Value: names, Destination: &names},
-		aDay("factor", "by which a day is compressed", 60, &p.Factor),
-		aDay("changes", "of configuration, a day; below 0: in proportion to 8,400", -1, &p.Changes),
-		aDay("failures", "of machines, a day; below 0: in proportion to 39", -1, &p.Failures),
-		aDay("restarts", "of machines, a day; below 0: in proportion to 1,200", -1, &p.Restarts),
-		aDay("invalid", "share of changes that are not valid", 0.05, &p.Invalid),
+		perDay("factor", "by which a day is compressed", 60, &p.Factor),
+		perDay("changes", "of configuration, a day; below 0: in proportion to 8,400", -1, &p.Changes),
+		perDay("failures", "of machines, a day; below 0: in proportion to 39", -1, &p.Failures),
+		perDay("restarts", "of machines, a day; below 0: in proportion to 1,200", -1, &p.Restarts),
+		perDay("invalid", "share of changes that are not valid", 0.05, &p.Invalid),
 		count("at-once", "changes in a burst", 100, &p.AtOnce),
 		count("crowd", "restarts within a minute; 0: in proportion to 1,200", 0, &p.Crowd),
 		span("repair", "until what failed is replaced", 5*time.Second, &p.Repair),
 		span("bound", "in which a change has to be in force at all that are reachable", 18*time.Second, &p.InForce),
 		span("silence", "without a sign of life, at most", 5*time.Second, &p.Silence),
-		&cli.BoolFlag{Name: "real", Usage: "run real governors, collectors and sidecars of one service beside the hollow ones", Value: true, Destination: &real},
+		&cli.BoolFlag{Name: "real", Usage: "run real governors, collectors and sidecars of one service beside the hollow ones", Value: true, Destination: &withReal},
 		&cli.StringFlag{Name: "program", Usage: "the product's program, for real processes", Value: programBeside(), Destination: &program},
 		&cli.StringFlag{Name: "out", Usage: "file for the report as JSON", Destination: &out},
 	}
@@ -75,13 +75,13 @@
 		for _, name := range names {
 			p.Faults = append(p.Faults, scale.Fault(name))
 		}
-		return runScale(ctx, p, program, real, out)
+		return runScale(ctx, p, program, withReal, out)
 	}
 	return []*cli.Command{
 		{Name: "scale", Usage: "many hollow governors and real servers on loopback, through changes and faults", Flags: flags, Action: run},
 		slopesCommand(),
 		{Name: hostCommand, Hidden: true, Action: func(ctx context.Context, _ *cli.Command) error {
-			signal.Ignore(syscall.SIGINT) // the run ends it, by the end of its input
+			signal.Ignore(syscall.SIGINT) // the run ends it by closing its input
 			return scale.Host(ctx, os.Stdin, os.Stdout, scale.Watch)
 		}},
 	}
@@ -94,7 +94,7 @@
 	return names
 }
 
-// programBeside is the product's program in the folder of this one.
+// programBeside returns the path of the product's program in the folder of this one.
 func programBeside() string {
 	self, err := os.Executable()
 	if err != nil {
@@ -103,7 +103,7 @@
 	return filepath.Join(filepath.Dir(self), "lilacbend")
 }
 
-func runScale(ctx context.Context, p scale.Plan, program string, real bool, out string) error {
+func runScale(ctx context.Context, p scale.Plan, program string, withReal bool, out string) error {
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 	defer os.RemoveAll(dir)
 	options := scale.Options{Launch: scale.LaunchChild(hostCommand), Serve: scale.ServeAs(program, io.Discard), Dir: dir,
 		Log: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "lab: "+format+"\n", args...) }}
-	if real {
+	if withReal {
 		options.Real = newRealService(program, dir)
 	}
 	r, err := scale.Run(ctx, p, options)
@@ -140,7 +140,7 @@
 	return r.Print(w)
 }
 
-// roleOf is the role of a process by its name in a site.
+// roleOf returns the role of a process from its name in an installation.
 func roleOf(name string) string {
 	role, _, _ := strings.Cut(name, "-")
 	return "real " + role
--- a/cmd/experiment/service.go
+++ b/cmd/experiment/service.go
@@ -15,43 +15,54 @@
 	"lilacbend/experiment/load"
 )
 
-// serviceCommand measures the whole product against sidecars with an equal table and no governor.
+// serviceCommand returns the command that compares the whole product with sidecars that have an equal table and no controller.
 func serviceCommand() *cli.Command {
 	var rate float64
 	var seed int64
 	var budget int
-	troubles := []string{"none", "silent", "zone-cut", "release", "slow", "collector-lost", "collector-failover", "restart", "restart-state"}
+	faults := []string{"none", "silent", "zone-cut", "release", "slow", "collector-lost", "collector-failover", "restart", "restart-state"}
 	return &cli.Command{Name: "service", Usage: "the whole product on loopback through a trouble, with governors and without",
 		Flags: []cli.Flag{&cli.FloatFlag{Name: "rate", Value: 800, Destination: &rate}, &cli.Int64Flag{Name: "seed", Value: 1, Destination: &seed},
-			&cli.StringSliceFlag{Name: "trouble", Value: troubles, Destination: &troubles},
+			&cli.StringSliceFlag{Name: "trouble", Value: faults, Destination: &faults},
 			&cli.IntFlag{Name: "budget", Usage: "bytes a second of each collector to each governor; 0: no limit", Destination: &budget}},
 		Action: func(ctx context.Context, _ *cli.Command) error {
-			for _, trouble := range troubles {
+			for _, fault := range faults {
 				for _, steered := range []bool{false, true} {
-					if !steered && onlySteered(trouble) {
+					if !steered && onlySteered(fault) {
 						continue
 					}
-					r, twice, err := service(ctx, trouble, steered, rate, seed, budget)
+					r, twice, err := service(ctx, fault, steered, rate, seed, budget)
 					if err != nil {
-						return fmt.Errorf("%s: %w", trouble, err)
+						return fmt.Errorf("%s: %w", fault, err)
 					}
 					name := map[bool]string{false: "equal table", true: "governors"}[steered]
-					fmt.Printf("%-14s %-11s service %.1f%% in the budget; %v; payouts run twice %d\n", trouble, name, 100*r.Within(250*time.Millisecond), r, twice)
+					fmt.Printf("%-14s %-11s service %.1f%% in the budget; %v; payouts run twice %d\n", fault, name, 100*r.Within(250*time.Millisecond), r, twice)
 				}
 			}
 			return nil
 		}}
 }
 
-// onlySteered says whether a trouble means nothing where there is no governor.
-func onlySteered(trouble string) bool {
-	return slices.Contains([]string{"collector-lost", "collector-failover", "restart", "restart-state"}, trouble)
+// onlySteered reports whether a fault has no meaning without a controller.
+func onlySteered(fault string) bool {
+	return slices.Contains([]string{"collector-lost", "collector-failover", "restart", "restart-state"}, fault)
 }
 
-const serviceSpan, hurtAfter = 25 * time.Second, 8 * time.Second
+const (
+	serviceSpan = 25 * time.Second
+	// faultDelay is when the fault begins. It lasts to the end.
+	faultDelay = 8 * time.Second
+	// restartDelay is how long replicas are silent before the controllers restart.
+	restartDelay = 6 * time.Second
+	// replacementInterval is how long a replica or a controller is absent while it is replaced.
+	replacementInterval = 300 * time.Millisecond
+	// warmUpTime is how long a replaced replica is slow.
+	warmUpTime = 5 * time.Second
+	slowFactor = 5
+)
 
-// service plays one trouble: it begins after 8 s and lasts to the end.
-func service(ctx context.Context, trouble string, steered bool, rate float64, seed int64, budget int) (load.Result, int, error) {
+// service measures the service through one fault. It returns the result of the load, and the number of keys that ran twice.
+func service(ctx context.Context, fault string, steered bool, rate float64, seed int64, budget int) (load.Result, int, error) {
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
 		return load.Result{}, 0, err
@@ -60,7 +71,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	s, err := installation.Start(ctx, installation.Shape{Zones: 2, Replicas: 20, Places: 4, Sidecars: 4, Governors: 2, Span: 20 * time.Millisecond, Slow: 2,
-		Dir: dir, Steered: steered, State: trouble == "restart-state", Standby: trouble == "collector-failover", ReportBudget: budget, Log: logOf()})
+		Dir: dir, Steered: steered, State: fault == "restart-state", Standby: fault == "collector-failover", ReportBudget: budget, Log: logOf()})
 	if err != nil {
 		return load.Result{}, 0, err
 	}
@@ -69,8 +80,8 @@
 	for _, at := range s.H1s {
 		urls = append(urls, "http://"+at+"/stock", "http://"+at+"/payouts")
 	}
-	hurt := time.AfterFunc(hurtAfter, func() { inflict(ctx, s, trouble) })
-	defer hurt.Stop()
+	injection := time.AfterFunc(faultDelay, func() { injectFault(ctx, s, fault) })
+	defer injection.Stop()
 	r, err := load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: rate, Span: serviceSpan, Expiry: 2 * time.Second, Seed: seed,
 		Each: func(k int, q *http.Request) {
 			if q.URL.Path == "/payouts" {
@@ -93,47 +104,70 @@
 	return r, twice, err
 }
 
-func inflict(ctx context.Context, s *installation.Site, trouble string) {
-	switch trouble {
-	case "silent": // one in ten takes flows and answers none
-		s.Replicas[3].Silent.Store(true)
-		s.Replicas[14].Silent.Store(true)
-	case "zone-cut": // the replicas of zone b answer nobody
-		for k, r := range s.Replicas {
-			if k%2 == 1 {
-				r.Silent.Store(true)
-			}
-		}
-	case "slow": // a third answers all, five times slower
-		for k := 0; k < len(s.Replicas); k += 3 {
-			s.Replicas[k].Span.Store(5 * s.Replicas[k].Span.Load())
-		}
-	case "collector-lost", "collector-failover": // the collector that each zone reports to is killed just before
-		s.Kill("collector-a")
-		s.Kill("collector-b")
-		inflict(ctx, s, "slow")
-	case "release": // a third is replaced, one after the other, and comes back cold: five times slower for 5 s
-		for k := 0; k < len(s.Replicas); k += 3 {
-			s.Change(k, func(m *installation.Member) { m.Phase = "Terminating" })
-			time.Sleep(300 * time.Millisecond)
-			s.Change(k, func(m *installation.Member) { m.Phase, m.UpSince = "Ready", time.Now().UnixMilli() })
-			r, span := s.Replicas[k], s.Replicas[k].Span.Load()
-			r.Span.Store(5 * span)
-			time.AfterFunc(5*time.Second, func() { r.Span.Store(span) })
-		}
-	case "restart", "restart-state": // one in ten is silent since before, and both governors die
-		s.Replicas[3].Silent.Store(true)
-		s.Replicas[14].Silent.Store(true)
-		time.Sleep(6 * time.Second)
-		s.Kill("governor-0")
-		s.Kill("governor-1")
-		time.Sleep(300 * time.Millisecond)
-		s.Governor(ctx, 0)
-		s.Governor(ctx, 1)
+// injectFault injects a fault until the end of the run.
+func injectFault(ctx context.Context, site *installation.Site, fault string) {
+	switch fault {
+	case "silent":
+		silenceTenth(site)
+	case "zone-cut":
+		silenceZoneB(site)
+	case "slow":
+		slowThird(site)
+	case "collector-lost", "collector-failover":
+		site.Kill("collector-a")
+		site.Kill("collector-b")
+		slowThird(site)
+	case "release":
+		replaceThird(site)
+	case "restart", "restart-state":
+		silenceTenth(site)
+		time.Sleep(restartDelay)
+		site.Kill("governor-0")
+		site.Kill("governor-1")
+		time.Sleep(replacementInterval)
+		site.Governor(ctx, 0)
+		site.Governor(ctx, 1)
+	}
+}
+
+// silenceTenth makes one in ten replicas accept requests and answer none.
+func silenceTenth(site *installation.Site) {
+	site.Replicas[3].Silent.Store(true)
+	site.Replicas[14].Silent.Store(true)
+}
+
+// silenceZoneB makes the replicas of zone b, which are every second one, answer no request.
+func silenceZoneB(site *installation.Site) {
+	for k := 1; k < len(site.Replicas); k += 2 {
+		site.Replicas[k].Silent.Store(true)
+	}
+}
+
+// slowThird makes a third of the replicas slowFactor times as slow.
+func slowThird(site *installation.Site) {
+	for k := 0; k < len(site.Replicas); k += 3 {
+		span := &site.Replicas[k].Span
+		span.Store(slowFactor * span.Load())
+	}
+}
+
+// replaceThird replaces a third of the replicas one after another. The new ones are slow until they are warmed up.
+func replaceThird(site *installation.Site) {
+	for k := 0; k < len(site.Replicas); k += 3 {
+		site.Change(k, func(m *installation.Member) { m.Phase = "Terminating" })
+		time.Sleep(replacementInterval)
+		site.Change(k, func(m *installation.Member) {
+			m.Phase = "Ready"
+			m.UpSince = time.Now().UnixMilli()
+		})
+		span := &site.Replicas[k].Span
+		warm := span.Load()
+		span.Store(slowFactor * warm)
+		time.AfterFunc(warmUpTime, func() { span.Store(warm) })
 	}
 }
 
-// logOf is where the processes' logs go, if anywhere.
+// logOf returns the destination of the processes' logs, or nil.
 func logOf() io.Writer {
 	if os.Getenv("LAB_LOG") == "" {
 		return nil
--- a/cmd/experiment/slopes.go
+++ b/cmd/experiment/slopes.go
@@ -13,17 +13,17 @@
 	"lilacbend/internal/capacity"
 )
 
-// slopesCommand fits scale runs of several sizes, for the capacity page.
+// slopesCommand returns the command that fits scale runs of several sizes, for the capacity page.
 func slopesCommand() *cli.Command {
-	var row capacity.Measurement // what all have in common
+	var common capacity.Measurement // fields of all measurements
 	var table bool
-	text := func(name, usage string, into *string) cli.Flag {
-		return &cli.StringFlag{Name: name, Usage: usage, Destination: into}
+	text := func(name, usage string, destination *string) cli.Flag {
+		return &cli.StringFlag{Name: name, Usage: usage, Destination: destination}
 	}
 	return &cli.Command{Name: "slopes", Usage: "fit the quiet phases of scale runs over their governors: slopes FILE...", ArgsUsage: "FILE...",
 		Flags: []cli.Flag{&cli.BoolFlag{Name: "table", Usage: "write rows for the capacity page's scale.yaml", Destination: &table},
-			text("command", "of the runs", &row.Command), text("commit", "that was run", &row.Commit),
-			text("machine", "by its name in the table", &row.Machine), text("date", "of the runs", &row.Date)},
+			text("command", "of the runs", &common.Command), text("commit", "that was run", &common.Commit),
+			text("machine", "by its name in the table", &common.Machine), text("date", "of the runs", &common.Date)},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			reports, err := readReports(cmd.Args().Slice())
 			if err != nil {
@@ -38,7 +38,10 @@
 			}
 			for k := range measurements {
 				m := &measurements[k]
-				m.Command, m.Commit, m.Machine, m.Date = row.Command, row.Commit, row.Machine, row.Date
+				m.Command = common.Command
+				m.Commit = common.Commit
+				m.Machine = common.Machine
+				m.Date = common.Date
 			}
 			return yaml.NewEncoder(os.Stdout).Encode(map[string]any{"measurements": measurements})
 		}}
