--- a/experiment/load/load.go
+++ b/experiment/load/load.go
@@ -1,5 +1,5 @@
-// Package load sends flows whose times are drawn beforehand, whatever became of those before them, and measures each
-// from the moment it was due. Loads are on loopback, bounded, and end by themselves.
+// Package load sends requests at times that are drawn from a seed and do not depend on earlier requests, and measures each
+// from the time it was due. Loads stay on loopback, are limited, and end by themselves.
 package load
 
 import (
@@ -18,99 +18,153 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// Limits of a job.
 const (
-	rateMost  = 50_000.0
-	spanMost  = 5 * time.Minute
-	flyingMax = 4096 // flows at once; more are counted as lost
+	maxRate       = 50_000.0 // requests a second
+	maxSpan       = 5 * time.Minute
+	maxConcurrent = 4096 // requests at once; further ones wait, which counts as their time
+)
+
+const (
+	// minSleep is the shortest wait for which Run sleeps; timers are no more accurate.
+	minSleep = 100 * time.Microsecond
+	// maxRecordedMicros is the longest recorded time, in microseconds.
+	maxRecordedMicros = 60_000_000
+	// histogramDigits is the precision of recorded times, in significant digits.
+	histogramDigits = 3
 )
 
 // Job is one load.
 type Job struct {
-	URLs   []string // taken in turn
+	URLs   []string // used in turn
 	H2     bool
 	Method string
-	Rate   float64 // a second; 0: as fast as Flying allows
-	Flying int     // with no rate: flows at once
-	Span   time.Duration
-	Expiry time.Duration
+	Rate   float64       // requests a second; 0: as fast as Flying allows
+	Flying int           // requests at once if there is no rate
+	Span   time.Duration // of the load
+	Expiry time.Duration // of a request, after it was due
 	Seed   int64
-	Each   func(k int, r *http.Request) // may change a flow before it is sent
+	Each   func(k int, r *http.Request) // may change a request before it is sent
 }
 
-// Result is what became of it. Times are microseconds.
+// Result counts the outcomes of a load's requests.
 type Result struct {
 	Sent, Good, Blocked, Dropped int
-	Times                        *hdrhistogram.Histogram // of good answers, from the moment they were due
+	Times                        *hdrhistogram.Histogram // of good answers since they were due, in microseconds
 	Reasons                      map[string]int
 	Took                         time.Duration
 }
 
-// Run sends the flows. It refuses addresses that are not of this machine.
-func Run(ctx context.Context, j Job) (Result, error) {
-	for _, at := range j.URLs {
-		u, err := url.Parse(at)
-		if err != nil || !net.ParseIP(u.Hostname()).IsLoopback() {
-			return Result{}, fmt.Errorf("%q is no address of loopback: loads stay on this machine", at)
-		}
+// Run sends the requests. It refuses addresses that are not of this machine.
+func Run(ctx context.Context, job Job) (Result, error) {
+	if err := job.check(); err != nil {
+		return Result{}, err
 	}
-	if j.Rate > rateMost || j.Span > spanMost || len(j.URLs) == 0 {
-		return Result{}, fmt.Errorf("at most %v a second for %v, to one address or more", rateMost, spanMost)
-	}
-	tr := &http.Transport{MaxIdleConnsPerHost: flyingMax, MaxConnsPerHost: 0, DisableCompression: true}
-	if j.H2 {
-		tr.Protocols = new(http.Protocols)
-		tr.Protocols.SetUnencryptedHTTP2(true)
-	}
-	defer tr.CloseIdleConnections()
-	r := Result{Times: hdrhistogram.New(1, 60_000_000, 3), Reasons: map[string]int{}}
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	places := make(chan struct{}, flyingMax)
-	if j.Rate == 0 {
-		places = make(chan struct{}, j.Flying)
-	}
-	one := func(k int, due time.Time) {
-		defer all.Done()
-		defer func() { <-places }()
-		status, reason := send(ctx, tr, j, k, due)
-		took := time.Since(due)
-		mu.Lock()
-		defer mu.Unlock()
-		switch {
-		case status >= 200 && status < 500:
-			r.Good++
-			r.Times.RecordValue(max(1, took.Microseconds()))
-		case status == http.StatusServiceUnavailable:
-			r.Blocked++
-		default:
-			r.Dropped++
+	transport := newTransport(job.H2)
+	defer transport.CloseIdleConnections()
+	r := newRun(job, transport)
+	start := time.Now()
+	due := start
+	interval := rand.New(rand.NewSource(job.Seed))
+	var requests sync.WaitGroup
+	for due.Sub(start) < job.Span && ctx.Err() == nil {
+		if job.Rate > 0 {
+			due = due.Add(time.Duration(interval.ExpFloat64() / job.Rate * float64(time.Second)))
+			sleepUntil(due)
 		}
-		if reason != "" {
-			r.Reasons[reason]++
+		r.slots <- struct{}{}
+		if job.Rate == 0 {
+			due = time.Now()
 		}
+		number := r.result.Sent
+		dueAt := due
+		requests.Go(func() {
+			defer func() { <-r.slots }()
+			r.request(ctx, number, dueAt)
+		})
+		r.result.Sent++
 	}
-	chance, began := rand.New(rand.NewSource(j.Seed)), time.Now()
-	due := began
-	for ; due.Sub(began) < j.Span && ctx.Err() == nil; r.Sent++ {
-		if j.Rate > 0 {
-			due = due.Add(time.Duration(chance.ExpFloat64() / j.Rate * float64(time.Second)))
-			if wait := time.Until(due); wait > 100*time.Microsecond {
-				time.Sleep(wait)
-			}
-		}
-		places <- struct{}{}
-		if j.Rate == 0 {
-			due = time.Now()
+	requests.Wait()
+	r.result.Took = time.Since(start)
+	return r.result, nil
+}
+
+// check returns what is wrong with a job.
+func (j Job) check() error {
+	for _, address := range j.URLs {
+		parsed, err := url.Parse(address)
+		if err != nil || !net.ParseIP(parsed.Hostname()).IsLoopback() {
+			return fmt.Errorf("%q is no address of loopback: loads stay on this machine", address)
 		}
-		all.Add(1)
-		go one(r.Sent, due)
 	}
-	all.Wait()
-	r.Took = time.Since(began)
-	return r, nil
+	if j.Rate > maxRate || j.Span > maxSpan || len(j.URLs) == 0 {
+		return fmt.Errorf("at most %v a second for %v, to one address or more", maxRate, maxSpan)
+	}
+	return nil
+}
+
+func newTransport(h2 bool) *http.Transport {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxConcurrent, DisableCompression: true}
+	if h2 {
+		transport.Protocols = new(http.Protocols)
+		transport.Protocols.SetUnencryptedHTTP2(true)
+	}
+	return transport
+}
+
+// sleepUntil sleeps until a time, unless that is nearer than a sleep's accuracy.
+func sleepUntil(due time.Time) {
+	wait := time.Until(due)
+	if wait > minSleep {
+		time.Sleep(wait)
+	}
+}
+
+// run is a job that is being run. Its result has a field that only Run writes (Sent); mu guards the others.
+type run struct {
+	job       Job
+	transport *http.Transport
+	slots     chan struct{} // limits requests at once
+
+	mu     sync.Mutex
+	result Result
+}
+
+func newRun(job Job, transport *http.Transport) *run {
+	slots := maxConcurrent
+	if job.Rate == 0 {
+		slots = job.Flying
+	}
+	return &run{
+		job:       job,
+		transport: transport,
+		slots:     make(chan struct{}, slots),
+		result:    Result{Times: hdrhistogram.New(1, maxRecordedMicros, histogramDigits), Reasons: map[string]int{}},
+	}
+}
+
+// request sends a request and records its result.
+func (r *run) request(ctx context.Context, number int, due time.Time) {
+	status, reason := send(ctx, r.transport, r.job, number, due)
+	took := time.Since(due)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch {
+	case status >= 200 && status < 500:
+		r.result.Good++
+		r.result.Times.RecordValue(max(1, took.Microseconds()))
+	case status == http.StatusServiceUnavailable:
+		r.result.Blocked++
+	default:
+		r.result.Dropped++
+	}
+	if reason != "" {
+		r.result.Reasons[reason]++
+	}
 }
 
-func send(ctx context.Context, tr *http.Transport, j Job, k int, due time.Time) (status int, reason string) {
+// send sends a request and reads its answer. The reason is why there is none, or the proxy's.
+func send(ctx context.Context, transport *http.Transport, j Job, k int, due time.Time) (status int, reason string) {
 	ctx, cancel := context.WithDeadline(ctx, due.Add(j.Expiry))
 	defer cancel()
 	var body io.Reader
@@ -124,7 +178,7 @@
 	if j.Each != nil {
 		j.Each(k, req)
 	}
-	resp, err := tr.RoundTrip(req)
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return 0, "no answer"
 	}
@@ -135,7 +189,7 @@
 	return resp.StatusCode, resp.Header.Get("Lilacbend-Reason")
 }
 
-// Within is the share of all flows sent that were answered well within a time.
+// Within returns the fraction of all requests that were answered well within a time.
 func (r Result) Within(budget time.Duration) float64 {
 	n := int64(0)
 	for _, b := range r.Times.Distribution() {
@@ -146,14 +200,14 @@
 	return float64(n) / float64(max(1, r.Sent))
 }
 
-// String is one line of figures.
+// String returns the result in one line.
 func (r Result) String() string {
 	q := func(p float64) float64 { return float64(r.Times.ValueAtQuantile(p)) / 1000 }
 	return fmt.Sprintf("%d sent, %.2f%% good, %d blocked, %d dropped; %.0f/s; ms p50 %.3f p99 %.3f p99.9 %.3f max %.1f", r.Sent,
 		100*float64(r.Good)/float64(max(1, r.Sent)), r.Blocked, r.Dropped, float64(r.Good)/r.Took.Seconds(), q(50), q(99), q(99.9), float64(r.Times.Max())/1000)
 }
 
-// Write keeps the histogram as a file that other tools read.
+// Write writes the histogram to a file that other tools read.
 func (r Result) Write(file string) error {
 	f, err := os.Create(file)
 	if err != nil {
--- a/experiment/replica/h2client.go
+++ b/experiment/replica/h2client.go
@@ -11,13 +11,13 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// H2 is a client that says frames as it is told to, and keeps what it hears.
+// H2 is a client that sends frames as scripted and records what it receives.
 type H2 struct {
-	Conn   net.Conn
-	Framer *http2.Framer
-	enc    *hpack.Encoder
-	block  bytes.Buffer
-	pen    sync.Mutex
+	Conn    net.Conn
+	Framer  *http2.Framer
+	enc     *hpack.Encoder
+	block   bytes.Buffer
+	writing sync.Mutex // one writer of frames at a time
 
 	mu      sync.Mutex
 	heard   *sync.Cond
@@ -25,11 +25,10 @@
 	GoAways []http2.GoAwayFrame
 	Ended   bool
 	Pings   int
-	// Greedy has it open windows as data comes.
-	Greedy bool
+	Greedy  bool // windows are opened as data arrives
 }
 
-// Heard is what came on one stream.
+// Heard is what was received on one stream.
 type Heard struct {
 	Status  string
 	Fields  map[string]string
@@ -37,13 +36,13 @@
 	Ended   bool
 	Reset   bool
 	Code    http2.ErrCode
-	Answers int // final heads
+	Answers int // final headers
 }
 
-// Done says whether the stream has its final word.
+// Done reports whether the stream has ended.
 func (h *Heard) Done() bool { return h.Ended || h.Reset }
 
-// DialH2 connects and greets; window is the initial one of each stream.
+// DialH2 connects and sends the preface; window is the initial window of each stream, in bytes.
 func DialH2(addr string, window uint32) (*H2, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -63,89 +62,115 @@
 	return c, nil
 }
 
+// read records frames until the connection ends.
 func (c *H2) read() {
 	for {
-		f, err := c.Framer.ReadFrame()
-		c.mu.Lock()
+		frame, err := c.Framer.ReadFrame()
 		if err != nil {
+			c.mu.Lock()
 			c.Ended = true
 			c.heard.Broadcast()
 			c.mu.Unlock()
 			return
 		}
-		grant := uint32(0)
-		s := c.Streams[f.Header().StreamID]
-		if s == nil {
-			s = &Heard{Fields: map[string]string{}}
-			if id := f.Header().StreamID; id != 0 {
-				c.Streams[id] = s
-			}
-		}
-		switch f := f.(type) {
-		case *http2.MetaHeadersFrame:
-			if status := f.PseudoValue("status"); status != "" {
-				if s.Status = status; status >= "200" {
-					s.Answers++
-				}
-			}
-			for _, field := range f.RegularFields() {
-				s.Fields[field.Name] = field.Value
-			}
-			s.Ended = s.Ended || f.StreamEnded()
-		case *http2.DataFrame:
-			s.Body = append(s.Body, f.Data()...)
-			s.Ended = s.Ended || f.StreamEnded()
-			grant = uint32(len(f.Data()))
-		case *http2.RSTStreamFrame:
-			s.Reset, s.Code = true, f.ErrCode
-		case *http2.GoAwayFrame:
-			c.GoAways = append(c.GoAways, *f)
-		case *http2.PingFrame:
-			c.Pings++
-		case *http2.SettingsFrame:
-			if !f.IsAck() {
-				go c.Say(c.Framer.WriteSettingsAck)
-			}
+		c.handle(frame)
+	}
+}
+
+// handle records a frame, and opens windows for its data if the client is greedy.
+func (c *H2) handle(frame http2.Frame) {
+	c.mu.Lock()
+	c.record(frame)
+	greedy := c.Greedy
+	c.heard.Broadcast()
+	c.mu.Unlock()
+	data, isData := frame.(*http2.DataFrame)
+	if !greedy || !isData || len(data.Data()) == 0 {
+		return
+	}
+	id := data.StreamID
+	size := uint32(len(data.Data()))
+	go c.Say(func() error {
+		if err := c.Framer.WriteWindowUpdate(0, size); err != nil {
+			return err
 		}
-		greedy := c.Greedy
-		c.heard.Broadcast()
-		c.mu.Unlock()
-		if id := f.Header().StreamID; grant > 0 && greedy {
-			go c.Say(func() error {
-				if err := c.Framer.WriteWindowUpdate(0, grant); err != nil {
-					return err
-				}
-				return c.Framer.WriteWindowUpdate(id, grant)
-			})
+		return c.Framer.WriteWindowUpdate(id, size)
+	})
+}
+
+// record records a frame. The caller holds mu.
+func (c *H2) record(frame http2.Frame) {
+	stream := c.stream(frame.Header().StreamID)
+	switch f := frame.(type) {
+	case *http2.MetaHeadersFrame:
+		stream.recordHeaders(f)
+	case *http2.DataFrame:
+		stream.Body = append(stream.Body, f.Data()...)
+		stream.Ended = stream.Ended || f.StreamEnded()
+	case *http2.RSTStreamFrame:
+		stream.Reset = true
+		stream.Code = f.ErrCode
+	case *http2.GoAwayFrame:
+		c.GoAways = append(c.GoAways, *f)
+	case *http2.PingFrame:
+		c.Pings++
+	case *http2.SettingsFrame:
+		if !f.IsAck() {
+			go c.Say(c.Framer.WriteSettingsAck)
 		}
 	}
 }
 
-// Say writes frames, one caller at a time.
-func (c *H2) Say(do func() error) error {
-	c.pen.Lock()
-	defer c.pen.Unlock()
-	return do()
+// stream returns what was received on a stream, which for the connection itself (0) is not kept.
+func (c *H2) stream(id uint32) *Heard {
+	stream := c.Streams[id]
+	if stream != nil {
+		return stream
+	}
+	stream = &Heard{Fields: map[string]string{}}
+	if id != 0 {
+		c.Streams[id] = stream
+	}
+	return stream
 }
 
-// Open opens a stream; pairs are further fields. Without a body the stream ends with its head.
+// firstFinalStatus is the lowest status that is not an interim one.
+const firstFinalStatus = "200"
+
+func (h *Heard) recordHeaders(frame *http2.MetaHeadersFrame) {
+	status := frame.PseudoValue("status")
+	if status != "" {
+		h.Status = status
+	}
+	if status >= firstFinalStatus {
+		h.Answers++
+	}
+	for _, field := range frame.RegularFields() {
+		h.Fields[field.Name] = field.Value
+	}
+	h.Ended = h.Ended || frame.StreamEnded()
+}
+
+// Say calls write, which writes frames, while no other caller does.
+func (c *H2) Say(write func() error) error {
+	c.writing.Lock()
+	defer c.writing.Unlock()
+	return write()
+}
+
+// Open opens a stream; pairs are further fields. Without a body the stream ends with its headers.
 func (c *H2) Open(id uint32, method, path string, body bool, pairs ...string) error {
 	return c.Say(func() error {
 		c.block.Reset()
-		for k, v := range []string{":method", method, ":scheme", "http", ":path", path, ":authority", "shop.example.org"} {
-			if k%2 == 1 {
-				continue
-			}
-			c.enc.WriteField(hpack.HeaderField{Name: v, Value: []string{method, "http", path, "shop.example.org"}[k/2]})
-		}
-		for k := 0; k+1 < len(pairs); k += 2 {
-			c.enc.WriteField(hpack.HeaderField{Name: pairs[k], Value: pairs[k+1]})
+		fields := append([]string{":method", method, ":scheme", "http", ":path", path, ":authority", "shop.example.org"}, pairs...)
+		for k := 0; k+1 < len(fields); k += 2 {
+			c.enc.WriteField(hpack.HeaderField{Name: fields[k], Value: fields[k+1]})
 		}
 		return c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: c.block.Bytes(), EndStream: !body, EndHeaders: true})
 	})
 }
 
-// Data sends a piece of a body.
+// Data sends a part of a body.
 func (c *H2) Data(id uint32, end bool, data []byte) error {
 	return c.Say(func() error { return c.Framer.WriteData(id, end, data) })
 }
@@ -155,7 +180,7 @@
 	return c.Say(func() error { return c.Framer.WriteRSTStream(id, http2.ErrCodeCancel) })
 }
 
-// Wait waits until something holds, for at most so long, and says whether it does.
+// Wait waits until a condition holds, at most for a time, and reports whether it does.
 func (c *H2) Wait(most time.Duration, holds func(c *H2) bool) bool {
 	timer := time.AfterFunc(most, func() {
 		c.mu.Lock()
@@ -175,7 +200,7 @@
 	return true
 }
 
-// Of is a copy of what came on a stream.
+// Of returns a copy of what was received on a stream.
 func (c *H2) Of(id uint32) Heard {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,5 +210,5 @@
 	return Heard{}
 }
 
-// Key is the field by which a replica counts runs.
+// Key returns the header field by which a replica counts runs.
 func Key(n int) []string { return []string{"key", "k" + strconv.Itoa(n)} }
--- a/experiment/replica/replica.go
+++ b/experiment/replica/replica.go
@@ -1,10 +1,11 @@
-// Package replica has scripted peers for tests and the laboratory: a replica, and an HTTP/2 client that says any
-// frame. They listen on loopback alone.
+// Package replica has scripted peers for tests and experiments: a replica, and an HTTP/2 client that sends any frame. They
+// listen on loopback only.
 package replica
 
 import (
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"sync"
@@ -15,19 +16,19 @@
 // Replica is a scripted replica. It counts how often each key (the field Key) has run.
 type Replica struct {
 	Addr    string
-	Serves  atomic.Int64  // flows that have begun to run
-	Span    atomic.Int64  // nanoseconds that each takes
-	Silent  atomic.Bool   // takes flows, runs them, and answers nothing
-	Status  atomic.Int64  // answers with it; 0: 200
-	Places  chan struct{} // at once; nil: any number
-	Size    atomic.Int64  // of an answer's body
+	Serves  atomic.Int64  // requests that have begun to run
+	Span    atomic.Int64  // nanoseconds that a request takes
+	Silent  atomic.Bool   // requests run but are not answered
+	Status  atomic.Int64  // of answers; 0: 200
+	Places  chan struct{} // limits requests at once; nil: no limit
+	Size    atomic.Int64  // of an answer's body, in bytes
 	mu      sync.Mutex
 	runs    map[string]int
 	server  *http.Server
 	handler http.HandlerFunc
 }
 
-// NewReplica listens on an address of loopback; handler, where there is one, answers instead of the script.
+// NewReplica listens on an address of loopback. A handler, if any, answers instead of the script.
 func NewReplica(addr string, places int, handler http.HandlerFunc) (*Replica, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -42,18 +43,14 @@
 	return r, nil
 }
 
-// Stop ends it at once, as a crash does.
+// Stop ends the replica at once, as a crash does.
 func (r *Replica) Stop() { r.server.Close() }
 
-// Runs is how often each key has run.
+// Runs returns how often each key has run.
 func (r *Replica) Runs() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := map[string]int{}
-	for k, n := range r.runs {
-		all[k] = n
-	}
-	return all
+	return maps.Clone(r.runs)
 }
 
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request) {
@@ -94,6 +91,10 @@
 	io.CopyN(w, zeros{}, r.Size.Load())
 }
 
+// zeros is an endless source of zero bytes.
 type zeros struct{}
 
-func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
+func (zeros) Read(buffer []byte) (int, error) {
+	clear(buffer)
+	return len(buffer), nil
+}
