--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -48,7 +48,7 @@
 type process struct {
 	configuration configuration
 	clock         clock
-	events        *eventloop.Exchange
+	events        *eventloop.Queues
 	core          *controller.Core
 	follower      *configurationFollower
 	snapshots     *snapshotKeeper
@@ -107,7 +107,7 @@
 // settings from before a restart.
 func newProcess(ctx context.Context, c configuration, log *slog.Logger) (*process, error) {
 	p := &process{configuration: c, clock: clock{start: time.Now()}, events: eventloop.New(), log: log}
-	p.events.Expect(expectedEvents(c.settings.Proxies, len(c.names.Classes)))
+	p.events.SetProxies(expectedEvents(c.settings.Proxies, len(c.names.Classes)))
 	own := controller.NewTopology(c.names, c.settings)
 	follower, err := newConfigurationFollower(ctx, c, own, p.events, log)
 	if err != nil {
@@ -120,7 +120,7 @@
 	known := &p.configuration.known
 	known.ReadAt = p.clock.now()
 	known.ReadAtWall = p.clock.start.UnixNano()
-	p.events.Publish(*known)
+	p.events.Enqueue(*known)
 	follower.resume()
 	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", known.Revision,
 		"replicas", len(known.Members), "proxies", c.settings.Proxies)
@@ -141,7 +141,7 @@
 	restored := snapshots.restore(p.configuration.known, topology, p.clock)
 	p.configuration.known = restored.list
 	if restored.state != nil {
-		p.events.Publish(controller.SnapshotRestored{Snapshot: restored.state})
+		p.events.Enqueue(controller.SnapshotRestored{Snapshot: restored.state})
 	}
 	p.core.SetSnapshotPolicy(retention.Every.Nanoseconds(), retention.HalfLife.Nanoseconds())
 	snapshots.start()
@@ -181,7 +181,7 @@
 		case <-p.events.Ready():
 		}
 		time.Sleep(batchDelay)
-		result := p.core.Turn(p.clock.now(), p.events.Take())
+		result := p.core.Turn(p.clock.now(), p.events.Drain())
 		p.execute(result)
 		if result.NextTurn > 0 {
 			timer.Reset(time.Duration(max(0, result.NextTurn-p.clock.now())))
@@ -195,7 +195,7 @@
 		p.events.Send(update)
 	}
 	for _, stream := range result.CloseStreams {
-		p.events.End(stream)
+		p.events.CloseStream(stream)
 	}
 	for _, text := range result.Logs {
 		p.log.Info(text)
--- a/internal/controlserver/bench_test.go
+++ b/internal/controlserver/bench_test.go
@@ -54,18 +54,18 @@
 					f := newMessage(words)
 					switch m.name {
 					case "outcomes":
-						events.Publish(decodeOutcomes(f))
+						events.Enqueue(decodeOutcomes(f))
 					case "demand":
-						events.Publish(decodeDemand(f))
+						events.Enqueue(decodeDemand(f))
 					case "ack":
-						events.Publish(decodeAck(f))
+						events.Enqueue(decodeAck(f))
 					}
 					if f.err != nil {
 						b.Fatal(f.err)
 					}
 				}
 				r.Close()
-				events.Take()
+				events.Drain()
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/messagesEach, "ns/message")
 			b.ReportMetric(float64(raw.Len())/messagesEach, "B/message")
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -32,7 +32,7 @@
 	zone      string        // of a collector; guarded by Server.mu
 	role      role
 	id        int // of a proxy
-	outbox    *eventloop.Outbox
+	sendQueue *eventloop.SendQueue
 	lateBytes int           // how much may still be read after the join deadline; 0: the deadline has not passed
 	done      chan struct{} // closed when reading has ended
 }
@@ -57,27 +57,27 @@
 // recoverPanic confines a panic of a reading or writing goroutine to its connection.
 func (p *peer) recoverPanic() {
 	if v := recover(); v != nil {
-		p.server.events.Tally.Panics.Add(1)
+		p.server.events.Counters.Panics.Add(1)
 		p.server.log.Error("connection failed", "peer", p.role, "panic", v, "stack", string(debug.Stack()))
 	}
 }
 
 // ended counts and logs why reading has ended. A peer that has not joined is sent the reason.
 func (p *peer) ended(err error) {
-	tally := &p.server.events.Tally
+	tally := &p.server.events.Counters
 	var text string
 	switch {
 	case errors.Is(err, errEvicted): // counted by evict
 		return
 	case errors.Is(err, errJoinTimeout):
 		text = "connection closed: join timeout"
-		tally.Late.Add(1)
+		tally.JoinTimeouts.Add(1)
 	case errors.Is(err, errInvalidJoin), errors.Is(err, resp.ErrNotWords):
 		text = "connection closed: invalid join"
-		tally.Strangers.Add(1)
+		tally.UnknownPeers.Add(1)
 	case errors.Is(err, resp.ErrUnreadable), errors.Is(err, resp.ErrNoBuffer):
 		text = "connection closed: malformed message"
-		tally.Unreadable.Add(1)
+		tally.Malformed.Add(1)
 	default:
 		p.server.log.Debug("connection lost", "peer", p.role, "error", err)
 		return
@@ -92,10 +92,10 @@
 func (p *peer) leave() {
 	close(p.done)
 	p.conn.Close()
-	p.server.events.Tally.Ended.Add(1)
-	if p.outbox != nil {
-		p.outbox.Close()
-		p.server.events.Publish(controller.StreamClosed{Stream: p.stream})
+	p.server.events.Counters.Ended.Add(1)
+	if p.sendQueue != nil {
+		p.sendQueue.Close()
+		p.server.events.Enqueue(controller.StreamClosed{Stream: p.stream})
 	}
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
--- a/internal/controlserver/race_test.go
+++ b/internal/controlserver/race_test.go
@@ -50,7 +50,7 @@
 		}})
 		second.Say(joins)
 		second.Ends()
-		scriptedpeer.Until(t, "the connection is not over", func() bool { return s.events.Tally.Ended.Load() == 1 })
+		scriptedpeer.Until(t, "the connection is not over", func() bool { return s.events.Counters.Ended.Load() == 1 })
 		first.Say("outcomes site a target s-5 count 2 fail 0 mean 1 over 1")
 		if events := receive(t, s, 1); len(events) != 1 || events[0].(controller.Outcomes).Attempts != 2 {
 			t.Errorf("%s: received %+v", joins, events)
@@ -83,7 +83,7 @@
 		}
 		c.Close()
 	}
-	scriptedpeer.Until(t, "rejected peers stay", func() bool { return s.events.Tally.Ended.Load() == 10 })
+	scriptedpeer.Until(t, "rejected peers stay", func() bool { return s.events.Counters.Ended.Load() == 10 })
 }
 
 // The end of the server does not wait for peers that linger, do not read, or are in the middle of a message.
@@ -119,7 +119,7 @@
 	for range 16 { // some megabytes: more than the kernel buffers
 		s.events.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Full: true, Endpoints: lines}})
 	}
-	scriptedpeer.Until(t, "nothing is written", func() bool { return s.events.Tally.Pushes.Load() > 0 })
+	scriptedpeer.Until(t, "nothing is written", func() bool { return s.events.Counters.UpdatesSent.Load() > 0 })
 	stop() // with all connections open
 	select {
 	case err := <-ended:
@@ -149,7 +149,7 @@
 	}
 	message := controller.Update{Full: true, Endpoints: lines, WantsAck: true, Nonce: 7}
 	for name, end := range map[string]func(*scriptedpeer.Conn, controller.StreamID){
-		"closed by the server": func(_ *scriptedpeer.Conn, stream controller.StreamID) { s.events.End(stream) },
+		"closed by the server": func(_ *scriptedpeer.Conn, stream controller.StreamID) { s.events.CloseStream(stream) },
 		"reset":                func(c *scriptedpeer.Conn, _ controller.StreamID) { c.Reset() },
 	} {
 		c, stream := join()
@@ -170,7 +170,7 @@
 		if events := receive(t, s, 1); len(events) != 1 || events[0] != (controller.StreamClosed{Stream: stream}) {
 			t.Errorf("%s: received %+v", name, events)
 		}
-		for _, n := range s.events.Take() {
+		for _, n := range s.events.Drain() {
 			if _, written := n.(controller.MessageSent); written {
 				t.Errorf("%s: an incomplete update counts as written", name)
 			}
@@ -219,8 +219,8 @@
 		s.events.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Ejected: []string{"s-1"}}})
 	}
 	bad.Ends()
-	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: second}) || s.events.Tally.Panics.Load() != 1 {
-		t.Errorf("received %+v, %d panics", events, s.events.Tally.Panics.Load())
+	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: second}) || s.events.Counters.Panics.Load() != 1 {
+		t.Errorf("received %+v, %d panics", events, s.events.Counters.Panics.Load())
 	}
 	if text, _ := good.Next(); text != "push eject s-1" {
 		t.Errorf("the other receives %q", text)
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -87,7 +87,7 @@
 	for late := time.After(10 * time.Second); len(events) < n; {
 		select {
 		case <-s.events.Ready():
-			events = append(events, slices.DeleteFunc(s.events.Take(), func(n controller.Input) bool {
+			events = append(events, slices.DeleteFunc(s.events.Drain(), func(n controller.Input) bool {
 				_, out := n.(controller.MessageSent)
 				return out
 			})...)
@@ -112,10 +112,10 @@
 	c.expect(t, "push routes g admit 1 policy 0 nonce_out 3")
 	c.send(t, "probe")
 	c.expect(t, "alive")
-	if events := s.events.Take(); len(events) != 1 || events[0] != (controller.MessageSent{Number: 7}) {
+	if events := s.events.Drain(); len(events) != 1 || events[0] != (controller.MessageSent{Number: 7}) {
 		t.Errorf("%+v once both parts and what came after them have gone out", events)
 	}
-	s.events.End(1)
+	s.events.CloseStream(1)
 	c.expectClosed(t)
 	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: 1}) {
 		t.Errorf("%+v", events)
@@ -178,8 +178,8 @@
 	reports.send(t, "outcomes site a target s-5 count 1 fail 0 mean 1 over 1")
 	io.WriteString(good, "*2\r\n$3\r\nack\r\n:1\r\n$-1\r\n")
 	good.send(t, "ack id 1 seq 1 ms 1")
-	if receive(t, s, 4); s.events.Tally.Late.Load() != 3 || s.events.Tally.Skipped.Load() != 5 {
-		t.Errorf("%d late, %d skipped", s.events.Tally.Late.Load(), s.events.Tally.Skipped.Load())
+	if receive(t, s, 4); s.events.Counters.JoinTimeouts.Load() != 3 || s.events.Counters.Skipped.Load() != 5 {
+		t.Errorf("%d late, %d skipped", s.events.Counters.JoinTimeouts.Load(), s.events.Counters.Skipped.Load())
 	}
 }
 
@@ -231,7 +231,7 @@
 	p.server.goroutines.Add(1)
 	go io.WriteString(here, "x")
 	p.serve()
-	if s.goroutines.Done(); s.events.Tally.Panics.Load() != 1 {
+	if s.goroutines.Done(); s.events.Counters.Panics.Load() != 1 {
 		t.Error("no panic was counted")
 	}
 	if _, err := here.Write([]byte("x")); err == nil {
@@ -306,7 +306,7 @@
 	}
 	receive(t, s, 2)
 	dial(t, at).expectClosed(t)
-	if s.events.Tally.Refused.Load() != 1 {
+	if s.events.Counters.Refused.Load() != 1 {
 		t.Error("no connection was refused")
 	}
 }
@@ -331,7 +331,7 @@
 	dial(t, at).expectClosed(t)
 }
 
-// A proxy that does not read delays nobody: its outbox is emptied in favour of a full update.
+// A proxy that does not read delays nobody: its sendQueue is emptied in favour of a full update.
 func TestPeerThatDoesNotReadDelaysNobody(t *testing.T) {
 	s := server(100)
 	at := serve(t, s)
@@ -346,7 +346,7 @@
 	shut := controller.Update{Ejected: []string{"s-1"}}
 	s.events.Send(controller.OutgoingUpdate{Stream: 1, Update: shut})
 	here.Read(make([]byte, 1)) // the rest of this message is not read
-	for s.events.Tally.Emptied.Load() == 0 {
+	for s.events.Counters.QueuesDropped.Load() == 0 {
 		s.events.Send(controller.OutgoingUpdate{Stream: 1, Update: shut})
 	}
 	s.events.Send(controller.OutgoingUpdate{Stream: 2, Update: shut})
@@ -356,12 +356,12 @@
 		t.Errorf("%+v", events)
 	}
 	here.Read(make([]byte, resp.BufferSize))
-	if events := receive(t, s, 1); events[0] != (controller.OutboxDrained{Stream: 1}) {
+	if events := receive(t, s, 1); events[0] != (controller.UpdatesDropped{Stream: 1}) {
 		t.Errorf("%+v", events)
 	}
 	s.events.Send(controller.OutgoingUpdate{Stream: 1, Update: controller.Update{Resync: true, Full: true}})
 	here.Read(make([]byte, 1))
-	s.events.End(1) // closed while it is being written to
+	s.events.CloseStream(1) // closed while it is being written to
 	slow.expectClosed(t)
 	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: 1}) {
 		t.Errorf("%+v", events)
--- a/internal/controlserver/write.go
+++ b/internal/controlserver/write.go
@@ -11,11 +11,11 @@
 // so only a peer that does not read takes longer.
 const healthCheckTimeout = time.Second
 
-// answerHealthCheck answers on the reading goroutine, or through the outbox of a proxy, whose other goroutine writes.
+// answerHealthCheck answers on the reading goroutine, or through the send queue of a proxy, whose other goroutine writes.
 func (p *peer) answerHealthCheck() error {
-	p.server.events.Tally.Alive.Add(1)
-	if p.outbox != nil {
-		p.outbox.Alive()
+	p.server.events.Counters.HealthChecks.Add(1)
+	if p.sendQueue != nil {
+		p.sendQueue.AnswerHealthCheck()
 		return nil
 	}
 	p.conn.SetWriteDeadline(time.Now().Add(healthCheckTimeout))
@@ -24,13 +24,13 @@
 	return err
 }
 
-// write writes what is in a proxy's outbox until the connection ends.
+// write writes what is in a proxy's send queue until the connection ends.
 func (p *peer) write() {
 	defer p.server.goroutines.Done()
 	defer p.conn.Close()
 	defer p.recoverPanic()
 	for {
-		item, ok := p.outbox.Next(p.done)
+		item, ok := p.sendQueue.Next(p.done)
 		if !ok {
 			return
 		}
@@ -42,23 +42,23 @@
 
 // writeItem writes one answer to a health check or one update, and reports whether all of it was written.
 func (p *peer) writeItem(item eventloop.Item) bool {
-	if item.Alive {
+	if item.HealthCheckReply {
 		return p.writeParts([][]string{{messageAlive}})
 	}
 	parts := EncodeUpdate(item.Update)
-	p.server.events.Tally.Pushes.Add(1)
+	p.server.events.Counters.UpdatesSent.Add(1)
 	if !p.writeParts(parts) {
 		return false
 	}
-	p.server.events.Written(item.Number)
+	p.server.events.MessageSent(item.Number)
 	return true
 }
 
 func (p *peer) writeParts(parts [][]string) bool {
-	tally := &p.server.events.Tally
+	tally := &p.server.events.Counters
 	for k, words := range parts {
 		n, err := resp.Write(p.conn, p.server.pool, words...)
-		tally.PushBytes.Add(int64(n))
+		tally.UpdateBytes.Add(int64(n))
 		if err != nil {
 			tally.WriteErrors.Add(1)
 			p.server.log.Debug("write failed", "proxy", p.id, "part", k, "bytes", n, "error", err)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -23,7 +23,7 @@
 const someList = `{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":"h:1","locality":"a","flavor":"m2",` +
 	`"cell":3,"phase":"Ready","size":1.5,"up_since_ms":2}]}`
 
-func client(known int64) (*Client, *eventloop.Exchange) {
+func client(known int64) (*Client, *eventloop.Queues) {
 	x := eventloop.New()
 	return New("", known, x, slog.New(slog.DiscardHandler), func() int64 { return 7 }, 1), x
 }
@@ -92,7 +92,7 @@
 		for _, a := range c.answers {
 			_, err = cl.apply(a)
 		}
-		if published := len(x.Take()); cl.revision != c.known || published != c.published || (err != nil) != c.fails || cl.synced == c.complete {
+		if published := len(x.Drain()); cl.revision != c.known || published != c.published || (err != nil) != c.fails || cl.synced == c.complete {
 			t.Errorf("%s: revision %d, %d published, complete list next %v: %v", name, cl.revision, published, !cl.synced, err)
 		}
 	}
@@ -150,14 +150,14 @@
 		if err != nil && (failure.Stage != c.stage || !strings.Contains(err.Error(), c.says)) {
 			t.Errorf("%s: %v", name, err)
 		}
-		if published := len(x.Take()); got.reusable != c.kept || published != c.published {
+		if published := len(x.Drain()); got.reusable != c.kept || published != c.published {
 			t.Errorf("%s: kept %v, %d published", name, got.reusable, published)
 		}
 		conn.Close()
 	}
 	cl, x := client(41)
 	conn := answerOnce(t, path, sized[:9], sized[9:40], sized[40:99], sized[99:]) // takes longer than answerTimeout
-	if _, err := cl.call(conn, bufio.NewReader(conn)); err != nil || len(x.Take()) != 1 {
+	if _, err := cl.call(conn, bufio.NewReader(conn)); err != nil || len(x.Drain()) != 1 {
 		t.Errorf("in slow pieces: %v", err)
 	}
 	cl.synced = true
@@ -216,8 +216,8 @@
 	}
 	stop()
 	<-ended
-	if x.Tally.Timeouts.Load() != 1 || x.Tally.Dials.Load() != 4 || len(x.Take()) < 2 {
-		t.Errorf("%d dials", x.Tally.Dials.Load())
+	if x.Counters.Timeouts.Load() != 1 || x.Counters.Dials.Load() != 4 || len(x.Drain()) < 2 {
+		t.Errorf("%d dials", x.Counters.Dials.Load())
 	}
 }
 
@@ -257,8 +257,8 @@
 		}
 		c.SetAddress(at) // the same address: no effect
 	}
-	if time.Since(start) > time.Second || x.Tally.Dials.Load() != 2 || len(x.Take()) != 2 {
-		t.Errorf("%d dials in %v", x.Tally.Dials.Load(), time.Since(start))
+	if time.Since(start) > time.Second || x.Counters.Dials.Load() != 2 || len(x.Drain()) != 2 {
+		t.Errorf("%d dials in %v", x.Counters.Dials.Load(), time.Since(start))
 	}
 	stop()
 	<-ended
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -61,7 +61,7 @@
 }
 
 // startClient runs a client that starts from a list of the revision known, until the end of the test.
-func startClient(t *testing.T, address string, known int64) (*Client, *eventloop.Exchange, *logBuffer) {
+func startClient(t *testing.T, address string, known int64) (*Client, *eventloop.Queues, *logBuffer) {
 	x, log := eventloop.New(), &logBuffer{}
 	c := New(address, known, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, 1)
 	ctx, stop := context.WithCancel(context.Background())
@@ -72,14 +72,14 @@
 }
 
 // nextList waits for the next list.
-func nextList(t *testing.T, x *eventloop.Exchange) controller.ReplicaList {
+func nextList(t *testing.T, x *eventloop.Queues) controller.ReplicaList {
 	t.Helper()
 	select {
 	case <-x.Ready():
 	case <-time.After(scriptedpeer.Patience):
 		t.Fatal("no list is published")
 	}
-	events := x.Take()
+	events := x.Drain()
 	return events[len(events)-1].(controller.ReplicaList)
 }
 
@@ -114,7 +114,7 @@
 
 // startClientWithDialer runs a client in a synctest bubble until its test ends.
 func startClientWithDialer(t *testing.T, seed uint64, dial dialFunc) (
-	*Client, *eventloop.Exchange, *logBuffer) {
+	*Client, *eventloop.Queues, *logBuffer) {
 	x, log := eventloop.New(), &logBuffer{}
 	c := New("agent:1", 40, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, seed)
 	c.dial = dial
