--- a/cmd/lilacbend/settings_test.go
+++ b/cmd/lilacbend/settings_test.go
@@ -86,20 +86,20 @@
 		return nil
 	}
 	site := emulator.Site{Replicas: 10, Proxies: c.settings.Proxies, Load: 0.3, Names: c.names, Provision: c.settings}
-	w := emulator.New(site, 1)
-	w.Watch()
-	w.Up(nil)
-	w.Inflict([]emulator.Fault{{At: 6 * second, Kind: "drain", Who: 0, Span: 6 * second},
+	simulation := emulator.New(site, 1)
+	simulation.CheckRules()
+	simulation.Start(nil)
+	simulation.Inject([]emulator.Fault{{At: 6 * second, Kind: "drain", Who: 0, Span: 6 * second},
 		{At: 7 * second, Kind: "replace", Who: 1, Span: second}, {At: 8 * second, Kind: "stream", Who: 0, Span: second / 2},
 		{At: 9 * second, Kind: "governor", Who: 0, Span: second}, {At: 12 * second, Kind: "silent", Who: 3, Span: 2 * second}})
-	w.Run(18 * second)
-	for _, b := range w.Breaches {
+	simulation.Run(18 * second)
+	for _, b := range simulation.Breaches {
 		if slices.Contains([]int{1, 3, 5}, b.Rule) {
 			said = append(said, b.String())
 		}
 	}
 	for k := range c.settings.Controllers {
-		if n := w.Core(k).Counters; n.ModuleRestarts > 0 || n.Invalid > 0 {
+		if n := simulation.Core(k).Counters; n.ModuleRestarts > 0 || n.Invalid > 0 {
 			said = append(said, fmt.Sprintf("governor %d: %d modules failed, %d notes were strange", k, n.ModuleRestarts, n.Invalid))
 		}
 	}
--- /dev/null
+++ b/experiment/emulator/inject.go
@@ -0,0 +1,188 @@
+package emulator
+
+import (
+	"fmt"
+
+	"lilacbend/control"
+	"lilacbend/internal/controller"
+	"lilacbend/internal/learnedstate"
+)
+
+const (
+	// snapshotHalfLife is the half-life of the learned state that a controller restarts with.
+	snapshotHalfLife = 60 * second
+	// zoneLossNoticeDelay is when a lost zone's replicas are removed from the list.
+	zoneLossNoticeDelay = second
+	// minZoneReplaceDelay is the earliest time at which they are replaced.
+	minZoneReplaceDelay = 2 * second
+	// releaseFraction is the fraction of replicas that a release replaces, in tenths.
+	releaseFraction = 6
+	// releaseDrainTime is how long a replica drains before a release replaces it.
+	releaseDrainTime = 2 * second
+)
+
+// Inject schedules the faults of a script.
+func (sim *Simulation) Inject(script []Fault) {
+	for _, fault := range script {
+		sim.at(fault.At, func() { sim.inject(fault) })
+	}
+}
+
+func (sim *Simulation) inject(fault Fault) {
+	switch fault.Kind {
+	case kindSilent:
+		sim.injectReplicaFault(fault, Silent)
+	case kindSlow:
+		sim.injectReplicaFault(fault, Slow)
+	case kindFailing:
+		sim.injectReplicaFault(fault, Failing)
+	case kindRestart:
+		r := sim.replica(fault)
+		r.Fault = Failing
+		sim.after(fault.Span, func() { sim.replace(r) })
+	case kindDrain:
+		r := sim.replica(fault)
+		sim.changeState(r, control.Draining, r.Member.UpSince)
+		sim.after(fault.Span, func() { sim.changeState(r, control.Ready, sim.now) })
+	case kindReplace:
+		r := sim.replica(fault)
+		r.Fault = Failing
+		sim.changeState(r, control.Gone, r.Member.UpSince)
+		sim.after(fault.Span, func() { sim.replace(r) })
+	case kindCut:
+		sim.injectCut(fault)
+	case kindController, kindControllerKept:
+		sim.injectControllerRestart(fault)
+	case kindRelease:
+		sim.injectRelease(fault)
+	case kindZone:
+		sim.injectZoneLoss(fault)
+	case kindStall:
+		p := sim.proxy(fault)
+		p.stalledUntil = max(p.stalledUntil, sim.now+fault.Span)
+	case kindStream:
+		sim.injectSecondStream(fault)
+	default:
+		panic(fmt.Sprintf("unknown kind of fault %q", fault.Kind)) // scripts are checked when they are read
+	}
+}
+
+func (sim *Simulation) replica(fault Fault) *Replica {
+	return sim.Replicas[fault.Who%len(sim.Replicas)]
+}
+
+func (sim *Simulation) proxy(fault Fault) *proxy { return sim.proxies[fault.Who%len(sim.proxies)] }
+
+func (sim *Simulation) injectReplicaFault(fault Fault, kind ReplicaFault) {
+	r := sim.replica(fault)
+	r.Fault = kind
+	sim.after(fault.Span, func() { r.Fault = NoFault })
+}
+
+func (sim *Simulation) injectCut(fault Fault) {
+	zone := sim.Site.zones()[fault.Who]
+	sim.cuts[zone]++
+	sim.after(fault.Span, func() { sim.reconnectZone(zone) })
+}
+
+// injectControllerRestart kills a controller and starts it after the span, with its learned state if that is kept.
+func (sim *Simulation) injectControllerRestart(fault Fault) {
+	c := sim.controllers[fault.Who%len(sim.controllers)]
+	if c.core == nil {
+		return
+	}
+	learned := c.learned
+	sim.stop(c)
+	sim.after(fault.Span, func() {
+		if c.core != nil {
+			return
+		}
+		var restored *learnedstate.AgedState
+		if fault.Kind == kindControllerKept && learned != nil {
+			age := learned.Taken.Age(learnedstate.Timestamp{Wall: sim.now})
+			restored = learnedstate.NewAgedState(*learned, sim.now, age, snapshotHalfLife)
+		}
+		sim.start(c, restored)
+	})
+}
+
+// injectRelease replaces replicas one after another, in a random order. Each drains before.
+func (sim *Simulation) injectRelease(fault Fault) {
+	replaced := sim.random.Perm(len(sim.Replicas))[:len(sim.Replicas)*releaseFraction/10]
+	for k, index := range replaced {
+		r := sim.Replicas[index]
+		delay := fault.Span * int64(k) / int64(len(replaced))
+		sim.after(delay, func() { sim.changeState(r, control.Draining, r.Member.UpSince) })
+		sim.after(delay+releaseDrainTime, func() { sim.replace(r) })
+	}
+}
+
+// injectZoneLoss loses a zone. Its replicas are removed from the list late, and replaced at the end of the span.
+func (sim *Simulation) injectZoneLoss(fault Fault) {
+	zone := sim.Site.zones()[fault.Who]
+	sim.cuts[zone]++
+	for _, r := range sim.Replicas {
+		if r.Member.Zone != zone {
+			continue
+		}
+		r.Fault = Failing
+		sim.after(zoneLossNoticeDelay, func() { sim.changeState(r, control.Gone, r.Member.UpSince) })
+		sim.after(max(minZoneReplaceDelay, fault.Span), func() { sim.replace(r) })
+	}
+	sim.after(fault.Span, func() { sim.reconnectZone(zone) })
+}
+
+// injectSecondStream opens a new stream of a proxy. The end of the old one is noticed after the span.
+func (sim *Simulation) injectSecondStream(fault Fault) {
+	p := sim.proxy(fault)
+	old := p.stream
+	if old == 0 || sim.isCut(p.zone) {
+		return
+	}
+	c := sim.controllers[p.controller]
+	sim.join(p)
+	sim.after(fault.Span, func() { c.enqueue(controller.StreamClosed{Stream: old}) })
+}
+
+// replace lets a new process take a replica's place. It warms up.
+func (sim *Simulation) replace(r *Replica) {
+	r.Fault = NoFault
+	r.recentAttempts = nil
+	sim.changeState(r, control.Ready, sim.now)
+}
+
+// changeState changes a replica in the list and notifies the controllers.
+func (sim *Simulation) changeState(r *Replica, state control.State, upSince int64) {
+	r.Member.State = state
+	r.Member.UpSince = upSince
+	r.notifiedAt = sim.now
+	for _, c := range sim.controllers {
+		c.enqueue(controller.ReplicaList{Revision: 1, ReadAt: sim.now, ReadAtWall: sim.now, Members: []controller.Member{r.Member}})
+	}
+}
+
+// reconnectZone ends one cut of a zone. After the last one its proxies join again; messages in flight are lost.
+func (sim *Simulation) reconnectZone(zone string) {
+	sim.cuts[zone]--
+	if sim.cuts[zone] > 0 {
+		return
+	}
+	for _, p := range sim.proxies {
+		if p.zone == zone {
+			sim.rejoin(p)
+		}
+	}
+}
+
+// rejoin replaces a proxy's stream, or reconnects the proxy if its controller does not run.
+func (sim *Simulation) rejoin(p *proxy) {
+	c := sim.controllers[p.controller]
+	if c.core == nil {
+		sim.reconnect(p)
+		return
+	}
+	if p.stream != 0 {
+		c.enqueue(controller.StreamClosed{Stream: p.stream})
+	}
+	sim.join(p)
+}
--- a/experiment/emulator/overload.go
+++ b/experiment/emulator/overload.go
@@ -1,75 +1,59 @@
 package emulator
 
-import "lilacbend/control"
-
-// This file holds what makes an overload worse than its flows: queues that are full, proxies that avoid who fails them,
-// and clients that come again.
-
-// Overload says how an installation behaves under more than it can serve. The zero value is one that only waits.
+// Overload describes what makes an overload worse than its requests: full queues, proxies that avoid failing replicas, and
+// clients that send failed requests again. The zero value is an installation in which requests only wait.
 type Overload struct {
-	QueueLimit   int   // flows that may wait at a replica, more are refused before they run; 0: any number
-	ClientTries  int   // how often a client comes again whose flow failed
-	AvoidAfter   int   // tries that failed in a row after which a proxy avoids a replica; 0: never
-	AvoidSpan    int64 // for so long
-	ZoneGovernor bool  // a zone's proxies belong to some of the governors, which have no others
+	QueueLimit   int   // requests that may wait at a replica; further ones are rejected before they run; 0: no limit
+	ClientTries  int   // how often a client sends a failed request again
+	AvoidAfter   int   // consecutive failures after which a proxy avoids a replica; 0: never
+	AvoidSpan    int64 // for how long, in nanoseconds
+	ZoneGovernor bool  // each controller has proxies of one zone only
 }
 
-const (
-	refusalTime  = 5 * milli
-	clientReturn = 200 * milli
-)
+// resendDelay is how long a client waits before it sends a failed request again.
+const resendDelay = 200 * milli
 
-// full says whether a replica refuses another flow.
-func (w *World) full(r *Replica) bool {
-	limit := w.Site.Overload.QueueLimit
-	return limit > 0 && r.Mood == Well && len(r.waiting) >= limit
+// isFull reports whether a replica rejects another request.
+func (sim *Simulation) isFull(r *Replica) bool {
+	limit := sim.Site.Overload.QueueLimit
+	return limit > 0 && r.Fault == NoFault && len(r.waiting) >= limit
 }
 
-// refuse turns a flow away before it runs: there is proof of that, so the proxy may try one more replica.
-func (w *World) refuse(f *flow, r *Replica, s *sum) {
-	w.after(refusalTime, func() {
-		missed(s)()
-		w.failed(f.p, r)
-		if level, told := f.p.levels[w.Site.Names.Classes[f.group]]; f.again || told && level.Retries == control.NoRetry {
-			w.end(f, false)
-			return
-		}
-		f.again = true
-		w.try(f, r.Member.ID)
+// resend lets the client send a failed request again, if it does that.
+func (sim *Simulation) resend(q *request) {
+	if q.resent >= sim.Site.Overload.ClientTries {
+		return
+	}
+	sim.after(resendDelay, func() {
+		sim.arrive(&request{proxy: q.proxy, class: q.class, arrived: sim.now, resent: q.resent + 1})
 	})
 }
 
-// failed counts a try that failed; a proxy avoids for a while who fails it too often in a row.
-func (w *World) failed(p *proxy, r *Replica) {
+// attemptFailed counts a failed attempt. A proxy avoids a replica for a while after too many in a row.
+func (sim *Simulation) attemptFailed(p *proxy, r *Replica) {
+	overload := sim.Site.Overload
 	id := r.Member.ID
-	if p.failures[id]++; w.Site.Overload.AvoidAfter == 0 || p.failures[id] < w.Site.Overload.AvoidAfter || p.avoided[id] {
+	p.consecutiveFailures[id]++
+	if overload.AvoidAfter == 0 || p.consecutiveFailures[id] < overload.AvoidAfter || p.avoided[id] {
 		return
 	}
-	p.avoided[id], p.picks = true, nil
-	w.after(w.Site.Overload.AvoidSpan, func() {
+	p.avoided[id] = true
+	p.candidates = nil
+	sim.after(overload.AvoidSpan, func() {
 		delete(p.avoided, id)
-		delete(p.failures, id)
-		p.picks = nil
+		delete(p.consecutiveFailures, id)
+		p.candidates = nil
 	})
 }
 
-// holds says whether a proxy has a line that it was not told to keep away from, whomever it avoids by itself.
-func (p *proxy) holds() bool {
-	for id, weight := range p.lines {
-		if weight > 0 && !p.shut[id] {
-			return true
-		}
-	}
-	return false
-}
-
-// home says whether a proxy is one of a governor's own.
-func (w *World) home(p *proxy, t *tower) bool {
-	zones := w.Site.zones()
-	if !w.Site.Overload.ZoneGovernor || len(w.towers) < len(zones) {
-		return p.id%len(w.towers) == t.number
+// isOwn reports whether a proxy connects to a controller when that starts.
+func (sim *Simulation) isOwn(p *proxy, c *controllerNode) bool {
+	count := len(sim.controllers)
+	zones := len(sim.Site.zones())
+	if !sim.Site.Overload.ZoneGovernor || count < zones {
+		return p.id%count == c.index
 	}
-	zone := p.id % len(zones) // as New deals them
-	share := (len(w.towers) - zone + len(zones) - 1) / len(zones)
-	return t.number == zone+len(zones)*(p.id/len(zones)%share)
+	zone := p.id % zones // as New assigns zones
+	controllersOfZone := (count - zone + zones - 1) / zones
+	return c.index == zone+zones*(p.id/zones%controllersOfZone)
 }
--- a/experiment/emulator/rules.go
+++ b/experiment/emulator/rules.go
@@ -7,119 +7,159 @@
 	"lilacbend/internal/controller"
 )
 
-// This file checks the rules from what is true, which the governor cannot see, after each step that could break
-// them. A breach is noted once for each rule and culprit.
+// This file checks the protocol's rules against the true state, which the controllers cannot see, after each step that could
+// break them. A breach is recorded once for each rule and culprit.
 
 const (
-	// A proxy that applies nothing for a while has its time from then on. A joined proxy may be so long without a line while a warm ready replica is listed, and may send so long to one
-	// that drains, of its joining or of the list's word, whichever is later: our figures for 4 s and 2.5 s of two
-	// deployments, and 300 ms for the way. A site that states its own grace is held to that.
-	bareMost, graceMost, graceSlack = 4300 * milli, 2800 * milli, 300 * milli
-	// A replica that has just started falls when it gets its multiple for so long.
-	fallSpan = 3 * second
+	// maxBareTime is how long a joined proxy may have no endpoint while a warmed up ready replica is listed: 4 s, and 300 ms
+	// in transit. Time in which the proxy applies no messages does not count.
+	maxBareTime = 4300 * milli
+	// maxDrainGrace is how long a proxy may send requests to a draining replica, from its joining or from the notification,
+	// whichever is later: 2.5 s, and 300 ms in transit. A site may state its own grace.
+	maxDrainGrace = 2800 * milli
+	// drainGraceSlack is added to a site's own grace.
+	drainGraceSlack = 300 * milli
+	// overloadTime is for how long a replica that is warming up must be overloaded to fail.
+	overloadTime = 3 * second
+	// controllerStartTime is how long a controller may take to send the first tables.
+	controllerStartTime = second
+)
+
+// The protocol's rules that are checked.
+const (
+	ruleEndpoint = 1
+	ruleDrain    = 3
+	ruleWarmUp   = 4
+	ruleChannel  = 5
 )
 
 // Breach is a rule that was broken.
 type Breach struct {
 	At   int64
-	Rule int // 1 to 5; 0: service did not come back
+	Rule int // 1 to 5; 0: service did not recover
 	What string
 }
 
+// String returns the breach in one line.
 func (b Breach) String() string {
 	return fmt.Sprintf("%.3fs rule %d: %s", float64(b.At)/1e9, b.Rule, b.What)
 }
 
-// Watch has the rules checked from now on.
-func (w *World) Watch() { w.watched = map[string]bool{} }
+// CheckRules starts to check the rules.
+func (sim *Simulation) CheckRules() { sim.reported = map[string]bool{} }
 
-func (w *World) breach(rule int, culprit, what string, args ...any) {
-	if key := fmt.Sprint(rule, culprit); w.watched != nil && !w.watched[key] {
-		w.watched[key] = true
-		w.Breaches = append(w.Breaches, Breach{w.now, rule, culprit + " " + fmt.Sprintf(what, args...)})
-	}
-}
-
-// cold says how much of its work a replica can do, 1 once it is warm.
-func (w *World) able(r *Replica) float64 {
-	age := w.now - r.Member.UpSince
-	if r.Member.UpSince == 0 || age >= w.Site.Provision.SlowStartTime {
-		return 1
+func (sim *Simulation) breach(rule int, culprit, what string, args ...any) {
+	key := fmt.Sprint(rule, culprit)
+	if sim.reported == nil || sim.reported[key] {
+		return
 	}
-	p := w.Site.Provision
-	return p.SlowStartFraction + (1-p.SlowStartFraction)*float64(age)/float64(p.SlowStartTime)
+	sim.reported[key] = true
+	sim.Breaches = append(sim.Breaches, Breach{At: sim.now, Rule: rule, What: culprit + " " + fmt.Sprintf(what, args...)})
 }
 
-// warm says whether any replica is listed as ready and no longer cold, and has been for so long.
-func (w *World) warm(span int64) bool {
-	for _, r := range w.Replicas {
-		if r.Member.State == control.Ready && w.able(r) == 1 && w.now-r.told >= span {
+// hasWarmReplica reports whether a replica has been ready and warmed up for a duration.
+func (sim *Simulation) hasWarmReplica(duration int64) bool {
+	for _, r := range sim.Replicas {
+		if r.Member.State == control.Ready && sim.warmth(r) == 1 && sim.now-r.notifiedAt >= duration {
 			return true
 		}
 	}
 	return false
 }
 
-// look checks rule 1 of a proxy now, and once more when its time is over.
-func (w *World) look(p *proxy) {
-	if w.watched == nil || p.stream == 0 || w.cut[p.zone] > 0 || w.pick(p, "") != nil || p.holds() {
-		p.bare = 0
+// checkEndpoint checks now, and after maxBareTime, whether a proxy has an endpoint.
+func (sim *Simulation) checkEndpoint(p *proxy) {
+	if sim.reported == nil || !sim.isBare(p) {
+		p.bareSince = 0
 		return
 	}
-	if p.bare == 0 {
-		p.bare = w.now
+	if p.bareSince == 0 {
+		p.bareSince = sim.now
 	}
-	since := p.bare
-	w.after(bareMost, func() {
-		if p.bare == since && p.stream != 0 && w.cut[p.zone] == 0 && w.now-p.joined >= bareMost && w.pick(p, "") == nil && !p.holds() && w.warm(bareMost) {
-			w.breach(1, fmt.Sprint("proxy ", p.id), "has had no line since %.3fs", float64(since)/1e9)
+	since := p.bareSince
+	sim.after(maxBareTime, func() {
+		if p.bareSince == since && sim.now-p.joinedAt >= maxBareTime && sim.isBare(p) && sim.hasWarmReplica(maxBareTime) {
+			sim.breach(ruleEndpoint, fmt.Sprint("proxy ", p.id), "has had no line since %.3fs", float64(since)/1e9)
 		}
 	})
 }
 
-// sent checks what a try must not do: reach who drains, or push over who is cold.
-func (w *World) sent(p *proxy, r *Replica) {
-	if w.watched == nil {
+// isBare reports whether a connected proxy has no endpoint. It draws a random number for each connected proxy.
+func (sim *Simulation) isBare(p *proxy) bool {
+	return p.stream != 0 && !sim.isCut(p.zone) && sim.pick(p, "") == nil && !p.hasEndpoint()
+}
+
+// checkAttempt checks that an attempt does not reach a draining replica, and does not overload one that is warming up.
+func (sim *Simulation) checkAttempt(p *proxy, r *Replica) {
+	if sim.reported == nil {
 		return
 	}
-	grace := graceMost
-	if own := w.Site.Provision.DrainGrace; own > 0 {
-		grace = own + graceSlack
+	sim.checkDrain(p, r)
+	warmth := sim.warmth(r)
+	if warmth < 1 {
+		sim.checkWarmUp(r, warmth)
 	}
-	if r.Member.State != control.Ready && p.stream != 0 && w.cut[p.zone] == 0 && w.now > max(r.told, p.joined, w.towers[p.tower].up, p.stalled)+grace {
-		w.breach(3, r.Member.ID, "gets flows of proxy %d, told at %.3fs", p.id, float64(r.told)/1e9)
+}
+
+func (sim *Simulation) checkDrain(p *proxy, r *Replica) {
+	if r.Member.State == control.Ready || p.stream == 0 || sim.isCut(p.zone) {
+		return
 	}
-	if able := w.able(r); able < 1 {
-		r.lately = append(r.lately, w.now)
-		for len(r.lately) > 0 && r.lately[0] <= w.now-fallSpan {
-			r.lately = r.lately[1:]
-		}
-		usual := float64(r.places) / r.mean * float64(fallSpan) / float64(second)
-		steered := false // before that nobody could tell the proxies
-		for _, t := range w.towers {
-			steered = steered || t.core != nil && w.now-t.up > second+fallSpan
-		}
-		if n := float64(len(r.lately)); steered && w.now-r.Member.UpSince >= fallSpan && n > w.Site.Provision.OverloadMultiple*able*usual {
-			w.breach(4, r.Member.ID, "cold, got %.0f flows in 3 s, falls at %.0f", n, w.Site.Provision.OverloadMultiple*able*usual)
+	grace := maxDrainGrace
+	if own := sim.Site.Provision.DrainGrace; own > 0 {
+		grace = own + drainGraceSlack
+	}
+	notified := max(r.notifiedAt, p.joinedAt, sim.controllers[p.controller].startedAt, p.stalledUntil)
+	if sim.now > notified+grace {
+		sim.breach(ruleDrain, r.Member.ID, "gets flows of proxy %d, told at %.3fs", p.id, float64(r.notifiedAt)/1e9)
+	}
+}
+
+func (sim *Simulation) checkWarmUp(r *Replica, warmth float64) {
+	r.recentAttempts = append(r.recentAttempts, sim.now)
+	r.recentAttempts = dropUntil(r.recentAttempts, sim.now-overloadTime)
+	capacity := float64(r.slots) / r.meanTime * float64(overloadTime) / float64(second)
+	limit := sim.Site.Provision.OverloadMultiple * warmth * capacity
+	attempts := float64(len(r.recentAttempts))
+	if sim.isControlled() && sim.now-r.Member.UpSince >= overloadTime && attempts > limit {
+		sim.breach(ruleWarmUp, r.Member.ID, "cold, got %.0f flows in 3 s, falls at %.0f", attempts, limit)
+	}
+}
+
+// isControlled reports whether a controller has run for long enough to notify proxies of a replica.
+func (sim *Simulation) isControlled() bool {
+	for _, c := range sim.controllers {
+		if c.core != nil && sim.now-c.startedAt > controllerStartTime+overloadTime {
+			return true
 		}
 	}
+	return false
 }
 
-// queued checks rule 5 as a message enters the channel, and says when it has left it.
-func (w *World) queued(p *proxy, push controller.Update) (left int64) {
-	prov := w.Site.Provision
-	lines := len(push.Endpoints) + len(push.Ejected) + len(push.Restored) + len(push.Admissions) + prov.MessageOverhead + 1
-	t := w.towers[p.tower]
-	t.free = max(t.free, w.now) + int64(float64(lines)/prov.ChannelRate*float64(second))
-	if waits := float64(t.free-w.now) / float64(second) * prov.ChannelRate; waits > float64(prov.ChannelLimit) {
-		w.breach(5, fmt.Sprint("channel ", t.number), "holds %.0f lines of %d", waits, prov.ChannelLimit)
+// checkChannel checks the limits of the channel and of messages as an update enters the channel, and returns when it has left
+// it.
+func (sim *Simulation) checkChannel(p *proxy, update controller.Update) (sentAt int64) {
+	provision := sim.Site.Provision
+	cost := len(update.Endpoints) + len(update.Ejected) + len(update.Restored) + len(update.Admissions) + provision.MessageOverhead + 1
+	c := sim.controllers[p.controller]
+	c.channelEnd = max(c.channelEnd, sim.now) + int64(float64(cost)/provision.ChannelRate*float64(second))
+	queued := float64(c.channelEnd-sim.now) / float64(second) * provision.ChannelRate
+	if queued > float64(provision.ChannelLimit) {
+		sim.breach(ruleChannel, fmt.Sprint("channel ", c.index), "holds %.0f lines of %d", queued, provision.ChannelLimit)
 	}
-	wrote := append(p.wrote[p.tower], w.now)
-	for len(wrote) > 0 && wrote[0] <= w.now-prov.MessageWindow {
-		wrote = wrote[1:]
+	messages := append(p.messageTimes[p.controller], sim.now)
+	messages = dropUntil(messages, sim.now-provision.MessageWindow)
+	p.messageTimes[p.controller] = messages
+	if provision.MaxMessages > 0 && len(messages) > provision.MaxMessages {
+		sim.breach(ruleChannel, fmt.Sprint("proxy ", p.id), "got %d messages in a span for %d", len(messages), provision.MaxMessages)
 	}
-	if p.wrote[p.tower] = wrote; prov.MaxMessages > 0 && len(wrote) > prov.MaxMessages {
-		w.breach(5, fmt.Sprint("proxy ", p.id), "got %d messages in a span for %d", len(wrote), prov.MaxMessages)
+	return c.channelEnd
+}
+
+// dropUntil drops sorted times up to a time.
+func dropUntil(times []int64, until int64) []int64 {
+	for len(times) > 0 && times[0] <= until {
+		times = times[1:]
 	}
-	return t.free
+	return times
 }
--- a/experiment/installation/site.go
+++ b/experiment/installation/site.go
@@ -1,5 +1,5 @@
-// Package installation starts a whole installation on loopback: the product's own program as governors, collectors and
-// sidecars, and stand-ins for discovery and replicas. The example and the laboratory use it.
+// Package installation starts an installation on loopback: the product's program as controllers, collectors and sidecars, with
+// scripted discovery and replicas. The example and the experiments use it.
 package installation
 
 import (
@@ -23,7 +23,7 @@
 	"lilacbend/experiment/replica"
 )
 
-// Shape is how large a site is, and where it listens.
+// Shape is the size of an installation, and where it listens.
 type Shape struct {
 	Zones, Replicas, Places, Sidecars, Governors int
 	Span                                         time.Duration // of a flow at a replica
@@ -51,7 +51,7 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// Site is a running one.
+// Site is a running installation.
 type Site struct {
 	Shape
 	Replicas []*replica.Replica
@@ -73,7 +73,7 @@
 
 func zone(k int) string { return string(rune('a' + k)) }
 
-// Free is an address of loopback that nobody listens on.
+// Free returns an address of loopback on which nothing listens.
 func Free() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,49 +83,70 @@
 	return l.Addr().String()
 }
 
-// Start builds the program and starts all of it; ctx ends the processes.
-func Start(ctx context.Context, shape Shape) (s *Site, err error) {
-	s = &Site{Shape: shape, revision: 1, news: make(chan struct{}), procs: map[string]*exec.Cmd{}}
-	defer func() {
-		if err != nil {
-			s.Stop()
-		}
-	}()
-	if s.program = s.Program; s.program == "" {
+// Start builds the program and starts the installation. Its processes end with ctx.
+func Start(ctx context.Context, shape Shape) (*Site, error) {
+	s := &Site{Shape: shape, program: shape.Program, revision: 1, news: make(chan struct{}), procs: map[string]*exec.Cmd{}}
+	err := s.start(ctx)
+	if err != nil {
+		s.Stop()
+	}
+	return s, err
+}
+
+func (s *Site) start(ctx context.Context) error {
+	if s.program == "" {
 		if err := s.build(ctx); err != nil {
-			return s, err
+			return err
 		}
 	}
 	for k := range s.Shape.Replicas {
 		if err := s.replica(k); err != nil {
-			return s, err
+			return err
 		}
 	}
-	if s.discovery, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
-		return s, err
+	if err := s.startDiscovery(); err != nil {
+		return err
 	}
-	go http.Serve(s.discovery, http.HandlerFunc(s.discover))
 	for range s.Governors {
 		s.governors = append(s.governors, Free())
 	}
 	for k := range s.Zones {
 		if err := s.startCollectors(ctx, k); err != nil {
-			return s, err
+			return err
 		}
 	}
-	if s.Steered {
-		for k := range s.governors {
-			if err := s.Governor(ctx, k); err != nil {
-				return s, err
-			}
-		}
+	if err := s.startControllers(ctx); err != nil {
+		return err
 	}
 	for k := range s.Sidecars {
 		if err := s.sidecar(ctx, k); err != nil {
-			return s, err
+			return err
+		}
+	}
+	return s.ready(ctx)
+}
+
+func (s *Site) startDiscovery() error {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	s.discovery = listener
+	go http.Serve(listener, http.HandlerFunc(s.discover)) // ends when Stop closes the listener
+	return nil
+}
+
+// startControllers starts the controllers, if sidecars are to be controlled.
+func (s *Site) startControllers(ctx context.Context) error {
+	if !s.Steered {
+		return nil
+	}
+	for k := range s.governors {
+		if err := s.Governor(ctx, k); err != nil {
+			return err
 		}
 	}
-	return s, s.ready(ctx)
+	return nil
 }
 
 // startCollectors starts the collectors of a zone: collector-a, and collector-a-standby.
@@ -177,7 +198,7 @@
 	return nil
 }
 
-// Change changes what discovery tells of one replica.
+// Change changes a replica in discovery's list.
 func (s *Site) Change(k int, change func(m *Member)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,7 +252,7 @@
 	return nil
 }
 
-// Kill ends a process without a word, and waits for it.
+// Kill kills a process and waits for it.
 func (s *Site) Kill(name string) {
 	s.mu.Lock()
 	cmd := s.procs[name]
@@ -248,7 +269,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// Pid is the process of that name, 0: none.
+// Pid returns the id of the process of a name, or 0.
 func (s *Site) Pid(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -258,20 +279,20 @@
 	return 0
 }
 
-// Names lists the processes that run.
+// Names returns the running processes, sorted.
 func (s *Site) Names() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.procs))
 }
 
-// Settings are those of the governors, the same but for a latency budget that is so many milliseconds longer.
+// Settings returns the controllers' settings, with a latency budget that is some milliseconds longer.
 func (s *Site) Settings(longer int) string {
 	zones, _ := json.Marshal([]string{"a", "b", "c", "d"}[:s.Zones])
 	return fmt.Sprintf(settingsFile, s.Governors, s.Sidecars, 100*s.Sidecars, zones, usualBudget+longer)
 }
 
-// Governor starts one governor, the first time or once more.
+// Governor starts or restarts a controller.
 func (s *Site) Governor(ctx context.Context, k int) error {
 	raw, _, _ := s.list()
 	file, err := s.file(fmt.Sprintf("governor-%d.json", k), fmt.Sprintf(governorFile, k, s.governors[k], s.discovery.Addr(), time.Now().UnixNano(), raw, s.Settings(0)))
@@ -310,13 +331,13 @@
 	return s.run(ctx, fmt.Sprint("sidecar-", k), "sidecar", "--manifest", file)
 }
 
-// asJSON writes addresses as JSON, which YAML reads as well.
+// asJSON returns addresses as JSON, which is YAML, too.
 func asJSON(addresses []string) string {
-	raw, _ := json.Marshal(addresses) // texts can always be written
+	raw, _ := json.Marshal(addresses) // texts can always be encoded
 	return string(raw)
 }
 
-// ready waits until each sidecar answers.
+// ready waits until all sidecars answer.
 func (s *Site) ready(ctx context.Context) error {
 	for _, at := range s.H1s {
 		var last error
@@ -337,7 +358,7 @@
 	return nil
 }
 
-// Stop ends everything and waits.
+// Stop ends all processes and waits for them.
 func (s *Site) Stop() {
 	s.mu.Lock()
 	procs := s.procs
--- a/experiment/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -1,5 +1,5 @@
-// Package restart measures what the restart of a governor costs, with and without what the one before it had
-// learned. All figures are simulated.
+// Package restart measures the cost of a controller's restart, with and without the state that was learned before it. All
+// results are simulated.
 package restart
 
 import (
@@ -14,71 +14,86 @@
 
 const second = int64(1e9)
 
-// Trouble is what is wrong with some of the replicas from the tenth second on.
+// Trouble is the fault of some replicas from the tenth second on.
 type Trouble struct {
-	Name string
-	Mood emulator.Mood
-	Part float64
+	Name     string
+	Fault    emulator.ReplicaFault
+	Fraction float64 // of the replicas
 }
 
-// Troubles are the ones of the standing measurement.
-var Troubles = []Trouble{{"none", emulator.Well, 0}, {"silent 1/10", emulator.Silent, 0.1}, {"slow 1/10", emulator.Slow, 0.1},
-	{"failing 1/10", emulator.Failing, 0.1}, {"silent 1/3", emulator.Silent, 1.0 / 3}, {"slow 1/3", emulator.Slow, 1.0 / 3}, {"failing 1/3", emulator.Failing, 1.0 / 3}}
+// Troubles are the faults of the standard measurement.
+var Troubles = []Trouble{
+	{"none", emulator.NoFault, 0},
+	{"silent 1/10", emulator.Silent, 0.1},
+	{"slow 1/10", emulator.Slow, 0.1},
+	{"failing 1/10", emulator.Failing, 0.1},
+	{"silent 1/3", emulator.Silent, 1.0 / 3},
+	{"slow 1/3", emulator.Slow, 1.0 / 3},
+	{"failing 1/3", emulator.Failing, 1.0 / 3},
+}
 
-// Memory says what the second governor is told.
+// Memory is the state that the restarted controller receives.
 type Memory int
 
+// Kinds of state.
 const (
-	NoRestart Memory = iota
-	None
-	Kept
-	Old   // by two minutes, and all that was sick is well, all that was well is sick
-	Wrong // fresh, but each replica's is another's
+	NoRestart Memory = iota // the controller does not restart
+	None                    // no state
+	Kept                    // the learned state
+	Old                     // two minutes old, with all ejected replicas healthy and all healthy ones on probation
+	Wrong                   // the learned state with that of replicas exchanged
 )
 
+// String returns the name in tables.
 func (m Memory) String() string {
 	return [...]string{"no restart", "without state", "with state", "state old", "state wrong"}[m]
 }
 
 const (
-	hurtAt, downAt, downSpan = 10 * second, 30 * second, second / 2
-	window                   = 10 * second
-	halfLife                 = 60 * second
+	faultAt     = 10 * second
+	restartAt   = 30 * second
+	restartTime = second / 2
+	// snapshotInterval is how old the learned state may be at the restart.
+	snapshotInterval = 5 * second
+	// window is how long requests are counted, from the restart on, and settleTime how long they may take after it.
+	window     = 10 * second
+	settleTime = 5 * second
+	halfLife   = 60 * second
 )
 
-// Run plays one restart and counts the flows that come in the 10 s from the moment of the kill.
-func Run(site emulator.Site, t Trouble, m Memory, seed int64) (emulator.Outcome, error) {
-	w := emulator.New(site, seed)
-	w.Up(nil)
-	w.Run(hurtAt)
-	chance := rand.New(rand.NewSource(seed))
-	sick := chance.Perm(site.Replicas)[:int(t.Part*float64(site.Replicas)+0.5)]
-	w.Change(func(k int, r *emulator.Replica) {
-		if slices.Contains(sick, k) {
-			r.Mood = t.Mood
+// Run simulates one restart and counts the requests that arrive in the window from the restart on.
+func Run(site emulator.Site, trouble Trouble, memory Memory, seed int64) (emulator.Outcome, error) {
+	simulation := emulator.New(site, seed)
+	simulation.Start(nil)
+	simulation.Run(faultAt)
+	random := rand.New(rand.NewSource(seed))
+	faulty := random.Perm(site.Replicas)[:int(trouble.Fraction*float64(site.Replicas)+0.5)]
+	simulation.ChangeReplicas(func(k int, r *emulator.Replica) {
+		if slices.Contains(faulty, k) {
+			r.Fault = trouble.Fault
 		}
 	})
-	w.Run(downAt + chance.Int63n(5*second)) // the state was written up to 5 s before
-	counted := w.Count(w.Now(), w.Now()+window)
-	if m == NoRestart {
-		w.Run(w.Now() + window + 5*second)
+	simulation.Run(restartAt + random.Int63n(snapshotInterval))
+	counted := simulation.Count(simulation.Now(), simulation.Now()+window)
+	if memory == NoRestart {
+		simulation.Run(simulation.Now() + window + settleTime)
 		return *counted, nil
 	}
-	learned := w.Learned
-	w.Down()
-	w.Run(w.Now() + downSpan)
-	past, err := recall(w, learned, m, chance)
+	learned := simulation.Learned
+	simulation.Stop()
+	simulation.Run(simulation.Now() + restartTime)
+	restored, err := restore(simulation, learned, memory, random)
 	if err != nil {
 		return emulator.Outcome{}, err
 	}
-	w.Up(past)
-	w.Run(w.Now() + window + 5*second)
+	simulation.Start(restored)
+	simulation.Run(simulation.Now() + window + settleTime)
 	return *counted, nil
 }
 
-// recall takes what was learned through the form in which it is kept.
-func recall(w *emulator.World, learned *learnedstate.State, m Memory, chance *rand.Rand) (*learnedstate.AgedState, error) {
-	if m == None || learned == nil {
+// restore encodes and decodes the learned state as a snapshot, and changes it as the kind of state says.
+func restore(simulation *emulator.Simulation, learned *learnedstate.State, memory Memory, random *rand.Rand) (*learnedstate.AgedState, error) {
+	if memory == None || learned == nil {
 		return nil, nil
 	}
 	raw, err := snapshot.Encode(*learned, 1)
@@ -89,26 +104,45 @@
 	if err != nil {
 		return nil, fmt.Errorf("what was kept is not read: %w", err)
 	}
-	kept := generation.State
-	age := kept.Taken.Age(learnedstate.Timestamp{Wall: w.Now()})
-	switch m {
+	state := generation.State
+	age := state.Taken.Age(learnedstate.Timestamp{Wall: simulation.Now()})
+	switch memory {
 	case Old:
 		age += 2 * halfLife
-		for k := range kept.Replicas {
-			r := &kept.Replicas[k]
-			if sick := r.EjectedFor > 0 || r.Probation; sick {
-				r.EjectedFor, r.Probation = 0, false
-			} else {
-				r.Probation, r.Ejections = true, 1
-			}
-		}
+		invertHealth(state.Replicas)
 	case Wrong:
-		other := slices.Clone(kept.Replicas)
-		for k, n := range chance.Perm(len(other)) {
-			r := &kept.Replicas[k]
-			r.Speed, r.SampleCount, r.EjectedFor, r.Probation, r.Ejections = other[n].Speed, other[n].SampleCount, other[n].EjectedFor, other[n].Probation, other[n].Ejections
+		exchangeReplicas(state.Replicas, random)
+	}
+	names := simulation.Site.Names
+	installation := learnedstate.Installation{Classes: names.Classes, HardwareClasses: names.HardwareClasses, Proxies: simulation.Site.Proxies}
+	fitted, _ := learnedstate.Fit(state, installation, age, halfLife)
+	return learnedstate.NewAgedState(fitted, simulation.Now(), age, halfLife), nil
+}
+
+// invertHealth makes ejected replicas healthy, and puts healthy ones on probation.
+func invertHealth(replicas []learnedstate.Replica) {
+	for k := range replicas {
+		r := &replicas[k]
+		if r.EjectedFor > 0 || r.Probation {
+			r.EjectedFor = 0
+			r.Probation = false
+			continue
 		}
+		r.Probation = true
+		r.Ejections = 1
+	}
+}
+
+// exchangeReplicas gives each replica the learned state of another one.
+func exchangeReplicas(replicas []learnedstate.Replica, random *rand.Rand) {
+	originals := slices.Clone(replicas)
+	for k, n := range random.Perm(len(originals)) {
+		r := &replicas[k]
+		other := originals[n]
+		r.Speed = other.Speed
+		r.SampleCount = other.SampleCount
+		r.EjectedFor = other.EjectedFor
+		r.Probation = other.Probation
+		r.Ejections = other.Ejections
 	}
-	kept, _ = learnedstate.Fit(kept, learnedstate.Installation{Classes: w.Site.Names.Classes, HardwareClasses: w.Site.Names.HardwareClasses, Proxies: w.Site.Proxies}, age, halfLife)
-	return learnedstate.NewAgedState(kept, w.Now(), age, halfLife), nil
 }
--- a/experiment/restart/restart_test.go
+++ b/experiment/restart/restart_test.go
@@ -25,19 +25,19 @@
 			b.Run(fmt.Sprintf("%dx%d/%s", size[0], size[1], name), func(b *testing.B) {
 				for range b.N {
 					site := emulator.NewSite(size[0], size[1], 0.05)
-					w := emulator.New(site, 1)
+					simulation := emulator.New(site, 1)
 					began := time.Now()
-					w.Clock = func() int64 { return int64(time.Since(began)) }
-					w.Up(nil)
-					w.Core(0).SetSnapshotPolicy(every, 60*second)
-					w.Run(5500 * second / 1000)
-					w.Turns = w.Turns[:0]
-					w.Run(16 * second)
-					slices.Sort(w.Turns)
-					n := len(w.Turns)
-					b.ReportMetric(float64(w.Turns[n/2])/1e6, "p50-ms")
-					b.ReportMetric(float64(w.Turns[n*99/100])/1e6, "p99-ms")
-					b.ReportMetric(float64(w.Turns[n-1])/1e6, "max-ms")
+					simulation.Clock = func() int64 { return int64(time.Since(began)) }
+					simulation.Start(nil)
+					simulation.Core(0).SetSnapshotPolicy(every, 60*second)
+					simulation.Run(5500 * second / 1000)
+					simulation.Turns = simulation.Turns[:0]
+					simulation.Run(16 * second)
+					slices.Sort(simulation.Turns)
+					n := len(simulation.Turns)
+					b.ReportMetric(float64(simulation.Turns[n/2])/1e6, "p50-ms")
+					b.ReportMetric(float64(simulation.Turns[n*99/100])/1e6, "p99-ms")
+					b.ReportMetric(float64(simulation.Turns[n-1])/1e6, "max-ms")
 				}
 			})
 		}
--- a/experiment/scale/discovery.go
+++ b/experiment/scale/discovery.go
@@ -115,6 +115,7 @@
 	bytes *atomic.Int64
 }
 
+// Accept waits for a connection.
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	return countingConn{conn, l.bytes}, err
--- a/experiment/scale/source.go
+++ b/experiment/scale/source.go
@@ -35,10 +35,11 @@
 	plan    GovernorPlan
 	disk    configcache.Storage
 	service string
-	digest  configcache.Digest // of the settings that each life begins with
+	digest  configcache.Digest // of the settings that each incarnation starts with
 	watcher *configwatch.Watcher
 }
 
+// Start prepares the watch, and resumes with the settings on disk.
 func (s *watchSource) Start(apply Apply) {
 	offer := func(v revision.Version, body []byte) {
 		apply(v, body, func(err error) {
@@ -62,14 +63,15 @@
 	}
 }
 
+// Run follows the servers until ctx ends.
 func (s *watchSource) Run(ctx context.Context) { s.watcher.Run(ctx) }
 
-// keep writes what has come into force. The disk is memory, so the turn need not be spared it.
+// keep stores active settings. The disk is memory, so this may happen in the turn.
 func (s *watchSource) keep(v revision.Version, settings []byte) {
 	configcache.Write(s.disk, configcache.Record{Service: s.service, Version: v, Start: s.digest, Settings: settings})
 }
 
-// memoryDisk stands in for the disk of a governor's machine.
+// memoryDisk replaces the disk of a controller's machine.
 type memoryDisk struct {
 	mu    sync.Mutex
 	files map[string][]byte
@@ -77,6 +79,7 @@
 
 func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
 
+// Read returns the content of a file.
 func (d *memoryDisk) Read(name string, _ int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,6 +90,7 @@
 	return data, nil
 }
 
+// Replace replaces the content of a file.
 func (d *memoryDisk) Replace(name string, data []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/experiment/seeds/golden_test.go
+++ b/experiment/seeds/golden_test.go
@@ -63,7 +63,7 @@
 func TestDigestChangesWithOneWeight(t *testing.T) {
 	p := Profiles["rules"]
 	before := p.Play(1, p.Draw(1), nil)
-	p.Spoil = func(m controller.Module) controller.Module { return &oneWeight{Module: m} }
+	p.WrapModule = func(m controller.Module) controller.Module { return &oneWeight{Module: m} }
 	if after := p.Play(1, p.Draw(1), nil); after.Digest == before.Digest {
 		t.Errorf("digest %016x with and without the change", before.Digest)
 	}
--- a/experiment/seeds/seeds.go
+++ b/experiment/seeds/seeds.go
@@ -1,6 +1,6 @@
-// Package seeds plays scripts of faults drawn from seeds, in virtual time, with the rules checked after each step. The
-// same seed is the same run, to the step, on any machine: one thing happens at a time, and nothing asks for the time
-// of day. All of it is simulated.
+// Package seeds simulates scripts of faults that are drawn from seeds, in virtual time, with the rules checked after each step.
+// The same seed gives the same run, step by step, on any machine: one event happens at a time, and the wall clock is not read.
+// All results are simulated.
 package seeds
 
 import (
@@ -17,23 +17,28 @@
 
 const (
 	second = int64(1e9)
-	// Faults begin in this span, and have ended some ten seconds after it; then service has so long to come back.
-	faultsFrom, faultsUntil, calmSpan = 8 * second, 24 * second, 40 * second
-	lastSpan                          = 5 * second
-	// Of the last flows so many are answered within their latency budget.
-	goodLeast = 0.97
+	// Faults begin between faultsFrom and faultsUntil, and end some ten seconds later at most. Service has recoveryTime from
+	// faultsUntil on to recover.
+	faultsFrom   = 8 * second
+	faultsUntil  = 24 * second
+	recoveryTime = 40 * second
+	// finalWindow is the end of the run, in which minGood of the requests must be answered within their latency budget.
+	finalWindow = 5 * second
+	minGood     = 0.97
+	// settleTime is how long the last requests may take.
+	settleTime = 4 * second
 )
 
-// Profile is a size, and what is drawn.
+// Profile is the size of an installation, and which faults are drawn.
 type Profile struct {
 	Site  func() emulator.Site
 	Kinds []string // empty: all
-	// Crowds are those of many replicas at once, one in each script.
+	// Crowds are kinds of faults of many replicas at once, one in each script.
 	Crowds []string
-	// RulesOnly: more flows come than can be served, so service is not asked for.
+	// RulesOnly is set if more requests arrive than can be served, so that service need not recover.
 	RulesOnly bool
-	// Spoil takes guards out of the module, to show that the checks can fail; nil: it is as it is.
-	Spoil func(controller.Module) controller.Module
+	// WrapModule replaces the decision module, to show that the checks can fail; nil: unchanged.
+	WrapModule func(controller.Module) controller.Module
 }
 
 // Profiles by name.
@@ -46,34 +51,40 @@
 	"fleet":    {Site: fleet, Kinds: []string{"governor", "cut", "silent", "failing", "replace"}, Crowds: emulator.Crowds},
 }
 
-// fleet is five governors that hear nothing of each other, and of flows through an intake that is too narrow for all
-// sums: they add up for seconds.
+// fleet is five independent controllers whose intake is too narrow for all reports, which add up for seconds.
 func fleet() emulator.Site {
 	s := emulator.NewSite(60, 150, 0.5)
-	s.Provision.Controllers, s.Provision.DrainGrace, s.Intake = 5, 2*second, 40
+	s.Provision.Controllers = 5
+	s.Provision.DrainGrace = 2 * second
+	s.Intake = 40
 	return s
 }
 
-// overload is a fleet with as many flows as it can serve when all is well, full queues, proxies that avoid who fails them,
-// clients that come again, and governors each of one zone's proxies alone.
+// overload is a fleet with as many requests as it can serve without faults, limited queues, proxies that avoid failing replicas,
+// clients that send failed requests again, and controllers with proxies of one zone each.
 func overload() emulator.Site {
 	s := emulator.NewSite(60, 150, 1)
-	s.Names.Zones, s.Provision.Zones = []string{"a", "b", "c"}, 3
-	s.Provision.Controllers, s.Provision.DrainGrace, s.Intake = 5, 2*second, 60
-	s.Provision.SlowStartTime, s.Provision.SlowStartFraction, s.Provision.OverloadMultiple = 18*second, 0.16, 2.5
+	s.Names.Zones = []string{"a", "b", "c"}
+	s.Provision.Zones = 3
+	s.Provision.Controllers = 5
+	s.Provision.DrainGrace = 2 * second
+	s.Intake = 60
+	s.Provision.SlowStartTime = 18 * second
+	s.Provision.SlowStartFraction = 0.16
+	s.Provision.OverloadMultiple = 2.5
 	s.Overload = emulator.Overload{QueueLimit: 30, ClientTries: 2, AvoidAfter: 8, AvoidSpan: 5 * second, ZoneGovernor: true}
 	return s
 }
 
-// Result is one run.
+// Result is the result of one run.
 type Result struct {
 	Seed     int64
 	Script   []emulator.Fault
 	Breaches []emulator.Breach
-	Digest   uint64 // of every message, fault and breach, with their times
+	Digest   uint64 // of all messages and breaches, with their times
 }
 
-// Draw is the script of a seed.
+// Draw returns the script of a seed.
 func (p Profile) Draw(seed int64) []emulator.Fault {
 	script := emulator.Draw(p.Site(), seed, faultsFrom, faultsUntil, emulator.Kinds)
 	if len(p.Kinds) > 0 {
@@ -85,59 +96,62 @@
 	return script
 }
 
-// Play plays a script; trace, if not nil, gets each step.
+// Play simulates a script. A trace that is not nil receives each step.
 func (p Profile) Play(seed int64, script []emulator.Fault, trace func(text string)) Result {
-	w := emulator.New(p.Site(), seed)
-	w.Spoil = p.Spoil
+	simulation := emulator.New(p.Site(), seed)
+	simulation.WrapModule = p.WrapModule
 	digest := xxhash.New()
-	w.Trace = func(text string, args ...any) {
+	simulation.Trace = func(text string, args ...any) {
 		line := fmt.Sprintf(text, args...)
 		digest.WriteString(line)
 		if trace != nil {
 			trace(line)
 		}
 	}
-	w.Up(nil)
-	w.Run(faultsFrom / 2)
-	w.Watch()
-	w.Inflict(script)
-	end := faultsUntil + calmSpan
-	o := w.Count(end-lastSpan, end)
-	w.Run(end + 4*second)
-	if !p.RulesOnly && o.Came > 0 && 1-o.Bad() < goodLeast {
-		w.Breaches = append(w.Breaches, emulator.Breach{At: w.Now(), What: fmt.Sprintf("service %.3f of the last flows: %s", 1-o.Bad(), o)})
+	simulation.Start(nil)
+	simulation.Run(faultsFrom / 2)
+	simulation.CheckRules()
+	simulation.Inject(script)
+	end := faultsUntil + recoveryTime
+	outcome := simulation.Count(end-finalWindow, end)
+	simulation.Run(end + settleTime)
+	good := 1 - outcome.Bad()
+	if !p.RulesOnly && outcome.Arrived > 0 && good < minGood {
+		what := fmt.Sprintf("service %.3f of the last flows: %s", good, outcome)
+		simulation.Breaches = append(simulation.Breaches, emulator.Breach{At: simulation.Now(), What: what})
 	}
-	for _, b := range w.Breaches {
+	for _, b := range simulation.Breaches {
 		digest.WriteString(b.String())
 	}
-	digest.Write(binary.BigEndian.AppendUint64(nil, uint64(o.Good)))
-	return Result{seed, script, w.Breaches, digest.Sum64()}
+	digest.Write(binary.BigEndian.AppendUint64(nil, uint64(outcome.Good)))
+	return Result{Seed: seed, Script: script, Breaches: simulation.Breaches, Digest: digest.Sum64()}
 }
 
-// Run plays seeds from first on, so many at a time, and tells of each in the order of the seeds.
-func (p Profile) Run(first int64, count, workers int, tell func(Result)) {
+// Run simulates count seeds from first on, workers at once, and passes the results to handle in the order of the seeds.
+func (p Profile) Run(first int64, count, workers int, handle func(Result)) {
 	results := make([]chan Result, count)
 	for k := range results {
 		results[k] = make(chan Result, 1)
 	}
-	places, all := make(chan struct{}, workers), sync.WaitGroup{}
-	all.Go(func() {
+	slots := make(chan struct{}, workers)
+	var runs sync.WaitGroup
+	runs.Go(func() {
 		for k := range count {
-			places <- struct{}{}
-			all.Go(func() {
-				defer func() { <-places }()
+			slots <- struct{}{}
+			runs.Go(func() {
+				defer func() { <-slots }()
 				seed := first + int64(k)
 				results[k] <- p.Play(seed, p.Draw(seed), nil)
 			})
 		}
 	})
 	for _, r := range results {
-		tell(<-r)
+		handle(<-r)
 	}
-	all.Wait()
+	runs.Wait()
 }
 
-// Shrink takes faults out of a script, and time out of those that stay, for as long as the same rule is broken.
+// Shrink removes faults from a script, and shortens the others, for as long as the same rule is broken.
 func (p Profile) Shrink(r Result) Result {
 	if len(r.Breaches) == 0 {
 		return r
--- a/experiment/seeds/seeds_test.go
+++ b/experiment/seeds/seeds_test.go
@@ -94,7 +94,7 @@
 
 func TestGovernorsThatPushTheColdOverAreCaught(t *testing.T) {
 	p := Profiles["fleet"]
-	p.Spoil = func(m controller.Module) controller.Module { return rash{m, map[uint32]int64{}} }
+	p.WrapModule = func(m controller.Module) controller.Module { return rash{m, map[uint32]int64{}} }
 	r := p.Play(1, []emulator.Fault{{At: 10 * second, Kind: "replace", Who: 7, Span: 2 * second}}, nil)
 	if len(r.Breaches) == 0 || r.Breaches[0].Rule != 4 {
 		t.Errorf("nobody was seen to be pushed over: %v", r.Breaches)
@@ -139,7 +139,7 @@
 		caught := 0
 		for seed := int64(1); seed <= 20 && caught == 0; seed++ {
 			p := Profiles["smoke"]
-			p.Spoil = func(m controller.Module) controller.Module { return spoilt{m, c.drops} }
+			p.WrapModule = func(m controller.Module) controller.Module { return spoilt{m, c.drops} }
 			for _, b := range p.Play(seed, []emulator.Fault{{At: 10 * second, Kind: "drain", Who: int(seed) % 8, Span: 6 * second}}, nil).Breaches {
 				if b.Rule == c.rule {
 					caught++
@@ -154,7 +154,7 @@
 
 func TestShrinkingKeepsTheRuleBroken(t *testing.T) {
 	p := Profiles["smoke"]
-	p.Spoil = func(m controller.Module) controller.Module {
+	p.WrapModule = func(m controller.Module) controller.Module {
 		return spoilt{m, withdrawals}
 	}
 	script := []emulator.Fault{{At: 9 * second, Kind: "slow", Who: 1, Span: second}, {At: 10 * second, Kind: "drain", Who: 2, Span: 8 * second}, {At: 12 * second, Kind: "stall", Who: 3, Span: second}}
