--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// InForceSince counts the governors at which a configuration has gone in force since a time.
-func (r *realService) InForceSince(at time.Time) int { return r.log.since(at) }
+// ActiveSince counts the governors at which a configuration has gone in force since a time.
+func (r *realService) ActiveSince(at time.Time) int { return r.log.since(at) }
 
 // Governors is how many there are.
 func (r *realService) Governors() int { return realGovernors }
--- a/experiment/scale/checks/checks.go
+++ b/experiment/scale/checks/checks.go
@@ -1,5 +1,5 @@
-// Package checks judges a scale run by what is known to be true: what was published when, which governors were up and
-// reachable, and what each of them served. It is pure: events in, verdict out.
+// Package checks checks the rules of a scale run against the true state: what was published when, which controllers were
+// running and reachable, and what each of them served. It has no I/O and no clock.
 package checks
 
 import (
@@ -23,10 +23,10 @@
 
 func (s Subject) String() string { return [...]string{"configuration", "replica list"}[s] }
 
-// Kind says what an event tells.
+// Kind is the kind of an event.
 type Kind string
 
-// The kinds of events. Published and Cut to Healed come from the rig, the others from governors.
+// The kinds of events. Published and Cut to Healed come from the run itself, the others from controllers.
 const (
 	Published Kind = "published" // Service, Subject, Marker, Valid
 	Cut       Kind = "cut"       // Governor: nothing new can reach it
@@ -37,7 +37,7 @@
 	Refused   Kind = "refused"   // Governor, Subject, Marker
 )
 
-// Event is one true fact. At is the time since the start of the run.
+// Event is a part of the true state. At is the time since the start of the run.
 type Event struct {
 	Kind     Kind          `json:"kind"`
 	At       time.Duration `json:"at"`
@@ -81,7 +81,7 @@
 	Silence time.Duration // the longest time without a sign of life
 }
 
-// Change is a valid publication and what became of it.
+// Change is a valid publication and how long it took to the controllers.
 type Change struct {
 	Service   int
 	Subject   Subject
@@ -92,7 +92,7 @@
 	Delays []time.Duration
 }
 
-// AtAll is the time until the change was in force at all that were reachable.
+// AtAll returns the time until the change was active at all reachable controllers.
 func (c Change) AtAll() time.Duration {
 	if len(c.Delays) == 0 {
 		return 0
@@ -106,7 +106,7 @@
 	Changes  []Change
 }
 
-// Judge replays the events of a run that ended at a time. The events may come in any order.
+// Judge checks the events of a run that ended at a time. They may be in any order.
 func Judge(events []Event, end time.Duration, bounds Bounds) Verdict {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
@@ -133,7 +133,7 @@
 	change int // index in the verdict; below 0: it was refused
 }
 
-// holding is what one governor holds of one subject.
+// holding is what one controller serves of one subject.
 type holding struct {
 	served  Marker
 	refused map[Marker]bool
@@ -230,7 +230,7 @@
 	return h
 }
 
-// signDue says whether the last sign of life is too old.
+// signDue reports whether the last sign of life is too old.
 func (j *judge) signDue(g *governor, e Event) {
 	if silent := e.At - g.sign; g.up && silent > j.bounds.Silence {
 		j.fail(GoesOn, e, "no sign of life for %.1f s", silent.Seconds())
@@ -306,7 +306,7 @@
 	}
 }
 
-// newest checks that a governor holds the newest valid publication, if it has had the time for it.
+// newest checks that a controller serves the newest valid publication, if it has had the time for it.
 func (j *judge) newest(g *governor, e Event, subject Subject) {
 	if g.cut && subject == Configuration {
 		return
--- a/experiment/scale/discovery.go
+++ b/experiment/scale/discovery.go
@@ -25,7 +25,7 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// agent is a stand-in for discovery's agents of one service: its list of replicas, watched by its governors.
+// agent replaces discovery's agents of one service: its list of replicas, which its controllers watch.
 type agent struct {
 	listener net.Listener
 	answers  atomic.Int64
@@ -71,7 +71,7 @@
 	return a.revision
 }
 
-// list writes what has changed since a revision, or all.
+// list returns the changes since a revision, or all replicas.
 func (a *agent) list(since checks.Marker, whole bool) []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,7 +91,7 @@
 	return a.revision, a.news
 }
 
-// ServeHTTP answers the list, or waits for news of a revision.
+// ServeHTTP answers with the list, or waits for changes since a revision.
 func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
--- a/experiment/scale/faulty_test.go
+++ b/experiment/scale/faulty_test.go
@@ -114,7 +114,7 @@
 		AtOnce: 1, Crowd: 1, Repair: time.Second, InForce: 8 * time.Second, Silence: 6 * time.Second}
 	var dumb atomic.Bool
 	dir := t.TempDir()
-	source := func(g GovernorPlan, disk configcache.Storage) ConfigurationSource {
+	source := func(g ControllerPlan, disk configcache.Storage) ConfigurationSource {
 		if _, wrong := wrongs[g.Number]; wrong && g.Number != fallsDumb {
 			file := filepath.Join(dir, "settings", serviceName(g.Service)+".json")
 			return &faultySource{inner: Watch(g, disk), number: g.Number, shape: g.Shape, file: file}
--- a/experiment/scale/hollow.go
+++ b/experiment/scale/hollow.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	gatherSpan    = 2 * time.Millisecond // as the program: what was sent together is one turn
+	batchDelay    = 2 * time.Millisecond // as the program: what was sent together is one turn
 	proxyAckDelay = int64(time.Millisecond)
 )
 
-// GovernorPlan says where one hollow governor stands and whom it talks to.
-type GovernorPlan struct {
+// ControllerPlan is the place of a hollow controller, and its peers.
+type ControllerPlan struct {
 	Number    int                   `json:"number"`
 	Service   int                   `json:"service"`
 	Region    int                   `json:"region"`
@@ -37,46 +37,46 @@
 	SignEvery time.Duration         `json:"sign_every"` // between two signs of life
 }
 
-// hollow is a governor without a listener: discovery client, core, module and configuration code are the product's, and
-// the proxies are routines in this process that say little.
+// hollow is a controller without a listener: discovery client, core, decision module and configuration code are the product's,
+// and its proxies are goroutines of this process.
 type hollow struct {
-	plan   GovernorPlan
+	plan   ControllerPlan
 	emit   func(checks.Event)
 	count  *messageCount
 	source ConfigurationSource
 
-	exchange *eventloop.Queues
-	module   *policy.Policy // the last that was started; for the goroutine of the core
+	events *eventloop.Queues
+	module *policy.Policy // the last that was started; for the goroutine of the core
 
 	mu      sync.Mutex
 	offered map[revision.Version]offer
 }
 
-// offer is a configuration that was handed to the core, and who waits for its verdict.
+// offer is a configuration that was passed to the core, and the callback for its result.
 type offer struct {
 	marker checks.Marker
 	done   func(error)
 }
 
-// messageCount counts what all hollow governors of a process took in and sent.
+// messageCount counts the messages of all hollow controllers of a process.
 type messageCount struct {
-	notes, pushes, turns atomic.Int64
+	inputs, pushes, turns atomic.Int64
 }
 
-// run runs one life of the governor, which begins with what was in force in the life before, or with the first revision of
-// its settings.
+// run runs one incarnation of the controller. It starts with the settings that were active in the one before, or with the first
+// revision.
 func (h *hollow) run(ctx context.Context) error {
 	first, err := readSettings(settingsOf(h.plan.Shape, 1, true), h.plan.Seed)
 	if err != nil {
 		return fmt.Errorf("governor %d: %w", h.plan.Number, err)
 	}
-	h.exchange = eventloop.New()
-	h.exchange.SetProxies(first.provision.Proxies)
+	h.events = eventloop.New()
+	h.events.SetProxies(first.provision.Proxies)
 	h.offered = map[revision.Version]offer{{}: {marker: 1, done: func(error) {}}}
-	h.tell(checks.Event{Kind: checks.Started, Resumes: true})
-	defer h.tell(checks.Event{Kind: checks.Stopped})
+	h.emitEvent(checks.Event{Kind: checks.Started, Resumes: true})
+	defer h.emitEvent(checks.Event{Kind: checks.Stopped})
 	h.source.Start(h.apply)
-	client := discovery.New(h.plan.Discovery, 0, h.exchange, slog.New(slog.DiscardHandler), now, h.plan.Seed)
+	client := discovery.New(h.plan.Discovery, 0, h.events, slog.New(slog.DiscardHandler), now, h.plan.Seed)
 	var all sync.WaitGroup
 	defer all.Wait()
 	ctx, stop := context.WithCancel(ctx)
@@ -86,55 +86,54 @@
 	for k := range h.plan.Shape.Proxies {
 		all.Go(func() { h.proxy(ctx, k) })
 	}
-	h.drive(ctx, first)
+	h.runCore(ctx, first)
 	return nil
 }
 
 func now() int64 { return time.Now().UnixNano() }
 
-func (h *hollow) tell(e checks.Event) {
+func (h *hollow) emitEvent(e checks.Event) {
 	e.Governor = h.plan.Number
 	e.Service = h.plan.Service
 	e.At = time.Duration(now())
 	h.emit(e)
 }
 
-// apply checks settings that have arrived, and leaves them for the next turn.
+// apply checks received settings, and enqueues them for the next turn.
 func (h *hollow) apply(v revision.Version, body []byte, done func(error)) {
 	s, err := readSettings(body, h.plan.Seed)
 	if err != nil {
-		h.tell(checks.Event{Kind: checks.Refused, Subject: checks.Configuration, Marker: markerOf(body)})
+		h.emitEvent(checks.Event{Kind: checks.Refused, Subject: checks.Configuration, Marker: markerOf(body)})
 		done(err)
 		return
 	}
 	h.mu.Lock()
 	h.offered[v] = offer{markerOf(body), done}
 	h.mu.Unlock()
-	h.exchange.Enqueue(controller.Configure{Version: v, Names: s.names, Settings: s.provision, Start: h.starting(s)})
+	h.events.Enqueue(controller.Configure{Version: v, Names: s.names, Settings: s.provision, Start: h.moduleStarter(s)})
 }
 
-// starting starts modules by settings.
-func (h *hollow) starting(s serviceSettings) func() controller.Module {
+// moduleStarter returns a function that starts decision modules with settings.
+func (h *hollow) moduleStarter(s serviceSettings) func() controller.Module {
 	return func() controller.Module {
 		h.module = policy.New(s.provision)
 		return h.module
 	}
 }
 
-// verdict passes on what the core made of an offer.
-func (h *hollow) verdict(c controller.ConfigurationResult) {
+// handleResult passes the core's result for an offer on.
+func (h *hollow) handleResult(c controller.ConfigurationResult) {
 	h.mu.Lock()
 	o := h.offered[c.Version]
 	h.mu.Unlock()
 	if c.Err != nil {
-		h.tell(checks.Event{Kind: checks.Refused, Subject: checks.Configuration, Marker: o.marker})
+		h.emitEvent(checks.Event{Kind: checks.Refused, Subject: checks.Configuration, Marker: o.marker})
 	}
 	o.done(c.Err)
 }
 
-// parts lists the different markers in what is in force: in all that the module decides by, and of the version that the
-// core names.
-func (h *hollow) parts(core *controller.Core) []checks.Marker {
+// activeMarkers returns the different markers of the active settings, in the module and in the version that the core names.
+func (h *hollow) activeMarkers(core *controller.Core) []checks.Marker {
 	h.mu.Lock()
 	named := h.offered[core.ConfigurationVersion()].marker
 	h.mu.Unlock()
@@ -143,9 +142,9 @@
 	return slices.Compact(parts)
 }
 
-// drive is the loop of the program, with an eye on what is in force.
-func (h *hollow) drive(ctx context.Context, first serviceSettings) {
-	core := controller.New(h.starting(first), controller.NewTopology(first.names, first.provision))
+// runCore runs the core's turns as the program does, and reports the active settings.
+func (h *hollow) runCore(ctx context.Context, first serviceSettings) {
+	core := controller.New(h.moduleStarter(first), controller.NewTopology(first.names, first.provision))
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	seen := &observer{hollow: h}
@@ -154,36 +153,36 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-h.exchange.Ready():
+		case <-h.events.Ready():
 		}
-		time.Sleep(gatherSpan)
-		notes := h.exchange.Drain()
-		seen.take(notes)
-		outcome := core.Turn(now(), notes)
+		time.Sleep(batchDelay)
+		inputs := h.events.Drain()
+		seen.observe(inputs)
+		outcome := core.Turn(now(), inputs)
 		h.count.turns.Add(1)
-		h.count.notes.Add(int64(len(notes)))
+		h.count.inputs.Add(int64(len(inputs)))
 		h.count.pushes.Add(int64(len(outcome.Updates)))
 		for _, s := range outcome.Updates {
-			h.exchange.Send(s)
+			h.events.Send(s)
 		}
 		for _, c := range outcome.Configured {
-			h.verdict(c)
+			h.handleResult(c)
 		}
-		seen.told(h.parts(core))
+		seen.report(h.activeMarkers(core))
 		if outcome.NextTurn > 0 {
 			timer.Reset(time.Duration(max(0, outcome.NextTurn-now())))
 		}
 	}
 }
 
-// proxy joins, acknowledges what it is sent and reports a few requests a second.
+// proxy joins, acknowledges updates and reports a few requests a second.
 func (h *hollow) proxy(ctx context.Context, k int) {
 	stream := controller.StreamID(k + 1)
-	out := h.exchange.OpenStream(stream, func() {})
+	out := h.events.OpenStream(stream, func() {})
 	defer out.Close()
 	random := rand.New(rand.NewPCG(h.plan.Seed, uint64(k)))
 	zone := zoneName(random.IntN(max(1, h.plan.Shape.Zones)))
-	h.exchange.Enqueue(controller.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, WithoutTable: true})
+	h.events.Enqueue(controller.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, WithoutTable: true})
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() { h.report(ctx, stream, k, random) })
@@ -192,14 +191,14 @@
 		if !ok {
 			return
 		}
-		h.exchange.MessageSent(item.Number)
+		h.events.MessageSent(item.Number)
 		if item.WantsAck {
-			h.exchange.Enqueue(controller.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
+			h.events.Enqueue(controller.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
 		}
 	}
 }
 
-// report tells once a second, at instants drawn by proxy, of the requests of one route.
+// report reports the requests of one route once a second, at a phase that differs by proxy.
 func (h *hollow) report(ctx context.Context, stream controller.StreamID, proxy int, random *rand.Rand) {
 	for pause := time.Duration(random.Int64N(int64(time.Second))); ; pause = time.Second {
 		select {
@@ -208,41 +207,41 @@
 		case <-time.After(pause):
 		}
 		route := fmt.Sprintf("route-%d", random.IntN(h.plan.Shape.Routes))
-		h.exchange.Enqueue(controller.Demand{Stream: stream, Class: route,
+		h.events.Enqueue(controller.Demand{Stream: stream, Class: route,
 			Demand: control.Demand{Proxy: proxy, Requests: 1, Period: int64(time.Second)}})
 	}
 }
 
-// observer tells what a governor serves: at each change of it, and as a sign of life now and then.
+// observer reports what a controller serves: at each change, and as a sign of life at intervals.
 type observer struct {
-	hollow *hollow
-	list   checks.Marker // the revision of the list that the last turn took in
-	parts  []checks.Marker
-	signed time.Time
-	news   bool // a list has come with the notes
+	hollow   *hollow
+	list     checks.Marker // the revision of the list that the last turn took in
+	parts    []checks.Marker
+	lastSign time.Time
+	newList  bool // the inputs of the turn had a list
 }
 
-func (o *observer) take(notes []controller.Input) {
-	for _, note := range notes {
-		if l, is := note.(controller.ReplicaList); is {
-			o.news = true
+func (o *observer) observe(inputs []controller.Input) {
+	for _, input := range inputs {
+		if l, is := input.(controller.ReplicaList); is {
+			o.newList = true
 			o.list = checks.Marker(l.Revision)
 		}
 	}
 }
 
-// told says what the turn that has just ended worked with.
-func (o *observer) told(parts []checks.Marker) {
-	due := time.Since(o.signed) >= o.hollow.plan.SignEvery
+// report reports what the last turn used.
+func (o *observer) report(parts []checks.Marker) {
+	due := time.Since(o.lastSign) >= o.hollow.plan.SignEvery
 	if due || !slices.Equal(parts, o.parts) {
-		o.hollow.tell(checks.Event{Kind: checks.Serving, Subject: checks.Configuration, Parts: parts})
+		o.hollow.emitEvent(checks.Event{Kind: checks.Serving, Subject: checks.Configuration, Parts: parts})
 	}
-	if o.news {
-		o.hollow.tell(checks.Event{Kind: checks.Serving, Subject: checks.ReplicaList, Parts: []checks.Marker{o.list}})
+	if o.newList {
+		o.hollow.emitEvent(checks.Event{Kind: checks.Serving, Subject: checks.ReplicaList, Parts: []checks.Marker{o.list}})
 	}
-	o.news = false
+	o.newList = false
 	if due {
-		o.signed = time.Now()
+		o.lastSign = time.Now()
 	}
 	o.parts = parts
 }
--- a/experiment/scale/host.go
+++ b/experiment/scale/host.go
@@ -13,12 +13,12 @@
 	"lilacbend/experiment/scale/checks"
 )
 
-// HostPlan is the first line that a host reads: the hollow governors that share its process.
+// HostPlan is the first line that a host reads: the hollow controllers of its process.
 type HostPlan struct {
-	Governors []GovernorPlan `json:"governors"`
+	Governors []ControllerPlan `json:"governors"`
 }
 
-// command is each further line: governors that are to end or to start.
+// command is each further line: controllers to stop or to start.
 type command struct {
 	Stop  []int `json:"stop,omitempty"`
 	Start []int `json:"start,omitempty"`
@@ -39,9 +39,9 @@
 	Heap     uint64 `json:"heap"`
 }
 
-// host runs hollow governors until its input ends.
+// host runs hollow controllers until its input ends.
 type host struct {
-	plans  map[int]GovernorPlan
+	plans  map[int]ControllerPlan
 	disks  map[int]*memoryDisk // of the governors' machines
 	source SourceOf
 	count  messageCount
@@ -57,7 +57,7 @@
 	ended chan struct{}
 }
 
-// Host reads a plan and commands from in, runs the governors and writes reports to out, until in or ctx ends.
+// Host reads a plan and commands from in, runs the controllers and writes reports to out, until in or ctx ends.
 func Host(ctx context.Context, in io.Reader, out io.Writer, source SourceOf) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -66,7 +66,7 @@
 	if err := decoder.Decode(&plan); err != nil {
 		return fmt.Errorf("no plan: %w", err)
 	}
-	h := &host{plans: map[int]GovernorPlan{}, disks: map[int]*memoryDisk{}, source: source, out: json.NewEncoder(out), lives: map[int]life{}}
+	h := &host{plans: map[int]ControllerPlan{}, disks: map[int]*memoryDisk{}, source: source, out: json.NewEncoder(out), lives: map[int]life{}}
 	var numbers []int
 	for _, g := range plan.Governors {
 		h.plans[g.Number] = g
@@ -116,7 +116,7 @@
 	}
 }
 
-// stop ends governors, and waits for them, so that a life's last event comes before the next one's first.
+// stop stops controllers and waits for them, so that the last event of an incarnation precedes the first of the next one.
 func (h *host) stop(numbers []int) {
 	for _, number := range numbers {
 		l, runs := h.lives[number]
@@ -132,5 +132,5 @@
 func (h *host) tally() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	h.write(report{Tally: &hostTally{Messages: h.count.notes.Load() + h.count.pushes.Load(), Turns: h.count.turns.Load(), Heap: memory.HeapAlloc}})
+	h.write(report{Tally: &hostTally{Messages: h.count.inputs.Load() + h.count.pushes.Load(), Turns: h.count.turns.Load(), Heap: memory.HeapAlloc}})
 }
--- a/experiment/scale/link.go
+++ b/experiment/scale/link.go
@@ -10,8 +10,8 @@
 // copyBuffer is small, as there are thousands of connections.
 const copyBuffer = 4 << 10
 
-// link forwards connections from one place to a server, and can be cut: what is open stays open and silent, what is new
-// fails at once.
+// link forwards connections from one place to a server, and can be cut: open connections stay open and silent, new ones fail at
+// once.
 type link struct {
 	listener net.Listener
 	target   string
@@ -52,7 +52,7 @@
 	}
 }
 
-// isOpen is for callers that hold the lock.
+// isOpen reports whether the link forwards. The caller holds mu.
 func (l *link) isOpen() bool {
 	select {
 	case <-l.open:
@@ -104,7 +104,7 @@
 	<-done
 }
 
-// copy carries one direction until it ends, and then ends the other one too.
+// copy forwards one direction until it ends, and then ends the other one.
 func (l *link) copy(to, from net.Conn, bytes *atomic.Int64) {
 	defer to.Close()
 	defer from.Close()
--- a/experiment/scale/network.go
+++ b/experiment/scale/network.go
@@ -43,7 +43,7 @@
 	return n, nil
 }
 
-// across lists the links between a region and all others.
+// across returns the links between a region and all others.
 func (n *network) across(region int) (links []*link) {
 	for from, row := range n.governors {
 		for server, l := range row {
@@ -62,7 +62,7 @@
 	return links
 }
 
-// addresses are those by which the governors of a region reach the servers.
+// addresses returns the addresses at which controllers of a region reach the servers.
 func (n *network) addresses(region int) (all []configclient.Server) {
 	for server, l := range n.governors[region] {
 		all = append(all, configclient.Server{Address: l.address(), Region: regionName(n.plan.serverRegion(server))})
@@ -70,7 +70,7 @@
 	return all
 }
 
-// served is what a server took in and sent, by governors and by the other servers.
+// served returns the bytes that a server received and sent, of controllers and of other servers.
 func (n *network) served(server int) (bytes int64) {
 	for _, rows := range [][][]*link{n.governors, n.servers} {
 		for _, row := range rows {
--- a/experiment/scale/phase.go
+++ b/experiment/scale/phase.go
@@ -14,7 +14,7 @@
 	"lilacbend/experiment/scale/checks"
 )
 
-// phaseSpan is when a phase was, and what had been spent at its start and its end.
+// phaseSpan is a phase's time, and what had been spent at its start and its end.
 type phaseSpan struct {
 	fault          Fault
 	from, to       time.Duration
@@ -33,7 +33,7 @@
 )
 
 // readings reads what each role has spent since its start.
-func (r *rig) readings() (map[string]usage, error) {
+func (r *scaleRun) readings() (map[string]usage, error) {
 	if err := allRun(r.pids()); err != nil {
 		return nil, err
 	}
@@ -86,8 +86,8 @@
 
 func oneServer(k int) string { return fmt.Sprintf("%s %d", roleServer, k) }
 
-// counts is how many of a role there are.
-func (r *rig) count(role string) int {
+// counts returns how many of a role there are.
+func (r *scaleRun) count(role string) int {
 	switch role {
 	case roleHollow, discoveryOf:
 		return r.plan.Governors
@@ -102,8 +102,8 @@
 	return len(r.real.Processes()[role])
 }
 
-// over ends a phase.
-func (r *rig) over(span phaseSpan, faultEnd time.Duration) (phaseSpan, error) {
+// endPhase ends a phase.
+func (r *scaleRun) endPhase(span phaseSpan, faultEnd time.Duration) (phaseSpan, error) {
 	span.to = r.tracker.since()
 	if faultEnd > 0 {
 		span.settled = span.to - faultEnd
@@ -113,15 +113,15 @@
 	return span, err
 }
 
-// phase plays one fault over the background, ends it, and waits until all hold the newest.
-func (r *rig) phase(ctx context.Context, fault Fault) (span phaseSpan, err error) {
+// phase injects one fault beside the background, ends it, and waits until all serve the newest versions.
+func (r *scaleRun) phase(ctx context.Context, fault Fault) (span phaseSpan, err error) {
 	span = phaseSpan{fault: fault, real: newDelays()}
 	if span.before, err = r.readings(); err != nil {
 		return span, err
 	}
 	span.from = r.tracker.since()
 	actions := r.plan.background(r.random)
-	end, err := r.inflict(ctx, fault, &span)
+	end, err := r.injectFault(ctx, fault, &span)
 	if err != nil {
 		return span, fmt.Errorf("%s: %w", fault, err)
 	}
@@ -131,7 +131,7 @@
 		if !r.until(ctx, span.from+a.at) {
 			return span, ctx.Err()
 		}
-		if err := r.act(ctx, a, &span); err != nil {
+		if err := r.perform(ctx, a, &span); err != nil {
 			return span, fmt.Errorf("%s: %w", fault, err)
 		}
 	}
@@ -150,11 +150,11 @@
 	if ctx.Err() != nil {
 		return span, ctx.Err()
 	}
-	return r.over(span, faultEnd)
+	return r.endPhase(span, faultEnd)
 }
 
-// until waits for a time of the run.
-func (r *rig) until(ctx context.Context, at time.Duration) bool {
+// until waits until a time of the run.
+func (r *scaleRun) until(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -163,8 +163,8 @@
 	}
 }
 
-// inflict begins a fault, and returns what ends it.
-func (r *rig) inflict(ctx context.Context, fault Fault, span *phaseSpan) (end func() error, err error) {
+// injectFault begins a fault, and returns a function that ends it.
+func (r *scaleRun) injectFault(ctx context.Context, fault Fault, span *phaseSpan) (end func() error, err error) {
 	none := func() error { return nil }
 	victim := r.plan.Servers - 1 // never the writer
 	switch fault {
@@ -181,15 +181,15 @@
 	case RegionCut:
 		return r.cut(r.plan.cutRegions(), span), nil
 	case ManyRestarts:
-		return none, r.crowd(ctx, span)
+		return none, r.restartMany(ctx, span)
 	case ManyChanges:
 		return none, r.burst()
 	}
 	return none, nil
 }
 
-// cut cuts regions off from all others, and returns what heals them.
-func (r *rig) cut(regions []int, span *phaseSpan) (heal func() error) {
+// cut cuts regions off from all others, and returns a function that connects them again.
+func (r *scaleRun) cut(regions []int, span *phaseSpan) (heal func() error) {
 	var links []*link
 	for _, region := range regions {
 		links = append(links, r.network.across(region)...)
@@ -205,11 +205,11 @@
 		l.cut()
 	}
 	for _, number := range inside {
-		r.tracker.note(checks.Event{Kind: checks.Cut, Governor: number})
+		r.tracker.recordOwn(checks.Event{Kind: checks.Cut, Governor: number})
 	}
 	return func() error {
 		for _, number := range inside {
-			r.tracker.note(checks.Event{Kind: checks.Healed, Governor: number})
+			r.tracker.recordOwn(checks.Event{Kind: checks.Healed, Governor: number})
 		}
 		for _, l := range links {
 			l.heal()
@@ -218,8 +218,8 @@
 	}
 }
 
-// crowd restarts so many governors, evenly over a minute or over the phase.
-func (r *rig) crowd(ctx context.Context, span *phaseSpan) error {
+// restartMany restarts many controllers, evenly over a minute or over the phase.
+func (r *scaleRun) restartMany(ctx context.Context, span *phaseSpan) error {
 	each := min(restartsSpan, r.plan.Phase) / time.Duration(r.plan.Crowd)
 	drawn := make([]int, r.plan.Crowd)
 	for k := range drawn {
@@ -239,7 +239,7 @@
 }
 
 // burst publishes many changes at once, each for another service while there are enough.
-func (r *rig) burst() error {
+func (r *scaleRun) burst() error {
 	order := r.random.Perm(r.plan.Services)
 	for k := range r.plan.AtOnce {
 		if err := r.publish(order[k%len(order)], true); err != nil {
@@ -249,14 +249,14 @@
 	return nil
 }
 
-func (r *rig) restart(number int) {
+func (r *scaleRun) restart(number int) {
 	r.hostOf[number].tell(command{Stop: []int{number}, Start: []int{number}}) // a host that has ended has said so
 }
 
 var errNoAction = errors.New("no such action")
 
-// act does one thing of the background.
-func (r *rig) act(ctx context.Context, a action, span *phaseSpan) error {
+// perform performs one action of the background.
+func (r *scaleRun) perform(ctx context.Context, a action, span *phaseSpan) error {
 	number := int(a.draw % uint64(r.plan.Governors))
 	service := int(a.draw % uint64(r.plan.Services))
 	replica := int(a.draw / uint64(r.plan.Services) % uint64(r.plan.shape(service).Replicas))
@@ -289,7 +289,7 @@
 	return nil
 }
 
-func (r *rig) later(ctx context.Context, pause time.Duration, do func()) {
+func (r *scaleRun) later(ctx context.Context, pause time.Duration, do func()) {
 	at := r.tracker.since() + pause
 	r.repairs.Go(func() {
 		if r.until(ctx, at) {
@@ -298,15 +298,15 @@
 	})
 }
 
-// change has discovery tell of a replica.
-func (r *rig) change(service, replica int, phase string) {
+// change changes a replica in discovery's list.
+func (r *scaleRun) change(service, replica int, phase string) {
 	at := r.tracker.since()
 	marker := r.agents[service].change(replica, phase)
 	r.tracker.add(checks.Event{Kind: checks.Published, At: at, Service: service, Subject: checks.ReplicaList, Marker: marker, Valid: true})
 }
 
-// judge judges the events, and puts all readings together.
-func (r *rig) judge(out Report, phases []phaseSpan) (Report, error) {
+// evaluate checks the rules, and returns the report.
+func (r *scaleRun) evaluate(out Report, phases []phaseSpan) (Report, error) {
 	end := r.tracker.since()
 	events, faults := r.tracker.all()
 	if len(faults) > 0 {
@@ -327,7 +327,7 @@
 	return out, nil
 }
 
-func (r *rig) phaseReport(span phaseSpan, verdict checks.Verdict) PhaseReport {
+func (r *scaleRun) phaseReport(span phaseSpan, verdict checks.Verdict) PhaseReport {
 	p := PhaseReport{Fault: span.fault, Seconds: (span.to - span.from).Seconds(), Settled: span.settled.Seconds(),
 		Cut: span.cut, Restarted: span.restarted}
 	report := func(role string, count int) RoleReport {
--- a/experiment/scale/plan.go
+++ b/experiment/scale/plan.go
@@ -1,5 +1,5 @@
-// Package scale runs many hollow governors, which share processes, against real servers of configuration on loopback,
-// plays changes and faults, and measures what each role spends and how long changes take. It is no part of the product.
+// Package scale runs many hollow controllers, which share processes, against real configuration servers on loopback,
+// with changes and faults, and measures what each role spends and how long changes take. It is no part of the product.
 package scale
 
 import (
@@ -26,10 +26,10 @@
 	day           = 24 * time.Hour
 )
 
-// Fault is something that goes wrong in a phase of a run.
+// Fault is the fault of a phase.
 type Fault string
 
-// The faults that a run can play. Each phase has the background rates of changes, failures and restarts too.
+// The faults of phases. Each phase has the background rates of changes, failures and restarts, too.
 const (
 	NoFault      Fault = "quiet"
 	ServerKilled Fault = "server-killed"
@@ -39,10 +39,10 @@
 	ManyChanges  Fault = "burst"
 )
 
-// Faults lists all of them, in the order in which a run plays them.
+// Faults are all faults, in the order of a run.
 var Faults = []Fault{NoFault, ServerKilled, WriterKilled, RegionCut, ManyRestarts, ManyChanges}
 
-// Plan is one run.
+// Plan describes one run.
 type Plan struct {
 	Governors int `json:"governors"`
 	Services  int `json:"services"` // 0: in proportion, as for the following ones
@@ -78,7 +78,7 @@
 	return max(1, (full*governors+fullGovernors/2)/fullGovernors)
 }
 
-// Fill gives what a plan leaves out, counts of 0 and rates below 0, its value in proportion to the governors.
+// Fill sets what a plan leaves out (counts of 0, rates below 0) in proportion to the number of controllers.
 func (p *Plan) Fill() {
 	fill := func(into *int, full int) {
 		if *into == 0 {
@@ -100,7 +100,7 @@
 	rate(&p.Restarts, fullRestarts)
 }
 
-// Check says what is wrong with a plan, or with this machine's limits for it.
+// Check returns what is wrong with a plan, or with this machine's limits for it.
 func (p Plan) Check() error {
 	for _, f := range p.Faults {
 		if !slices.Contains(Faults, f) {
@@ -130,15 +130,16 @@
 	return nil
 }
 
-// descriptors is how many one process needs at most: the rig has a link's two ends and an agent's end for each governor.
+// descriptors returns how many one process needs at most: this one has both ends of a link and the end of an agent for each
+// controller.
 func (p Plan) descriptors() uint64 {
 	return uint64(100 + 4*p.Governors + p.Services + p.Servers*(p.Regions+p.Servers))
 }
 
-// region is where a governor of a service stands.
+// region returns the region of a service's controller.
 func (p Plan) region(service, k int) int { return (service + k) % p.Regions }
 
-// cutRegions are those that a cut concerns: the last server's, and one without a server if there is any.
+// cutRegions returns the regions that are cut off: the last server's, and one without a server if there is any.
 func (p Plan) cutRegions() []int {
 	var served []int
 	for server := range p.Servers {
@@ -153,10 +154,10 @@
 	return cut
 }
 
-// serverRegion is where a server stands; the writer is in region 0.
+// serverRegion returns the region of a server; the writer is in region 0.
 func (p Plan) serverRegion(server int) int { return server * p.Regions / p.Servers }
 
-// shape is the size of one service.
+// shape returns the size of one service.
 func (p Plan) shape(service int) ServiceShape {
 	first := max(1, p.Skew)
 	parts := p.Services - 1 + first
@@ -177,13 +178,13 @@
 
 func (p Plan) signEvery() time.Duration { return min(signInterval, p.Phase/signsAPhase) }
 
-// governors lists who stands where, without addresses.
-func (p Plan) governors() []GovernorPlan {
-	var all []GovernorPlan
+// governors returns the controllers and their places, without addresses.
+func (p Plan) governors() []ControllerPlan {
+	var all []ControllerPlan
 	for service := range p.Services {
 		shape := p.shape(service)
 		for k := range shape.Governors {
-			all = append(all, GovernorPlan{Number: len(all), Service: service, Region: p.region(service, k), Shape: shape,
+			all = append(all, ControllerPlan{Number: len(all), Service: service, Region: p.region(service, k), Shape: shape,
 				Seed: p.Seed ^ uint64(len(all)+1)*0x9e3779b97f4a7c15, SignEvery: p.signEvery()})
 		}
 	}
@@ -209,7 +210,7 @@
 	draw uint64
 }
 
-// background draws what happens in a phase, by the day's rates and the factor.
+// background draws the actions of a phase, by the day's rates and the factor.
 func (p Plan) background(random *rand.Rand) []action {
 	var all []action
 	add := func(aDay float64, kind func() actionKind) {
--- a/experiment/scale/process.go
+++ b/experiment/scale/process.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	endMost    = 15 * time.Second // a child may take to end, before it is killed
-	tallyMost  = 30 * time.Second
-	reportLine = 1 << 20
+	endTimeout   = 15 * time.Second // a child may take to end, before it is killed
+	tallyTimeout = 30 * time.Second
+	reportLine   = 1 << 20
 )
 
-// hostProcess is a host of hollow governors, in a process of its own or in this one.
+// hostProcess is a host of hollow controllers, in its own process or in this one.
 type hostProcess struct {
 	pid     int
 	in      io.WriteCloser
@@ -28,16 +28,16 @@
 	ended   chan struct{} // closed when it writes no more and has ended
 }
 
-// Launch starts a host and returns its input, its output and a wait for its end.
+// Launch starts a host and returns its input, its output and a function that waits for its end.
 type Launch func(ctx context.Context) (pid int, in io.WriteCloser, out io.Reader, wait func() error, err error)
 
-// LaunchChild starts hosts as processes of this program, with a hidden command of it.
+// LaunchChild starts hosts as processes of this program with a hidden command.
 func LaunchChild(arguments ...string) Launch {
 	return func(ctx context.Context) (int, io.WriteCloser, io.Reader, func() error, error) {
 		c := exec.CommandContext(ctx, os.Args[0], arguments...)
 		c.Stderr = os.Stderr
 		c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) }
-		c.WaitDelay = endMost
+		c.WaitDelay = endTimeout
 		in, err := c.StdinPipe()
 		if err != nil {
 			return 0, nil, nil, nil, err
@@ -68,7 +68,7 @@
 	}
 }
 
-// startHost starts a host with a plan; take is called with each event or fault that it reports, in their order.
+// startHost starts a host with a plan. It calls take with each event or fault that the host reports, in order.
 func startHost(ctx context.Context, launch Launch, plan HostPlan, take func(report)) (*hostProcess, error) {
 	pid, in, out, wait, err := launch(ctx)
 	if err != nil {
@@ -102,7 +102,7 @@
 
 func (h *hostProcess) tell(c command) error { return h.out.Encode(c) }
 
-// tally asks for the counters.
+// tally requests the counters.
 func (h *hostProcess) tally() (hostTally, error) {
 	if err := h.tell(command{Tally: true}); err != nil {
 		return hostTally{}, err
@@ -112,12 +112,12 @@
 		return t, nil
 	case <-h.ended:
 		return hostTally{}, errors.New("a host has ended")
-	case <-time.After(tallyMost):
+	case <-time.After(tallyTimeout):
 		return hostTally{}, errors.New("a host does not answer")
 	}
 }
 
-// end closes the host's input, and waits.
+// end closes the host's input and waits for its end.
 func (h *hostProcess) end() {
 	h.in.Close()
 	<-h.ended
--- a/experiment/scale/real.go
+++ b/experiment/scale/real.go
@@ -11,19 +11,19 @@
 	"lilacbend/internal/configclient"
 )
 
-// RealService is one service of real processes beside the hollow governors.
+// RealService is one service of real processes beside the hollow controllers.
 type RealService interface {
-	// Settings are a revision of its settings, from 0.
+	// Settings returns a revision of its settings, from 0.
 	Settings(revision int) []byte
-	// Start starts it; its governors stand in a region and follow servers under the service's name.
+	// Start starts it. Its controllers are in a region and follow servers under the service's name.
 	Start(ctx context.Context, name, region string, servers []configclient.Server) error
-	// Governors is how many governors it has.
+	// Governors returns the number of its controllers.
 	Governors() int
-	// InForceSince counts the governors at which settings have gone in force since a time.
-	InForceSince(at time.Time) int
-	// Processes lists the processes of each role.
+	// ActiveSince returns at how many controllers settings have become active since a time.
+	ActiveSince(at time.Time) int
+	// Processes returns the processes of each role.
 	Processes() map[string][]int
-	// Stop ends all of it, and waits.
+	// Stop ends all processes and waits for them.
 	Stop()
 }
 
@@ -34,7 +34,7 @@
 )
 
 // startReal starts the real service, if there is one, in the writer's region.
-func (r *rig) startReal(ctx context.Context) error {
+func (r *scaleRun) startReal(ctx context.Context) error {
 	if r.real == nil {
 		return nil
 	}
@@ -46,7 +46,7 @@
 
 // changeReal changes the real service's settings again and again for a phase, one change at a time, and measures how long
 // each takes to all of its governors. That one takes longer than the bound is a failed check.
-func (r *rig) changeReal(ctx context.Context, until time.Duration, delays *hdrhistogram.Histogram) error {
+func (r *scaleRun) changeReal(ctx context.Context, until time.Duration, delays *hdrhistogram.Histogram) error {
 	for r.real != nil && !r.writerDown.Load() && r.tracker.since() < until && ctx.Err() == nil {
 		r.realRevision++
 		published := time.Now()
@@ -64,9 +64,9 @@
 	return nil
 }
 
-func (r *rig) awaitReal(ctx context.Context, published time.Time) bool {
+func (r *scaleRun) awaitReal(ctx context.Context, published time.Time) bool {
 	for ctx.Err() == nil && time.Since(published) < r.plan.InForce {
-		if r.real.InForceSince(published) == r.real.Governors() {
+		if r.real.ActiveSince(published) == r.real.Governors() {
 			return true
 		}
 		time.Sleep(realPoll)
--- a/experiment/scale/report.go
+++ b/experiment/scale/report.go
@@ -161,14 +161,14 @@
 		r.Governor.ResidentMB, r.FailedChecks)
 }
 
-// failuresMost is how many failures a report spells out; all are counted.
-const failuresMost = 40
+// maxPrintedFailures is how many failures a report spells out; all are counted.
+const maxPrintedFailures = 40
 
 // judged puts a verdict into the report; changes count from the end of the start.
 func (r *Report) judged(v checks.Verdict, from time.Duration) {
 	r.failures = v.Failures
 	r.FailedChecks = len(v.Failures)
-	r.Failures = slices.Clone(v.Failures[:min(failuresMost, len(v.Failures))])
+	r.Failures = slices.Clone(v.Failures[:min(maxPrintedFailures, len(v.Failures))])
 	all := subjectDelays(v.Changes, checks.Configuration, from, time.Duration(math.MaxInt64))
 	r.Changes, r.AtAll = all.Changes, all.AtAll
 }
--- a/experiment/scale/rig.go
+++ b/experiment/scale/run.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	settlePause  = 50 * time.Millisecond
-	memoryPause  = time.Second
-	replaceSteps = 5 // of a repair: each step of a replica's replacement
-	startBound   = 2 * time.Minute
-	restartsSpan = time.Minute // the crowd restarts within it, or within the phase if that is shorter
+	settleInterval = 50 * time.Millisecond
+	memoryInterval = time.Second
+	replaceSteps   = 5 // of a repair: each step of a replica's replacement
+	startTimeout   = 2 * time.Minute
+	restartsSpan   = time.Minute // the crowd restarts within it, or within the phase if that is shorter
 )
 
-// rig is one run under way.
-type rig struct {
+// scaleRun is a run in progress.
+type scaleRun struct {
 	plan      Plan
 	tracker   *tracker
 	servers   *servers
@@ -31,12 +31,12 @@
 	agents    []*agent
 	hosts     []*hostProcess
 	hostOf    map[int]*hostProcess
-	governors []GovernorPlan
+	governors []ControllerPlan
 	markers   []checks.Marker // the last published, by service
 	random    *rand.Rand
 	peak      int64
 
-	writerDown atomic.Bool // nobody publishes
+	writerDown atomic.Bool // nothing is published
 
 	real         RealService // may be nil
 	realRevision int
@@ -45,7 +45,7 @@
 	repairs sync.WaitGroup
 }
 
-// Options say what a run is made of.
+// Options are the parts of a run.
 type Options struct {
 	Launch Launch
 	Serve  ServerLaunch
@@ -54,7 +54,7 @@
 	Log    func(format string, args ...any)
 }
 
-// Run plays a plan and judges it. An error is a fault of the rig; broken rules are counted in the report.
+// Run runs a plan and checks the rules. An error is a failure of the run itself; broken rules are counted in the report.
 func Run(ctx context.Context, plan Plan, options Options) (Report, error) {
 	plan.Fill()
 	if err := plan.Check(); err != nil {
@@ -62,11 +62,11 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	r := &rig{plan: plan, tracker: newTracker(), hostOf: map[int]*hostProcess{}, governors: plan.governors(),
+	r := &scaleRun{plan: plan, tracker: newTracker(), hostOf: map[int]*hostProcess{}, governors: plan.governors(),
 		markers: make([]checks.Marker, plan.Services), random: rand.New(rand.NewPCG(plan.Seed, 1)), real: options.Real}
 	defer r.close()
 	out := Report{Plan: plan}
-	begun, err := r.begin(ctx, options)
+	begun, err := r.startAll(ctx, options)
 	if err != nil {
 		return out, err
 	}
@@ -83,7 +83,7 @@
 		phases = append(phases, span)
 	}
 	r.repairs.Wait()
-	return r.judge(out, phases)
+	return r.evaluate(out, phases)
 }
 
 func drained(c <-chan error) error {
@@ -95,15 +95,15 @@
 	}
 }
 
-// begin starts everything at once, which is a phase of its own.
-func (r *rig) begin(ctx context.Context, options Options) (span phaseSpan, err error) {
+// startAll starts everything at once, which is a phase of its own.
+func (r *scaleRun) startAll(ctx context.Context, options Options) (span phaseSpan, err error) {
 	if r.servers, err = newServers(r.plan, options.Serve, options.Dir); err != nil {
 		return span, err
 	}
 	if r.network, err = newNetwork(r.plan, r.servers.addresses); err != nil {
 		return span, err
 	}
-	if err := r.publishFirst(); err != nil {
+	if err := r.publishInitial(); err != nil {
 		return span, err
 	}
 	if err := r.servers.start(ctx, func(from, to int) string { return r.network.servers[from][to].address() }); err != nil {
@@ -116,21 +116,21 @@
 	if err := r.startHosts(ctx, options.Launch); err != nil {
 		return span, err
 	}
-	if !r.settle(ctx, startBound) {
-		return span, errors.Join(ctx.Err(), fmt.Errorf("%d governors do not start", r.tracker.behind(r.plan.Governors)))
+	if !r.settle(ctx, startTimeout) {
+		return span, errors.Join(ctx.Err(), fmt.Errorf("%d governors do not start", r.tracker.countBehind(r.plan.Governors)))
 	}
-	return r.over(span, 0)
+	return r.endPhase(span, 0)
 }
 
-// publishFirst starts discovery's agents and publishes each service's first settings.
-func (r *rig) publishFirst() error {
+// publishInitial starts discovery's agents and publishes the first settings of all services.
+func (r *scaleRun) publishInitial() error {
 	for service := range r.plan.Services {
 		a, err := newAgent(r.plan.shape(service), service)
 		if err != nil {
 			return err
 		}
 		r.agents = append(r.agents, a)
-		r.tracker.note(checks.Event{Kind: checks.Published, Service: service, Subject: checks.ReplicaList, Marker: 1, Valid: true})
+		r.tracker.recordOwn(checks.Event{Kind: checks.Published, Service: service, Subject: checks.ReplicaList, Marker: 1, Valid: true})
 		if err := r.publish(service, true); err != nil {
 			return err
 		}
@@ -138,15 +138,15 @@
 	return nil
 }
 
-// startHosts tells all hollow governors where to turn to, and starts them, so many in a process.
-func (r *rig) startHosts(ctx context.Context, launch Launch) error {
+// startHosts starts the hollow controllers, of which many share a process.
+func (r *scaleRun) startHosts(ctx context.Context, launch Launch) error {
 	for k := range r.governors {
 		g := &r.governors[k]
 		g.Discovery = r.agents[g.Service].address()
 		g.Servers = r.network.addresses(g.Region)
 	}
 	for part := range slices.Chunk(r.governors, r.plan.HostSize) {
-		h, err := startHost(ctx, launch, HostPlan{Governors: part}, r.tracker.take)
+		h, err := startHost(ctx, launch, HostPlan{Governors: part}, r.tracker.record)
 		if err != nil {
 			return err
 		}
@@ -158,7 +158,7 @@
 	return nil
 }
 
-func (r *rig) close() {
+func (r *scaleRun) close() {
 	for _, h := range r.hosts {
 		h.end()
 	}
@@ -177,20 +177,20 @@
 }
 
 // publish publishes the next revision of a service's settings.
-func (r *rig) publish(service int, valid bool) error {
+func (r *scaleRun) publish(service int, valid bool) error {
 	if r.writerDown.Load() {
 		return nil
 	}
 	r.markers[service]++
 	marker := r.markers[service]
-	r.tracker.note(checks.Event{Kind: checks.Published, Service: service, Subject: checks.Configuration, Marker: marker, Valid: valid})
+	r.tracker.recordOwn(checks.Event{Kind: checks.Published, Service: service, Subject: checks.Configuration, Marker: marker, Valid: valid})
 	return r.servers.publish(service, settingsOf(r.plan.shape(service), marker, valid))
 }
 
-// settle waits until all governors hold the newest, or for a bound.
-func (r *rig) settle(ctx context.Context, bound time.Duration) bool {
-	for end := time.Now().Add(bound); ctx.Err() == nil; time.Sleep(settlePause) {
-		if r.tracker.behind(r.plan.Governors) == 0 {
+// settle waits until all controllers serve the newest versions, at most for a time.
+func (r *scaleRun) settle(ctx context.Context, bound time.Duration) bool {
+	for end := time.Now().Add(bound); ctx.Err() == nil; time.Sleep(settleInterval) {
+		if r.tracker.countBehind(r.plan.Governors) == 0 {
 			return true
 		}
 		if time.Now().After(end) {
@@ -200,7 +200,7 @@
 	return false
 }
 
-func (r *rig) pids() (pids []int) {
+func (r *scaleRun) pids() (pids []int) {
 	pids = append(pids, os.Getpid())
 	pids = append(pids, r.servers.pids()...)
 	for _, h := range r.hosts {
@@ -215,14 +215,14 @@
 	return slices.Compact(pids)
 }
 
-// watchMemory ends a run that takes more than half of the machine's memory.
-func (r *rig) watchMemory(ctx context.Context, stop context.CancelFunc, over chan<- error) {
+// watchMemory ends a run that uses more than half of the machine's memory.
+func (r *scaleRun) watchMemory(ctx context.Context, stop context.CancelFunc, over chan<- error) {
 	limit, err := memoryLimit()
 	for err == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(memoryPause):
+		case <-time.After(memoryInterval):
 		}
 		var sum usage
 		if sum, err = processesUsage(r.pids()); err == nil && sum.resident > limit {
--- a/experiment/scale/servers.go
+++ b/experiment/scale/servers.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	followedMost = 3 // servers that each other one follows: the writer, and others in its stead
-	listenBound  = 10 * time.Second
+	maxFollowed   = 3 // servers that each other one follows: the writer, and others in its stead
+	listenTimeout = 10 * time.Second
 )
 
 func regionName(k int) string  { return fmt.Sprintf("r%d", k) }
@@ -46,7 +46,7 @@
 	retired []usage          // what each has spent in lives that ended by a kill
 }
 
-// runningServer is one of them. Pid is 0 in this process.
+// runningServer is one server. Its pid is 0 in this process.
 type runningServer struct {
 	pid  int
 	kill func() error // without a word, and waits
@@ -83,7 +83,7 @@
 
 var portsTried atomic.Int64
 
-// freeAddress is an address of loopback that nobody listens on.
+// freeAddress returns an address of loopback on which nothing listens.
 func freeAddress() (string, error) {
 	var failed error
 	for range serverPorts {
@@ -115,7 +115,7 @@
 	s.mu.Lock()
 	s.running[k] = r
 	s.mu.Unlock()
-	for end := time.Now().Add(listenBound); ; time.Sleep(settlePause) {
+	for end := time.Now().Add(listenTimeout); ; time.Sleep(settleInterval) {
 		err := s.answers(ctx, k)
 		if err == nil {
 			return nil
@@ -128,7 +128,7 @@
 
 func serverName(k int) string { return fmt.Sprintf("server-%d", k) }
 
-// answers asks a server for its status, and says if it is another one that answers at its address.
+// answers requests the status of a server, and reports whether another one answers at its address.
 func (s *servers) answers(ctx context.Context, k int) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.addresses[k]+configapi.StatusPath, nil)
 	if err != nil {
@@ -149,10 +149,10 @@
 	return nil
 }
 
-// statusClient keeps no connection, which would hold an end up.
-var statusClient = &http.Client{Timeout: listenBound, Transport: &http.Transport{DisableKeepAlives: true}}
+// statusClient keeps no connection open, which would delay a server's end.
+var statusClient = &http.Client{Timeout: listenTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// options are those of one server: the writer reads the folder, the others follow it and each other.
+// options returns the options of one server: the writer reads the folder, the others follow it and each other.
 func (s *servers) options(k int) configserver.Options {
 	o := configserver.Options{Name: serverName(k), Region: regionName(s.plan.serverRegion(k)), Listen: s.addresses[k],
 		StateFile: filepath.Join(s.state, fmt.Sprint(k))}
@@ -160,7 +160,7 @@
 		o.Folder = s.folder
 		return o
 	}
-	for step := range min(followedMost, s.plan.Servers-1) {
+	for step := range min(maxFollowed, s.plan.Servers-1) {
 		to := 0
 		if step > 0 { // not itself, and not the writer again
 			to = 1 + (k-1+step)%(s.plan.Servers-1)
@@ -197,7 +197,7 @@
 	return r.kill()
 }
 
-// usage is what one server has spent in all its lives, and what it holds if it runs.
+// usage returns what one server has spent in all its incarnations, and its memory if it runs.
 func (s *servers) usage(k int) (usage, error) {
 	s.mu.Lock()
 	r, spent := s.running[k], s.retired[k]
@@ -209,7 +209,7 @@
 	return spent.plus(now), err
 }
 
-// pids lists the processes of servers.
+// pids returns the processes of the servers.
 func (s *servers) pids() (pids []int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -251,7 +251,7 @@
 		c := exec.CommandContext(ctx, program, serverArguments(o)...)
 		c.Stderr = log
 		c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) }
-		c.WaitDelay = endMost
+		c.WaitDelay = endTimeout
 		if err := c.Start(); err != nil {
 			return nil, err
 		}
--- a/experiment/scale/source.go
+++ b/experiment/scale/source.go
@@ -24,15 +24,15 @@
 }
 
 // SourceOf makes the configuration source of a governor, whose disk outlasts its lives.
-type SourceOf func(plan GovernorPlan, disk configcache.Storage) ConfigurationSource
+type SourceOf func(plan ControllerPlan, disk configcache.Storage) ConfigurationSource
 
 // Watch is the product's client.
-func Watch(plan GovernorPlan, disk configcache.Storage) ConfigurationSource {
+func Watch(plan ControllerPlan, disk configcache.Storage) ConfigurationSource {
 	return &watchSource{plan: plan, disk: disk, service: serviceName(plan.Service), digest: configcache.DigestOf(settingsOf(plan.Shape, 1, true))}
 }
 
 type watchSource struct {
-	plan    GovernorPlan
+	plan    ControllerPlan
 	disk    configcache.Storage
 	service string
 	digest  configcache.Digest // of the settings that each incarnation starts with
--- a/experiment/scale/tracker.go
+++ b/experiment/scale/tracker.go
@@ -8,7 +8,7 @@
 	"lilacbend/experiment/scale/checks"
 )
 
-// tracker keeps the events of a run, and knows who does not hold the newest yet.
+// tracker records the events of a run, and which controllers do not serve the newest versions yet.
 type tracker struct {
 	start time.Time
 
@@ -16,7 +16,7 @@
 	events []checks.Event
 	faults []string
 	newest map[topic]checks.Marker // valid ones
-	alive  map[int]*standing
+	alive  map[int]*controllerState
 }
 
 type topic struct {
@@ -24,21 +24,21 @@
 	subject checks.Subject
 }
 
-// standing is what is known of a governor that is up.
-type standing struct {
+// controllerState is what is known of a running controller.
+type controllerState struct {
 	service int
 	serving map[checks.Subject]checks.Marker
 }
 
 func newTracker() *tracker {
-	return &tracker{start: time.Now(), newest: map[topic]checks.Marker{}, alive: map[int]*standing{}}
+	return &tracker{start: time.Now(), newest: map[topic]checks.Marker{}, alive: map[int]*controllerState{}}
 }
 
-// since is the time of the run.
+// since returns the time since the start of the run.
 func (t *tracker) since() time.Duration { return time.Since(t.start) }
 
-// take takes in what a host reports; its clock is this machine's.
-func (t *tracker) take(r report) {
+// record records what a host reports; its clock is this machine's.
+func (t *tracker) record(r report) {
 	if r.Fault != "" {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// note records an event of the rig's own as of now.
-func (t *tracker) note(e checks.Event) {
+// recordOwn records an event of the run itself at the current time.
+func (t *tracker) recordOwn(e checks.Event) {
 	e.At = t.since()
 	t.add(e)
 }
@@ -68,7 +68,7 @@
 			t.newest[at] = max(t.newest[at], e.Marker)
 		}
 	case checks.Started:
-		t.alive[e.Governor] = &standing{e.Service, map[checks.Subject]checks.Marker{}}
+		t.alive[e.Governor] = &controllerState{e.Service, map[checks.Subject]checks.Marker{}}
 	case checks.Stopped:
 		delete(t.alive, e.Governor)
 	case checks.Serving:
@@ -78,8 +78,8 @@
 	}
 }
 
-// behind counts the governors that do not hold the newest, and those that are not up.
-func (t *tracker) behind(governors int) int {
+// countBehind counts the controllers that do not serve the newest versions, and those that do not run.
+func (t *tracker) countBehind(governors int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	count := governors - len(t.alive)
@@ -94,7 +94,7 @@
 	return count
 }
 
-// settled says whether all governors of a service that are up hold its newest configuration.
+// settled reports whether all running controllers of a service serve its newest configuration.
 func (t *tracker) settled(service int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/experiment/scale/usage.go
+++ b/experiment/scale/usage.go
@@ -9,7 +9,7 @@
 	"github.com/prometheus/procfs"
 )
 
-// usage is what processes have spent since their start, and hold now.
+// usage is what processes have spent since their start, and their current memory.
 type usage struct {
 	processor time.Duration
 	resident  int64 // bytes
@@ -22,7 +22,7 @@
 	return usage{u.processor + o.processor, u.resident + o.resident, u.heap + o.heap, u.bytes + o.bytes, u.messages + o.messages}
 }
 
-// errEnded says that a process has ended, and nobody has waited for it yet.
+// errEnded reports that a process has ended and was not waited for yet.
 var errEnded = errors.New("it has ended")
 
 // processUsage reads the kernel's account of a process. Its bytes and messages are those of its read and write calls,
@@ -62,7 +62,7 @@
 	return sum, nil
 }
 
-// allRun says which of some processes does not run any more.
+// allRun returns an error if one of some processes has ended.
 func allRun(pids []int) error {
 	for _, pid := range pids {
 		if _, err := processUsage(pid); err != nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// memoryLimit is half of the machine's memory, which a run stays under.
+// memoryLimit returns half of the machine's memory, below which a run must stay.
 func memoryLimit() (int64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
