--- /dev/null
+++ b/cmd/lilacbend/configserver_test.go
@@ -0,0 +1,43 @@
+package main
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"lilacbend/internal/configclient"
+	"lilacbend/internal/configserver"
+)
+
+func TestOverriddenPrefersFlags(t *testing.T) {
+	file := configserver.Options{
+		Name: "s0", Region: "r0", Listen: ":1", Folder: "f", StateFile: "s",
+		Follow:       []configclient.Server{{Address: "a"}},
+		PollInterval: time.Second, MaxConnections: 1, MaxCopies: 2,
+	}
+	flags := configserver.Options{
+		Name: "s1", Region: "r1", Listen: ":2", Folder: "g", StateFile: "t",
+		Follow:       []configclient.Server{{Address: "b"}},
+		PollInterval: time.Minute, MaxConnections: 3, MaxCopies: 4,
+	}
+	for name, c := range map[string]struct{ file, flags, want configserver.Options }{
+		"no flags":    {file, configserver.Options{}, file},
+		"no file":     {configserver.Options{}, flags, flags},
+		"all flags":   {file, flags, flags},
+		"one of each": {configserver.Options{Name: "s0"}, configserver.Options{MaxCopies: 4}, configserver.Options{Name: "s0", MaxCopies: 4}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := overridden(c.file, c.flags); !reflect.DeepEqual(got, c.want) {
+				t.Errorf("got  %+v\nwant %+v", got, c.want)
+			}
+		})
+	}
+}
+
+func TestParseServers(t *testing.T) {
+	got := parseServers([]string{"s0:7000", "s1:7000=r1", "s2:7000="})
+	want := []configclient.Server{{Address: "s0:7000"}, {Address: "s1:7000", Region: "r1"}, {Address: "s2:7000"}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("got  %+v\nwant %+v", got, want)
+	}
+}
