--- a/cmd/lilacbend/child_test.go
+++ b/cmd/lilacbend/child_test.go
@@ -14,7 +14,7 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// asProgram has the test's own program be lilacbend: signals and exit codes are those of a real process.
+// asProgram makes the test binary run as lilacbend, so that signals and exit codes are those of a process.
 const asProgram = "LILACBEND_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -25,10 +25,10 @@
 	os.Exit(m.Run())
 }
 
-// partingLimit is when a platform may kill what it has told to end.
+// partingLimit is how long after SIGTERM a platform may send SIGKILL.
 const partingLimit = 700 * time.Millisecond
 
-// child is the program in a process of its own.
+// child is the program in its own process.
 type child struct {
 	*exec.Cmd
 	t    testing.TB
@@ -36,7 +36,7 @@
 	over chan error
 }
 
-// program starts it with an environment and arguments.
+// program starts the program with an environment and arguments.
 func program(t testing.TB, env []string, args ...string) *child {
 	t.Helper()
 	c := &child{exec.Command(os.Args[0], args...), t, &lines{}, make(chan error, 1)}
@@ -57,30 +57,30 @@
 	return c
 }
 
-// run starts a governor with a configuration.
+// run starts a controller with a configuration.
 func run(t testing.TB, file string) *child { return program(t, []string{"PROXY_CONFIG=" + file}) }
 
-func (c *child) says(text string) bool { return c.out.has(text) }
+func (c *child) logged(text string) bool { return c.out.has(text) }
 
-// until waits for a line of the log.
+// until waits for a text in the log.
 func (c *child) until(text string) *child {
 	c.t.Helper()
-	scriptedpeer.Until(c.t, "the log does not say "+text, func() bool { return c.says(text) })
+	scriptedpeer.Until(c.t, "the log does not say "+text, func() bool { return c.logged(text) })
 	return c
 }
 
-// tell sends signals.
-func (c *child) tell(signals ...syscall.Signal) {
+// signal sends signals.
+func (c *child) signal(signals ...syscall.Signal) {
 	for _, s := range signals {
 		c.Process.Signal(s)
 	}
 }
 
-// ends sends signals and waits for the end: exit 0, and in time where it was told to end.
-func (c *child) ends(signals ...syscall.Signal) {
+// expectExit sends signals and waits for the exit, with code 0 and, after a signal, in time.
+func (c *child) expectExit(signals ...syscall.Signal) {
 	c.t.Helper()
 	begun := time.Now()
-	c.tell(signals...)
+	c.signal(signals...)
 	select {
 	case err := <-c.over:
 		if span := time.Since(begun); err != nil || len(signals) > 0 && span > partingLimit {
@@ -91,7 +91,7 @@
 	}
 }
 
-// example is the example's configuration.
+// example returns the example's configuration.
 func example(t testing.TB) (file map[string]any) {
 	t.Helper()
 	raw, err := os.ReadFile("../../example/config.json")
@@ -104,7 +104,7 @@
 	return file
 }
 
-// exampleWith is the example's configuration with other values at some keys.
+// exampleWith returns the example's configuration with other values at some keys.
 func exampleWith(t testing.TB, values map[string]any) []byte {
 	t.Helper()
 	file := example(t)
@@ -116,7 +116,7 @@
 	return raw
 }
 
-// configured writes the example's configuration with other values at some keys, and names the file.
+// configured writes the example's configuration with other values at some keys, and returns the file's name.
 func configured(t testing.TB, values map[string]any) string {
 	t.Helper()
 	at := filepath.Join(t.TempDir(), "config.json")
@@ -126,7 +126,7 @@
 	return at
 }
 
-// exampleList is the example's list of replicas as discovery would write it, one of them draining.
+// exampleList returns the example's list of replicas in discovery's format, with one of them draining.
 func exampleList(t testing.TB, revision int, drains string) string {
 	t.Helper()
 	known := example(t)["known"].(map[string]any)
--- a/cmd/lilacbend/fleet_test.go
+++ b/cmd/lilacbend/fleet_test.go
@@ -15,7 +15,7 @@
 	"lilacbend/internal/resp"
 )
 
-// fleetConfiguration is the example's with the sizes of a full fleet: so many governors and replicas, and all proxies at this one.
+// fleetConfiguration returns the example's configuration with the sizes of a fleet whose proxies are all at this controller.
 func fleetConfiguration(t *testing.T, listen string, governors, replicas, proxies int) configuration {
 	file := example(t)
 	var addresses []string
@@ -44,8 +44,8 @@
 	return c
 }
 
-// Of 350 governors one is left: all proxies come to it at once, and each is bound to a table out of 1,024 replicas. Beside
-// them some read nothing, and some connect again and again.
+// One of 350 controllers is left: all proxies connect to it at once, and each is bound to a table of 1,024 replicas. Besides,
+// some proxies do not read, and some connect repeatedly.
 func TestAllProxiesConnectAtOnce(t *testing.T) {
 	const governors, replicas, proxies = 350, 1024, 400
 	at := scriptedpeer.Free(t)
--- a/cmd/lilacbend/follow_test.go
+++ b/cmd/lilacbend/follow_test.go
@@ -15,8 +15,7 @@
 	"lilacbend/internal/configstore"
 )
 
-// exampleSettings are the example's settings as a server would send them, with some changes: each text is followed by what takes
-// its place.
+// exampleSettings returns the example's settings as a server sends them, with changes: pairs of a text and its replacement.
 func exampleSettings(t testing.TB, changes ...string) []byte {
 	t.Helper()
 	raw, err := json.Marshal(example(t)["settings"])
@@ -33,7 +32,7 @@
 	return raw
 }
 
-// settingsFile writes the example's settings with some changes into a folder, at once.
+// settingsFile writes the example's settings with changes into a folder, atomically.
 func settingsFile(t testing.TB, folder, service string, changes ...string) {
 	t.Helper()
 	replace(t.(*testing.T), filepath.Join(folder, service+".json"), exampleSettings(t, changes...))
@@ -69,8 +68,8 @@
 	return s
 }
 
-// A change of a file is in force at a running governor, by the program and its commands alone: the proxy that has joined
-// stays, the next one may have a number that only the new settings know, and what is refused is said by its key.
+// A change of a file becomes active at a running controller: a joined proxy stays, the next one may have a number that only the
+// new settings allow, and rejected settings are logged with their key.
 func TestChangeOfFolderReachesRunningController(t *testing.T) {
 	folder := t.TempDir()
 	settingsFile(t, folder, "orders")
@@ -108,24 +107,24 @@
 		s := status(t, at)
 		return len(s.Lagging) == 0 && len(s.Services) == 2 && len(s.Services[0].Zones) == 1 && s.Services[0].Zones[0].Active[0].Controllers == 1
 	})
-	governor.tell(syscall.SIGUSR1)
+	governor.signal(syscall.SIGUSR1)
 	governor.until("configuration.changes=3").until("configuration.refused=1")
 	for _, p := range []*child{governor, follower, writer} {
-		p.ends(syscall.SIGTERM)
+		p.expectExit(syscall.SIGTERM)
 	}
 }
 
-// Without its section a governor follows nothing, and says nothing of it.
+// Without the section a controller follows no configuration, and logs nothing about it.
 func TestWithoutSectionNothingIsFollowed(t *testing.T) {
 	agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen})
 	governor := run(t, file).until("serving")
-	governor.tell(syscall.SIGUSR1)
+	governor.signal(syscall.SIGUSR1)
 	governor.until("counters")
-	if governor.says("configuration") {
+	if governor.logged("configuration") {
 		t.Errorf("the log: %s", governor.out)
 	}
-	governor.ends(syscall.SIGTERM)
+	governor.expectExit(syscall.SIGTERM)
 }
 
 func TestConfigserverCommands(t *testing.T) {
@@ -170,9 +169,9 @@
 		t.Errorf("%s %v", out.String(), err)
 	}
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":5`)
-	writer.tell(syscall.SIGHUP)
+	writer.signal(syscall.SIGHUP)
 	writer.until("configuration changed")
 	for _, p := range []*child{follower, writer} {
-		p.ends(syscall.SIGTERM)
+		p.expectExit(syscall.SIGTERM)
 	}
 }
--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -40,7 +40,7 @@
 
 func configurationServer(out io.Writer) *cli.Command { return configserverCommand(nil, out) }
 
-// goldenState has a value other than zero in every field that is exported.
+// goldenState has a non-zero value in every exported field.
 func goldenState() learnedstate.State {
 	return learnedstate.State{
 		Controller: "n7", Taken: learnedstate.Timestamp{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
@@ -76,8 +76,8 @@
 	golden.Compare(t, exportFile, outputOf(t, state, "state", "export", folder))
 }
 
-// goldenStatuses are those of a writer and of a server that follows it. Governors are in two zones; one of them lags, one has
-// refused the newest version, and one is known to both servers.
+// goldenStatuses returns the statuses of a writer and of its follower. Controllers are in two zones; one lags, one has rejected
+// the newest version, and one is known to both servers.
 func goldenStatuses() []configapi.Status {
 	at := func(number uint64) revision.Version { return revision.Version{Epoch: 7, Revision: number} }
 	history := func(older int64) []configapi.Published {
--- a/cmd/lilacbend/logwriter_test.go
+++ b/cmd/lilacbend/logwriter_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A log that nobody reads holds up nobody, and is whole for who does.
+// Writes do not block if the log is not read, and the lines that are not lost are complete.
 func TestLogWriterNeverBlocks(t *testing.T) {
 	r, w := io.Pipe()
 	b := newLogWriter(w)
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -20,7 +20,7 @@
 
 const wholeList = "GET /registry/instances HTTP/1.1"
 
-// exampleAt is the example's configuration with another discovery.
+// exampleAt returns the example's configuration with another address of discovery.
 func exampleAt(t *testing.T, discovery string) []byte {
 	t.Helper()
 	return exampleWith(t, map[string]any{"discovery": discovery})
@@ -33,7 +33,7 @@
 	}
 }
 
-// replace puts a whole file in the place of another at once.
+// replace replaces a file atomically.
 func replace(t *testing.T, file string, raw []byte) {
 	t.Helper()
 	write(t, file+".new", raw)
@@ -42,7 +42,7 @@
 	}
 }
 
-// times counts a text in the log.
+// times returns how often a text is in the log.
 func (l *lines) times(text string) int {
 	l.Lock()
 	defer l.Unlock()
@@ -53,8 +53,8 @@
 	return program(t, []string{"PROXY_CONFIG=" + file, "PROXY_LISTEN=" + listen})
 }
 
-// A file that is half written, empty or missing when SIGHUP comes is taken over once it is whole, without a second SIGHUP,
-// and is complained of once.
+// A file that is incomplete, empty or missing at SIGHUP is read again until it is complete, without a second SIGHUP, and
+// logged once.
 func TestSIGHUPBeforeFileIsComplete(t *testing.T) {
 	for name, spoil := range map[string]func(file string, whole []byte){
 		"half written": func(file string, whole []byte) { write(t, file, whole[:len(whole)/2]) },
@@ -69,13 +69,13 @@
 				t.Errorf("asked %q", got)
 			}
 			spoil(file, exampleAt(t, after.At()))
-			p.tell(syscall.SIGHUP)
+			p.signal(syscall.SIGHUP)
 			p.until("cannot be used")
 			replace(t, file, exampleAt(t, after.At()))
 			if got := after.Take().Request(); got != wholeList {
 				t.Errorf("asked %q", got)
 			}
-			p.ends(syscall.SIGTERM)
+			p.expectExit(syscall.SIGTERM)
 			for text, times := range map[string]int{"cannot be used": 1, "read again": 1, "in.reloads=1 ": 1, "errors.misread=1 ": 1} {
 				if got := p.out.times(text); got != times {
 					t.Errorf("%q %d times, want %d", text, got, times)
@@ -85,20 +85,20 @@
 	}
 }
 
-// SIGHUP round the end changes nothing of it: while a file is waited for, together with SIGTERM, and after it.
+// SIGHUP does not affect the shutdown: while a file is retried, together with SIGTERM, and after it.
 func TestSIGHUPDuringShutdown(t *testing.T) {
 	file, agent, at := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	write(t, file, exampleAt(t, agent.At()))
 	p := launch(t, file, at)
 	agent.Take().Request()
 	os.Remove(file)
-	p.tell(syscall.SIGHUP)
+	p.signal(syscall.SIGHUP)
 	p.until("cannot be used")
-	p.ends(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP)
+	p.expectExit(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP)
 	scriptedpeer.ListenOn(t, at) // it is free for the successor
 }
 
-// reloading runs the part of a governor that reads its configuration again; a signal is sent when follow takes it.
+// reloading runs a reloader until the end of the test. The channel is unbuffered: a signal is sent when it is received.
 func reloading(t *testing.T, file, address string) (chan<- os.Signal, *eventloop.Queues, *lines) {
 	c, x, out := exampleConfiguration(t, "127.0.0.1:1"), eventloop.New(), &lines{}
 	asked, log := make(chan os.Signal), slog.New(slog.NewTextHandler(out, nil))
@@ -114,7 +114,7 @@
 	return asked, x, out
 }
 
-// Twice at once, to the same address, and from A to B and back to A: the last file read is the one that counts.
+// Two signals at once, the same address, and A to B and back to A: the last file that was read counts.
 func TestSIGHUPAddressThereAndBack(t *testing.T) {
 	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	asked, x, _ := reloading(t, file, a.At())
@@ -141,7 +141,7 @@
 	}
 }
 
-// In virtual time: a file that is not whole for long is read once in rereadLimit, and taken over by then.
+// In virtual time: a file that stays incomplete is read again once in rereadLimit.
 func TestIncompleteFileIsReadAgainWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		file, x, asked := filepath.Join(t.TempDir(), "config.json"), eventloop.New(), make(chan os.Signal)
@@ -166,7 +166,7 @@
 	})
 }
 
-// A second SIGHUP while a file is waited for is answered at once; each that finds it of no use is a line.
+// A second SIGHUP while a file is retried reads it at once; each signal that finds it unusable is logged.
 func TestSIGHUPWhileFileIsRetried(t *testing.T) {
 	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	asked, x, out := reloading(t, file, a.At())
@@ -184,8 +184,8 @@
 	}
 }
 
-// The list of the configuration is out of date: it serves the proxies that come before discovery has answered, which is
-// asked for the whole list; who drains by then is withdrawn.
+// The configuration's list is out of date. It serves the proxies that connect before discovery answers with the complete list;
+// then draining replicas are withdrawn.
 func TestProxiesConnectBeforeDiscoveryAnswers(t *testing.T) {
 	agent, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	c := exampleConfiguration(t, at)
@@ -224,7 +224,7 @@
 	}
 }
 
-// withdraws says whether a push keeps its proxy away from a replica.
+// withdraws reports whether an update removes a replica from its proxy.
 func withdraws(words []string, name string) bool {
 	for k := 1; k+1 < len(words); k += 2 {
 		for _, part := range strings.Split(words[k+1], ",") {
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -48,7 +48,7 @@
 	return c
 }
 
-// A governor serves from its known list while discovery refuses, and ends soon after it is told to.
+// A controller serves from its known list while discovery refuses, and shuts down in time.
 func TestServeFromKnownList(t *testing.T) {
 	at, out := scriptedpeer.Free(t), &lines{}
 	ctx, stop := context.WithCancel(context.Background())
@@ -114,7 +114,7 @@
 	}
 }
 
-// A configuration read again moves discovery, whatever was said of it at the start; a bad one changes nothing.
+// A reload changes the address of discovery, whatever the options of the start; an invalid file changes nothing.
 func TestReloadOfConfiguration(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/lilacbend/settings_test.go
+++ b/cmd/lilacbend/settings_test.go
@@ -17,8 +17,8 @@
 	"lilacbend/experiment/emulator"
 )
 
-// This file holds the start to settings of odd but permitted shapes: it takes them, and core and module keep rules 1, 3
-// and 5 with them on a short script, or it refuses them with one line that names the key.
+// This file checks settings of unusual but permitted shapes: a start accepts them, and core and module keep rules 1, 3 and 5 in a
+// short script, or it rejects them in one line that names the key.
 
 type object = map[string]any
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// groups names as many traffic groups, each like one of the example's.
+// groups names traffic classes, each like one of the example's.
 func (s shape) groups(names ...string) {
 	usual, lanes := s.lanes(), []any{}
 	for k, name := range names {
@@ -69,7 +69,7 @@
 	return all
 }
 
-// start reads a shape as the start of the program does.
+// start reads a shape as a start of the program does.
 func (s shape) start() (configuration, error) {
 	raw, err := json.Marshal(s.file)
 	if err != nil {
@@ -78,8 +78,8 @@
 	return parseConfiguration(raw, options{})
 }
 
-// broken plays core and module in virtual time: all proxies join, a replica drains, one is replaced, a stream is replaced,
-// the governor starts anew and a replica falls silent. It says which of the rules 1, 3 and 5 were broken.
+// broken simulates core and module: all proxies join, a replica drains, one is replaced, a stream is replaced, the controller
+// restarts and a replica becomes silent. It returns which of the rules 1, 3 and 5 were broken.
 func broken(c configuration) (said []string) {
 	const second = int64(1e9)
 	if c.settings.Proxies == 0 { // nobody may join
@@ -186,7 +186,7 @@
 	}
 }
 
-// Drawn shapes, all of them permitted, and the same every time.
+// Random shapes, all permitted, from a fixed seed.
 func TestRandomSettingsKeepRules(t *testing.T) {
 	t.Parallel()
 	names := []string{"a", "a-1", "a-10", "1", "A", "b_2", "9.9"}
@@ -234,7 +234,7 @@
 	}
 }
 
-// One value of the settings is replaced by another of any kind: the start takes it or says in one line what is wrong.
+// One value of the settings is replaced by another of any kind: the start accepts it or says in one line what is wrong.
 func FuzzStartWithChangedValue(f *testing.F) {
 	for _, value := range []string{"null", "-1", "1e308", "0.5", "[]", "{}", `"a\nb"`, `["a"]`, "true", "12345678901234567890"} {
 		for k := range uint(40) {
@@ -266,7 +266,7 @@
 	})
 }
 
-// The program itself: one line on standard error, and an exit code other than 0.
+// The program prints one line on standard error, and exits with a code other than 0.
 func TestInvalidConfigurationEndsProgram(t *testing.T) {
 	const asked = "LILACBEND_TEST_START"
 	if os.Getenv(asked) != "" {
--- a/cmd/lilacbend/settingscache_test.go
+++ b/cmd/lilacbend/settingscache_test.go
@@ -18,8 +18,8 @@
 	"lilacbend/internal/revision"
 )
 
-// keepingFile is an operator file of a governor that keeps what it follows. A server that is not to answer is a listener of the
-// test's own: an address where nobody listens may be given to another test, whose server then hears this governor.
+// keepingFile writes the operator file of a controller that caches its settings. A server that must not answer is a listener of
+// the test: a free address may be given to another test, whose server would then be followed.
 func keepingFile(t *testing.T, folder string, servers ...string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "operator.yaml")
@@ -42,8 +42,8 @@
 	}
 }
 
-// All servers are lost, and a governor is started again: it serves by the version it had, knows the proxies of that version, and
-// takes the next one when a server is back, without a copy of what it has.
+// All servers are lost, and a controller restarts: it uses the version that was active, knows the proxies of that version, and
+// applies the next one when a server is back, without a copy of the one it has.
 func TestRestartResumesActiveSettings(t *testing.T) {
 	folder, kept := t.TempDir(), filepath.Join(t.TempDir(), "kept")
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":6`)
@@ -52,12 +52,12 @@
 	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen, "name": "n7"})
 	operator := keepingFile(t, kept, at...)
 	first := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", operator).until("configuration in force")
-	if first.says("kept configuration") {
+	if first.logged("kept configuration") {
 		t.Errorf("there was nothing to keep: %s", first.out)
 	}
 	scriptedpeer.Until(t, "it is not kept", func() bool { _, found, _ := configcache.Load(filewriter.Directory(kept)); return found })
 	for _, p := range []*child{follower, writer, first} {
-		p.ends(syscall.SIGTERM)
+		p.expectExit(syscall.SIGTERM)
 	}
 
 	second := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", operator).until("the kept configuration is used").until("configuration in force")
@@ -65,17 +65,18 @@
 	writer = program(t, nil, "configserver", "--name", "s0", "--listen", at[0], "--folder", folder, "--poll", "50ms").until("serving configuration")
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":7`)
 	second.until("proxies=7")
-	second.tell(syscall.SIGUSR1)
+	second.signal(syscall.SIGUSR1)
 	second.until("configuration.kept.failed=0")
 	for _, p := range []*child{second, writer} {
-		p.ends(syscall.SIGTERM)
+		p.expectExit(syscall.SIGTERM)
 	}
 	if r, found, err := configcache.Load(filewriter.Directory(kept)); !found || err != nil || !bytes.Contains(r.Settings, []byte(`"proxy_count":7`)) {
 		t.Errorf("kept: %+v %v %v", r, found, err)
 	}
 }
 
-// Whatever is found in the folder, a governor serves: by what was kept where that is whole and meant for it, else by its own file.
+// With any content of the folder a controller serves: with the cached settings if they are complete and its own, otherwise with
+// its own file.
 func TestCachedSettingsAreUsedOnlyIfValid(t *testing.T) {
 	own := configcache.DigestOf(exampleSettings(t))
 	more := exampleSettings(t, `"proxy_count":4`, `"proxy_count":6`)
@@ -117,15 +118,15 @@
 				governor.until("version=5.2")
 				hello(t, listen, 5)
 			}
-			if used := governor.says("configuration in force"); used != c.used {
+			if used := governor.logged("configuration in force"); used != c.used {
 				t.Errorf("used %v, want %v: %s", used, c.used, governor.out)
 			}
-			governor.ends(syscall.SIGTERM)
+			governor.expectExit(syscall.SIGTERM)
 		})
 	}
 }
 
-// The governor of before a restart still holds its folder as the next one begins: that waits for it.
+// If the previous process still holds the lock of a folder, the next one waits for it.
 func TestAcquireFolderRetriesWhileLocked(t *testing.T) {
 	folder := filewriter.Directory(filepath.Join(t.TempDir(), "kept"))
 	before, err := folder.Acquire("n6")
@@ -154,7 +155,7 @@
 	lock.Release()
 }
 
-// Two governors on one folder: the second keeps nothing and serves all the same. A folder that others may write to is not used.
+// Of two controllers on one folder the second serves without it. A folder that others may write to is not used.
 func TestFolderOfAnotherOwnerIsNotUsed(t *testing.T) {
 	agent := scriptedpeer.Listen(t)
 	begin := func(folder string) *child {
@@ -172,7 +173,7 @@
 	second := begin(shared).until("is neither read nor kept").until("held by n7")
 	third := begin(open).until("is neither read nor kept").until("others may write to it")
 	for _, p := range []*child{first, second, third} {
-		p.ends(syscall.SIGTERM)
+		p.expectExit(syscall.SIGTERM)
 	}
 	if strings.Contains(first.out.String(), "neither") {
 		t.Errorf("the first one's: %s", first.out)
--- a/cmd/lilacbend/shutdown_test.go
+++ b/cmd/lilacbend/shutdown_test.go
@@ -10,16 +10,15 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// Ends and starts that cross with something else, in real processes: docs/crossings.md.
+// Shutdowns and starts that race with something else, in real processes.
 
-// Told to end while it waits for an address that its predecessor still holds, a governor ends well; told nothing, it takes the
-// address once it is free.
+// A controller that waits for an address in use exits cleanly at SIGTERM; without a signal it listens once the address is free.
 func TestSIGTERMWhileAddressIsInUse(t *testing.T) {
 	for name, end := range map[string][]syscall.Signal{"term": {syscall.SIGTERM}, "hangup, term, term": {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM}} {
 		l := scriptedpeer.Listen(t)
 		c := run(t, configured(t, map[string]any{"listen": l.At(), "discovery": "127.0.0.1:1"})).until("the address is in use")
-		c.ends(end...)
-		if c.says("msg=serving") {
+		c.expectExit(end...)
+		if c.logged("msg=serving") {
 			t.Errorf("%s: it serves", name)
 		}
 	}
@@ -29,12 +28,11 @@
 	conn := scriptedpeer.DialWhenUp(t, l.At())
 	conn.Say("probe")
 	conn.Hears("alive")
-	c.ends(syscall.SIGTERM)
+	c.expectExit(syscall.SIGTERM)
 }
 
-// The end waits for nobody: a proxy that reads nothing while it is written to, half a message, a stranger that lingers, a
-// collector in the middle of a report, discovery in the middle of a body, and a second and third signal. The address is free
-// for the successor at once.
+// The shutdown does not wait for a proxy that does not read, an incomplete message, a rejected peer, a collector in the middle
+// of a report, or discovery in the middle of a body; further signals change nothing. The address is free at once.
 func TestShutdownWithAllInFlight(t *testing.T) {
 	disco, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	var members []map[string]any
@@ -60,13 +58,13 @@
 		open[1].Raw("*7\r\n$3\r\nack\r\n$2\r\ni")
 		open[2].Raw("*11\r\n$8\r\noutcomes\r\n$4\r\nsi")
 		open[3].Hears("error")
-		c.ends(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
+		c.expectExit(syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM)
 		if l, err := net.Listen("tcp", at); err != nil {
 			t.Errorf("the address is not free: %v", err)
 		} else {
 			l.Close()
 		}
-		if !c.says("msg=counters") {
+		if !c.logged("msg=counters") {
 			t.Error("no counters at the end")
 		}
 		call.Reset()
@@ -76,9 +74,9 @@
 	}
 }
 
-// A successor serves from what it knows to whoever comes back before discovery has answered, and the drain that discovery then
-// tells of reaches them at once. The acks are of marks of an earlier life. The governor may read that of mark 1 before or after it
-// has written a mark 1 of its own; its proxy counts as bound in the second case, and hears of the drain as a weight of 0.
+// A restarted controller serves reconnected proxies from its known list before discovery answers; a drain that discovery then
+// reports reaches them at once. The acks are of nonces of an earlier incarnation. The controller may read that of nonce 1 before
+// or after it has sent its own nonce 1; in the second case the proxy counts as bound and receives the drain as a weight of 0.
 func TestProxiesReconnectBeforeDiscoveryAnswers(t *testing.T) {
 	disco, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := configured(t, map[string]any{"listen": at, "discovery": disco.At()})
@@ -101,5 +99,5 @@
 	call.Raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	for !withdraws(strings.Fields(proxy.Hears("push")), "box-2") {
 	}
-	c.ends(syscall.SIGTERM)
+	c.expectExit(syscall.SIGTERM)
 }
--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -11,7 +11,7 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// shop writes a sidecar's file with one replica.
+// shop writes a sidecar's manifest with one replica.
 func shop(t *testing.T, file, listen, replica string) {
 	t.Helper()
 	text := fmt.Sprintf(`
@@ -28,7 +28,7 @@
 	}
 }
 
-// A file that is missing or half written when SIGHUP comes is taken over once it is whole, without a second SIGHUP.
+// A manifest that is missing or incomplete at SIGHUP is read again until it is complete, without a second SIGHUP.
 func TestSidecarManifestIsReadAgain(t *testing.T) {
 	listen, file := scriptedpeer.Free(t), filepath.Join(t.TempDir(), "shop.yaml")
 	shop(t, file, listen, "127.0.0.1:9")
@@ -38,18 +38,18 @@
 		if err := spoil(); err != nil {
 			t.Fatal(err)
 		}
-		c.tell(syscall.SIGHUP)
+		c.signal(syscall.SIGHUP)
 		scriptedpeer.Until(t, "it is not said", func() bool { return c.out.times("cannot be used") == k+1 })
 		shop(t, file, listen, "127.0.0.1:9")
 		scriptedpeer.Until(t, "it is not taken over", func() bool { return c.out.times("rules taken over") == k+1 })
 	}
-	if c.ends(syscall.SIGTERM); c.out.times("cannot be used") != 2 {
+	if c.expectExit(syscall.SIGTERM); c.out.times("cannot be used") != 2 {
 		t.Error(c.out)
 	}
 }
 
-// SIGTERM finds a flow in flight, and comes once more during the drain, with a SIGHUP: the flow has its whole answer, that
-// says that it was the last, and the exit is a clean one.
+// SIGTERM with a request in flight, and once more with a SIGHUP while it drains: the request gets its complete answer, which
+// closes the connection, and the exit is clean.
 func TestSidecarSIGTERMTwiceWithRequestInFlight(t *testing.T) {
 	replica, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	file := filepath.Join(t.TempDir(), "shop.yaml")
@@ -59,26 +59,26 @@
 	client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
 	flow := replica.Take()
 	flow.Request()
-	c.tell(syscall.SIGTERM)
+	c.signal(syscall.SIGTERM)
 	c.until("sidecar drains")
-	c.tell(syscall.SIGTERM, syscall.SIGHUP)
+	c.signal(syscall.SIGTERM, syscall.SIGHUP)
 	flow.Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	resp, err := http.ReadResponse(client.Read, nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("%+v, %v", resp, err)
 	}
 	client.Close()
-	if c.ends(); !c.says("lost=0") {
+	if c.expectExit(); !c.logged("lost=0") {
 		t.Error(c.out)
 	}
 }
 
-// SIGTERM finds a collector with sidecars and with a governor that is not there: the exit is clean, and soon.
+// SIGTERM at a collector with sidecars and an unreachable controller: the exit is clean and in time.
 func TestCollectorSIGTERM(t *testing.T) {
 	listen := scriptedpeer.Free(t)
 	c := program(t, nil, "collector", "--zone", "a", "--listen", listen, "--governor", scriptedpeer.Free(t), "--every", "50ms")
 	sidecar := scriptedpeer.DialWhenUp(t, listen)
 	sidecar.Say("met target b count 3 fail 1 mean 10")
-	c.ends(syscall.SIGTERM)
+	c.expectExit(syscall.SIGTERM)
 	sidecar.Ends()
 }
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -27,7 +27,7 @@
 	return c
 }
 
-// start serves until stop is called, which waits for the end.
+// start serves until stop, which waits for the end.
 func start(t *testing.T, c configuration) (out *lines, stop func()) {
 	return startWith(t, c, reloader{})
 }
@@ -54,7 +54,7 @@
 	return nil, nil
 }
 
-// reports sends sums by which one replica answers nothing, until it is called sick.
+// reports sends outcomes of a replica that answers nothing, until it is ejected.
 func reports(t *testing.T, at, sick string, out *lines) {
 	pool := resp.NewPool(1 << 20)
 	conn, err := net.Dial("tcp", at)
@@ -115,7 +115,7 @@
 	}
 }
 
-// Whatever is found in the folder, a governor serves; what it could not use it names, and leaves.
+// With any content of the folder a controller serves; it logs the files that it cannot use, and leaves them.
 func TestControllerServesWithAnyStateFolder(t *testing.T) {
 	whole, _ := snapshot.Encode(learnedstate.State{Controller: "n9", Taken: snapshot.Now()}, 1)
 	for name, c := range map[string]struct{ raw, says string }{
@@ -140,7 +140,7 @@
 	}
 }
 
-// Written while asked for counters, to read its file again and to end: nothing is torn, and the end comes in time.
+// Signals for counters, reload and shutdown during writes: no generation is damaged, and the shutdown is in time.
 func TestSignalsDuringSnapshotWrites(t *testing.T) {
 	for range 2 {
 		c := stateful(t, t.TempDir())
