--- a/experiment/restart/restart_test.go
+++ b/experiment/restart/restart_test.go
@@ -9,7 +9,7 @@
 	"lilacbend/experiment/emulator"
 )
 
-// One run at the size of a deployment: the cost of turns, for profiles.
+// BenchmarkRestart is one run at the size of a deployment, for profiles.
 func BenchmarkRestart(b *testing.B) {
 	for range b.N {
 		if _, err := Run(emulator.NewSite(120, 1280, 0.5), Troubles[1], Kept, 1); err != nil {
@@ -18,7 +18,7 @@
 	}
 }
 
-// BenchmarkTurns tells how long turns take with the memory asked for every 5 s and without, at a size.
+// BenchmarkTurns gives the time of turns with snapshots every 5 s and without, by size.
 func BenchmarkTurns(b *testing.B) {
 	for _, size := range [][2]int{{120, 1280}, {1000, 10000}} {
 		for name, every := range map[string]int64{"asked": 5 * second, "not asked": 1 << 60} {
--- a/experiment/scale/faulty_test.go
+++ b/experiment/scale/faulty_test.go
@@ -18,19 +18,19 @@
 	"lilacbend/internal/revision"
 )
 
-// The governors of this run that do wrong, each in its own way.
+// The controllers that break rules, each in its own way.
 const (
-	mixes     = 0 // puts the routes of the revision before in force with the rest of the new one
-	goesBack  = 2 // returns to the revision before
-	mendsBad  = 4 // takes what is not valid from the writer's folder, past the servers, and mends it so that it starts
+	mixes     = 0 // applies the routes of the previous revision with the rest of the new one
+	goesBack  = 2 // returns to the previous revision
+	mendsBad  = 4 // reads invalid settings from the writer's folder, past the servers, and changes them so that they start
 	staysBack = 6 // ignores all changes
-	fallsDumb = 8 // gives no sign of life after a while
+	fallsDumb = 8 // sends no sign of life after a while
 )
 
 var wrongs = map[int]checks.Rule{mixes: checks.NoMix, goesBack: checks.NoOlder, mendsBad: checks.NoRefused,
 	staysBack: checks.NewestEverywhere, fallsDumb: checks.GoesOn}
 
-// faultySource hands its governor something else than what has arrived.
+// faultySource passes other settings to its controller than those that were received.
 type faultySource struct {
 	inner  ConfigurationSource
 	number int
@@ -87,7 +87,7 @@
 	return raw
 }
 
-// launchFaulty runs hosts here, and loses the signs of life of one governor once told to.
+// launchFaulty runs hosts in this process, and loses the signs of life of one controller on request.
 func launchFaulty(source SourceOf, dumb *atomic.Bool) Launch {
 	launch := LaunchHere(source)
 	return func(ctx context.Context) (int, io.WriteCloser, io.Reader, func() error, error) {
@@ -106,7 +106,7 @@
 	}
 }
 
-// Each check notices the governor that breaks its rule, and blames no other one.
+// Each check reports the controller that breaks its rule, and no other one.
 func TestEveryCheckNoticesItsFaultyGovernor(t *testing.T) {
 	t.Parallel()
 	plan := Plan{Governors: 10, Services: 5, Replicas: 30, Zones: 2, Regions: 2, Servers: 2, Routes: 20, Tenants: 20, Proxies: 1, HostSize: 10,
--- a/experiment/scale/scale_test.go
+++ b/experiment/scale/scale_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// small is the run of CI: 40 hollow governors in this process through every fault.
+// small is the run of CI: 40 hollow controllers in this process through all faults.
 func small() Plan {
 	return Plan{Governors: 40, Services: 8, Replicas: 240, Zones: 6, Regions: 4, Servers: 3, Routes: 8 * 10, Tenants: 8 * 20,
 		Proxies: 1, HostSize: 20, Seed: 1, Phase: 2 * time.Second, Faults: Faults, Factor: 3000, Changes: 200, Failures: 39,
--- a/experiment/seeds/seeds_test.go
+++ b/experiment/seeds/seeds_test.go
@@ -11,8 +11,8 @@
 	"lilacbend/internal/controller"
 )
 
-// Fixed seeds hold all rules, and are the same runs whatever else goes on.
-func TestSeedsHoldAndReplay(t *testing.T) {
+// Runs of fixed seeds keep all rules, and are the same when they are repeated.
+func TestSeedsKeepRulesAndReplay(t *testing.T) {
 	p := Profiles["smoke"]
 	var first []Result
 	p.Run(1, 24, runtime.GOMAXPROCS(0), func(r Result) {
@@ -27,9 +27,9 @@
 	}
 }
 
-// Five governors that hear nothing of each other, each of a part of the proxies, late: six in ten replicas are replaced at
-// once, or a zone is lost with its proxies and returns cold, while governors die and all their proxies come to the others.
-func TestGovernorsTogetherHoldAllRules(t *testing.T) {
+// Five independent controllers, each with a part of the proxies and late reports: six in ten replicas are replaced at once, or
+// a zone is lost with its proxies and warms up again, while controllers fail and their proxies connect to the others.
+func TestIndependentControllersKeepRules(t *testing.T) {
 	p := Profiles["fleet"]
 	p.Run(1, 6, runtime.GOMAXPROCS(0), func(r Result) {
 		if len(r.Breaches) > 0 {
@@ -38,12 +38,12 @@
 	})
 }
 
-// Two releases of six in ten replicas, one in the other's warm-up, in an overload: sums are late, proxies avoid the warm, and what
-// comes to the cold that are in must stay what they can bear.
-func TestNoColdReplicaIsPushedOverInAnOverload(t *testing.T) {
+// Two releases of six in ten replicas, one during the other's warm-up, in an overload: reports are late and proxies avoid warm
+// replicas, but those that warm up must not be overloaded.
+func TestWarmingReplicasAreNotOverloaded(t *testing.T) {
 	p := Profiles["overload"]
 	releases := []emulator.Fault{{At: 10 * second, Kind: "release", Span: 4 * second}, {At: 18 * second, Kind: "release", Span: 4 * second}}
-	for _, seed := range []int64{4, 5, 10} { // before, each broke rule 4
+	for _, seed := range []int64{4, 5, 10} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			if r := p.Play(seed, releases, nil); len(r.Breaches) > 0 {
@@ -53,12 +53,11 @@
 	}
 }
 
-// A release of six in ten replicas in an overload, one step each 0.15 s: more messages to each proxy than its cap allows in the time.
-// Before messages were spaced, withdrawals came 5 s late, so that replicas which had just come back got what was sent to those
-// before them.
-func TestAReleaseInAnOverloadKeepsTheRules(t *testing.T) {
+// A release of six in ten replicas in an overload, one step each 0.15 s, needs more messages to each proxy than their limit allows
+// in the time. Withdrawals must not be late: a replica that has just restarted would receive the requests of the one before it.
+func TestReleaseInOverloadKeepsRules(t *testing.T) {
 	p := Profiles["overload"]
-	for _, seed := range []int64{3, 31, 62, 103} { // before, 62 broke rule 3, the others rule 4
+	for _, seed := range []int64{3, 31, 62, 103} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			if r := p.Play(seed, p.Draw(seed), nil); len(r.Breaches) > 0 {
@@ -68,13 +67,13 @@
 	}
 }
 
-// rash gives whoever has just started many times the weight that the module orders.
-type rash struct {
+// overweighting multiplies the weight of replicas that have just started.
+type overweighting struct {
 	controller.Module
 	starts map[uint32]int64
 }
 
-func (s rash) Turn(now int64, events []control.Event) []control.Command {
+func (s overweighting) Turn(now int64, events []control.Event) []control.Command {
 	for _, ev := range events {
 		if l, is := ev.(control.ReplicasListed); is {
 			for _, e := range l.Entries {
@@ -92,22 +91,22 @@
 	return orders
 }
 
-func TestGovernorsThatPushTheColdOverAreCaught(t *testing.T) {
+func TestOverloadOfWarmingReplicaIsDetected(t *testing.T) {
 	p := Profiles["fleet"]
-	p.WrapModule = func(m controller.Module) controller.Module { return rash{m, map[uint32]int64{}} }
+	p.WrapModule = func(m controller.Module) controller.Module { return overweighting{m, map[uint32]int64{}} }
 	r := p.Play(1, []emulator.Fault{{At: 10 * second, Kind: "replace", Who: 7, Span: 2 * second}}, nil)
 	if len(r.Breaches) == 0 || r.Breaches[0].Rule != 4 {
-		t.Errorf("nobody was seen to be pushed over: %v", r.Breaches)
+		t.Errorf("no overload was detected: %v", r.Breaches)
 	}
 }
 
-// spoilt passes a module's orders on, but for some.
-type spoilt struct {
+// dropping passes a module's commands on, except some.
+type dropping struct {
 	controller.Module
 	drops func(o control.Command) bool
 }
 
-func (s spoilt) Turn(now int64, events []control.Event) (kept []control.Command) {
+func (s dropping) Turn(now int64, events []control.Event) (kept []control.Command) {
 	for _, o := range s.Module.Turn(now, events) {
 		if !s.drops(o) {
 			kept = append(kept, o)
@@ -116,7 +115,7 @@
 	return kept
 }
 
-// withdrawals are both ways in which a replica goes: at once, and as the last step of an update.
+// withdrawals matches both ways to withdraw a replica: at once, and as the last step of an update.
 func withdrawals(o control.Command) bool {
 	switch o := o.(type) {
 	case control.SetEjected:
@@ -127,8 +126,8 @@
 	return false
 }
 
-// The checks can fail: a module without one of its guards breaks that rule within a few seeds.
-func TestAModuleWithoutAGuardIsCaught(t *testing.T) {
+// The checks can fail: a module without some commands breaks a rule within a few seeds.
+func TestModuleWithoutCommandsBreaksRules(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule  int
 		drops func(o control.Command) bool
@@ -136,26 +135,26 @@
 		"no withdrawals": {3, withdrawals},
 		"no binds":       {1, func(o control.Command) bool { _, is := o.(control.Bind); return is }},
 	} {
-		caught := 0
-		for seed := int64(1); seed <= 20 && caught == 0; seed++ {
+		detected := 0
+		for seed := int64(1); seed <= 20 && detected == 0; seed++ {
 			p := Profiles["smoke"]
-			p.WrapModule = func(m controller.Module) controller.Module { return spoilt{m, c.drops} }
+			p.WrapModule = func(m controller.Module) controller.Module { return dropping{m, c.drops} }
 			for _, b := range p.Play(seed, []emulator.Fault{{At: 10 * second, Kind: "drain", Who: int(seed) % 8, Span: 6 * second}}, nil).Breaches {
 				if b.Rule == c.rule {
-					caught++
+					detected++
 				}
 			}
 		}
-		if caught == 0 {
+		if detected == 0 {
 			t.Errorf("%s: no seed breaks rule %d", name, c.rule)
 		}
 	}
 }
 
-func TestShrinkingKeepsTheRuleBroken(t *testing.T) {
+func TestShrinkKeepsRuleBroken(t *testing.T) {
 	p := Profiles["smoke"]
 	p.WrapModule = func(m controller.Module) controller.Module {
-		return spoilt{m, withdrawals}
+		return dropping{m, withdrawals}
 	}
 	script := []emulator.Fault{{At: 9 * second, Kind: "slow", Who: 1, Span: second}, {At: 10 * second, Kind: "drain", Who: 2, Span: 8 * second}, {At: 12 * second, Kind: "stall", Who: 3, Span: second}}
 	r := p.Shrink(p.Play(3, script, nil))
--- a/internal/configserver/helpers_test.go
+++ b/internal/configserver/helpers_test.go
@@ -137,22 +137,22 @@
 		g.t.Errorf("%s is offered after %s", v, g.seen[len(g.seen)-1])
 	}
 	g.seen = append(g.seen, v)
-	refuse := bytes.Contains(settings, []byte(`"refused"`))
-	if !refuse {
+	reject := bytes.Contains(settings, []byte(`"refused"`))
+	if !reject {
 		g.has = string(settings)
 	}
 	g.mu.Unlock()
-	if refuse {
+	if reject {
 		g.Rejected(v, fmt.Errorf("setting lanes.0.name is refused"))
 	} else {
 		g.Applied(v)
 	}
 }
 
-// until waits until a class is in force.
+// until waits until the settings with a class are active.
 func (g *controllerClient) until(class string) {
 	g.t.Helper()
-	scriptedpeer.Until(g.t, class+" is not in force", func() bool {
+	scriptedpeer.Until(g.t, class+" is not active", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return strings.Contains(g.has, fmt.Sprintf("%q", class))
@@ -163,7 +163,7 @@
 	return configclient.Server{Address: r.Address(), Region: "r0"}
 }
 
-// gate is a way to a server that can be cut without a word: connections stay, and nothing comes through any more.
+// gate forwards connections to a server, and can be cut silently: connections stay open, and nothing is forwarded.
 type gate struct {
 	net.Listener
 	t  testing.TB
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -331,7 +331,7 @@
 	dial(t, at).expectClosed(t)
 }
 
-// A proxy that does not read delays nobody: its sendQueue is emptied in favour of a full update.
+// A proxy that does not read delays nobody: its send queue is emptied in favour of a full update.
 func TestPeerThatDoesNotReadDelaysNobody(t *testing.T) {
 	s := server(100)
 	at := serve(t, s)
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// How long a discovery that counts from a lower revision takes to be believed after a move, from its first answer on,
-// which is when its list counts as told.
+// A service at a new address that counts from a lower revision is accepted within the drain grace of its first answer, which is
+// when its list counts as delivered.
 func TestNewAddressIsAcceptedWithinDrainGrace(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
