--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -40,7 +40,7 @@
 
 func configurationServer(out io.Writer) *cli.Command { return configserverCommand(nil, out) }
 
-// goldenState has a value other than zero in every field that is exported.
+// goldenState has a non-zero value in every exported field.
 func goldenState() learnedstate.State {
 	return learnedstate.State{
 		Controller: "n7", Taken: learnedstate.Timestamp{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestStateExportPrintsTheGoldenFile(t *testing.T) {
+func TestStateExportMatchesGoldenFile(t *testing.T) {
 	folder := t.TempDir()
 	if _, err := snapshot.Write(filewriter.Directory(folder), goldenState(), 1); err != nil {
 		t.Fatal(err)
@@ -70,14 +70,14 @@
 	}
 }
 
-func TestStateExportOfTheGoldenFileIsImportedAndExportedAgain(t *testing.T) {
+func TestStateExportRoundTrip(t *testing.T) {
 	folder := t.TempDir()
 	outputOf(t, state, "state", "import", "testdata/"+exportFile, folder)
 	golden.Compare(t, exportFile, outputOf(t, state, "state", "export", folder))
 }
 
-// goldenStatuses are those of a writer and of a server that follows it. Governors are in two zones; one of them lags, one has
-// refused the newest version, and one is known to both servers.
+// goldenStatuses returns the statuses of a writer and of its follower. Controllers are in two zones; one lags, one has rejected
+// the newest version, and one is known to both servers.
 func goldenStatuses() []configapi.Status {
 	at := func(number uint64) revision.Version { return revision.Version{Epoch: 7, Revision: number} }
 	history := func(older int64) []configapi.Published {
@@ -87,19 +87,19 @@
 		{Server: "s0", Region: "r0", Writer: true, Version: at(32), Faults: []configapi.Fault{{File: "stock.json", Reason: "unexpected end"}},
 			Services: []configapi.ServiceStatus{{Name: "orders", Version: at(31), Bytes: 905, History: history(0)}, {Name: "stock", Version: at(28), Bytes: 17}},
 			Watchers: []configapi.Watcher{
-				{Instance: "s1", Region: "r1", InForce: at(32), HeardMS: 3},
-				{Instance: "n1", Service: "orders", Zone: "a", Region: "r0", InForce: at(31), HeardMS: 40},
-				{Instance: "n2", Service: "orders", Zone: "a", Region: "r0", InForce: at(30), HeardMS: 50},
-				{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", InForce: at(29), HeardMS: 70_000},
+				{Instance: "s1", Region: "r1", Active: at(32), LastSeenMS: 3},
+				{Instance: "n1", Service: "orders", Zone: "a", Region: "r0", Active: at(31), LastSeenMS: 40},
+				{Instance: "n2", Service: "orders", Zone: "a", Region: "r0", Active: at(30), LastSeenMS: 50},
+				{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: at(29), LastSeenMS: 70_000},
 			},
 			Counters: configapi.Counters{Requests: 1, Copies: 2}},
 		{Server: "s1", Region: "r1", Version: at(31), AgeMS: 12, Faults: []configapi.Fault{},
 			Services: []configapi.ServiceStatus{{Name: "orders", Version: at(31), Bytes: 905, History: history(-20)}},
-			Watchers: []configapi.Watcher{{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", InForce: at(29), Refused: at(31), HeardMS: 30}}},
+			Watchers: []configapi.Watcher{{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: at(29), Rejected: at(31), LastSeenMS: 30}}},
 	}
 }
 
-func TestConfigserverStatusPrintsTheGoldenFile(t *testing.T) {
+func TestConfigserverStatusMatchesGoldenFile(t *testing.T) {
 	var addresses []string
 	for _, status := range goldenStatuses() {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/lilacbend/shapes_test.go
+++ b/cmd/lilacbend/settings_test.go
@@ -17,8 +17,8 @@
 	"lilacbend/experiment/emulator"
 )
 
-// This file holds the start to settings of odd but permitted shapes: it takes them, and core and module keep rules 1, 3
-// and 5 with them on a short script, or it refuses them with one line that names the key.
+// This file checks settings of unusual but permitted shapes: a start accepts them, and core and module keep rules 1, 3 and 5 in a
+// short script, or it rejects them in one line that names the key.
 
 type object = map[string]any
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// groups names as many traffic groups, each like one of the example's.
+// groups names traffic classes, each like one of the example's.
 func (s shape) groups(names ...string) {
 	usual, lanes := s.lanes(), []any{}
 	for k, name := range names {
@@ -69,7 +69,7 @@
 	return all
 }
 
-// start reads a shape as the start of the program does.
+// start reads a shape as a start of the program does.
 func (s shape) start() (configuration, error) {
 	raw, err := json.Marshal(s.file)
 	if err != nil {
@@ -78,35 +78,35 @@
 	return parseConfiguration(raw, options{})
 }
 
-// broken plays core and module in virtual time: all proxies join, a replica drains, one is replaced, a stream is replaced,
-// the governor starts anew and a replica falls silent. It says which of the rules 1, 3 and 5 were broken.
+// broken simulates core and module: all proxies join, a replica drains, one is replaced, a stream is replaced, the controller
+// restarts and a replica becomes silent. It returns which of the rules 1, 3 and 5 were broken.
 func broken(c configuration) (said []string) {
 	const second = int64(1e9)
 	if c.settings.Proxies == 0 { // nobody may join
 		return nil
 	}
 	site := emulator.Site{Replicas: 10, Proxies: c.settings.Proxies, Load: 0.3, Names: c.names, Provision: c.settings}
-	w := emulator.New(site, 1)
-	w.Watch()
-	w.Up(nil)
-	w.Inflict([]emulator.Fault{{At: 6 * second, Kind: "drain", Who: 0, Span: 6 * second},
+	simulation := emulator.New(site, 1)
+	simulation.CheckRules()
+	simulation.Start(nil)
+	simulation.Inject([]emulator.Fault{{At: 6 * second, Kind: "drain", Who: 0, Span: 6 * second},
 		{At: 7 * second, Kind: "replace", Who: 1, Span: second}, {At: 8 * second, Kind: "stream", Who: 0, Span: second / 2},
 		{At: 9 * second, Kind: "governor", Who: 0, Span: second}, {At: 12 * second, Kind: "silent", Who: 3, Span: 2 * second}})
-	w.Run(18 * second)
-	for _, b := range w.Breaches {
+	simulation.Run(18 * second)
+	for _, b := range simulation.Breaches {
 		if slices.Contains([]int{1, 3, 5}, b.Rule) {
 			said = append(said, b.String())
 		}
 	}
 	for k := range c.settings.Controllers {
-		if n := w.Core(k).Counters; n.ModuleRestarts > 0 || n.Invalid > 0 {
+		if n := simulation.Core(k).Counters; n.ModuleRestarts > 0 || n.Invalid > 0 {
 			said = append(said, fmt.Sprintf("governor %d: %d modules failed, %d notes were strange", k, n.ModuleRestarts, n.Invalid))
 		}
 	}
 	return said
 }
 
-func TestSettingsOfOddShapes(t *testing.T) {
+func TestSettingsOfUnusualSizes(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("n", 2000)
 	for name, c := range map[string]struct {
@@ -186,8 +186,8 @@
 	}
 }
 
-// Drawn shapes, all of them permitted, and the same every time.
-func TestDrawnSettingsKeepTheRules(t *testing.T) {
+// Random shapes, all permitted, from a fixed seed.
+func TestRandomSettingsKeepRules(t *testing.T) {
 	t.Parallel()
 	names := []string{"a", "a-1", "a-10", "1", "A", "b_2", "9.9"}
 	drawn := rapid.Custom(func(t *rapid.T) shape {
@@ -234,8 +234,8 @@
 	}
 }
 
-// One value of the settings is replaced by another of any kind: the start takes it or says in one line what is wrong.
-func FuzzAStartWithAnotherValue(f *testing.F) {
+// One value of the settings is replaced by another of any kind: the start accepts it or says in one line what is wrong.
+func FuzzStartWithChangedValue(f *testing.F) {
 	for _, value := range []string{"null", "-1", "1e308", "0.5", "[]", "{}", `"a\nb"`, `["a"]`, "true", "12345678901234567890"} {
 		for k := range uint(40) {
 			f.Add(k, value)
@@ -266,8 +266,8 @@
 	})
 }
 
-// The program itself: one line on standard error, and an exit code other than 0.
-func TestARefusedStartEndsTheProgram(t *testing.T) {
+// The program prints one line on standard error, and exits with a code other than 0.
+func TestInvalidConfigurationEndsProgram(t *testing.T) {
 	const asked = "LILACBEND_TEST_START"
 	if os.Getenv(asked) != "" {
 		os.Args = []string{"lilacbend"}
@@ -285,7 +285,7 @@
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	child := exec.Command(os.Args[0], "-test.run=^TestARefusedStartEndsTheProgram$")
+	child := exec.Command(os.Args[0], "-test.run=^TestInvalidConfigurationEndsProgram$")
 	child.Env = append(os.Environ(), asked+"=1", "PROXY_CONFIG="+file, "PROXY_LISTEN=127.0.0.1:0", "PROXY_DISCOVERY=127.0.0.1:1")
 	var out, log bytes.Buffer
 	child.Stdout, child.Stderr = &out, &log
--- a/internal/configcache/record.go
+++ b/internal/configcache/record.go
@@ -21,7 +21,7 @@
 	// maxHeaderSize bounds the header of a file, in bytes.
 	maxHeaderSize = 4 << 10
 	// maxFileSize bounds a file, in bytes.
-	maxFileSize = maxHeaderSize + configstore.SettingsMax
+	maxFileSize = maxHeaderSize + configstore.MaxSettingsSize
 )
 
 // Record is the settings in force at a controller.
