--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -47,15 +47,15 @@
 
 // Client holds a stream to one of several governors. While none answers, the core goes on with what it has.
 type Client struct {
-	Counters  Counters
+	Counters    Counters
 	Controllers []string
-	ID        int // of the proxy
-	Zone      string
-	Classes   []string
-	Rate      float64 // a rough figure of requests a second
-	Core      Core
-	Seed      uint64
-	Log       *slog.Logger
+	ID          int // of the proxy
+	Zone        string
+	Classes     []string
+	Rate        float64 // a rough figure of requests a second
+	Core        Core
+	Seed        uint64
+	Log         *slog.Logger
 
 	pool        *resp.Pool
 	demandSince time.Time // when the requests that came were last taken from the core
--- a/internal/controlclient/collector.go
+++ b/internal/controlclient/collector.go
@@ -27,7 +27,7 @@
 // Collector sums the outcomes that a zone's sidecars report, and reports them to governors.
 type Collector struct {
 	Zone        string
-	Controllers   []string
+	Controllers []string
 	Interval    time.Duration // between two reports
 	Budget      int           // bytes a second that the reports to one governor may take; 0: no limit
 	Log         *slog.Logger
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -102,7 +102,7 @@
 func describe(m updateMessage) string {
 	text := fmt.Sprintf("wants ack %t, nonce %d, unfinished %t", m.wantsAck, m.nonce, m.unfinished)
 	for _, p := range m.parts {
-		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", p.Classes, p.Full, p.Eject, p.Restore)
+		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", p.Classes, p.Full, p.Eject, p.Uneject)
 		for _, replica := range slices.Sorted(maps.Keys(p.Weights)) {
 			text += fmt.Sprintf(" endpoint=%q:%g", replica, p.Weights[replica])
 		}
--- a/internal/controlclient/steering_test.go
+++ b/internal/controlclient/steering_test.go
@@ -24,7 +24,7 @@
 		fail  string
 	}{
 		{[]string{"push full 1 endpoints a:1.5,b:0.2 continued 1", "push eject a,b continued 1", "push restore c continued 1", "push routes x+y admit 0.9 policy 2 nonce_out 905"},
-			updateMessage{parts: []dispatch.Update{{Full: true, Weights: map[string]float64{"a": 1.5, "b": 0.2}}, {Eject: []string{"a", "b"}}, {Restore: []string{"c"}},
+			updateMessage{parts: []dispatch.Update{{Full: true, Weights: map[string]float64{"a": 1.5, "b": 0.2}}, {Eject: []string{"a", "b"}}, {Uneject: []string{"c"}},
 				{Classes: []string{"x", "y"}, Settings: []dispatch.ClassSettings{{Admission: 0.9, Retry: control.RetryOnce}}}}, wantsAck: true, nonce: 905}, ""},
 		{[]string{"push nonce_out 0"}, updateMessage{parts: []dispatch.Update{{}}, wantsAck: true}, ""},
 		{[]string{"push later 7 full 0"}, updateMessage{parts: []dispatch.Update{{}}}, ""}, // a field of a later protocol
--- a/internal/controlclient/update.go
+++ b/internal/controlclient/update.go
@@ -75,7 +75,7 @@
 	case "eject":
 		part.Eject = strings.Split(value, ",")
 	case "restore":
-		part.Restore = strings.Split(value, ",")
+		part.Uneject = strings.Split(value, ",")
 	case "nonce_out":
 		m.wantsAck = true
 		m.nonce, err = strconv.ParseUint(value, 10, 64)
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -116,7 +116,7 @@
 				if rapid.Bool().Draw(t, "eject") {
 					d.Apply(now, Update{Eject: []string{id}})
 				} else {
-					d.Apply(now, Update{Restore: []string{id}})
+					d.Apply(now, Update{Uneject: []string{id}})
 				}
 			},
 		})
--- a/internal/dispatch/update.go
+++ b/internal/dispatch/update.go
@@ -17,7 +17,7 @@
 	Weights  map[string]float64 // by replica; 0 removes it
 	Settings []ClassSettings    // the last one holds; none: unchanged
 	Eject    []string           // replicas that must not be picked
-	Restore  []string           // replicas that may be picked again
+	Uneject  []string           // replicas that may be picked again
 }
 
 // ClassSettings are a controller's settings of a traffic class.
@@ -94,7 +94,7 @@
 	for _, replica := range part.Eject {
 		d.ejected[replica] = true
 	}
-	for _, replica := range part.Restore {
+	for _, replica := range part.Uneject {
 		delete(d.ejected, replica)
 	}
 	if part.Full || len(part.Weights) > 0 {
--- a/internal/sidecar/bench_test.go
+++ b/internal/sidecar/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkFlow is one flow over kept connections, HTTP/1.1 on both sides; the client and the replica of the
+// BenchmarkFlow is one request over reused connections, HTTP/1.1 on both sides; the client and the replica of the
 // benchmark allocate nothing, so what is counted is the sidecar's.
 func BenchmarkFlow(b *testing.B) {
 	at := raw(b, func(conn net.Conn, r *bufio.Reader) {
@@ -30,7 +30,7 @@
 	buf := make([]byte, 4096)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := conn.Write(fixedFlow); err != nil {
+		if _, err := conn.Write(fixedRequest); err != nil {
 			b.Fatal(err)
 		}
 		if n, err := conn.Read(buf); err != nil || n < 15 || string(buf[9:12]) != "200" {
@@ -41,6 +41,6 @@
 }
 
 var (
-	fixedAnswer = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok")
-	fixedFlow   = []byte("GET /stock HTTP/1.1\r\nHost: shop.example.org\r\nAccept: */*\r\nUser-Agent: bench\r\n\r\n")
+	fixedAnswer  = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 2\r\n\r\nok")
+	fixedRequest = []byte("GET /stock HTTP/1.1\r\nHost: shop.example.org\r\nAccept: */*\r\nUser-Agent: bench\r\n\r\n")
 )
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -12,7 +12,7 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// patient is a sidecar that waits for its clients for longer than any test does.
+// patient changes a file so that the sidecar waits for its clients for longer than any test does.
 func patient(change ...string) func(string) string {
 	return func(f string) string {
 		f = strings.NewReplacer("stall: 700ms", "stall: 1m", "replica_stall: 700ms", "replica_stall: 1m", "idle: 5s", "idle: 1m").Replace(f)
@@ -20,18 +20,18 @@
 	}
 }
 
-// nothingInHand waits until no flow, place or connection of a replica is held.
-func nothingInHand(t *testing.T, s running) {
+// nothingInFlight waits until no request is in flight and no connection to a replica is in use.
+func nothingInFlight(t *testing.T, s running) {
 	t.Helper()
-	scriptedpeer.Until(t, "something stays in hand", func() bool {
-		f := s.Figures()
-		return f.InHand == 0 && f.Clients["in_hand"] == 0 && f.Replicas.Open == f.Replicas.Idle
+	scriptedpeer.Until(t, "something stays in flight", func() bool {
+		f := s.Counters()
+		return f.InFlight == 0 && f.Clients["in_flight"] == 0 && f.Upstream.Open == f.Upstream.Idle
 	})
 }
 
-// A client sends some of a long body, and then nothing for a minute. Its replica ends the flow meanwhile, in each way: the
-// final answer comes at once, and what the flow held is given back, though the client still says nothing.
-func TestAFlowIsGivenUpWhileItsClientSendsNoMore(t *testing.T) {
+// A client sends some of a long body, and then nothing for a minute. Its replica ends the request meanwhile, in each way:
+// the answer comes at once, and capacity and connection are released, though the client still sends nothing.
+func TestRequestIsGivenUpWhileItsClientSendsNothing(t *testing.T) {
 	const some = 20_000
 	for name, c := range map[string]struct {
 		end  func(replica *scriptedpeer.Conn)
@@ -62,7 +62,7 @@
 						answered <- fmt.Sprint(resp.StatusCode, " ", resp.Header.Get("Lilacbend-Reason"))
 					}()
 				default:
-					client := dialH2(t, s, 1<<20)
+					client := dialHTTP2(t, s, 1<<20)
 					client.Open(1, "POST", "/payouts", true, "content-length", "100000")
 					client.Data(1, false, make([]byte, 10_000))
 					client.Data(1, false, make([]byte, 10_000))
@@ -79,15 +79,15 @@
 				if got := <-answered; got != c.want {
 					t.Errorf("%q, want %q", got, c.want)
 				}
-				nothingInHand(t, s)
+				nothingInFlight(t, s)
 			})
 		}
 	}
 }
 
-// A replica says that nothing ran before it can have read anything, so that the next try is chosen as the body begins to
-// be read: either the body was not touched, and goes to the next replica whole, or the flow is not tried again.
-func TestANextTryHasAWholeBodyOrIsNotMade(t *testing.T) {
+// A replica says that it has not executed a request before it can have read anything, so that the retry is decided as the
+// body begins to be read: either the body was not touched, and goes to the next replica completely, or there is no retry.
+func TestRetryHasACompleteBody(t *testing.T) {
 	const size = 40_000
 	for _, head := range []string{fmt.Sprintf("Content-Length: %d\r\n\r\n", size), "Transfer-Encoding: chunked\r\n\r\n"} {
 		busy := scriptedpeer.Listen(t)
@@ -126,14 +126,14 @@
 				}
 			}
 		}
-		nothingInHand(t, s)
+		nothingInFlight(t, s)
 		t.Logf("%.20q: %d of 100 reached the second", head, again)
 	}
 }
 
 // A replica answers before it has read anything, so that its answer comes as the client is asked for the body: the
-// client reads the asking whole, or none of it, and then the answer.
-func TestABodyIsNotAskedForOnceAnAnswerHasBegun(t *testing.T) {
+// client reads all of the 100 Continue, or none of it, and then the answer.
+func TestBodyIsNotAskedForAfterAnAnswer(t *testing.T) {
 	early := scriptedpeer.Listen(t)
 	early.Serve(func(conn net.Conn) {
 		io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n")
@@ -153,7 +153,7 @@
 		}
 		client.Close()
 	}
-	two := dialH2(t, s, 1<<20)
+	two := dialHTTP2(t, s, 1<<20)
 	for id := uint32(1); id < 200; id += 2 {
 		two.Open(id, "POST", "/orders", true, "expect", "100-continue")
 		two.Wait(scriptedpeer.Patience, func(c *replica.H2) bool { return c.Streams[id] != nil && c.Streams[id].Done() })
@@ -161,5 +161,5 @@
 			t.Fatalf("%d: %+v", id, got)
 		}
 	}
-	nothingInHand(t, s)
+	nothingInFlight(t, s)
 }
--- a/internal/sidecar/places_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -12,8 +12,8 @@
 	"lilacbend/internal/dispatch"
 )
 
-// heard is the next answer on a client's connection, as status, reason, and whether it was whole.
-func heard(c *scriptedpeer.Conn) string {
+// readAnswer reads the next answer on a client's connection, as status, reason, and whether it was complete.
+func readAnswer(c *scriptedpeer.Conn) string {
 	resp, err := http.ReadResponse(c.Read, nil)
 	if err != nil {
 		return err.Error()
@@ -28,9 +28,9 @@
 	return text
 }
 
-// One place, one connection, and many flows: whoever waits for the place has it as it is freed, with the connection.
-func TestAPlaceThatIsFreedIsTakenAtOnce(t *testing.T) {
-	const clients, flows = 8, 60
+// Capacity for one request, or one connection, and many requests: the one that waits gets it as it is freed.
+func TestFreedCapacityIsTakenAtOnce(t *testing.T) {
+	const clients, requests = 8, 60
 	r := startReplica(t, nil)
 	for name, limit := range map[string]string{"flows at once": "flows: 1, waiting: 1000, wait: 1m", "connections": "replica_connections: 1, waiting: 1000, wait: 1m"} {
 		t.Run(name, func(t *testing.T) {
@@ -40,9 +40,9 @@
 			for range clients {
 				client := scriptedpeer.Dial(t, s.h1)
 				all.Go(func() {
-					for range flows {
+					for range requests {
 						client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
-						if got := heard(client); got != "200" {
+						if got := readAnswer(client); got != "200" {
 							t.Errorf("%q", got)
 							return
 						}
@@ -50,17 +50,17 @@
 				})
 			}
 			all.Wait()
-			nothingInHand(t, s)
+			nothingInFlight(t, s)
 		})
 	}
 }
 
-// A replica leaves the list at any moment, also between the pick and the sending: a flow goes where it was picked for, or
-// is told that there is nobody. It is not held against a replica that it has no address any more.
-func TestAReplicaLeavesTheListAsItIsPicked(t *testing.T) {
+// A replica leaves the list at any moment, also between the pick and the sending: a request goes to the address of its
+// pick, or is rejected because there is no replica. That a replica has no address any more is no failure of it.
+func TestReplicaLeavesTheListAsItIsPicked(t *testing.T) {
 	r := startReplica(t, nil)
 	s := start(t, patient("usual: again", "usual: once"), r.Addr)
-	if err := (core{s.Sidecar}).Apply([]dispatch.Update{{Full: true, Weights: map[string]float64{"r0": 1}}}); err != nil {
+	if err := (controlTarget{s.proxy}).Apply([]dispatch.Update{{Full: true, Weights: map[string]float64{"r0": 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	end, flapped := make(chan struct{}), make(chan struct{})
@@ -71,8 +71,8 @@
 			case <-end:
 				return
 			default:
-				s.list(false, map[string]dispatch.Endpoint{"r0": {State: control.Gone}})
-				s.list(false, map[string]dispatch.Endpoint{"r0": {Address: r.Addr, Zone: "a"}})
+				s.updateEndpoints(false, map[string]dispatch.Endpoint{"r0": {State: control.Gone}})
+				s.updateEndpoints(false, map[string]dispatch.Endpoint{"r0": {Address: r.Addr, Zone: "a"}})
 			}
 		}
 	}()
@@ -80,12 +80,12 @@
 	got := map[string]int{}
 	for range 500 {
 		client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
-		got[heard(client)]++
+		got[readAnswer(client)]++
 	}
 	close(end)
 	<-flapped
 	if got["200"]+got["503 no-replica"] != 500 {
 		t.Errorf("%v", got)
 	}
-	nothingInHand(t, s)
+	nothingInFlight(t, s)
 }
--- /dev/null
+++ b/internal/sidecar/config.go
@@ -0,0 +1,247 @@
+package sidecar
+
+import (
+	"fmt"
+	"hash/crc32"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"lilacbend/control"
+	"lilacbend/internal/dispatch"
+	"lilacbend/internal/ingress"
+	"lilacbend/internal/strictyaml"
+	"lilacbend/internal/upstream"
+)
+
+// Config is what a sidecar's file sets.
+type Config struct {
+	File        string
+	Name        string
+	Zone        string
+	ProxyID     int
+	HTTP1       string // address of a listener; empty: not served
+	HTTP2       string
+	Local       string                       // for health and counters
+	Controllers []string                     // addresses
+	Collectors  []string                     // addresses in the order of preference
+	Discovery   string                       // address; empty: Endpoints are listed in the file
+	Endpoints   map[string]dispatch.Endpoint // by replica
+	Rules       []Rule
+
+	Dispatch            dispatch.Config
+	Ingress             ingress.Limits
+	Upstream            upstream.Config
+	NotExecutedStatuses []int // by which replicas say that they have not executed a request
+
+	LogEvery       int // one of so many requests is logged; 0: none
+	ReportInterval time.Duration
+	MemoryMB       int // that the sidecar keeps within; 0: no limit
+}
+
+// The words of the file for the choices of the dispatcher.
+var (
+	idempotencyWords   = map[string]control.Idempotency{"retriable": control.Idempotent, "deduped": control.IdempotentByKey, "non-retriable": control.NotIdempotent}
+	scopeWords         = map[string]control.DeduplicationScope{"cell": control.ScopeCell, "zone": control.ScopeZone, "all": control.ScopeAll}
+	pickPolicyWords    = map[string]control.PickPolicy{"chance": control.PickRandom, "round": control.PickRoundRobin, "idler": control.PickPowerOfTwo}
+	admissionModeWords = map[string]control.AdmissionMode{"all": control.AdmitAll, "share": control.AdmitFraction, "rate": control.AdmitRate}
+	retryPolicyWords   = map[string]control.RetryPolicy{"once": control.NoRetry, "never-ran": control.RetryIfNotExecuted, "again": control.RetryOnce, "twice-more": control.RetryTwice}
+)
+
+// defaultConfig is what holds where the file is silent.
+func defaultConfig(file string) Config {
+	return Config{
+		File:           file,
+		ReportInterval: time.Second,
+		Ingress: ingress.Limits{
+			MaxConnections: 10000,
+			IdleTimeout:    time.Minute,
+			HeadTimeout:    10 * time.Second,
+			StallTimeout:   10 * time.Second,
+			MaxStreams:     100,
+			DrainTimeout:   10 * time.Second,
+		},
+		Upstream: upstream.Config{
+			MaxConnections: 64,
+			MaxIdle:        16,
+			IdleTimeout:    30 * time.Second,
+			StallTimeout:   30 * time.Second,
+		},
+		Dispatch: dispatch.Config{
+			Pick:                   control.PickRandom,
+			Admission:              control.AdmitFraction,
+			AttemptTimeoutFactor:   1,
+			DefaultRetry:           control.RetryIfNotExecuted,
+			MaxConsecutiveFailures: 5,
+			EjectionTime:           4 * time.Second,
+			RetryBudgetRatio:       0.1,
+			RetryBudgetBurst:       10,
+			MaxRequests:            1000,
+			MaxQueued:              200,
+			MaxQueueTime:           500 * time.Millisecond,
+		},
+	}
+}
+
+// Read reads a sidecar's file. The error names file, line and key of all that is wrong.
+func Read(file string) (Config, error) {
+	raw, err := strictyaml.Open(file)
+	if err != nil {
+		return Config{}, err
+	}
+	return Parse(file, raw)
+}
+
+// Parse reads the bytes of a sidecar's file.
+func Parse(file string, raw []byte) (Config, error) {
+	document, top, err := strictyaml.Parse(file, raw)
+	if err != nil {
+		return Config{}, err
+	}
+	c := defaultConfig(file)
+	c.parseIdentity(top)
+	c.parseClasses(top)
+	c.parseRules(top)
+	c.parseAttempts(top)
+	c.parseLimits(top)
+	c.parseReports(top)
+	top.Done()
+	if err := document.Err(); err != nil {
+		return Config{}, err
+	}
+	c.Dispatch.MaxRequestsPerReplica = c.Upstream.MaxConnections
+	c.Dispatch.Seed = uint64(crc32.ChecksumIEEE([]byte(c.Name)))<<32 | uint64(c.ProxyID)
+	return c, nil
+}
+
+// parseClasses reads the traffic classes.
+func (c *Config) parseClasses(top *strictyaml.Section) {
+	for _, s := range top.Sections("groups") {
+		c.Dispatch.Classes = append(c.Dispatch.Classes, c.parseClass(s))
+		s.Done()
+	}
+	if len(c.Dispatch.Classes) == 0 {
+		top.Fault("groups", "are none: name at least one traffic group")
+	}
+}
+
+// parseClass reads one traffic class, which is not yet among the others.
+func (c *Config) parseClass(s *strictyaml.Section) dispatch.Class {
+	var class dispatch.Class
+	var objective, timeout, window time.Duration
+	s.Text("name", &class.Name)
+	strictyaml.Choice(s, "effect", &class.Idempotency, idempotencyWords)
+	strictyaml.Choice(s, "scope", &class.DeduplicationScope, scopeWords)
+	s.Duration("window", &window, time.Millisecond, 24*time.Hour)
+	s.Duration("latency_budget", &objective, time.Millisecond, time.Hour)
+	s.Duration("expiry", &timeout, time.Millisecond, time.Hour)
+	requireKeys(s, "name", "effect", "latency_budget", "expiry")
+	class.LatencyObjective = objective.Nanoseconds()
+	class.Timeout = timeout.Nanoseconds()
+	class.DeduplicationWindow = window.Nanoseconds()
+	switch {
+	case c.hasClass(class.Name):
+		s.Fault("name", "is %q, as an earlier group is", class.Name)
+	case strings.ContainsAny(class.Name, "+, \t") || s.Has("name") && class.Name == "":
+		s.Fault("name", "is %.40q, want a word without + and ,", class.Name)
+	case objective > timeout && s.Has("expiry"):
+		s.Fault("latency_budget", "is %v, over the expiry of %v", objective, timeout)
+	default:
+		checkDeduplication(s, class)
+	}
+	return class
+}
+
+// checkDeduplication checks that scope and window are given for requests with an idempotency key, and for no others.
+func checkDeduplication(s *strictyaml.Section, class dispatch.Class) {
+	if !s.Has("effect") {
+		return
+	}
+	byKey := class.Idempotency == control.IdempotentByKey
+	switch {
+	case byKey && (!s.Has("window") || !s.Has("scope")):
+		s.Fault("effect", "is deduped: give scope and window, within which replicas drop a repeat")
+	case !byKey && (s.Has("window") || s.Has("scope")):
+		s.Fault("effect", "has no scope and window unless it is deduped")
+	}
+}
+
+// hasClass reports whether a traffic class of a name was read before.
+func (c *Config) hasClass(name string) bool {
+	return slices.ContainsFunc(c.Dispatch.Classes, func(class dispatch.Class) bool { return class.Name == name })
+}
+
+// requireKeys faults a section for each key that it lacks.
+func requireKeys(s *strictyaml.Section, keys ...string) {
+	for _, key := range keys {
+		if !s.Has(key) {
+			s.Fault("", "lacks %s", key)
+		}
+	}
+}
+
+// parseAttempts reads how replicas are picked, and how attempts are made and retried.
+func (c *Config) parseAttempts(top *strictyaml.Section) {
+	strictyaml.Choice(top, "pick", &c.Dispatch.Pick, pickPolicyWords)
+	strictyaml.Choice(top, "admission", &c.Dispatch.Admission, admissionModeWords)
+	s := top.Section("tries")
+	if s == nil {
+		return
+	}
+	strictyaml.Choice(s, "usual", &c.Dispatch.DefaultRetry, retryPolicyWords)
+	s.Number("factor", &c.Dispatch.AttemptTimeoutFactor, 0.1, 100)
+	s.Whole("strikes", &c.Dispatch.MaxConsecutiveFailures, 0, 1000)
+	s.Duration("shun", &c.Dispatch.EjectionTime, time.Millisecond, time.Hour)
+	s.Number("repeat_share", &c.Dispatch.RetryBudgetRatio, 0, 1)
+	s.Number("repeat_burst", &c.Dispatch.RetryBudgetBurst, 0, 1e6)
+	c.parseNotExecutedStatuses(s)
+	s.Done()
+}
+
+// parseNotExecutedStatuses reads the statuses by which replicas say that they have not executed a request.
+func (c *Config) parseNotExecutedStatuses(s *strictyaml.Section) {
+	const key = "never_ran_statuses"
+	var words []string
+	s.Words(key, &words)
+	for _, word := range words {
+		var status int
+		_, err := fmt.Sscanf(word, "%d", &status)
+		if err != nil || status < http.StatusInternalServerError || status > 599 {
+			s.Fault(key, "has %.20q, want statuses from 500 to 599", word)
+		}
+		c.NotExecutedStatuses = append(c.NotExecutedStatuses, status)
+	}
+}
+
+// parseLimits reads the limits of requests, connections and memory.
+func (c *Config) parseLimits(top *strictyaml.Section) {
+	s := top.Section("limits")
+	if s == nil {
+		return
+	}
+	s.Whole("flows", &c.Dispatch.MaxRequests, 1, 1<<20)
+	s.Whole("waiting", &c.Dispatch.MaxQueued, 0, 1<<20)
+	s.Duration("wait", &c.Dispatch.MaxQueueTime, 0, time.Minute)
+	s.Whole("replica_connections", &c.Upstream.MaxConnections, 1, 1<<16)
+	s.Whole("replica_idle", &c.Upstream.MaxIdle, 0, 1<<16)
+	s.Duration("replica_idle_time", &c.Upstream.IdleTimeout, time.Millisecond, time.Hour)
+	s.Duration("replica_stall", &c.Upstream.StallTimeout, time.Millisecond, time.Hour)
+	s.Whole("connections", &c.Ingress.MaxConnections, 1, 1<<20)
+	s.Whole("streams", &c.Ingress.MaxStreams, 1, 1<<16)
+	s.Duration("idle", &c.Ingress.IdleTimeout, time.Millisecond, 24*time.Hour)
+	s.Duration("head", &c.Ingress.HeadTimeout, time.Millisecond, time.Hour)
+	s.Duration("stall", &c.Ingress.StallTimeout, time.Millisecond, time.Hour)
+	s.Duration("drain", &c.Ingress.DrainTimeout, 0, time.Hour)
+	s.Whole("memory_mb", &c.MemoryMB, 0, 1<<20)
+	s.Done()
+}
+
+// parseReports reads how often requests are logged and outcomes are reported.
+func (c *Config) parseReports(top *strictyaml.Section) {
+	if s := top.Section("log"); s != nil {
+		s.Whole("every", &c.LogEvery, 0, 1<<30)
+		s.Done()
+	}
+	top.Duration("report_every", &c.ReportInterval, 100*time.Millisecond, time.Minute)
+}
--- a/internal/sidecar/manifest_test.go
+++ b/internal/sidecar/config_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const whole = `
+const completeFile = `
 name: shop
 proxy: 3
 zone: a
@@ -23,8 +23,8 @@
 tries: {usual: again, never_ran_statuses: [503]}
 `
 
-func TestWhatIsWrongWithAManifestIsNamed(t *testing.T) {
-	if m, err := Parse("s.yaml", []byte(whole)); err != nil || len(m.Rules) != 2 || m.NotExecutedStatuses[0] != 503 || m.Dispatch.Seed == 0 {
+func TestConfigErrorsNameTheKey(t *testing.T) {
+	if m, err := Parse("s.yaml", []byte(completeFile)); err != nil || len(m.Rules) != 2 || m.NotExecutedStatuses[0] != 503 || m.Dispatch.Seed == 0 {
 		t.Fatalf("%+v %v", m, err)
 	}
 	for _, c := range [][3]string{
@@ -53,35 +53,35 @@
 		{"never_ran_statuses: [503]", "never_ran_statuses: [404]", "tries.never_ran_statuses: has \"404\""},
 		{"usual: again", "usual: often", "tries.usual: is \"often\", want one of again, never-ran, once, twice-more"},
 	} {
-		if !strings.Contains(whole, c[0]) {
+		if !strings.Contains(completeFile, c[0]) {
 			t.Fatalf("no %q", c[0])
 		}
-		_, err := Parse("s.yaml", []byte(strings.Replace(whole, c[0], c[1], 1)))
+		_, err := Parse("s.yaml", []byte(strings.Replace(completeFile, c[0], c[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), c[2]) || !strings.HasPrefix(err.Error(), "s.yaml:") {
 			t.Errorf("%s: %v\nwant %s", c[1], err, c[2])
 		}
 	}
 }
 
-func TestCollectorsAreReadInTheirOrder(t *testing.T) {
+func TestCollectorsKeepTheirOrder(t *testing.T) {
 	for line, want := range map[string]string{
 		`collector: "127.0.0.1:5"`:                   "127.0.0.1:5",
 		`collectors: ["127.0.0.1:9", "127.0.0.1:5"]`: "127.0.0.1:9 127.0.0.1:5",
 		"": "",
 	} {
-		m, err := Parse("s.yaml", []byte(strings.Replace(whole, `collector: "127.0.0.1:5"`, line, 1)))
+		m, err := Parse("s.yaml", []byte(strings.Replace(completeFile, `collector: "127.0.0.1:5"`, line, 1)))
 		if got := strings.Join(m.Collectors, " "); err != nil || got != want {
 			t.Errorf("%s: %q %v, want %q", line, got, err, want)
 		}
 	}
 }
 
-func TestTheFirstRuleThatFitsHolds(t *testing.T) {
-	m, err := Parse("s.yaml", []byte(whole))
+func TestFirstMatchingRuleHolds(t *testing.T) {
+	m, err := Parse("s.yaml", []byte(completeFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	of := m.Classify()
+	of := m.Classifier()
 	sale := http.Header{"X-Kind": {"gift", "sale"}}
 	for _, c := range []struct {
 		method, host, path string
@@ -97,23 +97,23 @@
 	}
 }
 
-func TestAReloadTakesRulesOverAndNamesTheRest(t *testing.T) {
+func TestReloadTakesOverRulesAndNamesTheRest(t *testing.T) {
 	s := start(t, nil, startReplica(t, nil).Addr)
 	text := func(old, new string) Config {
-		f := strings.NewReplacer("H1", `"127.0.0.1:0"`, "H2", `"127.0.0.1:00"`, "REPLICAS", `{id: r0, zone: a, address: "`+s.manifest.Endpoints["r0"].Address+`"}`).Replace(file)
+		f := strings.NewReplacer("H1", `"127.0.0.1:0"`, "H2", `"127.0.0.1:00"`, "REPLICAS", `{id: r0, zone: a, address: "`+s.config.Endpoints["r0"].Address+`"}`).Replace(file)
 		m, err := Parse("t.yaml", []byte(strings.Replace(f, old, new, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return m
 	}
-	if got := says(t, s.h1, "DELETE /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); !strings.Contains(got, " 404 ") {
+	if got := exchangeRaw(t, s.h1, "DELETE /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); !strings.Contains(got, " 404 ") {
 		t.Errorf("before: %q", got)
 	}
 	if waits, err := s.Reload(text("method: HEAD", "method: DELETE")); err != nil || len(waits) != 0 {
 		t.Errorf("%v %v", waits, err)
 	}
-	if got := says(t, s.h1, "DELETE /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); !strings.Contains(got, " 200 ") {
+	if got := exchangeRaw(t, s.h1, "DELETE /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"); !strings.Contains(got, " 200 ") {
 		t.Errorf("after: %q", got)
 	}
 	if waits, err := s.Reload(text("flows: 500", "flows: 600")); err != nil || len(waits) != 1 || waits[0] != "Dispatch" {
@@ -122,6 +122,6 @@
 	other := text("flows: 500", "flows: 500")
 	other.Dispatch.Classes = other.Dispatch.Classes[:2]
 	if _, err := s.Reload(other); err == nil {
-		t.Error("other groups are taken over")
+		t.Error("other classes are taken over")
 	}
 }
--- a/internal/sidecar/h2_test.go
+++ b/internal/sidecar/http2_test.go
@@ -17,7 +17,7 @@
 
 const moment = 5 * time.Second
 
-func dialH2(t testing.TB, s running, window uint32) *replica.H2 {
+func dialHTTP2(t testing.TB, s running, window uint32) *replica.H2 {
 	c, err := replica.DialH2(s.h2, window)
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestH2AnswersPassThroughAsTheyAre(t *testing.T) {
+func TestHTTP2AnswersAreForwardedUnchanged(t *testing.T) {
 	r := startReplica(t, func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		switch req.URL.Path {
@@ -56,7 +56,7 @@
 		}
 	})
 	s := start(t, nil, r.Addr)
-	c := dialH2(t, s, 1<<20)
+	c := dialHTTP2(t, s, 1<<20)
 	c.Open(1, "GET", "/a?b=c", false, "cookie", "a=1", "cookie", "b=2")
 	c.Open(3, "HEAD", "/a", false)
 	c.Open(5, "GET", "/empty", false)
@@ -88,14 +88,14 @@
 	}
 }
 
-// A client that never opens its window: its streams end after the stated time, its neighbours keep their pace.
-func TestAWindowThatNeverOpens(t *testing.T) {
+// A client that never opens its window: its streams end after the stall timeout, other connections keep their pace.
+func TestWindowThatNeverOpens(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Size.Store(4 << 20)
 	s := start(t, nil, r.Addr)
 	quick := startReplica(t, nil)
 	_ = quick
-	c, neighbour := dialH2(t, s, 0), dialH2(t, s, 1<<20)
+	c, neighbour := dialHTTP2(t, s, 0), dialHTTP2(t, s, 1<<20)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -120,8 +120,8 @@
 	if !c.Wait(moment, done(all...)) {
 		t.Error("not all ended")
 	}
-	if got := c.Of(99); !got.Reset || len(got.Body) != 0 || s.Figures().Clients["stalls"] != 50 {
-		t.Errorf("%v, %d stalls", got.Code, s.Figures().Clients["stalls"])
+	if got := c.Of(99); !got.Reset || len(got.Body) != 0 || s.Counters().Clients["stalls"] != 50 {
+		t.Errorf("%v, %d stalls", got.Code, s.Counters().Clients["stalls"])
 	}
 	c.Open(101, "HEAD", "/stock", false) // the connection is still good
 	if !c.Wait(moment, done(101)) || c.Of(101).Status != "200" {
@@ -129,13 +129,13 @@
 	}
 }
 
-// A reset before, while and after a payout is sent to its replica: it runs at most once, and nothing is left over.
-func TestAResetInTheMiddleOfAPayout(t *testing.T) {
+// A reset before, while and after a payout is sent to its replica: it is executed at most once, and nothing is left over.
+func TestStreamResetDuringAPayout(t *testing.T) {
 	one, two := startReplica(t, nil), startReplica(t, nil)
 	one.Span.Store(int64(20 * time.Millisecond))
 	two.Span.Store(int64(20 * time.Millisecond))
 	s := start(t, nil, one.Addr, two.Addr)
-	c := dialH2(t, s, 1<<20)
+	c := dialHTTP2(t, s, 1<<20)
 	id := uint32(1)
 	var all []uint32
 	for k := range 90 {
@@ -170,7 +170,7 @@
 		switch n := ran[fmt.Sprint("k", k)]; {
 		case n > 1:
 			t.Errorf("payout %d ran %d times", k, n)
-		case k%3 == 0 && n != 0: // its body never came whole
+		case k%3 == 0 && n != 0: // its body never came completely
 			t.Errorf("payout %d ran, though it was reset before its end", k)
 		case k%3 == 2 && n != 1:
 			t.Errorf("payout %d ran %d times", k, n)
@@ -178,13 +178,13 @@
 	}
 }
 
-// The users' proof: 100 streams, some stalled, some reset, each of the others one final answer; then a drain.
-func TestAHundredStreamsAndADrain(t *testing.T) {
+// 100 streams, some stalled, some reset, each of the others with one answer; then a drain.
+func TestHundredStreamsAndADrain(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Span.Store(int64(300 * time.Millisecond))
 	r.Size.Store(10_000)
 	s := start(t, nil, r.Addr)
-	c := dialH2(t, s, 1<<20)
+	c := dialHTTP2(t, s, 1<<20)
 	var good, stalled []uint32
 	for k := range 100 {
 		id := uint32(2*k + 1)
@@ -228,12 +228,12 @@
 	}
 }
 
-// A drain that flows outlast: each open stream is told, and counted as lost.
-func TestADrainThatIsOver(t *testing.T) {
+// Requests outlast the drain: each open stream is reset, and counted as lost.
+func TestStreamsOutlastTheDrain(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Silent.Store(true)
 	s := start(t, func(f string) string { return strings.Replace(f, "drain: 2s", "drain: 200ms", 1) }, r.Addr)
-	c := dialH2(t, s, 1<<20)
+	c := dialHTTP2(t, s, 1<<20)
 	for id := uint32(1); id < 20; id += 2 {
 		c.Open(id, "GET", "/stock", false)
 	}
@@ -243,15 +243,15 @@
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("took %v", took)
 	}
-	if !c.Wait(moment, done(1, 3, 5, 7, 9, 11, 13, 15, 17, 19)) || s.Figures().Clients["lost"] != 10 {
-		t.Errorf("lost without a word: %+v, %d counted", c.Of(19), s.Figures().Clients["lost"])
+	if !c.Wait(moment, done(1, 3, 5, 7, 9, 11, 13, 15, 17, 19)) || s.Counters().Clients["lost"] != 10 {
+		t.Errorf("lost without a word: %+v, %d counted", c.Of(19), s.Counters().Clients["lost"])
 	}
 }
 
-func TestH2HeadsThatHTTP1WouldReadDifferently(t *testing.T) {
+func TestAmbiguousHTTP2HeadsAreRefused(t *testing.T) {
 	r := startReplica(t, nil)
 	s := start(t, nil, r.Addr)
-	c := dialH2(t, s, 1<<20)
+	c := dialHTTP2(t, s, 1<<20)
 	id := uint32(1)
 	for _, fields := range [][]string{{"connection", "close"}, {"transfer-encoding", "chunked"}, {"upgrade", "x"}, {"keep-alive", "1"}, {"te", "gzip"}, {"host", "other"},
 		{"content-length", "4", "content-length", "4"}, {"content-length", "+4"}, {"content-length", "x"}, {"x", "a\r\nb: c"}, {"x", "a\x00b"}, {"X", "a"}, {"a b", "c"}, {":path", "/x"}} {
@@ -286,12 +286,12 @@
 	}
 }
 
-// Each way of keeping a sidecar busy ends its own connection, and costs no other.
-func TestFloods(t *testing.T) {
+// Each way of keeping a sidecar busy ends its own connection, and harms no other.
+func TestFloodsEndTheirConnectionAlone(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Span.Store(int64(5 * time.Millisecond))
 	s := start(t, nil, r.Addr)
-	neighbour := dialH2(t, s, 1<<20)
+	neighbour := dialHTTP2(t, s, 1<<20)
 	for name, say := range map[string]func(c *replica.H2, k uint32) error{
 		"resets": func(c *replica.H2, k uint32) error { c.Open(2*k+1, "GET", "/stock", false); return c.Reset(2*k + 1) },
 		"pings": func(c *replica.H2, k uint32) error {
@@ -329,7 +329,7 @@
 			})
 		},
 	} {
-		c := dialH2(t, s, 1<<20)
+		c := dialHTTP2(t, s, 1<<20)
 		ended := false
 		for k := uint32(0); k < 20000 && !ended; k++ {
 			ended = say(c, k) != nil
@@ -348,12 +348,12 @@
 	}
 }
 
-// A connection that waits for an answer is not idle; one that has none is told before it ends.
-func TestH2Idle(t *testing.T) {
+// A connection that waits for an answer is not idle; one without a request gets a GOAWAY before it ends.
+func TestHTTP2IdleTimeout(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Span.Store(int64(400 * time.Millisecond))
 	s := start(t, func(f string) string { return strings.Replace(f, "idle: 5s", "idle: 100ms", 1) }, r.Addr)
-	c := dialH2(t, s, 1<<20)
+	c := dialHTTP2(t, s, 1<<20)
 	c.Open(1, "GET", "/stock", false)
 	if !c.Wait(moment, done(1)) || c.Of(1).Status != "200" {
 		t.Errorf("%+v", c.Of(1))
@@ -363,18 +363,18 @@
 	}
 }
 
-func TestOverTheLimitOfStreamsIsRefusedAndMayComeAgain(t *testing.T) {
+func TestStreamsOverTheLimitAreRefused(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Span.Store(int64(200 * time.Millisecond))
 	s := start(t, func(f string) string { return strings.Replace(f, "streams: 100", "streams: 3", 1) }, r.Addr)
-	c := dialH2(t, s, 1<<20)
+	c := dialHTTP2(t, s, 1<<20)
 	for id := uint32(1); id <= 9; id += 2 {
 		c.Open(id, "GET", "/stock", false)
 	}
 	if !c.Wait(moment, done(1, 3, 5, 7, 9)) || c.Of(9).Code != http2.ErrCodeRefusedStream || c.Of(5).Status != "200" || r.Serves.Load() != 3 {
 		t.Errorf("%+v %+v, %d ran", c.Of(9), c.Of(5), r.Serves.Load())
 	}
-	if got := says(t, s.h2, "GET / HTTP/1.1\r\nHost: x\r\n\r\n------------------------"); strings.Contains(got, "HTTP/1.1 200") {
+	if got := exchangeRaw(t, s.h2, "GET / HTTP/1.1\r\nHost: x\r\n\r\n------------------------"); strings.Contains(got, "HTTP/1.1 200") {
 		t.Errorf("HTTP/1.1 on the port of HTTP/2: %q", got)
 	}
 }
--- a/internal/sidecar/crossings_test.go
+++ b/internal/sidecar/races_test.go
@@ -21,13 +21,13 @@
 
 const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A connection that was kept for further flows ends under a flow that may run once, at each point of it: the flow has one
-// final answer at once and is never sent twice, and the next flow has a connection of its own.
-func TestAKeptConnectionEndsUnderAFlow(t *testing.T) {
+// A reused connection ends during a request that must not be executed twice, at each point of it: the request gets one
+// answer at once and is never sent twice, and the next request has a connection of its own.
+func TestReusedConnectionEndsDuringARequest(t *testing.T) {
 	long := strings.Repeat("x", 100_000)
 	close := func(r *scriptedpeer.Conn) { r.Close() }
 	for name, c := range map[string]struct {
-		before, end func(r *scriptedpeer.Conn) // before the flow is written, and once its head has come
+		before, end func(r *scriptedpeer.Conn) // before the request is written, and once its head has come
 		body, want  string
 	}{
 		"before it is written":             {close, nil, "pay", "200"},
@@ -51,7 +51,7 @@
 			replica := at.Take()
 			replica.Request()
 			replica.Raw(okAnswer)
-			if got := heard(client); got != "200" {
+			if got := readAnswer(client); got != "200" {
 				t.Fatal(got)
 			}
 			if c.before != nil {
@@ -66,11 +66,11 @@
 				replica.Request()
 				replica.Raw(okAnswer)
 			}
-			if got := heard(client); got != c.want {
+			if got := readAnswer(client); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
-			if n := s.Figures().Core.Attempts; n != 2 {
-				t.Errorf("two flows were tried %d times", n)
+			if n := s.Counters().Requests.Attempts; n != 2 {
+				t.Errorf("two requests had %d attempts", n)
 			}
 			if c.end != nil {
 				client = scriptedpeer.Dial(t, s.h1)
@@ -78,22 +78,22 @@
 				next := at.Take()
 				next.Request()
 				next.Raw(okAnswer)
-				if got := heard(client); got != "200" {
-					t.Errorf("the next flow: %q", got)
+				if got := readAnswer(client); got != "200" {
+					t.Errorf("the next request: %q", got)
 				}
 			}
-			nothingInHand(t, s)
+			nothingInFlight(t, s)
 		})
 	}
 }
 
-// A client leaves while its flow waits for a place, while its replica is silent (also for longer than a client may be
-// silent in the middle of a flow), or ends its half alone, which is read as leaving: what the flow held is given back.
-func TestAClientLeavesInTheMiddleOfItsFlow(t *testing.T) {
+// A client leaves while its request waits for capacity, while its replica is silent (also for longer than a client may
+// be), or ends its half alone, which counts as leaving: capacity and connection are released.
+func TestClientLeavesDuringItsRequest(t *testing.T) {
 	at := scriptedpeer.Listen(t)
 	s := start(t, patient(" stall: 1m", " stall: 100ms", "limits: {", "limits: {waiting: 10, wait: 1m, ", "flows: 500", "flows: 1", "expiry: 2s", "expiry: 1m"), at.At())
-	const flow = "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n"
-	for _, pay := range []string{"POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay", // with a body that has come whole
+	const request = "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n"
+	for _, pay := range []string{"POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay", // with a body that has come completely
 		"POST /payouts HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\npay\r\n0\r\n\r\n"} {
 		client := scriptedpeer.Dial(t, s.h1)
 		client.Raw(pay)
@@ -101,51 +101,51 @@
 		replica.Request()
 		client.Close()
 		replica.Ends()
-		nothingInHand(t, s)
+		nothingInFlight(t, s)
 	}
 	first := scriptedpeer.Dial(t, s.h1)
-	first.Raw(flow)
+	first.Raw(request)
 	replica := at.Take()
 	replica.Request()
 	waits := scriptedpeer.Dial(t, s.h1)
-	waits.Raw(flow)
-	scriptedpeer.Until(t, "the second does not wait", func() bool { return s.Figures().InHand == 2 })
+	waits.Raw(request)
+	scriptedpeer.Until(t, "the second does not wait", func() bool { return s.Counters().InFlight == 2 })
 	half := scriptedpeer.Dial(t, s.h1) // is ended for its silence: so long have the others been silent as well
 	half.Raw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
 	half.Ends()
 	waits.Close()
-	scriptedpeer.Until(t, "a place is kept for who waited and left", func() bool { return s.Figures().InHand == 1 })
+	scriptedpeer.Until(t, "a request that has left still waits", func() bool { return s.Counters().InFlight == 1 })
 	first.Close()
 	replica.Ends()
-	nothingInHand(t, s)
+	nothingInFlight(t, s)
 	last := scriptedpeer.Dial(t, s.h1)
-	last.Raw(flow)
+	last.Raw(request)
 	replica = at.Take()
 	replica.Request()
 	last.Conn.(*net.TCPConn).CloseWrite()
 	replica.Ends()
 	last.Ends()
-	nothingInHand(t, s)
-	if f := s.Figures().Core; f.Failed[dispatch.ErrClientGone] != 5 {
+	nothingInFlight(t, s)
+	if f := s.Counters().Requests; f.Failed[dispatch.ErrClientGone] != 5 {
 		t.Errorf("%+v", f)
 	}
 }
 
-// A reset against the choice of a next try: the reset is heard first, and no next try is made; or the next try is on its
-// way, and ends with the reset, and is the last.
-func TestAResetAgainstANextTry(t *testing.T) {
+// A stream is reset as a retry is decided: either the reset comes first, and there is no retry; or the retry is on its
+// way, ends with the reset, and is the last attempt.
+func TestStreamResetDuringARetryDecision(t *testing.T) {
 	for _, resetFirst := range []bool{true, false} {
 		one, two := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 		s := start(t, patient("usual: again", "usual: twice-more", "expiry: 2s", "expiry: 1m", "latency_budget: 500ms", "latency_budget: 30s", "window: 2500ms", "window: 10m"), one.At())
-		client := dialH2(t, s, 1<<20)
+		client := dialHTTP2(t, s, 1<<20)
 		client.Open(1, "POST", "/orders", true, "content-length", "3")
 		client.Data(1, true, []byte("buy"))
 		replica := one.Take()
 		replica.Request()
-		s.list(false, map[string]dispatch.Endpoint{"r1": {Zone: "a", Address: two.At()}})
+		s.updateEndpoints(false, map[string]dispatch.Endpoint{"r1": {Zone: "a", Address: two.At()}})
 		if resetFirst {
 			client.Reset(1)
-			replica.Ends() // it has been heard
+			replica.Ends() // it was noticed
 			replica.Close()
 		} else {
 			replica.Close()
@@ -154,20 +154,20 @@
 			client.Reset(1)
 			next.Ends()
 		}
-		nothingInHand(t, s)
+		nothingInFlight(t, s)
 		tries := int64(2)
 		if resetFirst {
 			tries = 1
 		}
-		if f := s.Figures().Core; f.Attempts != tries || f.Failed[dispatch.ErrClientGone] != 1 {
+		if f := s.Counters().Requests; f.Attempts != tries || f.Failed[dispatch.ErrClientGone] != 1 {
 			t.Errorf("reset first %v: %+v", resetFirst, f)
 		}
 	}
 }
 
-// The drain is over and flows go on that nobody watches: with a body, and with another flow behind them. They are ended
-// all the same, and the sidecar with them.
-func TestADrainEndsWhatNobodyWatches(t *testing.T) {
+// The drain is over, and requests go on whose connection nobody watches: with a body, and with another request behind
+// them. They are ended all the same, and the sidecar with them.
+func TestDrainEndsUnwatchedRequests(t *testing.T) {
 	for name, text := range map[string]string{
 		"a body":         "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay",
 		"another behind": "GET /stock HTTP/1.1\r\nHost: x\r\n\r\nGET /stock HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -186,15 +186,15 @@
 			t.Fatalf("%s: the sidecar goes on", name)
 		}
 		client.Ends()
-		if n := s.Figures().Clients["lost"]; n != 1 {
+		if n := s.Counters().Clients["lost"]; n != 1 {
 			t.Errorf("%s: %d lost", name, n)
 		}
 	}
 }
 
-// A replica answers at length before it has read the body, and the client sends on: the answer arrives whole, though
-// the sidecar closes the connection with bytes unread.
-func TestAnAnswerIsNotDestroyedByWhatItsClientStillSends(t *testing.T) {
+// A replica gives a long answer before it has read the body, and the client sends on: the answer arrives completely,
+// though the sidecar closes the connection with bytes unread.
+func TestAnswerArrivesThoughTheClientStillSends(t *testing.T) {
 	const size = 1 << 20
 	at := scriptedpeer.Listen(t)
 	s := start(t, patient(), at.At())
@@ -204,7 +204,7 @@
 	replica := at.Take()
 	replica.Request()
 	go fmt.Fprintf(replica.Conn, "HTTP/1.1 413 Too Large\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
-	nothingInHand(t, s) // the answer has been written, and the client has read none of it
+	nothingInFlight(t, s) // the answer has been written, and the client has read none of it
 	resp, err := http.ReadResponse(client.Read, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -214,7 +214,7 @@
 	}
 }
 
-// frames is an HTTP/2 client in the hands of a test, that reads a frame when it is told to.
+// frames is an HTTP/2 client that reads a frame when the test says so.
 type frames struct {
 	*scriptedpeer.Conn
 	*http2.Framer
@@ -249,7 +249,7 @@
 	}
 }
 
-// next reads one frame and keeps count of the room.
+// next reads one frame and counts what the window of the connection allows.
 func (c *frames) next() (http2.Frame, error) {
 	f, err := c.ReadFrame()
 	if u, ok := f.(*http2.WindowUpdateFrame); ok && u.StreamID == 0 {
@@ -258,9 +258,9 @@
 	return f, err
 }
 
-// Bodies that are thrown away, since they are not as long as they say, leave room on their connection all the same: it
-// carries any number of them.
-func TestWhatIsThrownAwayLeavesRoomOnItsConnection(t *testing.T) {
+// Bodies that are discarded because they differ from their content-length return to the window of their connection all
+// the same: it carries any number of them.
+func TestDiscardedDataReturnsToTheConnectionWindow(t *testing.T) {
 	s := start(t, patient(), startReplica(t, nil).Addr)
 	c := dialFrames(t, s, 1<<20, 1<<20)
 	piece := make([]byte, 16<<10)
@@ -275,11 +275,11 @@
 		c.room -= int64(len(piece))
 	}
 	c.Close()
-	nothingInHand(t, s)
+	nothingInFlight(t, s)
 }
 
-// A head of which some fields were too many goes nowhere: what is missing could be what it is told apart by.
-func TestAnHTTP2HeadThatIsTooLargeGoesNowhere(t *testing.T) {
+// A head that was truncated is not forwarded: the missing fields could be those that say its class.
+func TestTooLargeHTTP2HeadIsNotForwarded(t *testing.T) {
 	r := startReplica(t, nil)
 	s := start(t, patient(), r.Addr)
 	c := dialFrames(t, s, 1<<20, 1<<20)
@@ -303,9 +303,9 @@
 	}
 }
 
-// A client opens its windows and takes nothing: once a write has failed in the middle of a frame its connection is over,
-// and no flow that it still sends runs unanswered.
-func TestAConnectionOfWhichAWriteFailedIsOver(t *testing.T) {
+// A client opens its windows and reads nothing: once a write has failed in the middle of a frame its connection is over,
+// and no request that it still sends is executed without an answer.
+func TestFailedWriteEndsItsConnection(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Size.Store(64 << 20)
 	s := start(t, patient(" stall: 1m", " stall: 100ms"), r.Addr)
@@ -313,21 +313,21 @@
 	c.Narrow()
 	c.open(1, "GET", "/stock", true)
 	scriptedpeer.Until(t, "the connection stays", func() bool {
-		f := s.Figures()
-		return f.Clients["flows"] == 1 && f.Clients["open"] == 0
+		f := s.Counters()
+		return f.Clients["requests"] == 1 && f.Clients["open"] == 0
 	})
-	nothingInHand(t, s)
+	nothingInFlight(t, s)
 }
 
-// A drain says that it goes away while its client opens streams without a pause: each one up to the last that it names has
-// its answer, and none above it has run unanswered.
-func TestStreamsThatCrossTheWordOfGoingAway(t *testing.T) {
+// A drain sends its GOAWAYs while a client opens streams without a pause: each one up to the last that they name has its
+// answer, and none above it is executed without one.
+func TestStreamsThatCrossAGoAway(t *testing.T) {
 	r := startReplica(t, nil)
 	s := start(t, patient("streams: 100", "streams: 10000", "flows: 500", "flows: 10000", "waiting: 200", "waiting: 10000"), r.Addr)
 	var all sync.WaitGroup
 	began := make(chan struct{}, 8)
 	for range 8 {
-		c := dialH2(t, s, 1<<20)
+		c := dialHTTP2(t, s, 1<<20)
 		all.Go(func() {
 			opened := uint32(0)
 			over := func(c *replica.H2) bool { return c.Ended || len(c.GoAways) >= 2 }
@@ -361,14 +361,14 @@
 	for range 8 {
 		<-began
 	}
-	scriptedpeer.Until(t, "not all are taken in", func() bool { return s.Figures().Clients["open"] == 8 })
+	scriptedpeer.Until(t, "not all are taken in", func() bool { return s.Counters().Clients["open"] == 8 })
 	s.stop()
 	all.Wait()
 }
 
-// A sidecar ends while a client has yet to read its answer, which says what room it has as it reads: the connection ends
+// A sidecar ends while a client, which sends window updates as it reads, has yet to read its answer: the connection ends
 // only once it has been read, so no reset destroys it.
-func TestAnAnswerThatIsReadAsTheSidecarEnds(t *testing.T) {
+func TestAnswerIsReadAsTheSidecarEnds(t *testing.T) {
 	const size = 1 << 20
 	r := startReplica(t, nil)
 	r.Size.Store(size)
@@ -376,8 +376,8 @@
 	c := dialFrames(t, s, 1<<30, 1<<30)
 	c.open(1, "GET", "/stock", true)
 	scriptedpeer.Until(t, "the answer is not written", func() bool {
-		f := s.Figures()
-		return f.Clients["flows"] == 1 && f.Clients["in_hand"] == 0 && f.InHand == 0
+		f := s.Counters()
+		return f.Clients["requests"] == 1 && f.Clients["in_flight"] == 0 && f.InFlight == 0
 	})
 	ended := make(chan struct{})
 	go func() { s.stop(); close(ended) }()
@@ -410,14 +410,14 @@
 	<-ended
 }
 
-// A drain with a flow in hand: from its first moment /health says that no flow should come here.
-func TestHealthDuringADrain(t *testing.T) {
+// A drain with a request in flight: from its first moment /health says that no request should come here.
+func TestHealthDuringDrain(t *testing.T) {
 	at, local := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	s := start(t, patient("drain: 2s", "drain: 1m", "listen: {", "listen: {local: \""+local+"\", "), at.At())
 	health := func() string {
 		c := scriptedpeer.Dial(t, local)
 		c.Raw("GET /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		return heard(c)
+		return readAnswer(c)
 	}
 	if got := health(); got != "200" {
 		t.Errorf("before: %q", got)
@@ -433,8 +433,8 @@
 		t.Errorf("during: %q", got)
 	}
 	replica.Raw(okAnswer)
-	if got := heard(client); got != "200" {
-		t.Errorf("the flow in hand: %q", got)
+	if got := readAnswer(client); got != "200" {
+		t.Errorf("the request in flight: %q", got)
 	}
 	client.Close()
 	<-ended
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -77,8 +77,8 @@
 			if err := <-ended; err != nil {
 				t.Error(err)
 			}
-			f := r.Figures()
-			if f.InHand != 0 || f.Clients["in_hand"] != 0 || f.Clients["open"] != 0 || f.Replicas.Open != 0 || f.Clients["panics"] != 0 {
+			f := r.Counters()
+			if f.InFlight != 0 || f.Clients["in_flight"] != 0 || f.Clients["open"] != 0 || f.Upstream.Open != 0 || f.Clients["panics"] != 0 {
 				t.Errorf("left behind: %+v", f)
 			}
 		})
@@ -96,15 +96,15 @@
 	return r
 }
 
-// raw is a replica that does with each connection as it is told.
+// raw is a replica that serves each connection by a function.
 func raw(t testing.TB, attend func(conn net.Conn, r *bufio.Reader)) string {
 	l := scriptedpeer.Listen(t)
 	l.Serve(func(conn net.Conn) { attend(conn, bufio.NewReader(conn)) })
 	return l.At()
 }
 
-// says sends raw bytes on a new connection and reads all that comes back.
-func says(t testing.TB, at, text string) string {
+// exchangeRaw sends bytes on a new connection and reads all that comes back.
+func exchangeRaw(t testing.TB, at, text string) string {
 	conn, err := net.Dial("tcp", at)
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 	return string(raw)
 }
 
-func TestAnswersPassThroughAsTheyAre(t *testing.T) {
+func TestHTTP1AnswersAreForwardedUnchanged(t *testing.T) {
 	r := startReplica(t, func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		h := w.Header()
@@ -161,19 +161,19 @@
 		{"GET /a HTTP/1.1\r\nHost: x\r\n\r\nGET /b HTTP/1.1\r\nHost: x\r\n" + tail, "GET /b  te="},
 		{"DELETE /a HTTP/1.1\r\nHost: x\r\n" + tail, "HTTP/1.1 404 Not Found\r\n"},
 	} {
-		got := says(t, s.h1, c.text)
+		got := exchangeRaw(t, s.h1, c.text)
 		if !strings.Contains(got, c.want) || strings.Contains(got, "X-Hop") {
 			t.Errorf("%.50q: got %q\nwant %q", c.text, got, c.want)
 		}
 	}
 	big := strings.Repeat("x", 200_000)
-	if got := says(t, s.h1, fmt.Sprintf("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n%s%s", len(big), tail, big)); !strings.Contains(got, "len=200000") || strings.Count(got, "x") < 200_000 {
+	if got := exchangeRaw(t, s.h1, fmt.Sprintf("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n%s%s", len(big), tail, big)); !strings.Contains(got, "len=200000") || strings.Count(got, "x") < 200_000 {
 		t.Errorf("a long body: %d bytes came back", len(got))
 	}
 }
 
-// What two readers could understand differently is refused, and its connection ended.
-func TestNoRequestIsSmuggled(t *testing.T) {
+// A request that two readers could understand differently is refused, and its connection ended.
+func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	r := startReplica(t, nil)
 	s := start(t, nil, r.Addr)
 	const get, post = "GET / HTTP/1.1\r\nHost: x\r\n", "POST /orders HTTP/1.1\r\nHost: x\r\n"
@@ -189,7 +189,7 @@
 		"GET http://x/ HTTP/1.1\r\nHost: x\r\n\r\n", "CONNECT x:1 HTTP/1.1\r\nHost: x\r\n\r\n", "GET /a\x7f HTTP/1.1\r\nHost: x\r\n\r\n", "G(T / HTTP/1.1\r\nHost: x\r\n\r\n", ": 1\r\n\r\n",
 		"GET / HTTP/1.1\nHost: x\n\n",
 	} {
-		got := says(t, s.h1, text+"GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
+		got := exchangeRaw(t, s.h1, text+"GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n")
 		if !strings.HasPrefix(got, "HTTP/1.1 400 ") && !strings.HasPrefix(got, "HTTP/1.1 408 ") || strings.Count(got, "HTTP/1.1 ") != 1 {
 			t.Errorf("%q: %q", text, got)
 		}
@@ -197,10 +197,10 @@
 	if n := r.Serves.Load(); n != 0 {
 		t.Errorf("%d of them reached the replica", n)
 	}
-	if got := says(t, s.h1, get+"X: "+strings.Repeat("x", 20000)); !strings.HasPrefix(got, "HTTP/1.1 431 ") {
+	if got := exchangeRaw(t, s.h1, get+"X: "+strings.Repeat("x", 20000)); !strings.HasPrefix(got, "HTTP/1.1 431 ") {
 		t.Errorf("a large head: %.80q", got)
 	}
-	if got := says(t, s.h1, get); !strings.HasPrefix(got, "HTTP/1.1 408 ") {
+	if got := exchangeRaw(t, s.h1, get); !strings.HasPrefix(got, "HTTP/1.1 408 ") {
 		t.Errorf("half a head: %.80q", got)
 	}
 }
@@ -210,7 +210,7 @@
 	got := map[string]int{}
 	for k := range n {
 		text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: x\r\nKey: %s%d\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", method, path, path, k, len(body), body)
-		answer := says(t, s.h1, text)
+		answer := exchangeRaw(t, s.h1, text)
 		what := "nothing"
 		if at := strings.LastIndex(answer, "HTTP/1.1 "); at >= 0 {
 			what = answer[at+9 : at+12]
@@ -223,8 +223,9 @@
 	return got
 }
 
-// Replicas that end flows in every way: each flow gets one answer, at once, and what must not run twice does not.
-func TestEveryFailureEndsInOneAnswer(t *testing.T) {
+// Replicas that end requests in each way: each request gets one answer, at once, and none is executed twice that must not
+// be.
+func TestEachFailureEndsInOneAnswer(t *testing.T) {
 	closes := func(after string) func(net.Conn, *bufio.Reader) {
 		return func(conn net.Conn, r *bufio.Reader) {
 			if _, err := http.ReadRequest(r); err == nil {
@@ -242,7 +243,7 @@
 		"a head without end":  {closes("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 100<<10)), "200", "200", "503 unclear"},
 		"early words":         {closes(strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20)), "200", "200", "503 unclear"},
 		"another protocol":    {closes("HTTP/1.1 101 Switching Protocols\r\n\r\n"), "200", "200", "503 unclear"},
-		"half a body":         {closes("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"), "200", "200", "200"}, // it has begun: broken off, not repeated
+		"half a body":         {closes("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"), "200", "200", "200"}, // it has begun: aborted, not retried
 		"its own error":       {closes("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), "200", "200", "500"},
 		"silence":             {func(conn net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }, "200", "200", "503 expired"},
 	} {
@@ -274,8 +275,8 @@
 	}
 }
 
-// Nobody listens there: proof that nothing ran, so even a payout goes to the next one.
-func TestARefusedConnectionIsTriedElsewhere(t *testing.T) {
+// Nobody listens there, so it is certain that nothing was executed, and even a payout is retried elsewhere.
+func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	good := startReplica(t, nil)
 	s := start(t, func(f string) string { return strings.Replace(f, "usual: again", "usual: never-ran", 1) }, scriptedpeer.Free(t), good.Addr)
 	for path, body := range map[string]string{"/payouts": "", "/orders": "small", "/orders?long": strings.Repeat("x", 50_000)} {
@@ -283,7 +284,7 @@
 			t.Errorf("%s: %v", path, got)
 		}
 	}
-	if n := s.Figures().Core.Retries; n == 0 {
+	if n := s.Counters().Requests.Retries; n == 0 {
 		t.Error("none was tried twice")
 	}
 	for key, n := range good.Runs() {
@@ -293,8 +294,8 @@
 	}
 }
 
-// Its replica closes idle connections at once: they are seen as dead, or the flow goes once more if it may.
-func TestAnIdleConnectionThatDiedCostsNoFlow(t *testing.T) {
+// A replica closes idle connections at once: they are found dead, or the request is retried if it may be.
+func TestDeadIdleConnectionFailsNoRequest(t *testing.T) {
 	at := raw(t, func(conn net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err == nil {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -311,18 +312,18 @@
 		io.WriteString(conn, "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("flow %d: %v %v", k, resp, err)
+			t.Fatalf("request %d: %v %v", k, resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 		time.Sleep(5 * time.Millisecond)
 	}
-	if f := s.Figures().Replicas; f.Dead == 0 {
+	if f := s.Counters().Upstream; f.Dead == 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
-// A replica that answers before it has read the body: its answer goes on at once, and nothing hangs.
-func TestAnAnswerBeforeTheBodyIsRead(t *testing.T) {
+// A replica answers before it has read the body: its answer is forwarded at once, and nothing hangs.
+func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
 	at := raw(t, func(conn net.Conn, r *bufio.Reader) {
 		http.ReadRequest(r)
 		io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n")
@@ -347,30 +348,30 @@
 
 func (zeros) Read(p []byte) (int, error) { clear(p); return len(p), nil }
 
-// Clients that send or take a byte now and then hold their own flow, for a stated time, and nobody else's.
-func TestSlowClients(t *testing.T) {
+// Clients that send or take a byte now and then delay their own request, within the stall timeout, and nobody else's.
+func TestSlowClientsDelayNobodyElse(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Size.Store(50 << 20)
 	s := start(t, nil, r.Addr)
 	began := time.Now()
-	half := says(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
+	half := exchangeRaw(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
 	if took := time.Since(began); took > 3*time.Second || strings.HasPrefix(half, "HTTP/1.1 200") {
 		t.Errorf("half a body held for %v: %q", took, half)
 	}
 	for _, head := range []string{"Content-Length: 100000\r\n\r\n", "Transfer-Encoding: chunked\r\n\r\nffff\r\n"} { // they pass through, and stop
 		began = time.Now()
-		if half = says(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\n"+head+"half"); time.Since(began) > 1500*time.Millisecond || strings.HasPrefix(half, "HTTP/1.1 200") {
+		if half = exchangeRaw(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\n"+head+"half"); time.Since(began) > 1500*time.Millisecond || strings.HasPrefix(half, "HTTP/1.1 200") {
 			t.Errorf("%q held for %v: %q", head, time.Since(began), half)
 		}
 	}
-	nothingInHand(t, s) // a flow is counted after its connection has been closed
-	if f := s.Figures().Core; f.Failed["client-gone"] != 2 {
+	nothingInFlight(t, s) // a request is counted after its connection has been closed
+	if f := s.Counters().Requests; f.Failed["client-gone"] != 2 {
 		t.Errorf("%+v", f)
 	}
 	s.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) {
 		for id, sum := range d.TakeOutcomes() {
 			if sum.Failures != 0 {
-				t.Errorf("%s is blamed for its clients: %+v", id, sum)
+				t.Errorf("failures of clients count against %s: %+v", id, sum)
 			}
 		}
 	})
@@ -381,19 +382,18 @@
 	defer conn.Close()
 	io.WriteString(conn, "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n")
 	for range 100 {
-		if s.Figures().Core.Failed["client-gone"] == 3 {
+		if s.Counters().Requests.Failed["client-gone"] == 3 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	if f := s.Figures(); f.InHand != 0 || f.Core.Failed["client-gone"] != 3 {
+	if f := s.Counters(); f.InFlight != 0 || f.Requests.Failed["client-gone"] != 3 {
 		t.Errorf("who takes nothing is still served: %+v", f)
 	}
 }
 
-// Connections without a flow hold no buffer. (10,000 of them are measured in docs/sidecar.md; here as many as any
-// machine's limit on descriptors lets.)
-func TestIdleConnectionsCostLittle(t *testing.T) {
+// Connections without a request hold no buffer. There are as many as any machine's limit on descriptors allows.
+func TestIdleConnectionsHoldNoBuffer(t *testing.T) {
 	const many = 400
 	s := start(t, nil, startReplica(t, nil).Addr)
 	memory := func() uint64 {
@@ -409,7 +409,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		if k%2 == 0 { // has had a flow, and is kept
+		if k%2 == 0 { // has had a request, and is reused
 			io.WriteString(conn, "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n")
 			if _, err := http.ReadResponse(bufio.NewReaderSize(conn, 16), nil); err != nil {
 				t.Fatal(err)
@@ -420,54 +420,54 @@
 	if each := (int64(memory()) - int64(before)) / many; each > 24<<10 { // both ends of it
 		t.Errorf("%d bytes for an idle connection", each)
 	}
-	if open := s.Figures().Clients["open"]; open < many {
+	if open := s.Counters().Clients["open"]; open < many {
 		t.Errorf("%d are open", open)
 	}
 }
 
-// What governors do while flows are under way: replicas shut out, tables emptied, no table at all.
-func TestTablesThatChangeUnderFlows(t *testing.T) {
+// What controllers do while requests are in flight: replicas ejected, tables emptied, no table at all.
+func TestTablesChangeDuringRequests(t *testing.T) {
 	one, two := startReplica(t, nil), startReplica(t, nil)
 	one.Span.Store(int64(200 * time.Millisecond))
 	s := start(t, nil, one.Addr, two.Addr)
 	apply := func(parts ...dispatch.Update) {
-		if err := (core{s.Sidecar}).Apply(parts); err != nil {
+		if err := (controlTarget{s.proxy}).Apply(parts); err != nil {
 			t.Error(err)
 		}
 	}
 	apply(dispatch.Update{Full: true, Weights: map[string]float64{"r0": 1}})
 	answers := make(chan string)
 	get := "GET /stock HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-	go func() { answers <- says(t, s.h1, get) }()
+	go func() { answers <- exchangeRaw(t, s.h1, get) }()
 	for one.Serves.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	apply(dispatch.Update{Eject: []string{"r0"}}) // the replica in use
-	if got := says(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
-		t.Errorf("all shut out: %q", got)
+	if got := exchangeRaw(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
+		t.Errorf("all ejected: %q", got)
 	}
 	apply(dispatch.Update{Full: true, Weights: map[string]float64{"r1": 1}})
-	if got := says(t, s.h1, get); !strings.Contains(got, two.Addr) {
+	if got := exchangeRaw(t, s.h1, get); !strings.Contains(got, two.Addr) {
 		t.Errorf("another table: %q", got)
 	}
-	apply(dispatch.Update{Classes: []string{"stock"}, Full: true}) // empties one group alone
-	if got := says(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
+	apply(dispatch.Update{Classes: []string{"stock"}, Full: true}) // empties one class alone
+	if got := exchangeRaw(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
 		t.Errorf("an empty table: %q", got)
 	}
-	if got := says(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, two.Addr) {
-		t.Errorf("another group: %q", got)
+	if got := exchangeRaw(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, two.Addr) {
+		t.Errorf("another class: %q", got)
 	}
 	apply(dispatch.Update{Classes: []string{"order"}, Settings: []dispatch.ClassSettings{{Admission: 0}}})
-	if got := says(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "Lilacbend-Reason: level") || !strings.Contains(got, "Retry-After: ") {
-		t.Errorf("a closed level: %q", got)
+	if got := exchangeRaw(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "Lilacbend-Reason: level") || !strings.Contains(got, "Retry-After: ") {
+		t.Errorf("an admission of 0: %q", got)
 	}
 	if got := <-answers; !strings.Contains(got, one.Addr) {
-		t.Errorf("the flow under way: %q", got)
+		t.Errorf("the request in flight: %q", got)
 	}
 }
 
-// HTTP/1.1 drains: the answer in hand says that it was the last, idle connections end, new ones find nobody.
-func TestHTTP1Drains(t *testing.T) {
+// HTTP/1.1 drains: the answer in flight says that it was the last, idle connections end, new ones are refused.
+func TestHTTP1Drain(t *testing.T) {
 	r := startReplica(t, nil)
 	r.Span.Store(int64(300 * time.Millisecond))
 	s := start(t, nil, r.Addr)
@@ -477,7 +477,7 @@
 	}
 	defer idle.Close()
 	answers := make(chan string)
-	go func() { answers <- says(t, s.h1, "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n") }()
+	go func() { answers <- exchangeRaw(t, s.h1, "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n") }()
 	for r.Serves.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
