--- a/internal/sidecar/http2_test.go
+++ b/internal/sidecar/http2_test.go
@@ -7,12 +7,14 @@
 	"net/http"
 	"runtime"
 	"strings"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"golang.org/x/net/http2"
 
 	"lilacbend/experiment/replica"
+	"lilacbend/experiment/scriptedpeer"
 )
 
 const moment = 5 * time.Second
@@ -38,8 +40,10 @@
 }
 
 func TestHTTP2AnswersAreForwardedUnchanged(t *testing.T) {
+	const piece = 10_000
+	var forwarded atomic.Int64 // bytes of bodies that the replica has read
 	r := startReplica(t, func(w http.ResponseWriter, req *http.Request) {
-		body, _ := io.ReadAll(req.Body)
+		body, _ := io.ReadAll(countingReader{req.Body, &forwarded})
 		switch req.URL.Path {
 		case "/empty":
 			w.WriteHeader(204)
@@ -66,9 +70,9 @@
 	c.Open(13, "POST", "/orders", true, "content-length", "5")
 	c.Data(13, true, []byte("hello"))
 	c.Open(15, "POST", "/orders", true)
-	for range 10 {
-		c.Data(15, false, make([]byte, 10000))
-		time.Sleep(time.Millisecond) // the client minds no window here; ours is opened as it is read
+	for k := range int64(10) { // more than a window, which the client keeps to: no more than 60,000 bytes are on their way
+		scriptedpeer.Until(t, "the body is not forwarded", func() bool { return k*piece-forwarded.Load() <= 5*piece })
+		c.Data(15, false, make([]byte, piece))
 	}
 	c.Data(15, true, nil)
 	c.Open(17, "DELETE", "/a", false)
@@ -88,6 +92,18 @@
 	}
 }
 
+// countingReader counts what is read.
+type countingReader struct {
+	io.Reader
+	count *atomic.Int64
+}
+
+func (r countingReader) Read(p []byte) (int, error) {
+	n, err := r.Reader.Read(p)
+	r.count.Add(int64(n))
+	return n, err
+}
+
 // A client that never opens its window: its streams end after the stall timeout, other connections keep their pace.
 func TestWindowThatNeverOpens(t *testing.T) {
 	r := startReplica(t, nil)
