--- a/internal/controlclient/budget_test.go
+++ b/internal/controlclient/budget_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -10,14 +11,14 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// reported is what a governor has heard of a collector.
+// reported is what a controller has received from a collector.
 type reported struct {
 	bytes    int
 	attempts map[string]int // by replica
 }
 
-// hearOutcomes takes a message in.
-func (r *reported) hearOutcomes(t *testing.T, text string) {
+// add adds a message.
+func (r *reported) add(t *testing.T, text string) {
 	t.Helper()
 	words := strings.Fields(text)
 	if len(words) < 7 || words[0] != "outcomes" || words[3] != "target" || words[5] != "count" {
@@ -31,9 +32,9 @@
 	r.attempts[words[4]] += attempts
 }
 
-// The reports to a governor keep to their budget, though sidecars tell of many more replicas. Each attempt is told once in the end, and a
-// replica that fails before most others that have as much to tell.
-func TestReportsKeepToTheBudgetOfAGovernor(t *testing.T) {
+// The reports to a controller keep to their budget, though sidecars report many more replicas. Each attempt is reported once in the
+// end, and a replica that fails before most others with as many attempts.
+func TestReportsKeepToTheBudget(t *testing.T) {
 	const (
 		every    = 50 * time.Millisecond
 		budget   = 8000
@@ -42,8 +43,8 @@
 	)
 	l := scriptedpeer.Listen(t)
 	_, at, _ := collectsWithin(t, every, budget, l)
-	governor := l.Take()
-	governor.Hears("agent site a")
+	controller := l.Take()
+	controller.Hears("agent site a")
 	sidecar := scriptedpeer.Dial(t, at)
 	began := time.Now()
 	told := map[string]int{}
@@ -63,7 +64,7 @@
 	heard := reported{attempts: map[string]int{}}
 	tell(0)
 	for len(heard.attempts) < replicas { // a first report of each
-		heard.hearOutcomes(t, governor.Hears("outcomes"))
+		heard.add(t, controller.Hears("outcomes"))
 	}
 	tell(10)
 	before := 0
@@ -71,11 +72,11 @@
 		if before == replicas/2 {
 			t.Fatalf("%d others come before the one that fails", before)
 		}
-		text = governor.Hears("outcomes")
-		heard.hearOutcomes(t, text)
+		text = controller.Hears("outcomes")
+		heard.add(t, text)
 	}
 	for sum := 0; sum < 20*replicas; {
-		heard.hearOutcomes(t, governor.Hears("outcomes"))
+		heard.add(t, controller.Hears("outcomes"))
 		sum = 0
 		for _, attempts := range heard.attempts {
 			sum += attempts
@@ -95,28 +96,77 @@
 	}
 }
 
-// A governor that comes back is told first of what fails, though the one before it knew.
-func TestAGovernorThatIsStartedAnewHearsFirstOfWhatFails(t *testing.T) {
-	const every = 50 * time.Millisecond
+// first returns the replica of the next outcomes that a controller receives.
+func first(t *testing.T, controller *scriptedpeer.Conn) string {
+	t.Helper()
+	r := reported{attempts: map[string]int{}}
+	r.add(t, controller.Hears("outcomes"))
+	for replica := range r.attempts {
+		return replica
+	}
+	return ""
+}
+
+// A controller that knows of a failing replica gets reports in the order of their age. One that is restarted gets the failures first,
+// though the one before knew of them.
+func TestRestartedControllerGetsFailuresFirst(t *testing.T) {
+	const (
+		every   = 50 * time.Millisecond
+		failing = "met target failing count 12 fail 12 mean 0"
+		healthy = "met target healthy count 10 fail 0 mean 20"
+	)
 	l := scriptedpeer.Listen(t)
-	c, at, _ := collectsWithin(t, every, 0, l)
-	governor := l.Take()
-	governor.Hears("agent site a")
+	_, at, _ := collectsWithin(t, every, 0, l)
+	controller := l.Take()
+	controller.Hears("agent site a")
 	sidecar := scriptedpeer.Dial(t, at)
-	for range 3 {
-		sidecar.Say("met target b count 10 fail 10 mean 0")
-		governor.Hears("outcomes site a target b count 10 fail 10 ")
-	}
-	pending := c.pending[0]
-	known := func() float64 {
-		pending.mu.Lock()
-		defer pending.mu.Unlock()
-		return pending.outcomes.Expected("b")
-	}
-	if known() < 0.9 {
-		t.Errorf("a failing share of %v is expected, want most", known())
-	}
-	governor.Reset()
-	l.Take().Hears("agent site a")
-	scriptedpeer.Until(t, "the new governor is taken to know", func() bool { return known() == 0 })
+	known := false
+	for round := 0; round < 10 && !known; round++ { // a round may begin between two messages, so that one is reported alone
+		sidecar.Say(healthy) // reported before the other, so it is the older one
+		controller.Hears("outcomes site a target healthy count 10 fail 0 ")
+		sidecar.Say(failing)
+		controller.Hears("outcomes site a target failing count 12 fail 12 ")
+		sidecar.Say(failing, healthy)
+		known = first(t, controller) == "healthy"
+		controller.Hears("outcomes")
+	}
+	if !known {
+		t.Error("the failing replica always comes first, though the controller knows of it")
+	}
+	controller.Reset()
+	restarted := l.Take()
+	restarted.Hears("agent site a")
+	sidecar.Say(failing, healthy)
+	if replica := first(t, restarted); replica != "failing" {
+		t.Errorf("a restarted controller gets %s first", replica)
+	}
+}
+
+func TestPendingOutcomesAreNewsToANewConnection(t *testing.T) {
+	pending := newPendingOutcomes(time.Second, 0)
+	round := func(reports ...outcomeReport) []string {
+		for _, report := range reports {
+			pending.add(report)
+		}
+		pending.begin()
+		var order []string
+		for {
+			report, ok := pending.next()
+			if !ok {
+				return order
+			}
+			order = append(order, report.Key)
+		}
+	}
+	failing := outcomeReport{"failing", 12, 12, 0}
+	healthy := outcomeReport{"healthy", 10, 0, 20}
+	round(healthy)
+	round(failing)
+	if order := round(failing, healthy); !slices.Equal(order, []string{"healthy", "failing"}) {
+		t.Errorf("a controller that knows both gets %v", order)
+	}
+	pending.connected()
+	if order := round(failing, healthy); !slices.Equal(order, []string{"failing", "healthy"}) {
+		t.Errorf("a new one gets %v", order)
+	}
 }
--- a/internal/controlclient/capacity_bench_test.go
+++ b/internal/controlclient/capacity_bench_test.go
@@ -14,9 +14,9 @@
 	"lilacbend/internal/resp"
 )
 
-// The benchmarks of this file give a collector's costs, and a sidecar's for control, for docs/CAPACITY.md.
+// The benchmarks of this file give the costs of a collector, and of a sidecar's control streams, for docs/CAPACITY.md.
 
-// One report of a sidecar at a collector, by the governors that it tells of it.
+// One report of a sidecar at a collector, by the controllers that it reports to.
 func BenchmarkReportHeardByGovernors(b *testing.B) {
 	for _, governors := range []int{1, 6, 110, 400, 1600} {
 		b.Run(fmt.Sprintf("governors=%d", governors), func(b *testing.B) {
@@ -39,7 +39,7 @@
 	}
 }
 
-// The memory of a collector for the replicas it holds sums of for one governor.
+// The memory of a collector for the outcomes of replicas that it holds for one controller.
 func BenchmarkCollectorMemoryByReplicas(b *testing.B) {
 	for _, replicas := range []int{33, 655, 9500} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -113,7 +113,7 @@
 	return conn
 }
 
-// A push that replaces a sidecar's table, from its words to the core, by its endpoints.
+// An update that replaces a sidecar's table, from its words to the dispatcher, by its endpoints.
 func BenchmarkPushAppliedByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{1, 10, 51, 655} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
@@ -122,7 +122,7 @@
 				pairs = append(pairs, fmt.Sprintf("stock-7c9d4f5b8-%05d:0.%d", k, 100+k%800))
 			}
 			words := []string{"push", "full", "1", "endpoints", strings.Join(pairs, ","), "nonce_out", "4711"}
-			core, err := dispatch.New(dispatch.Config{MaxRequests: 1, Classes: []dispatch.Class{{Name: "read"}}})
+			dispatcher, err := dispatch.New(dispatch.Config{MaxRequests: 1, Classes: []dispatch.Class{{Name: "read"}}})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -133,7 +133,7 @@
 					b.Fatal(err)
 				}
 				now++
-				if err := core.Apply(now, p.parts...); err != nil {
+				if err := dispatcher.Apply(now, p.parts...); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -7,7 +7,6 @@
 	"log/slog"
 	"net"
 	"runtime/debug"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -18,22 +17,24 @@
 )
 
 const (
+	// dialTimeout bounds the opening of a connection.
 	dialTimeout = time.Second
-	// The waits after failed streams, with jitter: all sidecars of a governor that dies come to the others, and not at once.
+	// backoffInitial and backoffLimit bound the waits after failed streams. They have jitter: all sidecars of a controller
+	// that dies connect to the others, and not at once.
 	backoffInitial = 50 * time.Millisecond
 	backoffLimit   = 2 * time.Second
-	// A stream that has lasted so long was a good one: the next wait is the initial one again.
+	// goodStreamAge is the age of a stream after which the next wait is the initial one again.
 	goodStreamAge = 5 * time.Second
-	// The requests that came are reported, and the governor is probed, this often. One that has vanished says nothing, and is
-	// given up after the timeout.
+	// reportInterval is the time between two reports of demand, each with a probe of the controller.
 	reportInterval = time.Second
+	// silenceTimeout is how long a controller, or a collector, may leave probes without an answer before it is given up.
 	silenceTimeout = 4 * time.Second
 	// clientPoolSize bounds the buffers for long messages of one client, in bytes.
 	clientPoolSize = 2 << 20
 )
 
-// Core is what updates are applied to, and what counts the requests that came.
-type Core interface {
+// Dispatcher is what updates are applied to, and what counts the requests that came.
+type Dispatcher interface {
 	// Apply applies the parts of an update, all of them or none.
 	Apply(parts []dispatch.Update) error
 	// HasTables reports whether an update with tables was applied.
@@ -42,18 +43,29 @@
 	TakeDemand() []dispatch.Demand
 }
 
-// Counters are what a client has counted.
-type Counters struct{ Dials, Streams, Broken, Updates, Acks, Unusable, Demands atomic.Int64 }
+// errRefused is the cause of a stream that a controller has refused.
+var errRefused = errors.New("refused by the controller")
+
+// Counters are what a Client has counted.
+type Counters struct {
+	Dials          atomic.Int64
+	Streams        atomic.Int64
+	Failures       atomic.Int64 // dials that failed, and streams that ended
+	Updates        atomic.Int64 // applied
+	Acks           atomic.Int64
+	InvalidUpdates atomic.Int64
+	DemandReports  atomic.Int64
+}
 
-// Client holds a stream to one of several governors. While none answers, the core goes on with what it has.
+// Client holds a stream to one of several controllers. While none answers, the dispatcher goes on with what it has.
 type Client struct {
 	Counters    Counters
 	Controllers []string
 	ID          int // of the proxy
 	Zone        string
 	Classes     []string
-	Rate        float64 // a rough figure of requests a second
-	Core        Core
+	Rate        float64 // an estimate of the requests a second
+	Dispatcher  Dispatcher
 	Seed        uint64
 	Log         *slog.Logger
 
@@ -63,7 +75,7 @@
 	current     atomic.Pointer[string]
 }
 
-// Controller is the address of the governor that the stream is to; empty: there is none.
+// Controller returns the address of the controller that the stream is to; empty: there is none.
 func (c *Client) Controller() string {
 	if address := c.current.Load(); address != nil {
 		return *address
@@ -71,7 +83,7 @@
 	return ""
 }
 
-// Run holds a stream until ctx ends, to one governor after another. Clients begin at different ones, by their id.
+// Run holds a stream until ctx ends, to one controller after another. Clients begin at different ones, by their id.
 func (c *Client) Run(ctx context.Context) {
 	c.pool = resp.NewPool(clientPoolSize)
 	c.demandSince = time.Now()
@@ -79,7 +91,7 @@
 	at := c.ID % max(1, len(c.Controllers))
 	for ctx.Err() == nil && len(c.Controllers) > 0 {
 		began := time.Now()
-		err := c.followGovernor(ctx, c.Controllers[at])
+		err := c.followController(ctx, c.Controllers[at])
 		if ctx.Err() != nil {
 			return
 		}
@@ -95,15 +107,15 @@
 // streamLost counts a stream that has ended, and logs it if updates came by it.
 func (c *Client) streamLost(address string, err error) {
 	if c.connected.Swap(false) {
-		c.Log.Warn("no governor, the tables stay", "lost", address, "error", err)
+		c.Log.Warn("no controller, the tables stay", "lost", address, "error", err)
 	}
 	none := ""
 	c.current.Store(&none)
-	c.Counters.Broken.Add(1)
+	c.Counters.Failures.Add(1)
 }
 
-// followGovernor opens a stream to one governor and applies its updates until the stream ends.
-func (c *Client) followGovernor(ctx context.Context, address string) (err error) {
+// followController opens a stream to one controller and applies its updates until the stream ends.
+func (c *Client) followController(ctx context.Context, address string) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = fmt.Errorf("panic: %v at %s", v, debug.Stack())
@@ -131,13 +143,9 @@
 	return c.readUpdates(w, address)
 }
 
-// sendHello says who the proxy is.
+// sendHello joins the controller.
 func (c *Client) sendHello(w *messageWriter) error {
-	blank := "1"
-	if c.Core.HasTables() {
-		blank = "0"
-	}
-	return w.send("hello", "id", strconv.Itoa(c.ID), "site", c.Zone, "rps", formatNumber(c.Rate), "new", blank)
+	return w.send(c.helloMessage()...)
 }
 
 // readUpdates applies the updates of a stream, and returns why it has ended.
@@ -148,11 +156,11 @@
 		if err != nil {
 			return err
 		}
-		if len(words) > 0 && words[0] == "alive" {
+		if len(words) > 0 && words[0] == wordAlive {
 			continue
 		}
 		if err := message.addPart(words); err != nil {
-			c.Counters.Unusable.Add(1)
+			c.Counters.InvalidUpdates.Add(1)
 			return err
 		}
 		if message.unfinished {
@@ -162,22 +170,22 @@
 			return err
 		}
 		if !c.connected.Swap(true) {
-			c.Log.Info("steered", "governor", address)
+			c.Log.Info("following a controller", "controller", address)
 		}
 		c.current.Store(&address)
 		message = updateMessage{}
 	}
 }
 
-// readMessage reads one message of a governor. It fails if none comes in time, or if the governor refuses the proxy.
+// readMessage reads one message of a controller. It fails if none comes in time, or if the controller refuses the proxy.
 func readMessage(conn net.Conn, reader *resp.Reader) ([]string, error) {
 	conn.SetReadDeadline(time.Now().Add(silenceTimeout))
 	words, err := reader.Next()
 	if err != nil {
-		return nil, fmt.Errorf("hearing: %w", err)
+		return nil, fmt.Errorf("reading: %w", err)
 	}
-	if len(words) > 0 && words[0] == "error" {
-		return nil, fmt.Errorf("sent away: %q", words[1:])
+	if len(words) > 0 && words[0] == wordError {
+		return nil, fmt.Errorf("%w: %q", errRefused, words[1:])
 	}
 	return words, nil
 }
@@ -185,9 +193,9 @@
 // apply applies an update and acks it.
 func (c *Client) apply(w *messageWriter, message updateMessage) error {
 	began := time.Now()
-	if err := c.Core.Apply(message.parts); err != nil {
+	if err := c.Dispatcher.Apply(message.parts); err != nil {
 		if errors.Is(err, dispatch.ErrInvalidUpdate) {
-			c.Counters.Unusable.Add(1)
+			c.Counters.InvalidUpdates.Add(1)
 		}
 		return err
 	}
@@ -196,17 +204,16 @@
 		return nil
 	}
 	c.Counters.Acks.Add(1)
-	return w.send("ack", "id", strconv.Itoa(c.ID), "seq", strconv.FormatUint(message.nonce, 10),
-		"ms", formatNumber(millis(time.Since(began))))
+	return w.send(c.ackMessage(message.nonce, time.Since(began))...)
 }
 
-// reportDemand reports the requests that came, and probes the governor, until ctx ends or a write fails; then it closes the
+// reportDemand reports the requests that came, and probes the controller, until ctx ends or a write fails; then it closes the
 // connection.
 func (c *Client) reportDemand(ctx context.Context, w *messageWriter) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
-	if time.Since(c.demandSince) > maxReportAge { // what came while there was no governor tells nothing of now
-		c.Core.TakeDemand()
+	if time.Since(c.demandSince) > maxReportAge { // what came while there was no controller says nothing about now
+		c.Dispatcher.TakeDemand()
 		c.demandSince = time.Now()
 	}
 	for {
@@ -215,26 +222,24 @@
 			return
 		case <-tick.C:
 		}
-		if c.sendDemand(w) != nil || w.send("probe") != nil {
+		if c.sendDemand(w) != nil || w.send(wordProbe) != nil {
 			w.conn.Close()
 			return
 		}
 	}
 }
 
-// sendDemand reports the requests since the last report. That may have gone to another governor: requests also came between
+// sendDemand reports the requests since the last report. That may have gone to another controller: requests also came between
 // the last stream's end and this one, and reported as those of a second they would be many times what comes.
 func (c *Client) sendDemand(w *messageWriter) error {
 	period := time.Since(c.demandSince)
 	c.demandSince = c.demandSince.Add(period)
-	for class, usage := range c.Core.TakeDemand() {
-		if usage.Requests == 0 && usage.Failures == 0 {
+	for class, demand := range c.Dispatcher.TakeDemand() {
+		if demand.Requests == 0 && demand.Failures == 0 {
 			continue
 		}
-		c.Counters.Demands.Add(1)
-		err := w.send("demand", "id", strconv.Itoa(c.ID), "lane", c.Classes[class], "count", strconv.Itoa(usage.Requests),
-			"fail", strconv.Itoa(usage.Failures), "over", formatNumber(millis(period)))
-		if err != nil {
+		c.Counters.DemandReports.Add(1)
+		if err := w.send(c.demandMessage(c.Classes[class], demand, period)...); err != nil {
 			return err
 		}
 	}
--- a/internal/controlclient/steering_test.go
+++ b/internal/controlclient/client_test.go
@@ -17,7 +17,7 @@
 	"lilacbend/internal/resp"
 )
 
-func TestPartsBecomeOnePush(t *testing.T) {
+func TestPartsBecomeOneUpdate(t *testing.T) {
 	for _, c := range []struct {
 		parts []string
 		want  updateMessage
@@ -31,7 +31,7 @@
 		{[]string{"push endpoints a:1 continued 2"}, updateMessage{}, "continued"},
 		{[]string{"push endpoints a"}, updateMessage{}, "endpoints"}, {[]string{"push endpoints :1"}, updateMessage{}, "endpoints"}, {[]string{"push endpoints a:x"}, updateMessage{}, "endpoints"},
 		{[]string{"push admit 1"}, updateMessage{}, "admit and policy"}, {[]string{"push admit 1 policy x"}, updateMessage{}, "policy"}, {[]string{"push nonce_out -1"}, updateMessage{}, "nonce_out"},
-		{[]string{"push full"}, updateMessage{}, "unreadable"}, {[]string{"pull"}, updateMessage{}, "unreadable"}, {[]string{""}, updateMessage{}, "unreadable"},
+		{[]string{"push full"}, updateMessage{}, "malformed"}, {[]string{"pull"}, updateMessage{}, "malformed"}, {[]string{""}, updateMessage{}, "malformed"},
 	} {
 		var p updateMessage
 		var err error
@@ -56,7 +56,7 @@
 	}
 }
 
-func FuzzPush(f *testing.F) {
+func FuzzUpdatePart(f *testing.F) {
 	f.Add("push full 1 endpoints a:1.5,b:0.2 continued 1 admit 1 policy 2")
 	f.Fuzz(func(t *testing.T, text string) {
 		var p updateMessage
@@ -69,15 +69,15 @@
 	})
 }
 
-// core keeps what was applied.
-type core struct {
+// dispatcher keeps what was applied.
+type dispatcher struct {
 	mu      sync.Mutex
 	applied [][]dispatch.Update
 	fail    error
 	usage   []dispatch.Demand
 }
 
-func (c *core) Apply(parts []dispatch.Update) error {
+func (c *dispatcher) Apply(parts []dispatch.Update) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fail == nil {
@@ -85,26 +85,26 @@
 	}
 	return c.fail
 }
-func (c *core) HasTables() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.applied) > 0 }
-func (c *core) TakeDemand() []dispatch.Demand {
+func (c *dispatcher) HasTables() bool { c.mu.Lock(); defer c.mu.Unlock(); return len(c.applied) > 0 }
+func (c *dispatcher) TakeDemand() []dispatch.Demand {
 	return c.usage
 }
-func (c *core) pushes() int { c.mu.Lock(); defer c.mu.Unlock(); return len(c.applied) }
+func (c *dispatcher) updates() int { c.mu.Lock(); defer c.mu.Unlock(); return len(c.applied) }
 
-// governor is a scripted one: it tells what it hears and says what it is told to.
-type governor struct {
+// scriptedController records what it receives, and sends what the test says.
+type scriptedController struct {
 	net.Listener
 	heard chan string
 	conns chan net.Conn
 	pool  *resp.Pool
 }
 
-func listen(t *testing.T) *governor {
+func listen(t *testing.T) *scriptedController {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &governor{l, make(chan string, 1000), make(chan net.Conn, 100), resp.NewPool(1 << 20)}
+	g := &scriptedController{l, make(chan string, 1000), make(chan net.Conn, 100), resp.NewPool(1 << 20)}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -133,14 +133,14 @@
 	return g
 }
 
-func (g *governor) says(t *testing.T, conn net.Conn, text string) {
+func (g *scriptedController) says(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := resp.Write(conn, g.pool, strings.Fields(text)...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (g *governor) hears(t *testing.T, want string) string {
+func (g *scriptedController) hears(t *testing.T, want string) string {
 	t.Helper()
 	for limit := time.After(8 * time.Second); ; {
 		select {
@@ -154,8 +154,8 @@
 	}
 }
 
-func client(t *testing.T, c *core, to ...*governor) *Client {
-	cl := &Client{ID: 0, Zone: "a", Classes: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
+func client(t *testing.T, c *dispatcher, to ...*scriptedController) *Client {
+	cl := &Client{ID: 0, Zone: "a", Classes: []string{"x"}, Dispatcher: c, Log: slog.New(slog.DiscardHandler)}
 	for _, g := range to {
 		cl.Controllers = append(cl.Controllers, g.Addr().String())
 	}
@@ -166,8 +166,8 @@
 	return cl
 }
 
-func TestAStreamAndWhatEndsIt(t *testing.T) {
-	g, c := listen(t), &core{usage: []dispatch.Demand{{Requests: 7, Failures: 2}}}
+func TestStreamAndWhatEndsIt(t *testing.T) {
+	g, c := listen(t), &dispatcher{usage: []dispatch.Demand{{Requests: 7, Failures: 2}}}
 	cl := client(t, c, g)
 	conn := <-g.conns
 	g.hears(t, "hello id 0 site a rps 0.000 new 1")
@@ -175,15 +175,15 @@
 	g.says(t, conn, "push eject b nonce_out 5")
 	g.hears(t, "ack id 0 seq 5 ms ")
 	g.hears(t, "demand id 0 lane x count 7 fail 2 over ")
-	if c.pushes() != 1 || cl.Controller() == "" {
-		t.Errorf("%d applied, steered by %q", c.pushes(), cl.Controller())
+	if c.updates() != 1 || cl.Controller() == "" {
+		t.Errorf("%d applied, following %q", c.updates(), cl.Controller())
 	}
 	g.says(t, conn, "push endpoints a:1 continued 1") // it dies between two parts of one message
 	conn.Close()
 	conn = <-g.conns
 	g.hears(t, "hello id 0 site a rps 0.000 new 0")
-	if c.pushes() != 1 {
-		t.Errorf("half a message was applied")
+	if c.updates() != 1 {
+		t.Errorf("half an update was applied")
 	}
 	g.says(t, conn, "push full 1 endpoints a:x")
 	g.hears(t, "gone")
@@ -196,13 +196,13 @@
 	conn = <-g.conns
 	g.says(t, conn, "error reason none")
 	g.hears(t, "gone")
-	if n := cl.Counters.Unusable.Load(); n != 2 {
-		t.Errorf("%d could not be used", n)
+	if n := cl.Counters.InvalidUpdates.Load(); n != 2 {
+		t.Errorf("%d invalid updates", n)
 	}
 }
 
-// One governor accepts and says nothing, another is not there: the third is found, and the tables stay meanwhile.
-func TestAnotherGovernorIsFound(t *testing.T) {
+// One controller accepts and says nothing, another is not there: the third is found, and the tables stay meanwhile.
+func TestClientFindsAnotherController(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -210,8 +210,8 @@
 	defer silent.Close()
 	gone, there := listen(t), listen(t)
 	gone.Close()
-	c := &core{}
-	cl := &Client{Zone: "a", Core: c, Log: slog.New(slog.DiscardHandler), Controllers: []string{silent.Addr().String(), gone.Addr().String(), there.Addr().String()}}
+	c := &dispatcher{}
+	cl := &Client{Zone: "a", Dispatcher: c, Log: slog.New(slog.DiscardHandler), Controllers: []string{silent.Addr().String(), gone.Addr().String(), there.Addr().String()}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { cl.Run(ctx); close(ended) }()
@@ -221,7 +221,7 @@
 	there.hears(t, "ack id 0 seq 1")
 }
 
-func TestACollectorSumsAndForwards(t *testing.T) {
+func TestCollectorSumsAndForwards(t *testing.T) {
 	g := listen(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -244,14 +244,14 @@
 		}
 	}
 	for k := range 2 {
-		teller := &Reporter{Collectors: []string{l.Addr().String()}, Interval: 20 * time.Millisecond, Sums: once(map[string]*dispatch.Outcomes{"b": {Attempts: 10 + k, Failures: 1, ResponseTime: time.Duration(9+k) * 40e6}, "c": {Attempts: 1, Failures: 1}})}
-		go teller.Run(ctx)
+		reporter := &Reporter{Collectors: []string{l.Addr().String()}, Interval: 20 * time.Millisecond, TakeOutcomes: once(map[string]*dispatch.Outcomes{"b": {Attempts: 10 + k, Failures: 1, ResponseTime: time.Duration(9+k) * 40e6}, "c": {Attempts: 1, Failures: 1}})}
+		go reporter.Run(ctx)
 	}
 	g.hears(t, "outcomes site a target b count 21 fail 2 mean 40.000 over ")
 	g.hears(t, "outcomes site a target c count 2 fail 2 mean 0.000 over ")
 	for _, bad := range []string{"met", "met target b count -1 fail 0 mean 1", "met target b count 1 fail 2 mean 1", "met target b count 1 fail 0 mean NaN", "met target  count 1 fail 0 mean 1", "hello id 1"} {
 		if err := c.receive(strings.Split(bad, " ")); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("%q is accepted", bad)
 		}
 	}
 }
--- a/internal/controlclient/collector.go
+++ b/internal/controlclient/collector.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"log/slog"
 	"net"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,28 +15,31 @@
 )
 
 const (
-	// A sidecar that says nothing for so long has vanished.
+	// sidecarTimeout is how long a sidecar may say nothing before it counts as gone.
 	sidecarTimeout = 30 * time.Second
-	// A listener that cannot accept tries again after this.
+	// acceptRetry is the wait of a listener that cannot accept.
 	acceptRetry = 20 * time.Millisecond
 	// collectorPoolSize bounds the buffers for long messages of a collector, in bytes.
 	collectorPoolSize = 4 << 20
 )
 
-// Collector sums the outcomes that a zone's sidecars report, and reports them to governors.
+// errControllerClosed is the cause of a connection that its controller has ended.
+var errControllerClosed = errors.New("the controller ended the connection")
+
+// Collector sums the outcomes that a zone's sidecars report, and reports them to controllers.
 type Collector struct {
 	Zone        string
 	Controllers []string
 	Interval    time.Duration // between two reports
-	Budget      int           // bytes a second that the reports to one governor may take; 0: no limit
+	Budget      int           // bytes a second that the reports to one controller may take; 0: no limit
 	Log         *slog.Logger
 	MaxSidecars int
 	Received    atomic.Int64 // reports of sidecars
 	Skipped     atomic.Int64 // messages that could not be used
-	Reported    atomic.Int64 // messages to governors
+	Reported    atomic.Int64 // messages to controllers
 
 	pool        *resp.Pool
-	pending     []*pendingOutcomes // by governor
+	pending     []*pendingOutcomes // by controller
 	connections atomic.Int64
 }
 
@@ -49,7 +51,7 @@
 	for k, address := range c.Controllers {
 		pending := newPendingOutcomes(c.Interval, c.Budget)
 		c.pending = append(c.pending, pending)
-		all.Go(func() { c.followGovernor(ctx, address, pending, uint64(k)) })
+		all.Go(func() { c.followController(ctx, address, pending, uint64(k)) })
 	}
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -79,7 +81,7 @@
 		stop := context.AfterFunc(ctx, func() { conn.Close() })
 		defer stop()
 		err := c.readSidecar(conn)
-		c.Log.Debug("sidecar left", "from", conn.RemoteAddr(), "error", err)
+		c.Log.Debug("sidecar disconnected", "from", conn.RemoteAddr(), "error", err)
 	})
 }
 
@@ -97,8 +99,8 @@
 		if err != nil {
 			return err
 		}
-		if len(words) == 1 && words[0] == "probe" { // all before it has been read
-			if err := answers.send("alive"); err != nil {
+		if len(words) == 1 && words[0] == wordProbe { // all messages before it have been read
+			if err := answers.send(wordAlive); err != nil {
 				return err
 			}
 			continue
@@ -110,7 +112,7 @@
 	}
 }
 
-// receive adds a report to what is pending for each governor.
+// receive adds a report to what is pending for each controller.
 func (c *Collector) receive(words []string) error {
 	report, err := parseOutcomeReport(words)
 	if err != nil {
@@ -123,8 +125,8 @@
 	return nil
 }
 
-// followGovernor reports to one governor until ctx ends, on one connection after another.
-func (c *Collector) followGovernor(ctx context.Context, address string, pending *pendingOutcomes, seed uint64) {
+// followController reports to one controller until ctx ends, on one connection after another.
+func (c *Collector) followController(ctx context.Context, address string, pending *pendingOutcomes, seed uint64) {
 	retry := backoff.NewJittered(backoffInitial, backoffLimit, seed)
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -133,15 +135,15 @@
 			return
 		}
 		if time.Since(began) > goodStreamAge {
-			c.Log.Warn("governor lost", "governor", address, "error", err)
+			c.Log.Warn("controller lost", "controller", address, "error", err)
 			retry.Reset()
 		}
 		backoff.Sleep(ctx, retry.Next())
 	}
 }
 
-// reportTo reports to a governor on one connection until that ends. The end of ctx does not wait for a governor that reads
-// nothing.
+// reportTo reports to a controller on one connection until that ends. The end of ctx does not wait for a controller that
+// reads nothing.
 func (c *Collector) reportTo(ctx context.Context, address string, pending *pendingOutcomes) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -152,7 +154,7 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	w := &messageWriter{conn: conn, pool: c.pool}
-	if err := w.send("agent", "site", c.Zone); err != nil {
+	if err := w.send(c.collectorMessage()...); err != nil {
 		return fmt.Errorf("joining: %w", err)
 	}
 	pending.connected()
@@ -172,27 +174,27 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-closed:
-			return errors.New("the governor ended the connection")
+			return errControllerClosed
 		case <-tick.C:
 		}
 		if err := c.sendOutcomes(w, pending); err != nil {
-			return fmt.Errorf("telling: %w", err)
+			return fmt.Errorf("reporting: %w", err)
 		}
 	}
 }
 
-// awaitEnd reads until a governor ends the connection or refuses the collector. It writes nothing else to a collector but
-// answers to probes.
+// awaitEnd reads until a controller ends the connection or refuses the collector. Controllers send collectors nothing else
+// but answers to probes.
 func (c *Collector) awaitEnd(conn net.Conn) {
 	for reader := resp.NewReader(conn, c.pool); ; {
 		words, err := reader.Next()
-		if err != nil || len(words) > 0 && words[0] == "error" {
+		if err != nil || len(words) > 0 && words[0] == wordError {
 			return
 		}
 	}
 }
 
-// sendOutcomes sends what is pending for a governor, a message for each replica, as far as the budget allows.
+// sendOutcomes sends what is pending for a controller, a message for each replica, as far as the budget allows.
 func (c *Collector) sendOutcomes(w *messageWriter, pending *pendingOutcomes) error {
 	pending.begin()
 	for {
@@ -200,9 +202,7 @@
 		if !ok {
 			return nil
 		}
-		sent, err := w.sendSized("outcomes", "site", c.Zone, "target", report.Key, "count", strconv.Itoa(report.Sum.Attempts),
-			"fail", strconv.Itoa(report.Sum.Failures), "mean", formatNumber(report.Sum.MeanMillis()),
-			"over", formatNumber(millis(report.Period)))
+		sent, err := w.sendSized(c.outcomesMessage(report)...)
 		if err != nil {
 			return err
 		}
--- a/internal/controlclient/collector_conn.go
+++ b/internal/controlclient/collector_conn.go
@@ -40,7 +40,7 @@
 	return c, nil
 }
 
-// readAnswers notes the answers to probes until the connection ends. It is the only reader.
+// readAnswers records the answers to probes until the connection ends. It is the only reader; close waits for it.
 func (c *collectorConn) readAnswers(reader *resp.Reader) {
 	defer close(c.done)
 	for {
@@ -48,17 +48,17 @@
 		if err != nil && !errors.Is(err, resp.ErrNotWords) {
 			return
 		}
-		if err == nil && len(words) > 0 && words[0] == "alive" {
+		if err == nil && len(words) > 0 && words[0] == wordAlive {
 			c.confirm(time.Now())
 		}
 	}
 }
 
-// confirm notes an answer.
+// confirm records an answer.
 func (c *collectorConn) confirm(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answers == c.probes { // nobody asked
+	if c.answers == c.probes { // no probe is open
 		return
 	}
 	c.answers++
@@ -68,7 +68,7 @@
 	}
 }
 
-// probe asks for an answer behind so many sums.
+// probe asks for an answer that confirms a number of sums.
 func (c *collectorConn) probe(sums int) error {
 	c.mu.Lock()
 	if c.answers == c.probes {
@@ -77,25 +77,25 @@
 	c.probes++
 	c.unconfirmed += sums
 	c.mu.Unlock()
-	return c.writer.send("probe")
+	return c.writer.send(wordProbe)
 }
 
-// confirmed says whether the collector has answered yet.
+// confirmed reports whether the collector has answered yet.
 func (c *collectorConn) confirmed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answers > 0
 }
 
-// silent says whether an answer has been missing for the timeout.
+// silent reports whether an answer has been missing for the timeout.
 func (c *collectorConn) silent(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answers < c.probes && now.Sub(c.waitsSince) > silenceTimeout
 }
 
-// ended says whether the collector has ended the connection: it would take the first words without an error, and nobody would
-// read them. An end that is there is seen within closedCheckTime.
+// ended reports whether the collector has ended the connection: the first message after that would be written without an
+// error, and nobody would read it. An end that has come is seen within closedCheckTime.
 func (c *collectorConn) ended() bool {
 	timer := time.NewTimer(closedCheckTime)
 	defer timer.Stop()
@@ -111,6 +111,7 @@
 func (c *collectorConn) close() (unconfirmed int) {
 	c.unwatch()
 	c.writer.conn.Close()
+	<-c.done
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unconfirmed
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -26,12 +26,15 @@
 	receivedFile = "received.golden"
 )
 
-// goldenCore is a sidecar's core with fixed figures.
-type goldenCore struct{ blank bool }
+// goldenDispatcher is a sidecar's dispatcher with fixed figures.
+type goldenDispatcher struct{ blank bool }
 
-func (c *goldenCore) Apply([]dispatch.Update) error { time.Sleep(1500 * time.Microsecond); return nil }
-func (c *goldenCore) HasTables() bool               { return !c.blank }
-func (c *goldenCore) TakeDemand() []dispatch.Demand {
+func (c *goldenDispatcher) Apply([]dispatch.Update) error {
+	time.Sleep(1500 * time.Microsecond)
+	return nil
+}
+func (c *goldenDispatcher) HasTables() bool { return !c.blank }
+func (c *goldenDispatcher) TakeDemand() []dispatch.Demand {
 	return []dispatch.Demand{{Requests: 19, Failures: 2}, {}, {Failures: 1}}
 }
 
@@ -54,33 +57,33 @@
 	return b.Bytes()
 }
 
-// sent returns all that sidecars and collectors write to governors and to each other, as text in Go's quotes.
+// sent returns all that sidecars and collectors write to controllers and to each other, as text in Go's quotes.
 func sent(t *testing.T) []byte {
 	t.Helper()
-	client := func(c goldenCore) *Client {
-		return &Client{ID: 17, Zone: "a", Rate: 21.5, Classes: []string{"lookup", "order", "scan"}, Core: &c, Log: slog.New(slog.DiscardHandler), demandSince: time.Now()}
+	client := func(c goldenDispatcher) *Client {
+		return &Client{ID: 17, Zone: "a", Rate: 21.5, Classes: []string{"lookup", "order", "scan"}, Dispatcher: &c, Log: slog.New(slog.DiscardHandler), demandSince: time.Now()}
 	}
 	var b bytes.Buffer
 	for _, m := range []struct {
 		name string
 		act  func(w *messageWriter) error
 	}{
-		{"hello of a proxy without tables", func(w *messageWriter) error { return client(goldenCore{blank: true}).sendHello(w) }},
-		{"hello of a proxy with tables", func(w *messageWriter) error { return client(goldenCore{}).sendHello(w) }},
+		{"hello of a proxy without tables", func(w *messageWriter) error { return client(goldenDispatcher{blank: true}).sendHello(w) }},
+		{"hello of a proxy with tables", func(w *messageWriter) error { return client(goldenDispatcher{}).sendHello(w) }},
 		{"ack", func(w *messageWriter) error {
-			return client(goldenCore{}).apply(w, updateMessage{wantsAck: true, nonce: 1<<64 - 1})
+			return client(goldenDispatcher{}).apply(w, updateMessage{wantsAck: true, nonce: 1<<64 - 1})
 		}},
-		{"update without ack", func(w *messageWriter) error { return client(goldenCore{}).apply(w, updateMessage{}) }},
+		{"update without ack", func(w *messageWriter) error { return client(goldenDispatcher{}).apply(w, updateMessage{}) }},
 		{"demand", func(w *messageWriter) error {
-			c := client(goldenCore{})
+			c := client(goldenDispatcher{})
 			time.Sleep(1000500 * time.Microsecond)
 			return c.sendDemand(w)
 		}},
 		{"outcomes of a sidecar", func(w *messageWriter) error {
-			return (&collectorConn{writer: w}).sendSum("s-5", &dispatch.Outcomes{Attempts: 212, Failures: 3, ResponseTime: time.Duration(209 * 41700 * time.Microsecond)})
+			return (&collectorConn{writer: w}).sendOutcomes("s-5", &dispatch.Outcomes{Attempts: 212, Failures: 3, ResponseTime: time.Duration(209 * 41700 * time.Microsecond)})
 		}},
 		{"outcomes of a sidecar, all failed", func(w *messageWriter) error {
-			return (&collectorConn{writer: w}).sendSum("s-5", &dispatch.Outcomes{Attempts: 3, Failures: 3})
+			return (&collectorConn{writer: w}).sendOutcomes("s-5", &dispatch.Outcomes{Attempts: 3, Failures: 3})
 		}},
 		{"probe of a collector", func(w *messageWriter) error { return (&collectorConn{writer: w}).probe(1) }},
 		{"outcomes of a collector", func(w *messageWriter) error {
@@ -113,8 +116,8 @@
 	return text
 }
 
-// updates returns what is read from the parts of updates.
-func updates() []byte {
+// parsedUpdates returns what is read from the parts of updates.
+func parsedUpdates() []byte {
 	var b bytes.Buffer
 	for _, parts := range [][]string{
 		{"push full 1 endpoints s-1:1.5,s-2:0.0000001,s-3:0 continued 1", "push eject s-2 continued 1", "push restore s-1,s-3 continued 1",
@@ -164,7 +167,7 @@
 	return b.Bytes()
 }
 
-func TestMessagesToGovernorsAndCollectorsAreThoseOfTheGoldenFile(t *testing.T) {
+func TestSentMessagesMatchTheGoldenFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		output := sent(t)
 		golden.Compare(t, sentFile, output)
@@ -172,17 +175,17 @@
 	})
 }
 
-func TestMessagesFromGovernorsAndSidecarsAreReadAsInTheGoldenFile(t *testing.T) {
-	output := append(updates(), outcomeReports()...)
+func TestReceivedMessagesMatchTheGoldenFile(t *testing.T) {
+	output := append(parsedUpdates(), outcomeReports()...)
 	golden.Compare(t, receivedFile, output)
 	golden.CheckDetectsChange(t, receivedFile, output)
 }
 
 // The messages of whole connections, beside those above: how a collector joins, and what a sidecar asks and a collector answers.
 func TestCollectorJoinsAndAnswersInBytes(t *testing.T) {
-	governor, inlet := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
+	controller, inlet := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
-	c := &Collector{Zone: "a", Controllers: []string{governor.At()}, Interval: time.Hour, MaxSidecars: 1, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Controllers: []string{controller.At()}, Interval: time.Hour, MaxSidecars: 1, Log: slog.New(slog.DiscardHandler)}
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Serve(ctx, inlet) }()
 	t.Cleanup(func() { stop(); <-ended })
@@ -190,7 +193,7 @@
 		name, sends, want string
 		conn              *scriptedpeer.Conn
 	}{
-		{"joining", "", "*3\r\n$5\r\nagent\r\n$4\r\nsite\r\n$1\r\na\r\n", governor.Take()},
+		{"joining", "", "*3\r\n$5\r\nagent\r\n$4\r\nsite\r\n$1\r\na\r\n", controller.Take()},
 		{"answer to a probe", "*1\r\n$5\r\nprobe\r\n", "*1\r\n$5\r\nalive\r\n", scriptedpeer.Dial(t, inlet.At())},
 	} {
 		t.Run(m.name, func(t *testing.T) {
--- a/internal/controlclient/outcomes.go
+++ b/internal/controlclient/outcome_report.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// maxReplicas bounds the replicas of which outcomes are held for one governor; more are made up.
+	// maxReplicas bounds the replicas whose outcomes are held for one controller. No installation has as many.
 	maxReplicas = 1 << 14
-	// maxReportAge is for how long outcomes are held for a governor that is not there, or two reports if that is longer: older
-	// ones tell nothing of now.
+	// maxReportAge is for how long outcomes are held for a controller that is not connected, or two reports if that is
+	// longer: older ones say nothing about now.
 	maxReportAge = 10 * time.Second
-	// The most that a report can name in truth: the length of a replica's id, attempts, and a response time in milliseconds.
+	// Bounds of what a report can say: the length of a replica's id, attempts, and a response time in milliseconds.
 	maxIDLength       = 128
 	maxAttempts       = 1 << 24
 	maxResponseMillis = 1e7
@@ -32,24 +32,24 @@
 
 // parseOutcomeReport reads a report of a sidecar.
 func parseOutcomeReport(words []string) (outcomeReport, error) {
-	if len(words) != 9 || words[0] != "met" || words[1] != "target" || words[3] != "count" || words[5] != "fail" || words[7] != "mean" {
+	if len(words) != 9 || words[0] != wordSidecarOutcomes || words[1] != keyReplica || words[3] != keyCount || words[5] != keyFailures || words[7] != keyMeanMillis {
 		return outcomeReport{}, fmt.Errorf("%d words, want met target T count N fail N mean MS", len(words))
 	}
-	attempts, err1 := strconv.Atoi(words[4])
-	failures, err2 := strconv.Atoi(words[6])
-	mean, err3 := strconv.ParseFloat(words[8], 64)
-	if err := errors.Join(err1, err2, err3); err != nil {
+	attempts, attemptsErr := strconv.Atoi(words[4])
+	failures, failuresErr := strconv.Atoi(words[6])
+	mean, meanErr := strconv.ParseFloat(words[8], 64)
+	if err := errors.Join(attemptsErr, failuresErr, meanErr); err != nil {
 		return outcomeReport{}, err
 	}
 	report := outcomeReport{replica: words[2], attempts: attempts, failures: failures, meanMillis: mean}
-	if !report.possible() {
-		return outcomeReport{}, fmt.Errorf("figures that cannot be: %q", words)
+	if !report.valid() {
+		return outcomeReport{}, fmt.Errorf("impossible values: %q", words)
 	}
 	return report, nil
 }
 
-// possible says whether the figures of a report can be true.
-func (r outcomeReport) possible() bool {
+// valid reports whether the values of a report are possible.
+func (r outcomeReport) valid() bool {
 	return r.replica != "" && len(r.replica) <= maxIDLength &&
 		r.attempts >= 0 && r.attempts <= maxAttempts &&
 		r.failures >= 0 && r.failures <= r.attempts &&
@@ -65,14 +65,14 @@
 	}
 }
 
-// pendingOutcomes holds the outcomes that one governor has not been told of yet. It is safe for concurrent use.
+// pendingOutcomes holds the outcomes that were not reported to one controller yet. It is safe for concurrent use.
 type pendingOutcomes struct {
 	mu       sync.Mutex
 	interval time.Duration
 	outcomes *loadreport.Aggregator
 }
 
-// newPendingOutcomes makes one that is told each interval, in so many bytes a second; 0: without a limit.
+// newPendingOutcomes returns one that is reported each interval, within a number of bytes a second; 0: no limit.
 func newPendingOutcomes(interval time.Duration, bytesPerSecond int) *pendingOutcomes {
 	limits := loadreport.Limits{
 		BytesPerSecond: bytesPerSecond,
@@ -92,7 +92,7 @@
 	p.outcomes.Add(report.replica, report.sum(), from, now)
 }
 
-// connected notes a new connection to the governor, which may have been started anew.
+// connected records a new connection to the controller, which may have been restarted.
 func (p *pendingOutcomes) connected() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +113,7 @@
 	return p.outcomes.Next(monotonicNow())
 }
 
-// spent notes the bytes of a report that was sent.
+// spent records the bytes of a report that was sent.
 func (p *pendingOutcomes) spent(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlclient/crossings_test.go
+++ b/internal/controlclient/races_test.go
@@ -15,9 +15,9 @@
 	"lilacbend/internal/dispatch"
 )
 
-// steered runs a client towards listeners until the test ends.
-func steered(t *testing.T, c Core, to ...*scriptedpeer.Listener) *Client {
-	cl := &Client{Zone: "a", Classes: []string{"x"}, Core: c, Log: slog.New(slog.DiscardHandler)}
+// startClient runs a client of listeners until the test ends.
+func startClient(t *testing.T, c Dispatcher, to ...*scriptedpeer.Listener) *Client {
+	cl := &Client{Zone: "a", Classes: []string{"x"}, Dispatcher: c, Log: slog.New(slog.DiscardHandler)}
 	for _, l := range to {
 		cl.Controllers = append(cl.Controllers, l.At())
 	}
@@ -28,10 +28,10 @@
 	return cl
 }
 
-// A governor is lost between two parts of a message, in the middle of a part, or as a mark is being answered. Whoever
-// comes next, another or the same one again, begins a message of its own: no half is taken for a whole, none is put
-// together of two streams, and no mark of the earlier stream is answered on the new one.
-func TestAGovernorIsLostInTheMiddleOfAMessage(t *testing.T) {
+// A controller is lost between two parts of an update, in the middle of a part, or as an ack is being sent. The next one,
+// another or the same again, begins an update of its own: no half is taken for a complete one, none is put together from
+// two streams, and no nonce of the earlier stream is acknowledged on the new one.
+func TestControllerIsLostDuringAnUpdate(t *testing.T) {
 	whole := scriptedpeer.Message("push full 1 endpoints a:1,b:1 nonce_out 5")
 	for name, c := range map[string]struct {
 		first   string
@@ -40,23 +40,23 @@
 		"between two parts":         {scriptedpeer.Message("push full 1 endpoints a:1 continued 1"), 0},
 		"in the middle of a part":   {whole[:len(whole)-4], 0},
 		"with a part and a half":    {scriptedpeer.Message("push full 1 endpoints a:1 continued 1") + whole[:20], 0},
-		"as its mark is answered":   {whole, 1},
+		"as its ack is sent":        {whole, 1},
 		"behind a message, in half": {whole + whole[:30], 1},
 	} {
 		for _, same := range []bool{true, false} {
 			t.Run(fmt.Sprint(name, ", same ", same), func(t *testing.T) {
 				t.Parallel()
-				core := &core{}
+				dispatcher := &dispatcher{}
 				one := scriptedpeer.Listen(t)
 				next := one
 				if !same {
 					next = scriptedpeer.Listen(t)
 				}
-				steered(t, core, one, next)
+				startClient(t, dispatcher, one, next)
 				stream := one.Take()
 				stream.Hears("hello id 0 site a rps 0.000 new 1")
 				stream.Raw(c.first)
-				scriptedpeer.Until(t, "not applied", func() bool { return core.pushes() == c.applied })
+				scriptedpeer.Until(t, "not applied", func() bool { return dispatcher.updates() == c.applied })
 				stream.Reset() // with an answer under way, or unread
 				stream = next.Take()
 				stream.Hears(fmt.Sprint("hello id 0 site a rps 0.000 new ", 1-c.applied))
@@ -68,28 +68,28 @@
 					}
 					if strings.HasPrefix(text, "ack ") {
 						if !strings.HasPrefix(text, "ack id 0 seq 6 ") {
-							t.Errorf("%q on a stream that told mark 6", text)
+							t.Errorf("%q on a stream with the nonce 6", text)
 						}
 						break
 					}
 				}
-				core.mu.Lock()
-				defer core.mu.Unlock()
-				if last := core.applied[len(core.applied)-1]; len(core.applied) != c.applied+1 || len(last) != 1 || len(last[0].Weights) != 0 || len(last[0].Eject) != 1 {
-					t.Errorf("%+v", core.applied)
+				dispatcher.mu.Lock()
+				defer dispatcher.mu.Unlock()
+				if last := dispatcher.applied[len(dispatcher.applied)-1]; len(dispatcher.applied) != c.applied+1 || len(last) != 1 || len(last[0].Weights) != 0 || len(last[0].Eject) != 1 {
+					t.Errorf("%+v", dispatcher.applied)
 				}
 			})
 		}
 	}
 }
 
-// Flows come while governors end one stream after the other. What the next one that stays is told counts over all of the
-// time in which it came, not over the second since that stream began.
-func TestWhatCameBetweenStreamsIsToldOverItsTime(t *testing.T) {
+// Requests come while controllers end one stream after the other. The demand that the next one gets is that of all of the
+// time since the last report, not of the second since that stream began.
+func TestDemandBetweenStreamsIsReportedOverItsPeriod(t *testing.T) {
 	g := scriptedpeer.Listen(t)
-	core := &core{usage: []dispatch.Demand{{Requests: 7}}}
+	dispatcher := &dispatcher{usage: []dispatch.Demand{{Requests: 7}}}
 	began := time.Now()
-	steered(t, core, g)
+	startClient(t, dispatcher, g)
 	for range 4 {
 		stream := g.Take()
 		stream.Hears("hello")
@@ -101,16 +101,16 @@
 	text := stream.Hears("demand id 0 lane x count 7 fail 0 over ")
 	over, err := strconv.ParseFloat(text[strings.LastIndex(text, " ")+1:], 64)
 	if least := millis(gap + reportInterval - 100*time.Millisecond); err != nil || over < least {
-		t.Errorf("%q, though the first flow came %v before the hello", text, gap)
+		t.Errorf("%q, though the first request came %v before the hello", text, gap)
 	}
 }
 
-// collects runs a collector until the test ends or stops it, which takes no longer than a governor may take to end.
+// collects runs a collector until the test ends or stops it, which must not take long.
 func collects(t *testing.T, every time.Duration, to ...*scriptedpeer.Listener) (c *Collector, at string, stop func()) {
 	return collectsWithin(t, every, 0, to...)
 }
 
-// collectsWithin runs a collector that keeps to a budget of bytes a second for each governor; 0: no limit.
+// collectsWithin runs a collector that keeps to a budget of bytes a second for each controller; 0: no limit.
 func collectsWithin(t *testing.T, every time.Duration, budget int, to ...*scriptedpeer.Listener) (c *Collector, at string, stop func()) {
 	l := scriptedpeer.Listen(t)
 	c = &Collector{Zone: "a", Interval: every, Budget: budget, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
@@ -132,24 +132,24 @@
 	return c, l.At(), stop
 }
 
-// A governor ends a collector's connection between two reports: the next sums go over the next connection, and once.
-func TestAGovernorEndsAConnectionBetweenTwoReports(t *testing.T) {
+// A controller ends a collector's connection between two reports: the next outcomes go over the next connection, and once.
+func TestControllerEndsAConnectionBetweenReports(t *testing.T) {
 	there := scriptedpeer.Listen(t)
 	_, at, _ := collects(t, 50*time.Millisecond, there)
-	governor := there.Take()
-	governor.Hears("agent site a")
+	controller := there.Take()
+	controller.Hears("agent site a")
 	sidecar := scriptedpeer.Dial(t, at)
 	sidecar.Say("met target b count 3 fail 1 mean 10")
-	governor.Hears("outcomes site a target b count 3 fail 1 mean 10.000 over ")
-	governor.Reset() // between two reports
+	controller.Hears("outcomes site a target b count 3 fail 1 mean 10.000 over ")
+	controller.Reset() // between two reports
 	next := there.Take()
 	next.Hears("agent site a") // it has been noticed
 	sidecar.Say("met target b count 5 fail 0 mean 20")
 	next.Hears("outcomes site a target b count 5 fail 0 mean 20.000 over ")
 }
 
-// Two governors, one of which is not there when sidecars tell: it hears the sums once it is, over the time in which they came.
-func TestSumsWaitForAGovernorThatIsAway(t *testing.T) {
+// Two controllers, one of which is not there when sidecars report: it gets the outcomes once it is, over their period.
+func TestOutcomesWaitForAnAbsentController(t *testing.T) {
 	there, away := scriptedpeer.Listen(t), scriptedpeer.Free(t)
 	l := scriptedpeer.Listen(t)
 	c := &Collector{Zone: "a", Controllers: []string{there.At(), away}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
@@ -158,23 +158,23 @@
 	go func() { c.Serve(ctx, l.Listener); close(ended) }()
 	defer func() { stop(); <-ended }()
 	sidecar := scriptedpeer.Dial(t, l.At())
-	governor := there.Take()
+	controller := there.Take()
 	for _, count := range []int{3, 4} {
 		sidecar.Say(fmt.Sprint("met target b count ", count, " fail 1 mean 10"))
-		governor.Hears(fmt.Sprint("outcomes site a target b count ", count, " fail 1 mean 10.000 over "))
+		controller.Hears(fmt.Sprint("outcomes site a target b count ", count, " fail 1 mean 10.000 over "))
 	}
 	back := scriptedpeer.ListenOn(t, away).Take()
 	back.Hears("outcomes site a target b count 7 fail 2 mean 10.000 over ")
 }
 
-// Sums are kept for a governor that is away for so long and no longer, and never told as if they were of now.
-func TestOldSumsFade(t *testing.T) {
+// Outcomes are held for an absent controller up to their longest age, and never reported as if they were of now.
+func TestOldOutcomesExpire(t *testing.T) {
 	second := int64(time.Second)
 	l, now := newPendingOutcomes(time.Second, 0), monotonicNow()
 	l.outcomes.Add("b", outcomeReport{"b", 3, 0, 1}.sum(), now-12*second, now-11*second)
 	l.begin()
 	if report, ok := l.next(); ok {
-		t.Errorf("%+v is told", report)
+		t.Errorf("%+v is reported", report)
 	}
 	l.outcomes.Add("b", outcomeReport{"b", 3, 0, 1}.sum(), now-2*second, now-second)
 	l.add(outcomeReport{"b", 4, 0, 1})
@@ -185,13 +185,13 @@
 	}
 }
 
-// A governor reads nothing, so a report is written in half when the collector is told to end: it ends at once.
-func TestACollectorEndsWithAReportHalfWritten(t *testing.T) {
+// A controller reads nothing, so a report is written in half when the collector is to end: it ends at once.
+func TestCollectorEndsDuringAWrite(t *testing.T) {
 	g := scriptedpeer.Listen(t)
 	c, _, stop := collects(t, 50*time.Millisecond, g)
-	governor := g.Take()
-	governor.Narrow()
-	governor.Hears("agent site a")
+	controller := g.Take()
+	controller.Narrow()
+	controller.Hears("agent site a")
 	long := strings.Repeat("x", 100)
 	feed, fed := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -206,7 +206,7 @@
 		}
 	}()
 	told, since := int64(0), time.Now()
-	scriptedpeer.Until(t, "it is never held up", func() bool {
+	scriptedpeer.Until(t, "writes never wait", func() bool {
 		if now := c.Reported.Load(); now != told || now == 0 {
 			told, since = now, time.Now()
 		}
@@ -217,11 +217,11 @@
 	stop()
 }
 
-// A collector is started again between two reports of a sidecar: each sum that is told arrives or is counted as lost.
-func TestACollectorIsStartedAgainBetweenTwoReports(t *testing.T) {
+// A collector is restarted between two reports of a sidecar: each sum that is reported arrives or is counted as lost.
+func TestCollectorRestartsBetweenReports(t *testing.T) {
 	l := scriptedpeer.Listen(t)
 	due, taken := make(chan int), atomic.Int64{}
-	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Outcomes {
+	reporter := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes {
 		n, ok := <-due
 		if !ok {
 			return nil
@@ -231,7 +231,7 @@
 	}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { teller.Run(ctx); close(ended) }()
+	go func() { reporter.Run(ctx); close(ended) }()
 	for n := 1; n <= 5; n++ {
 		due <- n
 		collector := l.Take()
@@ -243,26 +243,26 @@
 	close(due)
 	stop()
 	<-ended
-	if teller.Lost.Load() != 0 {
-		t.Errorf("%d lost", teller.Lost.Load())
+	if reporter.Lost.Load() != 0 {
+		t.Errorf("%d lost", reporter.Lost.Load())
 	}
 }
 
-// A collector that reads nothing holds up no end of a sidecar.
-func TestATellerEndsThoughItsCollectorReadsNothing(t *testing.T) {
+// A collector that reads nothing does not delay the end of a sidecar.
+func TestReporterEndsThoughItsCollectorReadsNothing(t *testing.T) {
 	l := scriptedpeer.Listen(t)
 	sums := map[string]*dispatch.Outcomes{}
 	for k := range maxReplicas {
 		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Outcomes{Attempts: 1}
 	}
 	calls := atomic.Int64{}
-	teller := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, Sums: func() map[string]*dispatch.Outcomes { calls.Add(1); return sums }}
+	reporter := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes { calls.Add(1); return sums }}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { teller.Run(ctx); close(ended) }()
+	go func() { reporter.Run(ctx); close(ended) }()
 	l.Take().Narrow()
 	told, since := int64(0), time.Now()
-	scriptedpeer.Until(t, "it is never held up", func() bool {
+	scriptedpeer.Until(t, "writes never wait", func() bool {
 		if now := calls.Load(); now != told {
 			told, since = now, time.Now()
 		}
@@ -272,6 +272,6 @@
 	select {
 	case <-ended:
 	case <-time.After(time.Second):
-		t.Error("it goes on")
+		t.Error("it does not end")
 	}
 }
--- a/internal/controlclient/reporter.go
+++ b/internal/controlclient/reporter.go
@@ -4,7 +4,6 @@
 	"context"
 	"maps"
 	"slices"
-	"strconv"
 	"sync/atomic"
 	"time"
 
@@ -16,16 +15,17 @@
 // reporterPoolSize bounds the buffers for long messages of a reporter, in bytes.
 const reporterPoolSize = 1 << 20
 
-// Reporter reports the outcomes of a sidecar's attempts to a collector of its zone: to the first that works, so that governors
-// hear of a zone from as few collectors as can be.
+// Reporter reports the outcomes of a sidecar's attempts to a collector of its zone: to the first that works, so that controllers
+// get the reports of a zone from as few collectors as possible.
 type Reporter struct {
-	Collectors  []string // in the order in which they are preferred
-	Interval    time.Duration
-	Sums        func() map[string]*dispatch.Outcomes // since it was last called, by replica
-	Seed        uint64
-	Lost        atomic.Int64 // sums that no collector took
-	Unconfirmed atomic.Int64 // sums that were sent on a connection that has ended since, and may have been lost with it
-	Failovers   atomic.Int64 // collectors given up
+	Collectors []string // in the order in which they are preferred
+	Interval   time.Duration
+	// TakeOutcomes returns the outcomes by replica since the last call.
+	TakeOutcomes func() map[string]*dispatch.Outcomes
+	Seed         uint64
+	Lost         atomic.Int64 // outcomes of a replica in one interval that no collector took
+	Unconfirmed  atomic.Int64 // the same that were sent on a connection that has ended since, and may have been lost with it
+	Failovers    atomic.Int64 // collectors given up
 
 	pool     *resp.Pool
 	selector *failover.Selector
@@ -51,32 +51,32 @@
 	}
 }
 
-// report sends the sums of one interval. There is one round of tries to connect for each: the next sums are due soon.
+// report sends the outcomes of one interval. Collectors are dialed in one round for each: the next outcomes are due soon.
 func (r *Reporter) report(ctx context.Context) {
-	sums := r.Sums()
+	outcomes := r.TakeOutcomes()
 	r.dropUnusable()
 	r.considerCandidate(ctx)
 	if r.current == nil {
 		r.connect(ctx)
 	}
 	if r.current == nil {
-		r.Lost.Add(int64(len(sums)))
+		r.Lost.Add(int64(len(outcomes)))
 		return
 	}
-	for sent, replica := range slices.Sorted(maps.Keys(sums)) {
-		if r.current.sendSum(replica, sums[replica]) != nil {
-			r.Lost.Add(int64(len(sums) - sent))
+	for sent, replica := range slices.Sorted(maps.Keys(outcomes)) {
+		if r.current.sendOutcomes(replica, outcomes[replica]) != nil {
+			r.Lost.Add(int64(len(outcomes) - sent))
 			r.giveUp(time.Now())
 			return
 		}
 	}
-	if r.current.probe(len(sums)) != nil {
+	if r.current.probe(len(outcomes)) != nil {
 		r.giveUp(time.Now())
 	}
 }
 
 // dropUnusable closes the current connection if its collector has ended it, or has not answered in time. A collector that had
-// answered and ended the connection has been restarted in all likelihood, and is the first to be tried again.
+// answered and ended the connection has been restarted in all likelihood, and is the first to be dialed again.
 func (r *Reporter) dropUnusable() {
 	if r.current == nil {
 		return
@@ -116,8 +116,8 @@
 	}
 }
 
-// considerCandidate prepares the way back to a preferred collector, and takes it once that has answered: until then the reports
-// go on to the current one.
+// considerCandidate connects to a preferred collector, and uses it once it has answered: until then the reports go on to the
+// current one.
 func (r *Reporter) considerCandidate(ctx context.Context) {
 	now := time.Now()
 	switch {
@@ -128,7 +128,8 @@
 	case r.candidate.confirmed():
 		r.selector.Confirmed(r.candidate.address)
 		r.Unconfirmed.Add(int64(r.current.close()))
-		r.current, r.candidate = r.candidate, nil
+		r.current = r.candidate
+		r.candidate = nil
 	case r.candidate.silent(now) || r.candidate.ended():
 		r.selector.Failed(r.candidate.address, now.UnixNano())
 		r.dropCandidate()
@@ -169,12 +170,7 @@
 	}
 }
 
-// sendSum sends the sum of one replica.
-func (c *collectorConn) sendSum(replica string, sum *dispatch.Outcomes) error {
-	mean := 0.0
-	if succeeded := sum.Attempts - sum.Failures; succeeded > 0 {
-		mean = float64(sum.ResponseTime) / float64(succeeded) / float64(time.Millisecond)
-	}
-	return c.writer.send("met", "target", replica, "count", strconv.Itoa(sum.Attempts), "fail", strconv.Itoa(sum.Failures),
-		"mean", formatNumber(mean))
+// sendOutcomes sends the outcomes at one replica.
+func (c *collectorConn) sendOutcomes(replica string, outcomes *dispatch.Outcomes) error {
+	return c.writer.send(sidecarOutcomesMessage(replica, outcomes)...)
 }
--- a/internal/controlclient/collectors_test.go
+++ b/internal/controlclient/reporter_test.go
@@ -15,10 +15,10 @@
 	"lilacbend/internal/resp"
 )
 
-// reports runs a reporter, of one try at one replica for each interval, until the test ends or stops it.
+// reports runs a reporter, of one attempt at one replica in each interval, until the test ends or stops it.
 func reports(t *testing.T, interval time.Duration, collectors ...string) (r *Reporter, told *atomic.Int64, stop func()) {
 	told = &atomic.Int64{}
-	r = &Reporter{Collectors: collectors, Interval: interval, Sums: func() map[string]*dispatch.Outcomes {
+	r = &Reporter{Collectors: collectors, Interval: interval, TakeOutcomes: func() map[string]*dispatch.Outcomes {
 		told.Add(1)
 		return map[string]*dispatch.Outcomes{"b": {Attempts: 1}}
 	}}
@@ -30,7 +30,7 @@
 	return r, told, stop
 }
 
-// scripted serves a collector's connections: it counts tries, and answers probes while it is told to.
+// scripted serves a collector's connections: it counts attempts, and answers probes while the test says so.
 type scripted struct {
 	*scriptedpeer.Listener
 	tries   atomic.Int64
@@ -65,7 +65,7 @@
 	return s
 }
 
-// answer answers a probe once probes are answered, unless the connection ends before.
+// answer answers a probe once probes are to be answered, unless the connection ends before.
 func (s *scripted) answer(w *messageWriter, done <-chan struct{}) {
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
@@ -79,15 +79,15 @@
 	w.send("alive")
 }
 
-// A zone's collector ends, as its process does when its machine goes on: the next one has the reports with the next interval, and
-// a governor hears of the zone again within a few intervals. Without a second one it never would.
-func TestTheNextCollectorTakesOver(t *testing.T) {
+// A zone's collector ends: the next one gets the reports with the next interval, and a controller gets those of the zone again
+// within a few intervals. Without a second collector it never would.
+func TestNextCollectorTakesOver(t *testing.T) {
 	const interval = 50 * time.Millisecond
-	governor := scriptedpeer.Listen(t)
-	_, first, stop := collects(t, interval, governor)
-	one := governor.Take()
-	_, second, _ := collects(t, interval, governor)
-	two := governor.Take()
+	controller := scriptedpeer.Listen(t)
+	_, first, stop := collects(t, interval, controller)
+	one := controller.Take()
+	_, second, _ := collects(t, interval, controller)
+	two := controller.Take()
 	r, _, _ := reports(t, interval, first, second)
 	one.Hears("agent site a")
 	two.Hears("agent site a")
@@ -96,7 +96,7 @@
 	stop()
 	two.Hears("outcomes site a target b count ")
 	gap := time.Since(began)
-	t.Logf("%v after the end of the first a governor hears from the second, reports each %v", gap, interval)
+	t.Logf("%v after the end of the first a controller gets reports of the second, reports each %v", gap, interval)
 	if gap > 20*interval {
 		t.Errorf("%v without a report", gap)
 	}
@@ -105,9 +105,9 @@
 	}
 }
 
-// A collector's machine vanishes, or its process stops, without a word: the kernel takes all that is written. It is given up once an
-// answer has been missing for the timeout, and what it was sent meanwhile is counted.
-func TestASilentCollectorIsGivenUp(t *testing.T) {
+// A collector's machine vanishes, or its process stops, without closing connections: the kernel takes all that is written. It is
+// given up once an answer has been missing for the timeout, and what it was sent meanwhile is counted.
+func TestSilentCollectorIsGivenUp(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	first, second := script(t, scriptedpeer.Listen(t), true), script(t, scriptedpeer.Listen(t), true)
 	r, _, _ := reports(t, interval, first.At(), second.At())
@@ -124,9 +124,9 @@
 	}
 }
 
-// The preferred collector is back: once its absence is over and it has answered, it has the reports again, and until then
-// the other one has them all. One that takes connections and answers nothing does not get them.
-func TestReportsGoBackToThePreferredCollector(t *testing.T) {
+// The preferred collector is back: once its absence is over and it has answered, it gets the reports again, and until then
+// the other one gets them all. One that takes connections and answers nothing does not get them.
+func TestReportsReturnToThePreferredCollector(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	l := scriptedpeer.Listen(t)
 	address := l.At()
@@ -145,7 +145,7 @@
 	scriptedpeer.Until(t, "the first has no reports", func() bool { return first.tries.Load() > 3 })
 	scriptedpeer.Until(t, "the connection to the second stays", func() bool { return second.open.Load() == 0 })
 	stop()
-	scriptedpeer.Until(t, "a sum is nowhere", func() bool {
+	scriptedpeer.Until(t, "an outcome is nowhere", func() bool {
 		return first.tries.Load()+second.tries.Load()+r.Lost.Load() == told.Load()
 	})
 	if r.Lost.Load() > 1 {
@@ -155,7 +155,7 @@
 
 // A collector that takes no more connections closes them at once: its sidecars go to the next one, and do not dial it at each
 // interval.
-func TestACollectorThatIsFull(t *testing.T) {
+func TestFullCollectorIsLeft(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	full := scriptedpeer.Listen(t)
 	var dials atomic.Int64
@@ -168,8 +168,8 @@
 	}
 }
 
-// A collector of an earlier version answers no probe. Where it is the only one it is kept.
-func TestTheOnlyCollectorIsKeptThoughItAnswersNothing(t *testing.T) {
+// A collector of an earlier version answers no probe. Where it is the only one it is used on.
+func TestOnlyCollectorIsKeptWithoutAnswers(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	only := script(t, scriptedpeer.Listen(t), false)
 	r, told, stop := reports(t, interval, only.At())
@@ -178,11 +178,11 @@
 	if n := only.dials.Load(); n != 1 || r.Lost.Load() > 1 { // one as it is stopped
 		t.Errorf("%d connections, %d sums lost", n, r.Lost.Load())
 	}
-	scriptedpeer.Until(t, "a sum is nowhere", func() bool { return only.tries.Load()+r.Lost.Load() == told.Load() })
+	scriptedpeer.Until(t, "an outcome is nowhere", func() bool { return only.tries.Load()+r.Lost.Load() == told.Load() })
 }
 
-// All collectors of a zone are away: each interval tries each once, and the first that is back has the reports.
-func TestAllCollectorsAreAway(t *testing.T) {
+// All collectors of a zone are unreachable: each is dialed once in an interval, and the first that is back gets the reports.
+func TestAllCollectorsAreUnreachable(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	one, two := scriptedpeer.Free(t), scriptedpeer.Free(t)
 	r, _, _ := reports(t, interval, one, two)
@@ -196,7 +196,7 @@
 }
 
 // A collector answers a probe once it has read all before it, and nothing else.
-func TestACollectorAnswersProbes(t *testing.T) {
+func TestCollectorAnswersProbes(t *testing.T) {
 	c, at, _ := collects(t, time.Hour)
 	sidecar := scriptedpeer.Dial(t, at)
 	sidecar.Say("met target b count 1 fail 0 mean 1", "met target b", "probe")
--- a/internal/controlclient/update.go
+++ b/internal/controlclient/update.go
@@ -1,6 +1,6 @@
-// Package controlclient is the client side of the control protocol: a sidecar's stream to a governor, a collector that sums the
+// Package controlclient is the client side of the control protocol: a sidecar's stream to a controller, a collector that sums the
 // reports of a zone's sidecars, and a sidecar's reports to it. It reads and writes messages; what an update does is up to the
-// sidecar's core.
+// sidecar's dispatcher.
 package controlclient
 
 import (
@@ -13,13 +13,13 @@
 	"lilacbend/internal/dispatch"
 )
 
-// maxParts bounds the parts of one message.
+// maxParts bounds the parts of one update.
 const maxParts = 64
 
-// errMalformed: a part that cannot be read; the stream is of no further use.
-var errMalformed = errors.New("unreadable push")
+// errMalformed is the cause of a part that cannot be read. What follows it on the stream cannot be used.
+var errMalformed = errors.New("malformed update")
 
-// updateMessage is one message of a governor, put together from its parts.
+// updateMessage is one update of a controller, put together from its parts.
 type updateMessage struct {
 	parts      []dispatch.Update
 	wantsAck   bool
@@ -32,7 +32,7 @@
 	if len(m.parts) >= maxParts {
 		return fmt.Errorf("%w: more than %d parts", errMalformed, maxParts)
 	}
-	if len(words) == 0 || words[0] != "push" || len(words)%2 == 0 {
+	if len(words) == 0 || words[0] != wordUpdate || len(words)%2 == 0 {
 		return fmt.Errorf("%w: %.60q", errMalformed, strings.Join(words, " "))
 	}
 	m.unfinished = false
@@ -43,16 +43,16 @@
 			return fmt.Errorf("%w: %s=%.40q: %w", errMalformed, key, value, err)
 		}
 	}
-	admission, err := part.admission()
+	settings, err := part.settings()
 	if err != nil {
 		return err
 	}
-	part.Settings = admission
+	part.Settings = settings
 	m.parts = append(m.parts, part.Update)
 	return nil
 }
 
-// partFields are the fields of one part. The two of an admission rate may come in either order.
+// partFields are the fields of one part. Admission and retry policy may come in either order.
 type partFields struct {
 	dispatch.Update
 	admit  string
@@ -62,31 +62,31 @@
 // setField takes over one field of a part. Fields of later versions of the protocol are ignored.
 func (m *updateMessage) setField(part *partFields, key, value string) (err error) {
 	switch key {
-	case "routes":
+	case keyClasses:
 		part.Classes = strings.Split(value, "+")
-	case "full":
+	case keyFull:
 		part.Full, err = parseFlag(value)
-	case "endpoints":
+	case keyEndpoints:
 		part.Weights, err = parseEndpoints(value)
-	case "admit":
+	case keyAdmission:
 		part.admit = value
-	case "policy":
+	case keyRetryPolicy:
 		part.policy = value
-	case "eject":
+	case keyEject:
 		part.Eject = strings.Split(value, ",")
-	case "restore":
+	case keyUneject:
 		part.Uneject = strings.Split(value, ",")
-	case "nonce_out":
+	case keyUpdateNonce:
 		m.wantsAck = true
 		m.nonce, err = strconv.ParseUint(value, 10, 64)
-	case "continued":
+	case keyContinued:
 		m.unfinished, err = parseFlag(value)
 	}
 	return err
 }
 
-// admission reads the admission rate of a part and its retry policy, which come together; nil if neither is there.
-func (p partFields) admission() ([]dispatch.ClassSettings, error) {
+// settings reads the admission of a part and its retry policy, which come together; nil if neither is there.
+func (p partFields) settings() ([]dispatch.ClassSettings, error) {
 	if (p.admit == "") != (p.policy == "") {
 		return nil, fmt.Errorf("%w: admit and policy come together", errMalformed)
 	}
@@ -119,7 +119,7 @@
 		id, text, found := strings.Cut(pair, ":")
 		weight, err := strconv.ParseFloat(text, 64)
 		if !found || err != nil || id == "" {
-			return nil, fmt.Errorf("line %.40q", pair)
+			return nil, fmt.Errorf("endpoint %.40q", pair)
 		}
 		endpoints[id] = weight
 	}
--- a/internal/controlclient/writer.go
+++ b/internal/controlclient/writer.go
@@ -2,7 +2,6 @@
 
 import (
 	"net"
-	"strconv"
 	"sync"
 	"time"
 
@@ -10,12 +9,13 @@
 )
 
 const (
+	// writeTimeout bounds the writing of one message.
 	writeTimeout = 2 * time.Second
-	// closedCheckTime is more than a look at a connection takes; an end that is there is seen at once.
+	// closedCheckTime is more than a look at a connection takes; an end that has come is seen at once.
 	closedCheckTime = time.Millisecond
 )
 
-// messageWriter writes whole messages, also from several goroutines.
+// messageWriter writes complete messages. It is safe for concurrent use.
 type messageWriter struct {
 	mu   sync.Mutex
 	conn net.Conn
@@ -34,7 +34,3 @@
 	w.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return resp.Write(w.conn, w.pool, words...)
 }
-
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
-func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
--- a/internal/loadreport/aggregate.go
+++ b/internal/loadreport/aggregate.go
@@ -47,15 +47,6 @@
 // Began is when the last round began.
 func (a *Aggregator) Began() int64 { return a.began }
 
-// Expected is the share of failures that the receiver expects of a key by what it was told; 0: it was told nothing.
-func (a *Aggregator) Expected(key string) float64 {
-	e := a.entries[key]
-	if e == nil || e.known.attempts == 0 {
-		return 0
-	}
-	return e.known.failureShare()
-}
-
 // Add adds outcomes that came between from and now. Those of further keys than the limit allows are dropped.
 func (a *Aggregator) Add(key string, sum Sum, from, now int64) {
 	e := a.entries[key]
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -11,19 +11,19 @@
 // controlTarget is the dispatcher as controlclient sees it.
 type controlTarget struct{ proxy *proxy.Proxy }
 
-// Apply implements controlclient.Core.
+// Apply implements controlclient.Dispatcher.
 func (t controlTarget) Apply(parts []dispatch.Update) (err error) {
 	t.proxy.WithDispatcher(func(now int64, d *dispatch.Dispatcher) { err = d.Apply(now, parts...) })
 	return err
 }
 
-// HasTables implements controlclient.Core.
+// HasTables implements controlclient.Dispatcher.
 func (t controlTarget) HasTables() (has bool) {
 	t.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { has = d.HasTables() })
 	return has
 }
 
-// TakeDemand implements controlclient.Core.
+// TakeDemand implements controlclient.Dispatcher.
 func (t controlTarget) TakeDemand() (demand []dispatch.Demand) {
 	t.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { demand = d.TakeDemand() })
 	return demand
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -93,15 +93,15 @@
 		ID:          config.ProxyID,
 		Zone:        config.Zone,
 		Classes:     config.classNames(),
-		Core:        controlTarget{s.proxy},
+		Dispatcher:  controlTarget{s.proxy},
 		Seed:        config.Dispatch.Seed,
 		Log:         log,
 	}
 	s.reporter = &controlclient.Reporter{
-		Collectors: config.Collectors,
-		Interval:   config.ReportInterval,
-		Seed:       config.Dispatch.Seed,
-		Sums:       controlTarget{s.proxy}.TakeOutcomes,
+		Collectors:   config.Collectors,
+		Interval:     config.ReportInterval,
+		Seed:         config.Dispatch.Seed,
+		TakeOutcomes: controlTarget{s.proxy}.TakeOutcomes,
 	}
 	if len(config.Endpoints) > 0 {
 		s.updateEndpoints(true, config.Endpoints)
