--- a/internal/controlclient/reporter_test.go
+++ b/internal/controlclient/reporter_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// The preferred collector is back: once its absence is over and it has answered, it gets the reports again, and until then
+// The preferred collector is back: once its cool-down is over and it has answered, it gets the reports again, and until then
 // the other one gets them all. One that takes connections and answers nothing does not get them.
 func TestReportsReturnToThePreferredCollector(t *testing.T) {
 	const interval = 20 * time.Millisecond
@@ -190,7 +190,7 @@
 	back := script(t, scriptedpeer.ListenOn(t, two), true)
 	began := time.Now()
 	scriptedpeer.Until(t, "it is not found", func() bool { return back.tries.Load() > 0 })
-	if took := time.Since(began); took > failover.AbsenceInitial/2 {
+	if took := time.Since(began); took > failover.CooldownInitial/2 {
 		t.Errorf("found after %v", took)
 	}
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -9,7 +9,7 @@
 
 const second = int64(1e9)
 
-func TestThePreferredPeerIsUsedUntilItFailsAndAgainAfterItsAbsence(t *testing.T) {
+func TestPreferredPeerIsUsedUntilItFailsAndAgainAfterItsCooldown(t *testing.T) {
 	s := New([]string{"a", "b", "c"}, 7)
 	expect := func(now int64, want string) {
 		t.Helper()
@@ -28,27 +28,27 @@
 	expect(second+2, "b")
 	s.Confirmed("b")
 	expect(2*second, "b")
-	expect(second+2+2*int64(AbsenceInitial), "a") // its second absence is over
+	expect(second+2+2*int64(CooldownInitial), "a") // its second cool-down is over
 	s.Confirmed("a")
 	s.Failed("a", 100*second)
-	expect(100*second+int64(AbsenceInitial), "a") // an answer has made its next absence short again
+	expect(100*second+int64(CooldownInitial), "a") // an answer has made its next cool-down short again
 }
 
-func TestNobodyToChooseFrom(t *testing.T) {
+func TestNoPeers(t *testing.T) {
 	if got := New(nil, 1).Next(0); got != "" {
 		t.Errorf("%q of none", got)
 	}
 }
 
-// Clients that lost the same peer in one moment come back to it spread over half of the absence.
-func TestClientsThatFailedOverTogetherComeBackApart(t *testing.T) {
+// Clients that lost the same peer in one moment return to it spread over half of the cool-down.
+func TestClientsReturnSpreadOverTime(t *testing.T) {
 	const clients, slices = 200, 10
 	var back [slices]int
 	for seed := range uint64(clients) {
 		s := New([]string{"a", "b"}, seed*1000)
 		s.Failed("a", 0)
 		for k := range back {
-			from := int64(AbsenceInitial) / 2
+			from := int64(CooldownInitial) / 2
 			if s.Next(from+int64(k+1)*from/slices) == "a" {
 				back[k]++
 				break
@@ -62,9 +62,9 @@
 	}
 }
 
-// Whatever fails and answers: a peer that works is chosen, and is chosen for good once nothing fails any more; no peer that
-// has failed is chosen before its absence is over while there is one that has not.
-func TestAPeerThatWorksIsFound(t *testing.T) {
+// Whatever fails and answers: a peer that works is selected, and stays so once nothing fails any more; no peer that
+// has failed is selected before its cool-down is over while there is one that has not.
+func TestWorkingPeerIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := []string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "peers")]
 		s := New(all, rapid.Uint64().Draw(t, "seed"))
@@ -72,7 +72,7 @@
 		try := func() string {
 			peer := s.Next(now)
 			for other, at := range failedAt {
-				if other == peer && now < at+int64(AbsenceInitial)/2 && len(failedAt) < len(all) {
+				if other == peer && now < at+int64(CooldownInitial)/2 && len(failedAt) < len(all) {
 					t.Fatalf("%s is chosen %d ms after it failed", peer, (now-at)/1e6)
 				}
 			}
@@ -103,7 +103,7 @@
 			}
 		}
 		for range 5 {
-			now += 2 * int64(AbsenceLimit)
+			now += 2 * int64(CooldownLimit)
 			if !slices.ContainsFunc(all, func(string) bool { return try() == works }) {
 				t.Fatalf("%s works and is lost again", works)
 			}
--- a/internal/loadreport/aggregate.go
+++ b/internal/loadreport/aggregator.go
@@ -1,6 +1,6 @@
 // Package loadreport sums outcomes by key, and chooses which sums are reported first where a budget of bytes does not allow all
-// of them. Nothing is lost by the choice: what is not reported yet is summed on. The package has no I/O, no clock and no
-// goroutine: times (nanoseconds of any one clock) and outcomes go in, reports come out.
+// of them. Nothing is lost by the choice: what is not reported yet is added to later outcomes. The package does no I/O, reads no
+// clock and starts no goroutine; times are nanoseconds of any one clock.
 package loadreport
 
 import (
@@ -9,45 +9,46 @@
 	"time"
 )
 
-// Limits are what an aggregator keeps to.
+// Limits bound an Aggregator.
 type Limits struct {
-	BytesPerSecond int           // that reports may take; 0: every sum is reported in every round
+	BytesPerSecond int           // of reports; 0: every sum is reported in every round
 	Interval       time.Duration // between two rounds; the budget of one more may be saved
-	MaxAge         time.Duration // of outcomes that are still reported
-	MaxKeys        int           // of which sums are held
+	MaxAge         time.Duration // of outcomes that are reported
+	MaxKeys        int           // for which sums are held
 }
 
 // Report is a sum that is to be reported now.
 type Report struct {
 	Key    string
 	Sum    Sum
-	Period time.Duration // in which the sum came
+	Period time.Duration // in which the outcomes came
 }
 
-// Aggregator holds what one receiver has not been told yet. It is not safe for concurrent use.
+// Aggregator holds the outcomes that were not reported to one receiver yet. It is not safe for concurrent use.
 //
-// A round begins with Begin. Next gives its reports one by one, and Spent notes what each has taken of the budget.
+// A round begins with Begin. Next returns its reports one by one, and Spent takes the size of each from the budget.
 type Aggregator struct {
 	limits  Limits
 	entries map[string]*entry
-	budget  float64 // bytes; below 0 by part of one message at the most
-	began   int64   // the last round
-
-	// What is left of the round.
-	news       []*entry
-	oldest     []*entry
-	newsIsNext bool
+	budget  float64 // bytes; negative by part of one message at the most
+	began   int64   // when the last round did
+
+	// The rest of the round: entries that differ from what the receiver knows, and all entries by the age of their last
+	// report. An entry may be in both.
+	changed       []*entry
+	oldest        []*entry
+	changedIsNext bool
 }
 
-// New makes an aggregator without outcomes.
+// New returns an Aggregator without outcomes.
 func New(limits Limits, now int64) *Aggregator {
 	return &Aggregator{limits: limits, entries: map[string]*entry{}, began: now}
 }
 
-// Began is when the last round began.
+// Began returns when the last round began.
 func (a *Aggregator) Began() int64 { return a.began }
 
-// Add adds outcomes that came between from and now. Those of further keys than the limit allows are dropped.
+// Add adds outcomes that came between from and now. Those of more keys than the limit allows are dropped.
 func (a *Aggregator) Add(key string, sum Sum, from, now int64) {
 	e := a.entries[key]
 	if e == nil {
@@ -61,10 +62,10 @@
 	e.add(sum, from)
 }
 
-// ReceiverRestarted notes that the receiver may know nothing of what it was told: all that is pending is news to it.
+// ReceiverRestarted records that the receiver may have lost what was reported to it: all that is pending is a change to it.
 func (a *Aggregator) ReceiverRestarted() {
 	for _, e := range a.entries {
-		e.known = knowledge{}
+		e.known = receiverState{}
 	}
 }
 
@@ -72,20 +73,20 @@
 func (a *Aggregator) Begin(now int64) {
 	a.refill(now)
 	a.began = now
-	a.news = a.news[:0]
+	a.changed = a.changed[:0]
 	a.oldest = a.oldest[:0]
 	for key, e := range a.entries {
 		e.expire(now, a.limits.MaxAge)
 		switch {
 		case e.pending():
 			a.enqueue(e)
-		case now-e.reportedAt > int64(a.limits.MaxAge): // what was reported tells nothing of now
+		case now-e.reportedAt > int64(a.limits.MaxAge): // what was reported says nothing about now
 			delete(a.entries, key)
 		}
 	}
-	slices.SortFunc(a.news, byDeviation)
+	slices.SortFunc(a.changed, byDeviation)
 	slices.SortFunc(a.oldest, byReportTime)
-	a.newsIsNext = true
+	a.changedIsNext = true
 }
 
 // refill lets the budget grow with time. What one interval allows may be saved for the next.
@@ -99,13 +100,13 @@
 func (a *Aggregator) enqueue(e *entry) {
 	e.deviation = e.known.deviation(e.sum())
 	if e.deviation > 0 {
-		a.news = append(a.news, e)
+		a.changed = append(a.changed, e)
 	}
 	a.oldest = append(a.oldest, e)
 }
 
-// Next gives the next report of the round; false: there is none, or the budget is spent. News and what was not reported for
-// longest come by turns: all can be news for as long as a failure lasts, and nothing is to wait for ever.
+// Next returns the next report of the round; false: there is none, or the budget is spent. Changed entries and the oldest ones come
+// by turns: during a failure all entries may have changed in every round, and yet none may wait forever.
 func (a *Aggregator) Next(now int64) (Report, bool) {
 	if a.limits.BytesPerSecond > 0 && a.budget <= 0 {
 		return Report{}, false
@@ -117,20 +118,20 @@
 	return e.report(now), true
 }
 
-// take takes an entry out of the queues by turns; nil: both are empty.
+// take takes an entry from the queues by turns; nil: both are empty.
 func (a *Aggregator) take() *entry {
-	first, second := &a.oldest, &a.news
-	if a.newsIsNext {
+	first, second := &a.oldest, &a.changed
+	if a.changedIsNext {
 		first, second = second, first
 	}
-	a.newsIsNext = !a.newsIsNext
+	a.changedIsNext = !a.changedIsNext
 	if e := takePending(first); e != nil {
 		return e
 	}
 	return takePending(second)
 }
 
-// takePending takes the first entry out of a queue that was not reported through the other one.
+// takePending takes the first entry from a queue that was not reported from the other one.
 func takePending(queue *[]*entry) *entry {
 	for len(*queue) > 0 {
 		e := (*queue)[0]
@@ -142,15 +143,15 @@
 	return nil
 }
 
-// Spent notes the bytes that a report has taken.
+// Spent takes the bytes of a report from the budget.
 func (a *Aggregator) Spent(bytes int) { a.budget -= float64(bytes) }
 
-// byDeviation orders by what is news to most attempts.
+// byDeviation orders by the number of attempts that went otherwise than the receiver expects, the largest first.
 func byDeviation(a, b *entry) int {
 	return cmp.Or(cmp.Compare(b.deviation, a.deviation), cmp.Compare(a.key, b.key))
 }
 
-// byReportTime orders by what was not reported for longest.
+// byReportTime orders by the last report, the oldest first.
 func byReportTime(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.reportedAt, b.reportedAt), cmp.Compare(a.key, b.key))
 }
--- a/internal/loadreport/aggregate_test.go
+++ b/internal/loadreport/aggregator_test.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Whatever comes, reports keep to the budget over any span, what was left of one interval and part of one message aside; and
-// every attempt is reported once, or has grown too old.
+// Whatever comes, reports keep to the budget over any period, the saved budget of one interval and part of one message aside; and
+// every attempt is reported once, or has expired.
 func TestReportsKeepToTheBudgetAndLoseNothing(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -104,9 +104,9 @@
 	}
 }
 
-// In a budget of two messages a second, a replica that begins to fail is reported in the round in which that is known, although
-// a hundred others have more to tell.
-func TestAFailureIsReportedFirst(t *testing.T) {
+// Within a budget of two messages a second, a replica that begins to fail is reported in the round in which that is known, although
+// a hundred others have more attempts.
+func TestFailureIsReportedFirst(t *testing.T) {
 	a := New(limitsOf(2*messageBytes), 0)
 	now := int64(0)
 	for range 60 {
@@ -127,8 +127,8 @@
 	}
 }
 
-// What a receiver was told before it was started anew is news to it, and what matters to most attempts comes first.
-func TestAReceiverThatWasStartedAnewKnowsNothing(t *testing.T) {
+// What was reported to a receiver before its restart is a change to it, and what concerns most attempts comes first.
+func TestRestartedReceiverKnowsNothing(t *testing.T) {
 	a := New(limitsOf(25*messageBytes), 0)
 	known := Sum{Attempts: 30, Failures: 30}
 	for tick := int64(1); tick <= 5; tick++ {
@@ -155,37 +155,37 @@
 	}
 }
 
-func TestARecoveryIsNews(t *testing.T) {
-	k := knowledge{}
-	k.learn(failing(20))
+func TestRecoveryIsAChange(t *testing.T) {
+	k := receiverState{}
+	k.add(failing(20))
 	if k.deviation(failing(10)) != 0 {
-		t.Error("more failures of a replica that is known to fail are news")
+		t.Error("more failures of a replica that is known to fail are a change")
 	}
 	if k.deviation(healthy(10)) == 0 {
-		t.Error("the first successes of a replica that is known to fail are no news")
+		t.Error("the first successes of a replica that is known to fail are no change")
 	}
 }
 
-func TestASlowAnswerIsNews(t *testing.T) {
-	k := knowledge{}
-	k.learn(healthy(20))
+func TestSlowAnswersAreAChange(t *testing.T) {
+	k := receiverState{}
+	k.add(healthy(20))
 	for _, c := range []struct {
-		factor float64
-		news   bool
+		factor  float64
+		changed bool
 	}{{0.4, true}, {0.6, false}, {1, false}, {1.9, false}, {2, true}, {10, true}} {
 		slow := healthy(5)
 		slow.ResponseMillis *= c.factor
-		if news := k.deviation(slow) > 0; news != c.news {
-			t.Errorf("answers that take %v times as long: news %v, want %v", c.factor, news, c.news)
+		if changed := k.deviation(slow) > 0; changed != c.changed {
+			t.Errorf("answers that take %v times as long: changed: %v, want %v", c.factor, changed, c.changed)
 		}
 	}
 }
 
-// One try in forty that fails, as on a healthy day, is hardly ever news.
-func TestNoiseIsNoNews(t *testing.T) {
+// One attempt in forty that fails, as on a healthy day, is hardly ever a change.
+func TestNoiseIsNoChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	a := New(limitsOf(0), 0)
-	news := 0
+	changed := 0
 	for tick := int64(1); tick <= 1000; tick++ {
 		sum := healthy(20)
 		for range 20 {
@@ -195,18 +195,18 @@
 		}
 		a.Add("a", sum, a.Began(), tick*second)
 		a.Begin(tick * second)
-		if len(a.news) > 0 {
-			news++
+		if len(a.changed) > 0 {
+			changed++
 		}
 		a.Next(tick * second)
 	}
-	if news > 100 {
-		t.Errorf("news in %d of 1,000 rounds, want 100 at the most", news)
+	if changed > 100 {
+		t.Errorf("changes in %d of 1,000 rounds, want 100 at the most", changed)
 	}
 }
 
-// Where everything fails for long, and all is news in every round, no replica waits much longer than the budget makes all wait.
-func TestNobodyWaitsForEver(t *testing.T) {
+// Where everything fails for long, and all entries change in every round, no replica waits much longer than the budget makes all wait.
+func TestNoKeyWaitsForever(t *testing.T) {
 	const replicas, perRound = 50, 4
 	random := rand.New(rand.NewPCG(3, 3))
 	a := New(limitsOf(perRound*messageBytes), 0)
@@ -232,7 +232,7 @@
 	}
 }
 
-// A governor that was away hears of now alone, with a period that fits what it is told.
+// A receiver that was absent gets recent outcomes alone, with the period in which they came.
 func TestOldOutcomesAreNotReported(t *testing.T) {
 	a := New(limitsOf(0), 0)
 	now := int64(0)
@@ -254,8 +254,8 @@
 	}
 }
 
-// The period of a report is the time in which its attempts came: not that of a round in which there were none.
-func TestThePeriodBeginsWithTheAttempts(t *testing.T) {
+// The period of a report is the time in which its attempts came, not that of a round without any.
+func TestPeriodBeginsWithTheAttempts(t *testing.T) {
 	a := New(limitsOf(0), 0)
 	a.Add("a", healthy(10), a.Began(), second)
 	round(a, second)
@@ -268,7 +268,7 @@
 	}
 }
 
-func TestMemoryFollowsWhatIsPresent(t *testing.T) {
+func TestMemoryIsFreedWithoutOutcomes(t *testing.T) {
 	limits := limitsOf(0)
 	limits.MaxKeys = 10
 	a := New(limits, 0)
--- a/internal/loadreport/entry.go
+++ b/internal/loadreport/entry.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// entry is what is held of one key. Outcomes come into the newer of two sums; the older one is dropped whole, so that what is
-// reported is of the last half of the longest age at least, and of all of it at the most.
+// entry holds the outcomes of one key. They are added to the newer of two sums. The older one is dropped as a whole, so a report
+// covers at least the last half of the longest age, and at most all of it.
 type entry struct {
 	key        string
 	newer      Sum
 	newerFrom  int64
 	older      Sum
 	olderFrom  int64
-	known      knowledge // of the receiver
-	reportedAt int64     // 0: never
-	deviation  float64   // in this round
+	known      receiverState
+	reportedAt int64   // 0: never
+	deviation  float64 // in this round
 }
 
-// pending says whether there is something to report.
+// pending reports whether there is something to report.
 func (e *entry) pending() bool { return !e.newer.empty() || !e.older.empty() }
 
-// sum is all that is pending.
+// sum returns all that is pending.
 func (e *entry) sum() Sum { return e.older.plus(e.newer) }
 
-// from is since when what is pending came.
+// from returns since when the pending outcomes came.
 func (e *entry) from() int64 {
 	if e.older.empty() {
 		return e.newerFrom
@@ -52,11 +52,11 @@
 	}
 }
 
-// report empties the sums and notes what the receiver knows then.
+// report empties the sums and records what the receiver knows then.
 func (e *entry) report(now int64) Report {
 	report := Report{Key: e.key, Sum: e.sum(), Period: time.Duration(now - e.from())}
 	e.older, e.newer = Sum{}, Sum{}
-	e.known.learn(report.Sum)
+	e.known.add(report.Sum)
 	e.reportedAt = now
 	return report
 }
