--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -70,7 +70,7 @@
 	Log         *slog.Logger
 
 	pool        *resp.Pool
-	demandSince time.Time // when the requests that came were last taken from the core
+	demandSince time.Time // when the requests that came were last taken from the dispatcher
 	connected   atomic.Bool
 	current     atomic.Pointer[string]
 }
--- a/policy/binding_test.go
+++ b/policy/binding_test.go
@@ -2,42 +2,48 @@
 
 import (
 	"testing"
+	"time"
 
 	"lilacbend/control"
+	"lilacbend/policy/pacing"
 )
 
 func TestNothingIsAwaitedOfAProxyThatDisconnected(t *testing.T) {
 	p := newPolicyAt(0)
-	p.binding.handle(messagesSent{mark: 70000, proxies: []int{1, 2}})
-	p.binding.handle(ackReceived{control.Ack{Proxy: 1, Nonce: 70000 & marksMask}})
+	p.binding.handle(messagesSent{nonce: 70000, proxies: []int{1, 2}})
+	p.binding.handle(ackReceived{control.Ack{Proxy: 1, Nonce: 70000 & pacing.NonceMask}})
 	wantEqual(t, "complete with one proxy missing", len(queued[acknowledged](p, updateComponent)), 0)
 	p.binding.handle(streamClosed{control.StreamClosed{Proxy: 2}})
 	wantEqual(t, "complete", queued[acknowledged](p, updateComponent)[0], acknowledged{nonce: 70000, complete: true})
 }
 
 // Many proxies that disconnect at once empty no channel: what was written to them, and all before it, counts until somebody
-// acknowledges what was written later, or its time and more is over.
+// acknowledges what was written later, or until it is overdue.
 func TestDisconnectingClearsNothingFromTheChannel(t *testing.T) {
 	p := newPolicyAt(0)
 	p.ChannelLimit = 49200
 	p.ChannelRate = 1200
-	pacer := pacing(p, 1)
-	pacer.under = []batch{{mark: 1, lines: 20000, due: 17 * second}, {mark: 2, lines: 20000, due: 34 * second}}
-	for nonce := uint64(1); nonce <= 2; nonce++ {
-		p.binding.handle(messagesSent{mark: nonce, proxies: []int{int(nonce)}})
+	addTable(p.pacing, 9996) // which costs a proxy 20,000 units: two for each endpoint and 8 for all else
+	for proxy := 1; proxy <= 2; proxy++ {
+		p.pacing.handle(streamOpened{control.StreamOpened{Proxy: proxy}})
+		p.pacing.handle(bindRequested{control.Bind{Proxy: proxy}})
+		p.pacing.handle(turnEnding{})
+		p.binding.handle(messagesSent{nonce: uint64(proxy), proxies: []int{proxy}})
 	}
+	waiting := func() float64 { return p.pacing.sender.Waiting(time.Duration(p.now)) }
+	wantEqual(t, "both messages wait", waiting(), 40000.0)
 	queueAfterAcks := func() float64 {
 		for _, ack := range queued[acknowledged](p, pacingComponent) {
-			pacer.handle(ack)
+			p.pacing.handle(ack)
 		}
-		return pacer.queue()
+		return waiting()
 	}
 	p.binding.handle(streamClosed{control.StreamClosed{Proxy: 1}})
 	p.binding.handle(streamOpened{control.StreamOpened{Proxy: 2}})
 	wantEqual(t, "after a stream closed and one opened anew", queueAfterAcks(), 40000.0)
 	p.now = 34 * second
-	wantEqual(t, "the second message waits behind the first", pacer.queue(), 20000.0)
-	p.binding.handle(messagesSent{mark: 3, proxies: []int{2}})
+	wantEqual(t, "the second message waits behind the first", waiting(), 20000.0)
+	p.binding.handle(messagesSent{nonce: 3, proxies: []int{2}})
 	p.binding.handle(ackReceived{control.Ack{Proxy: 2, Nonce: 3}})
 	wantEqual(t, "once a later nonce is acknowledged", queueAfterAcks(), 0.0)
 }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"lilacbend/control"
-	"lilacbend/policy/internal/renumber"
 	"lilacbend/policy/internal/zone"
 )
 
@@ -19,7 +18,7 @@
 	p.Settings = changed.Settings
 	p.placement.baselines.Renumber(changed.NewHardwareClasses, before.HardwareClasses, changed.HardwareClasses)
 	p.admission.renumberClasses(changed.NewClasses)
-	p.pacing.renumberGroups(changed.NewClasses)
+	p.pacing.sender.RenumberClasses(changed.NewClasses)
 	p.binding.renumberZones(changed.Proxies)
 	p.listReplicas(control.ReplicasListed{Entries: slices.DeleteFunc(changed.Replicas, p.isListedAs)})
 	p.deliverAll()
@@ -32,8 +31,9 @@
 		return
 	}
 	p.placement.placer.Reassign()
-	p.update.dropMoves()
-	p.binding.reassign(tables, tablesAtStart, p.pacing.dropBinds())
+	p.update.sequence.CancelRebinds()
+	p.pacing.sender.CancelBinds()
+	p.binding.reassign(tables, tablesAtStart, p.pacing.sender.Bindings())
 	p.deliverAll()
 }
 
@@ -67,26 +67,3 @@
 	}
 	return p.binding.bindings.KeepsZones(rows, changed.Proxies)
 }
-
-// dropMoves drops the proxies that an update was to bind to another table.
-func (s *updater) dropMoves() { clear(s.moves) }
-
-// dropBinds drops the binds that wait, and returns the table that each proxy is bound to, below 0 for none.
-func (p *pacer) dropBinds() map[int]int {
-	isBind := func(command control.Command) bool {
-		_, is := command.(control.Bind)
-		return is
-	}
-	p.urgent = slices.DeleteFunc(p.urgent, isBind)
-	p.step.orders = slices.DeleteFunc(p.step.orders, isBind)
-	return p.bound
-}
-
-// number returns the new number of an old one, below 0 where there is none.
-func number(newer []int, old int) int {
-	number, exists := renumber.Lookup(newer, old)
-	if !exists {
-		return -1
-	}
-	return number
-}
