--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -110,7 +110,7 @@
 	if end(); !other.has("state is neither read nor kept") || !other.has(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
 		t.Errorf("two on one folder: %s", other)
 	}
-	if stop(); !out.has("state read") || !out.has("replica box-2 probation after controller restart") {
+	if stop(); !out.has("state read") || !out.has("replica box-2 probation by learned state") {
 		t.Errorf("second: %s", out)
 	}
 }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -63,17 +63,25 @@
 		BaselineResponseTime: m.baselineResponseTime,
 	}
 	if a.retries.Evaluate(now, load.FailureRate) {
-		a.logf("retries stopped %v: failure rate %.2f", a.retries.Stopped(), load.FailureRate)
+		a.logf("retries %s: failure rate %.2f", verb(a.retries.Stopped(), "stopped", "resumed"), load.FailureRate)
 	}
 	if a.threshold.Evaluate(now, load, demand) {
-		a.logf("overload %v: failure rate %.2f, response time %.3fs, admission threshold %.2f of %d classes", a.threshold.Overloaded(),
-			load.TypicalFailureRate, load.ResponseTime, a.threshold.Admitted(), len(a.Classes))
+		a.logf("overload %s: typical failure rate %.2f, response time %.3fs, admission threshold %.2f of %d classes",
+			verb(a.threshold.Overloaded(), "began", "ended"), load.TypicalFailureRate, load.ResponseTime, a.threshold.Admitted(), len(a.Classes))
 	}
 	for _, class := range a.threshold.ClassFractions() {
 		a.send(class)
 	}
 }
 
+// verb returns the verb of a log line: one for what holds now, the other for what holds no more.
+func verb(holds bool, beginning, end string) string {
+	if holds {
+		return beginning
+	}
+	return end
+}
+
 // send asks for the command of a traffic class, if it differs from the last one, or from what proxies do without a command.
 func (a *admissionController) send(class admission.ClassFraction) {
 	command := control.SetAdmission{
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -47,10 +47,10 @@
 		lines = append(lines, line.Text)
 	}
 	want := []string{
-		"retries stopped true: failure rate 0.20",
-		"overload true: failure rate 0.20, response time 0.200s, admission threshold 1.44 of 2 classes",
-		"retries stopped false: failure rate 0.00",
-		"overload false: failure rate 0.00, response time 0.200s, admission threshold 1.60 of 2 classes",
+		"retries stopped: failure rate 0.20",
+		"overload began: typical failure rate 0.20, response time 0.200s, admission threshold 1.44 of 2 classes",
+		"retries resumed: failure rate 0.00",
+		"overload ended: typical failure rate 0.00, response time 0.200s, admission threshold 1.60 of 2 classes",
 	}
 	wantEqual(t, "log", strings.Join(lines, "\n"), strings.Join(want, "\n"))
 }
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -110,7 +110,7 @@
 	case probation:
 		return fmt.Sprintf("probation after ejection %d", c.ejections)
 	case restoredOnProbation:
-		return fmt.Sprintf("probation after controller restart: %.2f of its weight", c.weightFraction)
+		return fmt.Sprintf("probation by learned state: %.2f of its weight", c.weightFraction)
 	case healthy:
 		return fmt.Sprintf("healthy: %.0f of %.0f attempts failed", c.window.Failures, c.window.Attempts)
 	default:
