--- a/control/learned.go
+++ b/control/learned.go
@@ -9,7 +9,7 @@
 	SampleCount     float64 // attempts behind the speed
 	EjectedFor      int64   // how much longer it is ejected as unhealthy, in nanoseconds; 0: it is not ejected
 	Probation       bool    // its ejection has ended or is about to, and it has not been evaluated since
-	Ejections       int     // consecutive
+	Ejections       int     // of its process, healthy times between them or not; a restore lowers the count by its age
 	SinceLastSample int64   // nanoseconds
 }
 
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -17,8 +17,8 @@
 // A new process of a replica begins healthy, with a zero Detector. What an earlier controller knew of a process comes from
 // Detector.Restore.
 //
-// Package placement bounds how many replicas are excluded from the tables at a time: beyond that, an ejected replica stays in
-// its table.
+// Package placement bounds how many replicas of the fleet are excluded from the tables as ejected: beyond that, an ejected
+// replica stays in its table.
 package outlier
 
 import (
@@ -74,7 +74,7 @@
 	reports        []loadReport
 	ejectedUntil   time.Duration // 0: not ejected
 	probationSince time.Duration // reports up to then are not evaluated; 0: not on probation
-	ejections      int           // of this process
+	ejections      int           // of this process; see endProbation
 	penalty        float64       // above 0 only on the probation that Restore starts
 }
 
@@ -183,7 +183,9 @@
 	return Change{to: probation, ejections: d.ejections}
 }
 
-// endProbation keeps the count of ejections: a replica that fails again soon is ejected for longer.
+// endProbation keeps the count of ejections, so that a replica that fails again is ejected for longer. The count never falls while
+// the process of the replica lives: a new process begins at 0, as does a replica that is listed again after its eviction, and
+// Restore lowers the count by the age of what it restores.
 func (d *Detector) endProbation(window Window) Change {
 	d.probationSince = 0
 	d.penalty = 0
--- a/policy/pacing/order.go
+++ b/policy/pacing/order.go
@@ -13,8 +13,8 @@
 //  2. the commands of the update's step, in the step's order;
 //  3. all that is urgent, in its queue's order. It comes last as its budget is the largest: what precedes it leaves capacity for it.
 //
-// A command that is held back holds back no other, except where stepPass says so. All commands of a turn to one proxy go in one
-// message, and one nonce covers the turn.
+// A command that is held back holds back no other, except where stepPass or sendRestOfTables says so. All commands of a turn to
+// one proxy go in one message, and one nonce covers the turn.
 func (p *Pacer) Send(now time.Duration) Sent {
 	p.beginTurn(now)
 	p.sendRestOfTables()
--- a/policy/pacing/subset.go
+++ b/policy/pacing/subset.go
@@ -108,7 +108,10 @@
 	return budget{completionGraceFraction * p.graceFraction(), additionMessageFraction}
 }
 
-// sendRestOfTables renews subsets that have lost too much, and completes tables as far as the budget goes.
+// sendRestOfTables renews subsets that have lost too much, and completes tables as far as the budget goes. It ends at the first
+// proxy whose table it cannot complete: this holds back the later proxies' completions in this pass, though a smaller one might
+// fit, so that the proxy with the least left goes first. Any urgent command that waits, of this turn or before, stops all
+// completions. Proxies whose subset needs renewal come before all others, so no completion holds them back.
 func (p *Pacer) sendRestOfTables() {
 	for _, proxy := range p.proxies.holdingSubsets() {
 		bind := control.Bind{Proxy: proxy, Table: p.proxies.bindings[proxy]}
--- a/policy/placement/exclusion.go
+++ b/policy/placement/exclusion.go
@@ -1,8 +1,9 @@
 package placement
 
 const (
-	// maxEjectedFraction is the fraction of the warmed-up replicas that may be ejected at a time, so that tables keep some
-	// whatever outlier detection finds.
+	// maxEjectedFraction is the fraction of the fleet's warmed-up replicas that are excluded as ejected at most, so that the
+	// fleet keeps some whatever outlier detection finds. A table may lose all of its own: it gets spillover endpoints, or its
+	// proxies are bound to a sibling table (balance.go).
 	maxEjectedFraction = 0.75
 
 	// surgeFactor is how many times the usual requests of a zone are a surge.
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -4,8 +4,9 @@
 //
 //  1. Assignment: each replica belongs to one table of its zone for good, in a random order weighted by listed weight
 //     (assignment.go).
-//  2. Exclusion: replicas that are draining, gone, ejected or held back are excluded from all tables, but never so many that
-//     a table has nobody (exclusion.go).
+//  2. Exclusion: replicas that are draining, gone, ejected or held back are excluded from all tables. Of the warmed-up replicas
+//     of the fleet at most three quarters are excluded as ejected. This cap is over the fleet, not over a table: a table may
+//     lose all of its own replicas, and steps 4 and 5 help it then (exclusion.go).
 //  3. Need and capacity: the requests of the proxies of each table are compared with what its own replicas can serve
 //     (balance.go).
 //  4. Endpoints: a table gets its own replicas, and spillover endpoints of other tables where its own cannot serve its proxies:
--- a/policy/update/sequence.go
+++ b/policy/update/sequence.go
@@ -23,9 +23,12 @@
 //   - Rebind moves proxies once the tables that they move to are complete.
 //   - Remove comes last: while a proxy may still use the earlier weights or its earlier table, its endpoints stay.
 //
-// A step ends when everything that was sent in it is acknowledged or ackTimeout has passed. It ends even if more changes of its
-// kind have come meanwhile: weights change all the time, and removals would never be due otherwise. Additions are due in
-// every step, as no other change depends on their absence. Removals are due only while no addition and no rebinding is.
+// A step ends when it has nothing to send or has sent something, and everything that was sent is acknowledged. An ack that is
+// missing for ackTimeout is waited for no longer. A step whose commands are all unsent has no timeout: package pacing holds them
+// back until the budget has capacity, and the next step's commands would need the same budget. A step that has sent something
+// ends even if more changes of its kind are due: weights change all the time, and removals would never be due otherwise.
+// Additions are due in every step, as no other change depends on their absence. Removals are due only while no addition and no
+// rebinding is.
 type Step int
 
 // The steps, in their order. Remove is followed by Add.
@@ -160,7 +163,8 @@
 	return len(additions) == 0 && len(s.rebinds) == 0
 }
 
-// finished says whether the open step is over, given what is due in it.
+// finished says whether the open step is over, given what is due in it. Only acks time out (Expire): a step that the budget has
+// let send nothing yet stays open.
 func (s *Sequence) finished(due []control.Command) bool {
 	return len(s.acks) == 0 && (len(due) == 0 || s.stepSent)
 }
