--- a/control/commands.go
+++ b/control/commands.go
@@ -26,11 +26,11 @@
 	Proxy    int
 	Table    int
 	Replicas []uint32
-	// Unejected is how many of the first replicas have their ejection ended at the proxy, if it may hold that they are ejected.
+	// Unejected is how many of the first replicas are unejected at the proxy, if it may hold that they are ejected.
 	Unejected int
 }
 
-// SetEjected ejects a replica from all tables, or ends its ejection.
+// SetEjected ejects a replica from all tables, or unejects it.
 type SetEjected struct {
 	Replica uint32
 	Ejected bool
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -79,7 +79,7 @@
 		requests       map[int]float64 // of each proxy within admission.DemandWindow
 		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in that window
 	}
-	warmingReplicas struct { // placement to pacing: the replicas that warm up, and whether they are restored all at once
+	warmingReplicas struct { // placement to pacing: the replicas that warm up, and whether they are unejected all at once
 		replicas map[uint32]bool
 		together bool
 	}
--- a/policy/pacer_test.go
+++ b/policy/pacer_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Warming replicas that are to return together wait until the channel has capacity for all. Here it has for one.
+// Warming replicas that are to be unejected together wait until the channel has capacity for all. Here it has for one.
 func TestPacerReceivesWhichReplicasAreWarming(t *testing.T) {
 	for together, unejected := range map[bool]int{false: 1, true: 0} {
 		settings := testSettings()
--- a/policy/pacing/order_test.go
+++ b/policy/pacing/order_test.go
@@ -75,7 +75,7 @@
 		p.channel = channelAccount{}
 		assertEqual(t, "unejected once it is empty", unejected(p), warming)
 	})
-	t.Run("one by one where they need not return together", func(t *testing.T) {
+	t.Run("one by one where they need not be unejected together", func(t *testing.T) {
 		p := returning(450)
 		p.warming.Together = false
 		p.channel.add(full)
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -25,7 +25,7 @@
 	placer    *placement.Placer
 	baselines *weight.Baselines
 	placed    bool // nothing has changed since the last plan
-	together  bool // replicas that warm up are restored all at once
+	together  bool // replicas that warm up are unejected all at once
 }
 
 func newPlanner(shared *sharedState) *planner {
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// Replicas that warm up have to be restored together where much is lost and they can carry it: else they are not in, or the others
+// Replicas that warm up have to be unejected together where much is lost and they can carry it: else they are not in, or the others
 // carry their part.
-func TestWarmingReplicasAreRestoredTogetherWhereMuchIsLost(t *testing.T) {
+func TestWarmingReplicasAreUnejectedTogetherWhereMuchIsLost(t *testing.T) {
 	for lost, together := range map[float64]bool{0.2: false, 0.8: true} {
 		g := newPolicyAt(10 * second)
 		g.OverloadMultiple = 4
--- a/policy/slowstart/recovery.go
+++ b/policy/slowstart/recovery.go
@@ -24,7 +24,7 @@
 // Recovery is how replicas that warm up are treated.
 type Recovery struct {
 	LostFraction float64 // that they count
-	Together     bool    // they are restored all at once, as they get no less for many lost requests
+	Together     bool    // they are unejected all at once, as they get no less for many lost requests
 }
 
 // NewFleet returns the sum of no replicas.
