--- a/policy/messages.go
+++ b/policy/messages.go
@@ -32,7 +32,7 @@
 
 // Messages that ask for a command.
 type (
-	ejectionDue      struct{ replica uint32 }       // placement to pacing
+	replicaExcluded  struct{ replica uint32 }       // placement to pacing: newly, so it is to be ejected at the proxies
 	bindRequested    struct{ control.Bind }         // binding to pacing (first bind) or update (move)
 	admissionChanged struct{ control.SetAdmission } // admission to pacing
 )
@@ -59,7 +59,7 @@
 		capacityFraction float64 // that it surely has while it warms up
 		warmingUp        bool
 		heldBack         bool // gets no requests as it is warming up
-		ejected          bool
+		ejected          bool // by outlier detection
 		onProbation      bool // after an ejection by this controller
 	}
 	fleetLoad struct { // placement to admission
@@ -71,8 +71,8 @@
 		baselineResponseTime float64 // of the fastest hardware class without load, in seconds; infinite: not known
 	}
 	targetTables struct { // placement to update; a weight below 0: the endpoint stays as it is
-		weights map[tableEndpoint]float64
-		ejected map[uint32]bool
+		weights  map[tableEndpoint]float64
+		excluded map[uint32]bool // from all tables, for any reason
 	}
 	demandSummary struct { // admission to placement
 		failedFraction float64         // of all requests of the last seconds
@@ -111,7 +111,7 @@
 func (streamClosed) message()     {}
 func (demandReported) message()   {}
 func (ackReceived) message()      {}
-func (ejectionDue) message()      {}
+func (replicaExcluded) message()  {}
 func (bindRequested) message()    {}
 func (admissionChanged) message() {}
 func (tablesAssigned) message()   {}
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -17,7 +17,7 @@
 // A new process of a replica begins healthy, with a zero Detector. What an earlier controller knew of a process comes from
 // Detector.Restore.
 //
-// Package placement bounds how many replicas of the fleet are excluded from the tables as ejected: beyond that, an ejected
+// Package placement bounds how many replicas of the fleet are excluded from the tables as outliers: beyond that, an ejected
 // replica stays in its table.
 package outlier
 
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -18,7 +18,7 @@
 
 func (p *pacer) handle(m message) {
 	switch m := m.(type) {
-	case ejectionDue:
+	case replicaExcluded:
 		p.sender.Eject(m.replica)
 	case bindRequested:
 		p.sender.Bind(m.Bind)
--- a/policy/pacer_test.go
+++ b/policy/pacer_test.go
@@ -29,7 +29,7 @@
 	p.handle(streamOpened{control.StreamOpened{Proxy: 4, Rate: 1}})
 	p.handle(admissionChanged{control.SetAdmission{Class: 1, Fraction: 0.5}})
 	p.handle(bindRequested{control.Bind{Proxy: 4}})
-	p.handle(ejectionDue{2})
+	p.handle(replicaExcluded{2})
 	step := control.SetEndpoint{Replica: 1, Weight: 2}
 	p.handle(updateStep{0, []control.Command{step}})
 	p.handle(turnEnding{})
--- a/policy/pacing/partition.go
+++ b/policy/pacing/partition.go
@@ -15,10 +15,10 @@
 	subsetOf map[uint32]int // of each replica
 }
 
-// newPartition divides the replicas of a table, but those that are excluded, into as few subsets as have at most size replicas
+// newPartition divides the replicas of a table, but those that are ejected at the proxies, into as few subsets as have at most size replicas
 // each. The heaviest replica that is left always goes to the lightest subset that has capacity.
-func newPartition(weights map[uint32]float64, excluded map[uint32]bool, size int) *partition {
-	replicas := slices.DeleteFunc(ordered.Keys(weights), func(replica uint32) bool { return excluded[replica] })
+func newPartition(weights map[uint32]float64, ejected map[uint32]bool, size int) *partition {
+	replicas := slices.DeleteFunc(ordered.Keys(weights), func(replica uint32) bool { return ejected[replica] })
 	slices.SortStableFunc(replicas, func(a, b uint32) int { return cmp.Compare(weights[b], weights[a]) })
 	count := (len(replicas) + size - 1) / size
 	p := &partition{
--- a/policy/pacing/partition_test.go
+++ b/policy/pacing/partition_test.go
@@ -8,7 +8,7 @@
 
 func TestPartitionHoldsEachReplicaOnceAndWeighsAlike(t *testing.T) {
 	weights := map[uint32]float64{}
-	excluded := map[uint32]bool{7: true, 31: true}
+	ejected := map[uint32]bool{7: true, 31: true}
 	heaviest, total := 0.0, 0.0
 	for replica := range uint32(70) {
 		weights[replica] = 0.1 + float64(replica%9)/8
@@ -16,14 +16,14 @@
 		total += weights[replica]
 	}
 	for size := 1; size <= 80; size += 3 {
-		subsets := newPartition(weights, excluded, size).subsets
+		subsets := newPartition(weights, ejected, size).subsets
 		assertEqual(t, "as few as can be", len(subsets), (68+size-1)/size)
 		seen := map[uint32]bool{}
 		least, most := math.Inf(1), 0.0
 		for _, subset := range subsets {
 			for _, replica := range subset {
-				if seen[replica] || excluded[replica] {
-					t.Errorf("size %d: %d is in two subsets, or in one though it is excluded", size, replica)
+				if seen[replica] || ejected[replica] {
+					t.Errorf("size %d: %d is in two subsets, or in one though it is ejected", size, replica)
 				}
 				seen[replica] = true
 			}
--- a/policy/placement/exclusion.go
+++ b/policy/placement/exclusion.go
@@ -1,10 +1,10 @@
 package placement
 
 const (
-	// maxEjectedFraction is the fraction of the fleet's warmed-up replicas that are excluded as ejected at most, so that the
+	// maxOutlierFraction is the fraction of the fleet's warmed-up replicas that are excluded as outliers at most, so that the
 	// fleet keeps some whatever outlier detection finds. A table may lose all of its own: it gets spillover endpoints, or its
 	// proxies are bound to a sibling table (balance.go).
-	maxEjectedFraction = 0.75
+	maxOutlierFraction = 0.75
 
 	// surgeFactor is how many times the usual requests of a zone are a surge.
 	surgeFactor = 1.5
@@ -13,14 +13,14 @@
 // exclude finds the replicas that are excluded from all tables, and returns those that were not before:
 //
 //   - whoever is not ready
-//   - whoever is ejected, the first ones in order, up to maxEjectedFraction of the warmed-up replicas
+//   - whoever is ejected, the first ones in order, up to maxOutlierFraction of the warmed-up replicas
 //   - whoever warms up and is ejected or held back, or is in a zone whose requests surge: proxies soon avoid all replicas that
 //     are overloaded, and the one that has just come would get everything, whatever its weight. They stay where no replica
 //     is warmed up.
 func (p *Placer) exclude(in Input, replicas []*placed, zoneRows int) (newly []uint32) {
 	surges := surgingZones(in, zoneRows)
 	warmedUp := countWarmedUp(replicas)
-	ejectable := warmedUp * maxEjectedFraction
+	outliersLeft := warmedUp * maxOutlierFraction
 	excluded := map[uint32]bool{}
 	for _, r := range replicas {
 		switch {
@@ -28,9 +28,9 @@
 			r.excluded = true
 		case r.WarmingUp:
 			r.excluded = warmedUp > 0 && (r.Ejected || r.HeldBack || surges[r.table%zoneRows])
-		case r.Ejected && ejectable >= 1:
+		case r.Ejected && outliersLeft >= 1:
 			r.excluded = true
-			ejectable--
+			outliersLeft--
 		}
 		if !r.excluded {
 			continue
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -5,7 +5,7 @@
 //  1. Assignment: each replica belongs to one table of its zone for good, in a random order weighted by listed weight
 //     (assignment.go).
 //  2. Exclusion: replicas that are draining, gone, ejected or held back are excluded from all tables. Of the warmed-up replicas
-//     of the fleet at most three quarters are excluded as ejected. This cap is over the fleet, not over a table: a table may
+//     of the fleet at most three quarters are excluded as outliers. This cap is over the fleet, not over a table: a table may
 //     lose all of its own replicas, and steps 4 and 5 help it then (exclusion.go).
 //  3. Need and capacity: the requests of the proxies of each table are compared with what its own replicas can serve
 //     (balance.go).
@@ -38,7 +38,7 @@
 	Penalty       float64 // fraction of its weight that it lacks as it was ejected before a restart of the controller
 	WarmingUp     bool
 	HeldBack      bool // gets no requests as it is warming up
-	Ejected       bool // by outlier detection
+	Ejected       bool // by outlier detection, whether placement excludes it or not
 }
 
 // Proxy is a connected proxy that is bound.
@@ -76,10 +76,10 @@
 
 // Plan is the result of Place.
 type Plan struct {
-	Excluded      map[uint32]bool
-	NewlyExcluded []uint32     // those that were not in the plan before
-	ServingTable  []int        // for each table the one that its proxies are bound to: itself or a sibling
-	Endpoints     [][]Endpoint // of each table
+	Excluded      map[uint32]bool // from all tables, for any reason
+	NewlyExcluded []uint32        // those that were not in the plan before
+	ServingTable  []int           // for each table the one that its proxies are bound to: itself or a sibling
+	Endpoints     [][]Endpoint    // of each table
 }
 
 // Placer places replicas. Its zero value is not usable; see New.
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -165,7 +165,8 @@
 	}
 }
 
-// place works out the target tables. Ejections go first, as they must not wait for anything.
+// place works out the target tables. Each newly excluded replica is ejected at the proxies, for whatever reason it is excluded.
+// These ejections go first, as they must not wait for anything.
 func (p *planner) place() {
 	plan, ok := p.placer.Place(placement.Input{
 		Now:      time.Duration(p.now),
@@ -182,11 +183,11 @@
 		return
 	}
 	for _, id := range plan.NewlyExcluded {
-		p.enqueue(pacingComponent, ejectionDue{id})
+		p.enqueue(pacingComponent, replicaExcluded{id})
 	}
 	p.enqueue(pacingComponent, p.warming())
 	p.enqueue(bindingComponent, tablesAssigned{plan.ServingTable})
-	p.enqueue(updateComponent, targetTables{weights: endpointWeights(plan), ejected: plan.Excluded})
+	p.enqueue(updateComponent, targetTables{weights: endpointWeights(plan), excluded: plan.Excluded})
 }
 
 func (p *planner) placeable() []placement.Replica {
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -170,9 +170,9 @@
 	p.handle(placementDue{})
 	sent := g.queues[pacingComponent].waiting
 	wantEqual(t, "messages", len(sent), 2)
-	wantEqual(t, "first", sent[0], message(ejectionDue{2}))
+	wantEqual(t, "first", sent[0], message(replicaExcluded{2}))
 	targets := queued[targetTables](g, updateComponent)[0]
-	wantEqual(t, "ejected", targets.ejected[2] && !targets.ejected[1], true)
+	wantEqual(t, "excluded", targets.excluded[2] && !targets.excluded[1], true)
 	wantEqual(t, "weight", targets.weights[tableEndpoint{0, 1}], 1.0)
 	wantEqual(t, "tables", len(queued[tablesAssigned](g, bindingComponent)[0].tables), 1)
 }
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -38,11 +38,11 @@
 	u.enqueue(pacingComponent, updateStep{additions: pending.Additions, commands: pending.Commands})
 }
 
-// target returns the target tables in the terms of package update.
+// target returns the target tables in the terms of package update: proxies are to hold all excluded replicas as ejected.
 func (t targetTables) target() update.Target {
 	weights := make(map[update.Endpoint]float64, len(t.weights))
 	for endpoint, weight := range t.weights {
 		weights[update.Endpoint{Table: endpoint.table, Replica: endpoint.replica}] = weight
 	}
-	return update.Target{Weights: weights, Ejected: t.ejected}
+	return update.Target{Weights: weights, Ejected: t.excluded}
 }
