--- a/policy/messages.go
+++ b/policy/messages.go
@@ -70,9 +70,9 @@
 		inService            float64 // how many replicas are in service
 		baselineResponseTime float64 // of the fastest hardware class without load, in seconds; infinite: not known
 	}
-	targetTables struct { // placement to update; a weight below 0: the endpoint stays as it is
-		weights  map[tableEndpoint]float64
-		excluded map[uint32]bool // from all tables, for any reason
+	targetTables struct { // placement to update
+		weights  map[tableEndpoint]float64 // or placement.KeepWeight
+		excluded map[uint32]bool           // from all tables, for any reason
 	}
 	demandSummary struct { // admission to placement
 		failedFraction float64         // of all requests of the last seconds
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -68,6 +68,9 @@
 // KeepWeight is the weight of an endpoint that stays as it is, as its replica is excluded.
 const KeepWeight = -1
 
+// KeepsWeight reports whether a weight is KeepWeight.
+func KeepsWeight(weight float64) bool { return weight < 0 }
+
 // Endpoint is a replica in a table.
 type Endpoint struct {
 	Replica uint32
--- a/policy/update/changes.go
+++ b/policy/update/changes.go
@@ -8,6 +8,7 @@
 
 	"lilacbend/control"
 	"lilacbend/policy/internal/ordered"
+	"lilacbend/policy/placement"
 )
 
 // minWeightChange is the relative change below which a weight is not overwritten: each change costs a message to each proxy of
@@ -18,7 +19,7 @@
 type weightChange struct {
 	endpoint Endpoint
 	current  float64 // 0: the table lacks the endpoint
-	target   float64 // 0: the endpoint is to be removed
+	target   float64 // 0: the endpoint is to be removed; or placement.KeepWeight
 }
 
 // size is the change in relation to the larger of both weights: from 0 to 1.
@@ -96,7 +97,7 @@
 
 // needed says whether a change is to be sent. Additions are sent however small they are.
 func needed(change weightChange, step Step) bool {
-	if change.target < 0 || change.target == change.current {
+	if placement.KeepsWeight(change.target) || change.target == change.current {
 		return false
 	}
 	return step == Add || change.size() >= minWeightChange
--- a/policy/update/changes_test.go
+++ b/policy/update/changes_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/policy/placement"
 )
 
 func TestWeightChangeIsDueInOneStepOnly(t *testing.T) {
@@ -22,8 +23,8 @@
 		{name: "weight falls by enough", current: 1, target: 0.8, due: Overwrite},
 		{name: "weight changes by too little", current: 1, target: 0.9, due: stepCount},
 		{name: "weight stays", current: 1, target: 1, due: stepCount},
-		{name: "weight is left as it is", current: 1, target: -1, due: stepCount},
-		{name: "missing endpoint is left as it is", target: -1, due: stepCount},
+		{name: "weight is left as it is", current: 1, target: placement.KeepWeight, due: stepCount},
+		{name: "missing endpoint is left as it is", target: placement.KeepWeight, due: stepCount},
 		{name: "ejected replica stays ejected", current: 1, target: 0.5, ejected: replicas{1: true},
 			targetEjected: replicas{1: true}, due: Overwrite},
 		{name: "ejected replica is gone", current: 1, ejected: replicas{1: true}, targetEjected: replicas{1: true}, due: Remove},
--- a/policy/update/sequence.go
+++ b/policy/update/sequence.go
@@ -50,8 +50,8 @@
 
 // Target is the state that the proxies are to reach.
 type Target struct {
-	// Weights of the endpoints. An endpoint that is missing, or has weight 0, is to be removed; a weight below 0 leaves the
-	// endpoint as it is.
+	// Weights of the endpoints. An endpoint that is missing, or has weight 0, is to be removed; placement.KeepWeight leaves it
+	// as it is.
 	Weights map[Endpoint]float64
 	// Ejected at the proxies: all replicas that placement excludes. A replica that was in an earlier target's set and is not in this one is to be unejected.
 	Ejected map[uint32]bool
