--- a/policy/admission.go
+++ b/policy/admission.go
@@ -67,7 +67,7 @@
 	}
 	if a.threshold.Evaluate(now, load, demand) {
 		a.logf("overload %s: typical failure rate %.2f, response time %.3fs, admission threshold %.2f of %d classes",
-			verb(a.threshold.Overloaded(), "began", "ended"), load.TypicalFailureRate, load.ResponseTime, a.threshold.Admitted(), len(a.Classes))
+			verb(a.threshold.Overloaded(), "began", "ended"), load.TypicalFailureRate, load.ResponseTime, a.threshold.AdmittedClasses(), len(a.Classes))
 	}
 	for _, class := range a.threshold.ClassFractions() {
 		a.send(class)
--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -88,8 +88,8 @@
 
 	// classes are all traffic classes by priority, the highest first. It is nil before the first evaluation.
 	classes []int
-	// admitted is the threshold: how many of the classes are admitted, in this order.
-	admitted float64
+	// admittedClasses is the threshold: how many of the classes are admitted, in this order.
+	admittedClasses float64
 	// initialFraction is the fraction of the classes that is admitted at first.
 	initialFraction float64
 
@@ -119,7 +119,7 @@
 func (t *Threshold) Evaluate(now time.Duration, load Load, demand Summary) (changed bool) {
 	if t.classes == nil {
 		t.classes = byPriority(t.settings.Classes)
-		t.admitted = float64(len(t.classes)) * t.initialFraction
+		t.admittedClasses = float64(len(t.classes)) * t.initialFraction
 	}
 	pressure := t.pressure(load)
 	overloaded := t.isOverloaded(pressure, load)
@@ -160,14 +160,14 @@
 	switch {
 	case now-t.lastFall < LoadWindow:
 	case overloaded && now-t.lastNormal < demand.ReportDelay:
-	case overloaded && t.admitted < float64(len(t.classes)):
+	case overloaded && t.admittedClasses < float64(len(t.classes)):
 		if pressure > t.fallPressure {
-			t.admitted *= fallFactor
+			t.admittedClasses *= fallFactor
 		}
 		t.fallPressure = pressure
 		t.lastFall = now
 	case overloaded:
-		t.admitted = t.firstFall(load, demand)
+		t.admittedClasses = t.firstFall(load, demand)
 		t.fallPressure = pressure
 		t.lastFall = now
 	default:
@@ -194,14 +194,14 @@
 	all := float64(len(t.classes))
 	acceleration := math.Max(1, float64(now-t.lastFall)/float64(riseAcceleration))
 	rise := risePerSecond * acceleration * all * float64(now-t.lastEvaluation) / float64(time.Second)
-	t.admitted = math.Min(all, t.admitted+rise)
+	t.admittedClasses = math.Min(all, t.admittedClasses+rise)
 }
 
 // Overloaded reports whether the fleet was overloaded at the last evaluation.
 func (t *Threshold) Overloaded() bool { return t.overloaded }
 
-// Admitted returns the threshold: how many classes are admitted, in the order of their priority.
-func (t *Threshold) Admitted() float64 { return t.admitted }
+// AdmittedClasses returns the threshold: how many classes are admitted, in the order of their priority.
+func (t *Threshold) AdmittedClasses() float64 { return t.admittedClasses }
 
 // ClassFraction is how much of a traffic class is admitted, from 0 to 1.
 type ClassFraction struct {
@@ -214,7 +214,7 @@
 func (t *Threshold) ClassFractions() []ClassFraction {
 	fractions := make([]ClassFraction, 0, len(t.classes))
 	for rank, class := range t.classes {
-		steps := math.Ceil(fractionSteps * (t.admitted - float64(rank)))
+		steps := math.Ceil(fractionSteps * (t.admittedClasses - float64(rank)))
 		fractions = append(fractions, ClassFraction{class, clamp(steps / fractionSteps)})
 	}
 	return fractions
@@ -225,7 +225,7 @@
 	if len(t.classes) == 0 {
 		return 1
 	}
-	return t.admitted / float64(len(t.classes))
+	return t.admittedClasses / float64(len(t.classes))
 }
 
 // MaxSuccessRate returns the highest success rate that a serving replica had lately, in successful responses a second.
@@ -247,15 +247,15 @@
 	for rank, class := range t.classes {
 		number, exists := renumber.Lookup(newClasses, class)
 		if exists {
-			fractions[number] = clamp(t.admitted - float64(rank))
+			fractions[number] = clamp(t.admittedClasses - float64(rank))
 		}
 	}
 	t.classes = byPriority(t.settings.Classes)
-	t.admitted = float64(len(t.classes))
+	t.admittedClasses = float64(len(t.classes))
 	for rank, class := range t.classes {
 		fraction, existed := fractions[class]
 		if existed && fraction < 1 {
-			t.admitted = float64(rank) + fraction
+			t.admittedClasses = float64(rank) + fraction
 			return
 		}
 	}
--- a/policy/admission/threshold_test.go
+++ b/policy/admission/threshold_test.go
@@ -73,8 +73,8 @@
 	if !c.evaluate(failing(0.2, 0.2)) || !c.Overloaded() {
 		t.Error("no overload reported")
 	}
-	if c.Admitted() >= 2 || c.Admitted() <= 1 {
-		t.Errorf("threshold %v, want between 1 and 2", c.Admitted())
+	if c.AdmittedClasses() >= 2 || c.AdmittedClasses() <= 1 {
+		t.Errorf("threshold %v, want between 1 and 2", c.AdmittedClasses())
 	}
 	if c.fraction(1) != 1 || c.fraction(0) >= 1 {
 		t.Errorf("fractions %v, want all of class 1 and a part of class 0", c.ClassFractions())
@@ -90,26 +90,26 @@
 	load := failing(0.4, 0.2)
 	load.BaselineResponseTime = 0.15
 	c.evaluate(load)
-	if c.Admitted() != 2 {
-		t.Errorf("threshold %v, want all of 2 classes", c.Admitted())
+	if c.AdmittedClasses() != 2 {
+		t.Errorf("threshold %v, want all of 2 classes", c.AdmittedClasses())
 	}
 }
 
 func TestThresholdHoldsAfterAFallAndWhileTheOverloadEases(t *testing.T) {
 	c := newController()
 	c.evaluate(failing(0.5, 1))
-	first := c.Admitted()
+	first := c.AdmittedClasses()
 	if first >= 2 {
 		t.Fatalf("threshold %v after an overload", first)
 	}
 	later := func(name string, after time.Duration, load Load, falls bool) {
 		t.Helper()
-		before := c.Admitted()
+		before := c.AdmittedClasses()
 		c.now += after
 		load.ServingReplicas = 0
 		c.evaluate(load)
-		if fell := c.Admitted() < before; fell != falls || !falls && c.Admitted() != before {
-			t.Errorf("%s: threshold %v after %v", name, c.Admitted(), before)
+		if fell := c.AdmittedClasses() < before; fell != falls || !falls && c.AdmittedClasses() != before {
+			t.Errorf("%s: threshold %v after %v", name, c.AdmittedClasses(), before)
 		}
 	}
 	later("the load is of before the fall", time.Second, failing(0.6, 1), false)
@@ -119,8 +119,8 @@
 	c.evaluate(normal())
 	c.now += 100 * time.Second
 	c.evaluate(normal())
-	if c.Admitted() != 2 {
-		t.Errorf("threshold %v long after the overload, want 2", c.Admitted())
+	if c.AdmittedClasses() != 2 {
+		t.Errorf("threshold %v long after the overload, want 2", c.AdmittedClasses())
 	}
 }
 
@@ -143,8 +143,8 @@
 			for k, falls := range c.falls {
 				controller.now += time.Duration(k) * (c.period - time.Second)
 				controller.evaluate(slow())
-				if fell := controller.Admitted() < 2; fell != falls {
-					t.Errorf("evaluation %d: threshold %v", k, controller.Admitted())
+				if fell := controller.AdmittedClasses() < 2; fell != falls {
+					t.Errorf("evaluation %d: threshold %v", k, controller.AdmittedClasses())
 				}
 			}
 		})
@@ -162,8 +162,8 @@
 		c.now += 2 * time.Second
 		c.evaluate(load)
 	}
-	if c.Admitted() != 2 {
-		t.Errorf("threshold %v, want 2", c.Admitted())
+	if c.AdmittedClasses() != 2 {
+		t.Errorf("threshold %v, want 2", c.AdmittedClasses())
 	}
 }
 
@@ -180,13 +180,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			controller := newController()
 			controller.evaluate(c.load)
-			if controller.Admitted() != 2 {
-				t.Errorf("threshold %v, want 2", controller.Admitted())
+			if controller.AdmittedClasses() != 2 {
+				t.Errorf("threshold %v, want 2", controller.AdmittedClasses())
 			}
 			c.load.AttemptRate *= 10
 			controller.evaluate(c.load)
-			if controller.Admitted() >= 2 {
-				t.Errorf("threshold %v with ten times the attempts", controller.Admitted())
+			if controller.AdmittedClasses() >= 2 {
+				t.Errorf("threshold %v with ten times the attempts", controller.AdmittedClasses())
 			}
 		})
 	}
@@ -196,12 +196,12 @@
 	c := newController()
 	c.evaluate(failing(0.5, 1))
 	rise := func(period time.Duration) float64 {
-		before := c.Admitted()
+		before := c.AdmittedClasses()
 		for until := c.now + period; c.now < until; {
 			c.now += tick
 			c.evaluate(normal())
 		}
-		return c.Admitted() - before
+		return c.AdmittedClasses() - before
 	}
 	rise(LoadWindow)
 	if got, want := rise(riseAcceleration-LoadWindow), risePerSecond*2*4; math.Abs(got-want) >= 1e-9 {
@@ -223,8 +223,8 @@
 		c := newController()
 		c.settings.Admission = mode
 		c.evaluate(failing(0.9, 3))
-		if c.Admitted() != 2 || c.Overloaded() {
-			t.Errorf("mode %v: threshold %v, overloaded %v", mode, c.Admitted(), c.Overloaded())
+		if c.AdmittedClasses() != 2 || c.Overloaded() {
+			t.Errorf("mode %v: threshold %v, overloaded %v", mode, c.AdmittedClasses(), c.Overloaded())
 		}
 	}
 }
@@ -237,7 +237,7 @@
 		load := failing(0.8, 2) // of 100 requests a second
 		load.ServingReplicas = replicas
 		c.evaluate(load)
-		admitted = append(admitted, c.Admitted())
+		admitted = append(admitted, c.AdmittedClasses())
 	}
 	if admitted[1] != admitted[0]/2 {
 		t.Errorf("threshold %v with half of the replicas, %v with all", admitted[1], admitted[0])
@@ -259,7 +259,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			controller := newController()
 			controller.evaluate(Load{AttemptRate: c.attempts, ResponseTime: 2, ServingReplicas: 10})
-			if got := math.Round(100*controller.Admitted()) / 100; got != c.want {
+			if got := math.Round(100*controller.AdmittedClasses()) / 100; got != c.want {
 				t.Errorf("threshold %v, want %v", got, c.want)
 			}
 		})
@@ -276,7 +276,7 @@
 		0.01: {{1, 0.05}, {0, 0}},
 		0:    {{1, 0}, {0, 0}},
 	} {
-		c.admitted = admitted
+		c.admittedClasses = admitted
 		if got := c.ClassFractions(); !slices.Equal(got, want) {
 			t.Errorf("threshold %v: got %v, want %v", admitted, got, want)
 		}
@@ -332,14 +332,14 @@
 			threshold := NewThreshold(settings)
 			threshold.Renumber(nil) // nothing to renumber yet
 			threshold.Evaluate(start, Load{}, Summary{})
-			threshold.admitted = c.admitted
+			threshold.admittedClasses = c.admitted
 			settings.Classes = nil
 			for _, priority := range c.priorities {
 				settings.Classes = append(settings.Classes, control.TrafficClass{PriorityWeight: priority})
 			}
 			threshold.Renumber(c.numbers)
-			if threshold.Admitted() != c.want {
-				t.Errorf("threshold %v, want %v", threshold.Admitted(), c.want)
+			if threshold.AdmittedClasses() != c.want {
+				t.Errorf("threshold %v, want %v", threshold.AdmittedClasses(), c.want)
 			}
 		})
 	}
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -30,7 +30,7 @@
 	p := newPolicyAt(100 * second)
 	a := withDemand(p)
 	a.handle(fleetLoad{attemptRate: 100, failureRate: 0.2, typicalFailureRate: 0.2, responseTime: 0.2, inService: 1})
-	admitted := a.threshold.Admitted()
+	admitted := a.threshold.AdmittedClasses()
 	wantEqual(t, "threshold between 1 and 2", admitted < 2 && admitted > 1, true)
 	commands := queued[admissionChanged](p, pacingComponent)
 	if len(commands) != 2 {
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -39,12 +39,12 @@
 
 // Messages with what a component has worked out.
 type (
-	tablesAssigned struct{ tables []int }        // placement to binding: the table that serves the proxies of each table
-	proxyBound     struct{ proxy binding.Proxy } // binding to placement: a proxy that has a table
-	fleetBaseline  struct {                      // placement to replica
+	tablesAssigned    struct{ tables []int }        // placement to binding: the table that serves the proxies of each table
+	proxyBound        struct{ proxy binding.Proxy } // binding to placement: a proxy that has a table
+	replicaEvaluation struct {                      // placement to replica
 		health       outlier.Fleet
 		weightGoal   float64 // against its listed weight
-		lostFraction float64 // of the requests, as replicas that warm up count it
+		lostFraction float64 // see slowstart.Recovery
 	}
 	replicaStatus struct { // replica to placement
 		control.ListedReplica
@@ -79,9 +79,9 @@
 		requests       map[int]float64 // of each proxy within admission.DemandWindow
 		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in that window
 	}
-	warmingReplicas struct { // placement to pacing: the replicas that warm up, and whether they are unejected all at once
-		replicas map[uint32]bool
-		together bool
+	warmingReplicas struct { // placement to pacing: the replicas that warm up
+		replicas        map[uint32]bool
+		unejectTogether bool // see slowstart.Recovery
 	}
 	updateStep struct { // update to pacing: what the open step has to send
 		additions int // so many of the first commands are additions
@@ -103,29 +103,29 @@
 	}
 )
 
-func (replicaListed) message()    {}
-func (outcomesReported) message() {}
-func (replicaRestored) message()  {}
-func (fleetRestored) message()    {}
-func (streamOpened) message()     {}
-func (streamClosed) message()     {}
-func (demandReported) message()   {}
-func (ackReceived) message()      {}
-func (replicaExcluded) message()  {}
-func (bindRequested) message()    {}
-func (admissionChanged) message() {}
-func (tablesAssigned) message()   {}
-func (proxyBound) message()       {}
-func (tickStarted) message()      {}
-func (replicaEvicted) message()   {}
-func (placementDue) message()     {}
-func (turnEnding) message()       {}
-func (fleetBaseline) message()    {}
-func (replicaStatus) message()    {}
-func (fleetLoad) message()        {}
-func (targetTables) message()     {}
-func (demandSummary) message()    {}
-func (warmingReplicas) message()  {}
-func (updateStep) message()       {}
-func (messagesSent) message()     {}
-func (acknowledged) message()     {}
+func (replicaListed) message()     {}
+func (outcomesReported) message()  {}
+func (replicaRestored) message()   {}
+func (fleetRestored) message()     {}
+func (streamOpened) message()      {}
+func (streamClosed) message()      {}
+func (demandReported) message()    {}
+func (ackReceived) message()       {}
+func (replicaExcluded) message()   {}
+func (bindRequested) message()     {}
+func (admissionChanged) message()  {}
+func (tablesAssigned) message()    {}
+func (proxyBound) message()        {}
+func (tickStarted) message()       {}
+func (replicaEvicted) message()    {}
+func (placementDue) message()      {}
+func (turnEnding) message()        {}
+func (replicaEvaluation) message() {}
+func (replicaStatus) message()     {}
+func (fleetLoad) message()         {}
+func (targetTables) message()      {}
+func (demandSummary) message()     {}
+func (warmingReplicas) message()   {}
+func (updateStep) message()        {}
+func (messagesSent) message()      {}
+func (acknowledged) message()      {}
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -31,7 +31,7 @@
 	case replicaEvicted:
 		p.sender.Forget(m.replica)
 	case warmingReplicas:
-		p.sender.SetWarming(pacing.Warming{Replicas: m.replicas, Together: m.together})
+		p.sender.SetWarming(pacing.Warming{Replicas: m.replicas, UnejectTogether: m.unejectTogether})
 	case updateStep:
 		p.sender.SetStep(pacing.Step{Additions: m.additions, Commands: m.commands})
 	case acknowledged:
--- a/policy/pacing/order.go
+++ b/policy/pacing/order.go
@@ -59,15 +59,15 @@
 //   - While the oldest ack is overdue only additions are sent: ejections must not wait behind changed weights in a slow channel.
 //   - A replica is not unejected while a change of its weights is held back: proxies would pick it by weights of a time when it
 //     may have been warmed up.
-//   - Where warming replicas are to be unejected together (Warming.Together), none is until there is capacity for all, or the channel
+//   - Where warming replicas are to be unejected together (Warming.UnejectTogether), none is until there is capacity for all, or the channel
 //     is empty. Weights of ejected replicas are not raised before: they rise at each evaluation, and would use up this capacity.
 type stepPass struct {
-	pacer         *Pacer
-	additionsLeft int
-	overdue       bool
-	staleWeights  map[uint32]bool   // replicas with a change of weight that was held back
-	unejections   []control.Command // those of warming replicas, all of them
-	together      togetherDecision
+	pacer           *Pacer
+	additionsLeft   int
+	overdue         bool
+	staleWeights    map[uint32]bool   // replicas with a change of weight that was held back
+	unejections     []control.Command // those of warming replicas, all of them
+	unejectTogether togetherDecision
 }
 
 // togetherDecision says whether warming replicas may be unejected. It is made once in a pass, when the first one is due.
@@ -102,7 +102,7 @@
 // be unejected together.
 func (s *stepPass) raisesTooEarly(command control.Command) bool {
 	endpoint, ok := command.(control.SetEndpoint)
-	if !ok || !s.pacer.warming.Together || !s.pacer.proxies.ejected[endpoint.Replica] {
+	if !ok || !s.pacer.warming.UnejectTogether || !s.pacer.proxies.ejected[endpoint.Replica] {
 		return false
 	}
 	weight := s.pacer.proxies.tables[endpoint.Table][endpoint.Replica]
@@ -118,18 +118,18 @@
 	if s.staleWeights[unejection.Replica] {
 		return true
 	}
-	return s.pacer.warming.Together && s.pacer.warming.Replicas[unejection.Replica] && !s.mayUnejectTogether()
+	return s.pacer.warming.UnejectTogether && s.pacer.warming.Replicas[unejection.Replica] && !s.mayUnejectTogether()
 }
 
 // mayUnejectTogether says whether all warming replicas of the step can be unejected.
 func (s *stepPass) mayUnejectTogether() bool {
-	if s.together == undecided {
-		s.together = heldBack
+	if s.unejectTogether == undecided {
+		s.unejectTogether = heldBack
 		if !s.anyStale() && (s.pacer.turn.waiting+s.pacer.turn.units == 0 || s.pacer.fitTogether(s.unejections, ordinaryChannelFraction)) {
-			s.together = allowed
+			s.unejectTogether = allowed
 		}
 	}
-	return s.together == allowed
+	return s.unejectTogether == allowed
 }
 
 // anyStale says whether a change of weight of any warming replica that is to be unejected was held back.
--- a/policy/pacing/order_test.go
+++ b/policy/pacing/order_test.go
@@ -33,7 +33,7 @@
 		p.proxies.bind(table, table)
 	}
 	p.proxies.ejected[1] = true
-	p.SetWarming(Warming{Together: true})
+	p.SetWarming(Warming{UnejectTogether: true})
 	atCap(p, 2, 3) // the addition to its table is held back, and the unejection with it
 	p.SetStep(Step{Additions: 4, Commands: []control.Command{
 		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.3}, control.SetEndpoint{Table: 1, Replica: 1, Weight: 0.3},
@@ -55,7 +55,7 @@
 	unejected := func(p *Pacer) int { return len(ofType[control.SetEjected](p.Send(0).Commands)) }
 	returning := func(limit int) *Pacer {
 		p := withTable(10, func(s *control.Settings) { s.ChannelLimit = limit })
-		p.warming = Warming{Replicas: map[uint32]bool{}, Together: true}
+		p.warming = Warming{Replicas: map[uint32]bool{}, UnejectTogether: true}
 		p.step.Additions = warming
 		for replica := range uint32(warming) {
 			p.warming.Replicas[replica] = true
@@ -77,7 +77,7 @@
 	})
 	t.Run("one by one where they need not be unejected together", func(t *testing.T) {
 		p := returning(450)
-		p.warming.Together = false
+		p.warming.UnejectTogether = false
 		p.channel.add(full)
 		assertEqual(t, "some are unejected", unejected(p) > 0, true)
 	})
--- a/policy/pacing/pacing.go
+++ b/policy/pacing/pacing.go
@@ -40,9 +40,9 @@
 // Warming are the replicas that are still warming up.
 type Warming struct {
 	Replicas map[uint32]bool
-	// Together says that the warming replicas that are ejected are to be unejected all at once: a single one would get the
+	// UnejectTogether says that the warming replicas that are ejected are to be unejected all at once: a single one would get the
 	// load that is meant for all of them.
-	Together bool
+	UnejectTogether bool
 }
 
 // Sent is what Send has sent.
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -19,13 +19,13 @@
 // weight compares them with each other, outlier and slowstart sum up how the fleet is.
 type planner struct {
 	*sharedState
-	statuses  map[uint32]replicaStatus
-	proxies   []placement.Proxy // bound ones, by ascending ID
-	demand    demandSummary
-	placer    *placement.Placer
-	baselines *weight.Baselines
-	placed    bool // nothing has changed since the last plan
-	together  bool // replicas that warm up are unejected all at once
+	statuses        map[uint32]replicaStatus
+	proxies         []placement.Proxy // bound ones, by ascending ID
+	demand          demandSummary
+	placer          *placement.Placer
+	baselines       *weight.Baselines
+	placed          bool // nothing has changed since the last plan
+	unejectTogether bool // see slowstart.Recovery
 }
 
 func newPlanner(shared *sharedState) *planner {
@@ -75,36 +75,46 @@
 	}
 }
 
-// evaluateFleet compares the replicas with each other. It tells each what it is compared with, and admission how loaded the fleet
-// is. Every sum goes over the replicas by ascending ID.
+// evaluateFleet compares the replicas with each other. It notifies each of what it is compared with, and admission of the fleet's
+// load. Every sum goes over the replicas by ascending ID.
 func (p *planner) evaluateFleet() {
 	ids := ordered.Keys(p.statuses)
 	window := p.serviceWindow(ids)
 	recovery := p.recovery(ids, window)
-	p.together = recovery.Together
+	p.unejectTogether = recovery.UnejectTogether
 	replicas := p.comparisons(ids)
 	estimator := weight.NewEstimator(p.baselines, p.HardwareClasses, replicas)
 	p.baselines.Sample(time.Duration(p.now), estimator) // the goals use this sample too
 	for k, id := range ids {
 		status := p.statuses[id]
-		p.enqueue(status.queue, fleetBaseline{
-			health: outlier.Fleet{
-				FailureRate:      window.FailureRate(),
-				PeerSuccesses:    estimator.PeerSuccesses(status.HardwareClass),
-				SlowResponseTime: estimator.SlowResponseTime(status.HardwareClass),
-			},
+		p.enqueue(status.queue, replicaEvaluation{
+			health:       healthBaseline(status.HardwareClass, window, estimator),
 			weightGoal:   estimator.Goal(replicas[k]),
 			lostFraction: recovery.LostFraction,
 		})
 	}
-	p.enqueue(admissionComponent, fleetLoad{
+	p.enqueue(admissionComponent, loadOfFleet(window, estimator))
+}
+
+// healthBaseline returns what the health of a replica of a hardware class is compared with.
+func healthBaseline(hardwareClass int, window *outlier.FleetWindow, estimator *weight.Estimator) outlier.Fleet {
+	return outlier.Fleet{
+		FailureRate:      window.FailureRate(),
+		PeerSuccesses:    estimator.PeerSuccesses(hardwareClass),
+		SlowResponseTime: estimator.SlowResponseTime(hardwareClass),
+	}
+}
+
+// loadOfFleet sums up the load of the replicas in service for admission.
+func loadOfFleet(window *outlier.FleetWindow, estimator *weight.Estimator) fleetLoad {
+	return fleetLoad{
 		attemptRate:          window.Attempts * float64(time.Second) / float64(outlier.EvaluationPeriod),
 		failureRate:          window.FailureRate(),
 		typicalFailureRate:   window.TypicalFailureRate(),
 		responseTime:         estimator.FleetResponseTime(),
 		inService:            window.Replicas,
 		baselineResponseTime: estimator.FastestBaseline(),
-	})
+	}
 }
 
 // serviceWindow sums the attempts at the replicas in service.
@@ -224,7 +234,7 @@
 }
 
 func (p *planner) warming() warmingReplicas {
-	warming := warmingReplicas{replicas: map[uint32]bool{}, together: p.together}
+	warming := warmingReplicas{replicas: map[uint32]bool{}, unejectTogether: p.unejectTogether}
 	for id, status := range p.statuses {
 		if status.warmingUp {
 			warming.replicas[id] = true
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -54,7 +54,7 @@
 		p.handle(demandSummary{failedFraction: 0.8})
 		p.evaluateFleet()
 		for _, queue := range []int{fixedComponents, fixedComponents + 19} {
-			if got, lost := queued[fleetBaseline](g, queue)[0].lostFraction, map[bool]float64{false: 0.8}[c.suffice]; got != lost {
+			if got, lost := queued[replicaEvaluation](g, queue)[0].lostFraction, map[bool]float64{false: 0.8}[c.suffice]; got != lost {
 				t.Errorf("%+v: replica %d is told that %v is lost, want %v", c, queue-fixedComponents+1, got, lost)
 			}
 		}
@@ -62,7 +62,7 @@
 	g := newPolicyAt(100 * second)
 	r := observed(g, 0, 0, 0)
 	r.entry.Start = r.now - second
-	r.handle(fleetBaseline{weightGoal: 1, lostFraction: 0.6})
+	r.handle(replicaEvaluation{weightGoal: 1, lostFraction: 0.6})
 	wantEqual(t, "held back", queued[replicaStatus](g, placementComponent)[0].heldBack, true)
 }
 
@@ -73,7 +73,7 @@
 	p := plannerOf(g, status)
 	p.handle(demandSummary{failedFraction: 0.9}) // requests without a response
 	p.evaluateFleet()
-	n := queued[fleetBaseline](g, fixedComponents)[0]
+	n := queued[replicaEvaluation](g, fixedComponents)[0]
 	wantEqual(t, "ejection goes by the mean, slow start by the worst", n.health.FailureRate < 0.11 && n.lostFraction == 0.9, true)
 }
 
@@ -100,7 +100,7 @@
 		plannerOf(g, eleventh)
 		p.handle(demandSummary{failedFraction: 0.8})
 		p.evaluateFleet()
-		wantEqual(t, "lost", queued[fleetBaseline](g, fixedComponents+9)[0].lostFraction, lost)
+		wantEqual(t, "lost", queued[replicaEvaluation](g, fixedComponents+9)[0].lostFraction, lost)
 	}
 }
 
@@ -121,9 +121,9 @@
 		}
 		p.handle(demandSummary{failedFraction: lost})
 		p.evaluateFleet()
-		wantEqual(t, "together", p.warming().together, together)
+		wantEqual(t, "together", p.warming().unejectTogether, together)
 		wantEqual(t, "those that warm up", len(p.warming().replicas), 5)
-		wantEqual(t, "lost, as they count it", queued[fleetBaseline](g, fixedComponents+9)[0].lostFraction, 0.0)
+		wantEqual(t, "lost, as they count it", queued[replicaEvaluation](g, fixedComponents+9)[0].lostFraction, 0.0)
 	}
 }
 
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -75,7 +75,7 @@
 	threshold.Restore(0, classes/float64(len(p.Classes)), 0, 1)
 	threshold.Evaluate(0, admission.Load{}, admission.Summary{})
 	p.admission.threshold = threshold
-	return threshold.Admitted()
+	return threshold.AdmittedClasses()
 }
 
 // Other values, and other numbers of the same traffic and hardware classes, leave all that was learned and bound as it was.
@@ -105,7 +105,7 @@
 	wantEqual(t, "replicas", reflect.DeepEqual(before.Replicas, after.Replicas), true)
 	wantEqual(t, "baselines of hardware classes", reflect.DeepEqual([][]float64{before.BaselineResponseTimes[1], before.BaselineResponseTimes[0]}, after.BaselineResponseTimes[:2]), true)
 	wantEqual(t, "baseline of the fleet", reflect.DeepEqual(before.BaselineResponseTimes[3], after.BaselineResponseTimes[3]), true)
-	wantEqual(t, "threshold", p.admission.threshold.Admitted(), 2.5)
+	wantEqual(t, "threshold", p.admission.threshold.AdmittedClasses(), 2.5)
 	wantEqual(t, "command of the class that is shed", p.admission.sent[0], control.SetAdmission{Table: control.AllTables, Class: 0, Fraction: 0.5})
 	for k, rate := range before.RequestRates {
 		before.RequestRates[k].Class = change.NewClasses[rate.Class]
@@ -142,7 +142,7 @@
 				change.Classes = append(change.Classes, control.TrafficClass{PriorityWeight: priority, LatencyObjective: second, Timeout: 3 * second})
 			}
 			p.reconfigure(change)
-			if got := p.admission.threshold.Admitted(); math.Abs(got-c.want) > 1e-9 { // admit rounds; package admission tests the exact value
+			if got := p.admission.threshold.AdmittedClasses(); math.Abs(got-c.want) > 1e-9 { // admit rounds; package admission tests the exact value
 				t.Errorf("threshold %v, want %v", got, c.want)
 			}
 			p.Turn(p.now+maxTickInterval, []control.Event{control.TimerFired{}, control.Demand{Proxy: 1, Class: len(c.priorities) - 1, Requests: 1, Period: second}})
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -24,7 +24,7 @@
 	lastListed   int64   // when it was last seen in the endpoint list
 	placementKey float64 // its rank in the order in which replicas are assigned to tables
 	evaluatedAt  int64   // 0: not yet
-	lostFraction float64 // of the requests, as replicas that warm up count it
+	lostFraction float64 // see slowstart.Recovery
 	detector     outlier.Detector
 	estimate     weight.Estimate
 }
@@ -48,7 +48,7 @@
 		return // the next evaluation reports the status
 	case replicaRestored:
 		r.restore(n.ReplicaRestored)
-	case fleetBaseline:
+	case replicaEvaluation:
 		r.evaluate(n)
 	default:
 		unexpected(r, m)
@@ -88,7 +88,7 @@
 	}))
 }
 
-func (r *replica) evaluate(fleet fleetBaseline) {
+func (r *replica) evaluate(fleet replicaEvaluation) {
 	now := time.Duration(r.now)
 	r.lostFraction = fleet.lostFraction
 	r.estimate.Follow(fleet.weightGoal, time.Duration(r.now-r.evaluatedAt), time.Duration(r.now-r.knownSince))
--- a/policy/replica_test.go
+++ b/policy/replica_test.go
@@ -9,7 +9,7 @@
 )
 
 // calmBaseline is of a fleet in which replicas succeed 20 times in the evaluation period and answer in time.
-var calmBaseline = fleetBaseline{health: outlier.Fleet{PeerSuccesses: 20, SlowResponseTime: 0.4}, weightGoal: 1}
+var calmBaseline = replicaEvaluation{health: outlier.Fleet{PeerSuccesses: 20, SlowResponseTime: 0.4}, weightGoal: 1}
 
 // observed is a replica with one load report.
 func observed(g *Policy, attempts, failures int, responseTime int64) *replica {
@@ -74,7 +74,7 @@
 	r := newReplica(&g.sharedState, fixedComponents, control.ListedReplica{})
 	r.handle(replicaListed{control.ListedReplica{Replica: 9, Weight: 1, Start: 99 * second}})
 	wantEqual(t, "held back", queued[replicaStatus](g, placementComponent)[0].heldBack, true)
-	r.handle(fleetBaseline{weightGoal: 1})
+	r.handle(replicaEvaluation{weightGoal: 1})
 	wantEqual(t, "held back afterwards", queued[replicaStatus](g, placementComponent)[1].heldBack, false)
 }
 
@@ -99,6 +99,6 @@
 
 func TestCapacityFollowsTheWeightGoalAtOnce(t *testing.T) {
 	g := newPolicyAt(100 * second)
-	observed(g, 0, 0, 0).handle(fleetBaseline{weightGoal: 0.5})
+	observed(g, 0, 0, 0).handle(replicaEvaluation{weightGoal: 0.5})
 	wantEqual(t, "capacity", queued[replicaStatus](g, placementComponent)[0].capacity, 0.5)
 }
--- a/policy/slowstart/recovery.go
+++ b/policy/slowstart/recovery.go
@@ -23,8 +23,13 @@
 
 // Recovery is how replicas that warm up are treated.
 type Recovery struct {
-	LostFraction float64 // that they count
-	Together     bool    // they are unejected all at once, as they get no less for many lost requests
+	// LostFraction is the fraction of lost requests that they count, by which their weight shrinks and they are held back: the
+	// fraction of the attempts that fail or of the requests that fail, whichever is larger; 0 where the replicas that warm up
+	// could carry all attempts together.
+	LostFraction float64
+	// UnejectTogether says that those that are ejected are unejected all at once, as they count no lost requests though many
+	// are lost: a single one would get the load that is meant for all of them.
+	UnejectTogether bool
 }
 
 // NewFleet returns the sum of no replicas.
@@ -52,7 +57,7 @@
 	if !f.warmingSuffices() {
 		return Recovery{LostFraction: lost}
 	}
-	return Recovery{Together: lost > maxLostFraction}
+	return Recovery{UnejectTogether: lost > maxLostFraction}
 }
 
 // warmingSuffices reports whether the replicas that warm up could carry all attempts. What one unit of listed weight can do
--- a/policy/slowstart/recovery_test.go
+++ b/policy/slowstart/recovery_test.go
@@ -36,7 +36,7 @@
 			f.Add(Load{ListedWeight: 1}) // gone: carries nothing
 			want := Recovery{LostFraction: 0.8}
 			if c.suffice {
-				want = Recovery{Together: true}
+				want = Recovery{UnejectTogether: true}
 			}
 			if got := f.Recovery(0.1, 0.8); got != want {
 				t.Errorf("got %+v, want %+v", got, want)
@@ -57,7 +57,7 @@
 func TestRecoveryIsTogetherOnlyAboveTheLossLimit(t *testing.T) {
 	f := fleet(1, 9, 10)
 	for lost, want := range map[float64]bool{0.2: false, maxLostFraction: false, 0.8: true} {
-		if got := f.Recovery(0, lost); got != (Recovery{Together: want}) {
+		if got := f.Recovery(0, lost); got != (Recovery{UnejectTogether: want}) {
 			t.Errorf("lost %v: got %+v", lost, got)
 		}
 	}
@@ -79,7 +79,7 @@
 				f.Add(Load{ListedWeight: 1, CapacityFraction: 0.5, Ready: true, WarmingUp: true})
 			}
 			f.Add(c.extra)
-			if got := f.Recovery(0, 0.8).Together; got != c.want {
+			if got := f.Recovery(0, 0.8).UnejectTogether; got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
