--- a/control/commands.go
+++ b/control/commands.go
@@ -47,7 +47,7 @@
 // RequestAck asks the proxies that this turn's commands reach for an Ack with the nonce.
 type RequestAck struct{ Nonce uint64 }
 
-// HealthCheck asks one replica for its health.
+// HealthCheck asks one replica for its health. Not used by package policy.
 type HealthCheck struct{ Replica uint32 }
 
 // SetTimer asks for a TimerFired after a duration.
--- a/control/events.go
+++ b/control/events.go
@@ -44,12 +44,12 @@
 // Outcomes sums the attempts of a zone's proxies at a replica.
 type Outcomes struct {
 	Replica      uint32
-	Zone         int
+	Zone         int // not used by package policy
 	Attempts     int
 	Failures     int     // attempts without a successful response
 	ResponseTime int64   // mean of the successful responses, in nanoseconds
-	Period       int64   // in which the attempts were made, in nanoseconds
-	InFlight     float64 // requests at the replica; below 0: not known
+	Period       int64   // in which the attempts were made, in nanoseconds; not used by package policy
+	InFlight     float64 // requests at the replica; below 0: not known; not used by package policy
 }
 
 // Demand sums the requests of a traffic class that arrived at a proxy.
@@ -65,10 +65,10 @@
 type Ack struct {
 	Proxy int
 	Nonce uint64
-	Delay int64 // what the proxy took to apply it, in nanoseconds
+	Delay int64 // what the proxy took to apply it, in nanoseconds; not used by package policy
 }
 
-// HealthCheckFinished ends a HealthCheck.
+// HealthCheckFinished ends a HealthCheck. Not used by package policy.
 type HealthCheckFinished struct {
 	Replica   uint32
 	Succeeded bool
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -27,7 +27,9 @@
 	return min(settings.DefaultRetries, control.RetryIfNotExecuted)
 }
 
-// isDeduplicated reports whether a duplicate is dropped at whichever replica, for longer than retries may come.
+// isDeduplicated reports whether a duplicate is dropped at whichever replica, for longer than retries may come. It does not look
+// at the class's Idempotency: it relies on settings that give a deduplication window and scope only to classes with an idempotency
+// key, as package settings does.
 func isDeduplicated(settings *control.Settings, class control.TrafficClass) bool {
 	if class.DeduplicationScope != control.ScopeAll {
 		return false
