--- a/policy/binding/binding_test.go
+++ b/policy/binding/binding_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestReassign(t *testing.T) {
+func TestReassignMovesProxiesWhoseTableNoLongerFits(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		zones, tables int
--- a/policy/binding_test.go
+++ b/policy/binding_test.go
@@ -9,7 +9,7 @@
 	"lilacbend/policy/pacing"
 )
 
-func TestNothingIsAwaitedOfAProxyThatDisconnected(t *testing.T) {
+func TestBinderReportsANonceCompleteWhenItsLastProxyDisconnects(t *testing.T) {
 	p := newPolicyAt(0)
 	p.binding.handle(messagesSent{nonce: 70000, proxies: []int{1, 2}})
 	p.binding.handle(ackReceived{control.Ack{Proxy: 1, Nonce: 70000 & pacing.NonceMask}})
@@ -20,7 +20,7 @@
 
 // Many proxies that disconnect at once empty no channel: what was written to them, and all before it, counts until somebody
 // acknowledges what was written later, or until it is overdue.
-func TestDisconnectingClearsNothingFromTheChannel(t *testing.T) {
+func TestMessagesOfDisconnectedProxiesStayInTheChannel(t *testing.T) {
 	p := newPolicyAt(0)
 	p.ChannelLimit = 49200
 	p.ChannelRate = 1200
--- a/policy/endpointlist.go
+++ b/policy/membership.go
@@ -1,6 +1,8 @@
 package policy
 
 import (
+	"math"
+
 	"lilacbend/control"
 	"lilacbend/policy/internal/ordered"
 )
@@ -9,6 +11,9 @@
 // soon keeps its history, and bounded, so that a controller that runs for weeks does not grow.
 const evictAfter = 60 * second
 
+// minPlacementWeight stands for a listed weight of 0 in the draw of placement keys.
+const minPlacementWeight = 1e-6
+
 // listReplicas hands the entries of the endpoint list to their replicas. A replica that a complete list leaves out is gone.
 func (p *Policy) listReplicas(list control.ReplicasListed) {
 	if list.Full && !list.Failed {
@@ -36,6 +41,12 @@
 	return r
 }
 
+// drawPlacementKey draws the rank of a replica in a weighted random order: the highest key comes first, and a replica of twice the
+// weight is twice as likely to come before another one.
+func (s *sharedState) drawPlacementKey(weight float64) float64 {
+	return math.Pow(s.random(), 1/math.Max(weight, minPlacementWeight))
+}
+
 // unusedQueue returns the queue of an evicted replica, or a new one.
 func (p *Policy) unusedQueue() int {
 	last := len(p.freeQueues) - 1
--- a/policy/outlier/fleet_test.go
+++ b/policy/outlier/fleet_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFleetWindow(t *testing.T) {
+func TestTypicalFailureRateLeavesOutTheReplicasThatFailMost(t *testing.T) {
 	for _, c := range []struct {
 		name                          string
 		windows                       []Window
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestRestore(t *testing.T) {
+func TestRestoredEjectionIsProbationWithLessWeightTheNewerItIs(t *testing.T) {
 	now := 100 * time.Second
 	for _, c := range []struct {
 		name      string
--- a/policy/outlier/window_test.go
+++ b/policy/outlier/window_test.go
@@ -7,7 +7,7 @@
 	"lilacbend/policy/internal/sample"
 )
 
-func TestWindow(t *testing.T) {
+func TestWindowSumsTheReportsOfThePeriodSinceProbation(t *testing.T) {
 	type report struct {
 		at                 time.Duration
 		attempts, failures int
--- a/policy/placement/balance_test.go
+++ b/policy/placement/balance_test.go
@@ -8,7 +8,7 @@
 	"lilacbend/control"
 )
 
-func TestHeadroom(t *testing.T) {
+func TestHeadroomIsLargerWhereProxiesPickByLoad(t *testing.T) {
 	for pick, want := range map[control.PickPolicy]float64{
 		control.PickRandom: 1.1, control.PickRoundRobin: 1.1, control.PickPowerOfTwo: 1.35,
 	} {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestNeed(t *testing.T) {
+func TestNeedCountsDemandOnceHalfOfTheProxiesAreConnected(t *testing.T) {
 	now := time.Hour
 	demand := Demand{Period: 8 * time.Second, Requests: map[int]float64{1: 160}}
 	for _, c := range []struct {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -117,7 +117,7 @@
 }
 
 // The threshold stays with the classes that are admitted, whichever are added and removed.
-func TestThresholdStaysWithItsClasses(t *testing.T) {
+func TestReconfigureKeepsTheThresholdWithItsClasses(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		admitted, want float64 // of classes of priority 3, 2 and 1, which are 1, 2 and 0
--- a/policy/slowstart/recovery_test.go
+++ b/policy/slowstart/recovery_test.go
@@ -16,7 +16,7 @@
 	return f
 }
 
-func TestRecovery(t *testing.T) {
+func TestWarmingReplicasCountNoLostRequestsIfTheySuffice(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		warmedUp, warming int
--- a/policy/slowstart/slowstart_test.go
+++ b/policy/slowstart/slowstart_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestWeightFraction(t *testing.T) {
+func TestWeightFractionIsLimitedWhileAReplicaWarmsUp(t *testing.T) {
 	start := 100 * time.Second
 	for _, c := range []struct {
 		name     string
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestHeldBack(t *testing.T) {
+func TestWarmingReplicaIsHeldBackWhileTooMuchIsLostOrNothingIsKnown(t *testing.T) {
 	now := 100 * time.Second
 	warming := Replica{Start: now - time.Second}
 	for _, c := range []struct {
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -91,13 +91,3 @@
 	}
 	return p.commands
 }
-
-// tick sets the next timer and compares the replicas with each other. The messages of evictions are delivered with those of
-// placement.
-func (p *Policy) tick() {
-	p.commands = append(p.commands, control.SetTimer{After: p.tickInterval()})
-	p.enqueue(placementComponent, tickStarted{})
-	p.enqueue(updateComponent, tickStarted{})
-	p.deliverAll()
-	p.evictReplicas()
-}
--- a/policy/weight/weight_test.go
+++ b/policy/weight/weight_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestCapacity(t *testing.T) {
+func TestCapacityIsEstimatedAlikeHoweverBusyTheReplicaIs(t *testing.T) {
 	settled := make([]float64, 15)
 	for k := range settled {
 		settled[k] = 0.1
