--- a/policy/messages.go
+++ b/policy/messages.go
@@ -55,7 +55,7 @@
 		window           outlier.Window
 		rememberedSpeed  float64
 		confidence       float64 // number of attempts that rememberedSpeed counts for
-		penalty          float64 // fraction of its weight that it lacks as it was ejected before a restart of the controller
+		penalty          float64 // fraction of its weight that it lacks while learned state has it on probation
 		capacityFraction float64 // that it surely has while it warms up
 		warmingUp        bool
 		heldBack         bool // gets no requests as it is warming up
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -56,8 +56,8 @@
 	// repaired is tried soon enough.
 	maxDoublings = 2
 
-	// RestoredWeightFraction is the fraction of its weight that a replica gets on probation if it was ejected before a restart
-	// of the controller. Full ejection would cost more if it has recovered, full weight if it has not.
+	// RestoredWeightFraction is the fraction of its weight that a replica gets on probation if it was ejected by learned state
+	// (Restore). Full ejection would cost more if it has recovered, full weight if it has not.
 	RestoredWeightFraction = 0.125
 )
 
@@ -137,8 +137,8 @@
 	return Change{}
 }
 
-// canEvaluate reports whether there are attempts enough and no common cause. A replica that was ejected before a restart of the
-// controller is evaluated though the fleet fails: until then its penalty stays.
+// canEvaluate reports whether there are attempts enough and no common cause. A replica on probation by learned state is
+// evaluated though the fleet fails: until then its penalty stays.
 func (d *Detector) canEvaluate(window Window, fleet Fleet) bool {
 	if fleet.FailureRate > maxFleetFailureRate && d.penalty == 0 {
 		return false
@@ -223,5 +223,5 @@
 // Ejections returns the number of ejections of the process.
 func (d *Detector) Ejections() int { return d.ejections }
 
-// Penalty returns the fraction of its weight that the replica lacks as it was ejected before a restart of the controller.
+// Penalty returns the fraction of its weight that the replica lacks while learned state has it on probation (Restore).
 func (d *Detector) Penalty() float64 { return d.penalty }
--- a/policy/placement/endpoints.go
+++ b/policy/placement/endpoints.go
@@ -28,8 +28,8 @@
 	// that the orders of neighbouring tables have nothing in common.
 	spilloverSeed = 10007
 
-	// maxPenalizedFraction is the fraction of the replicas from which penalties are ignored: that most were ejected before a
-	// restart is the sign of a fault that is over, or of this controller's own.
+	// maxPenalizedFraction is the fraction of the replicas from which penalties are ignored: that learned state has
+	// so many as ejected is the sign of a fault that is over, or of this controller's own.
 	maxPenalizedFraction = 0.4
 )
 
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -35,7 +35,7 @@
 	Key           float64 // rank in the order of assignment: the highest first
 	Weight        float64 // of its endpoints
 	Capacity      float64 // what it can serve, in units of listed weight
-	Penalty       float64 // fraction of its weight that it lacks as it was ejected before a restart of the controller
+	Penalty       float64 // fraction of its weight that it lacks while learned state has it on probation
 	WarmingUp     bool
 	HeldBack      bool // gets no requests as it is warming up
 	Ejected       bool // by outlier detection, whether placement excludes it or not
