--- a/control/commands.go
+++ b/control/commands.go
@@ -26,11 +26,11 @@
 	Proxy    int
 	Table    int
 	Replicas []uint32
-	// Unejected is how many of the first replicas have their ejection ended at the proxy, if it may hold that they are ejected.
+	// Unejected is how many of the first replicas are unejected at the proxy, if it may hold that they are ejected.
 	Unejected int
 }
 
-// SetEjected ejects a replica from all tables, or ends its ejection.
+// SetEjected ejects a replica from all tables, or unejects it.
 type SetEjected struct {
 	Replica uint32
 	Ejected bool
@@ -47,7 +47,7 @@
 // RequestAck asks the proxies that this turn's commands reach for an Ack with the nonce.
 type RequestAck struct{ Nonce uint64 }
 
-// HealthCheck asks one replica for its health.
+// HealthCheck asks one replica for its health. Not used by package policy.
 type HealthCheck struct{ Replica uint32 }
 
 // SetTimer asks for a TimerFired after a duration.
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -32,19 +32,19 @@
 
 // Messages that ask for a command.
 type (
-	ejectionDue      struct{ replica uint32 }       // placement to pacing
+	replicaExcluded  struct{ replica uint32 }       // placement to pacing: newly, so it is to be ejected at the proxies
 	bindRequested    struct{ control.Bind }         // binding to pacing (first bind) or update (move)
 	admissionChanged struct{ control.SetAdmission } // admission to pacing
 )
 
 // Messages with what a component has worked out.
 type (
-	tablesAssigned struct{ tables []int }        // placement to binding: the table that serves the proxies of each table
-	proxyBound     struct{ proxy binding.Proxy } // binding to placement: a proxy that has a table
-	fleetBaseline  struct {                      // placement to replica
+	tablesAssigned    struct{ tables []int }        // placement to binding: the table that serves the proxies of each table
+	proxyBound        struct{ proxy binding.Proxy } // binding to placement: a proxy that has a table
+	replicaEvaluation struct {                      // placement to replica
 		health       outlier.Fleet
 		weightGoal   float64 // against its listed weight
-		lostFraction float64 // of the requests, as replicas that warm up count it
+		lostFraction float64 // see slowstart.Recovery
 	}
 	replicaStatus struct { // replica to placement
 		control.ListedReplica
@@ -55,11 +55,11 @@
 		window           outlier.Window
 		rememberedSpeed  float64
 		confidence       float64 // number of attempts that rememberedSpeed counts for
-		penalty          float64 // fraction of its weight that it lacks as it was ejected before a restart of the controller
+		penalty          float64 // fraction of its weight that it lacks while learned state has it on probation
 		capacityFraction float64 // that it surely has while it warms up
 		warmingUp        bool
 		heldBack         bool // gets no requests as it is warming up
-		ejected          bool
+		ejected          bool // by outlier detection
 		onProbation      bool // after an ejection by this controller
 	}
 	fleetLoad struct { // placement to admission
@@ -70,18 +70,18 @@
 		inService            float64 // how many replicas are in service
 		baselineResponseTime float64 // of the fastest hardware class without load, in seconds; infinite: not known
 	}
-	targetTables struct { // placement to update; a weight below 0: the endpoint stays as it is
-		weights map[tableEndpoint]float64
-		ejected map[uint32]bool
+	targetTables struct { // placement to update
+		weights  map[tableEndpoint]float64 // or placement.KeepWeight
+		excluded map[uint32]bool           // from all tables, for any reason
 	}
 	demandSummary struct { // admission to placement
 		failedFraction float64         // of all requests of the last seconds
 		requests       map[int]float64 // of each proxy within admission.DemandWindow
 		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in that window
 	}
-	warmingReplicas struct { // placement to pacing: the replicas that warm up, and whether they are restored all at once
-		replicas map[uint32]bool
-		together bool
+	warmingReplicas struct { // placement to pacing: the replicas that warm up
+		replicas        map[uint32]bool
+		unejectTogether bool // see slowstart.Recovery
 	}
 	updateStep struct { // update to pacing: what the open step has to send
 		additions int // so many of the first commands are additions
@@ -103,29 +103,29 @@
 	}
 )
 
-func (replicaListed) message()    {}
-func (outcomesReported) message() {}
-func (replicaRestored) message()  {}
-func (fleetRestored) message()    {}
-func (streamOpened) message()     {}
-func (streamClosed) message()     {}
-func (demandReported) message()   {}
-func (ackReceived) message()      {}
-func (ejectionDue) message()      {}
-func (bindRequested) message()    {}
-func (admissionChanged) message() {}
-func (tablesAssigned) message()   {}
-func (proxyBound) message()       {}
-func (tickStarted) message()      {}
-func (replicaEvicted) message()   {}
-func (placementDue) message()     {}
-func (turnEnding) message()       {}
-func (fleetBaseline) message()    {}
-func (replicaStatus) message()    {}
-func (fleetLoad) message()        {}
-func (targetTables) message()     {}
-func (demandSummary) message()    {}
-func (warmingReplicas) message()  {}
-func (updateStep) message()       {}
-func (messagesSent) message()     {}
-func (acknowledged) message()     {}
+func (replicaListed) message()     {}
+func (outcomesReported) message()  {}
+func (replicaRestored) message()   {}
+func (fleetRestored) message()     {}
+func (streamOpened) message()      {}
+func (streamClosed) message()      {}
+func (demandReported) message()    {}
+func (ackReceived) message()       {}
+func (replicaExcluded) message()   {}
+func (bindRequested) message()     {}
+func (admissionChanged) message()  {}
+func (tablesAssigned) message()    {}
+func (proxyBound) message()        {}
+func (tickStarted) message()       {}
+func (replicaEvicted) message()    {}
+func (placementDue) message()      {}
+func (turnEnding) message()        {}
+func (replicaEvaluation) message() {}
+func (replicaStatus) message()     {}
+func (fleetLoad) message()         {}
+func (targetTables) message()      {}
+func (demandSummary) message()     {}
+func (warmingReplicas) message()   {}
+func (updateStep) message()        {}
+func (messagesSent) message()      {}
+func (acknowledged) message()      {}
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -17,8 +17,8 @@
 // A new process of a replica begins healthy, with a zero Detector. What an earlier controller knew of a process comes from
 // Detector.Restore.
 //
-// Package placement bounds how many replicas are excluded from the tables at a time: beyond that, an ejected replica stays in
-// its table.
+// Package placement bounds how many replicas of the fleet are excluded from the tables as outliers: beyond that, an ejected
+// replica stays in its table.
 package outlier
 
 import (
@@ -56,8 +56,8 @@
 	// repaired is tried soon enough.
 	maxDoublings = 2
 
-	// RestoredWeightFraction is the fraction of its weight that a replica gets on probation if it was ejected before a restart
-	// of the controller. Full ejection would cost more if it has recovered, full weight if it has not.
+	// RestoredWeightFraction is the fraction of its weight that a replica gets on probation if it was ejected by learned state
+	// (Restore). Full ejection would cost more if it has recovered, full weight if it has not.
 	RestoredWeightFraction = 0.125
 )
 
@@ -74,7 +74,7 @@
 	reports        []loadReport
 	ejectedUntil   time.Duration // 0: not ejected
 	probationSince time.Duration // reports up to then are not evaluated; 0: not on probation
-	ejections      int           // of this process
+	ejections      int           // of this process; see endProbation
 	penalty        float64       // above 0 only on the probation that Restore starts
 }
 
@@ -110,7 +110,7 @@
 	case probation:
 		return fmt.Sprintf("probation after ejection %d", c.ejections)
 	case restoredOnProbation:
-		return fmt.Sprintf("probation after controller restart: %.2f of its weight", c.weightFraction)
+		return fmt.Sprintf("probation by learned state: %.2f of its weight", c.weightFraction)
 	case healthy:
 		return fmt.Sprintf("healthy: %.0f of %.0f attempts failed", c.window.Failures, c.window.Attempts)
 	default:
@@ -137,8 +137,8 @@
 	return Change{}
 }
 
-// canEvaluate reports whether there are attempts enough and no common cause. A replica that was ejected before a restart of the
-// controller is evaluated though the fleet fails: until then its penalty stays.
+// canEvaluate reports whether there are attempts enough and no common cause. A replica on probation by learned state is
+// evaluated though the fleet fails: until then its penalty stays.
 func (d *Detector) canEvaluate(window Window, fleet Fleet) bool {
 	if fleet.FailureRate > maxFleetFailureRate && d.penalty == 0 {
 		return false
@@ -183,7 +183,9 @@
 	return Change{to: probation, ejections: d.ejections}
 }
 
-// endProbation keeps the count of ejections: a replica that fails again soon is ejected for longer.
+// endProbation keeps the count of ejections, so that a replica that fails again is ejected for longer. The count never falls while
+// the process of the replica lives: a new process begins at 0, as does a replica that is listed again after its eviction, and
+// Restore lowers the count by the age of what it restores.
 func (d *Detector) endProbation(window Window) Change {
 	d.probationSince = 0
 	d.penalty = 0
@@ -221,5 +223,5 @@
 // Ejections returns the number of ejections of the process.
 func (d *Detector) Ejections() int { return d.ejections }
 
-// Penalty returns the fraction of its weight that the replica lacks as it was ejected before a restart of the controller.
+// Penalty returns the fraction of its weight that the replica lacks while learned state has it on probation (Restore).
 func (d *Detector) Penalty() float64 { return d.penalty }
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -18,7 +18,7 @@
 
 func (p *pacer) handle(m message) {
 	switch m := m.(type) {
-	case ejectionDue:
+	case replicaExcluded:
 		p.sender.Eject(m.replica)
 	case bindRequested:
 		p.sender.Bind(m.Bind)
@@ -31,7 +31,7 @@
 	case replicaEvicted:
 		p.sender.Forget(m.replica)
 	case warmingReplicas:
-		p.sender.SetWarming(pacing.Warming{Replicas: m.replicas, Together: m.together})
+		p.sender.SetWarming(pacing.Warming{Replicas: m.replicas, UnejectTogether: m.unejectTogether})
 	case updateStep:
 		p.sender.SetStep(pacing.Step{Additions: m.additions, Commands: m.commands})
 	case acknowledged:
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -4,8 +4,9 @@
 //
 //  1. Assignment: each replica belongs to one table of its zone for good, in a random order weighted by listed weight
 //     (assignment.go).
-//  2. Exclusion: replicas that are draining, gone, ejected or held back are excluded from all tables, but never so many that
-//     a table has nobody (exclusion.go).
+//  2. Exclusion: replicas that are draining, gone, ejected or held back are excluded from all tables. Of the warmed-up replicas
+//     of the fleet at most three quarters are excluded as outliers. This cap is over the fleet, not over a table: a table may
+//     lose all of its own replicas, and steps 4 and 5 help it then (exclusion.go).
 //  3. Need and capacity: the requests of the proxies of each table are compared with what its own replicas can serve
 //     (balance.go).
 //  4. Endpoints: a table gets its own replicas, and spillover endpoints of other tables where its own cannot serve its proxies:
@@ -34,10 +35,10 @@
 	Key           float64 // rank in the order of assignment: the highest first
 	Weight        float64 // of its endpoints
 	Capacity      float64 // what it can serve, in units of listed weight
-	Penalty       float64 // fraction of its weight that it lacks as it was ejected before a restart of the controller
+	Penalty       float64 // fraction of its weight that it lacks while learned state has it on probation
 	WarmingUp     bool
 	HeldBack      bool // gets no requests as it is warming up
-	Ejected       bool // by outlier detection
+	Ejected       bool // by outlier detection, whether placement excludes it or not
 }
 
 // Proxy is a connected proxy that is bound.
@@ -67,6 +68,9 @@
 // KeepWeight is the weight of an endpoint that stays as it is, as its replica is excluded.
 const KeepWeight = -1
 
+// KeepsWeight reports whether a weight is KeepWeight.
+func KeepsWeight(weight float64) bool { return weight < 0 }
+
 // Endpoint is a replica in a table.
 type Endpoint struct {
 	Replica uint32
@@ -75,10 +79,10 @@
 
 // Plan is the result of Place.
 type Plan struct {
-	Excluded      map[uint32]bool
-	NewlyExcluded []uint32     // those that were not in the plan before
-	ServingTable  []int        // for each table the one that its proxies are bound to: itself or a sibling
-	Endpoints     [][]Endpoint // of each table
+	Excluded      map[uint32]bool // from all tables, for any reason
+	NewlyExcluded []uint32        // those that were not in the plan before
+	ServingTable  []int           // for each table the one that its proxies are bound to: itself or a sibling
+	Endpoints     [][]Endpoint    // of each table
 }
 
 // Placer places replicas. Its zero value is not usable; see New.
