--- a/experiment/emulator/emulator_test.go
+++ b/experiment/emulator/emulator_test.go
@@ -45,7 +45,7 @@
 			map[string]float64{"s1": 1, "s2": 2}, map[string]bool{}},
 		{controller.Update{Endpoints: []controller.WeightedEndpoint{endpoint("s1", 0), endpoint("s2", 3)}, Ejected: []string{"s2"}},
 			map[string]float64{"s2": 3}, map[string]bool{"s2": true}},
-		{controller.Update{Restored: []string{"s2"}}, map[string]float64{"s2": 3}, map[string]bool{}},
+		{controller.Update{Unejected: []string{"s2"}}, map[string]float64{"s2": 3}, map[string]bool{}},
 		{controller.Update{Full: true}, map[string]float64{}, map[string]bool{}},
 	} {
 		p.candidates = []candidate{{}}
--- a/experiment/emulator/proxy.go
+++ b/experiment/emulator/proxy.go
@@ -171,7 +171,7 @@
 	for _, id := range update.Ejected {
 		p.ejected[id] = true
 	}
-	for _, id := range update.Restored {
+	for _, id := range update.Unejected {
 		delete(p.ejected, id)
 	}
 	for _, admission := range update.Admissions {
--- a/experiment/emulator/rules.go
+++ b/experiment/emulator/rules.go
@@ -140,7 +140,7 @@
 // it.
 func (sim *Simulation) checkChannel(p *proxy, update controller.Update) (sentAt int64) {
 	provision := sim.Site.Provision
-	cost := len(update.Endpoints) + len(update.Ejected) + len(update.Restored) + len(update.Admissions) + provision.MessageOverhead + 1
+	cost := len(update.Endpoints) + len(update.Ejected) + len(update.Unejected) + len(update.Admissions) + provision.MessageOverhead + 1
 	c := sim.controllers[p.controller]
 	c.channelEnd = max(c.channelEnd, sim.now) + int64(float64(cost)/provision.ChannelRate*float64(second))
 	queued := float64(c.channelEnd-sim.now) / float64(second) * provision.ChannelRate
--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -5,7 +5,7 @@
 // turnChanges is what the commands of one turn have changed.
 type turnChanges struct {
 	endpoints  map[int]map[uint32]bool // replicas by table
-	ejections  map[uint32]bool         // replicas that were ejected or restored
+	ejections  map[uint32]bool         // replicas that were ejected or unejected
 	admissions map[int]bool            // by table, control.AllTables among them
 	wantsAck   bool
 	nonce      uint64
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -84,7 +84,7 @@
 	c.Counters.CostRequested += int64(len(command.Replicas) + 1)
 }
 
-// setEjected ejects a replica or restores it.
+// setEjected ejects a replica or unejects it.
 func (c *Core) setEjected(command control.SetEjected, changes *turnChanges) {
 	if c.replicas.byNumber[command.Replica] == nil {
 		c.Counters.Invalid++
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -69,7 +69,7 @@
 		for _, id := range s.Update.Ejected {
 			line += " -" + id
 		}
-		for _, id := range s.Update.Restored {
+		for _, id := range s.Update.Unejected {
 			line += " +" + id
 		}
 		for _, l := range s.Update.Admissions {
--- a/internal/controller/result.go
+++ b/internal/controller/result.go
@@ -32,7 +32,7 @@
 	Resync     bool               // the complete state, as earlier updates were lost
 	Endpoints  []WeightedEndpoint // shared between updates: not to be changed
 	Ejected    []string
-	Restored   []string
+	Unejected  []string
 	Admissions []Admission
 	WantsAck   bool
 	Nonce      uint64
@@ -53,7 +53,7 @@
 
 // cost returns the cost units of an update in the channel, beside the overhead of the message.
 func (u Update) cost() int {
-	units := len(u.Endpoints) + len(u.Ejected) + len(u.Restored) + len(u.Admissions)
+	units := len(u.Endpoints) + len(u.Ejected) + len(u.Unejected) + len(u.Admissions)
 	if u.Full {
 		units++
 	}
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -39,7 +39,7 @@
 	r.tables[table][replica] = weight
 }
 
-// setEjected ejects a replica or restores it.
+// setEjected ejects a replica or unejects it.
 func (r *routingState) setEjected(replica uint32, ejected bool) {
 	if ejected {
 		r.ejected[replica] = true
--- a/internal/controller/routing_test.go
+++ b/internal/controller/routing_test.go
@@ -23,7 +23,7 @@
 	}
 	r.setEjected(1, false)
 	if !r.usable(0, 1) || len(r.ejected) != 0 {
-		t.Errorf("a restored replica is not usable, ejected %v", r.ejected)
+		t.Errorf("an unejected replica is not usable, ejected %v", r.ejected)
 	}
 }
 
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -72,7 +72,7 @@
 }
 
 func updateCost(p controller.Update) int {
-	units := len(p.Endpoints) + len(p.Ejected) + len(p.Restored) + len(p.Admissions)
+	units := len(p.Endpoints) + len(p.Ejected) + len(p.Unejected) + len(p.Admissions)
 	if p.Full {
 		units++
 	}
@@ -240,7 +240,7 @@
 	for _, id := range update.Ejected {
 		p.ejected[id] = true
 	}
-	for _, id := range update.Restored {
+	for _, id := range update.Unejected {
 		delete(p.ejected, id)
 	}
 	if update.WantsAck && w.Float64() >= w.lost {
@@ -327,7 +327,7 @@
 		"heads":      func(p controller.Update) int { return 4 },
 		"endpoints":  func(p controller.Update) int { return len(p.Endpoints) },
 		"ejected":    func(p controller.Update) int { return len(p.Ejected) },
-		"restored":   func(p controller.Update) int { return 5 * len(p.Restored) },   // of few units, as a part restores three: five times
+		"unejected":  func(p controller.Update) int { return 5 * len(p.Unejected) },  // of few units, as a part unejects three: five times
 		"admissions": func(p controller.Update) int { return 5 * len(p.Admissions) }, // of few units, five times
 		"once more":  func(p controller.Update) int { return map[bool]int{true: updateCost(p)}[p.Resync] },
 		"full with ack requests": func(p controller.Update) int {
--- a/internal/controller/streams.go
+++ b/internal/controller/streams.go
@@ -42,7 +42,7 @@
 	// ejectsOnlyReported says that the proxy ejects nobody that ejections does not name, as it held no assigned table when
 	// it connected. Otherwise it may eject anyone that ejections does not name.
 	ejectsOnlyReported bool
-	ejections          map[uint32]bool   // by replica; false: restored
+	ejections          map[uint32]bool   // by replica; false: unejected
 	admissions         map[int]Admission // by traffic class
 	lifted             []Admission       // of traffic classes that no longer exist, still to be sent
 }
--- a/internal/controller/update.go
+++ b/internal/controller/update.go
@@ -163,7 +163,7 @@
 	if ejected {
 		update.Ejected = append(update.Ejected, name)
 	} else {
-		update.Restored = append(update.Restored, name)
+		update.Unejected = append(update.Unejected, name)
 	}
 }
 
--- a/internal/controlserver/encode.go
+++ b/internal/controlserver/encode.go
@@ -23,7 +23,7 @@
 	return parts
 }
 
-// encodeTable returns the parts for endpoints, ejected and restored replicas, in this order. The first part of a full update
+// encodeTable returns the parts for endpoints, ejected and unejected replicas, in this order. The first part of a full update
 // says so.
 func encodeTable(update controller.Update) [][]string {
 	var parts [][]string
@@ -33,8 +33,8 @@
 	for chunk := range slices.Chunk(update.Ejected, maxEndpointsPerPart) {
 		parts = append(parts, []string{messageUpdate, fieldEjected, strings.Join(chunk, ",")})
 	}
-	for chunk := range slices.Chunk(update.Restored, maxEndpointsPerPart) {
-		parts = append(parts, []string{messageUpdate, fieldRestored, strings.Join(chunk, ",")})
+	for chunk := range slices.Chunk(update.Unejected, maxEndpointsPerPart) {
+		parts = append(parts, []string{messageUpdate, fieldUnejected, strings.Join(chunk, ",")})
 	}
 	if !update.Full {
 		return parts
--- a/internal/controlserver/golden_test.go
+++ b/internal/controlserver/golden_test.go
@@ -48,19 +48,19 @@
 		name   string
 		update controller.Update
 	}{
-		{"full", controller.Update{Full: true, Endpoints: endpoints, Ejected: []string{"s-2"}, Restored: []string{"s-1", "s-3"}, Admissions: admissions, WantsAck: true, Nonce: 905}},
+		{"full", controller.Update{Full: true, Endpoints: endpoints, Ejected: []string{"s-2"}, Unejected: []string{"s-1", "s-3"}, Admissions: admissions, WantsAck: true, Nonce: 905}},
 		{"full without endpoints", controller.Update{Full: true}},
 		{"full after lost updates", controller.Update{Full: true, Resync: true, Endpoints: endpoints[:1]}},
 		{"endpoints", controller.Update{Endpoints: endpoints}},
 		{"ejected", controller.Update{Ejected: []string{"s-1", "s-2"}}},
-		{"restored", controller.Update{Restored: []string{"s-1", "s-2"}}},
+		{"restored", controller.Update{Unejected: []string{"s-1", "s-2"}}},
 		{"admissions", controller.Update{Admissions: admissions}},
 		{"admissions of more classes than parts", controller.Update{Admissions: manyAdmissions}},
 		{"ack alone", controller.Update{WantsAck: true, Nonce: 1<<64 - 1}},
 		{"ack of admissions", controller.Update{Admissions: admissions[:1], WantsAck: true, Nonce: 906}},
 		{"more endpoints than one part holds", controller.Update{Full: true, Endpoints: table, WantsAck: true, Nonce: 907}},
 		{"more ejected than one part holds", controller.Update{Ejected: many}},
-		{"more restored than one part holds", controller.Update{Restored: many}},
+		{"more restored than one part holds", controller.Update{Unejected: many}},
 	}
 }
 
--- a/internal/controlserver/peer_test.go
+++ b/internal/controlserver/peer_test.go
@@ -88,7 +88,7 @@
 		want string
 	}{
 		{controller.Update{Full: true, Endpoints: []controller.WeightedEndpoint{{Replica: "s-1", Weight: 1.5}, {Replica: "s-2", Weight: 1e-7}},
-			Ejected: []string{"s-2"}, Restored: []string{"s-1"}, Admissions: []controller.Admission{{Class: "a", Fraction: 0.9, Retries: 1}, {Class: "b"}},
+			Ejected: []string{"s-2"}, Unejected: []string{"s-1"}, Admissions: []controller.Admission{{Class: "a", Fraction: 0.9, Retries: 1}, {Class: "b"}},
 			WantsAck: true, Nonce: 905},
 			"push full 1 endpoints s-1:1.5,s-2:0.0000001 continued 1|push eject s-2 continued 1|" +
 				"push restore s-1 continued 1|push routes a admit 0.9 policy 1 continued 1|" +
--- a/internal/controlserver/protocol.go
+++ b/internal/controlserver/protocol.go
@@ -31,7 +31,7 @@
 	fieldFull         = "full"
 	fieldEndpoints    = "endpoints"
 	fieldEjected      = "eject"
-	fieldRestored     = "restore"
+	fieldUnejected    = "restore"
 	fieldClasses      = "routes"
 	fieldFraction     = "admit"
 	fieldRetries      = "policy"
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -59,7 +59,7 @@
 			delete(d.replicas, id)
 		}
 	}
-	if len(d.ejected) > maxUnlistedEjections { // a controller restores only replicas that its table names
+	if len(d.ejected) > maxUnlistedEjections { // a controller unejects only replicas that its table names
 		maps.DeleteFunc(d.ejected, func(id string, _ bool) bool { return !listed[id] })
 	}
 }
