--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -24,7 +24,7 @@
 	since  int64
 }
 
-// await enters that a stream owes an ack, unless it owes one already.
+// await records that a stream owes an ack, unless it owes one already.
 func (d *ackDeadlines) await(s *stream, now int64) {
 	if s.silent.since != 0 {
 		return
@@ -68,7 +68,7 @@
 	return events
 }
 
-// streamSpoke enters that a proxy has spoken. One that was reported as disconnected has connected anew to the module.
+// streamSpoke records that a proxy has spoken. One that was reported as disconnected has connected anew to the module.
 func (c *Core) streamSpoke(s *stream, now int64) []control.Event {
 	s.silent.since = 0
 	if !s.silent.reported {
--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// markEndpoint enters that the weight of a replica in a table was set.
+// markEndpoint records that the weight of a replica in a table was set.
 func (t *turnChanges) markEndpoint(table int, replica uint32) {
 	if t.endpoints[table] == nil {
 		t.endpoints[table] = map[uint32]bool{}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -56,7 +56,7 @@
 	c.Counters.CostRequested += int64(len(c.streams.byTable[command.Table]))
 }
 
-// bind binds a proxy to a table, or has the rest sent of the table that it has a subset of.
+// bind binds a proxy to a table, or marks the rest of the table that it has a subset of as due.
 func (c *Core) bind(command control.Bind) {
 	s := c.streams.byProxy[command.Proxy]
 	if s == nil {
--- a/internal/controller/configure.go
+++ b/internal/controller/configure.go
@@ -54,7 +54,7 @@
 	return results
 }
 
-// record enters what became of settings; err is nil if they are in force.
+// record notes what became of settings; err is nil if they are in force.
 func (s *configurationState) record(configure Configure, err error) {
 	s.results = append(s.results, ConfigurationResult{Configure: configure, Err: err})
 }
@@ -131,7 +131,7 @@
 }
 
 // renumberDelivered keeps what was delivered to streams of each traffic class. An admission of a class that no longer exists is
-// lifted once, so that no proxy goes on rejecting requests by an admission that nobody will change.
+// cancelled once, so that no proxy goes on rejecting requests by an admission that nobody will change.
 func (c *Core) renumberDelivered(numbers []int, before []string) {
 	for _, proxy := range sortedKeys(c.streams.byProxy) {
 		s := c.streams.byProxy[proxy]
@@ -142,10 +142,10 @@
 }
 
 // renumberClasses keeps the admissions under the new numbers of their traffic classes, and reports whether any is to be
-// lifted.
+// cancelled.
 func (d *deliveredState) renumberClasses(numbers []int, before []string, topology Topology) bool {
 	exists := func(a Admission) bool { return slices.Contains(topology.names.Classes, a.Class) }
-	d.lifted = slices.DeleteFunc(d.lifted, exists)
+	d.cancelledAdmissions = slices.DeleteFunc(d.cancelledAdmissions, exists)
 	lifts := false
 	renumbered := map[int]Admission{}
 	for _, class := range sortedKeys(d.admissions) {
@@ -154,7 +154,7 @@
 			renumbered[number] = d.admissions[class]
 			continue
 		}
-		d.lifted = append(d.lifted, Admission{Class: before[class], Fraction: 1, Retries: topology.defaultRetries})
+		d.cancelledAdmissions = append(d.cancelledAdmissions, Admission{Class: before[class], Fraction: 1, Retries: topology.defaultRetries})
 		lifts = true
 	}
 	d.admissions = renumbered
--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// The admission of a traffic class that is removed is lifted once at every proxy that has one.
-func TestAdmissionOfARemovedClassIsLifted(t *testing.T) {
+// The admission of a traffic class that is removed is cancelled once at every proxy that has one.
+func TestAdmissionOfARemovedClassIsCancelled(t *testing.T) {
 	c, s := core([]control.Command{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}})
 	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}})
 	if got := text(c.Turn(1, []Input{changed(2, namesOf("read", "a,b", "m1,m2"), s)})); got != "1: order~1/1; 2: order~1/1" {
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// A stream whose outbox was drained gets a resync even if there is nothing to say: its outbox takes nothing else before.
-func TestDrainedOutboxIsAlwaysAnswered(t *testing.T) {
+// A stream whose send queue dropped its updates gets a resync even if there is nothing to say: its queue takes nothing else before.
+func TestStreamThatDroppedUpdatesAlwaysGetsAResync(t *testing.T) {
 	c, _ := core()
 	c.Turn(0, []Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	if o := c.Turn(1, []Input{UpdatesDropped{1}}); len(o.Updates) != 1 || !o.Updates[0].Update.Resync || c.Counters.Updates != 0 {
@@ -475,7 +475,7 @@
 	}
 }
 
-// A stream whose outbox is drained again and again, a module that fails, a proxy that reconnects: none of it gets a proxy more
+// A stream whose send queue drops its updates again and again, a module that fails, a proxy that reconnects: none of it gets a proxy more
 // messages than its cap, and pending changes are not lost by it.
 func TestNothingCircumventsTheMessageCap(t *testing.T) {
 	c, s := limitedCore(0, 3)
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -25,7 +25,7 @@
 	return deliveryState{account: account, due: map[int]*stream{}}
 }
 
-// markDue has a stream looked at with the next updates.
+// markDue marks a stream to be looked at with the next updates.
 func (d *deliveryState) markDue(s *stream) { d.due[s.opened.Proxy] = s }
 
 // unmarkDue undoes markDue.
@@ -169,11 +169,11 @@
 	if units > 0 {
 		c.Counters.Updates++
 	}
-	if units == 0 && !update.Resync { // an outbox that was drained waits for its resync, empty or not
+	if units == 0 && !update.Resync { // a send queue that dropped its updates waits for its resync, empty or not
 		return
 	}
 	number := c.delivery.account.Charge(s.opened.Proxy, units, t.now)
-	// A nonce that is sent once more is not entered again: its ack may be to the first message and clears no more than that.
+	// A nonce that is sent once more is not recorded again: its ack may be to the first message and clears no more than that.
 	if wantsNewAck {
 		s.unacked.add(sentMessage{nonce: update.Nonce, number: number})
 		c.delivery.acks.await(s, t.now)
--- a/internal/controller/handle.go
+++ b/internal/controller/handle.go
@@ -36,7 +36,7 @@
 	case MessageSent:
 		c.delivery.account.MarkSent(input.Number, t.now)
 	case UpdatesDropped:
-		c.handleOutboxDrained(input.Stream)
+		c.handleUpdatesDropped(input.Stream)
 	default:
 		c.Counters.Invalid++
 	}
@@ -144,7 +144,7 @@
 	return append(events, c.restoredReplicas(c.snapshots.restored, applied.started, now)...)
 }
 
-// handleStreamActive enters that a proxy lives, whatever it has sent.
+// handleStreamActive records that a proxy lives, whatever it has sent.
 func (c *Core) handleStreamActive(id StreamID, now int64) []control.Event {
 	s := c.streams.byID[id]
 	if s == nil {
@@ -153,8 +153,8 @@
 	return c.streamSpoke(s, now)
 }
 
-// handleOutboxDrained has a stream sent its complete state, as updates were dropped.
-func (c *Core) handleOutboxDrained(id StreamID) {
+// handleUpdatesDropped marks a stream as in need of its complete state, as its send queue dropped its updates.
+func (c *Core) handleUpdatesDropped(id StreamID) {
 	s := c.streams.byID[id]
 	if s == nil {
 		return
--- a/internal/controller/input.go
+++ b/internal/controller/input.go
@@ -76,7 +76,7 @@
 // MessageSent reports that all bytes of an update have been written, by its number in the channel's account.
 type MessageSent struct{ Number uint64 }
 
-// UpdatesDropped reports that a stream's outbox was full and has dropped its updates.
+// UpdatesDropped reports that a stream's send queue was full and has dropped its updates.
 type UpdatesDropped struct{ Stream StreamID }
 
 // SnapshotRestored brings what an earlier controller had learned, fitted to this installation. It precedes the first list.
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -59,7 +59,7 @@
 	return ""
 }
 
-// recoverTurn has a new module take over after a panic. If that fails too, what it may fail by is left out, one thing after
+// recoverTurn starts a new module after a panic. If that fails too, what it may fail by is left out, one thing after
 // another: first the settings that came with this turn, then the learned state. After that the module is paused.
 func (c *Core) recoverTurn(t *turn, failure string) {
 	c.restartModule()
@@ -109,7 +109,7 @@
 		c.bindStream(s, unbound)
 		s.binding.needsFull = false
 		c.forgetDelivered(s)
-		s.unacked.disown()
+		s.unacked.markOwn()
 		if s.pending != nil {
 			s.pending.wantsAck = false
 		}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -150,7 +150,7 @@
 			m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, 20*w.Intn(2), second/10, second
 			w.inputs = append(w.inputs, m)
 		}
-	case 6: // outboxes were drained
+	case 6: // send queues dropped their updates
 		for range some {
 			if p := w.proxies[w.Intn(len(w.proxies))]; p.stream != 0 {
 				w.inputs = append(w.inputs, controller.UpdatesDropped{Stream: p.stream})
--- a/internal/controller/streams.go
+++ b/internal/controller/streams.go
@@ -41,10 +41,10 @@
 type deliveredState struct {
 	// ejectsOnlyReported says that the proxy ejects nobody that ejections does not name, as it held no assigned table when
 	// it connected. Otherwise it may eject anyone that ejections does not name.
-	ejectsOnlyReported bool
-	ejections          map[uint32]bool   // by replica; false: unejected
-	admissions         map[int]Admission // by traffic class
-	lifted             []Admission       // of traffic classes that no longer exist, still to be sent
+	ejectsOnlyReported  bool
+	ejections           map[uint32]bool   // by replica; false: unejected
+	admissions          map[int]Admission // by traffic class
+	cancelledAdmissions []Admission       // of traffic classes that no longer exist, still to be sent
 }
 
 // reset forgets what was delivered, after which everything is sent anew. What is still to be sent stays.
@@ -100,9 +100,9 @@
 	return 0, false
 }
 
-// disown marks all messages as none of the running module's: a new module counts its nonces anew, and an ack of an old one
+// markOwn marks all messages as not the running module's: a new module counts its nonces anew, and an ack of an old one
 // must not end a step of it.
-func (u unackedMessages) disown() {
+func (u unackedMessages) markOwn() {
 	for k := range u {
 		u[k].own = true
 	}
@@ -120,7 +120,7 @@
 	return streamSet{byProxy: map[int]*stream{}, byID: map[StreamID]*stream{}, byTable: map[int]map[int]*stream{}}
 }
 
-// add enters a stream, which is not bound yet.
+// add records a stream, which is not bound yet.
 func (set *streamSet) add(s *stream) {
 	set.byProxy[s.opened.Proxy] = s
 	set.byID[s.id] = s
--- a/internal/controller/streams_test.go
+++ b/internal/controller/streams_test.go
@@ -73,13 +73,13 @@
 
 func TestDeliveredStateResetKeepsWhatIsStillToBeSent(t *testing.T) {
 	d := deliveredState{
-		ejectsOnlyReported: true,
-		ejections:          map[uint32]bool{1: true},
-		admissions:         map[int]Admission{0: {Class: "read"}},
-		lifted:             []Admission{{Class: "order"}},
+		ejectsOnlyReported:  true,
+		ejections:           map[uint32]bool{1: true},
+		admissions:          map[int]Admission{0: {Class: "read"}},
+		cancelledAdmissions: []Admission{{Class: "order"}},
 	}
 	d.reset()
-	if d.ejectsOnlyReported || len(d.ejections)+len(d.admissions) != 0 || len(d.lifted) != 1 {
+	if d.ejectsOnlyReported || len(d.ejections)+len(d.admissions) != 0 || len(d.cancelledAdmissions) != 1 {
 		t.Errorf("%+v", d)
 	}
 }
@@ -93,7 +93,7 @@
 	if !found || nonce != 2 || len(u) != 1 || u[0].nonce != 3 {
 		t.Errorf("nonce %d %v, left %v", nonce, found, u)
 	}
-	u.disown()
+	u.markOwn()
 	if _, found := u.takeCovered(0); found || len(u) != 0 {
 		t.Errorf("an ack of a failed module is the new one's; left %v", u)
 	}
--- a/internal/controller/update.go
+++ b/internal/controller/update.go
@@ -27,7 +27,7 @@
 	if s.binding.needsFull && part != nil {
 		return fixed + len(part.replicas) + part.confirmed
 	}
-	return fixed + c.maxEndpointCost(s, changes, urgent) + c.maxEjectionCost(s, changes) + len(s.delivered.lifted)
+	return fixed + c.maxEndpointCost(s, changes, urgent) + c.maxEjectionCost(s, changes) + len(s.delivered.cancelledAdmissions)
 }
 
 // maxEndpointCost counts the endpoints of the next update, and with each whether it is ejected.
@@ -93,9 +93,9 @@
 			ejections = c.routing.ejected
 		}
 		reached = c.addEjections(s, ejections, &update)
-		update.Admissions = append(update.Admissions, s.delivered.lifted...)
+		update.Admissions = append(update.Admissions, s.delivered.cancelledAdmissions...)
 	}
-	s.delivered.lifted = nil
+	s.delivered.cancelledAdmissions = nil
 	c.addAdmissions(s, &update)
 	if s.binding.subset != nil && s.binding.subset.restDue {
 		c.delivery.markDue(s)
--- a/internal/controlserver/bench_test.go
+++ b/internal/controlserver/bench_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// BenchmarkMemoryByStreams gives the server's memory for each joined proxy: goroutines, buffers, outboxes. What the client
+// BenchmarkMemoryByStreams gives the server's memory for each joined proxy: goroutines, buffers, send queues. What the client
 // ends in this process use is measured first and subtracted.
 func BenchmarkMemoryByStreams(b *testing.B) {
 	for _, count := range []int{100, 480, 1920} {
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -64,20 +64,20 @@
 
 // ended counts and logs why reading has ended. A peer that has not joined is sent the reason.
 func (p *peer) ended(err error) {
-	tally := &p.server.events.Counters
+	counters := &p.server.events.Counters
 	var text string
 	switch {
 	case errors.Is(err, errEvicted): // counted by evict
 		return
 	case errors.Is(err, errJoinTimeout):
 		text = "connection closed: join timeout"
-		tally.JoinTimeouts.Add(1)
+		counters.JoinTimeouts.Add(1)
 	case errors.Is(err, errInvalidJoin), errors.Is(err, resp.ErrNotWords):
 		text = "connection closed: invalid join"
-		tally.UnknownPeers.Add(1)
+		counters.UnknownPeers.Add(1)
 	case errors.Is(err, resp.ErrUnreadable), errors.Is(err, resp.ErrNoBuffer):
 		text = "connection closed: malformed message"
-		tally.Malformed.Add(1)
+		counters.Malformed.Add(1)
 	default:
 		p.server.log.Debug("connection lost", "peer", p.role, "error", err)
 		return
--- a/internal/controlserver/write.go
+++ b/internal/controlserver/write.go
@@ -55,12 +55,12 @@
 }
 
 func (p *peer) writeParts(parts [][]string) bool {
-	tally := &p.server.events.Counters
+	counters := &p.server.events.Counters
 	for k, words := range parts {
 		n, err := resp.Write(p.conn, p.server.pool, words...)
-		tally.UpdateBytes.Add(int64(n))
+		counters.UpdateBytes.Add(int64(n))
 		if err != nil {
-			tally.WriteErrors.Add(1)
+			counters.WriteErrors.Add(1)
 			p.server.log.Debug("write failed", "proxy", p.id, "part", k, "bytes", n, "error", err)
 			return false
 		}
--- a/internal/eventloop/queues.go
+++ b/internal/eventloop/queues.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// SetProxies has the queue of inputs hold what so many proxies may send.
+// SetProxies sizes the queue of inputs for what so many proxies may send.
 func (q *Queues) SetProxies(proxies int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/ingress/http2_conn.go
+++ b/internal/ingress/http2_conn.go
@@ -212,14 +212,14 @@
 func (c *http2Conn) serve() {
 	defer close(c.served)
 	err := c.readFrames()
-	c.sayGoodbye(err)
+	c.writeGoAway(err)
 	c.cancelStreams()
 	c.conn.Close()
 	c.handlers.Wait()
 }
 
-// sayGoodbye tells the client why its connection ends, if it is for something that the client did or did not do.
-func (c *http2Conn) sayGoodbye(err error) {
+// writeGoAway tells the client why its connection ends, if it is for something that the client did or did not do.
+func (c *http2Conn) writeGoAway(err error) {
 	c.mu.Lock()
 	lingering := c.lingering
 	last := c.lastStream
--- a/internal/sendbudget/account.go
+++ b/internal/sendbudget/account.go
@@ -59,7 +59,7 @@
 	return a.UnderMessageCap(proxy, now) && a.keepsSpacing(proxy, now)
 }
 
-// Charge enters a message that is about to be written and returns its number.
+// Charge records a message that is about to be written and returns its number.
 func (a *Account) Charge(proxy, units int, now int64) (number uint64) {
 	units = max(1, units+a.MessageOverhead)
 	a.queued += units
@@ -90,7 +90,7 @@
 	return &a.messages[number-a.firstNumber]
 }
 
-// MarkSent enters that all bytes of a message have been written.
+// MarkSent records that all bytes of a message have been written.
 func (a *Account) MarkSent(number uint64, now int64) {
 	m := a.lookUp(number)
 	if m == nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// Disconnect enters that the stream of a proxy has ended. What the proxy might still get it may have got just now, as messages
+// Disconnect records that the stream of a proxy has ended. What the proxy might still get it may have got just now, as messages
 // do not outlive their stream. Whether they still wait in the channel is not known, so they stay charged to it.
 func (a *Account) Disconnect(proxy int, now int64) {
 	p := a.proxies[proxy]
--- a/internal/sendbudget/messagecap.go
+++ b/internal/sendbudget/messagecap.go
@@ -27,7 +27,7 @@
 	return len(p.outstanding)+len(p.chargedAt)+len(p.receivedAt) == 0
 }
 
-// acknowledge enters that the proxy has received everything up to a message, the last of it possibly just now.
+// acknowledge records that the proxy has received everything up to a message, the last of it possibly just now.
 func (p *proxyAccount) acknowledge(number uint64, now int64) {
 	for len(p.outstanding) > 0 && p.outstanding[0] <= number {
 		p.outstanding = p.outstanding[1:]
@@ -35,7 +35,7 @@
 	}
 }
 
-// assumeReceived enters that the proxy has received one message at a time, unless it is known to have.
+// assumeReceived records that the proxy has received one message at a time, unless it is known to have.
 func (p *proxyAccount) assumeReceived(number uint64, at int64) {
 	k := slices.Index(p.outstanding, number)
 	if k < 0 {
@@ -45,7 +45,7 @@
 	p.receivedAt = append(p.receivedAt, at)
 }
 
-// disconnect enters that the proxy receives nothing more by its stream.
+// disconnect records that the proxy receives nothing more by its stream.
 func (p *proxyAccount) disconnect(now int64) {
 	for range p.outstanding {
 		p.receivedAt = append(p.receivedAt, now)
