--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -200,17 +200,18 @@
 	}
 }
 
-// The delay after which an unbound proxy is caught up is a fraction of the drain grace, as is the time between two checks.
+// The delay after which an unbound proxy is caught up is the drain grace divided by catchUpDelayDivisor, the time between two
+// checks is the drain grace divided by catchUpIntervalDivisor.
 const (
-	catchUpDelayFraction    = 2
-	catchUpIntervalFraction = 8
+	catchUpDelayDivisor    = 2
+	catchUpIntervalDivisor = 8
 )
 
 // catchUpUnbound sends all ejections to streams that have been unbound for a while. What a proxy held when it
 // connected may name replicas ejected before, and in a reconnect storm, or if no replica is left for its table, its own
 // table may come too late to say so.
 func (c *Core) catchUpUnbound(now int64) {
-	if c.drainGrace <= 0 || len(c.routing.ejected) == 0 || now-c.delivery.lastCatchUp < c.drainGrace/catchUpIntervalFraction {
+	if c.drainGrace <= 0 || len(c.routing.ejected) == 0 || now-c.delivery.lastCatchUp < c.drainGrace/catchUpIntervalDivisor {
 		return
 	}
 	c.delivery.lastCatchUp = now
@@ -218,7 +219,7 @@
 	unboundStreams := c.streams.byTable[unbound]
 	for _, proxy := range slices.Sorted(maps.Keys(unboundStreams)) {
 		s := unboundStreams[proxy]
-		if !s.caughtUp && now-s.unboundSince > c.drainGrace/catchUpDelayFraction {
+		if !s.caughtUp && now-s.unboundSince > c.drainGrace/catchUpDelayDivisor {
 			s.caughtUp = true
 			c.enqueue(s, all)
 		}
--- a/internal/sendbudget/bounds.go
+++ b/internal/sendbudget/bounds.go
@@ -19,17 +19,17 @@
 }
 
 const (
-	// reservedFraction is the part of the channel, one in so many units, that is kept for urgent messages: about what the
+	// reservedDivisor gives the part of the channel, one in so many units, that is kept for urgent messages: about what the
 	// ejection of a replica costs for all proxies of a controller.
-	reservedFraction = 16
+	reservedDivisor = 16
 	// reservedAckRequests is how many ack requests fit into a channel that is full otherwise.
 	reservedAckRequests = 4
 	// busyTransits is for how many of the longest transits ordinary messages may keep the channel busy: those of messages, of
 	// the acks to the ones before them, there and back twice.
 	busyTransits = 4
-	// busyGraceFraction bounds the same by the drain grace, one in so many parts, as what is urgent waits behind all that is in
+	// busyGraceDivisor bounds the same by the drain grace divided by it, as what is urgent waits behind all that is in
 	// the channel.
-	busyGraceFraction = 4
+	busyGraceDivisor = 4
 	// urgentBusyFactor is how many times as long urgent messages may keep it busy.
 	urgentBusyFactor = 2
 )
@@ -48,23 +48,25 @@
 )
 
 const (
-	// spacingGraceFraction bounds the time between spaced messages by what the drain grace leaves beside the transit, one in so
-	// many parts.
-	spacingGraceFraction = 2
-	// spacedFraction is the part of a proxy's messages, one in so many, that is spaced where no grace is known.
-	spacedFraction = 2
+	// countedTransits is for how many of the longest transits beyond the window a message counts against a proxy's cap.
+	countedTransits = 4
+	// spacingGraceDivisor bounds the time between spaced messages by what the drain grace leaves beside the transit, divided by
+	// it.
+	spacingGraceDivisor = 2
+	// spacedDivisor gives the part of a proxy's messages, one in so many, that is not spaced where no grace is known.
+	spacedDivisor = 2
 )
 
 // reserve is what no message may use of the channel, so that ack requests fit.
 func (b *Bounds) reserve() int {
-	return min(reservedAckRequests*(b.MessageOverhead+1), b.ChannelLimit/reservedFraction)
+	return min(reservedAckRequests*(b.MessageOverhead+1), b.ChannelLimit/reservedDivisor)
 }
 
 // messageLimit returns the most units that may wait with one more message.
 func (b *Bounds) messageLimit(urgent bool) int {
 	limit := b.ChannelLimit - b.reserve()
 	if !urgent {
-		limit -= limit / reservedFraction
+		limit -= limit / reservedDivisor
 	}
 	return limit
 }
@@ -73,7 +75,7 @@
 func (b *Bounds) busyUnits(urgent bool) float64 {
 	span := busyTransits * b.MaxTransit
 	if b.DrainGrace > 0 {
-		span = min(span, b.DrainGrace/busyGraceFraction)
+		span = min(span, b.DrainGrace/busyGraceDivisor)
 	}
 	units := b.ChannelRate * float64(span) / float64(time.Second)
 	if urgent {
@@ -92,15 +94,15 @@
 
 // countedWindow returns for how long a message counts against a proxy's cap: until its ack, after its transit there and back, is
 // a window old.
-func (b *Bounds) countedWindow() int64 { return b.MessageWindow + busyTransits*b.MaxTransit }
+func (b *Bounds) countedWindow() int64 { return b.MessageWindow + countedTransits*b.MaxTransit }
 
 // spacedMessages returns how many of the messages that a proxy may get within a window are spaced: the last ones, as many as
 // make their spacing short enough for the drain grace.
 func (b *Bounds) spacedMessages() int {
 	if b.DrainGrace == 0 {
-		return b.MaxMessages - b.MaxMessages/spacedFraction
+		return b.MaxMessages - b.MaxMessages/spacedDivisor
 	}
-	longest := (b.DrainGrace - b.MaxTransit) / spacingGraceFraction
+	longest := (b.DrainGrace - b.MaxTransit) / spacingGraceDivisor
 	if longest <= 0 {
 		return b.MaxMessages
 	}
