--- a/cmd/lilacbend/counters.go
+++ b/cmd/lilacbend/counters.go
@@ -10,7 +10,7 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	core := &p.core.Counters
-	counters := &p.events.Counters
+	counters := &p.queues.Counters
 	p.log.Info("counters",
 		slog.Group("in", "accepted", counters.Accepted.Load(), "ended", counters.Ended.Load(), "joins", core.StreamsOpened, "leaves", core.StreamsClosed,
 			"answers", core.Acks, "met", core.OutcomeReports, "demands", core.DemandReports, "listings", core.ReplicaLists, "turns", core.Turns,
--- a/cmd/lilacbend/follow.go
+++ b/cmd/lilacbend/follow.go
@@ -20,12 +20,12 @@
 	watcher *configwatch.Watcher
 	cache   *settingsCache // nil: settings are not kept
 	seed    uint64
-	events  *eventloop.Queues
+	queues  *eventloop.Queues
 	log     *slog.Logger
 }
 
 // newConfigurationFollower returns nil if the operator file has no such section.
-func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, events *eventloop.Queues, log *slog.Logger) (*configurationFollower, error) {
+func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, queues *eventloop.Queues, log *slog.Logger) (*configurationFollower, error) {
 	following := c.operator.Configuration
 	if !following.On() {
 		return nil, nil
@@ -33,7 +33,7 @@
 	f := &configurationFollower{
 		cache:  openSettingsCache(ctx, c, own, log),
 		seed:   c.seed,
-		events: events,
+		queues: queues,
 		log:    log,
 	}
 	watcher, err := configwatch.New(configwatch.Options{
@@ -92,7 +92,7 @@
 		f.watcher.Rejected(version, err)
 		return
 	}
-	f.events.Enqueue(controller.Configure{
+	f.queues.Enqueue(controller.Configure{
 		Version:  version,
 		Names:    names,
 		Settings: decoded,
@@ -109,7 +109,7 @@
 			f.watcher.Rejected(result.Version, result.Err)
 			continue
 		}
-		f.events.SetProxies(expectedEvents(result.Settings.Proxies, len(result.Names.Classes)))
+		f.queues.SetProxies(queuedProxies(result.Settings.Proxies, len(result.Names.Classes)))
 		f.watcher.Applied(result.Version)
 		f.log.Info("configuration in force", "version", result.Version.String(), "proxies", result.Settings.Proxies, "traffic_groups", len(result.Names.Classes))
 	}
--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -65,17 +65,17 @@
 
 // run reads the configuration again at each signal, until ctx ends. Only the address of discovery changes at once, all else at the
 // next start. A configuration that cannot be used is logged and counted once.
-func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, events *eventloop.Queues, log *slog.Logger) {
+func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, queues *eventloop.Queues, log *slog.Logger) {
 	reloadOnHangup(ctx, r.hangups, func(signalled bool) error {
 		next, err := r.read()
 		if err != nil {
 			if signalled {
-				events.Counters.ReloadsFailed.Add(1)
+				queues.Counters.ReloadsFailed.Add(1)
 				log.Error("the new configuration cannot be used, the old one goes on", "error", err, "again_every", rereadLimit)
 			}
 			return err
 		}
-		events.Counters.Reloads.Add(1)
+		queues.Counters.Reloads.Add(1)
 		log.Info("read again", "discovery", next.discovery)
 		client.SetAddress(next.discovery)
 		parts := running.changesAtRestart(next)
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -30,8 +30,8 @@
 	// batchDelay is how long a turn waits for events that were sent together but arrive in pieces or on several connections.
 	// It is short beside the 100 ms and more that a message takes to a proxy.
 	batchDelay = 2 * time.Millisecond
-	// classesPerEvent is how many traffic classes add the number of proxies once to the expected events.
-	classesPerEvent = 4
+	// classesPerProxy is how many traffic classes size the queue of inputs for the number of proxies once more.
+	classesPerProxy = 4
 	// shutdownTimeout is how long connections may take to end. SIGKILL may follow 0.7 s after SIGTERM.
 	shutdownTimeout = 300 * time.Millisecond
 )
@@ -48,7 +48,7 @@
 type process struct {
 	configuration configuration
 	clock         clock
-	events        *eventloop.Queues
+	queues        *eventloop.Queues
 	core          *controller.Core
 	follower      *configurationFollower
 	snapshots     *snapshotKeeper
@@ -83,7 +83,7 @@
 		serveErr = p.server.Serve(ctx, listener)
 	})
 	goroutines.Go(func() { p.discovery.Run(ctx) })
-	goroutines.Go(func() { reload.run(ctx, p.configuration, p.discovery, p.events, log) })
+	goroutines.Go(func() { reload.run(ctx, p.configuration, p.discovery, p.queues, log) })
 	goroutines.Go(func() { p.follower.run(ctx) })
 	p.runCore(ctx, reportRequests)
 	p.snapshots.submit(p.core.FinalSnapshot(p.clock.now()))
@@ -106,10 +106,10 @@
 // newProcess prepares a controller. The events that it starts with are published in this order: learned state, the known list,
 // settings from before a restart.
 func newProcess(ctx context.Context, c configuration, log *slog.Logger) (*process, error) {
-	p := &process{configuration: c, clock: clock{start: time.Now()}, events: eventloop.New(), log: log}
-	p.events.SetProxies(expectedEvents(c.settings.Proxies, len(c.names.Classes)))
+	p := &process{configuration: c, clock: clock{start: time.Now()}, queues: eventloop.New(), log: log}
+	p.queues.SetProxies(queuedProxies(c.settings.Proxies, len(c.names.Classes)))
 	own := controller.NewTopology(c.names, c.settings)
-	follower, err := newConfigurationFollower(ctx, c, own, p.events, log)
+	follower, err := newConfigurationFollower(ctx, c, own, p.queues, log)
 	if err != nil {
 		return nil, fmt.Errorf("cannot follow a configuration: %w", err)
 	}
@@ -120,13 +120,13 @@
 	known := &p.configuration.known
 	known.ReadAt = p.clock.now()
 	known.ReadAtWall = p.clock.start.UnixNano()
-	p.events.Enqueue(*known)
+	p.queues.Enqueue(*known)
 	follower.resume()
 	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", known.Revision,
 		"replicas", len(known.Members), "proxies", c.settings.Proxies)
 	pool := resp.NewPool(int(buffersFraction * float64(c.memory)))
-	p.server = controlserver.New(p.events, pool, log, c.descriptors, topology)
-	p.discovery = discovery.New(c.discovery, known.Revision, p.events, log, p.clock.now, c.seed)
+	p.server = controlserver.New(p.queues, pool, log, c.descriptors, topology)
+	p.discovery = discovery.New(c.discovery, known.Revision, p.queues, log, p.clock.now, c.seed)
 	return p, nil
 }
 
@@ -141,15 +141,16 @@
 	restored := snapshots.restore(p.configuration.known, topology, p.clock)
 	p.configuration.known = restored.list
 	if restored.state != nil {
-		p.events.Enqueue(controller.SnapshotRestored{Snapshot: restored.state})
+		p.queues.Enqueue(controller.SnapshotRestored{Snapshot: restored.state})
 	}
 	p.core.SetSnapshotPolicy(retention.Every.Nanoseconds(), retention.HalfLife.Nanoseconds())
 	snapshots.start()
 	p.snapshots = snapshots
 }
 
-// expectedEvents is how many proxies' worth of events the queue is sized for, as each proxy reports its demand by class.
-func expectedEvents(proxies, classes int) int { return proxies * (1 + classes/classesPerEvent) }
+// queuedProxies returns the number of proxies that the queue of inputs is sized for: the proxies of the settings, and as many
+// again for each classesPerProxy traffic classes, as each proxy reports its demand by class.
+func queuedProxies(proxies, classes int) int { return proxies * (1 + classes/classesPerProxy) }
 
 // listen listens on an address. It retries while the address is in use, which it logs once.
 func listen(ctx context.Context, address string, log *slog.Logger) (listener net.Listener, err error) {
@@ -178,10 +179,10 @@
 			p.logCounters()
 			continue
 		case <-timer.C:
-		case <-p.events.Ready():
+		case <-p.queues.Ready():
 		}
 		time.Sleep(batchDelay)
-		result := p.core.Turn(p.clock.now(), p.events.Drain())
+		result := p.core.Turn(p.clock.now(), p.queues.Drain())
 		p.execute(result)
 		if result.NextTurn > 0 {
 			timer.Reset(time.Duration(max(0, result.NextTurn-p.clock.now())))
@@ -192,10 +193,10 @@
 // execute carries out what a turn has decided.
 func (p *process) execute(result controller.TurnResult) {
 	for _, update := range result.Updates {
-		p.events.Send(update)
+		p.queues.Send(update)
 	}
 	for _, stream := range result.CloseStreams {
-		p.events.CloseStream(stream)
+		p.queues.CloseStream(stream)
 	}
 	for _, text := range result.Logs {
 		p.log.Info(text)
--- a/experiment/scale/hollow.go
+++ b/experiment/scale/hollow.go
@@ -45,7 +45,7 @@
 	count  *messageCount
 	source ConfigurationSource
 
-	events *eventloop.Queues
+	queues *eventloop.Queues
 	module *policy.Policy // the last that was started; for the goroutine of the core
 
 	mu      sync.Mutex
@@ -70,13 +70,13 @@
 	if err != nil {
 		return fmt.Errorf("governor %d: %w", h.plan.Number, err)
 	}
-	h.events = eventloop.New()
-	h.events.SetProxies(first.provision.Proxies)
+	h.queues = eventloop.New()
+	h.queues.SetProxies(first.provision.Proxies)
 	h.offered = map[revision.Version]offer{{}: {marker: 1, done: func(error) {}}}
 	h.emitEvent(checks.Event{Kind: checks.Started, Resumes: true})
 	defer h.emitEvent(checks.Event{Kind: checks.Stopped})
 	h.source.Start(h.apply)
-	client := discovery.New(h.plan.Discovery, 0, h.events, slog.New(slog.DiscardHandler), now, h.plan.Seed)
+	client := discovery.New(h.plan.Discovery, 0, h.queues, slog.New(slog.DiscardHandler), now, h.plan.Seed)
 	var all sync.WaitGroup
 	defer all.Wait()
 	ctx, stop := context.WithCancel(ctx)
@@ -110,7 +110,7 @@
 	h.mu.Lock()
 	h.offered[v] = offer{markerOf(body), done}
 	h.mu.Unlock()
-	h.events.Enqueue(controller.Configure{Version: v, Names: s.names, Settings: s.provision, Start: h.moduleStarter(s)})
+	h.queues.Enqueue(controller.Configure{Version: v, Names: s.names, Settings: s.provision, Start: h.moduleStarter(s)})
 }
 
 // moduleStarter returns a function that starts decision modules with settings.
@@ -153,17 +153,17 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-h.events.Ready():
+		case <-h.queues.Ready():
 		}
 		time.Sleep(batchDelay)
-		inputs := h.events.Drain()
+		inputs := h.queues.Drain()
 		seen.observe(inputs)
 		outcome := core.Turn(now(), inputs)
 		h.count.turns.Add(1)
 		h.count.inputs.Add(int64(len(inputs)))
 		h.count.pushes.Add(int64(len(outcome.Updates)))
 		for _, s := range outcome.Updates {
-			h.events.Send(s)
+			h.queues.Send(s)
 		}
 		for _, c := range outcome.Configured {
 			h.handleResult(c)
@@ -178,11 +178,11 @@
 // proxy joins, acknowledges updates and reports a few requests a second.
 func (h *hollow) proxy(ctx context.Context, k int) {
 	stream := controller.StreamID(k + 1)
-	out := h.events.OpenStream(stream, func() {})
+	out := h.queues.OpenStream(stream, func() {})
 	defer out.Close()
 	random := rand.New(rand.NewPCG(h.plan.Seed, uint64(k)))
 	zone := zoneName(random.IntN(max(1, h.plan.Shape.Zones)))
-	h.events.Enqueue(controller.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, WithoutTable: true})
+	h.queues.Enqueue(controller.StreamOpened{Stream: stream, Proxy: k, Zone: zone, Rate: 1, WithoutTable: true})
 	var all sync.WaitGroup
 	defer all.Wait()
 	all.Go(func() { h.report(ctx, stream, k, random) })
@@ -191,9 +191,9 @@
 		if !ok {
 			return
 		}
-		h.events.MessageSent(item.Number)
+		h.queues.MessageSent(item.Number)
 		if item.WantsAck {
-			h.events.Enqueue(controller.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
+			h.queues.Enqueue(controller.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
 		}
 	}
 }
@@ -207,7 +207,7 @@
 		case <-time.After(pause):
 		}
 		route := fmt.Sprintf("route-%d", random.IntN(h.plan.Shape.Routes))
-		h.events.Enqueue(controller.Demand{Stream: stream, Class: route,
+		h.queues.Enqueue(controller.Demand{Stream: stream, Class: route,
 			Demand: control.Demand{Proxy: proxy, Requests: 1, Period: int64(time.Second)}})
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -21,7 +21,8 @@
 type Core struct {
 	// Counters count since the start; a module's restart does not reset them.
 	Counters Counters
-	// Topology is the one in force.
+	// Topology is the one in force. It is embedded, so c.names, c.drainGrace, c.bounds and the like are its fields; settings that
+	// change replace it as a whole.
 	Topology
 	module        moduleRunner
 	routing       routingState // set by the commands of the running module alone
--- a/internal/controlserver/eviction.go
+++ b/internal/controlserver/eviction.go
@@ -11,7 +11,7 @@
 	p := first.Value.(*peer)
 	s.remove(p)
 	p.conn.Close()
-	s.events.Counters.Evicted.Add(1)
+	s.queues.Counters.Evicted.Add(1)
 	return true
 }
 
--- a/internal/controlserver/golden_test.go
+++ b/internal/controlserver/golden_test.go
@@ -70,7 +70,7 @@
 	s := server(100)
 	local, remote := net.Pipe()
 	p := &peer{server: s, conn: local, stream: goldenStream, role: proxy, id: goldenProxy, done: make(chan struct{})}
-	p.sendQueue = s.events.OpenStream(goldenStream, func() {})
+	p.sendQueue = s.queues.OpenStream(goldenStream, func() {})
 	var b bytes.Buffer
 	copied := make(chan struct{})
 	go func() {
@@ -113,7 +113,7 @@
 	}
 	for _, u := range goldenUpdates() {
 		add(u.name, bytesWritten(t, func(p *peer) {
-			p.server.events.Send(controller.OutgoingUpdate{Stream: goldenStream, Update: u.update, Number: 1})
+			p.server.queues.Send(controller.OutgoingUpdate{Stream: goldenStream, Update: u.update, Number: 1})
 		}))
 	}
 	add("answer to a probe", bytesWritten(t, func(p *peer) { p.sendQueue.AnswerHealthCheck() }))
@@ -175,10 +175,10 @@
 		p := &peer{server: server(100), conn: conn, stream: goldenStream, role: m.role, id: goldenProxy}
 		err := p.handle(strings.Fields(m.words))
 		var event any
-		if events := p.server.events.Drain(); len(events) > 0 {
+		if events := p.server.queues.Drain(); len(events) > 0 {
 			event = events[0]
 		}
-		fmt.Fprintf(&b, "%v: %s\n  %s; skipped %d; error %v\n", m.role, m.words, describe(t, event), p.server.events.Counters.Skipped.Load(), err)
+		fmt.Fprintf(&b, "%v: %s\n  %s; skipped %d; error %v\n", m.role, m.words, describe(t, event), p.server.queues.Counters.Skipped.Load(), err)
 	}
 	for _, words := range [][]string{
 		{"hello id 17 site a rps 21.5 new 1"},
--- a/internal/controlserver/join.go
+++ b/internal/controlserver/join.go
@@ -119,10 +119,10 @@
 	}
 	opened.Stream = p.stream
 	p.id = opened.Proxy
-	p.sendQueue = p.server.events.OpenStream(p.stream, func() { p.conn.Close() })
+	p.sendQueue = p.server.queues.OpenStream(p.stream, func() { p.conn.Close() })
 	p.server.goroutines.Add(1)
 	go p.write()
-	p.server.events.Enqueue(opened)
+	p.server.queues.Enqueue(opened)
 }
 
 // reject sends the reason to a peer that has not joined, if it can be sent at once.
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -57,14 +57,14 @@
 // recoverPanic confines a panic of a reading or writing goroutine to its connection.
 func (p *peer) recoverPanic() {
 	if v := recover(); v != nil {
-		p.server.events.Counters.Panics.Add(1)
+		p.server.queues.Counters.Panics.Add(1)
 		p.server.log.Error("connection failed", "peer", p.role, "panic", v, "stack", string(debug.Stack()))
 	}
 }
 
 // ended counts and logs why reading has ended. A peer that has not joined is sent the reason.
 func (p *peer) ended(err error) {
-	counters := &p.server.events.Counters
+	counters := &p.server.queues.Counters
 	var text string
 	switch {
 	case errors.Is(err, errEvicted): // counted by evict
@@ -92,10 +92,10 @@
 func (p *peer) leave() {
 	close(p.done)
 	p.conn.Close()
-	p.server.events.Counters.Ended.Add(1)
+	p.server.queues.Counters.Ended.Add(1)
 	if p.sendQueue != nil {
 		p.sendQueue.Close()
-		p.server.events.Enqueue(controller.StreamClosed{Stream: p.stream})
+		p.server.queues.Enqueue(controller.StreamClosed{Stream: p.stream})
 	}
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
--- a/internal/controlserver/peer_test.go
+++ b/internal/controlserver/peer_test.go
@@ -67,12 +67,12 @@
 		p := &peer{server: s, conn: conn, stream: 5, role: c.role, id: 17}
 		err := p.handle(strings.Fields(c.message))
 		var received any
-		if events := s.events.Drain(); len(events) > 0 {
+		if events := s.queues.Drain(); len(events) > 0 {
 			received = events[0]
 		}
 		skips := c.role != unidentified && (c.event == nil || c.event == active)
 		if !reflect.DeepEqual(received, c.event) || errors.Is(err, errInvalidJoin) != (c.role == unidentified) ||
-			s.events.Counters.Skipped.Load() != map[bool]int64{true: 1}[skips] {
+			s.queues.Counters.Skipped.Load() != map[bool]int64{true: 1}[skips] {
 			t.Errorf("%v %q: event %+v, error %v", c.role, c.message, received, err)
 		}
 	}
--- a/internal/controlserver/race_test.go
+++ b/internal/controlserver/race_test.go
@@ -50,7 +50,7 @@
 		}})
 		second.Say(joins)
 		second.Ends()
-		scriptedpeer.Until(t, "the connection is not over", func() bool { return s.events.Counters.Ended.Load() == 1 })
+		scriptedpeer.Until(t, "the connection is not over", func() bool { return s.queues.Counters.Ended.Load() == 1 })
 		first.Say("outcomes site a target s-5 count 2 fail 0 mean 1 over 1")
 		if events := receive(t, s, 1); len(events) != 1 || events[0].(controller.Outcomes).Attempts != 2 {
 			t.Errorf("%s: received %+v", joins, events)
@@ -83,7 +83,7 @@
 		}
 		c.Close()
 	}
-	scriptedpeer.Until(t, "rejected peers stay", func() bool { return s.events.Counters.Ended.Load() == 10 })
+	scriptedpeer.Until(t, "rejected peers stay", func() bool { return s.queues.Counters.Ended.Load() == 10 })
 }
 
 // The end of the server does not wait for peers that linger, do not read, or are in the middle of a message.
@@ -117,9 +117,9 @@
 	}
 	s.mu.Unlock()
 	for range 16 { // some megabytes: more than the kernel buffers
-		s.events.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Full: true, Endpoints: lines}})
+		s.queues.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Full: true, Endpoints: lines}})
 	}
-	scriptedpeer.Until(t, "nothing is written", func() bool { return s.events.Counters.UpdatesSent.Load() > 0 })
+	scriptedpeer.Until(t, "nothing is written", func() bool { return s.queues.Counters.UpdatesSent.Load() > 0 })
 	stop() // with all connections open
 	select {
 	case err := <-ended:
@@ -149,11 +149,11 @@
 	}
 	message := controller.Update{Full: true, Endpoints: lines, WantsAck: true, Nonce: 7}
 	for name, end := range map[string]func(*scriptedpeer.Conn, controller.StreamID){
-		"closed by the server": func(_ *scriptedpeer.Conn, stream controller.StreamID) { s.events.CloseStream(stream) },
+		"closed by the server": func(_ *scriptedpeer.Conn, stream controller.StreamID) { s.queues.CloseStream(stream) },
 		"reset":                func(c *scriptedpeer.Conn, _ controller.StreamID) { c.Reset() },
 	} {
 		c, stream := join()
-		s.events.Send(controller.OutgoingUpdate{Stream: stream, Number: 1, Update: message})
+		s.queues.Send(controller.OutgoingUpdate{Stream: stream, Number: 1, Update: message})
 		if text, ok := c.Next(); !ok || !strings.HasSuffix(text, " continued 1") {
 			t.Errorf("%s: the first part ends %q", name, text[max(0, len(text)-20):])
 		}
@@ -170,14 +170,14 @@
 		if events := receive(t, s, 1); len(events) != 1 || events[0] != (controller.StreamClosed{Stream: stream}) {
 			t.Errorf("%s: received %+v", name, events)
 		}
-		for _, n := range s.events.Drain() {
+		for _, n := range s.queues.Drain() {
 			if _, written := n.(controller.MessageSent); written {
 				t.Errorf("%s: an incomplete update counts as written", name)
 			}
 		}
 	}
 	c, stream := join()
-	s.events.Send(controller.OutgoingUpdate{Stream: stream, Number: 2, Update: message})
+	s.queues.Send(controller.OutgoingUpdate{Stream: stream, Number: 2, Update: message})
 	for k := range 3 {
 		if text, ok := c.Next(); !ok || strings.HasSuffix(text, " continued 1") != (k < 2) || strings.HasPrefix(text, "push full 1") != (k == 0) {
 			t.Errorf("part %d: %.30q", k, text)
@@ -216,11 +216,11 @@
 	bad.Say("hello id 2 site a rps 2 new 1")
 	second := receive(t, s, 1)[0].(controller.StreamOpened).Stream
 	for _, stream := range []controller.StreamID{second, first} {
-		s.events.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Ejected: []string{"s-1"}}})
+		s.queues.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Ejected: []string{"s-1"}}})
 	}
 	bad.Ends()
-	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: second}) || s.events.Counters.Panics.Load() != 1 {
-		t.Errorf("received %+v, %d panics", events, s.events.Counters.Panics.Load())
+	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: second}) || s.queues.Counters.Panics.Load() != 1 {
+		t.Errorf("received %+v, %d panics", events, s.queues.Counters.Panics.Load())
 	}
 	if text, _ := good.Next(); text != "push eject s-1" {
 		t.Errorf("the other receives %q", text)
--- a/internal/controlserver/read.go
+++ b/internal/controlserver/read.go
@@ -38,7 +38,7 @@
 		p.skip(m.err)
 		return nil
 	}
-	p.server.events.Enqueue(event)
+	p.server.queues.Enqueue(event)
 	return nil
 }
 
@@ -73,9 +73,9 @@
 
 // skip passes over a complete message that cannot be used. It still shows that the stream is active.
 func (p *peer) skip(err error) {
-	p.server.events.Counters.Skipped.Add(1)
+	p.server.queues.Counters.Skipped.Add(1)
 	p.server.warn("message skipped", err, "peer", p.role, "from", p.conn.RemoteAddr())
 	if p.role == proxy {
-		p.server.events.Enqueue(controller.StreamActive{Stream: p.stream})
+		p.server.queues.Enqueue(controller.StreamActive{Stream: p.stream})
 	}
 }
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -31,7 +31,7 @@
 
 // Server serves one listener.
 type Server struct {
-	events         *eventloop.Queues
+	queues         *eventloop.Queues
 	pool           *resp.Pool
 	log            *slog.Logger
 	maxConnections int
@@ -47,9 +47,9 @@
 }
 
 // New returns a server that uses at most so many file descriptors.
-func New(events *eventloop.Queues, pool *resp.Pool, log *slog.Logger, descriptors int, topology controller.Topology) *Server {
+func New(queues *eventloop.Queues, pool *resp.Pool, log *slog.Logger, descriptors int, topology controller.Topology) *Server {
 	s := &Server{
-		events:         events,
+		queues:         queues,
 		pool:           pool,
 		log:            log,
 		maxConnections: max(1, descriptors-reservedDescriptors),
@@ -104,11 +104,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.peers) >= s.maxConnections && !s.evict() {
-		s.events.Counters.Refused.Add(1)
+		s.queues.Counters.Refused.Add(1)
 		conn.Close()
 		return
 	}
-	s.events.Counters.Accepted.Add(1)
+	s.queues.Counters.Accepted.Add(1)
 	s.lastStream++
 	p := &peer{server: s, conn: conn, stream: s.lastStream, done: make(chan struct{})}
 	p.evictable = s.evictable.PushBack(p)
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -86,8 +86,8 @@
 func receive(t *testing.T, s *Server, n int) (events []controller.Input) {
 	for late := time.After(10 * time.Second); len(events) < n; {
 		select {
-		case <-s.events.Ready():
-			events = append(events, slices.DeleteFunc(s.events.Drain(), func(n controller.Input) bool {
+		case <-s.queues.Ready():
+			events = append(events, slices.DeleteFunc(s.queues.Drain(), func(n controller.Input) bool {
 				_, out := n.(controller.MessageSent)
 				return out
 			})...)
@@ -106,16 +106,16 @@
 	if events := receive(t, s, 1); events[0] != (controller.StreamOpened{Stream: 1, Proxy: 17, Zone: "a", Rate: 2, WithoutTable: true}) {
 		t.Errorf("%+v", events)
 	}
-	s.events.Send(controller.OutgoingUpdate{Stream: 1, Number: 7, Update: controller.Update{Full: true, WantsAck: true, Nonce: 3,
+	s.queues.Send(controller.OutgoingUpdate{Stream: 1, Number: 7, Update: controller.Update{Full: true, WantsAck: true, Nonce: 3,
 		Endpoints: []controller.WeightedEndpoint{{Replica: "s-1", Weight: 1}}, Admissions: []controller.Admission{{Class: "g", Fraction: 1}}}})
 	c.expect(t, "push full 1 endpoints s-1:1 continued 1")
 	c.expect(t, "push routes g admit 1 policy 0 nonce_out 3")
 	c.send(t, "probe")
 	c.expect(t, "alive")
-	if events := s.events.Drain(); len(events) != 1 || events[0] != (controller.MessageSent{Number: 7}) {
+	if events := s.queues.Drain(); len(events) != 1 || events[0] != (controller.MessageSent{Number: 7}) {
 		t.Errorf("%+v once both parts and what came after them have gone out", events)
 	}
-	s.events.CloseStream(1)
+	s.queues.CloseStream(1)
 	c.expectClosed(t)
 	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: 1}) {
 		t.Errorf("%+v", events)
@@ -178,8 +178,8 @@
 	reports.send(t, "outcomes site a target s-5 count 1 fail 0 mean 1 over 1")
 	io.WriteString(good, "*2\r\n$3\r\nack\r\n:1\r\n$-1\r\n")
 	good.send(t, "ack id 1 seq 1 ms 1")
-	if receive(t, s, 4); s.events.Counters.JoinTimeouts.Load() != 3 || s.events.Counters.Skipped.Load() != 5 {
-		t.Errorf("%d late, %d skipped", s.events.Counters.JoinTimeouts.Load(), s.events.Counters.Skipped.Load())
+	if receive(t, s, 4); s.queues.Counters.JoinTimeouts.Load() != 3 || s.queues.Counters.Skipped.Load() != 5 {
+		t.Errorf("%d late, %d skipped", s.queues.Counters.JoinTimeouts.Load(), s.queues.Counters.Skipped.Load())
 	}
 }
 
@@ -227,11 +227,11 @@
 	here, there := net.Pipe()
 	p := &peer{server: s, conn: there, role: proxy, done: make(chan struct{})}
 	s.goroutines.Add(1)
-	p.server = &Server{events: s.events, log: s.log, peers: s.peers, evictable: s.evictable, collectors: s.collectors, lastWarning: s.lastWarning} // no pool
+	p.server = &Server{queues: s.queues, log: s.log, peers: s.peers, evictable: s.evictable, collectors: s.collectors, lastWarning: s.lastWarning} // no pool
 	p.server.goroutines.Add(1)
 	go io.WriteString(here, "x")
 	p.serve()
-	if s.goroutines.Done(); s.events.Counters.Panics.Load() != 1 {
+	if s.goroutines.Done(); s.queues.Counters.Panics.Load() != 1 {
 		t.Error("no panic was counted")
 	}
 	if _, err := here.Write([]byte("x")); err == nil {
@@ -306,7 +306,7 @@
 	}
 	receive(t, s, 2)
 	dial(t, at).expectClosed(t)
-	if s.events.Counters.Refused.Load() != 1 {
+	if s.queues.Counters.Refused.Load() != 1 {
 		t.Error("no connection was refused")
 	}
 }
@@ -344,12 +344,12 @@
 	good := dial(t, at, "hello id 2 site a rps 2 new 1")
 	receive(t, s, 1)
 	shut := controller.Update{Ejected: []string{"s-1"}}
-	s.events.Send(controller.OutgoingUpdate{Stream: 1, Update: shut})
+	s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: shut})
 	here.Read(make([]byte, 1)) // the rest of this message is not read
-	for s.events.Counters.QueuesDropped.Load() == 0 {
-		s.events.Send(controller.OutgoingUpdate{Stream: 1, Update: shut})
+	for s.queues.Counters.QueuesDropped.Load() == 0 {
+		s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: shut})
 	}
-	s.events.Send(controller.OutgoingUpdate{Stream: 2, Update: shut})
+	s.queues.Send(controller.OutgoingUpdate{Stream: 2, Update: shut})
 	good.expect(t, "push eject s-1")
 	slow.send(t, "ack id 1 seq 1 ms 1") // it is read meanwhile
 	if events := receive(t, s, 1); events[0] != (controller.Ack{Stream: 1, Nonce: 1, Delay: 1e6}) {
@@ -359,9 +359,9 @@
 	if events := receive(t, s, 1); events[0] != (controller.UpdatesDropped{Stream: 1}) {
 		t.Errorf("%+v", events)
 	}
-	s.events.Send(controller.OutgoingUpdate{Stream: 1, Update: controller.Update{Resync: true, Full: true}})
+	s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: controller.Update{Resync: true, Full: true}})
 	here.Read(make([]byte, 1))
-	s.events.CloseStream(1) // closed while it is being written to
+	s.queues.CloseStream(1) // closed while it is being written to
 	slow.expectClosed(t)
 	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: 1}) {
 		t.Errorf("%+v", events)
--- a/internal/controlserver/write.go
+++ b/internal/controlserver/write.go
@@ -13,7 +13,7 @@
 
 // answerHealthCheck answers on the reading goroutine, or through the send queue of a proxy, whose other goroutine writes.
 func (p *peer) answerHealthCheck() error {
-	p.server.events.Counters.HealthChecks.Add(1)
+	p.server.queues.Counters.HealthChecks.Add(1)
 	if p.sendQueue != nil {
 		p.sendQueue.AnswerHealthCheck()
 		return nil
@@ -46,16 +46,16 @@
 		return p.writeParts([][]string{{messageAlive}})
 	}
 	parts := EncodeUpdate(item.Update)
-	p.server.events.Counters.UpdatesSent.Add(1)
+	p.server.queues.Counters.UpdatesSent.Add(1)
 	if !p.writeParts(parts) {
 		return false
 	}
-	p.server.events.MessageSent(item.Number)
+	p.server.queues.MessageSent(item.Number)
 	return true
 }
 
 func (p *peer) writeParts(parts [][]string) bool {
-	counters := &p.server.events.Counters
+	counters := &p.server.queues.Counters
 	for k, words := range parts {
 		n, err := resp.Write(p.conn, p.server.pool, words...)
 		counters.UpdateBytes.Add(int64(n))
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -49,7 +49,7 @@
 func (c *Client) followConnection(ctx context.Context) (answers int, err error) {
 	defer func() {
 		if v := recover(); v != nil {
-			c.events.Counters.Panics.Add(1)
+			c.queues.Counters.Panics.Add(1)
 			c.synced = false
 			err = &CallError{Stage: StagePanic, Err: fmt.Errorf("%v at %s", v, debug.Stack())}
 		}
@@ -85,7 +85,7 @@
 
 // connect dials the current address.
 func (c *Client) connect(ctx context.Context) (*pacedConn, error) {
-	c.events.Counters.Dials.Add(1)
+	c.queues.Counters.Dials.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, "tcp", c.address)
@@ -118,7 +118,7 @@
 
 // call sends one request, reads its answer and applies it.
 func (c *Client) call(conn *pacedConn, reader *bufio.Reader) (callResult, error) {
-	c.events.Counters.DiscoveryCalls.Add(1)
+	c.queues.Counters.DiscoveryCalls.Add(1)
 	if err := c.send(conn); err != nil {
 		return callResult{}, &CallError{Stage: StageSend, Err: err}
 	}
@@ -136,10 +136,10 @@
 	}
 	changed, err := c.apply(body)
 	if err != nil {
-		c.events.Counters.InvalidLists.Add(1)
+		c.queues.Counters.InvalidLists.Add(1)
 		return callResult{}, &CallError{Stage: StageList, Err: err}
 	}
-	c.events.Counters.DiscoveryAnswers.Add(1)
+	c.queues.Counters.DiscoveryAnswers.Add(1)
 	return callResult{changed: changed, reusable: !response.Close && reader.Buffered() == 0}, nil
 }
 
@@ -191,6 +191,6 @@
 	c.staleAnswers = 0
 	list.ReadAt = c.clock()
 	list.ReadAtWall = time.Now().UnixNano()
-	c.events.Enqueue(list)
+	c.queues.Enqueue(list)
 	return changed, nil
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -53,7 +53,7 @@
 	address   string
 	dial      dialFunc
 	addresses chan string // requested by SetAddress; holds only the latest
-	events    *eventloop.Queues
+	queues    *eventloop.Queues
 	log       *slog.Logger
 	clock     func() int64 // nanoseconds; the receive time of a list
 	retry     *backoff.Backoff
@@ -67,12 +67,12 @@
 
 // New returns a client that starts from a list of the given revision. The clock returns nanoseconds; the seed is for the
 // jitter of the backoff.
-func New(address string, revision int64, events *eventloop.Queues, log *slog.Logger, clock func() int64, seed uint64) *Client {
+func New(address string, revision int64, queues *eventloop.Queues, log *slog.Logger, clock func() int64, seed uint64) *Client {
 	return &Client{
 		address:   address,
 		dial:      new(net.Dialer).DialContext,
 		addresses: make(chan string, 1),
-		events:    events,
+		queues:    queues,
 		log:       log,
 		clock:     clock,
 		retry:     backoff.NewJittered(backoffInitial, backoffLimit, seed),
@@ -140,9 +140,9 @@
 
 // countFailure counts a failed connection, and logs the first one of a series.
 func (c *Client) countFailure(err error, answers int) {
-	c.events.Counters.DiscoveryErrors.Add(1)
+	c.queues.Counters.DiscoveryErrors.Add(1)
 	if isTimeout(err) {
-		c.events.Counters.Timeouts.Add(1)
+		c.queues.Counters.Timeouts.Add(1)
 		c.retry.Reset()
 	}
 	if !c.failing {
