--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -203,7 +203,10 @@
 	}
 	p.snapshots.submit(result.Snapshot)
 	p.follower.handleResults(result.Configured, p.core, p.server)
+	// A new module has taken over within the turn. It starts from what was last learned and what is connected and listed; what
+	// the turn had asked for, timers and the reports that came with it are lost. If new modules panic as well, settings of this
+	// turn and then the learned state are left out, and at last the module is paused for a second (Core.recoverTurn).
 	if result.Panic != "" {
-		p.log.Error("the module failed, a fresh one goes on", "panic", result.Panic)
+		p.log.Error("the module panicked, a new one is started", "panic", result.Panic)
 	}
 }
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -10,6 +10,9 @@
 // deliveryState holds what is to be sent when. Updates that keep proxies away from replicas are urgent and go first. What the
 // channel or a proxy's message cap has no capacity for waits here, the oldest first, and is brought up to date until it
 // goes: an update that waits in the channel instead is stale when it arrives, and costs its overhead each time.
+//
+// The module plans what it asks for by an estimate of the same channel (policy/pacing); account is charged for each message as
+// it is sent, and decides what goes now.
 type deliveryState struct {
 	account *sendbudget.Account // outlives modules and streams
 	due     map[int]*stream     // by proxy: those to be looked at with the next updates, whether or not a command concerns them
--- a/internal/controlserver/write.go
+++ b/internal/controlserver/write.go
@@ -41,6 +41,7 @@
 }
 
 // writeItem writes one answer to a health check or one update, and reports whether all of it was written.
+// UpdatesSent counts the updates begun, whether or not the connection takes them to their end.
 func (p *peer) writeItem(item eventloop.Item) bool {
 	if item.HealthCheckReply {
 		return p.writeParts([][]string{{messageAlive}})
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -9,10 +9,10 @@
 	ResponseTime time.Duration // to the heads of the successful answers, summed
 }
 
-// Demand is what came of one traffic class since the last report, and how much of what was admitted failed.
+// Demand counts the requests of one traffic class since the last report.
 type Demand struct {
-	Requests int
-	Failures int
+	Requests int // that arrived, rejected ones included
+	Failures int // of those attempted; neither rejected ones nor those whose client has gone
 }
 
 // recordOutcome adds the current attempt to the outcomes of its replica.
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -18,7 +18,7 @@
 	Panics    atomic.Int64
 
 	// Messages to peers.
-	UpdatesSent   atomic.Int64
+	UpdatesSent   atomic.Int64 // updates whose writing has begun
 	UpdateBytes   atomic.Int64
 	QueuesDropped atomic.Int64 // times that a send queue was full and has dropped its updates
 	WriteErrors   atomic.Int64
--- a/internal/eventloop/queues.go
+++ b/internal/eventloop/queues.go
@@ -1,5 +1,6 @@
 // Package eventloop holds the queues between a controller's connections and its core: one of inputs for the core, and one of
-// updates for each stream. Nothing here waits for a peer, so that no connection can hold up the core or another one.
+// updates for each stream. It has queues only: the loop that runs the core's turns is runCore in cmd/lilacbend. Nothing here
+// waits for a peer, so that no connection can hold up the core or another one.
 package eventloop
 
 import (
--- a/internal/sendbudget/bounds.go
+++ b/internal/sendbudget/bounds.go
@@ -1,7 +1,12 @@
 // Package sendbudget accounts for every message that a controller sends to its proxies, against the limit of the channel that
 // they share and against the message cap of each proxy. A message is charged before it is sent, and only what shows that it
 // has left the channel takes the charge back, so the limits hold however slow the channel, the proxies and the controller
-// are and whichever acks are lost. The package has no I/O, no clock and no goroutine. Costs are units of the channel, times
+// are and whichever acks are lost.
+//
+// The same channel has a second account in policy/pacing, which plans in cost units what the module may ask for in a turn. This
+// one is charged for each message as it is sent, and it decides: what it has no room for waits, whatever was planned.
+//
+// The package has no I/O, no clock and no goroutine. Costs are units of the channel, times
 // nanoseconds of one monotonic clock.
 package sendbudget
 
