--- a/cmd/lilacbend/counters.go
+++ b/cmd/lilacbend/counters.go
@@ -20,7 +20,7 @@
 			"held", core.StreamsEnqueued, "asks", core.OwnAckRequests, "calls", counters.DiscoveryCalls.Load(), "dials", counters.Dials.Load()),
 		slog.Group("answered", "alive", counters.HealthChecks.Load(), "discovery", counters.DiscoveryAnswers.Load()),
 		slog.Group("lost", "notes", counters.InputsDropped.Load(), "emptied", counters.QueuesDropped.Load(), "stale", core.Stale, "silent", core.ProxiesSilent,
-			"replaced", core.StreamsReplaced, "refused", counters.Refused.Load(), "strangers", counters.UnknownPeers.Load(), "late", counters.JoinTimeouts.Load(),
+			"replaced", core.StreamsReplaced, "refused", counters.Refused.Load(), "strangers", counters.UnidentifiedPeers.Load(), "late", counters.JoinTimeouts.Load(),
 			"evicted", counters.Evicted.Load()),
 		slog.Group("errors", "unreadable", counters.Malformed.Load(), "skipped", counters.Skipped.Load(), "strange", core.Invalid,
 			"writes", counters.WriteErrors.Load(), "discovery", counters.DiscoveryErrors.Load(), "odd", counters.InvalidLists.Load(),
--- a/internal/controlserver/join.go
+++ b/internal/controlserver/join.go
@@ -30,9 +30,9 @@
 // Errors that end the connection of a peer before it has joined. Their texts, but for that of errEvicted, are sent to the
 // peer.
 var (
-	errInvalidJoin = errors.New("not ours")
-	errJoinTimeout = errors.New("not joined in time")
-	errEvicted     = errors.New("evicted")
+	errUnidentifiedPeer = errors.New("not ours")
+	errJoinTimeout      = errors.New("not joined in time")
+	errEvicted          = errors.New("evicted")
 )
 
 // joinReader reads from a peer that has to join before the read deadline. After the deadline it reads what has already
@@ -93,7 +93,7 @@
 		m.failf("%.40q before a joining", m.kind)
 	}
 	if m.err != nil {
-		return fmt.Errorf("%w: %w", errInvalidJoin, m.err)
+		return fmt.Errorf("%w: %w", errUnidentifiedPeer, m.err)
 	}
 	return nil
 }
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -15,12 +15,12 @@
 type role int
 
 const (
-	unidentified role = iota // not joined yet
+	unidentified role = iota // has not joined
 	collector
 	proxy
 )
 
-// String returns the role's name in log lines and error texts, some of which are sent to peers.
+// String returns the role's name in log lines and error texts. An unidentified peer is a stranger there.
 func (r role) String() string { return [...]string{"stranger", "collector", "proxy"}[r] }
 
 // peer is one connection. One goroutine reads from it; a second one writes to a proxy.
@@ -72,9 +72,9 @@
 	case errors.Is(err, errJoinTimeout):
 		text = "connection closed: join timeout"
 		counters.JoinTimeouts.Add(1)
-	case errors.Is(err, errInvalidJoin), errors.Is(err, resp.ErrNotWords):
+	case errors.Is(err, errUnidentifiedPeer), errors.Is(err, resp.ErrNotWords):
 		text = "connection closed: invalid join"
-		counters.UnknownPeers.Add(1)
+		counters.UnidentifiedPeers.Add(1)
 	case errors.Is(err, resp.ErrUnreadable), errors.Is(err, resp.ErrNoBuffer):
 		text = "connection closed: malformed message"
 		counters.Malformed.Add(1)
--- a/internal/controlserver/peer_test.go
+++ b/internal/controlserver/peer_test.go
@@ -71,7 +71,7 @@
 			received = events[0]
 		}
 		skips := c.role != unidentified && (c.event == nil || c.event == active)
-		if !reflect.DeepEqual(received, c.event) || errors.Is(err, errInvalidJoin) != (c.role == unidentified) ||
+		if !reflect.DeepEqual(received, c.event) || errors.Is(err, errUnidentifiedPeer) != (c.role == unidentified) ||
 			s.queues.Counters.Skipped.Load() != map[bool]int64{true: 1}[skips] {
 			t.Errorf("%v %q: event %+v, error %v", c.role, c.message, received, err)
 		}
--- a/internal/controlserver/race_test.go
+++ b/internal/controlserver/race_test.go
@@ -94,9 +94,9 @@
 	defer stop()
 	ended := make(chan error)
 	go func() { ended <- s.Serve(ctx, l) }()
-	stranger := scriptedpeer.Dial(t, at)
-	stranger.Raw("nonsense\r\n")
-	stranger.Hears("error") // and its connection stays open
+	unidentifiedPeer := scriptedpeer.Dial(t, at)
+	unidentifiedPeer.Raw("nonsense\r\n")
+	unidentifiedPeer.Hears("error") // and its connection stays open
 	half := scriptedpeer.Dial(t, at)
 	half.Say("hello id 1 site a rps 2 new 1")
 	half.Raw("*3\r\n$3\r\nack\r\n$2\r\ni")
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -159,15 +159,15 @@
 	good := dial(t, at, "probe", "hello id 1 site a rps 2 new 1")
 	reports := dial(t, at, "agent site a")
 	receive(t, s, 1)
-	strangers := []client{dial(t, at), dial(t, at, "probe"), dial(t, at)}
-	io.WriteString(strangers[2], "*3\r\n$5\r\nagent\r\n$4\r\nsi")
+	unidentifiedPeers := []client{dial(t, at), dial(t, at, "probe"), dial(t, at)}
+	io.WriteString(unidentifiedPeers[2], "*3\r\n$5\r\nagent\r\n$4\r\nsi")
 	time.Sleep(joinTimeout * 3 / 4)
-	strangers[1].send(t, "probe")
-	for k, c := range strangers {
+	unidentifiedPeers[1].send(t, "probe")
+	for k, c := range unidentifiedPeers {
 		for words, err := c.read.Next(); ; words, err = c.read.Next() {
 			if err != nil || words[0] != "alive" {
 				if text := strings.Join(words, " "); !strings.HasPrefix(text, "error reason ") || !strings.HasSuffix(text, errJoinTimeout.Error()) {
-					t.Errorf("stranger %d is sent %q: %v", k, text, err)
+					t.Errorf("unidentified peer %d is sent %q: %v", k, text, err)
 				}
 				break
 			}
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -5,12 +5,12 @@
 // Counters count what passes a controller's connections.
 type Counters struct {
 	// Connections of peers.
-	Accepted     atomic.Int64
-	Refused      atomic.Int64
-	Evicted      atomic.Int64 // to make room for others
-	Ended        atomic.Int64
-	UnknownPeers atomic.Int64 // closed, as they are no peers of a controller
-	JoinTimeouts atomic.Int64 // closed, as they have not said in time who they are
+	Accepted          atomic.Int64
+	Refused           atomic.Int64
+	Evicted           atomic.Int64 // to make room for others
+	Ended             atomic.Int64
+	UnidentifiedPeers atomic.Int64 // closed, as their first message was no valid join
+	JoinTimeouts      atomic.Int64 // closed, as they have not said in time who they are
 
 	// Messages of peers.
 	Skipped   atomic.Int64 // complete messages that cannot be used
