--- a/internal/controller/changes.go
+++ b/internal/controller/changes.go
@@ -5,7 +5,7 @@
 // turnChanges is what the commands of one turn have changed.
 type turnChanges struct {
 	endpoints  map[int]map[uint32]bool // replicas by table
-	ejections  map[uint32]bool         // replicas that were ejected or restored
+	ejections  map[uint32]bool         // replicas that were ejected or unejected
 	admissions map[int]bool            // by table, control.AllTables among them
 	wantsAck   bool
 	nonce      uint64
@@ -30,7 +30,7 @@
 	}
 }
 
-// markEndpoint enters that the weight of a replica in a table was set.
+// markEndpoint records that the weight of a replica in a table was set.
 func (t *turnChanges) markEndpoint(table int, replica uint32) {
 	if t.endpoints[table] == nil {
 		t.endpoints[table] = map[uint32]bool{}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -56,7 +56,7 @@
 	c.Counters.CostRequested += int64(len(c.streams.byTable[command.Table]))
 }
 
-// bind binds a proxy to a table, or has the rest sent of the table that it has a subset of.
+// bind binds a proxy to a table, or marks the rest of the table that it has a subset of as due.
 func (c *Core) bind(command control.Bind) {
 	s := c.streams.byProxy[command.Proxy]
 	if s == nil {
@@ -84,7 +84,7 @@
 	c.Counters.CostRequested += int64(len(command.Replicas) + 1)
 }
 
-// setEjected ejects a replica or restores it.
+// setEjected ejects a replica or unejects it.
 func (c *Core) setEjected(command control.SetEjected, changes *turnChanges) {
 	if c.replicas.byNumber[command.Replica] == nil {
 		c.Counters.Invalid++
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -10,6 +10,9 @@
 // deliveryState holds what is to be sent when. Updates that keep proxies away from replicas are urgent and go first. What the
 // channel or a proxy's message cap has no capacity for waits here, the oldest first, and is brought up to date until it
 // goes: an update that waits in the channel instead is stale when it arrives, and costs its overhead each time.
+//
+// The module plans what it asks for by an estimate of the same channel (policy/pacing); account is charged for each message as
+// it is sent, and decides what goes now.
 type deliveryState struct {
 	account *sendbudget.Account // outlives modules and streams
 	due     map[int]*stream     // by proxy: those to be looked at with the next updates, whether or not a command concerns them
@@ -25,7 +28,7 @@
 	return deliveryState{account: account, due: map[int]*stream{}}
 }
 
-// markDue has a stream looked at with the next updates.
+// markDue marks a stream to be looked at with the next updates.
 func (d *deliveryState) markDue(s *stream) { d.due[s.opened.Proxy] = s }
 
 // unmarkDue undoes markDue.
@@ -169,11 +172,11 @@
 	if units > 0 {
 		c.Counters.Updates++
 	}
-	if units == 0 && !update.Resync { // an outbox that was drained waits for its resync, empty or not
+	if units == 0 && !update.Resync { // a send queue that dropped its updates waits for its resync, empty or not
 		return
 	}
 	number := c.delivery.account.Charge(s.opened.Proxy, units, t.now)
-	// A nonce that is sent once more is not entered again: its ack may be to the first message and clears no more than that.
+	// A nonce that is sent once more is not recorded again: its ack may be to the first message and clears no more than that.
 	if wantsNewAck {
 		s.unacked.add(sentMessage{nonce: update.Nonce, number: number})
 		c.delivery.acks.await(s, t.now)
@@ -200,17 +203,18 @@
 	}
 }
 
-// The delay after which an unbound proxy is caught up is a fraction of the drain grace, as is the time between two checks.
+// The delay after which an unbound proxy is caught up is the drain grace divided by catchUpDelayDivisor, the time between two
+// checks is the drain grace divided by catchUpIntervalDivisor.
 const (
-	catchUpDelayFraction    = 2
-	catchUpIntervalFraction = 8
+	catchUpDelayDivisor    = 2
+	catchUpIntervalDivisor = 8
 )
 
 // catchUpUnbound sends all ejections to streams that have been unbound for a while. What a proxy held when it
 // connected may name replicas ejected before, and in a reconnect storm, or if no replica is left for its table, its own
 // table may come too late to say so.
 func (c *Core) catchUpUnbound(now int64) {
-	if c.drainGrace <= 0 || len(c.routing.ejected) == 0 || now-c.delivery.lastCatchUp < c.drainGrace/catchUpIntervalFraction {
+	if c.drainGrace <= 0 || len(c.routing.ejected) == 0 || now-c.delivery.lastCatchUp < c.drainGrace/catchUpIntervalDivisor {
 		return
 	}
 	c.delivery.lastCatchUp = now
@@ -218,7 +222,7 @@
 	unboundStreams := c.streams.byTable[unbound]
 	for _, proxy := range slices.Sorted(maps.Keys(unboundStreams)) {
 		s := unboundStreams[proxy]
-		if !s.caughtUp && now-s.unboundSince > c.drainGrace/catchUpDelayFraction {
+		if !s.caughtUp && now-s.unboundSince > c.drainGrace/catchUpDelayDivisor {
 			s.caughtUp = true
 			c.enqueue(s, all)
 		}
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -15,12 +15,12 @@
 type role int
 
 const (
-	unidentified role = iota // not joined yet
+	unidentified role = iota // has not joined
 	collector
 	proxy
 )
 
-// String returns the role's name in log lines and error texts, some of which are sent to peers.
+// String returns the role's name in log lines and error texts. An unidentified peer is a stranger there.
 func (r role) String() string { return [...]string{"stranger", "collector", "proxy"}[r] }
 
 // peer is one connection. One goroutine reads from it; a second one writes to a proxy.
@@ -57,27 +57,27 @@
 // recoverPanic confines a panic of a reading or writing goroutine to its connection.
 func (p *peer) recoverPanic() {
 	if v := recover(); v != nil {
-		p.server.events.Counters.Panics.Add(1)
+		p.server.queues.Counters.Panics.Add(1)
 		p.server.log.Error("connection failed", "peer", p.role, "panic", v, "stack", string(debug.Stack()))
 	}
 }
 
 // ended counts and logs why reading has ended. A peer that has not joined is sent the reason.
 func (p *peer) ended(err error) {
-	tally := &p.server.events.Counters
+	counters := &p.server.queues.Counters
 	var text string
 	switch {
 	case errors.Is(err, errEvicted): // counted by evict
 		return
 	case errors.Is(err, errJoinTimeout):
 		text = "connection closed: join timeout"
-		tally.JoinTimeouts.Add(1)
-	case errors.Is(err, errInvalidJoin), errors.Is(err, resp.ErrNotWords):
+		counters.JoinTimeouts.Add(1)
+	case errors.Is(err, errUnidentifiedPeer), errors.Is(err, resp.ErrNotWords):
 		text = "connection closed: invalid join"
-		tally.UnknownPeers.Add(1)
+		counters.UnidentifiedPeers.Add(1)
 	case errors.Is(err, resp.ErrUnreadable), errors.Is(err, resp.ErrNoBuffer):
 		text = "connection closed: malformed message"
-		tally.Malformed.Add(1)
+		counters.Malformed.Add(1)
 	default:
 		p.server.log.Debug("connection lost", "peer", p.role, "error", err)
 		return
@@ -92,10 +92,10 @@
 func (p *peer) leave() {
 	close(p.done)
 	p.conn.Close()
-	p.server.events.Counters.Ended.Add(1)
+	p.server.queues.Counters.Ended.Add(1)
 	if p.sendQueue != nil {
 		p.sendQueue.Close()
-		p.server.events.Enqueue(controller.StreamClosed{Stream: p.stream})
+		p.server.queues.Enqueue(controller.StreamClosed{Stream: p.stream})
 	}
 	p.server.mu.Lock()
 	defer p.server.mu.Unlock()
--- a/internal/controlserver/peer_test.go
+++ b/internal/controlserver/peer_test.go
@@ -67,12 +67,12 @@
 		p := &peer{server: s, conn: conn, stream: 5, role: c.role, id: 17}
 		err := p.handle(strings.Fields(c.message))
 		var received any
-		if events := s.events.Drain(); len(events) > 0 {
+		if events := s.queues.Drain(); len(events) > 0 {
 			received = events[0]
 		}
 		skips := c.role != unidentified && (c.event == nil || c.event == active)
-		if !reflect.DeepEqual(received, c.event) || errors.Is(err, errInvalidJoin) != (c.role == unidentified) ||
-			s.events.Counters.Skipped.Load() != map[bool]int64{true: 1}[skips] {
+		if !reflect.DeepEqual(received, c.event) || errors.Is(err, errUnidentifiedPeer) != (c.role == unidentified) ||
+			s.queues.Counters.Skipped.Load() != map[bool]int64{true: 1}[skips] {
 			t.Errorf("%v %q: event %+v, error %v", c.role, c.message, received, err)
 		}
 	}
@@ -88,7 +88,7 @@
 		want string
 	}{
 		{controller.Update{Full: true, Endpoints: []controller.WeightedEndpoint{{Replica: "s-1", Weight: 1.5}, {Replica: "s-2", Weight: 1e-7}},
-			Ejected: []string{"s-2"}, Restored: []string{"s-1"}, Admissions: []controller.Admission{{Class: "a", Fraction: 0.9, Retries: 1}, {Class: "b"}},
+			Ejected: []string{"s-2"}, Unejected: []string{"s-1"}, Admissions: []controller.Admission{{Class: "a", Fraction: 0.9, Retries: 1}, {Class: "b"}},
 			WantsAck: true, Nonce: 905},
 			"push full 1 endpoints s-1:1.5,s-2:0.0000001 continued 1|push eject s-2 continued 1|" +
 				"push restore s-1 continued 1|push routes a admit 0.9 policy 1 continued 1|" +
--- a/internal/eventloop/queues.go
+++ b/internal/eventloop/queues.go
@@ -1,5 +1,6 @@
 // Package eventloop holds the queues between a controller's connections and its core: one of inputs for the core, and one of
-// updates for each stream. Nothing here waits for a peer, so that no connection can hold up the core or another one.
+// updates for each stream. It has queues only: the loop that runs the core's turns is runCore in cmd/lilacbend. Nothing here
+// waits for a peer, so that no connection can hold up the core or another one.
 package eventloop
 
 import (
@@ -38,7 +39,7 @@
 	}
 }
 
-// SetProxies has the queue of inputs hold what so many proxies may send.
+// SetProxies sizes the queue of inputs for what so many proxies may send.
 func (q *Queues) SetProxies(proxies int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
