--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -56,7 +56,10 @@
 	picks      randomSequence
 	tables     []table // by class
 
-	ejected   map[string]bool // by a controller
+	// ejectedByController holds the replicas that a controller has ejected: they are never picked. The sidecar's own ejections
+	// are in replicaState.locallyEjectedUntil and only make other replicas preferred.
+	ejectedByController map[string]bool
+
 	endpoints map[string]Endpoint
 	replicas  map[string]*replicaState
 
@@ -103,16 +106,16 @@
 			len(config.Classes), config.MaxRequests)
 	}
 	return &Dispatcher{
-		config:      config,
-		picks:       randomSequence{seed: pickSeed},
-		tables:      make([]table, len(config.Classes)),
-		ejected:     map[string]bool{},
-		endpoints:   map[string]Endpoint{},
-		replicas:    map[string]*replicaState{},
-		retryTokens: config.RetryBudgetBurst,
-		outcomes:    map[string]*Outcomes{},
-		demand:      make([]Demand, len(config.Classes)),
-		Counters:    Counters{Rejected: map[Reason]int64{}, Failed: map[Reason]int64{}},
+		config:              config,
+		picks:               randomSequence{seed: pickSeed},
+		tables:              make([]table, len(config.Classes)),
+		ejectedByController: map[string]bool{},
+		endpoints:           map[string]Endpoint{},
+		replicas:            map[string]*replicaState{},
+		retryTokens:         config.RetryBudgetBurst,
+		outcomes:            map[string]*Outcomes{},
+		demand:              make([]Demand, len(config.Classes)),
+		Counters:            Counters{Rejected: map[Reason]int64{}, Failed: map[Reason]int64{}},
 	}, nil
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -67,8 +67,8 @@
 			if s.Final {
 				g.finals++
 			}
-			if s.Replica != "" && (s.Deadline <= now || d.ejected[s.Replica]) {
-				t.Fatalf("%+v at %d, ejected: %v", s, now, d.ejected[s.Replica])
+			if s.Replica != "" && (s.Deadline <= now || d.ejectedByController[s.Replica]) {
+				t.Fatalf("%+v at %d, ejected: %v", s, now, d.ejectedByController[s.Replica])
 			}
 			class := d.config.Classes[g.request.class]
 			var executed []attempt
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -55,11 +55,11 @@
 		}
 	}
 	for id, replica := range d.replicas {
-		if !listed[id] && replica.inFlight == 0 && replica.ejectedUntil <= now {
+		if !listed[id] && replica.inFlight == 0 && replica.locallyEjectedUntil <= now {
 			delete(d.replicas, id)
 		}
 	}
-	if len(d.ejected) > maxUnlistedEjections { // a controller unejects only replicas that its table names
-		maps.DeleteFunc(d.ejected, func(id string, _ bool) bool { return !listed[id] })
+	if len(d.ejectedByController) > maxUnlistedEjections { // a controller unejects only replicas that its table names
+		maps.DeleteFunc(d.ejectedByController, func(id string, _ bool) bool { return !listed[id] })
 	}
 }
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -7,7 +7,7 @@
 type replicaState struct {
 	inFlight             int
 	consecutiveFailures  int
-	ejectedUntil         int64
+	locallyEjectedUntil  int64 // by the failures that this sidecar saw; compare Dispatcher.ejectedByController
 	consecutiveEjections int   // without an answer since
 	unansweredSince      int64 // since when it has had requests in flight and answered none
 }
@@ -25,7 +25,7 @@
 // avoids reports whether other replicas of a class are preferred to one: while it is ejected, while one request finds out
 // whether it has recovered, and while it seems silent.
 func (d *Dispatcher) avoids(now int64, class int, replica *replicaState) bool {
-	if replica.ejectedUntil > now {
+	if replica.locallyEjectedUntil > now {
 		return true
 	}
 	if d.config.MaxConsecutiveFailures <= 0 {
@@ -67,14 +67,14 @@
 // Attempts that fail while it is ejected began before, and do not eject it again.
 func (d *Dispatcher) recordFailure(now int64, replica *replicaState) {
 	replica.consecutiveFailures++
-	if d.config.MaxConsecutiveFailures == 0 || replica.ejectedUntil > now {
+	if d.config.MaxConsecutiveFailures == 0 || replica.locallyEjectedUntil > now {
 		return
 	}
 	if replica.consecutiveFailures < d.config.MaxConsecutiveFailures && replica.consecutiveEjections == 0 {
 		return
 	}
 	doublings := min(replica.consecutiveEjections, maxEjectionDoublings)
-	replica.ejectedUntil = now + int64(d.config.EjectionTime)<<doublings
+	replica.locallyEjectedUntil = now + int64(d.config.EjectionTime)<<doublings
 	replica.consecutiveFailures = 0
 	replica.consecutiveEjections++
 	d.Counters.Ejections++
--- a/internal/dispatch/outlier_test.go
+++ b/internal/dispatch/outlier_test.go
@@ -54,7 +54,7 @@
 	}
 	fail(10)
 	for _, duration := range []int64{5, 10, 20, 40, 40} {
-		if until := d.replicas["a1"].ejectedUntil - now; until != duration*second {
+		if until := d.replicas["a1"].locallyEjectedUntil - now; until != duration*second {
 			t.Errorf("ejected for %d, want %d", until, duration*second)
 		}
 		now += duration * second
@@ -96,9 +96,9 @@
 		avoids  bool
 	}{
 		{"new", replicaState{}, false},
-		{"ejected", replicaState{ejectedUntil: now + 1}, true},
-		{"ejection is over", replicaState{ejectedUntil: now, consecutiveEjections: 1}, false},
-		{"on probation", replicaState{ejectedUntil: now, consecutiveEjections: 1, inFlight: 1}, true},
+		{"ejected", replicaState{locallyEjectedUntil: now + 1}, true},
+		{"ejection is over", replicaState{locallyEjectedUntil: now, consecutiveEjections: 1}, false},
+		{"on probation", replicaState{locallyEjectedUntil: now, consecutiveEjections: 1, inFlight: 1}, true},
 		{"few in flight", replicaState{inFlight: 2, unansweredSince: 1}, false},
 		{"silent", replicaState{inFlight: 3, unansweredSince: now - second - 1}, true},
 		{"silent for no more than the objective", replicaState{inFlight: 3, unansweredSince: now - second}, false},
@@ -109,7 +109,7 @@
 				t.Errorf("avoided: %v", got)
 			}
 			d.config.MaxConsecutiveFailures = 0
-			if got := d.avoids(now, 0, &c.replica); got != (c.replica.ejectedUntil > now) {
+			if got := d.avoids(now, 0, &c.replica); got != (c.replica.locallyEjectedUntil > now) {
 				t.Errorf("without ejections it is avoided: %v", got)
 			}
 		})
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -55,7 +55,7 @@
 	if !found || listed.State != control.Ready {
 		return false
 	}
-	return !d.ejected[replica] && !r.attempted(replica) && scope.contains(listed)
+	return !d.ejectedByController[replica] && !r.attempted(replica) && scope.contains(listed)
 }
 
 // pick picks one of the candidates by the policy of the sidecar.
--- a/internal/dispatch/update.go
+++ b/internal/dispatch/update.go
@@ -92,10 +92,10 @@
 		d.tables[class].apply(part)
 	}
 	for _, replica := range part.Eject {
-		d.ejected[replica] = true
+		d.ejectedByController[replica] = true
 	}
 	for _, replica := range part.Uneject {
-		delete(d.ejected, replica)
+		delete(d.ejectedByController, replica)
 	}
 	if part.Full || len(part.Weights) > 0 {
 		d.hasTables = true
--- a/internal/dispatch/update_test.go
+++ b/internal/dispatch/update_test.go
@@ -18,13 +18,13 @@
 		if err := d.Apply(0, update); !errors.Is(err, ErrInvalidUpdate) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", name, err)
 		}
-		if n := d.TableSizes(); n["read"] != 4 || n["payout"] != 4 || len(d.ejected) != 0 || d.tables[0].hasSettings {
+		if n := d.TableSizes(); n["read"] != 4 || n["payout"] != 4 || len(d.ejectedByController) != 0 || d.tables[0].hasSettings {
 			t.Errorf("%s: left %v", name, n)
 		}
 	}
 	d := newDispatcher(t, nil, retryPolicy(2), Update{Eject: []string{"a1"}})
 	d.Apply(0, Update{Classes: []string{"order"}, Full: true, Weights: map[string]float64{"b1": 2}})
-	if n := d.TableSizes(); n["order"] != 1 || n["read"] != 4 || d.tables[1].hasSettings || !d.tables[0].hasSettings || !d.ejected["a1"] {
+	if n := d.TableSizes(); n["order"] != 1 || n["read"] != 4 || d.tables[1].hasSettings || !d.tables[0].hasSettings || !d.ejectedByController["a1"] {
 		t.Errorf("a full table of one class: %v", n)
 	}
 }
