--- a/cmd/lilacbend/snapshots.go
+++ b/cmd/lilacbend/snapshots.go
@@ -70,7 +70,7 @@
 		return nothing
 	}
 	if latest.State.Controller != k.name {
-		k.logRefused(latest.Name, fmt.Sprintf("it is %q's", latest.State.Controller))
+		k.logRefused(latest.Name, fmt.Sprintf("it was written by controller %q, this is %q", latest.State.Controller, k.name))
 		k.refused++
 		return nothing
 	}
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -119,7 +119,7 @@
 func TestControllerServesWithAnyStateFolder(t *testing.T) {
 	whole, _ := snapshot.Encode(learnedstate.State{Controller: "n9", Taken: snapshot.Now()}, 1)
 	for name, c := range map[string]struct{ raw, says string }{
-		"state-0000000000000001.lbs": {string(whole), `it is \"n9\"'s`},
+		"state-0000000000000001.lbs": {string(whole), `it was written by controller \"n9\", this is \"n0\"`},
 		"state-0000000000000002.lbs": {string(whole), "it holds generation 1"},
 		"state-0000000000000003.lbs": {"", "does not begin as one"},
 		"state-0000000000000004.lbs": {string(whole[:60]), "damaged"},
--- a/internal/controller/configure.go
+++ b/internal/controller/configure.go
@@ -19,7 +19,7 @@
 	// something else.
 	ErrNeedsRestart = errors.New("setting domain.admit cannot change while the controller runs: restart it")
 	// ErrModuleFails is settings by which no module runs.
-	ErrModuleFails = errors.New("the module fails by it")
+	ErrModuleFails = errors.New("the module panics with these settings")
 )
 
 // maxFailureText bounds the text of a module's panic in an error, in bytes.
--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -144,7 +144,7 @@
 	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	s.turns = [][]control.Command{panicking}
 	o := c.Turn(1, []Input{changed(2, namesOf("read", "a", "m1"), panickingModule{})})
-	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "the module fails by it") {
+	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "the module panics with these settings") {
 		t.Fatalf("%+v", o.Configured)
 	}
 	if !c.ConfigurationVersion().IsZero() || len(c.names.Zones) != 2 || c.streams.byProxy[4].opened.Zone != 1 || c.replicas.byNumber[1].Zone != 1 || len(o.CloseStreams) != 0 {
--- a/internal/filewriter/directory.go
+++ b/internal/filewriter/directory.go
@@ -125,14 +125,14 @@
 // with the process, however that ends. A directory that belongs to another user, or that others may write to, is refused.
 func (d Directory) Acquire(owner string) (*Lock, error) {
 	if err := os.MkdirAll(string(d), directoryPermissions); err != nil {
-		return nil, fmt.Errorf("making it: %w", err)
+		return nil, fmt.Errorf("creating the directory: %w", err)
 	}
 	if err := d.checkOwner(); err != nil {
 		return nil, err
 	}
 	file, err := os.OpenFile(filepath.Join(string(d), lockName), os.O_RDWR|os.O_CREATE, filePermissions)
 	if err != nil {
-		return nil, fmt.Errorf("its lock: %w", err)
+		return nil, fmt.Errorf("opening the lock file: %w", err)
 	}
 	if err := lockFile(file); err != nil {
 		file.Close()
@@ -166,7 +166,7 @@
 		return nil
 	}
 	if !errors.Is(err, syscall.EWOULDBLOCK) {
-		return fmt.Errorf("its lock: %w", err)
+		return fmt.Errorf("locking the lock file: %w", err)
 	}
 	owner, _ := io.ReadAll(io.LimitReader(file, maxOwnerText)) // what cannot be read is not named
 	return &LockedError{strings.Join(strings.Fields(string(owner)), " ")}
--- a/internal/upstream/errors.go
+++ b/internal/upstream/errors.go
@@ -45,7 +45,7 @@
 	// replica's.
 	ErrBodyStopped = errors.New("the body is no longer needed")
 	// ErrConnectionLimit is returned where a replica has as many connections as it may, all in use, and none was
-	// released in time.
+	// released in time. A closed pool returns it for any new connection.
 	ErrConnectionLimit = errors.New("all connections of the replica are in use")
 
 	errHeadTooLarge         = errors.New("the head is too large")
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -139,7 +139,7 @@
 		r.idle = r.idle[1:]
 		p.closeConn(oldest, r)
 	}
-	if r.open >= p.config.MaxConnections || p.closed {
+	if r.open >= p.config.MaxConnections || p.closed { // a closed pool reports it too, as the sidecar ends then
 		return nil, nil, ErrConnectionLimit
 	}
 	p.replicas[address] = r // closing the last of its connections may just have removed it
