--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -7,7 +7,7 @@
 	"lilacbend/control"
 )
 
-func TestAdmissionModes(t *testing.T) {
+func TestBeginAdmitsNoMoreThanTheAdmissionModeAllows(t *testing.T) {
 	half := Update{Settings: []ClassSettings{{0.5, control.RetryIfNotExecuted}}}
 	rate := Update{Settings: []ClassSettings{{10, control.RetryIfNotExecuted}}}
 	countAdmitted := func(d *Dispatcher, n int, every int64) (admitted int) {
--- a/internal/dispatch/outlier_test.go
+++ b/internal/dispatch/outlier_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestAvoids(t *testing.T) {
+func TestAvoidsReplicasThatAreEjectedOnProbationOrSilent(t *testing.T) {
 	const now = 10 * second
 	for _, c := range []struct {
 		name    string
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -7,7 +7,7 @@
 	"lilacbend/control"
 )
 
-func TestWhatFollowsAnAttempt(t *testing.T) {
+func TestOutcomeAndPolicyDecideWhetherAnAttemptIsRetried(t *testing.T) {
 	const read, order, payout = 0, 1, 2
 	for _, c := range []struct {
 		name     string
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestRetryScope(t *testing.T) {
+func TestRetryScopeContainsItsZoneOrCellOnly(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		scope    retryScope
--- a/internal/ingress/http1_head_test.go
+++ b/internal/ingress/http1_head_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-func TestCheckHead(t *testing.T) {
+func TestCheckHeadRefusesAmbiguousHeads(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		head string
--- a/internal/ingress/http2_frames_test.go
+++ b/internal/ingress/http2_frames_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/net/http2"
 )
 
-func TestFrameBudget(t *testing.T) {
+func TestFrameBudgetEndsFloodsAndRefills(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		cost  float64
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,7 +14,7 @@
 	"lilacbend/internal/upstream"
 )
 
-func TestOutcomeOf(t *testing.T) {
+func TestFailedAttemptIsNotExecutedOnlyIfItWasNotSent(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestStreamedBody(t *testing.T) {
+func TestStreamedBodyIsAskedForAndStoppedOnce(t *testing.T) {
 	stops, asks := 0, 0
 	body := &streamedBody{request: &Request{
 		Body:           strings.NewReader("text"),
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestReadBody(t *testing.T) {
+func TestReadBodyHoldsShortBodiesOfKnownLength(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		request Request
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -11,7 +11,8 @@
 	"lilacbend/internal/upstream"
 )
 
-// transaction is one request on its way to its answer.
+// transaction is one request on its way to its answer. It has three forms of it: Request, as the ingress has read it; state, as
+// the dispatcher knows it, which decides what comes next; upstream, as it is sent to a replica, set anew for each attempt.
 type transaction struct {
 	*Request
 	proxy    *Proxy
