--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -267,7 +267,7 @@
 	}
 }
 
-// Streams keep no names for ever, yet a replica that returns after its name was evicted is restored where it was ejected.
+// Streams keep no names for ever, yet a replica that returns after its name was evicted is unejected where it was ejected.
 func TestEvictedReplicaIsRestoredWhenItReturns(t *testing.T) {
 	for _, others := range []int{0, maxEvictedEjections} {
 		c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}}, commands{control.SetEjected{Replica: 1, Ejected: true}, endpoint(0, 1, 0)})
@@ -299,7 +299,7 @@
 	if !strings.HasPrefix(o.Panic, "scripted at") || !reflect.DeepEqual(s.events, want) || c.Counters.ModuleRestarts != 1 {
 		t.Errorf("events %+v after %.40q", s.events, o.Panic)
 	}
-	if got := text(o); got != "1: full x=1 y=1 +x +y" { // what the failed module had ejected is restored
+	if got := text(o); got != "1: full x=1 y=1 +x +y" { // what the failed module had ejected is unejected
 		t.Errorf("updates %s", got)
 	}
 	if o = c.Turn(2, nil); o.Panic == "" || o.NextTurn != 2+restartDelay {
--- a/internal/controller/streams_test.go
+++ b/internal/controller/streams_test.go
@@ -63,7 +63,7 @@
 		{"proxy without a table, ejected", deliveredState{ejectsOnlyReported: true}, true, true},
 		{"reported as ejected, ejected", deliveredState{ejections: map[uint32]bool{1: true}}, true, false},
 		{"reported as ejected, not ejected", deliveredState{ejections: map[uint32]bool{1: true}}, false, true},
-		{"reported as restored, not ejected", deliveredState{ejections: map[uint32]bool{1: false}}, false, false},
+		{"reported as unejected", deliveredState{ejections: map[uint32]bool{1: false}}, false, false},
 	} {
 		if got := c.delivered.mayDiffer(1, c.ejected); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
