--- a/policy/weight/estimate_test.go
+++ b/policy/weight/estimate_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestFollow(t *testing.T) {
+func TestEstimateFollowsItsGoal(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
 		sinceLast, sinceKnown time.Duration
