--- a/experiment/scriptedpeer/peers.go
+++ b/experiment/scriptedpeer/peers.go
@@ -7,7 +7,9 @@
 	"bufio"
 	"errors"
 	"io"
+	"math/rand/v2"
 	"net"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -118,15 +120,28 @@
 	}
 }
 
-// Free is an address of loopback that nobody listens on.
+// The ports that Free returns. They lie below those that the kernel gives to outgoing connections (from 32768 on Linux), so that
+// no connection of another test takes the port before it is listened on.
+const (
+	firstFreePort = 20000
+	lastFreePort  = 32000
+	freeAttempts  = 100
+)
+
+// Free returns an address of loopback that nobody listens on.
 func Free(t testing.TB) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+	for range freeAttempts {
+		port := firstFreePort + rand.IntN(lastFreePort-firstFreePort)
+		l, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
+		if err != nil {
+			continue // in use
+		}
+		l.Close()
+		return l.Addr().String()
 	}
-	defer l.Close()
-	return l.Addr().String()
+	t.Fatalf("no free port found in %d attempts", freeAttempts)
+	return ""
 }
 
 // Raw writes bytes as they are.
