--- a/policy/admission.go
+++ b/policy/admission.go
@@ -53,15 +53,8 @@
 func (a *admissionController) evaluate(m fleetLoad) {
 	now := time.Duration(a.now)
 	demand := a.demand.Summarize(now)
-	a.enqueue(placementComponent, demandSummary{demand.FailedFraction, demand.Requests, demand.LatestRequests})
-	load := admission.Load{
-		AttemptRate:          m.attemptRate,
-		FailureRate:          m.failureRate,
-		TypicalFailureRate:   m.typicalFailureRate,
-		ResponseTime:         m.responseTime,
-		ServingReplicas:      m.inService,
-		BaselineResponseTime: m.baselineResponseTime,
-	}
+	a.enqueue(placementComponent, demandSummary(demand))
+	load := admission.Load(m)
 	if a.retries.Evaluate(now, load.FailureRate) {
 		a.logf("retries %s: failure rate %.2f", verb(a.retries.Stopped(), "stopped", "resumed"), load.FailureRate)
 	}
--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -76,7 +76,7 @@
 	TypicalFailureRate   float64 // mean failure rate of most replicas, without those that fail most
 	ResponseTime         float64 // mean of the successful responses, in seconds
 	ServingReplicas      float64 // number of these replicas
-	BaselineResponseTime float64 // of an idle fleet, in seconds
+	BaselineResponseTime float64 // of the fastest hardware class without load, in seconds; infinite: not known
 }
 
 // successRate is the successful responses a second of the fleet.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -29,7 +29,7 @@
 func TestOverloadShedsTheClassOfLowestPriorityAndStopsRetries(t *testing.T) {
 	p := newPolicyAt(100 * second)
 	a := withDemand(p)
-	a.handle(fleetLoad{attemptRate: 100, failureRate: 0.2, typicalFailureRate: 0.2, responseTime: 0.2, inService: 1})
+	a.handle(fleetLoad{AttemptRate: 100, FailureRate: 0.2, TypicalFailureRate: 0.2, ResponseTime: 0.2, ServingReplicas: 1})
 	admitted := a.threshold.AdmittedClasses()
 	wantEqual(t, "threshold between 1 and 2", admitted < 2 && admitted > 1, true)
 	commands := queued[admissionChanged](p, pacingComponent)
@@ -40,7 +40,7 @@
 	wantEqual(t, "the other one is shed in part", commands[1].Class == 0 && commands[1].Fraction < 1, true)
 	wantEqual(t, "retries", commands[1].Retries, control.NoRetry)
 	a.now += 2 * loadWindow
-	a.handle(fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1})
+	a.handle(fleetLoad{AttemptRate: 100, ResponseTime: 0.2, ServingReplicas: 1})
 	wantEqual(t, "retries afterwards", queued[admissionChanged](p, pacingComponent)[2].Retries, control.RetryIfNotExecuted)
 	var lines []string
 	for _, line := range ofType[control.Log](p.commands) {
@@ -58,7 +58,7 @@
 func TestOnlyRetriesStopWhereProxiesFollowNoAdmissionRate(t *testing.T) {
 	p := newPolicyAt(100 * second)
 	p.Admission = control.AdmitAll
-	withDemand(p).handle(fleetLoad{attemptRate: 100, failureRate: 0.9, typicalFailureRate: 0.9, responseTime: 3})
+	withDemand(p).handle(fleetLoad{AttemptRate: 100, FailureRate: 0.9, TypicalFailureRate: 0.9, ResponseTime: 3})
 	commands := queued[admissionChanged](p, pacingComponent)
 	wantEqual(t, "commands", len(commands), 2)
 	for _, command := range commands {
@@ -71,7 +71,7 @@
 	p.DefaultRetries = control.RetryTwice
 	p.AttemptTimeoutFactor = 1
 	a := withDemand(p)
-	normal := fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1}
+	normal := fleetLoad{AttemptRate: 100, ResponseTime: 0.2, ServingReplicas: 1}
 	a.handle(normal)
 	commands := queued[admissionChanged](p, pacingComponent)
 	if len(commands) != 1 {
@@ -87,9 +87,9 @@
 func TestDemandIsReportedToPlacement(t *testing.T) {
 	p := newPolicyAt(100 * second)
 	p.admission.handle(demandReported{control.Demand{Proxy: 3, Requests: 8, Failures: 2, Period: second}})
-	p.admission.handle(fleetLoad{attemptRate: 100, responseTime: 0.2, inService: 1})
+	p.admission.handle(fleetLoad{AttemptRate: 100, ResponseTime: 0.2, ServingReplicas: 1})
 	summary := queued[demandSummary](p, placementComponent)[0]
-	wantEqual(t, "failed fraction", summary.failedFraction, 0.25)
-	wantEqual(t, "requests", summary.requests[3], 8.0)
-	wantEqual(t, "latest requests", summary.latestRequests[3], 64.0)
+	wantEqual(t, "failed fraction", summary.FailedFraction, 0.25)
+	wantEqual(t, "requests", summary.Requests[3], 8.0)
+	wantEqual(t, "latest requests", summary.LatestRequests[3], 64.0)
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -2,8 +2,11 @@
 
 import (
 	"lilacbend/control"
+	"lilacbend/policy/admission"
 	"lilacbend/policy/binding"
 	"lilacbend/policy/outlier"
+	"lilacbend/policy/pacing"
+	"lilacbend/policy/update"
 )
 
 // message is what one component sends to another. The comment of each message names its sender and its receivers; a component
@@ -62,31 +65,15 @@
 		ejected          bool // by outlier detection
 		onProbation      bool // after an ejection by this controller
 	}
-	fleetLoad struct { // placement to admission
-		attemptRate          float64 // attempts a second
-		failureRate          float64 // fraction of the attempts that failed
-		typicalFailureRate   float64 // mean of the replicas without those that fail most
-		responseTime         float64 // mean of healthy replicas, in seconds
-		inService            float64 // how many replicas are in service
-		baselineResponseTime float64 // of the fastest hardware class without load, in seconds; infinite: not known
-	}
-	targetTables struct { // placement to update
-		weights  map[tableEndpoint]float64 // or placement.KeepWeight
-		excluded map[uint32]bool           // from all tables, for any reason
-	}
-	demandSummary struct { // admission to placement
-		failedFraction float64         // of all requests of the last seconds
-		requests       map[int]float64 // of each proxy within admission.DemandWindow
-		latestRequests map[int]float64 // of each proxy within the last report interval, as many as they were in that window
-	}
-	warmingReplicas struct { // placement to pacing: the replicas that warm up
-		replicas        map[uint32]bool
-		unejectTogether bool // see slowstart.Recovery
-	}
-	updateStep struct { // update to pacing: what the open step has to send
-		additions int // so many of the first commands are additions
-		commands  []control.Command
-	}
+	fleetLoad       admission.Load    // placement to admission
+	targetTables    update.Target     // placement to update
+	demandSummary   admission.Summary // admission to placement
+	warmingReplicas pacing.Warming    // placement to pacing
+	updateStep      pacing.Step       // update to pacing
+)
+
+// Reports of what was sent and acknowledged.
+type (
 	messagesSent struct { // pacing to update and binding: what a turn has sent
 		nonce    uint64            // that the proxies are asked to acknowledge; 0: there are none
 		proxies  []int             // that got messages, ascending
@@ -97,10 +84,6 @@
 		complete     bool // nobody owes an acknowledgement of the nonce any more; else one proxy has acknowledged it
 		disconnected bool // the last proxies that owed it have disconnected
 	}
-	tableEndpoint struct {
-		table   int
-		replica uint32
-	}
 )
 
 func (replicaListed) message()     {}
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -31,9 +31,9 @@
 	case replicaEvicted:
 		p.sender.Forget(m.replica)
 	case warmingReplicas:
-		p.sender.SetWarming(pacing.Warming{Replicas: m.replicas, UnejectTogether: m.unejectTogether})
+		p.sender.SetWarming(pacing.Warming(m))
 	case updateStep:
-		p.sender.SetStep(pacing.Step{Additions: m.additions, Commands: m.commands})
+		p.sender.SetStep(pacing.Step(m))
 	case acknowledged:
 		p.acknowledge(m)
 	case turnEnding:
--- a/policy/pacer_test.go
+++ b/policy/pacer_test.go
@@ -9,9 +9,9 @@
 
 // addTable has table 0 filled with replicas of weight 1. No proxy is bound to it yet, so nothing waits in the channel for it.
 func addTable(p *pacer, replicas uint32) {
-	step := updateStep{additions: int(replicas)}
+	step := updateStep{Additions: int(replicas)}
 	for replica := range replicas {
-		step.commands = append(step.commands, control.SetEndpoint{Replica: replica, Weight: 1})
+		step.Commands = append(step.Commands, control.SetEndpoint{Replica: replica, Weight: 1})
 	}
 	p.handle(step)
 	p.handle(turnEnding{})
@@ -84,9 +84,9 @@
 		p.handle(bindRequested{control.Bind{Proxy: 4}})
 		p.handle(turnEnding{})
 		p.handle(warmingReplicas{map[uint32]bool{0: true, 1: true, 2: true}, together})
-		step := updateStep{additions: 3}
+		step := updateStep{Additions: 3}
 		for replica := range uint32(3) {
-			step.commands = append(step.commands, control.SetEjected{Replica: replica})
+			step.Commands = append(step.Commands, control.SetEjected{Replica: replica})
 		}
 		p.handle(step)
 		p.handle(turnEnding{})
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -12,6 +12,7 @@
 	"lilacbend/policy/outlier"
 	"lilacbend/policy/placement"
 	"lilacbend/policy/slowstart"
+	"lilacbend/policy/update"
 	"lilacbend/policy/weight"
 )
 
@@ -108,12 +109,12 @@
 // loadOfFleet sums up the load of the replicas in service for admission.
 func loadOfFleet(window *outlier.FleetWindow, estimator *weight.Estimator) fleetLoad {
 	return fleetLoad{
-		attemptRate:          window.Attempts * float64(time.Second) / float64(outlier.EvaluationPeriod),
-		failureRate:          window.FailureRate(),
-		typicalFailureRate:   window.TypicalFailureRate(),
-		responseTime:         estimator.FleetResponseTime(),
-		inService:            window.Replicas,
-		baselineResponseTime: estimator.FastestBaseline(),
+		AttemptRate:          window.Attempts * float64(time.Second) / float64(outlier.EvaluationPeriod),
+		FailureRate:          window.FailureRate(),
+		TypicalFailureRate:   window.TypicalFailureRate(),
+		ResponseTime:         estimator.FleetResponseTime(),
+		ServingReplicas:      window.Replicas,
+		BaselineResponseTime: estimator.FastestBaseline(),
 	}
 }
 
@@ -135,7 +136,7 @@
 	for _, id := range ids {
 		fleet.Add(p.statuses[id].load())
 	}
-	return fleet.Recovery(window.FailureRate(), p.demand.failedFraction)
+	return fleet.Recovery(window.FailureRate(), p.demand.FailedFraction)
 }
 
 func (p *planner) comparisons(ids []uint32) []weight.Replica {
@@ -185,8 +186,8 @@
 		Proxies:  p.proxies,
 		Demand: placement.Demand{
 			Period:   admission.DemandWindow,
-			Requests: p.demand.requests,
-			Newest:   p.demand.latestRequests,
+			Requests: p.demand.Requests,
+			Newest:   p.demand.LatestRequests,
 		},
 	})
 	if !ok {
@@ -197,7 +198,7 @@
 	}
 	p.enqueue(pacingComponent, p.warming())
 	p.enqueue(bindingComponent, tablesAssigned{plan.ServingTable})
-	p.enqueue(updateComponent, targetTables{weights: endpointWeights(plan), excluded: plan.Excluded})
+	p.enqueue(updateComponent, targetTables{Weights: endpointWeights(plan), Ejected: plan.Excluded})
 }
 
 func (p *planner) placeable() []placement.Replica {
@@ -223,21 +224,21 @@
 	return replicas
 }
 
-func endpointWeights(plan placement.Plan) map[tableEndpoint]float64 {
-	weights := map[tableEndpoint]float64{}
+func endpointWeights(plan placement.Plan) map[update.Endpoint]float64 {
+	weights := map[update.Endpoint]float64{}
 	for table, endpoints := range plan.Endpoints {
 		for _, endpoint := range endpoints {
-			weights[tableEndpoint{table, endpoint.Replica}] = endpoint.Weight
+			weights[update.Endpoint{Table: table, Replica: endpoint.Replica}] = endpoint.Weight
 		}
 	}
 	return weights
 }
 
 func (p *planner) warming() warmingReplicas {
-	warming := warmingReplicas{replicas: map[uint32]bool{}, unejectTogether: p.unejectTogether}
+	warming := warmingReplicas{Replicas: map[uint32]bool{}, UnejectTogether: p.unejectTogether}
 	for id, status := range p.statuses {
 		if status.warmingUp {
-			warming.replicas[id] = true
+			warming.Replicas[id] = true
 		}
 	}
 	return warming
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -7,6 +7,7 @@
 	"lilacbend/control"
 	"lilacbend/policy/binding"
 	"lilacbend/policy/outlier"
+	"lilacbend/policy/update"
 )
 
 // plannerOf returns the planner after it has received statuses. Each replica gets a queue of its own, in the order given.
@@ -51,7 +52,7 @@
 			plannerOf(g, status)
 		}
 		plannerOf(g, statusOf(21, 0, control.Gone)) // carries nothing
-		p.handle(demandSummary{failedFraction: 0.8})
+		p.handle(demandSummary{FailedFraction: 0.8})
 		p.evaluateFleet()
 		for _, queue := range []int{fixedComponents, fixedComponents + 19} {
 			if got, lost := queued[replicaEvaluation](g, queue)[0].lostFraction, map[bool]float64{false: 0.8}[c.suffice]; got != lost {
@@ -71,7 +72,7 @@
 	status := statusOf(1, 0, control.Ready)
 	status.window = outlier.Window{Attempts: 100, Failures: 10}
 	p := plannerOf(g, status)
-	p.handle(demandSummary{failedFraction: 0.9}) // requests without a response
+	p.handle(demandSummary{FailedFraction: 0.9}) // requests without a response
 	p.evaluateFleet()
 	n := queued[replicaEvaluation](g, fixedComponents)[0]
 	wantEqual(t, "ejection goes by the mean, slow start by the worst", n.health.FailureRate < 0.11 && n.lostFraction == 0.9, true)
@@ -98,7 +99,7 @@
 			eleventh.window.Attempts = 10
 		}
 		plannerOf(g, eleventh)
-		p.handle(demandSummary{failedFraction: 0.8})
+		p.handle(demandSummary{FailedFraction: 0.8})
 		p.evaluateFleet()
 		wantEqual(t, "lost", queued[replicaEvaluation](g, fixedComponents+9)[0].lostFraction, lost)
 	}
@@ -119,10 +120,10 @@
 			}
 			plannerOf(g, status)
 		}
-		p.handle(demandSummary{failedFraction: lost})
+		p.handle(demandSummary{FailedFraction: lost})
 		p.evaluateFleet()
-		wantEqual(t, "together", p.warming().unejectTogether, together)
-		wantEqual(t, "those that warm up", len(p.warming().replicas), 5)
+		wantEqual(t, "together", p.warming().UnejectTogether, together)
+		wantEqual(t, "those that warm up", len(p.warming().Replicas), 5)
 		wantEqual(t, "lost, as they count it", queued[replicaEvaluation](g, fixedComponents+9)[0].lostFraction, 0.0)
 	}
 }
@@ -138,7 +139,7 @@
 	}
 	plannerOf(g).evaluateFleet()
 	f := queued[fleetLoad](g, admissionComponent)[0]
-	wantEqual(t, "a quarter of all fails, of most nothing", f.failureRate == 0.25 && f.typicalFailureRate < 0.01, true)
+	wantEqual(t, "a quarter of all fails, of most nothing", f.FailureRate == 0.25 && f.TypicalFailureRate < 0.01, true)
 }
 
 func TestFleetLoadCountsReplicasInService(t *testing.T) {
@@ -158,10 +159,10 @@
 	}
 	plannerOf(g).evaluateFleet()
 	f := queued[fleetLoad](g, admissionComponent)[0]
-	wantEqual(t, "in service", f.inService, 2.0)
-	wantEqual(t, "attempts a second", f.attemptRate, 20.0)
-	wantEqual(t, "failure rate", f.failureRate, 0.25)
-	wantEqual(t, "response time of the one that is healthy and warmed up", f.responseTime, 0.25)
+	wantEqual(t, "in service", f.ServingReplicas, 2.0)
+	wantEqual(t, "attempts a second", f.AttemptRate, 20.0)
+	wantEqual(t, "failure rate", f.FailureRate, 0.25)
+	wantEqual(t, "response time of the one that is healthy and warmed up", f.ResponseTime, 0.25)
 }
 
 func TestEjectionsGoBeforeTables(t *testing.T) {
@@ -172,8 +173,8 @@
 	wantEqual(t, "messages", len(sent), 2)
 	wantEqual(t, "first", sent[0], message(replicaExcluded{2}))
 	targets := queued[targetTables](g, updateComponent)[0]
-	wantEqual(t, "excluded", targets.excluded[2] && !targets.excluded[1], true)
-	wantEqual(t, "weight", targets.weights[tableEndpoint{0, 1}], 1.0)
+	wantEqual(t, "excluded", targets.Ejected[2] && !targets.Ejected[1], true)
+	wantEqual(t, "weight", targets.Weights[update.Endpoint{Table: 0, Replica: 1}], 1.0)
 	wantEqual(t, "tables", len(queued[tablesAssigned](g, bindingComponent)[0].tables), 1)
 }
 
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -19,7 +19,7 @@
 func (u *updater) handle(m message) {
 	switch m := m.(type) {
 	case targetTables:
-		u.sequence.SetTarget(m.target())
+		u.sequence.SetTarget(update.Target(m))
 	case replicaEvicted:
 		u.sequence.Forget(m.replica)
 	case bindRequested:
@@ -34,15 +34,5 @@
 	default:
 		unexpected(u, m)
 	}
-	pending := u.sequence.Advance()
-	u.enqueue(pacingComponent, updateStep{additions: pending.Additions, commands: pending.Commands})
-}
-
-// target returns the target tables in the terms of package update: proxies are to hold all excluded replicas as ejected.
-func (t targetTables) target() update.Target {
-	weights := make(map[update.Endpoint]float64, len(t.weights))
-	for endpoint, weight := range t.weights {
-		weights[update.Endpoint{Table: endpoint.table, Replica: endpoint.replica}] = weight
-	}
-	return update.Target{Weights: weights, Ejected: t.excluded}
+	u.enqueue(pacingComponent, updateStep(u.sequence.Advance()))
 }
--- a/policy/updater_test.go
+++ b/policy/updater_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"lilacbend/control"
+	"lilacbend/policy/update"
 )
 
 // lastStep is what the update has to send, as pacing was told last.
@@ -20,8 +21,8 @@
 func wantStep(t *testing.T, what string, g *Policy, additions int, commands ...control.Command) {
 	t.Helper()
 	got := lastStep(t, g)
-	if got.additions != additions || len(got.commands) != len(commands) ||
-		len(commands) > 0 && !reflect.DeepEqual(got.commands, commands) {
+	if got.Additions != additions || len(got.Commands) != len(commands) ||
+		len(commands) > 0 && !reflect.DeepEqual(got.Commands, commands) {
 		t.Errorf("%s: got %v, want %d additions, %v", what, got, additions, commands)
 	}
 }
@@ -31,7 +32,7 @@
 	u := g.update
 	addition := control.SetEndpoint{Table: 1, Replica: 2, Weight: 0.5}
 	bind := control.Bind{Proxy: 3, Table: 1}
-	u.handle(targetTables{map[tableEndpoint]float64{{1, 2}: 0.5}, map[uint32]bool{9: true, 8: true}})
+	u.handle(targetTables{Weights: map[update.Endpoint]float64{{Table: 1, Replica: 2}: 0.5}, Ejected: map[uint32]bool{9: true, 8: true}})
 	wantStep(t, "target tables", g, 1, addition)
 	u.handle(bindRequested{bind})
 	wantStep(t, "additions come before rebinds", g, 1, addition)
@@ -44,7 +45,7 @@
 	wantStep(t, "once acknowledged", g, 0, bind)
 	u.handle(messagesSent{nonce: 8, proxies: []int{3}, commands: []control.Command{bind}})
 	u.handle(replicaEvicted{9})
-	u.handle(targetTables{map[tableEndpoint]float64{}, map[uint32]bool{}})
+	u.handle(targetTables{Weights: map[update.Endpoint]float64{}, Ejected: map[uint32]bool{}})
 	wantStep(t, "a forgotten replica stays ejected", g, 1, control.SetEjected{Replica: 8})
 	u.handle(messagesSent{nonce: 9, proxies: []int{3}, commands: []control.Command{control.SetEjected{Replica: 8}}})
 	wantStepAfter := func(what string, now int64, commands ...control.Command) {
