--- a/internal/ingress/http2_body.go
+++ b/internal/ingress/http2_body.go
@@ -93,13 +93,8 @@
 		if n > 0 || err != nil {
 			return n, err
 		}
-		select {
-		case <-changed:
-		case <-timer.C:
-			c.server.Counters.Stalls.Add(1)
-			return 0, errClientStalls
-		case <-s.cancel.Done():
-			return 0, errConnEnded
+		if err := s.waitForClient(changed, timer); err != nil {
+			return 0, err
 		}
 	}
 }
--- a/internal/ingress/http2_response.go
+++ b/internal/ingress/http2_response.go
@@ -180,17 +180,26 @@
 			timer = time.NewTimer(c.server.limits.StallTimeout)
 			defer timer.Stop()
 		}
-		select {
-		case <-changed:
-		case <-timer.C:
-			c.server.Counters.Stalls.Add(1)
-			return 0, errClientStalls
-		case <-s.cancel.Done():
-			return 0, errConnEnded
+		if err := s.waitForClient(changed, timer); err != nil {
+			return 0, err
 		}
 	}
 }
 
+// waitForClient waits until something has changed on the stream. It fails once the client has stalled for the time of the timer, and
+// where its request is cancelled.
+func (s *stream) waitForClient(changed <-chan struct{}, timer *time.Timer) error {
+	select {
+	case <-changed:
+		return nil
+	case <-timer.C:
+		s.conn.server.Counters.Stalls.Add(1)
+		return errClientStalls
+	case <-s.cancel.Done():
+		return errConnEnded
+	}
+}
+
 // takeWindow takes what both windows allow; 0: nothing, and the channel is closed when that may have changed.
 func (s *stream) takeWindow(want int) (n int, changed <-chan struct{}, err error) {
 	c := s.conn
