--- a/policy/outlier/fleet.go
+++ b/policy/outlier/fleet.go
@@ -7,8 +7,8 @@
 	"lilacbend/policy/internal/sample"
 )
 
-// typicalFraction is the fraction of the replicas, those that fail least, of which TypicalFailureRate is the mean: a few
-// replicas that fail are outliers, not an overload of the fleet.
+// typicalFraction is the fraction of the replicas, those with the lowest failure rates, that TypicalFailureRate averages: a
+// few failing replicas are outliers, not an overload of the fleet.
 const typicalFraction = 0.75
 
 // FleetWindow sums the windows of the replicas in service. The zero value is a fleet without replicas.
@@ -16,11 +16,11 @@
 	Attempts     float64
 	Failures     float64
 	Replicas     float64
-	failureRates []float64 // of each
+	failureRates []float64 // one for each replica
 }
 
-// Add adds a replica in service. The order of the replicas is part of the result, as sums of floating-point numbers depend on
-// it.
+// Add adds the window of a replica in service. Callers add the replicas in a fixed order, because floating-point sums depend
+// on the order.
 func (f *FleetWindow) Add(w Window) {
 	f.Attempts += w.Attempts
 	f.Failures += w.Failures
@@ -31,7 +31,7 @@
 // FailureRate returns the fraction of all attempts that failed.
 func (f *FleetWindow) FailureRate() float64 { return f.Failures / math.Max(1, f.Attempts) }
 
-// TypicalFailureRate returns the mean failure rate of the replicas without those that fail most.
+// TypicalFailureRate returns the mean failure rate of typicalFraction of the replicas, those with the lowest failure rates.
 func (f *FleetWindow) TypicalFailureRate() float64 {
 	slices.Sort(f.failureRates)
 	typical := int(math.Ceil(typicalFraction * float64(len(f.failureRates))))
--- a/policy/outlier/fleet_test.go
+++ b/policy/outlier/fleet_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestTypicalFailureRateLeavesOutTheReplicasThatFailMost(t *testing.T) {
+func TestTypicalFailureRateExcludesHighestFailureRates(t *testing.T) {
 	for _, c := range []struct {
 		name                          string
 		windows                       []Window
@@ -10,8 +10,8 @@
 	}{
 		{"no replicas", nil, 0, 0, 0, 0},
 		{"no attempts", []Window{{}}, 0, 0, 0, 1},
-		{"one of four fails: the typical replica does not", []Window{{Attempts: 10, Failures: 10}, {Attempts: 10}, {Attempts: 10}, {Attempts: 10}}, 40, 0.25, 0, 4},
-		{"all fail alike", []Window{{Attempts: 10, Failures: 5}, {Attempts: 10, Failures: 5}}, 20, 0.5, 0.5, 2},
+		{"one of four replicas fails: typical rate is 0", []Window{{Attempts: 10, Failures: 10}, {Attempts: 10}, {Attempts: 10}, {Attempts: 10}}, 40, 0.25, 0, 4},
+		{"all replicas have the same failure rate", []Window{{Attempts: 10, Failures: 5}, {Attempts: 10, Failures: 5}}, 20, 0.5, 0.5, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var f FleetWindow
@@ -19,7 +19,8 @@
 				f.Add(w)
 			}
 			if f.Attempts != c.attempts || f.FailureRate() != c.rate || f.TypicalFailureRate() != c.typical || f.Replicas != c.size {
-				t.Errorf("attempts %v, failure rate %v, typical %v, replicas %v", f.Attempts, f.FailureRate(), f.TypicalFailureRate(), f.Replicas)
+				t.Errorf("attempts %v, failure rate %v, typical failure rate %v, replicas %v, want %v, %v, %v, %v",
+					f.Attempts, f.FailureRate(), f.TypicalFailureRate(), f.Replicas, c.attempts, c.rate, c.typical, c.size)
 			}
 		})
 	}
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -3,22 +3,24 @@
 // A replica is in one of three states:
 //
 //	healthy    it receives requests
-//	ejected    it receives none, for ejectionTime, doubled for each earlier ejection up to maxDoublings
-//	probation  its ejection has ended, and too few attempts have been reported since to evaluate it
+//	ejected    it receives no requests for ejectionTime, doubled for each earlier ejection, at most maxDoublings times
+//	probation  its ejection has ended, and too few attempts have been reported since then to evaluate it
 //
-// The rule, which Detector.Evaluate applies at each tick to the attempts of the last EvaluationPeriod: a healthy replica is
-// ejected if it fails much more than the fleet does, succeeds much less than its peers, and its responses are not late. A
-// replica that is silent, cut off or failing does all three. One that still succeeds about as often as its peers, or that is
-// late, is overloaded: weights and admission treat that, and ejecting it would overload its peers. A replica on probation is
-// ejected again if it fails much more than the fleet does, otherwise it is healthy.
+// Detector.Evaluate applies the following rule at each tick to the attempts of the last EvaluationPeriod. A healthy replica
+// is ejected if its failure rate is much higher than the fleet's, it has far fewer successes than its peers, and its
+// responses are not slow. All three hold for a replica that does not respond, is unreachable or fails its requests. A
+// replica that still has about as many successes as its peers, or whose responses are slow, is overloaded: packages weight
+// and admission handle overload, and ejecting the replica would overload its peers. A replica on probation is ejected again
+// if its failure rate is much higher than the fleet's; otherwise it becomes healthy.
 //
-// Nobody is ejected while the fleet as a whole fails: a faulty replica cannot be told from a common cause then.
+// No replica is ejected while the fleet as a whole fails, because a faulty replica cannot be distinguished from a common
+// cause then. The exception is a replica that Detector.Restore has put on probation.
 //
-// A new process of a replica begins healthy, with a zero Detector. What an earlier controller knew of a process comes from
-// Detector.Restore.
+// A new process of a replica starts healthy, with a zero Detector. Detector.Restore takes over what an earlier controller
+// had learned about a process.
 //
-// Package placement bounds how many replicas of the fleet are excluded from the tables as outliers: beyond that, an ejected
-// replica stays in its table.
+// Package placement limits how many replicas of the fleet are excluded from the tables as outliers. An ejected replica
+// beyond that limit stays in its table.
 package outlier
 
 import (
@@ -28,44 +30,46 @@
 )
 
 const (
-	// EvaluationPeriod is how far back attempts are evaluated. It spans several load reports, and is short enough to forget
-	// a fault that is over.
+	// EvaluationPeriod is the age up to which load reports are evaluated. It spans several load reports, and is short enough
+	// that a fault that has ended soon no longer counts.
 	EvaluationPeriod = 4 * time.Second
 
 	// minAttempts is the number of attempts below which a healthy replica is not evaluated: a few failures may be chance.
 	minAttempts = 5
 
-	// minProbationAttempts is the same for a replica on probation. It is lower as there is a reason to doubt the replica.
+	// minProbationAttempts is the same limit for a replica on probation. It is lower because the earlier ejection is a
+	// reason to suspect the replica.
 	minProbationAttempts = 3
 
-	// excessFailureFraction sets the failure rate that makes an outlier: so far up from the fleet's failure rate (0) to the
-	// failure of all attempts (1).
+	// excessFailureFraction sets the failure rate above which a replica is an outlier: the fleet's failure rate plus this
+	// fraction of the distance from there to 1, the failure of all attempts.
 	excessFailureFraction = 0.5
 
-	// maxFleetFailureRate is the fleet's failure rate above which nobody is ejected.
+	// maxFleetFailureRate is the fleet's failure rate above which no replica is ejected; canEvaluate has the exception.
 	maxFleetFailureRate = 0.4
 
-	// minSuccessFraction is the fraction of its peers' mean successes from which a replica is worth more than nothing, so
-	// that it is not ejected.
+	// minSuccessFraction is the fraction of its peers' mean successes at which a replica contributes enough not to be
+	// ejected.
 	minSuccessFraction = 0.2
 
-	// ejectionTime is the length of the first ejection of a process.
+	// ejectionTime is the duration of the first ejection of a process.
 	ejectionTime = 3 * time.Second
 
-	// maxDoublings bounds the growth of the ejection time with the number of ejections, so that a replica that has been
-	// repaired is tried soon enough.
+	// maxDoublings limits how often the ejection time of a process doubles, so that a replica that has been repaired
+	// receives requests again soon enough.
 	maxDoublings = 2
 
-	// RestoredWeightFraction is the fraction of its weight that a replica gets on probation if it was ejected by learned state
-	// (Restore). Full ejection would cost more if it has recovered, full weight if it has not.
+	// RestoredWeightFraction is the fraction of its weight that a replica gets on the probation that Restore starts, at full
+	// confidence in the learned state. Ejecting the replica would cost more if it has recovered, and giving it its full
+	// weight would cost more if it has not.
 	RestoredWeightFraction = 0.125
 )
 
-// Fleet is what a replica is compared with.
+// Fleet holds the figures of the fleet that a replica is compared with.
 type Fleet struct {
 	FailureRate      float64 // fraction of the attempts at replicas in service that failed
 	PeerSuccesses    float64 // mean successes of the healthy replicas of its hardware class, in EvaluationPeriod
-	SlowResponseTime float64 // from which a response time is late, in seconds; infinite: not known
+	SlowResponseTime float64 // mean response time at which a replica is slow, in seconds; infinite: not known
 }
 
 // Detector evaluates the health of one replica. The zero value is a healthy replica without attempts. Times are durations
@@ -73,12 +77,12 @@
 type Detector struct {
 	reports        []loadReport
 	ejectedUntil   time.Duration // 0: not ejected
-	probationSince time.Duration // reports up to then are not evaluated; 0: not on probation
-	ejections      int           // of this process; see endProbation
-	penalty        float64       // above 0 only on the probation that Restore starts
+	probationSince time.Duration // reports received up to this time are not evaluated; 0: not on probation
+	ejections      int           // number of ejections of this process; see endProbation
+	penalty        float64       // fraction of the weight that is withheld; above 0 only on a probation that Restore started
 }
 
-// Change is a transition between states, with its reasons. The zero value is no transition.
+// Change is a transition between states, with the figures that caused it. The zero value is no transition.
 type Change struct {
 	to             state
 	window         Window
@@ -101,7 +105,7 @@
 // Happened reports whether there was a transition.
 func (c Change) Happened() bool { return c.to != unchanged }
 
-// String describes the transition for on-call engineers, to follow the replica's name.
+// String describes the transition for on-call engineers, as the part of a log line that follows the replica's name.
 func (c Change) String() string {
 	switch c.to {
 	case ejected:
@@ -118,8 +122,8 @@
 	}
 }
 
-// Evaluate applies the rule of the package. Load reports that arrive within reportInterval after the end of an ejection are not
-// evaluated: they are of the time before it.
+// Evaluate applies the rule in the package comment. Load reports that arrive within reportInterval after the end of an
+// ejection are not evaluated, because they cover attempts from before that end.
 func (d *Detector) Evaluate(now time.Duration, fleet Fleet, reportInterval time.Duration) Change {
 	window := d.Window(now)
 	switch {
@@ -137,8 +141,9 @@
 	return Change{}
 }
 
-// canEvaluate reports whether there are attempts enough and no common cause. A replica on probation by learned state is
-// evaluated though the fleet fails: until then its penalty stays.
+// canEvaluate reports whether there are enough attempts, and the fleet's failure rate does not suggest a common cause. A
+// replica that Restore has put on probation is evaluated even while the fleet fails, because its penalty stays until it is
+// evaluated.
 func (d *Detector) canEvaluate(window Window, fleet Fleet) bool {
 	if fleet.FailureRate > maxFleetFailureRate && d.penalty == 0 {
 		return false
@@ -150,20 +155,20 @@
 }
 
 func (d *Detector) isOutlier(window Window, fleet Fleet) bool {
-	return failsTooMuch(window, fleet) && (d.OnProbation() || succeedsTooLittle(window, fleet) && !isLate(window, fleet))
+	return hasExcessFailures(window, fleet) && (d.OnProbation() || hasTooFewSuccesses(window, fleet) && !isSlow(window, fleet))
 }
 
-// failsTooMuch reports whether the failure rate is nearer to 1 than to the fleet's, by excessFailureFraction.
-func failsTooMuch(window Window, fleet Fleet) bool {
+// hasExcessFailures reports whether the failure rate is above the limit that excessFailureFraction sets.
+func hasExcessFailures(window Window, fleet Fleet) bool {
 	limit := fleet.FailureRate + excessFailureFraction*(1-fleet.FailureRate)
 	return window.FailureRate() > limit
 }
 
-func succeedsTooLittle(window Window, fleet Fleet) bool {
+func hasTooFewSuccesses(window Window, fleet Fleet) bool {
 	return window.Successes() < minSuccessFraction*fleet.PeerSuccesses
 }
 
-func isLate(window Window, fleet Fleet) bool {
+func isSlow(window Window, fleet Fleet) bool {
 	return window.ResponseTime >= fleet.SlowResponseTime
 }
 
@@ -183,45 +188,46 @@
 	return Change{to: probation, ejections: d.ejections}
 }
 
-// endProbation keeps the count of ejections, so that a replica that fails again is ejected for longer. The count never falls while
-// the process of the replica lives: a new process begins at 0, as does a replica that is listed again after its eviction, and
-// Restore lowers the count by the age of what it restores.
+// endProbation makes the replica healthy. It keeps the number of ejections, so that a replica that fails again is ejected
+// for longer. The number never decreases during the lifetime of the replica's process. A new process starts at 0, as does a
+// replica that is listed again after its eviction. Restore takes over a number that is lower the older the learned state is.
 func (d *Detector) endProbation(window Window) Change {
 	d.probationSince = 0
 	d.penalty = 0
 	return Change{to: healthy, window: window}
 }
 
-// Restored is the health that an earlier controller had learned.
+// Restored is the health of a replica that an earlier controller had learned.
 type Restored struct {
-	Ejected    bool // or on probation
+	Ejected    bool // ejected or on probation
 	Ejections  int
-	Confidence float64 // left by its age, above 0 up to 1
+	Confidence float64 // falls with the age of the learned state; above 0, at most 1
 }
 
-// Restore takes over what an earlier controller knew. A replica that was ejected is on probation with a fraction of its weight:
-// the less, the newer the knowledge.
+// Restore takes over the health that an earlier controller had learned. A replica that was ejected or on probation is put on
+// probation with a fraction of its weight, which is smaller the newer the learned state is.
 func (d *Detector) Restore(now time.Duration, r Restored) Change {
 	d.ejections = int(math.Round(r.Confidence * float64(r.Ejections)))
 	if !r.Ejected {
 		return Change{}
 	}
-	d.probationSince = now // no late report is of the time before: this controller has sent it nothing
+	d.probationSince = now // without reportInterval: this controller has not yet directed any requests to the replica
 	d.penalty = 1 - math.Pow(RestoredWeightFraction, r.Confidence)
 	return Change{to: restoredOnProbation, weightFraction: 1 - d.penalty}
 }
 
-// Ejected reports whether the replica is ejected. The first evaluation after the ejection time ends it.
+// Ejected reports whether the replica is ejected. The first evaluation after the ejection time ends the ejection.
 func (d *Detector) Ejected() bool { return d.ejectedUntil > 0 }
 
-// EjectedFor returns how much longer the replica is ejected; 0: it is not.
+// EjectedFor returns the remaining ejection time; 0 if the replica is not ejected.
 func (d *Detector) EjectedFor(now time.Duration) time.Duration { return max(0, d.ejectedUntil-now) }
 
 // OnProbation reports whether the replica is on probation.
 func (d *Detector) OnProbation() bool { return d.probationSince > 0 }
 
-// Ejections returns the number of ejections of the process.
+// Ejections returns the number of ejections of the replica's process.
 func (d *Detector) Ejections() int { return d.ejections }
 
-// Penalty returns the fraction of its weight that the replica lacks while learned state has it on probation (Restore).
+// Penalty returns the fraction of its weight that is withheld from the replica on the probation that Restore starts;
+// otherwise 0.
 func (d *Detector) Penalty() float64 { return d.penalty }
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -8,10 +8,10 @@
 
 const reportInterval = time.Second
 
-// calmFleet is a fleet in which replicas succeed 20 times in the period and answer in time.
-var calmFleet = Fleet{PeerSuccesses: 20, SlowResponseTime: 0.4}
+// healthyFleet has no failures; its replicas have 20 successes in EvaluationPeriod and are slow from 0.4 s on.
+var healthyFleet = Fleet{PeerSuccesses: 20, SlowResponseTime: 0.4}
 
-func observed(now time.Duration, attempts, failures int, responseTime time.Duration) *Detector {
+func detectorWithReport(now time.Duration, attempts, failures int, responseTime time.Duration) *Detector {
 	d := &Detector{}
 	d.Observe(now, attempts, failures, responseTime)
 	return d
@@ -25,25 +25,25 @@
 		fleetFailureRate   float64
 		ejected            bool
 	}{
-		{"silent: ejected", 10, 10, 0, 0, true},
+		{"no responses: ejected", 10, 10, 0, 0, true},
 		{"fails quickly: ejected", 20, 17, 100 * time.Millisecond, 0, true},
-		{"late: not ejected, as its weight falls", 20, 17, 900 * time.Millisecond, 0, false},
-		{"half of its attempts fail: worth more than nothing", 20, 12, 100 * time.Millisecond, 0, false},
-		{"overloaded: fails, but succeeds as often as its peers", 60, 40, 300 * time.Millisecond, 0, false},
-		{"fails about as the whole fleet does: not ejected", 9, 6, 200 * time.Millisecond, 0.35, false},
-		{"the whole fleet fails: nobody is ejected", 500, 500, 0, 0.9, false},
-		{"the fleet fails at the limit: still evaluated", 20, 20, 0, 0.4, true},
-		{"the fleet fails above the limit: nobody is ejected", 20, 20, 0, 0.41, false},
-		{"too few attempts: not evaluated", 4, 4, 0, 0, false},
-		{"just enough attempts: evaluated", 5, 5, 0, 0, true},
+		{"slow responses: not ejected, as its weight falls", 20, 17, 900 * time.Millisecond, 0, false},
+		{"60% of attempts fail, 40% of its peers' successes: not ejected", 20, 12, 100 * time.Millisecond, 0, false},
+		{"overloaded, as many successes as its peers: not ejected", 60, 40, 300 * time.Millisecond, 0, false},
+		{"failure rate not much higher than the fleet's: not ejected", 9, 6, 200 * time.Millisecond, 0.35, false},
+		{"the whole fleet fails: not ejected", 500, 500, 0, 0.9, false},
+		{"fleet failure rate at the limit: ejected", 20, 20, 0, 0.4, true},
+		{"fleet failure rate above the limit: not ejected", 20, 20, 0, 0.41, false},
+		{"attempts below the minimum: not evaluated", 4, 4, 0, 0, false},
+		{"attempts at the minimum: ejected", 5, 5, 0, 0, true},
 		{"failure rate at the limit: not ejected", 20, 10, 100 * time.Millisecond, 0, false},
-		{"as many successes as the limit: not ejected", 20, 16, 100 * time.Millisecond, 0, false},
-		{"response time at the limit: late, not ejected", 20, 17, 400 * time.Millisecond, 0, false},
+		{"successes at the limit: not ejected", 20, 16, 100 * time.Millisecond, 0, false},
+		{"response time at the limit: slow, not ejected", 20, 17, 400 * time.Millisecond, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := 100 * time.Second
-			d := observed(now, c.attempts, c.failures, c.responseTime)
-			fleet := calmFleet
+			d := detectorWithReport(now, c.attempts, c.failures, c.responseTime)
+			fleet := healthyFleet
 			fleet.FailureRate = c.fleetFailureRate
 			change := d.Evaluate(now, fleet, reportInterval)
 			if d.Ejected() != c.ejected || change.Happened() != c.ejected {
@@ -56,41 +56,41 @@
 	}
 }
 
-func TestProbationEndsInLongerEjectionOrHealth(t *testing.T) {
+func TestProbationEndsHealthyOrInLongerEjection(t *testing.T) {
 	now := 100 * time.Second
-	d := observed(now, 10, 10, 0)
-	d.Evaluate(now, calmFleet, reportInterval)
-	first := d.EjectedFor(now)
-	now += first
-	d.Evaluate(now, calmFleet, reportInterval)
+	d := detectorWithReport(now, 10, 10, 0)
+	d.Evaluate(now, healthyFleet, reportInterval)
+	firstEjectionTime := d.EjectedFor(now)
+	now += firstEjectionTime
+	d.Evaluate(now, healthyFleet, reportInterval)
 	if !d.OnProbation() || d.Ejected() || d.probationSince != now+reportInterval {
 		t.Fatalf("after the ejection: probation since %v, ejected %v", d.probationSince, d.Ejected())
 	}
 	now += 2 * time.Second
 	d.Observe(now, minProbationAttempts, minProbationAttempts, 0)
-	d.Evaluate(now, calmFleet, reportInterval)
-	if d.EjectedFor(now) != 2*first || d.OnProbation() || d.Ejections() != 2 {
-		t.Errorf("after failures on probation: ejected for %v, want %v; ejections %d", d.EjectedFor(now), 2*first, d.Ejections())
+	d.Evaluate(now, healthyFleet, reportInterval)
+	if d.EjectedFor(now) != 2*firstEjectionTime || d.OnProbation() || d.Ejections() != 2 {
+		t.Errorf("after failures on probation: ejected for %v, want %v; ejections %d", d.EjectedFor(now), 2*firstEjectionTime, d.Ejections())
 	}
 	now += d.EjectedFor(now)
-	d.Evaluate(now, calmFleet, reportInterval)
+	d.Evaluate(now, healthyFleet, reportInterval)
 	now += 2 * time.Second
 	d.Observe(now, minProbationAttempts, 0, 200*time.Millisecond)
-	d.Evaluate(now, calmFleet, reportInterval)
+	d.Evaluate(now, healthyFleet, reportInterval)
 	if d.OnProbation() || d.Ejected() {
 		t.Errorf("after successes on probation: probation %v, ejected %v", d.OnProbation(), d.Ejected())
 	}
 	if d.Ejections() != 2 {
-		t.Errorf("ejections %d, want the 2 that a further one would be added to", d.Ejections())
+		t.Errorf("after the probation: %d ejections, want 2", d.Ejections())
 	}
 }
 
-func TestEjectionTimeDoublesUpToItsBound(t *testing.T) {
+func TestEjectionTimeDoublesUpToMaximum(t *testing.T) {
 	for ejections, want := range []time.Duration{3 * time.Second, 6 * time.Second, 12 * time.Second, 12 * time.Second} {
 		now := 100 * time.Second
-		d := observed(now, 10, 10, 0)
+		d := detectorWithReport(now, 10, 10, 0)
 		d.ejections = ejections
-		d.Evaluate(now, calmFleet, reportInterval)
+		d.Evaluate(now, healthyFleet, reportInterval)
 		if got := d.EjectedFor(now); got != want {
 			t.Errorf("after %d ejections: ejected for %v, want %v", ejections, got, want)
 		}
@@ -104,18 +104,18 @@
 		fleet              Fleet
 		want               state
 	}{
-		{"too few attempts: waits", 2, 2, calmFleet, unchanged},
-		{"fails, though it succeeds as often as its peers: ejected", 60, 40, calmFleet, ejected},
-		{"fails and is late: ejected", 3, 3, Fleet{PeerSuccesses: 20}, ejected},
-		{"fails less than the limit: healthy", 10, 5, calmFleet, healthy},
-		{"the whole fleet fails: waits", 10, 10, Fleet{FailureRate: 0.9}, unchanged},
+		{"attempts below the minimum: stays on probation", 2, 2, healthyFleet, unchanged},
+		{"high failure rate, as many successes as its peers: ejected", 60, 40, healthyFleet, ejected},
+		{"high failure rate and slow responses: ejected", 3, 3, Fleet{PeerSuccesses: 20}, ejected},
+		{"failure rate at the limit: healthy", 10, 5, healthyFleet, healthy},
+		{"the whole fleet fails: stays on probation", 10, 10, Fleet{FailureRate: 0.9}, unchanged},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := 100 * time.Second
-			d := observed(now, c.attempts, c.failures, 300*time.Millisecond)
+			d := detectorWithReport(now, c.attempts, c.failures, 300*time.Millisecond)
 			d.probationSince = now - time.Second
 			if got := d.Evaluate(now, c.fleet, reportInterval); got.to != c.want {
-				t.Errorf("got %q", got)
+				t.Errorf("got change %q", got)
 			}
 		})
 	}
@@ -124,27 +124,27 @@
 func TestLateReportsDoNotDecideProbation(t *testing.T) {
 	now := 100 * time.Second
 	d := &Detector{ejectedUntil: now, ejections: 1}
-	d.Evaluate(now, calmFleet, reportInterval)
+	d.Evaluate(now, healthyFleet, reportInterval)
 	d.Observe(now+reportInterval, 10, 10, 0)
-	if change := d.Evaluate(now+reportInterval, calmFleet, reportInterval); change.Happened() {
-		t.Errorf("a report of the time before the probation: %q", change)
+	if change := d.Evaluate(now+reportInterval, healthyFleet, reportInterval); change.Happened() {
+		t.Errorf("report received at the start of the probation: change %q, want none", change)
 	}
 	d.Observe(now+reportInterval+1, 10, 10, 0)
-	if change := d.Evaluate(now+reportInterval+1, calmFleet, reportInterval); change.to != ejected {
-		t.Errorf("a later report: %q", change)
+	if change := d.Evaluate(now+reportInterval+1, healthyFleet, reportInterval); change.to != ejected {
+		t.Errorf("report received after the start of the probation: change %q, want an ejection", change)
 	}
 }
 
-func TestOldSamplesAreNotEvaluated(t *testing.T) {
+func TestExpiredReportsAreNotEvaluated(t *testing.T) {
 	now := 100 * time.Second
-	d := observed(now, 10, 10, 0)
+	d := detectorWithReport(now, 10, 10, 0)
 	now += 4 * time.Second
-	if d.Evaluate(now, calmFleet, reportInterval); d.Ejected() {
-		t.Error("ejected by a sample that has expired")
+	if d.Evaluate(now, healthyFleet, reportInterval); d.Ejected() {
+		t.Error("ejected because of a load report as old as EvaluationPeriod")
 	}
 }
 
-func TestRestoredEjectionIsProbationWithLessWeightTheNewerItIs(t *testing.T) {
+func TestRestoredEjectionReducesWeightByConfidence(t *testing.T) {
 	now := 100 * time.Second
 	for _, c := range []struct {
 		name      string
@@ -154,9 +154,9 @@
 		probation bool
 	}{
 		{"healthy", Restored{Ejections: 2, Confidence: 1}, 2, 1, false},
-		{"ejected a moment ago", Restored{Ejected: true, Ejections: 1, Confidence: 1}, 1, RestoredWeightFraction, true},
-		{"ejected some time ago", Restored{Ejected: true, Ejections: 2, Confidence: 0.5}, 1, math.Sqrt(RestoredWeightFraction), true},
-		{"ejected long ago", Restored{Ejected: true, Ejections: 2, Confidence: 0.1}, 0, math.Pow(RestoredWeightFraction, 0.1), true},
+		{"ejected, confidence 1", Restored{Ejected: true, Ejections: 1, Confidence: 1}, 1, RestoredWeightFraction, true},
+		{"ejected, confidence 0.5", Restored{Ejected: true, Ejections: 2, Confidence: 0.5}, 1, math.Sqrt(RestoredWeightFraction), true},
+		{"ejected, confidence 0.1", Restored{Ejected: true, Ejections: 2, Confidence: 0.1}, 0, math.Pow(RestoredWeightFraction, 0.1), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := &Detector{}
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestRestoredProbationIsEvaluatedThoughTheFleetFails(t *testing.T) {
+func TestRestoredProbationIsEvaluatedWhileFleetFails(t *testing.T) {
 	now := 100 * time.Second
 	failing := Fleet{FailureRate: 0.9, PeerSuccesses: 20, SlowResponseTime: 0.4}
 	for _, c := range []struct {
@@ -187,10 +187,10 @@
 			d.Restore(now, Restored{Ejected: true, Ejections: 1, Confidence: 1})
 			d.Observe(now+1, 10, c.failures, 100*time.Millisecond)
 			if change := d.Evaluate(now+1, failing, reportInterval); change.to != c.want {
-				t.Errorf("got %q", change)
+				t.Errorf("got change %q", change)
 			}
 			if d.Penalty() != 0 || d.OnProbation() {
-				t.Errorf("penalty %v, probation %v", d.Penalty(), d.OnProbation())
+				t.Errorf("penalty %v, probation %v, want neither", d.Penalty(), d.OnProbation())
 			}
 		})
 	}
@@ -199,7 +199,7 @@
 func TestChangeString(t *testing.T) {
 	now := 100 * time.Second
 	fleet := Fleet{FailureRate: 0.03, PeerSuccesses: 200, SlowResponseTime: math.Inf(1)}
-	d := observed(now, 26, 15, 100*time.Millisecond)
+	d := detectorWithReport(now, 26, 15, 100*time.Millisecond)
 	got := []string{
 		d.Evaluate(now, fleet, reportInterval).String(),
 		d.Evaluate(now, fleet, reportInterval).String(),
--- a/policy/outlier/window.go
+++ b/policy/outlier/window.go
@@ -7,7 +7,7 @@
 	"lilacbend/policy/internal/sample"
 )
 
-// loadReport is the sum of some attempts at a replica.
+// loadReport sums the attempts at a replica that one load report covers.
 type loadReport struct {
 	receivedAt   time.Duration
 	attempts     float64
@@ -15,11 +15,11 @@
 	responseTime float64 // mean of the successful attempts, in seconds; 0: not known
 }
 
-// Window sums the load reports of a replica that are evaluated.
+// Window is the sum of the load reports of a replica that are evaluated.
 type Window struct {
 	Attempts     float64
 	Failures     float64
-	ResponseTime float64 // mean of the successful attempts whose time is known, in seconds; 0: there are none
+	ResponseTime float64 // mean of the successful attempts whose response time is known, in seconds; 0: there are none
 }
 
 // Successes returns the number of attempts that succeeded.
@@ -28,7 +28,7 @@
 // FailureRate returns the fraction of the attempts that failed.
 func (w Window) FailureRate() float64 { return w.Failures / math.Max(1, w.Attempts) }
 
-// Observe adds a load report. The response time is the mean of its successful attempts, 0 if it is not known.
+// Observe adds a load report. The response time is the mean of the report's successful attempts, 0 if it is not known.
 func (d *Detector) Observe(now time.Duration, attempts, failures int, responseTime time.Duration) {
 	report := loadReport{
 		receivedAt:   now,
@@ -39,10 +39,10 @@
 	d.reports = sample.Newest(sample.Kept, append(d.reports, report))
 }
 
-// Window sums the load reports of the last EvaluationPeriod, on probation those since its start.
+// Window sums the load reports of the last EvaluationPeriod. On probation it leaves out those received up to its start.
 func (d *Detector) Window(now time.Duration) Window {
 	var window Window
-	var responseTime, timed float64
+	var totalResponseTime, timedSuccesses float64
 	for _, report := range d.reports {
 		if report.receivedAt <= max(now-EvaluationPeriod, d.probationSince) {
 			continue
@@ -50,10 +50,10 @@
 		window.Attempts += report.attempts
 		window.Failures += report.failures
 		if report.responseTime > 0 {
-			responseTime += report.responseTime * (report.attempts - report.failures)
-			timed = timed + report.attempts - report.failures
+			totalResponseTime += report.responseTime * (report.attempts - report.failures)
+			timedSuccesses = timedSuccesses + report.attempts - report.failures
 		}
 	}
-	window.ResponseTime = responseTime / math.Max(1, timed)
+	window.ResponseTime = totalResponseTime / math.Max(1, timedSuccesses)
 	return window
 }
--- a/policy/outlier/window_test.go
+++ b/policy/outlier/window_test.go
@@ -7,7 +7,7 @@
 	"lilacbend/policy/internal/sample"
 )
 
-func TestWindowSumsTheReportsOfThePeriodSinceProbation(t *testing.T) {
+func TestWindowSumsReportsInPeriodAndSinceProbation(t *testing.T) {
 	type report struct {
 		at                 time.Duration
 		attempts, failures int
@@ -21,10 +21,10 @@
 		want      Window
 	}{
 		{"no reports", nil, 0, Window{}},
-		{"sums all of the period", []report{{now - 4*time.Second + 1, 10, 2, 0}, {now, 5, 1, 0}}, 0, Window{Attempts: 15, Failures: 3}},
-		{"leaves out expired ones", []report{{now - 4*time.Second, 10, 2, 0}, {now, 5, 1, 0}}, 0, Window{Attempts: 5, Failures: 1}},
-		{"leaves out those up to the start of the probation", []report{{now - 1, 10, 2, 0}, {now, 5, 1, 0}}, now - 1, Window{Attempts: 5, Failures: 1}},
-		{"weighs response times by successes", []report{{now, 10, 0, 200 * time.Millisecond}, {now, 40, 10, 600 * time.Millisecond}}, 0,
+		{"sums all reports of the period", []report{{now - 4*time.Second + 1, 10, 2, 0}, {now, 5, 1, 0}}, 0, Window{Attempts: 15, Failures: 3}},
+		{"excludes expired reports", []report{{now - 4*time.Second, 10, 2, 0}, {now, 5, 1, 0}}, 0, Window{Attempts: 5, Failures: 1}},
+		{"excludes reports up to the start of the probation", []report{{now - 1, 10, 2, 0}, {now, 5, 1, 0}}, now - 1, Window{Attempts: 5, Failures: 1}},
+		{"weights response times by successes", []report{{now, 10, 0, 200 * time.Millisecond}, {now, 40, 10, 600 * time.Millisecond}}, 0,
 			Window{Attempts: 50, Failures: 10, ResponseTime: 0.5}},
 		{"ignores unknown response times", []report{{now, 10, 0, 500 * time.Millisecond}, {now, 40, 10, 0}}, 0,
 			Window{Attempts: 50, Failures: 10, ResponseTime: 0.5}},
@@ -47,6 +47,6 @@
 		d.Observe(time.Second, 1, 0, 0)
 	}
 	if got := d.Window(time.Second).Attempts; got != sample.Kept {
-		t.Errorf("%v attempts, want %v", got, sample.Kept)
+		t.Errorf("%v attempts of kept reports, want %v", got, sample.Kept)
 	}
 }
