--- a/policy/weight/baselines.go
+++ b/policy/weight/baselines.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// baselineInterval is the time between two samples of the baselines.
+	// baselineInterval is the minimum time between two samples of the baselines.
 	baselineInterval = time.Second
 
-	// minBaselineSuccesses is the number of successes of a hardware class below which there is no sample of it.
+	// minBaselineSuccesses is the number of successes of a hardware class below which it is not sampled.
 	minBaselineSuccesses = 5
 )
 
-// Baselines keep the last mean response times of each hardware class, in seconds, and of all of them together. The least of a
-// class stands for that of an idle replica. A class without samples has no entry.
+// Baselines keeps the newest mean response times of each hardware class, in seconds, and of all classes together. The lowest
+// of a class is taken as the response time of an idle replica. A class without samples has no entry.
 type Baselines struct {
 	byClass   map[int][]float64
 	sampledAt time.Duration
@@ -26,7 +26,7 @@
 // NewBaselines returns baselines without samples.
 func NewBaselines() *Baselines { return &Baselines{byClass: map[int][]float64{}} }
 
-// Sample takes the mean response times of the hardware classes, once in baselineInterval.
+// Sample adds the current mean response time of each hardware class, at most once in baselineInterval.
 func (b *Baselines) Sample(now time.Duration, e *Estimator) {
 	if now-b.sampledAt < baselineInterval {
 		return
@@ -34,18 +34,18 @@
 	b.sampledAt = now
 	for class, totals := range e.classes {
 		if totals.successes >= minBaselineSuccesses {
-			samples := append(b.byClass[class], totals.responseTime/totals.successes)
+			samples := append(b.byClass[class], totals.totalResponseTime/totals.successes)
 			b.byClass[class] = sample.Newest(sample.Kept, samples)
 		}
 	}
 }
 
-// Restore takes over the baselines of a hardware class that an earlier controller had learned: of them the newest, the fewer the
-// less confidence is left by their age (above 0 up to 1).
+// Restore takes over the baselines of a hardware class that an earlier controller had learned. It keeps the newest of them,
+// a fraction equal to the confidence, which falls with their age (above 0, at most 1).
 func (b *Baselines) Restore(class int, samples []float64, confidence float64) {
-	left := int(math.Round(confidence * float64(len(samples))))
-	if left > 0 {
-		b.byClass[class] = slices.Clone(samples[len(samples)-left:])
+	kept := int(math.Round(confidence * float64(len(samples))))
+	if kept > 0 {
+		b.byClass[class] = slices.Clone(samples[len(samples)-kept:])
 	}
 }
 
@@ -60,23 +60,23 @@
 	return all
 }
 
-// Renumber gives the hardware classes their new numbers; below 0: the class no longer exists. The number that stands for all of
-// them changes from allBefore to allAfter.
-func (b *Baselines) Renumber(numbers []int, allBefore, allAfter int) {
+// Renumber changes the numbers of the hardware classes: newNumbers holds the new number of each old one, below 0 if the
+// class no longer exists. The number that denotes all classes together changes from oldAllClasses to newAllClasses.
+func (b *Baselines) Renumber(newNumbers []int, oldAllClasses, newAllClasses int) {
 	renumbered := map[int][]float64{}
 	for class, samples := range b.byClass {
 		switch {
-		case class == allBefore:
-			renumbered[allAfter] = samples
-		case class < len(numbers) && numbers[class] >= 0:
-			renumbered[numbers[class]] = samples
+		case class == oldAllClasses:
+			renumbered[newAllClasses] = samples
+		case class < len(newNumbers) && newNumbers[class] >= 0:
+			renumbered[newNumbers[class]] = samples
 		}
 	}
 	b.byClass = renumbered
 }
 
-// least returns the least baseline of a hardware class.
-func (b *Baselines) least(class int) (float64, bool) {
+// lowest returns the lowest baseline of a hardware class; false: there is none.
+func (b *Baselines) lowest(class int) (float64, bool) {
 	samples := b.byClass[class]
 	if len(samples) == 0 {
 		return 0, false
@@ -84,7 +84,7 @@
 	return slices.Min(samples), true
 }
 
-// fastest returns the least baseline of all hardware classes; infinite: there is none.
+// fastest returns the lowest baseline of all hardware classes; infinite: there is none.
 func (b *Baselines) fastest() float64 {
 	fastest := math.Inf(1)
 	for _, samples := range b.byClass {
--- a/policy/weight/baselines_test.go
+++ b/policy/weight/baselines_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestSampleTakesOneInEachInterval(t *testing.T) {
+func TestSampleIsTakenOncePerInterval(t *testing.T) {
 	b := NewBaselines()
 	e := NewEstimator(b, 1, []Replica{healthy(10, 0, 0.2)})
 	for now := time.Duration(0); now <= 3*baselineInterval; now += baselineInterval / 4 {
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestSampleNeedsSuccessesEnough(t *testing.T) {
+func TestSampleRequiresMinimumSuccesses(t *testing.T) {
 	for successes, want := range map[float64]int{4: 0, 5: 1} {
 		b := NewBaselines()
 		b.Sample(baselineInterval, NewEstimator(b, 1, []Replica{healthy(successes, 0, 0.2)}))
@@ -38,7 +38,7 @@
 		}
 		got := b.Snapshot(1)[0]
 		if len(got) != want || want > 0 && got[len(got)-1] != 0.4 {
-			t.Errorf("confidence %v: got %v", confidence, got)
+			t.Errorf("confidence %v: got %v, want the newest %d samples", confidence, got, want)
 		}
 	}
 }
--- a/policy/weight/estimate.go
+++ b/policy/weight/estimate.go
@@ -6,46 +6,49 @@
 )
 
 const (
-	// settleTime is the time in which a weight follows its goal.
+	// settleTime is the time constant with which the speed of a replica follows its goal.
 	settleTime = 4 * time.Second
 
-	// minSettleTime is the settle time of a replica that has just become known.
+	// minSettleTime is the same time constant for a replica that has just become known.
 	minSettleTime = time.Second
 
-	// settleDivisor shortens the settle time of a replica that is new to the time since it became known, divided by this.
+	// settleDivisor shortens the time constant of a new replica: it is the time since the replica became known, divided by
+	// settleDivisor, within minSettleTime and settleTime.
 	settleDivisor = 8
 
-	// maxSampleCount bounds the attempts for which a remembered speed counts, so that a few seconds of new ones outweigh it.
+	// maxSampleCount is the maximum weight of a remembered speed, as a number of attempts, so that the new attempts of a few
+	// seconds outweigh it.
 	maxSampleCount = 16.0
 
-	// confidenceLeft is the fraction of the confidence in a remembered speed that is left after one load report.
-	confidenceLeft = 0.5
+	// confidenceDecay is the factor by which each load report multiplies the confidence in a remembered speed.
+	confidenceDecay = 0.5
 )
 
-// Estimate is the speed of one replica: its weight against that listed. Times are durations since the epoch of the caller's
-// clock.
+// Estimate is the speed of one replica: its weight as a multiple of its listed weight. Times are durations since the epoch
+// of the caller's clock.
 type Estimate struct {
 	Speed           float64 // follows Goal; above 0
 	Goal            float64
-	RememberedSpeed float64 // of an earlier controller
-	Confidence      float64 // number of attempts that RememberedSpeed counts for
-	SampleCount     float64 // attempts behind Speed, up to maxSampleCount
+	RememberedSpeed float64 // learned by an earlier controller
+	Confidence      float64 // weight of RememberedSpeed, as a number of attempts
+	SampleCount     float64 // number of attempts on which Speed is based, up to maxSampleCount
 	LastSample      time.Duration
 }
 
-// NewEstimate returns the estimate of a replica of which nothing is known but the listed weight.
+// NewEstimate returns the estimate of a replica of which only the listed weight is known.
 func NewEstimate(now time.Duration) Estimate {
 	return Estimate{Speed: 1, Goal: 1, LastSample: now}
 }
 
-// Observe counts a load report.
+// Observe adds the attempts of a load report to the sample count, and reduces the confidence in the remembered speed.
 func (e *Estimate) Observe(now time.Duration, attempts int) {
-	e.Confidence *= confidenceLeft
+	e.Confidence *= confidenceDecay
 	e.SampleCount = math.Min(maxSampleCount, e.SampleCount+float64(attempts))
 	e.LastSample = now
 }
 
-// Follow moves the speed towards a goal, by the time since the last move and since the replica became known.
+// Follow moves the speed towards a goal. The step is larger the longer ago the last move was, and the more recently the
+// replica became known.
 func (e *Estimate) Follow(goal float64, sinceLast, sinceKnown time.Duration) {
 	e.Goal = goal
 	settle := min(settleTime, max(minSettleTime, sinceKnown/settleDivisor))
@@ -53,21 +56,23 @@
 	e.Speed *= math.Pow(goal/e.Speed, step)
 }
 
-// Restart forgets what is known of the process before: the speed stays until the new one shows its own.
+// Restart discards the confidence and the sample count of the replica's previous process. The speed stays until the attempts
+// of the new process change it.
 func (e *Estimate) Restart() {
 	e.Confidence = 0
 	e.SampleCount = 0
 }
 
-// Restored is the speed that an earlier controller had learned.
+// Restored is the speed of a replica that an earlier controller had learned.
 type Restored struct {
 	Speed       float64
 	SampleCount float64
-	Age         time.Duration // of its last sample
-	Confidence  float64       // left by that age, above 0 up to 1
+	Age         time.Duration // time since its last sample
+	Confidence  float64       // falls with Age; above 0, at most 1
 }
 
-// Restore takes over what an earlier controller knew, the nearer to the listed weight the older it is.
+// Restore takes over the speed that an earlier controller had learned. The older it is, the closer the restored speed is to
+// 1, the listed weight.
 func (e *Estimate) Restore(now time.Duration, r Restored) {
 	e.RememberedSpeed = math.Pow(r.Speed, r.Confidence)
 	e.Confidence = r.Confidence * math.Min(r.SampleCount, maxSampleCount)
--- a/policy/weight/weight_test.go
+++ b/policy/weight/weight_test.go
@@ -9,38 +9,38 @@
 	return Replica{ListedWeight: 1, Attempts: attempts, Failures: failures, ResponseTime: responseTime, Healthy: true}
 }
 
-// baselinesOf are baselines of hardware class 0 and, by class, of others.
+// baselinesOf returns baselines with the given samples of each hardware class.
 func baselinesOf(byClass map[int][]float64) *Baselines {
 	return &Baselines{byClass: byClass}
 }
 
-func TestGoalFollowsSuccessesNotTheResponseTimeAlone(t *testing.T) {
+func TestGoalDependsOnSuccessesNotOnlyOnResponseTime(t *testing.T) {
 	busy := healthy(90, 0, 0.3)
-	calm := healthy(30, 0, 0.1)
-	e := NewEstimator(baselinesOf(map[int][]float64{0: {0.1}}), 1, []Replica{busy, calm})
-	a, b := e.Goal(busy), e.Goal(calm)
+	idle := healthy(30, 0, 0.1)
+	e := NewEstimator(baselinesOf(map[int][]float64{0: {0.1}}), 1, []Replica{busy, idle})
+	a, b := e.Goal(busy), e.Goal(idle)
 	if a > b || b > 2*a {
-		t.Errorf("want nearly the same: the busy one %v, the calm one %v", a, b)
+		t.Errorf("goals: busy replica %v, idle replica %v, want the busy one's at most equal and at least half", a, b)
 	}
 }
 
-func TestGoalOfAFullQueueLetsItDrain(t *testing.T) {
-	calm := healthy(300, 0, 0.1)
-	full := healthy(300, 0, 1.2)
-	full.HardwareClass = 1
-	e := NewEstimator(baselinesOf(map[int][]float64{0: {0.1}, 1: {0.2}, 2: {0.1}}), 2, []Replica{calm, full})
-	if a, b := e.Goal(calm), e.Goal(full); a <= 6.5*b {
-		t.Errorf("calm %v, full %v: want more than by their successes", a, b)
+func TestFullQueueLowersGoal(t *testing.T) {
+	idle := healthy(300, 0, 0.1)
+	queued := healthy(300, 0, 1.2)
+	queued.HardwareClass = 1
+	e := NewEstimator(baselinesOf(map[int][]float64{0: {0.1}, 1: {0.2}, 2: {0.1}}), 2, []Replica{idle, queued})
+	if a, b := e.Goal(idle), e.Goal(queued); a <= 6.5*b {
+		t.Errorf("goals: idle replica %v, replica with a full queue %v, want a ratio above 6.5", a, b)
 	}
 }
 
-func TestGoalMixesAFewSamplesWithTheMeanOfTheClass(t *testing.T) {
+func TestGoalMixesFewSamplesWithClassMean(t *testing.T) {
 	few := healthy(8, 0, 0.1)
 	many := healthy(24, 0, 0.1)
 	e := NewEstimator(NewBaselines(), 1, []Replica{few, many})
 	for _, c := range []struct {
 		replica Replica
-		want    float64 // half and one and a half of the mean, beside 8 of the mean
+		want    float64 // 0.5 and 1.5 times the mean capacity, mixed with priorSuccesses at the mean
 	}{{few, 0.75}, {many, 1.375}} {
 		if got := e.Goal(c.replica); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%v successes: got %v, want %v", c.replica.Attempts, got, c.want)
@@ -48,12 +48,12 @@
 	}
 }
 
-func TestCapacityIsEstimatedAlikeHoweverBusyTheReplicaIs(t *testing.T) {
+func TestCapacityEstimateIsIndependentOfUtilization(t *testing.T) {
 	settled := make([]float64, 15)
 	for k := range settled {
 		settled[k] = 0.1
 	}
-	baselines := baselinesOf(map[int][]float64{0: {0.1}, 3: settled}) // of all classes: the last
+	baselines := baselinesOf(map[int][]float64{0: {0.1}, 3: settled}) // 3: all classes together
 	for _, c := range []struct {
 		name    string
 		class   int
@@ -62,10 +62,10 @@
 	}{
 		{"idle", 0, healthy(40, 0, 0.1), 100},
 		{"busy", 0, healthy(80, 0, 0.2), 100},
-		{"of a class without baselines: an idle one is at most twice as slow", 1, healthy(80, 0, 0.4), 100},
-		{"full queue: counts up to five times", 1, healthy(144, 0, 2), 100},
-		{"failures of a busy one took its time", 1, healthy(100, 20, 0.4), 116},
-		{"of many failures those count that there are successes for", 1, healthy(100, 90, 0.4), 20.5},
+		{"class without baselines: idle up to twice the fastest baseline", 1, healthy(80, 0, 0.4), 100},
+		{"full queue: maximum queue penalty", 1, healthy(144, 0, 2), 100},
+		{"failures of a busy replica are included", 1, healthy(100, 20, 0.4), 116},
+		{"failures are included up to the number of successes", 1, healthy(100, 90, 0.4), 20.5},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := c.replica
@@ -80,21 +80,21 @@
 func TestGoalWithListedWeights(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		responseTime float64 // of a replica whose class answers in 0.1 s
+		responseTime float64 // mean of the hardware class: 0.1 s
 		want         float64
 	}{
-		{"as its class", 0.1, 1},
-		{"late at the limit", 0.2, 1},
+		{"mean of the class", 0.1, 1},
+		{"slow response limit", 0.2, 1},
 		{"slow", 0.25, 0.4},
-		{"so slow that the least goal counts", 9, 1.0 / 16},
+		{"so slow that the minimum goal applies", 9, 1.0 / 16},
 		{"no successes", 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			replicas := []Replica{healthy(50, 0, 0.1), healthy(50, 0, 0.1)}
 			replicas[1].ListedWeight = 2
 			e := NewEstimator(NewBaselines(), 1, replicas)
-			probed := healthy(50, 0, c.responseTime)
-			if got := e.Goal(probed); math.Abs(got-c.want) > 1e-12 {
+			replica := healthy(50, 0, c.responseTime)
+			if got := e.Goal(replica); math.Abs(got-c.want) > 1e-12 {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
@@ -105,11 +105,11 @@
 	unknown := Replica{ListedWeight: 1, Healthy: true}
 	e := NewEstimator(NewBaselines(), 1, []Replica{unknown, unknown})
 	if got := e.Goal(unknown); got != 1 {
-		t.Errorf("got %v, want the listed weight", got)
+		t.Errorf("got %v, want 1, the listed weight", got)
 	}
 }
 
-func TestGoalOfAnUnhealthyReplicaIsThatOfItsClass(t *testing.T) {
+func TestUnhealthyReplicaGetsGoalOfItsClass(t *testing.T) {
 	fast := healthy(300, 0, 0.1)
 	slow := healthy(100, 0, 0.1)
 	slow.HardwareClass = 1
@@ -117,7 +117,7 @@
 	unhealthy := slow
 	unhealthy.Healthy = false
 	if got := e.Goal(unhealthy); math.Abs(got-0.5) > 1e-9 {
-		t.Errorf("got %v, want the half of the mean that its class has", got)
+		t.Errorf("got %v, want 0.5, the goal of its hardware class", got)
 	}
 }
 
@@ -128,9 +128,9 @@
 		confidence float64
 		want       float64
 	}{
-		{"nothing is seen: as remembered", 0, 4, 0.25},
-		{"no confidence: as seen", 12, 0, 1},
-		{"as many successes as the memory counts for: half way", 12, 12, 0.625},
+		{"no successes: remembered speed", 0, 4, 0.25},
+		{"no confidence: estimated goal", 12, 0, 1},
+		{"as many successes as the confidence: mean of both", 12, 12, 0.625},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := Replica{ListedWeight: 1, Attempts: c.successes, RememberedSpeed: 0.25, Confidence: c.confidence}
@@ -154,14 +154,14 @@
 		t.Errorf("mean response time %v, want 0.25", got)
 	}
 	if got := e.SlowResponseTime(0); math.Abs(got-2*0.25) > 1e-12 {
-		t.Errorf("slow from %v", got)
+		t.Errorf("slow response time %v, want 0.5", got)
 	}
 	if got := e.PeerSuccesses(7); got != 0 {
-		t.Errorf("mean successes of an unknown class %v", got)
+		t.Errorf("mean successes of an unknown class %v, want 0", got)
 	}
 }
 
-func TestNoResponseTimeIsSlowWhereWeightsDoNotFollowIt(t *testing.T) {
+func TestSlowResponseTimeIsInfiniteWhereWeightsDoNotFollowIt(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		replicas []Replica
@@ -172,7 +172,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := NewEstimator(NewBaselines(), 1, c.replicas).SlowResponseTime(0); !math.IsInf(got, 1) {
-				t.Errorf("slow from %v", got)
+				t.Errorf("slow response time %v, want infinity", got)
 			}
 		})
 	}
@@ -186,16 +186,16 @@
 	}
 }
 
-// The goals of a tick use the baselines with the sample of this tick.
+// The goals of a tick are computed with the baselines that include the sample of that tick.
 func TestGoalUsesTheNewestBaselines(t *testing.T) {
-	calm := healthy(300, 0, 0.1)
+	idle := healthy(300, 0, 0.1)
 	busy := healthy(300, 0, 0.3)
 	busy.HardwareClass = 1
 	b := baselinesOf(map[int][]float64{1: {0.3}})
-	e := NewEstimator(b, 2, []Replica{calm, busy})
+	e := NewEstimator(b, 2, []Replica{idle, busy})
 	before := e.Goal(busy)
 	b.byClass[1] = append(b.byClass[1], 0.1)
 	if after := e.Goal(busy); after >= before {
-		t.Errorf("goal %v, before %v: want less for one that is now known to be busy", after, before)
+		t.Errorf("goal %v with a lower baseline, %v without: want less, as the replica is now known to be busy", after, before)
 	}
 }
