--- a/policy/slowstart/recovery_test.go
+++ b/policy/slowstart/recovery_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// fleet has warmed-up and warming replicas that are listed alike. Each succeeds ten times in as many attempts as given.
+// fleet returns a fleet of warmed-up and warming replicas of equal listed weight. Each has 10 successes in the given number
+// of attempts.
 func fleet(warmedUp, warming int, attempts float64) *Fleet {
 	f := NewFleet(config.OverloadMultiple)
 	load := Load{ListedWeight: 1, CapacityFraction: 0.5, Attempts: attempts, Failures: attempts - 10, Ready: true}
@@ -16,24 +17,24 @@
 	return f
 }
 
-func TestWarmingReplicasCountNoLostRequestsIfTheySuffice(t *testing.T) {
+func TestLostRequestsDoNotCountIfWarmingReplicasSuffice(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		warmedUp, warming int
 		attempts          float64
 		suffice           bool
 	}{
-		{"a few warm up", 19, 1, 10, false},
-		{"not quite enough warm up", 12, 8, 10, false},
-		{"enough warm up", 8, 12, 10, true},
-		{"nearly all warm up", 2, 18, 10, true},
-		{"enough but for retries", 8, 12, 15, false},
-		{"nearly all warm up, with some retries", 2, 18, 15, true},
-		{"nearly all warm up, with the retries of a collapse", 2, 18, 40, false},
+		{"1 of 20 warms up", 19, 1, 10, false},
+		{"8 of 20 warm up", 12, 8, 10, false},
+		{"12 of 20 warm up", 8, 12, 10, true},
+		{"18 of 20 warm up", 2, 18, 10, true},
+		{"12 of 20 warm up, with retries", 8, 12, 15, false},
+		{"18 of 20 warm up, with retries", 2, 18, 15, true},
+		{"18 of 20 warm up, with the retries of a collapse", 2, 18, 40, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := fleet(c.warmedUp, c.warming, c.attempts)
-			f.Add(Load{ListedWeight: 1}) // gone: carries nothing
+			f.Add(Load{ListedWeight: 1}) // not ready: serves nothing
 			want := Recovery{LostFraction: 0.8}
 			if c.suffice {
 				want = Recovery{UnejectTogether: true}
@@ -45,20 +46,20 @@
 	}
 }
 
-func TestRecoveryGoesByTheWorseOfFailuresAndLosses(t *testing.T) {
+func TestRecoveryUsesHigherOfFailuresAndLosses(t *testing.T) {
 	f := fleet(10, 0, 10)
 	for _, c := range []struct{ failures, lost, want float64 }{{0.1, 0.9, 0.9}, {0.7, 0.2, 0.7}, {0, 0, 0}} {
 		if got := f.Recovery(c.failures, c.lost); got != (Recovery{LostFraction: c.want}) {
-			t.Errorf("failure rate %v, lost %v: got %+v", c.failures, c.lost, got)
+			t.Errorf("failure rate %v, lost fraction %v: got %+v, want %v", c.failures, c.lost, got, c.want)
 		}
 	}
 }
 
-func TestRecoveryIsTogetherOnlyAboveTheLossLimit(t *testing.T) {
+func TestUnejectTogetherOnlyAboveMaxLostFraction(t *testing.T) {
 	f := fleet(1, 9, 10)
 	for lost, want := range map[float64]bool{0.2: false, maxLostFraction: false, 0.8: true} {
 		if got := f.Recovery(0, lost); got != (Recovery{UnejectTogether: want}) {
-			t.Errorf("lost %v: got %+v", lost, got)
+			t.Errorf("lost fraction %v: got %+v, want UnejectTogether %v", lost, got, want)
 		}
 	}
 }
@@ -67,10 +68,10 @@
 	for _, c := range []struct {
 		name  string
 		extra Load
-		want  bool // that the warming replicas suffice
+		want  bool // UnejectTogether: the warming replicas suffice
 	}{
-		{"one more that is warmed up", Load{ListedWeight: 1, Attempts: 10, Ready: true}, true},
-		{"a draining one with many attempts", Load{ListedWeight: 1, Attempts: 51}, false},
+		{"one more warmed-up replica", Load{ListedWeight: 1, Attempts: 10, Ready: true}, true},
+		{"draining replica with many attempts", Load{ListedWeight: 1, Attempts: 51}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := NewFleet(config.OverloadMultiple)
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -1,21 +1,22 @@
-// Package slowstart decides how much weight a replica gets while it warms up, and when a replica that warms up gets no requests
-// at all.
+// Package slowstart decides how much weight a replica gets while it warms up, and when a replica that warms up gets no
+// requests at all.
 //
-// A replica warms up from its start for Config.Duration. Its capacity is taken to rise evenly over that time from
-// Config.InitialFraction of the usual one. Its weight fraction is the least of these:
+// A replica warms up for Config.Duration from its start. Its capacity is assumed to rise linearly over that time, from
+// Config.InitialFraction of its usual capacity to all of it. Its weight fraction is the lowest of these limits:
 //
-//   - maxOverload of the load at which it fails at its capacity of now: the requests of a zone may double before a load
-//     report shows it
-//   - entryFraction for the first entryTime after it became known
-//   - 1, a warmed-up replica's
+//   - maxOverloadFraction of the load at which the replica fails with its current capacity: the requests of a zone may
+//     double before a load report shows it
+//   - entryFraction, for the first entryTime after the replica became known
+//   - 1, the weight fraction of a warmed-up replica
 //
-// The first of them shrinks by the square of the fraction of requests that succeed, as each failed one is sent again. Beyond
-// maxLostFraction, and until the fleet's state is known, the replica is held back: in a collapse all retries would go to it.
+// The first limit, or 1 if that is lower, is multiplied by the square of the fraction of requests that succeed, because each
+// failed request is sent again. If the fraction of lost requests exceeds maxLostFraction, and until the state of the fleet
+// is known, the replica is held back and gets no requests: in a collapse all retries would go to it.
 //
-// The exception is the recovery of a fleet of which most has just been replaced. Where all replicas that warm up could carry
-// all attempts together, they count no lost requests (Fleet.Recovery): to hold them back would overload the few others, and
-// the requests lost by that would hold them back for ever. It is all of them or none, as one alone would be sent what is
-// meant for all.
+// The exception is the recovery of a fleet of which most replicas have just been replaced. If all replicas that warm up
+// could serve all attempts together, lost requests do not count for them (Fleet.Recovery): holding them back would overload
+// the few other replicas, and the requests lost to that overload would hold them back forever. This applies to all replicas
+// that warm up or to none, because a single one would be sent the load that is meant for all of them.
 package slowstart
 
 import (
@@ -24,33 +25,34 @@
 )
 
 const (
-	// entryFraction is the weight fraction that a new replica gets at most.
+	// entryFraction is the maximum weight fraction of a replica that has just become known.
 	entryFraction = 0.5
 
-	// entryTime is how long entryFraction holds.
+	// entryTime is the time after a replica became known during which entryFraction applies.
 	entryTime = 5 * time.Second
 
-	// maxOverload is the fraction of the overload multiple that a replica's weight may use. The rest is for sudden increases.
-	maxOverload = 1.0 / 3
+	// maxOverloadFraction is the fraction of the overload multiple that a replica's weight may use. The rest is headroom for
+	// sudden increases of requests.
+	maxOverloadFraction = 1.0 / 3
 
 	// maxLostFraction is the fraction of lost requests above which replicas that warm up are held back.
 	maxLostFraction = 0.3
 
-	// minSum keeps divisors above 0.
+	// minSum is the initial value of sums, which keeps divisors above 0.
 	minSum = 1e-9
 )
 
-// Config are the properties of the deployment that slow start depends on.
+// Config holds the properties of the deployment that slow start depends on.
 type Config struct {
-	Duration         time.Duration // until a replica has its full capacity
-	InitialFraction  float64       // least fraction of its capacity that a replica starts with
-	OverloadMultiple float64       // of its capacity, at which a replica fails
+	Duration         time.Duration // time from the start of a replica until it has its full capacity
+	InitialFraction  float64       // lowest fraction of its full capacity that a replica has at its start
+	OverloadMultiple float64       // load at which a replica fails, as a multiple of its capacity
 }
 
 // Replica is a replica that may be warming up. Times are durations since the epoch of the caller's clock.
 type Replica struct {
-	Start      time.Duration // of its process; 0: long ago
-	KnownSince time.Duration // when the start became known
+	Start      time.Duration // when its process started; 0: long ago
+	KnownSince time.Duration // when that start became known
 	Ejected    bool
 }
 
@@ -59,7 +61,7 @@
 	return r.Start > 0 && now-r.Start < c.Duration
 }
 
-// CapacityFraction returns the fraction of its usual capacity that a replica that warms up surely has; none if it is ejected.
+// CapacityFraction returns the fraction of its usual capacity that a replica that warms up has at least; 0 if it is ejected.
 func (c Config) CapacityFraction(now time.Duration, r Replica) float64 {
 	if r.Ejected {
 		return 0
@@ -73,16 +75,16 @@
 	if !c.WarmingUp(now, r) {
 		return 1
 	}
-	safe := math.Min(1, c.CapacityFraction(now, r)*maxOverload*c.OverloadMultiple)
-	fraction := safe * math.Pow(1-lostFraction, 2)
+	safeFraction := math.Min(1, c.CapacityFraction(now, r)*maxOverloadFraction*c.OverloadMultiple)
+	fraction := safeFraction * math.Pow(1-lostFraction, 2)
 	if now-r.KnownSince < entryTime {
 		fraction = math.Min(fraction, entryFraction)
 	}
 	return fraction
 }
 
-// HeldBack reports whether the replica gets no requests as it is warming up. The fleet's state is known from the first
-// evaluation of the fleet on.
+// HeldBack reports whether the replica gets no requests because it is warming up. The fleet's state is known once the fleet
+// has been evaluated for the first time.
 func (c Config) HeldBack(now time.Duration, r Replica, fleetKnown bool, lostFraction float64) bool {
 	return c.WarmingUp(now, r) && (!fleetKnown || lostFraction > maxLostFraction)
 }
--- a/policy/slowstart/slowstart_test.go
+++ b/policy/slowstart/slowstart_test.go
@@ -14,7 +14,7 @@
 	for ; now < r.Start+config.Duration; now += time.Second {
 		capacity := config.InitialFraction + (1-config.InitialFraction)*float64(now-r.Start)/float64(config.Duration)
 		fraction := config.WeightFraction(now, r, 0)
-		if fraction > maxOverload*config.OverloadMultiple*capacity {
+		if fraction > maxOverloadFraction*config.OverloadMultiple*capacity {
 			t.Errorf("at age %v: weight fraction %v with %v of the capacity", now-r.Start, fraction, capacity)
 		}
 		if now-r.KnownSince < entryTime && fraction > entryFraction {
@@ -36,13 +36,13 @@
 		ejected  bool
 		min, max float64
 	}{
-		{"half of the time: a third of the overload multiple", 5 * time.Second, 0, 0, false, 0.7999, 0.8001},
-		{"nearly warmed up: no more than a warmed-up one", 9 * time.Second, 0, 0, false, 1, 1},
-		{"known for a moment: at most the entry fraction", 9 * time.Second, start + 4*time.Second + 1, 0, false, 0.5, 0.5},
-		{"known for the entry time: as by its age", 9 * time.Second, start + 4*time.Second, 0, false, 1, 1},
+		{"half of Duration: a third of the overload multiple", 5 * time.Second, 0, 0, false, 0.7999, 0.8001},
+		{"nearly warmed up: at most the weight of a warmed-up replica", 9 * time.Second, 0, 0, false, 1, 1},
+		{"known for less than entryTime: at most entryFraction", 9 * time.Second, start + 4*time.Second + 1, 0, false, 0.5, 0.5},
+		{"known for entryTime: limited by its age only", 9 * time.Second, start + 4*time.Second, 0, false, 1, 1},
 		{"half of the requests are lost: a quarter", 9 * time.Second, 0, 0.5, false, 0.25, 0.25},
-		{"ejected: nothing", 9 * time.Second, 0, 0, true, 0, 0},
-		{"ejected and warmed up: as any other, as ejection excludes it", 10 * time.Second, 0, 0, true, 1, 1},
+		{"ejected: 0", 9 * time.Second, 0, 0, true, 0, 0},
+		{"ejected and warmed up: full weight, as ejection itself excludes it", 10 * time.Second, 0, 0, true, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := Replica{Start: start, KnownSince: c.known, Ejected: c.ejected}
@@ -56,9 +56,9 @@
 func TestWeightFractionFallsWithLostRequests(t *testing.T) {
 	r := Replica{Start: 99 * time.Second, KnownSince: 100 * time.Second}
 	now := 100 * time.Second
-	calm := config.WeightFraction(now, r, 0)
-	if got := config.WeightFraction(now, r, 0.8); got > calm/2 {
-		t.Errorf("weight fraction %v while requests are lost, %v otherwise", got, calm)
+	withoutLosses := config.WeightFraction(now, r, 0)
+	if got := config.WeightFraction(now, r, 0.8); got > withoutLosses/2 {
+		t.Errorf("weight fraction %v while 0.8 of the requests are lost, want at most half of %v", got, withoutLosses)
 	}
 }
 
@@ -71,9 +71,9 @@
 	}{
 		{"started long ago", 0, false},
 		{"just started", now, true},
-		{"at the end", now - config.Duration, false},
-		{"shortly before", now - config.Duration + 1, true},
-		{"started by a clock that is ahead", now + time.Second, true},
+		{"at the end of the warm-up", now - config.Duration, false},
+		{"shortly before the end of the warm-up", now - config.Duration + 1, true},
+		{"start in the future, as by a clock that is ahead", now + time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := config.WarmingUp(now, Replica{Start: c.start}); got != c.want {
@@ -83,9 +83,9 @@
 	}
 }
 
-func TestReplicaWithoutAStartIsWarmedUpAtAnyTime(t *testing.T) {
+func TestReplicaWithoutStartIsNeverWarmingUp(t *testing.T) {
 	if config.WarmingUp(config.Duration/2, Replica{}) {
-		t.Error("warming up")
+		t.Error("replica without a start is warming up")
 	}
 }
 
@@ -98,8 +98,8 @@
 		want    float64
 	}{
 		{"just started", now, false, config.InitialFraction},
-		{"started by a clock that is ahead", now + time.Second, false, config.InitialFraction},
-		{"half of the time", now - config.Duration/2, false, 0.6},
+		{"start in the future, as by a clock that is ahead", now + time.Second, false, config.InitialFraction},
+		{"half of Duration", now - config.Duration/2, false, 0.6},
 		{"ejected", now - config.Duration/2, true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestWarmingReplicaIsHeldBackWhileTooMuchIsLostOrNothingIsKnown(t *testing.T) {
+func TestWarmingReplicaIsHeldBackUntilFleetIsKnownAndWhileLossesAreHigh(t *testing.T) {
 	now := 100 * time.Second
 	warming := Replica{Start: now - time.Second}
 	for _, c := range []struct {
@@ -120,10 +120,10 @@
 		lost       float64
 		want       bool
 	}{
-		{"nothing is known of the fleet", warming, false, 0, true},
-		{"calm fleet", warming, true, 0, false},
-		{"losses at the limit", warming, true, 0.3, false},
-		{"losses above the limit", warming, true, 0.31, true},
+		{"state of the fleet is not known", warming, false, 0, true},
+		{"no lost requests", warming, true, 0, false},
+		{"lost fraction at the limit", warming, true, 0.3, false},
+		{"lost fraction above the limit", warming, true, 0.31, true},
 		{"warmed up", Replica{}, false, 2 * maxLostFraction, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
