--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -16,15 +16,15 @@
 	}{
 		{"idempotent", control.TrafficClass{Idempotency: control.Idempotent}, control.RetryTwice},
 		{"not idempotent", control.TrafficClass{Idempotency: control.NotIdempotent}, control.RetryIfNotExecuted},
-		{"keyed within a cell", control.TrafficClass{Idempotency: control.IdempotentByKey, DeduplicationWindow: 1e12},
+		{"deduplicated within a cell", control.TrafficClass{Idempotency: control.IdempotentByKey, DeduplicationWindow: 1e12},
 			control.RetryIfNotExecuted},
-		{"keyed within a zone", control.TrafficClass{Idempotency: control.IdempotentByKey, DeduplicationScope: control.ScopeZone,
+		{"deduplicated within a zone", control.TrafficClass{Idempotency: control.IdempotentByKey, DeduplicationScope: control.ScopeZone,
 			DeduplicationWindow: 1e12}, control.RetryIfNotExecuted},
-		{"keyed everywhere, longer than all attempts", control.TrafficClass{Idempotency: control.IdempotentByKey,
+		{"deduplicated by all replicas, longer than all attempts", control.TrafficClass{Idempotency: control.IdempotentByKey,
 			DeduplicationScope: control.ScopeAll, DeduplicationWindow: 5e9}, control.RetryTwice},
-		{"keyed everywhere, as long as all attempts", control.TrafficClass{Idempotency: control.IdempotentByKey,
+		{"deduplicated by all replicas, as long as all attempts", control.TrafficClass{Idempotency: control.IdempotentByKey,
 			DeduplicationScope: control.ScopeAll, DeduplicationWindow: 4e9}, control.RetryIfNotExecuted},
-		{"keyed everywhere, no window", control.TrafficClass{Idempotency: control.IdempotentByKey,
+		{"deduplicated by all replicas, no window", control.TrafficClass{Idempotency: control.IdempotentByKey,
 			DeduplicationScope: control.ScopeAll}, control.RetryIfNotExecuted},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -37,11 +37,11 @@
 }
 
 func TestAllowedIsNeverMoreThanTheDefault(t *testing.T) {
-	for _, defaults := range []control.RetryPolicy{control.NoRetry, control.RetryIfNotExecuted, control.RetryOnce} {
-		settings := &control.Settings{DefaultRetries: defaults, AttemptTimeoutFactor: 1}
+	for _, defaultPolicy := range []control.RetryPolicy{control.NoRetry, control.RetryIfNotExecuted, control.RetryOnce} {
+		settings := &control.Settings{DefaultRetries: defaultPolicy, AttemptTimeoutFactor: 1}
 		for _, idempotency := range []control.Idempotency{control.NotIdempotent, control.IdempotentByKey, control.Idempotent} {
-			if got := Allowed(settings, control.TrafficClass{Idempotency: idempotency}); got > defaults {
-				t.Errorf("default %v, idempotency %v: got %v", defaults, idempotency, got)
+			if got := Allowed(settings, control.TrafficClass{Idempotency: idempotency}); got > defaultPolicy {
+				t.Errorf("default %v, idempotency %v: got %v, want at most the default", defaultPolicy, idempotency, got)
 			}
 		}
 	}
@@ -58,13 +58,13 @@
 		name  string
 		steps []step
 	}{
-		{"few failures", []step{{start, 0.08, false}}},
-		{"many failures", []step{{start, 0.09, true}}},
-		{"holds between the two limits", []step{{start, 0.09, true}, {start + 10*time.Second, 0.05, true}}},
-		{"resumes at the lower limit", []step{{start, 0.09, true}, {start + 10*time.Second, 0.04, false}}},
-		{"holds until the failure rate is of later attempts", []step{{start, 0.09, true}, {start + MinChangeInterval, 0, true},
+		{"failure rate at the limit", []step{{start, 0.08, false}}},
+		{"failure rate above the limit", []step{{start, 0.09, true}}},
+		{"stays stopped between the two limits", []step{{start, 0.09, true}, {start + 10*time.Second, 0.05, true}}},
+		{"resumes at the resume limit", []step{{start, 0.09, true}, {start + 10*time.Second, 0.04, false}}},
+		{"stays stopped for MinChangeInterval", []step{{start, 0.09, true}, {start + MinChangeInterval, 0, true},
 			{start + MinChangeInterval + 1, 0, false}}},
-		{"does not stop again at once", []step{{start, 0.09, true}, {start + 5*time.Second, 0, false},
+		{"does not stop again within MinChangeInterval", []step{{start, 0.09, true}, {start + 5*time.Second, 0, false},
 			{start + 6*time.Second, 0.5, false}, {start + 10*time.Second, 0.5, true}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -80,16 +80,16 @@
 	}
 }
 
-func TestThrottleTakesOverADecisionOfEnoughConfidence(t *testing.T) {
+func TestRestoreTakesOverDecisionOfSufficientConfidence(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		stopped    bool
 		confidence float64
 		want       bool
 	}{
-		{"stopped, fresh", true, 1, true},
-		{"stopped, at the limit", true, 0.5, true},
-		{"stopped, old", true, 0.49, false},
+		{"stopped, full confidence", true, 1, true},
+		{"stopped, confidence at the limit", true, 0.5, true},
+		{"stopped, confidence below the limit", true, 0.49, false},
 		{"not stopped", false, 1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 				t.Errorf("stopped %v, want %v", throttle.Stopped(), c.want)
 			}
 			if throttle.Evaluate(time.Minute+MinChangeInterval, 0) || throttle.Stopped() != c.want {
-				t.Error("changed before a failure rate of this controller")
+				t.Error("decision changed within MinChangeInterval after Restore")
 			}
 		})
 	}
@@ -110,10 +110,10 @@
 	class := control.TrafficClass{Idempotency: control.Idempotent}
 	var throttle Throttle
 	if got := throttle.Policy(settings, class); got != control.RetryTwice {
-		t.Errorf("before: %v", got)
+		t.Errorf("before the stop: got %v, want %v", got, control.RetryTwice)
 	}
 	throttle.Evaluate(time.Minute, 1)
 	if got := throttle.Policy(settings, class); got != control.NoRetry {
-		t.Errorf("while stopped: %v", got)
+		t.Errorf("while stopped: got %v, want %v", got, control.NoRetry)
 	}
 }
