--- a/policy/admission/demand.go
+++ b/policy/admission/demand.go
@@ -11,55 +11,56 @@
 )
 
 const (
-	// DemandWindow is the period over which the requests of each proxy are counted: long enough that a proxy with few requests
-	// has a steady count, short enough that tables follow requests that move from zone to zone.
+	// DemandWindow is the period over which the requests of each proxy are counted: long enough that a proxy with few
+	// requests has a steady count, short enough that tables follow requests that move between zones.
 	DemandWindow = 8 * time.Second
-	// minSnapshotPeriod is the least period by which the requests of a young controller are divided, so that one early report
-	// is not taken for a high rate.
-	minSnapshotPeriod = time.Second
+	// minRatePeriod is the shortest period by which RatesByProxy divides requests, so that a single report shortly after the
+	// controller's start does not result in a high rate.
+	minRatePeriod = time.Second
 )
 
-// Summary is the demand at one moment.
+// Summary is the demand at one point in time.
 type Summary struct {
-	// ClassRates are the requests a second of each traffic class, over LoadWindow.
+	// ClassRates are the requests per second of each traffic class, over LoadWindow.
 	ClassRates map[int]float64
 	// Requests are the requests of each proxy within DemandWindow.
 	Requests map[int]float64
-	// LatestRequests are the requests of each proxy within the last report interval, as many as they were in DemandWindow.
+	// LatestRequests are the requests of each proxy within the last report interval, extrapolated to DemandWindow.
 	LatestRequests map[int]float64
 	// FailedFraction is the fraction of the requests of LoadWindow that got no successful response.
 	FailedFraction float64
-	// ReportDelay is by how much the periods of the reports exceed the report interval, in the mean. Where it is above 0 the
-	// controller gets its reports late, several intervals in one.
+	// ReportDelay is the mean time by which the periods of the reports exceed the report interval. If it is above 0, the
+	// controller receives reports late, each for several intervals.
 	ReportDelay time.Duration
 }
 
-// demandReport is a report of a proxy's requests and when it was received.
+// demandReport is a report of a proxy's requests, with the time at which it was received.
 type demandReport struct {
 	control.Demand
 	receivedAt time.Duration
 }
 
-// Demand counts the requests that arrive at proxies. Its reports are no older than DemandWindow. For the first LoadWindow after
-// Restore no class counts with less than its restored rate, as the first reports cover few of the proxies.
+// Demand counts the requests that arrive at proxies. Its reports are no older than DemandWindow. For the first LoadWindow
+// after Restore, the rate of each class is at least its restored rate, because the first reports cover few of the proxies.
 type Demand struct {
 	settings *control.Settings
 	reports  []demandReport
 
-	restored   []control.ClassRate // of an earlier controller
-	confidence float64             // in them, 0 to 1
+	restored   []control.ClassRate // rates that an earlier controller had learned
+	confidence float64             // in the restored rates, from 0 to 1
 	restoredAt time.Duration
 }
 
-// NewDemand returns a Demand without reports. It reads the settings at each call, so that changed settings hold at once.
+// NewDemand returns a Demand without reports. Demand reads the settings at each call, so that changed settings take effect
+// at once.
 func NewDemand(settings *control.Settings) *Demand { return &Demand{settings: settings} }
 
-// Add takes a report of a proxy's requests.
+// Add adds a report of a proxy's requests.
 func (d *Demand) Add(now time.Duration, report control.Demand) {
 	d.reports = append(d.reports, demandReport{report, now})
 }
 
-// Restore takes the rates of an earlier controller, with the confidence in them that their age has left.
+// Restore takes over the rates that an earlier controller had learned. The confidence in them falls with their age.
 func (d *Demand) Restore(now time.Duration, rates []control.ClassRate, confidence float64) {
 	d.restored = rates
 	d.confidence = confidence
@@ -69,30 +70,30 @@
 // Summarize drops reports that are too old and sums the others, in the order in which they were received.
 func (d *Demand) Summarize(now time.Duration) Summary {
 	d.reports = slices.DeleteFunc(d.reports, func(r demandReport) bool { return r.receivedAt <= now-DemandWindow })
-	sum := Summary{ClassRates: map[int]float64{}, Requests: map[int]float64{}, LatestRequests: map[int]float64{}}
+	summary := Summary{ClassRates: map[int]float64{}, Requests: map[int]float64{}, LatestRequests: map[int]float64{}}
 	interval := time.Duration(d.settings.ReportInterval)
 	requests, failures := 0, 0
 	for _, r := range d.reports {
-		sum.ReportDelay += (time.Duration(r.Period) - interval) / time.Duration(len(d.reports))
-		sum.Requests[r.Proxy] += float64(r.Requests)
+		summary.ReportDelay += (time.Duration(r.Period) - interval) / time.Duration(len(d.reports))
+		summary.Requests[r.Proxy] += float64(r.Requests)
 		if r.receivedAt > now-interval {
 			period := max(time.Duration(r.Period), interval, 1)
-			sum.LatestRequests[r.Proxy] += float64(r.Requests) * float64(DemandWindow) / float64(period)
+			summary.LatestRequests[r.Proxy] += float64(r.Requests) * float64(DemandWindow) / float64(period)
 		}
 		if r.receivedAt > now-LoadWindow {
-			sum.ClassRates[r.Class] += float64(r.Requests) * float64(time.Second) / float64(LoadWindow)
+			summary.ClassRates[r.Class] += float64(r.Requests) * float64(time.Second) / float64(LoadWindow)
 			requests += r.Requests
 			failures += r.Failures
 		}
 	}
-	sum.FailedFraction = float64(failures) / math.Max(1, float64(requests))
+	summary.FailedFraction = float64(failures) / math.Max(1, float64(requests))
 	if now-d.restoredAt < LoadWindow {
-		d.raiseToRestored(sum.ClassRates)
+		d.raiseToRestored(summary.ClassRates)
 	}
-	return sum
+	return summary
 }
 
-// raiseToRestored raises the rate of each class to its restored rate.
+// raiseToRestored raises the rate of each class to its restored rate, multiplied by the confidence, if that is higher.
 func (d *Demand) raiseToRestored(rates map[int]float64) {
 	restored := map[int]float64{}
 	for _, r := range d.restored {
@@ -111,7 +112,7 @@
 	for _, r := range d.reports {
 		requests[key{r.Proxy, r.Class}] += r.Requests
 	}
-	period := float64(max(minSnapshotPeriod, min(DemandWindow, uptime))) / float64(time.Second)
+	period := float64(max(minRatePeriod, min(DemandWindow, uptime))) / float64(time.Second)
 	var rates []control.ClassRate
 	for k, count := range requests {
 		rates = append(rates, control.ClassRate{Proxy: k.proxy, Class: k.class, Rate: float64(count) / period})
--- a/policy/admission/demand_test.go
+++ b/policy/admission/demand_test.go
@@ -26,18 +26,18 @@
 	add(LoadWindow-1, control.Demand{Proxy: 2, Class: 1, Requests: 8, Failures: 2})
 	add(time.Second, control.Demand{Proxy: 2, Class: 1, Requests: 4})
 	add(0, control.Demand{Proxy: 2, Class: 0, Requests: 4, Failures: 2})
-	sum := d.Summarize(now)
-	if want := map[int]float64{0: 1, 1: 3}; !maps.Equal(sum.ClassRates, want) {
-		t.Errorf("class rates %v, want %v", sum.ClassRates, want)
+	summary := d.Summarize(now)
+	if want := map[int]float64{0: 1, 1: 3}; !maps.Equal(summary.ClassRates, want) {
+		t.Errorf("class rates %v, want %v", summary.ClassRates, want)
 	}
-	if want := map[int]float64{1: 110, 2: 16}; !maps.Equal(sum.Requests, want) {
-		t.Errorf("requests %v, want %v", sum.Requests, want)
+	if want := map[int]float64{1: 110, 2: 16}; !maps.Equal(summary.Requests, want) {
+		t.Errorf("requests %v, want %v", summary.Requests, want)
 	}
-	if want := map[int]float64{2: 32}; !maps.Equal(sum.LatestRequests, want) {
-		t.Errorf("latest requests %v, want %v", sum.LatestRequests, want)
+	if want := map[int]float64{2: 32}; !maps.Equal(summary.LatestRequests, want) {
+		t.Errorf("latest requests %v, want %v", summary.LatestRequests, want)
 	}
-	if sum.FailedFraction != 0.25 || sum.ReportDelay != 0 {
-		t.Errorf("failed fraction %v, report delay %v", sum.FailedFraction, sum.ReportDelay)
+	if summary.FailedFraction != 0.25 || summary.ReportDelay != 0 {
+		t.Errorf("failed fraction %v, report delay %v", summary.FailedFraction, summary.ReportDelay)
 	}
 }
 
@@ -46,24 +46,24 @@
 	for _, period := range []time.Duration{time.Second, 4 * time.Second} {
 		d.Add(start, control.Demand{Proxy: 1, Requests: 12, Period: int64(period)})
 	}
-	sum := d.Summarize(start)
-	if sum.ReportDelay != 1500*time.Millisecond {
-		t.Errorf("report delay %v, want 1.5s", sum.ReportDelay)
+	summary := d.Summarize(start)
+	if summary.ReportDelay != 1500*time.Millisecond {
+		t.Errorf("report delay %v, want 1.5s", summary.ReportDelay)
 	}
-	if want := 12*8.0 + 12*2.0; sum.LatestRequests[1] != want {
-		t.Errorf("latest requests %v, want %v", sum.LatestRequests[1], want)
+	if want := 12*8.0 + 12*2.0; summary.LatestRequests[1] != want {
+		t.Errorf("latest requests %v, want %v", summary.LatestRequests[1], want)
 	}
 }
 
-func TestRestoredRatesCountUntilTheFirstReportsAreComplete(t *testing.T) {
+func TestRestoredRatesApplyForLoadWindow(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		after time.Duration
 		want  map[int]float64
 	}{
-		{"at once", 0, map[int]float64{0: 20, 1: 5}},
-		{"within the window", LoadWindow - 1, map[int]float64{0: 20, 1: 5}},
-		{"later", LoadWindow, map[int]float64{0: 2}},
+		{"at the time of Restore", 0, map[int]float64{0: 20, 1: 5}},
+		{"within LoadWindow", LoadWindow - 1, map[int]float64{0: 20, 1: 5}},
+		{"after LoadWindow", LoadWindow, map[int]float64{0: 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDemand()
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestRatesByProxyAreSortedAndOverTheUptime(t *testing.T) {
+func TestRatesByProxyAreSortedAndCoverUptime(t *testing.T) {
 	d := newDemand()
 	for _, r := range []control.Demand{{Proxy: 2, Class: 1, Requests: 8}, {Proxy: 2, Class: 0, Requests: 4},
 		{Proxy: 1, Class: 1, Requests: 8}, {Proxy: 2, Class: 1, Requests: 8}} {
@@ -88,9 +88,9 @@
 		uptime time.Duration
 		period float64 // seconds
 	}{
-		{"just started", 0, 1},
-		{"half a window", DemandWindow / 2, 4},
-		{"long running", time.Hour, 8},
+		{"uptime 0: minimum period", 0, 1},
+		{"uptime of half of DemandWindow", DemandWindow / 2, 4},
+		{"uptime above DemandWindow", time.Hour, 8},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			want := []control.ClassRate{{Proxy: 1, Class: 1, Rate: 8 / c.period}, {Proxy: 2, Class: 0, Rate: 4 / c.period},
@@ -109,11 +109,11 @@
 		d.Add(start, control.Demand{Proxy: class, Class: class, Requests: 4})
 	}
 	d.Renumber([]int{1, -1, 0})
-	sum := d.Summarize(start)
-	if want := map[int]float64{0: 7, 1: 6}; !maps.Equal(sum.ClassRates, want) {
-		t.Errorf("class rates %v, want %v", sum.ClassRates, want)
+	summary := d.Summarize(start)
+	if want := map[int]float64{0: 7, 1: 6}; !maps.Equal(summary.ClassRates, want) {
+		t.Errorf("class rates %v, want %v", summary.ClassRates, want)
 	}
-	if want := map[int]float64{0: 4, 2: 4}; !maps.Equal(sum.Requests, want) {
-		t.Errorf("requests %v, want %v", sum.Requests, want)
+	if want := map[int]float64{0: 4, 2: 4}; !maps.Equal(summary.Requests, want) {
+		t.Errorf("requests %v, want %v", summary.Requests, want)
 	}
 }
--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -1,27 +1,33 @@
 // Package admission decides how much of each traffic class the proxies admit.
 //
-// The admission threshold is the number of traffic classes that are admitted, in order of their priority: 2.3 of four classes
-// admits the first two, three tenths of the third and sheds the rest. It falls while the fleet is overloaded and rises again
-// afterwards.
+// The admission threshold is the number of traffic classes that are admitted, in order of their priority. With four classes,
+// a threshold of 2.3 admits the first two and three tenths of the third, and sheds the rest. The threshold falls while the
+// fleet is overloaded and rises again afterwards.
 //
 // Inputs are the fleet's load (Load) and the demand (Summary), once each tick. The fleet is overloaded while its pressure is
-// above 1. Pressure is the mean response time as a multiple of maxObjectiveFraction of the first class's latency objective;
-// where responses are also much slower than those of an idle fleet, it is at least the failure rate of most replicas as a
-// multiple of maxFailureRate. Failures without slow responses are refused connections, silent replicas or errors, and fewer
-// requests would not end them. Nothing counts as an overload while there are fewer than minSuccesses successes, or where proxies
-// do not follow fractions (Settings.Admission).
+// above 1. The pressure is the mean response time as a multiple of maxObjectiveFraction of the latency objective of the
+// first class. If responses also take more than slowResponseFactor times as long as those of an idle fleet, the pressure
+// is at least the failure rate of most replicas as a multiple of maxFailureRate. Failures without slow responses come from
+// refused connections, replicas that do not respond, or errors, and fewer requests would not end them. The fleet does not
+// count as overloaded while there are fewer than minSuccesses successes within LoadWindow, or if proxies do not follow
+// fractions (Settings.Admission).
 //
-// The threshold moves by the first of these rules that applies:
+// The threshold changes by the first of these rules that applies:
 //
-//  1. It holds for LoadWindow after a fall, or after rule 4 spared it one, as the load is still counted from before.
-//  2. It holds while an overload is younger than the reports are late, as the overload may have passed already.
-//  3. It falls, if all is admitted, to what firstFallFraction of the highest success rate seen lately can serve.
-//  4. It falls further by fallFactor, if something is shed already and the pressure is higher than at the last fall. An
-//     overload that eases by itself needs no further fall.
-//  5. It rises by risePerSecond, and faster the longer the last fall is ago, if there is no overload.
+//  1. It stays unchanged for LoadWindow after a fall, or after rule 4 applied without a fall, because the load still
+//     includes the time before.
+//  2. It stays unchanged while an overload has lasted for less than the delay of the reports (Summary.ReportDelay), because
+//     the overload may have ended already.
+//  3. If the fleet is overloaded and all classes are admitted completely, the threshold falls to what the serving replicas
+//     can serve at firstFallFraction of the highest recent success rate.
+//  4. If the fleet is overloaded and something is shed already, the threshold is multiplied by fallFactor if the pressure is
+//     higher than when rule 3 or 4 last applied. Otherwise it stays unchanged: an overload that eases by itself needs no
+//     further fall.
+//  5. If the fleet is not overloaded, the threshold rises by risePerSecond, and faster the longer ago rule 3 or 4 last
+//     applied.
 //
-// The rule assumes that response times show how full the replicas' queues are. It sheds too much where a slow network or slow
-// requests lengthen them.
+// The rules assume that response times show how full the replicas' queues are. They shed too much where a slow network or
+// slow requests lengthen the response times.
 package admission
 
 import (
@@ -40,82 +46,88 @@
 	// maxObjectiveFraction is the mean response time, as a fraction of the latency objective, above which the fleet is
 	// overloaded. It is below 1, as many responses are slower than the mean.
 	maxObjectiveFraction = 0.75
-	// maxFailureRate is the failure rate of most replicas above which the fleet is overloaded, if responses are slow.
+	// maxFailureRate is the failure rate of most replicas (Load.TypicalFailureRate) above which the fleet is overloaded, if
+	// responses are slow.
 	maxFailureRate = 0.15
-	// slowResponseFactor is how many times the response time of an idle fleet counts as slow.
+	// slowResponseFactor is the multiple of the response time of an idle fleet above which responses are slow.
 	slowResponseFactor = 2.5
-	// minSuccesses is the number of successes within LoadWindow below which nothing is known of the replicas' queues.
+	// minSuccesses is the number of successes within LoadWindow below which nothing is known about the replicas' queues.
 	minSuccesses = 5
-	// LoadWindow is the period over which the load is counted. It is the period of the replicas' samples (package outlier).
+	// LoadWindow is the period over which the load is measured. It is the period for which the replicas' load reports are
+	// summed (outlier.EvaluationPeriod).
 	LoadWindow = 4 * time.Second
 
-	// firstFallFraction is the fraction of the highest success rate seen lately that the first fall admits. The rest lets the
+	// firstFallFraction is the fraction of the highest recent success rate that the first fall admits. The rest lets the
 	// replicas' queues drain.
 	firstFallFraction = 0.9
-	// fallFactor is what a further fall leaves of the threshold.
+	// fallFactor is the factor by which a further fall multiplies the threshold.
 	fallFactor = 0.9
-	// risePerSecond is the fraction of all classes by which the threshold rises each second. It is slow against the delay of
-	// reports, so that an overload that begins again is seen before much is admitted.
+	// risePerSecond is the fraction of all classes by which the threshold rises each second. The rise is slow compared with
+	// the delay of reports, so that an overload that begins again is detected before much more is admitted.
 	risePerSecond = 0.01
-	// riseAcceleration is the time after the last fall from which the rise gets faster: after twice the time it is twice as
-	// fast. What was shed for a fault that has ended is admitted soon, and falls that follow each other do not speed up the rise.
-	riseAcceleration = 8 * time.Second
+	// riseAccelerationTime is the time since the last fall after which the rise accelerates: after twice this time it is
+	// twice as fast. Requests that were shed because of a fault that has ended are soon admitted again, and falls in quick
+	// succession do not accelerate the rise.
+	riseAccelerationTime = 8 * time.Second
 
-	// fractionSteps is the number of steps in which the fraction of a class changes: each change is sent to all proxies.
+	// fractionSteps is the number of steps in which the admitted fraction of a class changes. The steps limit the number of
+	// changes, as each change is sent to all proxies.
 	fractionSteps = 20
-	// successRateSamples is how many success rates are kept, one for each tick.
+	// successRateSamples is the number of success rates that are kept, one for each tick.
 	successRateSamples = 2 * sample.Kept
-	// noDivisionByZero is the least divisor of rates.
-	noDivisionByZero = 1e-9
+	// minDivisor keeps divisors above 0.
+	minDivisor = 1e-9
 )
 
 // Load is the load of the fleet over LoadWindow.
 type Load struct {
-	AttemptRate          float64 // attempts a second at replicas that are ready and neither ejected nor on probation
+	AttemptRate          float64 // attempts per second at replicas that are ready and neither ejected nor on probation
 	FailureRate          float64 // fraction of these attempts that failed
-	TypicalFailureRate   float64 // mean failure rate of most replicas, without those that fail most
+	TypicalFailureRate   float64 // mean failure rate of most of these replicas, without those with the highest failure rates
 	ResponseTime         float64 // mean of the successful responses, in seconds
 	ServingReplicas      float64 // number of these replicas
-	BaselineResponseTime float64 // of the fastest hardware class without load, in seconds; infinite: not known
+	BaselineResponseTime float64 // response time of the fastest hardware class without load, in seconds; infinite: not known
 }
 
-// successRate is the successful responses a second of the fleet.
+// successRate returns the successful responses per second of the fleet.
 func (l Load) successRate() float64 { return l.AttemptRate * (1 - l.FailureRate) }
 
-// Threshold is the admission threshold. The package comment has its rule.
+// Threshold is the admission threshold. The package comment describes the rules by which it changes.
 type Threshold struct {
 	settings *control.Settings
 
-	// classes are all traffic classes by priority, the highest first. It is nil before the first evaluation.
+	// classes are the numbers of all traffic classes, those of the highest priority first. It is nil before the first
+	// evaluation.
 	classes []int
 	// admittedClasses is the threshold: how many of the classes are admitted, in this order.
 	admittedClasses float64
-	// initialFraction is the fraction of the classes that is admitted at first.
+	// initialFraction is the fraction of the classes that the first evaluation starts with.
 	initialFraction float64
 
 	overloaded     bool
 	lastFall       time.Duration // when rule 3 or 4 last applied, whether the threshold fell or not
-	fallPressure   float64       // at that time
+	fallPressure   float64       // pressure at lastFall
 	lastNormal     time.Duration // when the fleet was last not overloaded
 	lastEvaluation time.Duration
-	successRates   []float64 // successful responses a second of a serving replica, the newest last
+	successRates   []float64 // successful responses per second and serving replica, the newest last
 }
 
-// NewThreshold returns a Threshold that admits everything. It reads the settings at each call, so that changed settings hold at
-// once.
+// NewThreshold returns a Threshold that admits all classes. Threshold reads the settings at each call, so that changed
+// settings take effect at once.
 func NewThreshold(settings *control.Settings) *Threshold {
 	return &Threshold{settings: settings, initialFraction: 1}
 }
 
-// Restore takes over what an earlier controller had learned, with the confidence in it that its age has left. The fraction of
-// the classes that it admitted is of use before the first evaluation only.
+// Restore takes over what an earlier controller had learned: the fraction of the classes that it admitted, and its highest
+// success rate. The confidence in both falls with their age. The fraction has an effect only if Restore is called before the
+// first evaluation.
 func (t *Threshold) Restore(now time.Duration, fraction, maxSuccessRate, confidence float64) {
 	t.initialFraction = 1 - confidence*(1-fraction)
 	t.successRates = append(t.successRates, confidence*maxSuccessRate)
 	t.lastEvaluation = now
 }
 
-// Evaluate moves the threshold by one step. It reports whether an overload began or ended.
+// Evaluate updates the threshold by the rules in the package comment. It reports whether an overload began or ended.
 func (t *Threshold) Evaluate(now time.Duration, load Load, demand Summary) (changed bool) {
 	if t.classes == nil {
 		t.classes = byPriority(t.settings.Classes)
@@ -127,14 +139,14 @@
 		t.lastNormal = now
 	}
 	t.addSuccessRate(load)
-	t.move(now, overloaded, pressure, load, demand)
+	t.update(now, overloaded, pressure, load, demand)
 	t.lastEvaluation = now
 	changed = overloaded != t.overloaded
 	t.overloaded = overloaded
 	return changed
 }
 
-// pressure returns how overloaded the fleet is; above 1 it is overloaded.
+// pressure returns the pressure on the fleet; above 1 the fleet is overloaded.
 func (t *Threshold) pressure(load Load) float64 {
 	objective := float64(t.settings.Classes[t.classes[0]].LatencyObjective)
 	pressure := load.ResponseTime * float64(time.Second) / maxObjectiveFraction / objective
@@ -144,19 +156,19 @@
 	return pressure
 }
 
-// isOverloaded reports whether the fleet is overloaded and proxies follow admission rates.
+// isOverloaded reports whether the fleet is overloaded and proxies follow admitted fractions.
 func (t *Threshold) isOverloaded(pressure float64, load Load) bool {
 	successes := load.successRate() * float64(LoadWindow) / float64(time.Second)
 	return pressure > 1 && successes >= minSuccesses && t.settings.Admission == control.AdmitFraction
 }
 
 func (t *Threshold) addSuccessRate(load Load) {
-	rate := load.successRate() / math.Max(noDivisionByZero, load.ServingReplicas)
+	rate := load.successRate() / math.Max(minDivisor, load.ServingReplicas)
 	t.successRates = sample.Newest(successRateSamples, append(t.successRates, rate))
 }
 
-// move applies the first rule of the package comment that applies.
-func (t *Threshold) move(now time.Duration, overloaded bool, pressure float64, load Load, demand Summary) {
+// update changes the threshold by the first rule of the package comment that applies.
+func (t *Threshold) update(now time.Duration, overloaded bool, pressure float64, load Load, demand Summary) {
 	switch {
 	case now-t.lastFall < LoadWindow:
 	case overloaded && now-t.lastNormal < demand.ReportDelay:
@@ -175,12 +187,12 @@
 	}
 }
 
-// firstFall returns how many classes the serving replicas can serve at firstFallFraction of the highest success rate. All
-// requests are attempted at this point: where fewer attempts than requests are reported, successes are missing in the same
-// proportion.
+// firstFall returns how many classes the serving replicas can serve at firstFallFraction of the highest recent success rate.
+// Before the first fall all requests are admitted and attempted. If fewer attempts than requests are reported, the known
+// success rate is too low in the same proportion.
 func (t *Threshold) firstFall(load Load, demand Summary) float64 {
-	unreported := math.Max(1, ordered.Sum(demand.ClassRates)/math.Max(1, load.AttemptRate))
-	capacity := firstFallFraction * slices.Max(t.successRates) * load.ServingReplicas * unreported // requests a second
+	unreportedFactor := math.Max(1, ordered.Sum(demand.ClassRates)/math.Max(1, load.AttemptRate))
+	capacity := firstFallFraction * slices.Max(t.successRates) * load.ServingReplicas * unreportedFactor // requests per second
 	admitted := 0.0
 	for _, class := range t.classes {
 		rate := demand.ClassRates[class]
@@ -192,7 +204,7 @@
 
 func (t *Threshold) rise(now time.Duration) {
 	all := float64(len(t.classes))
-	acceleration := math.Max(1, float64(now-t.lastFall)/float64(riseAcceleration))
+	acceleration := math.Max(1, float64(now-t.lastFall)/float64(riseAccelerationTime))
 	rise := risePerSecond * acceleration * all * float64(now-t.lastEvaluation) / float64(time.Second)
 	t.admittedClasses = math.Min(all, t.admittedClasses+rise)
 }
@@ -209,8 +221,9 @@
 	Fraction float64
 }
 
-// ClassFractions returns the admitted fraction of each traffic class, by priority: 1 for classes above the threshold, 0 for
-// those below it, and for the class that it divides what is above, rounded up to a step.
+// ClassFractions returns the admitted fraction of each traffic class, those of the highest priority first: 1 for the classes
+// that the threshold admits completely, 0 for those that it sheds completely, and for the class in between the admitted
+// fraction, rounded up to a step.
 func (t *Threshold) ClassFractions() []ClassFraction {
 	fractions := make([]ClassFraction, 0, len(t.classes))
 	for rank, class := range t.classes {
@@ -228,7 +241,7 @@
 	return t.admittedClasses / float64(len(t.classes))
 }
 
-// MaxSuccessRate returns the highest success rate that a serving replica had lately, in successful responses a second.
+// MaxSuccessRate returns the highest recent success rate, in successful responses per second and serving replica.
 func (t *Threshold) MaxSuccessRate() float64 {
 	highest := 0.0
 	for _, rate := range t.successRates {
@@ -237,8 +250,9 @@
 	return highest
 }
 
-// Renumber follows changed traffic classes. A class that was admitted completely stays so, unless a class of higher priority is
-// not: the threshold stands at the first of the classes that were shed in part or completely.
+// Renumber adapts the threshold to changed traffic classes; newClasses holds the new number of each old class, below 0 if
+// the class no longer exists. A class that was admitted completely stays admitted completely, unless a class of higher
+// priority is not: the threshold is set at the first class, in the new order, that was shed in part or completely.
 func (t *Threshold) Renumber(newClasses []int) {
 	if t.classes == nil {
 		return
@@ -261,8 +275,8 @@
 	}
 }
 
-// byPriority returns the numbers of the classes, those of the highest priority weight first, of equal ones those with the
-// shorter latency objective first.
+// byPriority returns the numbers of the classes, those with the highest priority weight first. Of classes with equal
+// priority weights, those with the shorter latency objective come first.
 func byPriority(classes []control.TrafficClass) []int {
 	numbers := make([]int, len(classes))
 	for k := range numbers {
@@ -275,5 +289,5 @@
 	return numbers
 }
 
-// clamp returns the fraction within 0 to 1.
+// clamp limits a fraction to the range from 0 to 1.
 func clamp(fraction float64) float64 { return math.Min(1, math.Max(0, fraction)) }
--- a/policy/admission/threshold_test.go
+++ b/policy/admission/threshold_test.go
@@ -9,13 +9,13 @@
 	"lilacbend/control"
 )
 
-// start is late enough that no rule takes a moment before the first evaluation for a recent one.
+// start is far enough from 0 that no rule treats the zero value of a time as recent.
 const start = 100 * time.Second
 
 // tick is the time between two evaluations of a controller.
 const tick = time.Second / 4
 
-// controller is a threshold with its demand, at a time of its own.
+// controller is a threshold with its demand and settings, and a simulated current time.
 type controller struct {
 	*Threshold
 	demand   *Demand
@@ -23,7 +23,8 @@
 	now      time.Duration
 }
 
-// newController has two classes, of which the second has the higher priority. Each got 50 requests a second.
+// newController returns a controller with two traffic classes, of which the second has the higher priority. Each has
+// received 50 requests per second.
 func newController() *controller {
 	settings := &control.Settings{
 		ReportInterval: int64(time.Second),
@@ -38,7 +39,7 @@
 	return c
 }
 
-// report brings 200 requests of each class, counted in a period.
+// report adds a report of 200 requests of each class that covers the given period.
 func (c *controller) report(period time.Duration) {
 	for class := range 2 {
 		c.demand.Add(c.now, control.Demand{Class: class, Requests: 200, Period: int64(period)})
@@ -59,19 +60,19 @@
 	return math.NaN()
 }
 
-func normal() Load { return Load{AttemptRate: 100, ResponseTime: 0.2, ServingReplicas: 1} }
+func normalLoad() Load { return Load{AttemptRate: 100, ResponseTime: 0.2, ServingReplicas: 1} }
 
-// slow is an overload that response times alone show.
-func slow() Load { return Load{AttemptRate: 100, ResponseTime: 2, ServingReplicas: 1} }
+// slowLoad is an overload with slow responses and no failures.
+func slowLoad() Load { return Load{AttemptRate: 100, ResponseTime: 2, ServingReplicas: 1} }
 
-func failing(rate, responseTime float64) Load {
+func failingLoad(rate, responseTime float64) Load {
 	return Load{AttemptRate: 100, FailureRate: rate, TypicalFailureRate: rate, ResponseTime: responseTime, ServingReplicas: 1}
 }
 
 func TestThresholdShedsTheClassOfLowestPriorityFirst(t *testing.T) {
 	c := newController()
-	if !c.evaluate(failing(0.2, 0.2)) || !c.Overloaded() {
-		t.Error("no overload reported")
+	if !c.evaluate(failingLoad(0.2, 0.2)) || !c.Overloaded() {
+		t.Error("Evaluate did not report the beginning of an overload")
 	}
 	if c.AdmittedClasses() >= 2 || c.AdmittedClasses() <= 1 {
 		t.Errorf("threshold %v, want between 1 and 2", c.AdmittedClasses())
@@ -80,14 +81,14 @@
 		t.Errorf("fractions %v, want all of class 1 and a part of class 0", c.ClassFractions())
 	}
 	c.now += 2 * LoadWindow
-	if !c.evaluate(normal()) || c.Overloaded() {
-		t.Error("no end of the overload reported")
+	if !c.evaluate(normalLoad()) || c.Overloaded() {
+		t.Error("Evaluate did not report the end of the overload")
 	}
 }
 
-func TestThresholdHoldsWhereFailuresComeWithoutSlowResponses(t *testing.T) {
+func TestFailuresWithoutSlowResponsesAreNoOverload(t *testing.T) {
 	c := newController()
-	load := failing(0.4, 0.2)
+	load := failingLoad(0.4, 0.2)
 	load.BaselineResponseTime = 0.15
 	c.evaluate(load)
 	if c.AdmittedClasses() != 2 {
@@ -97,54 +98,54 @@
 
 func TestThresholdHoldsAfterAFallAndWhileTheOverloadEases(t *testing.T) {
 	c := newController()
-	c.evaluate(failing(0.5, 1))
-	first := c.AdmittedClasses()
-	if first >= 2 {
-		t.Fatalf("threshold %v after an overload", first)
+	c.evaluate(failingLoad(0.5, 1))
+	afterFirstFall := c.AdmittedClasses()
+	if afterFirstFall >= 2 {
+		t.Fatalf("threshold %v after an overload, want below 2", afterFirstFall)
 	}
-	later := func(name string, after time.Duration, load Load, falls bool) {
+	evaluateLater := func(name string, after time.Duration, load Load, falls bool) {
 		t.Helper()
 		before := c.AdmittedClasses()
 		c.now += after
 		load.ServingReplicas = 0
 		c.evaluate(load)
 		if fell := c.AdmittedClasses() < before; fell != falls || !falls && c.AdmittedClasses() != before {
-			t.Errorf("%s: threshold %v after %v", name, c.AdmittedClasses(), before)
+			t.Errorf("%s: threshold changed from %v to %v, want a fall: %v", name, before, c.AdmittedClasses(), falls)
 		}
 	}
-	later("the load is of before the fall", time.Second, failing(0.6, 1), false)
-	later("the overload eases", LoadWindow, failing(0.3, 0.7), false)
-	later("the overload gets worse", LoadWindow, failing(0.4, 0.7), true)
+	evaluateLater("load from before the fall", time.Second, failingLoad(0.6, 1), false)
+	evaluateLater("easing overload", LoadWindow, failingLoad(0.3, 0.7), false)
+	evaluateLater("worsening overload", LoadWindow, failingLoad(0.4, 0.7), true)
 	c.now += 2 * LoadWindow
-	c.evaluate(normal())
+	c.evaluate(normalLoad())
 	c.now += 100 * time.Second
-	c.evaluate(normal())
+	c.evaluate(normalLoad())
 	if c.AdmittedClasses() != 2 {
 		t.Errorf("threshold %v long after the overload, want 2", c.AdmittedClasses())
 	}
 }
 
-// Where many proxies share a controller's capacity for reports, one report covers several seconds. An overload that has passed
-// meanwhile must not have all controllers shed load.
+// Where many proxies share a controller's capacity for reports, one report covers several seconds. An overload that has
+// ended in the meantime must not cause all controllers to shed load.
 func TestThresholdFallsOnceAnOverloadOutlastsTheReportDelay(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		period time.Duration
-		falls  []bool // at the first evaluation of an overload, and at one after the delay
+		falls  []bool // expected at the first evaluation of the overload, and at one after the report delay
 	}{
-		{"reports in time", time.Second, []bool{true, true}},
+		{"reports of one interval", time.Second, []bool{true, true}},
 		{"reports of four intervals", 4 * time.Second, []bool{false, true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			controller := newController()
 			controller.demand = NewDemand(controller.settings)
 			controller.report(c.period)
-			controller.evaluate(normal())
+			controller.evaluate(normalLoad())
 			for k, falls := range c.falls {
 				controller.now += time.Duration(k) * (c.period - time.Second)
-				controller.evaluate(slow())
+				controller.evaluate(slowLoad())
 				if fell := controller.AdmittedClasses() < 2; fell != falls {
-					t.Errorf("evaluation %d: threshold %v", k, controller.AdmittedClasses())
+					t.Errorf("evaluation %d: threshold %v, want a fall: %v", k, controller.AdmittedClasses(), falls)
 				}
 			}
 		})
@@ -155,10 +156,10 @@
 	c := newController()
 	c.demand = NewDemand(c.settings)
 	c.report(4 * time.Second)
-	for _, load := range []Load{normal(), slow()} {
+	for _, load := range []Load{normalLoad(), slowLoad()} {
 		c.evaluate(load)
 	}
-	for _, load := range []Load{normal(), slow()} {
+	for _, load := range []Load{normalLoad(), slowLoad()} {
 		c.now += 2 * time.Second
 		c.evaluate(load)
 	}
@@ -167,7 +168,7 @@
 	}
 }
 
-// A controller that has just started, or whose zones are cut off, receives few responses, and slow ones.
+// A controller that has just started, or whose zones are unreachable, gets reports of few responses, which are slow.
 func TestFewSuccessesAreNoOverload(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -186,7 +187,7 @@
 			c.load.AttemptRate *= 10
 			controller.evaluate(c.load)
 			if controller.AdmittedClasses() >= 2 {
-				t.Errorf("threshold %v with ten times the attempts", controller.AdmittedClasses())
+				t.Errorf("threshold %v with ten times the attempts, want below 2", controller.AdmittedClasses())
 			}
 		})
 	}
@@ -194,27 +195,27 @@
 
 func TestThresholdRisesFasterTheLongerTheLastFallIsAgo(t *testing.T) {
 	c := newController()
-	c.evaluate(failing(0.5, 1))
-	rise := func(period time.Duration) float64 {
+	c.evaluate(failingLoad(0.5, 1))
+	riseDuring := func(period time.Duration) float64 {
 		before := c.AdmittedClasses()
 		for until := c.now + period; c.now < until; {
 			c.now += tick
-			c.evaluate(normal())
+			c.evaluate(normalLoad())
 		}
 		return c.AdmittedClasses() - before
 	}
-	rise(LoadWindow)
-	if got, want := rise(riseAcceleration-LoadWindow), risePerSecond*2*4; math.Abs(got-want) >= 1e-9 {
-		t.Errorf("rose by %v in the first 4 s, want %v", got, want)
+	riseDuring(LoadWindow)
+	if got, want := riseDuring(riseAccelerationTime-LoadWindow), risePerSecond*2*4; math.Abs(got-want) >= 1e-9 {
+		t.Errorf("threshold rose by %v in the first 4 s, want %v", got, want)
 	}
-	rise(2 * riseAcceleration)
-	if got := rise(time.Second); got <= 2.9*risePerSecond*2 {
-		t.Errorf("rose by %v in a second, long after the fall", got)
+	riseDuring(2 * riseAccelerationTime)
+	if got := riseDuring(time.Second); got <= 2.9*risePerSecond*2 {
+		t.Errorf("threshold rose by %v in the second after three times riseAccelerationTime, want above %v", got, 2.9*risePerSecond*2)
 	}
-	c.evaluate(failing(0.5, 1))
-	rise(LoadWindow)
-	if got, want := rise(time.Second), risePerSecond*2; math.Abs(got-want) >= 1e-9 {
-		t.Errorf("rose by %v in a second after another fall, want %v", got, want)
+	c.evaluate(failingLoad(0.5, 1))
+	riseDuring(LoadWindow)
+	if got, want := riseDuring(time.Second), risePerSecond*2; math.Abs(got-want) >= 1e-9 {
+		t.Errorf("threshold rose by %v in a second after another fall, want %v", got, want)
 	}
 }
 
@@ -222,9 +223,9 @@
 	for _, mode := range []control.AdmissionMode{control.AdmitAll, control.AdmitRate} {
 		c := newController()
 		c.settings.Admission = mode
-		c.evaluate(failing(0.9, 3))
+		c.evaluate(failingLoad(0.9, 3))
 		if c.AdmittedClasses() != 2 || c.Overloaded() {
-			t.Errorf("mode %v: threshold %v, overloaded %v", mode, c.AdmittedClasses(), c.Overloaded())
+			t.Errorf("mode %v: threshold %v, overloaded %v, want 2 and no overload", mode, c.AdmittedClasses(), c.Overloaded())
 		}
 	}
 }
@@ -234,22 +235,23 @@
 	for _, replicas := range []float64{10, 5} {
 		c := newController()
 		c.evaluate(Load{AttemptRate: 50, ResponseTime: 0.2, ServingReplicas: 10})
-		load := failing(0.8, 2) // of 100 requests a second
+		load := failingLoad(0.8, 2) // with 100 attempts per second
 		load.ServingReplicas = replicas
 		c.evaluate(load)
 		admitted = append(admitted, c.AdmittedClasses())
 	}
 	if admitted[1] != admitted[0]/2 {
-		t.Errorf("threshold %v with half of the replicas, %v with all", admitted[1], admitted[0])
+		t.Errorf("threshold %v with half of the replicas, want half of %v", admitted[1], admitted[0])
 	}
 }
 
-// A controller that has just started, or that got the proxies of another one, receives reports of requests before it receives
-// those of their attempts. The success rate that it knows of is then less than what the replicas can serve.
+// A controller that has just started, or to which the proxies of another controller have connected, receives reports of
+// requests before it receives those of their attempts. The reported success rate is then lower than what the replicas can
+// serve.
 func TestFirstFallAllowsForUnreportedAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		attempts float64 // a second, of 100 requests a second
+		attempts float64 // per second, for 100 requests per second
 		want     float64
 	}{
 		{"all attempts reported", 100, 1.8},
@@ -268,7 +270,7 @@
 
 func TestClassFractionsAreInStepsRoundedUp(t *testing.T) {
 	c := newController()
-	c.evaluate(normal())
+	c.evaluate(normalLoad())
 	for admitted, want := range map[float64][]ClassFraction{
 		2:    {{1, 1}, {0, 1}},
 		1.51: {{1, 1}, {0, 0.55}},
@@ -283,23 +285,23 @@
 	}
 }
 
-func TestRestoredThresholdCountsAsFarAsItsConfidence(t *testing.T) {
+func TestRestoredThresholdIsWeightedByConfidence(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		fraction, confidence float64
 		want                 float64
 	}{
-		{"fresh", 0.5, 1, 0.5},
-		{"older", 0.5, 0.5, 0.75},
+		{"full confidence", 0.5, 1, 0.5},
+		{"half confidence", 0.5, 0.5, 0.75},
 		{"nothing shed", 1, 1, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			controller := newController()
 			controller.Restore(controller.now, c.fraction, 40, c.confidence)
 			if got := controller.AdmittedFraction(); got != 1 {
-				t.Errorf("admitted fraction %v before the first evaluation", got)
+				t.Errorf("admitted fraction %v before the first evaluation, want 1", got)
 			}
-			controller.evaluate(normal())
+			controller.evaluate(normalLoad())
 			if got := controller.AdmittedFraction(); got != c.want {
 				t.Errorf("admitted fraction %v, want %v", got, c.want)
 			}
@@ -310,22 +312,22 @@
 	}
 }
 
-func TestThresholdStaysWithItsClasses(t *testing.T) {
+func TestRenumberKeepsAdmittedClasses(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		admitted   float64 // of classes of priority 3, 2 and 1, which are 1, 2 and 0
-		want       float64
-		numbers    []int
+		admitted   float64 // threshold before; classes 1, 2 and 0 have the priority weights 3, 2 and 1
+		want       float64 // threshold after
+		numbers    []int   // new number of each class; -1: removed
 		priorities []float64
 	}{
-		{"all admitted, one more", 3, 4, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
-		{"the last shed, one more of highest priority", 2, 3, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
-		{"the last shed, one more of lowest priority", 2, 2, []int{0, 1, 2}, []float64{1, 3, 2, 0.5}},
-		{"half of the second, the first removed", 1.5, 0.5, []int{0, -1, 1}, []float64{1, 2}},
-		{"half of the second, which is removed", 1.5, 1, []int{0, 1, -1}, []float64{1, 3}},
-		{"half of the last, which is removed", 2.5, 2, []int{-1, 0, 1}, []float64{3, 2}},
-		{"the last shed, now of highest priority", 2, 0, []int{0, 1, 2}, []float64{9, 3, 2}},
-		{"other classes altogether", 1.5, 2, []int{-1, -1, -1}, []float64{1, 1}},
+		{"all admitted, class added", 3, 4, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
+		{"last class shed, class of highest priority added", 2, 3, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
+		{"last class shed, class of lowest priority added", 2, 2, []int{0, 1, 2}, []float64{1, 3, 2, 0.5}},
+		{"half of the second class shed, first class removed", 1.5, 0.5, []int{0, -1, 1}, []float64{1, 2}},
+		{"half of the second class shed, second class removed", 1.5, 1, []int{0, 1, -1}, []float64{1, 3}},
+		{"half of the last class shed, last class removed", 2.5, 2, []int{-1, 0, 1}, []float64{3, 2}},
+		{"last class shed, now of highest priority", 2, 0, []int{0, 1, 2}, []float64{9, 3, 2}},
+		{"all classes replaced", 1.5, 2, []int{-1, -1, -1}, []float64{1, 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := &control.Settings{Classes: []control.TrafficClass{{PriorityWeight: 1}, {PriorityWeight: 3}, {PriorityWeight: 2}}}
