--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -4,13 +4,13 @@
 // a threshold of 2.3 admits the first two and three tenths of the third, and sheds the rest. The threshold falls while the
 // fleet is overloaded and rises again afterwards.
 //
-// Inputs are the fleet's load (Load) and the demand (Summary), once each tick. The fleet is overloaded while its pressure is
-// above 1. The pressure is the mean response time as a multiple of maxObjectiveFraction of the latency objective of the
-// first class. If responses also take more than slowResponseFactor times as long as those of an idle fleet, the pressure
-// is at least the failure rate of most replicas as a multiple of maxFailureRate. Failures without slow responses come from
-// refused connections, replicas that do not respond, or errors, and fewer requests would not end them. The fleet does not
-// count as overloaded while there are fewer than minSuccesses successes within LoadWindow, or if proxies do not follow
-// fractions (Settings.Admission).
+// The inputs at each tick are the fleet's load (Load) and the demand (Summary). The fleet is overloaded while its pressure
+// is above 1. The pressure is the mean response time as a multiple of maxObjectiveFraction of the latency objective of the
+// first class, that of the highest priority. If responses also take more than slowResponseFactor times as long as those of
+// an idle fleet, the pressure is at least the failure rate of most replicas as a multiple of maxFailureRate. Failures
+// without slow responses come from refused connections, replicas that do not respond, or errors, and fewer requests would
+// not end them. The fleet does not count as overloaded while there are fewer than minSuccesses successes within LoadWindow,
+// or if proxies do not follow fractions (Settings.Admission).
 //
 // The threshold changes by the first of these rules that applies:
 //
@@ -23,8 +23,8 @@
 //  4. If the fleet is overloaded and something is shed already, the threshold is multiplied by fallFactor if the pressure is
 //     higher than when rule 3 or 4 last applied. Otherwise it stays unchanged: an overload that eases by itself needs no
 //     further fall.
-//  5. If the fleet is not overloaded, the threshold rises by risePerSecond, and faster the longer ago rule 3 or 4 last
-//     applied.
+//  5. If the fleet is not overloaded, the threshold rises by risePerSecond of all classes each second, and faster the longer
+//     ago rule 3 or 4 last applied (riseAccelerationTime).
 //
 // The rules assume that response times show how full the replicas' queues are. They shed too much where a slow network or
 // slow requests lengthen the response times.
@@ -85,7 +85,7 @@
 	FailureRate          float64 // fraction of these attempts that failed
 	TypicalFailureRate   float64 // mean failure rate of most of these replicas, without those with the highest failure rates
 	ResponseTime         float64 // mean of the successful responses, in seconds
-	ServingReplicas      float64 // number of these replicas
+	ServingReplicas      float64 // number of the replicas that AttemptRate covers
 	BaselineResponseTime float64 // response time of the fastest hardware class without load, in seconds; infinite: not known
 }
 
--- a/policy/weight/weight.go
+++ b/policy/weight/weight.go
@@ -74,7 +74,7 @@
 	successes         float64
 	totalResponseTime float64 // sum over all successes, in seconds
 	replicas          float64
-	capacity          float64
+	capacity          float64 // sum of the estimates of capacity
 }
 
 func (t classTotals) meanSuccesses() float64 { return t.successes / math.Max(1, t.replicas) }
@@ -127,9 +127,9 @@
 	e.classes[class] = totals
 }
 
-// idleFraction falls linearly from initialIdleFraction to settledIdleFraction with the number of baselines.
-func idleFraction(baselines int) float64 {
-	missingFraction := math.Max(0, 1-float64(baselines)/settledSampleCount)
+// idleFraction falls linearly from initialIdleFraction to settledIdleFraction as the number of baseline samples grows.
+func idleFraction(sampleCount int) float64 {
+	missingFraction := math.Max(0, 1-float64(sampleCount)/settledSampleCount)
 	return settledIdleFraction + (initialIdleFraction-settledIdleFraction)*missingFraction
 }
 
