--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,14 +9,14 @@
 	"lilacbend/policy/retry"
 )
 
-// admissionController is the component of packages admission and retry. One command carries both: the admitted fraction of a
-// traffic class and its retry policy.
+// admissionController is the component that runs packages admission and retry: one command sets both the admitted fraction
+// of a traffic class and its retry policy.
 type admissionController struct {
 	*sharedState
 	demand    *admission.Demand
 	threshold *admission.Threshold
 	retries   *retry.Throttle
-	sent      map[int]control.SetAdmission // the last command of each traffic class
+	sent      map[int]control.SetAdmission // the last command sent, by traffic class
 }
 
 func newAdmissionController(shared *sharedState) *admissionController {
@@ -49,7 +49,8 @@
 	a.retries.Restore(now, fleet.RetriesStopped, fleet.Weight)
 }
 
-// evaluate decides by the load of this tick, reports what has changed to on-call engineers and sends changed commands.
+// evaluate updates the retry throttle and the admission threshold from the fleet's load at this tick, logs their changes for
+// on-call engineers and enqueues the commands that changed. It reports the demand to placement.
 func (a *admissionController) evaluate(m fleetLoad) {
 	now := time.Duration(a.now)
 	demand := a.demand.Summarize(now)
@@ -63,20 +64,21 @@
 			verb(a.threshold.Overloaded(), "began", "ended"), load.TypicalFailureRate, load.ResponseTime, a.threshold.AdmittedClasses(), len(a.Classes))
 	}
 	for _, class := range a.threshold.ClassFractions() {
-		a.send(class)
+		a.sendIfChanged(class)
 	}
 }
 
-// verb returns the verb of a log line: one for what holds now, the other for what holds no more.
-func verb(holds bool, beginning, end string) string {
+// verb returns the verb of a log line about a condition: entered if it holds now, left if it does not.
+func verb(holds bool, entered, left string) string {
 	if holds {
-		return beginning
+		return entered
 	}
-	return end
+	return left
 }
 
-// send asks for the command of a traffic class, if it differs from the last one, or from what proxies do without a command.
-func (a *admissionController) send(class admission.ClassFraction) {
+// sendIfChanged enqueues the command of a traffic class if it differs from the last one sent. Before the first command, it
+// is compared with what proxies do without one: they admit every request and retry by the default policy.
+func (a *admissionController) sendIfChanged(class admission.ClassFraction) {
 	command := control.SetAdmission{
 		Table:    control.AllTables,
 		Class:    class.Class,
@@ -96,7 +98,7 @@
 	a.enqueue(pacingComponent, admissionChanged{command})
 }
 
-// renumberClasses follows changed traffic classes.
+// renumberClasses moves the state of each traffic class to its new number and drops that of removed classes.
 func (a *admissionController) renumberClasses(newClasses []int) {
 	a.demand.Renumber(newClasses)
 	a.threshold.Renumber(newClasses)
--- a/policy/binding.go
+++ b/policy/binding.go
@@ -8,7 +8,7 @@
 	"lilacbend/policy/pacing"
 )
 
-// binder is the component of package binding.
+// binder is the component that runs package binding.
 type binder struct {
 	*sharedState
 	bindings *binding.Bindings
@@ -26,7 +26,7 @@
 func (b *binder) handle(m message) {
 	switch m := m.(type) {
 	case tablesAssigned:
-		b.assign(m.tables)
+		b.assign(m.servingTables)
 	case streamOpened:
 		b.disconnect(m.Proxy)
 		b.bindings.Connect(time.Duration(b.now), m.StreamOpened)
@@ -45,26 +45,29 @@
 	}
 }
 
-// assign binds the proxies that are not bound to the table that serves them.
+// assign requests a bind for each proxy that is not bound to the table that serves it. serving holds, for each table, the
+// table that serves its proxies.
 func (b *binder) assign(serving []int) {
 	for _, change := range b.bindings.Assign(serving) {
 		if change.Kind == binding.FirstBind {
 			b.reportBound(change.Proxy)
 		}
-		b.request(change)
+		b.requestBind(change)
 	}
 }
 
-// reassign follows tables that were assigned anew. Bound is the table that each proxy is bound to, below 0 for none.
-func (b *binder) reassign(before, tables int, bound map[int]int) {
-	for _, change := range b.bindings.Reassign(before, tables, bound) {
-		b.request(change)
+// reassign assigns the proxies to tables after the replicas were reassigned to them. previousTables and tables are the
+// numbers of tables before and after; bound holds the table that each proxy is bound to, below 0 for none.
+func (b *binder) reassign(previousTables, tables int, bound map[int]int) {
+	for _, change := range b.bindings.Reassign(previousTables, tables, bound) {
+		b.requestBind(change)
 		b.reportBound(change.Proxy)
 	}
 }
 
-// request asks for the command of a change: of pacing at once, or of the update that sends the endpoints first.
-func (b *binder) request(change binding.Change) {
+// requestBind requests the bind of a change: a first bind from pacing, which sends it at once, and a move from the update,
+// which sends the endpoints of the new table first.
+func (b *binder) requestBind(change binding.Change) {
 	bind := bindRequested{control.Bind{Proxy: change.Proxy.Proxy, Table: change.Table}}
 	switch change.Kind {
 	case binding.FirstBind:
@@ -79,13 +82,13 @@
 	b.enqueue(placementComponent, proxyBound{proxy})
 }
 
-// disconnect forgets a proxy: nothing is awaited of it any more.
+// disconnect drops the state of a proxy and stops waiting for its acks.
 func (b *binder) disconnect(proxy int) {
 	b.reportComplete(b.acks.Disconnect(proxy), true)
 	b.bindings.Disconnect(proxy)
 }
 
-// reportComplete reports nonces of which no acknowledgement is missing any more.
+// reportComplete reports nonces of which no ack is outstanding.
 func (b *binder) reportComplete(nonces []uint64, disconnected bool) {
 	for _, nonce := range nonces {
 		b.enqueue(pacingComponent, acknowledged{nonce: nonce, complete: true, disconnected: disconnected})
@@ -93,7 +96,7 @@
 	}
 }
 
-// renumberZones takes over the new zones of the proxies.
+// renumberZones sets the new zone of each proxy and reports the proxies that have a table to placement.
 func (b *binder) renumberZones(proxies []control.StreamOpened) {
 	for _, proxy := range b.bindings.RenumberZones(proxies) {
 		b.reportBound(proxy)
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -6,8 +6,8 @@
 	"lilacbend/control"
 )
 
-// testSettings are of a small deployment: two zones, six proxies, one class that may be executed twice and a more important one
-// that may not.
+// testSettings returns the settings of a small deployment: two zones, six proxies, one idempotent traffic class, and one of
+// higher priority that is not idempotent.
 func testSettings() control.Settings {
 	return control.Settings{Seed: 7, Controllers: 1, Zones: 2, HardwareClasses: 1, Proxies: 6, ChannelRate: 1000,
 		ChannelLimit: 400, MessageOverhead: 4, MaxTransit: second / 2, MessageWindow: 10 * second, ReportInterval: second,
@@ -18,14 +18,14 @@
 			{PriorityWeight: 3, LatencyObjective: second, Idempotency: control.NotIdempotent}}}
 }
 
-// newPolicyAt returns a Policy at a time, in nanoseconds, whose components a test calls one by one.
+// newPolicyAt returns a Policy whose time is now, in nanoseconds, for tests that call its components directly.
 func newPolicyAt(now int64) *Policy {
 	p := New(testSettings())
 	p.now = now
 	return p
 }
 
-// readyReplicas returns the entries of replicas 1 to count, alternately of zone 1 and zone 0.
+// readyReplicas returns the entries of replicas 1 to count, alternately in zone 1 and zone 0.
 func readyReplicas(count int) []control.ListedReplica {
 	var entries []control.ListedReplica
 	for id := 1; id <= count; id++ {
@@ -34,10 +34,10 @@
 	return entries
 }
 
-// queued returns the messages of one type that wait in a queue.
+// queued returns the messages of one type in a queue.
 func queued[M message](p *Policy, queue int) []M { return ofType[M](p.queues[queue].waiting) }
 
-// ofType returns the elements of one type, such as the commands of one kind.
+// ofType returns the elements of one type, such as all commands of type control.Bind.
 func ofType[T, A any](all []A) []T {
 	var matching []T
 	for _, element := range all {
@@ -48,7 +48,7 @@
 	return matching
 }
 
-// wantEqual reports a value that is not the wanted one.
+// wantEqual reports an error if got differs from want; what names the value.
 func wantEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
@@ -56,8 +56,8 @@
 	}
 }
 
-// playEvents returns all commands of a new Policy with six replicas and six proxies that receives one event a second, each with
-// a tick.
+// playEvents returns all commands of a new Policy that gets a list of six replicas, the streams of six proxies and then the
+// events, one event a second, each together with a timer.
 func playEvents(events ...control.Event) []control.Command {
 	p := New(testSettings())
 	commands := p.Turn(0, []control.Event{control.ReplicasListed{Full: true, Entries: readyReplicas(6)}})
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -7,31 +7,32 @@
 	"lilacbend/policy/internal/ordered"
 )
 
-// learned returns all that an earlier controller's successor can use. Each component contributes what it has learned itself.
-func (p *Policy) learned() control.Snapshot {
+// learnedState returns the learned state that a restarted controller or a successor can restore. Each component contributes
+// its part.
+func (p *Policy) learnedState() control.Snapshot {
 	var snapshot control.Snapshot
 	for _, id := range ordered.Keys(p.replicas) {
-		replica := p.replicas[id].learned()
+		replica := p.replicas[id].learnedState()
 		replica.Table = p.placement.placer.TableOf(id)
 		snapshot.Replicas = append(snapshot.Replicas, replica)
 	}
-	p.placement.learned(&snapshot.LearnedFleet)
-	p.binding.learned(&snapshot.LearnedFleet)
-	p.admission.learned(&snapshot.LearnedFleet, p.now-p.startedAt)
+	p.placement.addLearned(&snapshot.LearnedFleet)
+	p.binding.addLearned(&snapshot.LearnedFleet)
+	p.admission.addLearned(&snapshot.LearnedFleet, p.now-p.startedAt)
 	return snapshot
 }
 
-func (p *planner) learned(fleet *control.LearnedFleet) {
+func (p *planner) addLearned(fleet *control.LearnedFleet) {
 	fleet.Tables = p.placer.Tables()
-	fleet.BaselineResponseTimes = p.baselines.Snapshot(p.HardwareClasses + 1) // one more stands for the whole fleet
+	fleet.BaselineResponseTimes = p.baselines.Snapshot(p.HardwareClasses + 1) // the last element is that of the whole fleet
 }
 
-func (b *binder) learned(fleet *control.LearnedFleet) {
+func (b *binder) addLearned(fleet *control.LearnedFleet) {
 	fleet.Bindings = b.bindings.Learned()
 }
 
-// learned takes the controller's uptime, in nanoseconds.
-func (a *admissionController) learned(fleet *control.LearnedFleet, uptime int64) {
+// addLearned adds the state of admission control and retries. uptime is the controller's, in nanoseconds.
+func (a *admissionController) addLearned(fleet *control.LearnedFleet, uptime int64) {
 	fleet.AdmissionThreshold = a.threshold.AdmittedFraction()
 	fleet.MaxSuccessRate = a.threshold.MaxSuccessRate()
 	fleet.RequestRates = a.demand.RatesByProxy(time.Duration(uptime))
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -7,15 +7,17 @@
 	"lilacbend/policy/internal/ordered"
 )
 
-// evictAfter is the time after which a replica that is gone is evicted, in nanoseconds: so long that a replica that comes back
-// soon keeps its history, and bounded, so that a controller that runs for weeks does not grow.
+// evictAfter is the time after which a replica in state Gone is evicted, in nanoseconds. It is long enough that a replica
+// that is listed again soon keeps its history, and bounded so that the memory of a controller that runs for weeks does not
+// grow.
 const evictAfter = 60 * second
 
-// minPlacementWeight stands for a listed weight of 0 in the draw of placement keys.
+// minPlacementWeight is the least weight by which a placement key is drawn; it replaces a listed weight of 0.
 const minPlacementWeight = 1e-6
 
-// listReplicas hands the entries of the endpoint list to their replicas. A replica that a complete list leaves out is gone.
-func (p *Policy) listReplicas(list control.ReplicasListed) {
+// applyEndpointList enqueues each entry of the endpoint list for its replica. A replica that is missing from a complete list
+// is set to Gone.
+func (p *Policy) applyEndpointList(list control.ReplicasListed) {
 	if list.Full && !list.Failed {
 		for _, id := range ordered.Keys(p.replicas) {
 			entry := p.replicas[id].entry
@@ -41,13 +43,13 @@
 	return r
 }
 
-// drawPlacementKey draws the rank of a replica in a weighted random order: the highest key comes first, and a replica of twice the
-// weight is twice as likely to come before another one.
+// drawPlacementKey draws the rank of a replica in a weighted random order: replicas are ordered by descending key, and a
+// replica of twice the weight of another is twice as likely to precede it.
 func (s *sharedState) drawPlacementKey(weight float64) float64 {
 	return math.Pow(s.random(), 1/math.Max(weight, minPlacementWeight))
 }
 
-// unusedQueue returns the queue of an evicted replica, or a new one.
+// unusedQueue returns the queue of an evicted replica if one is free, or else a new one.
 func (p *Policy) unusedQueue() int {
 	last := len(p.freeQueues) - 1
 	if last < 0 {
@@ -59,7 +61,8 @@
 	return free
 }
 
-// evictReplicas forgets replicas that have been gone for evictAfter.
+// evictReplicas removes replicas that have been in state Gone for longer than evictAfter and notifies the components that
+// track them.
 func (p *Policy) evictReplicas() {
 	for _, id := range ordered.Keys(p.replicas) {
 		r := p.replicas[id]
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -9,11 +9,11 @@
 	"lilacbend/policy/update"
 )
 
-// message is what one component sends to another. The comment of each message names its sender and its receivers; a component
-// panics on a message that is not for it.
+// message is a message from one component to another. The comment of each message type names its sender and its receivers; a
+// component panics if it receives a message type that it does not handle.
 type message interface{ message() }
 
-// Messages that carry an event from the turn to the components that it concerns.
+// Messages by which the turn passes an event on to the components that handle it.
 type (
 	replicaListed    struct{ control.ListedReplica }   // to the replica
 	outcomesReported struct{ control.Outcomes }        // to the replica
@@ -29,41 +29,41 @@
 type (
 	tickStarted    struct{}                 // to placement and update: the tick interval has passed
 	placementDue   struct{}                 // to placement: all replicas have reported their status
-	turnEnding     struct{}                 // to pacing: send what the budget allows
-	replicaEvicted struct{ replica uint32 } // to placement, update and pacing: it has been gone for evictAfter
+	turnEnding     struct{}                 // to pacing: the commands that the budget allows are sent now
+	replicaEvicted struct{ replica uint32 } // to placement, update and pacing: in state Gone for longer than evictAfter
 )
 
-// Messages that ask for a command.
+// Messages that request a command.
 type (
-	replicaExcluded  struct{ replica uint32 }       // placement to pacing: newly, so it is to be ejected at the proxies
+	replicaExcluded  struct{ replica uint32 }       // placement to pacing: newly excluded, to be ejected at the proxies
 	bindRequested    struct{ control.Bind }         // binding to pacing (first bind) or update (move)
 	admissionChanged struct{ control.SetAdmission } // admission to pacing
 )
 
-// Messages with what a component has worked out.
+// Messages that carry a result of a component.
 type (
-	tablesAssigned    struct{ tables []int }        // placement to binding: the table that serves the proxies of each table
-	proxyBound        struct{ proxy binding.Proxy } // binding to placement: a proxy that has a table
+	tablesAssigned    struct{ servingTables []int } // placement to binding: the table that serves the proxies of each table
+	proxyBound        struct{ proxy binding.Proxy } // binding to placement: a proxy with a table, at each change of it
 	replicaEvaluation struct {                      // placement to replica
-		health       outlier.Fleet
-		weightGoal   float64 // against its listed weight
-		lostFraction float64 // see slowstart.Recovery
+		health       outlier.Fleet // what its health is compared with
+		weightGoal   float64       // relative to its listed weight
+		lostFraction float64       // see slowstart.Recovery
 	}
 	replicaStatus struct { // replica to placement
 		control.ListedReplica
-		queue            int
-		weight           float64 // of its endpoints, as fast as it is taken to be
-		capacity         float64 // the same by its weight goal, which weight follows
+		queue            int     // of the replica
+		weight           float64 // of its endpoints, by its estimated speed
+		capacity         float64 // as weight, but by the weight goal, which the estimated speed follows over time
 		placementKey     float64
 		window           outlier.Window
-		rememberedSpeed  float64
+		rememberedSpeed  float64 // restored from an earlier controller
 		confidence       float64 // number of attempts that rememberedSpeed counts for
-		penalty          float64 // fraction of its weight that it lacks while learned state has it on probation
-		capacityFraction float64 // that it surely has while it warms up
+		penalty          float64 // fraction that its weight is reduced by while it is on probation because of learned state
+		capacityFraction float64 // fraction of its usual capacity that it certainly has while it warms up
 		warmingUp        bool
-		heldBack         bool // gets no requests as it is warming up
+		heldBack         bool // gets no requests for now because it is warming up
 		ejected          bool // by outlier detection
-		onProbation      bool // after an ejection by this controller
+		onProbation      bool // after an ejection by this controller, not by learned state
 	}
 	fleetLoad       admission.Load    // placement to admission
 	targetTables    update.Target     // placement to update
@@ -72,17 +72,17 @@
 	updateStep      pacing.Step       // update to pacing
 )
 
-// Reports of what was sent and acknowledged.
+// Reports of sent messages and of acks.
 type (
-	messagesSent struct { // pacing to update and binding: what a turn has sent
-		nonce    uint64            // that the proxies are asked to acknowledge; 0: there are none
-		proxies  []int             // that got messages, ascending
-		commands []control.Command // of the update's step
+	messagesSent struct { // pacing to update and binding: the messages of one turn
+		nonce    uint64            // that the proxies are asked to acknowledge; 0: no proxy was sent a message
+		proxies  []int             // that were sent messages, in ascending order
+		commands []control.Command // those of the update's step
 	}
 	acknowledged struct { // binding to pacing and update
 		nonce        uint64
-		complete     bool // nobody owes an acknowledgement of the nonce any more; else one proxy has acknowledged it
-		disconnected bool // the last proxies that owed it have disconnected
+		complete     bool // no ack of the nonce is outstanding; false: one proxy has acknowledged it
+		disconnected bool // complete because the proxies whose acks were outstanding have disconnected
 	}
 )
 
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -6,7 +6,7 @@
 	"lilacbend/policy/pacing"
 )
 
-// pacer is the component that sends. See package pacing for the rules.
+// pacer is the component that sends the commands to the proxies. See package pacing for the rules.
 type pacer struct {
 	*sharedState
 	sender *pacing.Pacer
@@ -51,7 +51,7 @@
 	p.sender.Acknowledged(time.Duration(p.now), m.nonce, m.complete)
 }
 
-// send sends the turn's commands and reports them to the update, and to the bindings where an ack will follow.
+// send sends the turn's commands and reports them to the update, and to binding if an ack is requested.
 func (p *pacer) send() {
 	sent := p.sender.Send(time.Duration(p.now))
 	p.commands = append(p.commands, sent.Commands...)
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -16,16 +16,17 @@
 	"lilacbend/policy/weight"
 )
 
-// planner is the component that knows all replicas and proxies. It decides nothing: package placement assigns replicas to tables,
-// weight compares them with each other, outlier and slowstart sum up how the fleet is.
+// planner is the component that holds the status of all replicas and bound proxies. It makes no decisions itself: package
+// placement assigns replicas to tables, package weight compares them with each other, and packages outlier and slowstart sum
+// up the fleet's failures and load.
 type planner struct {
 	*sharedState
 	statuses        map[uint32]replicaStatus
-	proxies         []placement.Proxy // bound ones, by ascending ID
+	proxies         []placement.Proxy // those that are bound, by ascending ID
 	demand          demandSummary
 	placer          *placement.Placer
 	baselines       *weight.Baselines
-	placed          bool // nothing has changed since the last plan
+	planIsCurrent   bool // no input has changed since the last plan
 	unejectTogether bool // see slowstart.Recovery
 }
 
@@ -52,21 +53,21 @@
 		delete(p.statuses, n.replica)
 		p.placer.Forget(n.replica)
 	case proxyBound:
-		p.putProxy(n.proxy)
+		p.setProxy(n.proxy)
 	case replicaRestored:
 		p.placer.RememberTable(n.Replica, n.Table)
 	case fleetRestored:
 		p.restore(n.FleetRestored)
 	case placementDue:
-		if !p.placed {
+		if !p.planIsCurrent {
 			p.place()
 		}
-		p.placed = true
+		p.planIsCurrent = true
 		return
 	default:
 		unexpected(p, m)
 	}
-	p.placed = false
+	p.planIsCurrent = false
 }
 
 func (p *planner) restore(fleet control.FleetRestored) {
@@ -76,16 +77,17 @@
 	}
 }
 
-// evaluateFleet compares the replicas with each other. It notifies each of what it is compared with, and admission of the fleet's
-// load. Every sum goes over the replicas by ascending ID.
+// evaluateFleet compares the replicas with each other. It sends each replica the values that it is compared with, and the
+// fleet's load to admission. All sums are taken over the replicas by ascending ID, as floating-point sums depend on their
+// order.
 func (p *planner) evaluateFleet() {
 	ids := ordered.Keys(p.statuses)
 	window := p.serviceWindow(ids)
 	recovery := p.recovery(ids, window)
 	p.unejectTogether = recovery.UnejectTogether
-	replicas := p.comparisons(ids)
+	replicas := p.weightInputs(ids)
 	estimator := weight.NewEstimator(p.baselines, p.HardwareClasses, replicas)
-	p.baselines.Sample(time.Duration(p.now), estimator) // the goals use this sample too
+	p.baselines.Sample(time.Duration(p.now), estimator) // before the goals, which use this sample as well
 	for k, id := range ids {
 		status := p.statuses[id]
 		p.enqueue(status.queue, replicaEvaluation{
@@ -97,7 +99,7 @@
 	p.enqueue(admissionComponent, loadOfFleet(window, estimator))
 }
 
-// healthBaseline returns what the health of a replica of a hardware class is compared with.
+// healthBaseline returns the values that the health of a replica of a hardware class is compared with.
 func healthBaseline(hardwareClass int, window *outlier.FleetWindow, estimator *weight.Estimator) outlier.Fleet {
 	return outlier.Fleet{
 		FailureRate:      window.FailureRate(),
@@ -130,29 +132,31 @@
 	return window
 }
 
-// recovery returns how replicas that warm up are treated.
+// recovery returns how replicas that warm up are treated, from the load of all replicas and the requests lost.
 func (p *planner) recovery(ids []uint32, window *outlier.FleetWindow) slowstart.Recovery {
 	fleet := slowstart.NewFleet(p.OverloadMultiple)
 	for _, id := range ids {
-		fleet.Add(p.statuses[id].load())
+		fleet.Add(p.statuses[id].slowStartLoad())
 	}
 	return fleet.Recovery(window.FailureRate(), p.demand.FailedFraction)
 }
 
-func (p *planner) comparisons(ids []uint32) []weight.Replica {
+// weightInputs returns the replicas as package weight compares them, in the order of ids.
+func (p *planner) weightInputs(ids []uint32) []weight.Replica {
 	replicas := make([]weight.Replica, len(ids))
 	for k, id := range ids {
-		replicas[k] = p.statuses[id].comparison()
+		replicas[k] = p.statuses[id].weightInput()
 	}
 	return replicas
 }
 
-// inService reports whether a replica is to get requests by its weight, so that its failures are the fleet's.
+// inService reports whether a replica gets requests in proportion to its weight. Only the failures of such replicas count as
+// failures of the fleet.
 func (s replicaStatus) inService() bool {
 	return s.State == control.Ready && !s.ejected && !s.heldBack && !s.onProbation
 }
 
-func (s replicaStatus) comparison() weight.Replica {
+func (s replicaStatus) weightInput() weight.Replica {
 	return weight.Replica{
 		HardwareClass:   s.HardwareClass,
 		ListedWeight:    s.Weight,
@@ -165,7 +169,7 @@
 	}
 }
 
-func (s replicaStatus) load() slowstart.Load {
+func (s replicaStatus) slowStartLoad() slowstart.Load {
 	return slowstart.Load{
 		ListedWeight:     s.Weight,
 		CapacityFraction: s.capacityFraction,
@@ -176,13 +180,13 @@
 	}
 }
 
-// place works out the target tables. Each newly excluded replica is ejected at the proxies, for whatever reason it is excluded.
-// These ejections go first, as they must not wait for anything.
+// place computes the target tables and sends them to binding and the update. Each newly excluded replica is ejected at the
+// proxies, whatever the reason for its exclusion. These ejections are enqueued first, as no other message may delay them.
 func (p *planner) place() {
 	plan, ok := p.placer.Place(placement.Input{
 		Now:      time.Duration(p.now),
 		Settings: p.Settings,
-		Replicas: p.placeable(),
+		Replicas: p.placementInputs(),
 		Proxies:  p.proxies,
 		Demand: placement.Demand{
 			Period:   admission.DemandWindow,
@@ -201,7 +205,8 @@
 	p.enqueue(updateComponent, targetTables{Weights: endpointWeights(plan), Ejected: plan.Excluded})
 }
 
-func (p *planner) placeable() []placement.Replica {
+// placementInputs returns all replicas as inputs of placement, by ascending ID.
+func (p *planner) placementInputs() []placement.Replica {
 	ids := ordered.Keys(p.statuses)
 	replicas := make([]placement.Replica, len(ids))
 	for k, id := range ids {
@@ -244,13 +249,14 @@
 	return warming
 }
 
+// findProxy returns the index of a proxy in proxies, or the index to insert it at and false.
 func (p *planner) findProxy(id int) (int, bool) {
 	return slices.BinarySearchFunc(p.proxies, id, func(proxy placement.Proxy, id int) int {
 		return cmp.Compare(proxy.ID, id)
 	})
 }
 
-func (p *planner) putProxy(bound binding.Proxy) {
+func (p *planner) setProxy(bound binding.Proxy) {
 	proxy := placement.Proxy{ID: bound.Proxy, Table: bound.Table, Rate: bound.Rate, Since: bound.ConnectedAt}
 	k, ok := p.findProxy(bound.Proxy)
 	if !ok {
@@ -265,7 +271,7 @@
 	}
 }
 
-// tablesUnder returns how many tables there would be after a start with some settings.
-func (p *planner) tablesUnder(settings control.Settings) int {
+// tableCountFor returns the number of tables that a controller started with these settings would create.
+func (p *planner) tableCountFor(settings control.Settings) int {
 	return placement.TableCount(settings, len(p.statuses))
 }
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -10,12 +10,13 @@
 	"lilacbend/policy/update"
 )
 
-// plannerOf returns the planner after it has received statuses. Each replica gets a queue of its own, in the order given.
-func plannerOf(g *Policy, statuses ...replicaStatus) *planner {
-	p := g.queues[placementComponent].component.(*planner)
+// plannerWith returns the planner after it has handled the statuses. Each replica gets a queue of its own, in the order of
+// the statuses.
+func plannerWith(policy *Policy, statuses ...replicaStatus) *planner {
+	p := policy.queues[placementComponent].component.(*planner)
 	for _, status := range statuses {
-		status.queue = len(g.queues)
-		g.queues = append(g.queues, &queue{})
+		status.queue = len(policy.queues)
+		policy.queues = append(policy.queues, &queue{})
 		p.handle(status)
 	}
 	return p
@@ -30,60 +31,60 @@
 	}
 }
 
-// Where most replicas have just been replaced, to give them less leaves all work to the few that are warmed up, which are
-// overloaded for as long as it goes on. Those that warm up in one table do not count alone, however much of it they could carry:
-// all proxies may be bound to another, which has them as spillover endpoints.
+// If most replicas have just been replaced, reducing the weight of the warming ones because of lost requests would send all
+// load to the few warmed-up replicas and keep them overloaded. The warming replicas of one table do not suffice, however
+// much of its load they could carry: all proxies may be bound to the other table, which uses them as spillover endpoints.
 func TestLostRequestsCountUnlessWarmingReplicasCouldCarryAllAttempts(t *testing.T) {
 	for _, c := range []struct {
-		warming, others int // of ten each of two tables
+		warming, others int // replicas warming up in the first and in the second table, of ten each
 		attempts        float64
 		suffice         bool
 	}{{1, 0, 10, false}, {4, 4, 10, false}, {6, 6, 10, true}, {9, 9, 10, true}, {6, 6, 15, false}, {9, 9, 15, true}, {9, 9, 40, false},
 		{10, 1, 10, true}, {10, 0, 12, false}, {0, 10, 12, false}, {10, 2, 15, false}, {10, 6, 15, true}} {
-		g := newPolicyAt(10 * second)
-		g.OverloadMultiple = 4
-		p := plannerOf(g)
+		policy := newPolicyAt(10 * second)
+		policy.OverloadMultiple = 4
+		p := plannerWith(policy)
 		for id := uint32(1); id <= 20; id++ {
 			status := statusOf(id, 0, control.Ready)
 			status.warmingUp = int(id) <= c.warming || id > 10 && int(id) <= 10+c.others
 			status.capacityFraction = 0.5
-			status.window = outlier.Window{Attempts: c.attempts, Failures: c.attempts - 10} // ten succeed at each
+			status.window = outlier.Window{Attempts: c.attempts, Failures: c.attempts - 10} // ten successes
 			p.placer.RememberTable(id, int(id-1)/10)
-			plannerOf(g, status)
+			plannerWith(policy, status)
 		}
-		plannerOf(g, statusOf(21, 0, control.Gone)) // carries nothing
+		plannerWith(policy, statusOf(21, 0, control.Gone)) // counts as no capacity
 		p.handle(demandSummary{FailedFraction: 0.8})
 		p.evaluateFleet()
 		for _, queue := range []int{fixedComponents, fixedComponents + 19} {
-			if got, lost := queued[replicaEvaluation](g, queue)[0].lostFraction, map[bool]float64{false: 0.8}[c.suffice]; got != lost {
-				t.Errorf("%+v: replica %d is told that %v is lost, want %v", c, queue-fixedComponents+1, got, lost)
+			if got, lost := queued[replicaEvaluation](policy, queue)[0].lostFraction, map[bool]float64{false: 0.8}[c.suffice]; got != lost {
+				t.Errorf("%+v: lost fraction sent to replica %d is %v, want %v", c, queue-fixedComponents+1, got, lost)
 			}
 		}
 	}
-	g := newPolicyAt(100 * second)
-	r := observed(g, 0, 0, 0)
+	policy := newPolicyAt(100 * second)
+	r := observedReplica(policy, 0, 0, 0)
 	r.entry.Start = r.now - second
 	r.handle(replicaEvaluation{weightGoal: 1, lostFraction: 0.6})
-	wantEqual(t, "held back", queued[replicaStatus](g, placementComponent)[0].heldBack, true)
+	wantEqual(t, "held back at lost fraction 0.6", queued[replicaStatus](policy, placementComponent)[0].heldBack, true)
 }
 
-func TestLostRequestsTellWarmingReplicasOfACollapse(t *testing.T) {
-	g := newPolicyAt(10 * second)
+func TestLostFractionIsTheHigherFailureRateOfAttemptsAndRequests(t *testing.T) {
+	policy := newPolicyAt(10 * second)
 	status := statusOf(1, 0, control.Ready)
 	status.window = outlier.Window{Attempts: 100, Failures: 10}
-	p := plannerOf(g, status)
+	p := plannerWith(policy, status)
 	p.handle(demandSummary{FailedFraction: 0.9}) // requests without a response
 	p.evaluateFleet()
-	n := queued[replicaEvaluation](g, fixedComponents)[0]
-	wantEqual(t, "ejection goes by the mean, slow start by the worst", n.health.FailureRate < 0.11 && n.lostFraction == 0.9, true)
+	evaluation := queued[replicaEvaluation](policy, fixedComponents)[0]
+	wantEqual(t, "ejection uses the failure rate of attempts, slow start the higher failure rate, that of requests", evaluation.health.FailureRate < 0.11 && evaluation.lostFraction == 0.9, true)
 }
 
-// What was attempted at a replica that has begun to drain is attempted at the others next.
-func TestAttemptsAtDrainingReplicasCountForWarmingOnes(t *testing.T) {
+// Attempts at a draining replica count as load that the other replicas will get next.
+func TestAttemptsAtDrainingReplicasCountAsLoadOfWarmingReplicas(t *testing.T) {
 	for state, lost := range map[control.State]float64{control.Ready: 0, control.Draining: 0.8} {
-		g := newPolicyAt(10 * second)
-		g.OverloadMultiple = 4
-		p := plannerOf(g)
+		policy := newPolicyAt(10 * second)
+		policy.OverloadMultiple = 4
+		p := plannerWith(policy)
 		for id := uint32(1); id <= 10; id++ {
 			status := statusOf(id, 0, control.Ready)
 			if status.window.Attempts = 10; id > 5 {
@@ -91,59 +92,59 @@
 				status.capacityFraction = 0.5
 				status.window.Attempts = 0
 			}
-			plannerOf(g, status)
+			plannerWith(policy, status)
 		}
 		eleventh := statusOf(11, 0, state)
 		eleventh.window.Attempts = 51
-		if state == control.Ready { // one of those warmed up, which succeeds as often
+		if state == control.Ready { // a warmed-up replica with as many successes as the others
 			eleventh.window.Attempts = 10
 		}
-		plannerOf(g, eleventh)
+		plannerWith(policy, eleventh)
 		p.handle(demandSummary{FailedFraction: 0.8})
 		p.evaluateFleet()
-		wantEqual(t, "lost", queued[replicaEvaluation](g, fixedComponents+9)[0].lostFraction, lost)
+		wantEqual(t, "lost fraction", queued[replicaEvaluation](policy, fixedComponents+9)[0].lostFraction, lost)
 	}
 }
 
-// Replicas that warm up have to be unejected together where much is lost and they can carry it: else they are not in, or the others
-// carry their part.
-func TestWarmingReplicasAreUnejectedTogetherWhereMuchIsLost(t *testing.T) {
+// Warming replicas must be unejected together if many requests are lost and the warming replicas can carry all attempts.
+// Otherwise they are held back, or the other replicas carry their part of the load.
+func TestWarmingReplicasAreUnejectedTogetherIfManyRequestsAreLost(t *testing.T) {
 	for lost, together := range map[float64]bool{0.2: false, 0.8: true} {
-		g := newPolicyAt(10 * second)
-		g.OverloadMultiple = 4
-		p := plannerOf(g)
+		policy := newPolicyAt(10 * second)
+		policy.OverloadMultiple = 4
+		p := plannerWith(policy)
 		for id := uint32(1); id <= 10; id++ {
 			status := statusOf(id, 0, control.Ready)
 			if status.window.Attempts = 10; id > 5 {
 				status.warmingUp = true
 				status.capacityFraction = 0.8
 			}
-			plannerOf(g, status)
+			plannerWith(policy, status)
 		}
 		p.handle(demandSummary{FailedFraction: lost})
 		p.evaluateFleet()
-		wantEqual(t, "together", p.warming().UnejectTogether, together)
-		wantEqual(t, "those that warm up", len(p.warming().Replicas), 5)
-		wantEqual(t, "lost, as they count it", queued[replicaEvaluation](g, fixedComponents+9)[0].lostFraction, 0.0)
+		wantEqual(t, "unejected together", p.warming().UnejectTogether, together)
+		wantEqual(t, "number of warming replicas", len(p.warming().Replicas), 5)
+		wantEqual(t, "lost fraction sent to a warming replica", queued[replicaEvaluation](policy, fixedComponents+9)[0].lostFraction, 0.0)
 	}
 }
 
-func TestAFewReplicasThatFailAreNoOverload(t *testing.T) {
-	g := newPolicyAt(10 * second)
+func TestTypicalFailureRateIgnoresAFewFailingReplicas(t *testing.T) {
+	policy := newPolicyAt(10 * second)
 	for id := uint32(1); id <= 4; id++ {
 		status := statusOf(id, 0, control.Ready)
 		if status.window.Attempts = 10; id == 1 {
 			status.window.Failures = 10
 		}
-		plannerOf(g, status)
+		plannerWith(policy, status)
 	}
-	plannerOf(g).evaluateFleet()
-	f := queued[fleetLoad](g, admissionComponent)[0]
-	wantEqual(t, "a quarter of all fails, of most nothing", f.FailureRate == 0.25 && f.TypicalFailureRate < 0.01, true)
+	plannerWith(policy).evaluateFleet()
+	load := queued[fleetLoad](policy, admissionComponent)[0]
+	wantEqual(t, "failure rate of the fleet is 0.25, typical failure rate of replicas is near 0", load.FailureRate == 0.25 && load.TypicalFailureRate < 0.01, true)
 }
 
 func TestFleetLoadCountsReplicasInService(t *testing.T) {
-	g := newPolicyAt(10 * second)
+	policy := newPolicyAt(10 * second)
 	for id, change := range []func(*replicaStatus){
 		func(*replicaStatus) {},
 		func(s *replicaStatus) { s.warmingUp = true },
@@ -155,49 +156,49 @@
 		status := statusOf(uint32(id+1), 0, control.Ready)
 		status.window = outlier.Window{Attempts: 40, Failures: 10, ResponseTime: 0.25}
 		change(&status)
-		plannerOf(g, status)
+		plannerWith(policy, status)
 	}
-	plannerOf(g).evaluateFleet()
-	f := queued[fleetLoad](g, admissionComponent)[0]
-	wantEqual(t, "in service", f.ServingReplicas, 2.0)
-	wantEqual(t, "attempts a second", f.AttemptRate, 20.0)
-	wantEqual(t, "failure rate", f.FailureRate, 0.25)
-	wantEqual(t, "response time of the one that is healthy and warmed up", f.ResponseTime, 0.25)
+	plannerWith(policy).evaluateFleet()
+	load := queued[fleetLoad](policy, admissionComponent)[0]
+	wantEqual(t, "replicas in service", load.ServingReplicas, 2.0)
+	wantEqual(t, "attempt rate", load.AttemptRate, 20.0)
+	wantEqual(t, "failure rate", load.FailureRate, 0.25)
+	wantEqual(t, "response time of the healthy warmed-up replica", load.ResponseTime, 0.25)
 }
 
-func TestEjectionsGoBeforeTables(t *testing.T) {
-	g := newPolicyAt(0)
-	p := plannerOf(g, statusOf(1, 0, control.Ready), statusOf(2, 0, control.Draining))
+func TestEjectionsAreEnqueuedBeforeTargetTables(t *testing.T) {
+	policy := newPolicyAt(0)
+	p := plannerWith(policy, statusOf(1, 0, control.Ready), statusOf(2, 0, control.Draining))
 	p.handle(placementDue{})
-	sent := g.queues[pacingComponent].waiting
-	wantEqual(t, "messages", len(sent), 2)
-	wantEqual(t, "first", sent[0], message(replicaExcluded{2}))
-	targets := queued[targetTables](g, updateComponent)[0]
-	wantEqual(t, "excluded", targets.Ejected[2] && !targets.Ejected[1], true)
-	wantEqual(t, "weight", targets.Weights[update.Endpoint{Table: 0, Replica: 1}], 1.0)
-	wantEqual(t, "tables", len(queued[tablesAssigned](g, bindingComponent)[0].tables), 1)
+	sent := policy.queues[pacingComponent].waiting
+	wantEqual(t, "messages to pacing", len(sent), 2)
+	wantEqual(t, "first message to pacing", sent[0], message(replicaExcluded{2}))
+	targets := queued[targetTables](policy, updateComponent)[0]
+	wantEqual(t, "only the draining replica is excluded", targets.Ejected[2] && !targets.Ejected[1], true)
+	wantEqual(t, "weight of the ready replica", targets.Weights[update.Endpoint{Table: 0, Replica: 1}], 1.0)
+	wantEqual(t, "number of tables", len(queued[tablesAssigned](policy, bindingComponent)[0].servingTables), 1)
 }
 
 func TestPlacementIsRepeatedOnlyAfterAChange(t *testing.T) {
-	g := newPolicyAt(0)
-	p := plannerOf(g, statusOf(1, 0, control.Ready))
+	policy := newPolicyAt(0)
+	p := plannerWith(policy, statusOf(1, 0, control.Ready))
 	p.handle(placementDue{})
 	p.handle(placementDue{})
-	wantEqual(t, "plans without a change", len(queued[targetTables](g, updateComponent)), 1)
+	wantEqual(t, "plans before a change", len(queued[targetTables](policy, updateComponent)), 1)
 	p.handle(proxyBound{binding.Proxy{StreamOpened: control.StreamOpened{Proxy: 3, Rate: 5}}})
 	p.handle(placementDue{})
-	wantEqual(t, "plans after a change", len(queued[targetTables](g, updateComponent)), 2)
+	wantEqual(t, "plans after a change", len(queued[targetTables](policy, updateComponent)), 2)
 }
 
-func TestProxiesAreInOrderOfTheirIDs(t *testing.T) {
-	p := plannerOf(newPolicyAt(0))
+func TestPlannerKeepsProxiesSortedByID(t *testing.T) {
+	p := plannerWith(newPolicyAt(0))
 	for _, id := range []int{5, 2, 9, 2} {
 		p.handle(proxyBound{binding.Proxy{StreamOpened: control.StreamOpened{Proxy: id, Rate: float64(id)}, ConnectedAt: time.Duration(id), Table: 1}})
 	}
 	p.handle(streamClosed{control.StreamClosed{Proxy: 5}})
 	p.handle(streamClosed{control.StreamClosed{Proxy: 7}})
-	wantEqual(t, "proxies", len(p.proxies), 2)
-	wantEqual(t, "first", p.proxies[0].ID, 2)
-	wantEqual(t, "last", p.proxies[1].ID, 9)
-	wantEqual(t, "its rate", p.proxies[1].Rate, 9.0)
+	wantEqual(t, "number of proxies", len(p.proxies), 2)
+	wantEqual(t, "ID of the first proxy", p.proxies[0].ID, 2)
+	wantEqual(t, "ID of the last proxy", p.proxies[1].ID, 9)
+	wantEqual(t, "rate of the last proxy", p.proxies[1].Rate, 9.0)
 }
--- a/policy/queues.go
+++ b/policy/queues.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// The queues of the components with one instance each. Queues from fixedComponents on belong to replicas.
+// The indexes in sharedState.queues of the components that exist once. Indexes from fixedComponents up belong to replicas.
 const (
 	bindingComponent = iota
 	placementComponent
@@ -15,7 +15,7 @@
 // component handles the messages of one queue.
 type component interface{ handle(message) }
 
-// queue holds the messages that wait for one component.
+// queue holds the messages that one component has not handled yet, oldest first.
 type queue struct {
 	component component
 	waiting   []message
@@ -27,8 +27,8 @@
 	s.pending = append(s.pending, to)
 }
 
-// deliverAll hands over messages until none waits, in the order in which they were enqueued: the same events always lead to
-// the same commands.
+// deliverAll delivers messages in the order in which they were enqueued, until none is left. The fixed order is part of the
+// guarantee that the same events always lead to the same commands.
 func (s *sharedState) deliverAll() {
 	for len(s.pending) > 0 {
 		next := s.queues[s.pending[0]]
@@ -39,7 +39,7 @@
 	}
 }
 
-// unexpected reports a message that was enqueued for the wrong component, which is a fault of this package.
+// unexpected panics because of a message that was enqueued for the wrong component, which is a fault of this package.
 func unexpected(c component, m message) {
-	panic(fmt.Sprintf("policy: %T received %T", c, m))
+	panic(fmt.Sprintf("policy: component %T does not handle message %T", c, m))
 }
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -8,55 +8,57 @@
 	"lilacbend/policy/internal/zone"
 )
 
-// reconfigure puts changed settings in force. What was learned stays, under its new numbers. Tables stay as they are, unless a
-// start under the new settings would have another number of tables, or a replica or proxy would no longer be in a table of its
-// zone; then all are assigned anew, and an update leads there.
+// reconfigure applies changed settings. Learned state is kept, under the new numbers of its traffic classes, hardware
+// classes and zones. Tables are kept as well, unless a controller started with the new settings would create another number
+// of tables, or a replica or proxy would no longer be in a table of its zone; then all replicas and proxies are reassigned,
+// and an update moves the proxies from the old tables to the new ones.
 func (p *Policy) reconfigure(changed control.SettingsChanged) {
-	before := p.Settings
-	tables := p.placement.placer.Tables()
-	keepsZones := p.keepsZones(changed, tables)
+	previous := p.Settings
+	tableCount := p.placement.placer.Tables()
+	keepsZones := p.keepsZones(changed, tableCount)
 	p.Settings = changed.Settings
-	p.placement.baselines.Renumber(changed.NewHardwareClasses, before.HardwareClasses, changed.HardwareClasses)
+	p.placement.baselines.Renumber(changed.NewHardwareClasses, previous.HardwareClasses, changed.HardwareClasses)
 	p.admission.renumberClasses(changed.NewClasses)
 	p.pacing.sender.RenumberClasses(changed.NewClasses)
 	p.binding.renumberZones(changed.Proxies)
-	p.listReplicas(control.ReplicasListed{Entries: slices.DeleteFunc(changed.Replicas, p.isListedAs)})
+	p.applyEndpointList(control.ReplicasListed{Entries: slices.DeleteFunc(changed.Replicas, p.isListedAs)})
 	p.deliverAll()
-	p.placement.placed = p.placement.placed && sameForPlacement(before, changed.Settings)
-	if tables == 0 {
+	p.placement.planIsCurrent = p.placement.planIsCurrent && sameForPlacement(previous, changed.Settings)
+	if tableCount == 0 {
 		return
 	}
-	tablesAtStart := p.placement.tablesUnder(changed.Settings)
-	if keepsZones && p.placement.tablesUnder(before) == tablesAtStart {
+	newTableCount := p.placement.tableCountFor(changed.Settings)
+	if keepsZones && p.placement.tableCountFor(previous) == newTableCount {
 		return
 	}
 	p.placement.placer.Reassign()
 	p.update.sequence.CancelRebinds()
 	p.pacing.sender.CancelBinds()
-	p.binding.reassign(tables, tablesAtStart, p.pacing.sender.Bindings())
+	p.binding.reassign(tableCount, newTableCount, p.pacing.sender.Bindings())
 	p.deliverAll()
 }
 
-// isListedAs reports whether a replica is listed with this very entry.
+// isListedAs reports whether a replica is already listed with an identical entry.
 func (p *Policy) isListedAs(entry control.ListedReplica) bool {
 	r := p.replicas[entry.Replica]
 	return r != nil && r.entry == entry
 }
 
-// sameForPlacement reports whether settings differ in nothing that placement reads.
+// sameForPlacement reports whether two settings are equal in everything that placement reads: all but the traffic classes.
 func sameForPlacement(a, b control.Settings) bool {
 	a.Classes = nil
 	b.Classes = nil
 	return reflect.DeepEqual(a, b)
 }
 
-// keepsZones reports whether each replica and proxy is in a table of its zone under the new settings as well.
-func (p *Policy) keepsZones(changed control.SettingsChanged, tables int) bool {
-	if tables == 0 {
+// keepsZones reports whether each replica and proxy is still in a table of its zone under the new settings. tableCount is
+// the current number of tables.
+func (p *Policy) keepsZones(changed control.SettingsChanged, tableCount int) bool {
+	if tableCount == 0 {
 		return true
 	}
-	rows := zone.Rows(p.Zones, tables)
-	if zone.Rows(changed.Zones, tables) != rows {
+	rows := zone.Rows(p.Zones, tableCount)
+	if zone.Rows(changed.Zones, tableCount) != rows {
 		return false
 	}
 	for _, entry := range changed.Replicas {
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -11,19 +11,19 @@
 	"lilacbend/policy/weight"
 )
 
-// minListedWeight keeps weights above 0.
+// minListedWeight replaces smaller listed weights, so that the weights of endpoints stay above 0.
 const minListedWeight = 1e-6
 
-// replica is the component of one replica. It decides nothing: package outlier evaluates its health, weight estimates its speed,
-// slowstart limits it while it warms up.
+// replica is the component that holds the state of one replica. It makes no decisions itself: package outlier evaluates its
+// health, package weight estimates its speed, and package slowstart limits its weight while it warms up.
 type replica struct {
 	*sharedState
 	queue        int
 	entry        control.ListedReplica
-	knownSince   int64   // when its start became known
-	lastListed   int64   // when it was last seen in the endpoint list
-	placementKey float64 // its rank in the order in which replicas are assigned to tables
-	evaluatedAt  int64   // 0: not yet
+	knownSince   int64   // when it was first listed with its current start time
+	lastListed   int64   // last tick at which it was not in state Gone
+	placementKey float64 // rank in the order in which replicas are assigned to tables
+	evaluatedAt  int64   // time of the last evaluation; 0: not evaluated yet
 	lostFraction float64 // see slowstart.Recovery
 	detector     outlier.Detector
 	estimate     weight.Estimate
@@ -42,10 +42,10 @@
 func (r *replica) handle(m message) {
 	switch n := m.(type) {
 	case replicaListed:
-		r.list(n.ListedReplica)
+		r.setEntry(n.ListedReplica)
 	case outcomesReported:
 		r.observe(n.Outcomes)
-		return // the next evaluation reports the status
+		return // the status is reported at the next evaluation
 	case replicaRestored:
 		r.restore(n.ReplicaRestored)
 	case replicaEvaluation:
@@ -56,8 +56,9 @@
 	r.enqueue(placementComponent, r.status())
 }
 
-// list takes over an entry of the endpoint list. A new start is a new process, which has neither health nor speed.
-func (r *replica) list(entry control.ListedReplica) {
+// setEntry sets the replica's entry of the endpoint list. If it is ready and its start time is another one, it is a new
+// process: the health is reset, and the samples behind the speed no longer count.
+func (r *replica) setEntry(entry control.ListedReplica) {
 	if entry.Start != r.entry.Start && entry.State == control.Ready {
 		r.detector = outlier.Detector{}
 		r.estimate.Restart()
@@ -81,7 +82,7 @@
 		Age:         time.Duration(learned.Age),
 		Confidence:  learned.Weight,
 	})
-	r.report(r.detector.Restore(now, outlier.Restored{
+	r.logChange(r.detector.Restore(now, outlier.Restored{
 		Ejected:    learned.EjectedFor > 0 || learned.Probation,
 		Ejections:  learned.Ejections,
 		Confidence: learned.Weight,
@@ -93,17 +94,17 @@
 	r.lostFraction = fleet.lostFraction
 	r.estimate.Follow(fleet.weightGoal, time.Duration(r.now-r.evaluatedAt), time.Duration(r.now-r.knownSince))
 	r.evaluatedAt = r.now
-	r.report(r.detector.Evaluate(now, fleet.health, time.Duration(r.ReportInterval)))
+	r.logChange(r.detector.Evaluate(now, fleet.health, time.Duration(r.ReportInterval)))
 }
 
-// report writes a change of health into the log.
-func (r *replica) report(change outlier.Change) {
+// logChange logs a change of health.
+func (r *replica) logChange(change outlier.Change) {
 	if change.Happened() {
 		r.logf("replica %d %s", r.entry.Replica, change)
 	}
 }
 
-// status sums up for placement what the replica can serve and how it is.
+// status returns the replica's weight, capacity and health for placement.
 func (r *replica) status() replicaStatus {
 	now := time.Duration(r.now)
 	config := r.slowStart()
@@ -131,8 +132,8 @@
 	}
 }
 
-// learned is what is of use after a restart of the controller, without the table.
-func (r *replica) learned() control.LearnedReplica {
+// learnedState returns the replica's state that can be restored after a restart of the controller, except its table.
+func (r *replica) learnedState() control.LearnedReplica {
 	now := time.Duration(r.now)
 	return control.LearnedReplica{
 		Replica:         r.entry.Replica,
--- a/policy/route.go
+++ b/policy/route.go
@@ -6,12 +6,12 @@
 	"lilacbend/control"
 )
 
-// route enqueues an event for the components that it concerns, and notes the phases of the turn that it asks for. It panics on
-// an event that it does not know: the set of events is closed, and one that is missing here would never have an effect.
+// route enqueues an event for the components that handle it and records the phases of the turn that it makes due. It panics
+// on an unknown event type: the set of events is closed, and a type without a case here would never have an effect.
 func (p *Policy) route(event control.Event, due *duePhases) {
 	switch e := event.(type) {
 	case control.ReplicasListed:
-		p.listReplicas(e)
+		p.applyEndpointList(e)
 	case control.Outcomes:
 		p.routeOutcomes(e)
 	case control.ReplicaRestored:
@@ -37,13 +37,14 @@
 		due.tick = true
 	case control.SnapshotRequested:
 		due.snapshot = true
-	case control.HealthCheckFinished: // no health check is ever ordered: outcomes of requests say more
+	case control.HealthCheckFinished: // this package requests no health checks: outcomes of requests are more reliable
 	default:
-		panic(fmt.Sprintf("policy: unknown event %T", event))
+		panic(fmt.Sprintf("policy: unknown event type %T", event))
 	}
 }
 
-// routeOutcomes ignores outcomes of replicas that were never listed or were evicted.
+// routeOutcomes enqueues outcomes for their replica. It ignores reports without attempts and replicas that were never listed
+// or were evicted.
 func (p *Policy) routeOutcomes(e control.Outcomes) {
 	r := p.replicas[e.Replica]
 	if r != nil && e.Attempts > 0 {
@@ -51,7 +52,8 @@
 	}
 }
 
-// routeRestored ignores replicas that are not listed, and values that no controller can have learned.
+// routeRestored enqueues learned state for its replica and for placement. It ignores replicas that are not listed, and a
+// weight or speed that is not above 0, which no controller can have learned.
 func (p *Policy) routeRestored(e control.ReplicaRestored) {
 	r := p.replicas[e.Replica]
 	if r != nil && e.Weight > 0 && e.Speed > 0 {
--- a/policy/sharedstate.go
+++ b/policy/sharedstate.go
@@ -6,22 +6,23 @@
 	"lilacbend/control"
 )
 
-// sharedState is what all components share: the settings, the time and the commands of this turn, and the queues.
+// sharedState is the state that all components share: the settings, the time and the commands of this turn, the queues, and
+// the number of random draws.
 type sharedState struct {
 	control.Settings
-	now      int64 // of this turn, in nanoseconds
-	draws    uint64
+	now      int64             // of this turn, in nanoseconds
+	draws    uint64            // random numbers drawn so far
 	commands []control.Command // of this turn
 	queues   []*queue
-	pending  []int // for each message that waits, its queue, in the order in which they were enqueued
+	pending  []int // the queue of each message not delivered yet, in the order of enqueuing
 }
 
-// logf writes a line for on-call engineers.
+// logf adds a log line for on-call engineers to the turn's commands.
 func (s *sharedState) logf(format string, args ...any) {
 	s.commands = append(s.commands, control.Log{Text: fmt.Sprintf(format, args...)})
 }
 
-// random draws a number above 0 and up to 1. It depends on the seed and the number of earlier draws alone.
+// random draws a number above 0 and up to 1, which depends only on the seed and the number of earlier draws.
 func (s *sharedState) random() float64 {
 	s.draws++
 	return control.Random(s.Seed, s.draws)
--- a/policy/tick.go
+++ b/policy/tick.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// second is the unit of durations in package control, which are in nanoseconds, as a number.
+	// second is one second as a number of nanoseconds, the unit of times and durations in package control.
 	second = int64(time.Second)
-	// maxTickInterval is the longest time between two ticks: what changes without a report, such as the end of an ejection, is
-	// noticed as late at most.
+	// maxTickInterval is the longest time between two ticks, in nanoseconds. A change that no report announces, such as the
+	// end of an ejection, is noticed within this time.
 	maxTickInterval = second / 4
-	// ticksPerReport is how many ticks fall into a report interval at least: a report is acted on half an interval after it
-	// was received at the latest.
+	// ticksPerReport is the least number of ticks in a report interval: a report takes effect half an interval after it was
+	// received at the latest.
 	ticksPerReport = 2
 )
 
-// tick sets the next timer and compares the replicas with each other. The messages of evictions are delivered with those of
-// placement.
+// tick sets the next timer, has placement compare the replicas with each other and the update stop waiting for overdue acks,
+// and evicts replicas. The messages of the evictions are delivered in the placement phase.
 func (p *Policy) tick() {
 	p.commands = append(p.commands, control.SetTimer{After: p.tickInterval()})
 	p.enqueue(placementComponent, tickStarted{})
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -1,18 +1,20 @@
-// Package policy decides how proxies route requests. It sees no request: it steers the proxies by tables of weighted endpoints,
-// by which table each proxy is bound to, and by the admitted fraction and the retry policy of each traffic class.
+// Package policy decides how proxies route requests. It handles no requests itself: it controls the proxies by tables of
+// weighted endpoints, by which table each proxy is bound to, and by the admitted fraction and the retry policy of each
+// traffic class.
 //
-// Call New with the settings of the deployment, then Turn with the events of each moment; it returns the commands to carry out.
-// Package control holds all types of this interface. The package has no clock, no I/O and no goroutines, and its random numbers
-// come from the settings' seed: the same events always lead to the same commands.
+// Call New with the settings of the deployment, then Turn with the events of each moment; Turn returns the commands to carry
+// out. Package control defines all types of this interface. The package has no clock, no I/O and no goroutines, and its
+// random numbers come from the settings' seed: the same events always lead to the same commands.
 //
-// Each decision has a package of its own under this one, whose comment states its rule. The components here pass messages
-// between those packages: a component handles the messages of its queue, calls its package and enqueues messages for other
-// components. Components call each other directly only to read or renumber what they have learned (learned.go, reconfigure.go).
+// Each decision has a package of its own in a subdirectory, and its package comment states the rule. The components in this
+// package pass messages between those packages: a component handles the messages of its queue, calls its package and
+// enqueues messages for other components. Components call each other directly only to read or renumber learned state
+// (learned.go, reconfigure.go).
 package policy
 
 import "lilacbend/control"
 
-// Policy is one instance of the decisions, for one controller. It is not safe for concurrent use.
+// Policy makes the decisions of one controller. It is not safe for concurrent use.
 type Policy struct {
 	sharedState
 	binding   *binder
@@ -24,10 +26,10 @@
 	replicas   map[uint32]*replica
 	freeQueues []int // queues of replicas that were evicted
 	started    bool  // the first turn has begun
-	startedAt  int64
+	startedAt  int64 // time of the first turn, in nanoseconds
 }
 
-// New returns a Policy that knows nothing but its settings.
+// New returns a Policy with these settings and no learned state.
 func New(settings control.Settings) *Policy {
 	p := &Policy{sharedState: sharedState{Settings: settings}, replicas: map[uint32]*replica{}}
 	shared := &p.sharedState
@@ -46,27 +48,27 @@
 	return p
 }
 
-// duePhases are the phases of a turn that take place only if an event asks for them.
+// duePhases holds which of the optional phases take place in this turn.
 type duePhases struct {
 	tick     bool
 	snapshot bool
 }
 
-// Turn takes the events of one moment, in nanoseconds, and returns the commands to carry out, in their order. A turn has these
-// phases:
+// Turn processes the events of one moment and returns the commands to carry out, in order. now is that moment, in
+// nanoseconds. A turn has these phases:
 //
-//  1. Events, one after another. What follows from an event is complete before the next one is read, so that reports about a
-//     replica are taken with the entry that was listed before them.
-//  2. Tick, if a timer fired, and in the first turn. Replicas are compared with each other here and nowhere else, once all
-//     reports of the turn are in; health, weights, the admission threshold and retries change at a tick only. So these
-//     decisions do not depend on how events are spread over turns.
-//  3. Placement. Target tables are worked out once a turn, from all that changed in it, and from them bindings and the open
-//     step of the update.
-//  4. Pacing. Commands are sent last, as all that reaches a proxy in one turn costs one message and all share one budget: what
-//     is urgent can go first only if everything is known.
-//  5. Snapshot, if it was requested, with what this turn has changed.
+//  1. Events, one after another. All messages that follow from an event are delivered before the next event is routed, so
+//     that reports about a replica are evaluated with the entry that was listed before them.
+//  2. Tick, if a timer fired, and in the first turn. Replicas are compared with each other in this phase and nowhere else,
+//     after all reports of the turn are processed; health, weights, the admission threshold and retries change only at a
+//     tick. These decisions therefore do not depend on how events are distributed over turns.
+//  3. Placement. The target tables are computed once a turn, from all changes of the turn, and from the target tables the
+//     bindings and the open step of the update.
+//  4. Pacing. Commands are sent last, because all commands that reach a proxy in one turn cost one message and all commands
+//     share one budget: urgent commands can be sent first only if all commands are known.
+//  5. Snapshot, if it was requested. It includes the changes of this turn.
 //
-// All messages of a phase are delivered before the next one begins.
+// All messages of a phase are delivered before the next phase begins.
 func (p *Policy) Turn(now int64, events []control.Event) []control.Command {
 	p.now = now
 	p.commands = nil
@@ -87,7 +89,7 @@
 	p.enqueue(pacingComponent, turnEnding{})
 	p.deliverAll()
 	if due.snapshot {
-		p.commands = append(p.commands, p.learned())
+		p.commands = append(p.commands, p.learnedState())
 	}
 	return p.commands
 }
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -6,7 +6,7 @@
 	"lilacbend/policy/update"
 )
 
-// updater is the component that runs the reverse-order update. See package update for the rules.
+// updater is the component that runs the reverse-order update of the proxies' tables. See package update for the rules.
 type updater struct {
 	*sharedState
 	sequence *update.Sequence
@@ -26,7 +26,7 @@
 		u.sequence.Rebind(m.Bind)
 	case messagesSent:
 		u.sequence.Sent(time.Duration(u.now), m.nonce, m.commands)
-		return // what is due next is worked out at the next ack, target or tick
+		return // the next step is computed at the next ack, target or tick
 	case acknowledged:
 		u.sequence.Acknowledged(m.nonce)
 	case tickStarted:
