--- a/control/commands.go
+++ b/control/commands.go
@@ -1,9 +1,9 @@
 package control
 
-// AllTables as the table of a SetAdmission addresses every proxy with a stream.
+// AllTables is the table of a SetAdmission that addresses every proxy with a stream.
 const AllTables = 65535
 
-// Command is anything that the decision module asks its controller to do. The set of commands is closed: only types of this
+// Command is an instruction from the decision module to its controller. The set of commands is closed: only types of this
 // package implement it.
 type Command interface{ command() }
 
@@ -20,13 +20,14 @@
 	Table int
 }
 
-// BindSubset binds a proxy to a table of which it gets only some replicas for now. A Bind to the same table adds the rest.
-// It is for controllers that queue messages (Settings.HostQueues).
+// BindSubset binds a proxy to a table but sends it only some of the table's replicas for now. A later Bind to the same table
+// adds the rest. It is used only for controllers that queue messages (Settings.HostQueues).
 type BindSubset struct {
 	Proxy    int
 	Table    int
 	Replicas []uint32
-	// Unejected is how many of the first replicas are unejected at the proxy, if it may hold that they are ejected.
+	// Unejected is the number of elements at the start of Replicas that are unejected at the proxy if it may still have them
+	// as ejected.
 	Unejected int
 }
 
@@ -36,21 +37,21 @@
 	Ejected bool
 }
 
-// SetAdmission sets how much of a traffic class is admitted, and when its requests are retried.
+// SetAdmission sets how many requests of a traffic class are admitted, and when they are retried.
 type SetAdmission struct {
 	Table    int
 	Class    int
-	Fraction float64 // a fraction or a rate, as Settings.Admission says
+	Fraction float64 // of the requests, or a rate in requests a second, depending on Settings.Admission
 	Retries  RetryPolicy
 }
 
-// RequestAck asks the proxies that this turn's commands reach for an Ack with the nonce.
+// RequestAck requests an Ack with the nonce from the proxies that this turn's commands are sent to.
 type RequestAck struct{ Nonce uint64 }
 
-// HealthCheck asks one replica for its health. Not used by package policy.
+// HealthCheck requests a health check of one replica. Not used by package policy.
 type HealthCheck struct{ Replica uint32 }
 
-// SetTimer asks for a TimerFired after a duration.
+// SetTimer requests a TimerFired after a duration.
 type SetTimer struct {
 	Timer uint64
 	After int64 // nanoseconds
@@ -59,7 +60,7 @@
 // Log writes one line for on-call engineers.
 type Log struct{ Text string }
 
-// Snapshot answers SnapshotRequested with all learned state that is of use after a restart.
+// Snapshot answers SnapshotRequested with all learned state that can be restored after a restart.
 type Snapshot struct {
 	Replicas []LearnedReplica
 	LearnedFleet
--- a/control/control.go
+++ b/control/control.go
@@ -1,6 +1,7 @@
-// Package control is the interface of the decision module: the settings that it reads before its first turn, the events that
-// it receives and the commands that it returns. It decides nothing. Times and durations are whole nanoseconds; replicas, proxies,
-// zones, hardware classes and traffic classes are known by number.
+// Package control defines the interface of the decision module, package policy, to the controller that runs it: the settings
+// that the module reads before its first turn, the events that it receives and the commands that it returns. Package control
+// makes no decisions. Times and durations are whole nanoseconds; replicas, proxies, zones, hardware classes and traffic
+// classes are identified by number.
 package control
 
 import (
@@ -9,10 +10,10 @@
 	"math"
 )
 
-// NanosPerMilli converts milliseconds, as peers and files write times, to nanoseconds.
+// NanosPerMilli is the number of nanoseconds in a millisecond, the unit of times in messages of peers and in files.
 const NanosPerMilli = 1e6
 
-// maxNanos bounds what Nanos returns; it is near the largest int64.
+// maxNanos is the largest magnitude that Nanos returns; it is near the largest int64.
 const maxNanos = 9e18
 
 // Finite returns v, or 0 if v is infinite or not a number.
@@ -23,17 +24,17 @@
 	return v
 }
 
-// Nanos converts milliseconds to nanoseconds, within the range of int64.
+// Nanos converts milliseconds to nanoseconds and limits the result to the range of int64; infinite values and NaN become 0.
 func Nanos(ms float64) int64 {
 	return int64(math.Round(math.Max(-maxNanos, math.Min(maxNanos, Finite(ms)*NanosPerMilli))))
 }
 
-// Random draws a number above 0 and up to 1. It is the same for the same seed and count of earlier draws.
+// Random returns a pseudo-random number above 0 and up to 1. The same seed and number of draws always give the same result.
 func Random(seed, draws uint64) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
 	binary.LittleEndian.PutUint64(b[8:], draws)
-	crc := ^uint32(0) // as crc32.ChecksumIEEE, which would have b allocated for each draw
+	crc := ^uint32(0) // equals crc32.ChecksumIEEE, which would move b to the heap on each call
 	for _, v := range b {
 		crc = crc32.IEEETable[byte(crc)^v] ^ crc>>8
 	}
--- a/control/events.go
+++ b/control/events.go
@@ -5,100 +5,103 @@
 
 // The states of a replica.
 const (
-	Ready State = iota
-	Draining
-	Gone
+	Ready    State = iota
+	Draining       // it is about to end and must get no new requests
+	Gone           // it has ended or is no longer listed
 )
 
-// Event is anything that a controller reports to the decision module. The set of events is closed: only types of this
-// package implement it.
+// Event is a report from a controller to its decision module. The set of events is closed: only types of this package
+// implement it.
 type Event interface{ event() }
 
-// ListedReplica is one replica of the endpoint list.
+// ListedReplica is the entry of one replica in the endpoint list.
 type ListedReplica struct {
 	Replica       uint32
 	Zone          int
 	HardwareClass int
 	State         State
-	Weight        float64 // relative capacity as listed
-	Start         int64   // when its process started, in nanoseconds; 0: long ago
+	Weight        float64 // listed capacity relative to other replicas
+	Start         int64   // when the process of the replica started, in nanoseconds; 0: long ago
 }
 
-// ReplicasListed brings the endpoint list, complete or as changes. With Failed it brings nothing.
+// ReplicasListed reports the endpoint list: all entries if Full is set, otherwise those that have changed. If Failed is set,
+// the list could not be read and there are no entries.
 type ReplicasListed struct {
 	Full    bool
 	Failed  bool
 	Entries []ListedReplica
 }
 
-// StreamOpened reports that a proxy has a stream to this controller now, and is bound to no table.
+// StreamOpened reports that a proxy has opened a stream to this controller. The proxy is not bound to a table yet.
 type StreamOpened struct {
 	Proxy int
 	Zone  int
-	Rate  float64 // a rough forecast of its requests a second
+	Rate  float64 // rough forecast of the requests a second that arrive at the proxy
 }
 
 // StreamClosed reports that the stream of a proxy has ended.
 type StreamClosed struct{ Proxy int }
 
-// Outcomes sums the attempts of a zone's proxies at a replica.
+// Outcomes is a load report that sums the attempts of all proxies of a zone at one replica.
 type Outcomes struct {
 	Replica      uint32
 	Zone         int // not used by package policy
 	Attempts     int
 	Failures     int     // attempts without a successful response
-	ResponseTime int64   // mean of the successful responses, in nanoseconds
-	Period       int64   // in which the attempts were made, in nanoseconds; not used by package policy
-	InFlight     float64 // requests at the replica; below 0: not known; not used by package policy
+	ResponseTime int64   // mean over the successful responses, in nanoseconds
+	Period       int64   // length of the period of the attempts, in nanoseconds; not used by package policy
+	InFlight     float64 // requests in flight at the replica; below 0: not known; not used by package policy
 }
 
-// Demand sums the requests of a traffic class that arrived at a proxy.
+// Demand reports the requests of a traffic class that arrived at one proxy.
 type Demand struct {
 	Proxy    int
 	Class    int
 	Requests int
 	Failures int
-	Period   int64 // in which they arrived, in nanoseconds
+	Period   int64 // length of the period in which the requests arrived, in nanoseconds
 }
 
-// Ack reports that the proxy has applied everything up to the nonce.
+// Ack reports that a proxy has applied all commands up to the nonce.
 type Ack struct {
 	Proxy int
 	Nonce uint64
-	Delay int64 // what the proxy took to apply it, in nanoseconds; not used by package policy
+	Delay int64 // time that the proxy took to apply the commands, in nanoseconds; not used by package policy
 }
 
-// HealthCheckFinished ends a HealthCheck. Not used by package policy.
+// HealthCheckFinished reports the result of a HealthCheck. Not used by package policy.
 type HealthCheckFinished struct {
 	Replica   uint32
 	Succeeded bool
 	Delay     int64 // nanoseconds
 }
 
-// TimerFired ends a SetTimer.
+// TimerFired reports that the duration of a SetTimer has passed.
 type TimerFired struct{ Timer uint64 }
 
-// SettingsChanged reports that the settings have changed, and with them the numbers of traffic classes, hardware classes and
-// zones. Learned state, tables and bindings are kept. Events after this one use the new numbers.
+// SettingsChanged reports changed settings. The numbers that identify traffic classes, hardware classes and zones may have
+// changed with them: later events use the new numbers. Learned state, tables and bindings are kept.
 type SettingsChanged struct {
 	Settings
 	NewClasses         []int           // the new number of each traffic class; below 0: it no longer exists
-	NewHardwareClasses []int           // likewise of each hardware class
-	Replicas           []ListedReplica // all that are listed, by the new numbers
-	Proxies            []StreamOpened  // all that have a stream, by the new numbers
+	NewHardwareClasses []int           // likewise for each hardware class
+	Replicas           []ListedReplica // all listed replicas, with the new numbers
+	Proxies            []StreamOpened  // all proxies with a stream, with the new numbers
 }
 
-// SnapshotRequested asks for a Snapshot among this turn's commands.
+// SnapshotRequested requests a Snapshot among this turn's commands.
 type SnapshotRequested struct{}
 
-// ReplicaRestored brings what an earlier controller had learned of a replica that is listed now and has not started since.
+// ReplicaRestored provides the state that an earlier controller had learned of a replica. The replica is listed now and has
+// not been restarted since.
 type ReplicaRestored struct {
 	LearnedReplica
-	Weight float64 // confidence left by its age, above 0 up to 1
+	Weight float64 // confidence in the state, lower the older the state is: above 0, up to 1
 	Age    int64   // of its last sample, in nanoseconds
 }
 
-// FleetRestored brings what an earlier controller had learned of the fleet as a whole. It precedes the first list.
+// FleetRestored provides the state that an earlier controller had learned of the fleet as a whole. It precedes the first
+// ReplicasListed.
 type FleetRestored struct {
 	LearnedFleet
 	Weight float64 // as for ReplicaRestored
--- a/control/learned.go
+++ b/control/learned.go
@@ -1,30 +1,30 @@
 package control
 
-// LearnedReplica is what a controller has learned of one replica.
+// LearnedReplica is the state that a controller has learned of one replica.
 type LearnedReplica struct {
 	Replica         uint32
-	Table           int     // that it is assigned to
-	PlacementKey    float64 // its rank in the weighted random order in which replicas are assigned to tables
-	Speed           float64 // against the fleet's mean, above 0
-	SampleCount     float64 // attempts behind the speed
-	EjectedFor      int64   // how much longer it is ejected as unhealthy, in nanoseconds; 0: it is not ejected
-	Probation       bool    // its ejection has ended or is about to, and it has not been evaluated since
-	Ejections       int     // of its process, healthy times between them or not; a restore lowers the count by its age
-	SinceLastSample int64   // nanoseconds
+	Table           int     // table that the replica is assigned to
+	PlacementKey    float64 // rank in the weighted random order in which replicas are assigned to tables
+	Speed           float64 // relative to the fleet's mean, above 0
+	SampleCount     float64 // number of attempts from which the speed was estimated
+	EjectedFor      int64   // time until its ejection as unhealthy ends, in nanoseconds; 0: it is not ejected
+	Probation       bool    // its ejection has ended or is about to end, and it has not been evaluated since
+	Ejections       int     // of its process; healthy periods do not reset the count, a restore lowers it by its age
+	SinceLastSample int64   // time since the last load report with attempts, in nanoseconds
 }
 
-// LearnedFleet is what a controller has learned of the fleet as a whole.
+// LearnedFleet is the state that a controller has learned of the fleet as a whole.
 type LearnedFleet struct {
-	Tables                int         // how many there are; 0: none yet
-	BaselineResponseTimes [][]float64 // the last ones of each hardware class, in seconds; the last element stands for the whole fleet
+	Tables                int         // number of tables; 0: none yet
+	BaselineResponseTimes [][]float64 // latest samples of each hardware class, in seconds; last element: the whole fleet
 	RequestRates          []ClassRate
 	Bindings              []Binding
 	AdmissionThreshold    float64 // fraction of the traffic classes that is admitted, by priority weight: 0 to 1
-	MaxSuccessRate        float64 // the highest that a replica had recently, in successful responses a second
+	MaxSuccessRate        float64 // highest recent success rate of one replica, in successful responses a second
 	RetriesStopped        bool
 }
 
-// ClassRate is the rate at which requests of a traffic class arrived at a proxy recently.
+// ClassRate is the recent rate of requests of a traffic class at a proxy.
 type ClassRate struct {
 	Proxy, Class int
 	Rate         float64 // requests a second
--- a/control/settings.go
+++ b/control/settings.go
@@ -1,16 +1,16 @@
 package control
 
-// Idempotency says whether a request may be executed more than once.
+// Idempotency states whether a request may be executed more than once.
 type Idempotency int
 
 // The degrees of idempotency.
 const (
 	NotIdempotent   Idempotency = iota
-	IdempotentByKey             // replicas drop a duplicate within TrafficClass.DeduplicationWindow
+	IdempotentByKey             // replicas drop duplicates within TrafficClass.DeduplicationWindow
 	Idempotent
 )
 
-// DeduplicationScope names the replicas that know each other's idempotency keys.
+// DeduplicationScope is the set of replicas that share their idempotency keys.
 type DeduplicationScope int
 
 // The scopes of deduplication.
@@ -20,14 +20,14 @@
 	ScopeAll
 )
 
-// AdmissionMode says how proxies follow admission rates.
+// AdmissionMode is how proxies apply the admission rates that they are sent.
 type AdmissionMode int
 
 // The modes of admission.
 const (
-	AdmitAll      AdmissionMode = iota // admission rates are not followed
-	AdmitFraction                      // the rate is the fraction of the requests that is admitted
-	AdmitRate                          // the rate is in requests a second, at each proxy
+	AdmitAll      AdmissionMode = iota // admission rates are ignored: every request is admitted
+	AdmitFraction                      // the rate is the admitted fraction of the requests
+	AdmitRate                          // the rate is the number of requests a second that each proxy admits
 )
 
 // PickPolicy is how a proxy picks an endpoint of its table.
@@ -40,54 +40,57 @@
 	PickPowerOfTwo            // of two random endpoints, the one with fewer requests of this proxy in flight
 )
 
-// RetryPolicy says when a proxy makes another attempt at another replica after a failure.
+// RetryPolicy states when a proxy makes another attempt, at another replica, after a failed one.
 type RetryPolicy int
 
 // The retry policies, from the strictest to the most generous.
 const (
 	NoRetry            RetryPolicy = iota
 	RetryIfNotExecuted             // once, after proof that the first attempt was not executed
-	RetryOnce                      // after any failure
-	RetryTwice                     // after any failure
+	RetryOnce                      // once, after any failure
+	RetryTwice                     // up to twice, each time after any failure
 )
 
-// TrafficClass is one kind of request.
+// TrafficClass is a class of requests with a common priority and common limits.
 type TrafficClass struct {
-	PriorityWeight      float64 // of a request that succeeds within its latency objective
+	PriorityWeight      float64 // value of a request that succeeds within the latency objective
 	LatencyObjective    int64   // nanoseconds
-	Timeout             int64   // after which the client gives up, in nanoseconds
+	Timeout             int64   // time after which the client gives up, in nanoseconds
 	Idempotency         Idempotency
 	DeduplicationScope  DeduplicationScope
-	DeduplicationWindow int64 // how long a duplicate with the same idempotency key is dropped, in nanoseconds
+	DeduplicationWindow int64 // time within which replicas drop duplicates with the same idempotency key, in nanoseconds
 }
 
-// Settings are what the decision module is given before its first turn.
+// Settings are the settings that the decision module is given before its first turn. SettingsChanged replaces them later.
 type Settings struct {
-	Seed            uint64 // of all random choices
+	Seed            uint64 // seed of all pseudo-random choices
 	Controllers     int
 	Zones           int
 	HardwareClasses int
-	Proxies         int // of all controllers together
+	Proxies         int // connected to all controllers together
 	Classes         []TrafficClass
 
-	ChannelRate     float64 // cost units a second that the channel to the proxies sends
+	ChannelRate     float64 // cost units a second that the channel to the proxies can send
 	ChannelLimit    int     // cost units that may wait in the channel
-	MessageOverhead int     // cost units of each message besides its content
-	MaxTransit      int64   // of a message to a proxy, in nanoseconds
-	MaxMessages     int     // to one proxy within MessageWindow; 0: no limit
+	MessageOverhead int     // cost units of each message in addition to its content
+	MaxTransit      int64   // longest transit time of a message to a proxy, in nanoseconds
+	MaxMessages     int     // message cap: messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow   int64   // nanoseconds
-	// HostQueues says that the controller queues what the channel or a proxy's message cap has no capacity for, for that
-	// proxy alone and ejections first. Otherwise each command is sent as it is given.
+	// HostQueues states that the controller queues commands for which the channel or the message cap of a proxy has no
+	// capacity. It queues them for that proxy alone and sends ejections first. Otherwise the controller sends each command
+	// as soon as the decision module returns it.
 	HostQueues     bool
-	ReportInterval int64 // between load reports, in nanoseconds
+	ReportInterval int64 // time between load reports, in nanoseconds
 
-	DrainGrace        int64   // after the notice of a replica's end, when requests to it must have stopped, in nanoseconds; 0: not known
-	SlowStartFraction float64 // least fraction of its capacity that a replica starts with
-	SlowStartTime     int64   // until a replica has its full capacity, in nanoseconds
-	OverloadMultiple  float64 // of its capacity, at which a replica fails
+	// DrainGrace is the time from the notice that a replica will end until requests to it must have stopped, in nanoseconds;
+	// 0: not known.
+	DrainGrace        int64
+	SlowStartFraction float64 // least fraction of its capacity that a replica has when it starts
+	SlowStartTime     int64   // time from its start until a replica has its full capacity, in nanoseconds
+	OverloadMultiple  float64 // multiple of its capacity at which a replica fails
 
 	Pick                 PickPolicy
 	Admission            AdmissionMode
-	AttemptTimeoutFactor float64 // latency objectives that an attempt may take where a retry may follow
+	AttemptTimeoutFactor float64 // time limit of an attempt that a retry may follow, as a multiple of the latency objective
 	DefaultRetries       RetryPolicy
 }
