--- a/settings/capacity_bench_test.go
+++ b/settings/capacity_bench_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// channelLimit is the channel limit of a large fleet, in lines.
+// channelLimit is the channel limit of a large fleet, in cost units.
 const channelLimit = 49200
 
-// BenchmarkSettingsByClasses measures the bytes of the settings and the time to read and check them: the slope of docs/CAPACITY.md
-// for a configuration. The classes are those of the example, repeated under other names.
+// BenchmarkSettingsByClasses measures the size of settings in bytes and the time to parse and check them, by number of
+// traffic classes: the growth of a configuration in docs/CAPACITY.md. The classes are those of the example, repeated under
+// other names.
 func BenchmarkSettingsByClasses(b *testing.B) {
 	for _, classes := range []int{3, 48, 960, 14000} {
 		b.Run(fmt.Sprintf("classes=%d", classes), func(b *testing.B) {
@@ -25,7 +26,7 @@
 					b.Fatal(err)
 				}
 				if names, err := values.Names(); err != nil || len(names.Classes) != classes {
-					b.Fatal(len(names.Classes), err)
+					b.Fatalf("got %d class names, error %v, want %d names", len(names.Classes), err, classes)
 				}
 			}
 			b.ReportMetric(float64(len(raw)), "B/settings")
@@ -33,7 +34,8 @@
 	}
 }
 
-func settingsWithClasses(b *testing.B, classes int) []byte {
+// settingsWithClasses returns the settings of the example as JSON, with a number of traffic classes.
+func settingsWithClasses(b *testing.B, classCount int) []byte {
 	file, err := os.ReadFile("../example/config.json")
 	if err != nil {
 		b.Fatal(err)
@@ -42,21 +44,22 @@
 	if err := json.Unmarshal(file, &example); err != nil {
 		b.Fatal(err)
 	}
-	lanes := example.Settings["lanes"].([]any)
-	all := make([]any, classes)
-	for k := range all {
-		lane := map[string]any{}
-		for name, value := range lanes[k%len(lanes)].(map[string]any) {
-			lane[name] = value
+	exampleClasses := example.Settings["lanes"].([]any)
+	repeated := make([]any, classCount)
+	for k := range repeated {
+		class := map[string]any{}
+		for name, value := range exampleClasses[k%len(exampleClasses)].(map[string]any) {
+			class[name] = value
 		}
-		lane["name"] = fmt.Sprintf("%v-%05d", lane["name"], k)
-		all[k] = lane
+		class["name"] = fmt.Sprintf("%v-%05d", class["name"], k)
+		repeated[k] = class
 	}
-	example.Settings["lanes"] = all
+	example.Settings["lanes"] = repeated
 	domain := example.Settings["domain"].(map[string]any)
-	domain["pending_max"] = channelLimit                               // two messages of a table tell of each class
-	for _, name := range []string{"write_classes", "class_own_zone"} { // one figure a class
-		flags := make([]any, classes)
+	// The limit is large enough for two messages of a table with the admission rates of all classes.
+	domain["pending_max"] = channelLimit
+	for _, name := range []string{"write_classes", "class_own_zone"} { // settings with one value for each class
+		flags := make([]any, classCount)
 		for k := range flags {
 			flags[k] = false
 		}
--- a/settings/decoder.go
+++ b/settings/decoder.go
@@ -10,40 +10,42 @@
 )
 
 const (
-	// maxMillis is the longest time that is read, in milliseconds: a year, so that sums of a few times stay in range.
+	// maxMillis is the largest valid time, in milliseconds: 366 days, so that the sum of a few times in nanoseconds fits an
+	// int64.
 	maxMillis = 366 * 24 * 3600 * 1000
-	// maxCount is the largest count that is read.
+	// maxCount is the largest valid count.
 	maxCount = 1 << 20
-	// maxLines is the largest number of channel lines that is read: more than any channel holds, and far from where sums overflow.
-	maxLines = 1 << 40
-	// maxNameLength is the longest name, in bytes: a peer's first message names its zone, and is read into one buffer of
-	// 4 KiB.
+	// maxCostUnits is the largest valid number of cost units: more than any channel holds, and too small for sums to
+	// overflow.
+	maxCostUnits = 1 << 40
+	// maxNameLength is the largest valid length of a name, in bytes: the first message of a peer contains the name of its
+	// zone and has to fit a read buffer of 4 KiB.
 	maxNameLength = 1 << 10
 )
 
-// decoder reads typed values from the tree and keeps the first error. After an error the values it returns are of no use,
-// and the caller checks err once at the end.
+// decoder reads typed values from the settings and keeps the first error. Values that it returns after an error are invalid;
+// the caller checks err once, at the end.
 type decoder struct {
 	values Values
 	err    error
 }
 
-// Error is a setting that is missing or out of its range.
+// Error reports a setting that is missing or invalid.
 type Error struct {
 	Path    string
-	Problem string // follows the path in the text
+	Problem string // appended to the path in the error text, with its own leading separator
 }
 
 func (e *Error) Error() string { return "setting " + e.Path + e.Problem }
 
-// fail records what is wrong with a setting, unless something was wrong before.
+// fail records the problem of a setting, unless an earlier one is recorded.
 func (d *decoder) fail(path, format string, args ...any) {
 	if d.err == nil {
 		d.err = &Error{Path: path, Problem: fmt.Sprintf(format, args...)}
 	}
 }
 
-// list reads all values of a setting that must be there.
+// list reads all values of a required setting.
 func (d *decoder) list(path string) []string {
 	list, found := d.values[path]
 	if !found {
@@ -52,7 +54,7 @@
 	return list
 }
 
-// text reads a setting as one string, the values of a list joined by commas.
+// text reads a required setting as one string; the values of a list are joined by commas.
 func (d *decoder) text(path string) string { return strings.Join(d.list(path), ",") }
 
 // number reads a finite number.
@@ -84,17 +86,17 @@
 	return number
 }
 
-// nanos reads a time, written in milliseconds, as nanoseconds.
+// nanos reads a time in milliseconds and returns it in nanoseconds.
 func (d *decoder) nanos(path string) int64 {
 	millis := d.number(path)
 	if millis < 0 || millis > maxMillis {
-		d.fail(path, "=%v is not a time from 0 to a year, in milliseconds", millis)
+		d.fail(path, "=%v is not a time from 0 to %d ms", millis, maxMillis)
 		return 0
 	}
 	return control.Nanos(millis)
 }
 
-// positiveNanos reads a time above 0, written in milliseconds, as nanoseconds.
+// positiveNanos reads a time above 0 in milliseconds and returns it in nanoseconds.
 func (d *decoder) positiveNanos(path string) int64 {
 	d.positive(path)
 	return d.nanos(path)
@@ -104,40 +106,41 @@
 func (d *decoder) count(path string) int {
 	number := d.number(path)
 	if number < 0 || number > maxCount || number != math.Trunc(number) {
-		d.fail(path, "=%v is not a whole count", number)
+		d.fail(path, "=%v is not a whole number from 0 to %d", number, maxCount)
 		return 0
 	}
 	return int(number)
 }
 
-// lines reads a number of channel lines, which may have a fraction; round makes it whole.
-func (d *decoder) lines(path string, round func(float64) float64) int {
+// costUnits reads a number of cost units, which may have a fraction; round makes it a whole number.
+func (d *decoder) costUnits(path string, round func(float64) float64) int {
 	number := d.number(path)
-	if number < 0 || number > maxLines {
-		d.fail(path, "=%v is not a number of lines", number)
+	if number < 0 || number > maxCostUnits {
+		d.fail(path, "=%v is not a number of cost units from 0 to %d", number, maxCostUnits)
 		return 0
 	}
 	return int(round(number))
 }
 
-// checkNames checks names by which peers will refer to something: each is there once and short enough, and where peers join
-// them by a separator, none is empty or contains it. An empty separator means that they are not joined.
+// checkNames checks names that messages of peers contain: each name is listed once and has at most maxNameLength bytes. If
+// peers join the names by a separator, no name is empty or contains the separator; an empty separator means that they are
+// not joined.
 func (d *decoder) checkNames(path string, names []string, separator string) {
 	seen := map[string]bool{}
 	for _, name := range names {
 		switch {
 		case seen[name]:
-			d.fail(path, ": %.40q is listed twice", name)
+			d.fail(path, ": name %.40q is listed twice", name)
 		case len(name) > maxNameLength:
-			d.fail(path, ": %.40q... has %d bytes, at most %d may be", name, len(name), maxNameLength)
+			d.fail(path, ": name %.40q... has %d bytes, limit %d bytes", name, len(name), maxNameLength)
 		case separator != "" && (name == "" || strings.Contains(name, separator)):
-			d.fail(path, ": %q cannot stand in a list of names joined by %s", name, separator)
+			d.fail(path, ": name %q is empty or contains the separator %s", name, separator)
 		}
 		seen[name] = true
 	}
 }
 
-// choice reads a word that must be one of those given.
+// choice reads a setting whose value must be one of the given words, and returns the value of that word.
 func choice[T any](d *decoder, path string, words map[string]T) T {
 	word := d.text(path)
 	value, known := words[word]
@@ -147,7 +150,8 @@
 	return value
 }
 
-// optional reads a setting that a deployment may lack, as it has no such rule; fallback stands for one that is not there.
+// optional reads a setting that is missing in deployments without the rule that it belongs to. It returns fallback if the
+// setting is missing.
 func optional[T any](d *decoder, path string, read func(path string) T, fallback T) T {
 	if _, found := d.values[path]; !found {
 		return fallback
--- a/settings/service.go
+++ b/settings/service.go
@@ -2,8 +2,9 @@
 
 import "lilacbend/control"
 
-// Load decodes and checks the settings of a deployment from JSON as a controller uses them, whether they come from its own
-// file, from a configuration server, or to one. The seed is the controller's own.
+// Load decodes the settings of a deployment from JSON and checks them. Controllers load settings from their own file or from
+// a configuration server; a configuration server loads those that it is sent, to check them. seed is the random seed of the
+// controller.
 func Load(raw []byte, seed uint64) (Names, control.Settings, error) {
 	values, err := ParseJSON(raw)
 	if err != nil {
@@ -17,7 +18,7 @@
 	if err != nil {
 		return Names{}, control.Settings{}, err
 	}
-	decoded.HardwareClasses++ // one more for those that the settings do not name
-	decoded.HostQueues = true // the core does, by its send budget
+	decoded.HardwareClasses++ // one more for replicas of a class that the settings do not name
+	decoded.HostQueues = true // package controller queues commands according to its send budget
 	return names, decoded, nil
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -7,41 +7,43 @@
 	"lilacbend/control"
 )
 
-// minMessages is how many messages of the smallest table a channel has to hold: one, and room for what cannot wait.
+// minMessages is the number of messages of the smallest table that the channel limit must allow: one, and one more as room
+// for commands that cannot wait.
 const minMessages = 2
 
-// The words of the settings for the constants of package control.
+// The values of the settings, and the constants of package control that they select.
 var (
-	picks = map[string]control.PickPolicy{
+	pickPolicies = map[string]control.PickPolicy{
 		"random": control.PickRandom,
 		"rotate": control.PickRoundRobin,
 		"p2c":    control.PickPowerOfTwo,
 	}
-	admissions = map[string]control.AdmissionMode{
+	admissionModes = map[string]control.AdmissionMode{
 		"silent":     control.AdmitAll,
 		"fraction":   control.AdmitFraction,
 		"per_second": control.AdmitRate,
 	}
-	effects = map[string]control.Idempotency{
+	idempotencies = map[string]control.Idempotency{
 		"read_like":       control.Idempotent,
 		"idempotency_key": control.IdempotentByKey,
 		"non_idempotent":  control.NotIdempotent,
 	}
-	scopes = map[string]control.DeduplicationScope{
+	deduplicationScopes = map[string]control.DeduplicationScope{
 		"all":  control.ScopeAll,
 		"zone": control.ScopeZone,
 		"cell": control.ScopeCell,
 	}
 )
 
-// Names are the names of traffic classes, zones and hardware classes. The decision module knows each by its index here.
+// Names are the names of traffic classes, zones and hardware classes. The decision module identifies each by its index here.
 type Names struct {
 	Classes         []string
 	Zones           []string
 	HardwareClasses []string
 }
 
-// Names decodes the names. There may be neither zones nor hardware classes. The error names the first setting that is wrong.
+// Names decodes the names. Zones and hardware classes may be missing. The error names the first setting that is missing or
+// invalid.
 func (v Values) Names() (Names, error) {
 	d := &decoder{values: v}
 	names := Names{Zones: v["zones"], HardwareClasses: v["kinds"]}
@@ -54,8 +56,8 @@
 	return names, d.err
 }
 
-// Decode decodes what the decision module needs; seed becomes part of it. Paths that it does not know are ignored. The error
-// names the first setting that is missing or out of its range.
+// Decode decodes the settings of the decision module and sets their seed. Unknown paths are ignored. The error names the
+// first setting that is missing or invalid.
 func (v Values) Decode(seed uint64) (control.Settings, error) {
 	d := &decoder{values: v}
 	decoded := control.Settings{Seed: seed}
@@ -63,7 +65,7 @@
 	d.decodeChannel(&decoded)
 	d.decodeReplicas(&decoded)
 	d.decodeProxies(&decoded)
-	d.refuseShards()
+	d.rejectShards()
 	decoded.Classes = d.trafficClasses()
 	d.checkChannelLimit(decoded)
 	if d.err != nil {
@@ -72,57 +74,57 @@
 	return decoded, nil
 }
 
-// decodeFleet decodes how many there are of each role.
-func (d *decoder) decodeFleet(to *control.Settings) {
-	to.Controllers = d.count("balancers")
-	to.Zones = len(d.values["zones"])
-	to.HardwareClasses = len(d.values["kinds"])
-	to.Proxies = d.count("domain.proxy_count")
+// decodeFleet decodes the numbers of controllers, zones, hardware classes and proxies.
+func (d *decoder) decodeFleet(decoded *control.Settings) {
+	decoded.Controllers = d.count("balancers")
+	decoded.Zones = len(d.values["zones"])
+	decoded.HardwareClasses = len(d.values["kinds"])
+	decoded.Proxies = d.count("domain.proxy_count")
 }
 
 // decodeChannel decodes the limits of the channel to the proxies.
-func (d *decoder) decodeChannel(to *control.Settings) {
-	to.ChannelRate = d.positive("domain.push_rate")
-	to.ChannelLimit = d.lines("domain.pending_max", math.Floor)
-	to.MessageOverhead = d.lines("domain.envelope", math.Ceil)
-	to.MaxTransit = d.nanos("domain.worst_transit_ms")
-	to.MaxMessages = d.count("domain.pushes_allowed")
-	to.MessageWindow = d.nanos("domain.reload_span_ms")
-	to.ReportInterval = d.positiveNanos("domain.cycle_ms")
+func (d *decoder) decodeChannel(decoded *control.Settings) {
+	decoded.ChannelRate = d.positive("domain.push_rate")
+	decoded.ChannelLimit = d.costUnits("domain.pending_max", math.Floor)
+	decoded.MessageOverhead = d.costUnits("domain.envelope", math.Ceil)
+	decoded.MaxTransit = d.nanos("domain.worst_transit_ms")
+	decoded.MaxMessages = d.count("domain.pushes_allowed")
+	decoded.MessageWindow = d.nanos("domain.reload_span_ms")
+	decoded.ReportInterval = d.positiveNanos("domain.cycle_ms")
 }
 
-// decodeReplicas decodes the rules for draining replicas and for slow start. A deployment without such a rule does not state its
-// figures. A replica whose slow start is not described is taken for the least capable: it starts with no capacity and fails
-// as soon as it gets more than its capacity. Where no replica starts slowly, those figures have no effect.
-func (d *decoder) decodeReplicas(to *control.Settings) {
-	to.DrainGrace = optional(d, "invariants.drain_grace_ms", d.nanos, 0)
-	to.SlowStartFraction = optional(d, "invariants.cold_from", d.fraction, 0)
-	to.SlowStartTime = optional(d, "invariants.warm_after_ms", d.nanos, 0)
-	to.OverloadMultiple = optional(d, "invariants.tip_multiple", d.positive, 1)
+// decodeReplicas decodes the rules for draining replicas and for slow start. The settings of a deployment without such a
+// rule lack its values. The fallbacks for slow start describe the least capable replica: it starts with no capacity and
+// fails as soon as its load exceeds its capacity. They have no effect in a deployment without slow start.
+func (d *decoder) decodeReplicas(decoded *control.Settings) {
+	decoded.DrainGrace = optional(d, "invariants.drain_grace_ms", d.nanos, 0)
+	decoded.SlowStartFraction = optional(d, "invariants.cold_from", d.fraction, 0)
+	decoded.SlowStartTime = optional(d, "invariants.warm_after_ms", d.nanos, 0)
+	decoded.OverloadMultiple = optional(d, "invariants.tip_multiple", d.positive, 1)
 }
 
 // decodeProxies decodes how proxies pick replicas, admit requests and retry.
-func (d *decoder) decodeProxies(to *control.Settings) {
-	to.Pick = choice(d, "domain.pick", picks)
-	to.Admission = choice(d, "domain.admit", admissions)
-	to.AttemptTimeoutFactor = d.number("domain.try_factor")
-	to.DefaultRetries = control.RetryPolicy(d.count("domain.usual_how"))
-	if to.DefaultRetries > control.RetryTwice {
-		d.fail("domain.usual_how", "=%d is not a retry policy", to.DefaultRetries)
+func (d *decoder) decodeProxies(decoded *control.Settings) {
+	decoded.Pick = choice(d, "domain.pick", pickPolicies)
+	decoded.Admission = choice(d, "domain.admit", admissionModes)
+	decoded.AttemptTimeoutFactor = d.number("domain.try_factor")
+	decoded.DefaultRetries = control.RetryPolicy(d.count("domain.usual_how"))
+	if decoded.DefaultRetries > control.RetryTwice {
+		d.fail("domain.usual_how", "=%d is not a retry policy", decoded.DefaultRetries)
 	}
 }
 
-// refuseShards refuses sites whose replicas hold shards of the data.
-func (d *decoder) refuseShards() {
+// rejectShards rejects deployments whose replicas hold shards of the data.
+func (d *decoder) rejectShards() {
 	if shards := optional(d, "domain.shards", d.number, 0); shards != 0 {
-		d.fail("domain.shards", "=%v: sites with shards are not supported", shards)
+		d.fail("domain.shards", "=%v: replicas with shards are not supported", shards)
 	}
 }
 
-// classPath is the path that the settings of a traffic class begin with.
+// classPath returns the path prefix of the settings of a traffic class.
 func classPath(index int) string { return fmt.Sprintf("lanes.%d.", index) }
 
-// trafficClasses decodes all traffic classes; there must be one at least.
+// trafficClasses decodes all traffic classes, of which there must be at least one.
 func (d *decoder) trafficClasses() []control.TrafficClass {
 	d.positive("lanes.count")
 	count := d.count("lanes.count")
@@ -133,38 +135,40 @@
 	return classes
 }
 
-// trafficClass decodes the traffic class at a path.
+// trafficClass decodes the traffic class whose settings have a path prefix.
 func (d *decoder) trafficClass(path string) control.TrafficClass {
 	class := control.TrafficClass{
 		PriorityWeight:   d.number(path + "gain"),
 		LatencyObjective: d.positiveNanos(path + "slo_ms"),
 		Timeout:          d.positiveNanos(path + "deadline_ms"),
-		Idempotency:      choice(d, path+"effect", effects),
+		Idempotency:      choice(d, path+"effect", idempotencies),
 	}
 	if class.Idempotency == control.IdempotentByKey {
 		class.DeduplicationWindow = d.nanos(path + "window_ms")
-		class.DeduplicationScope = choice(d, path+"group", scopes)
+		class.DeduplicationScope = choice(d, path+"group", deduplicationScopes)
 	}
 	return class
 }
 
-// checkChannelLimit refuses a channel that a few messages of the smallest table fill: it could not be kept under its limit.
+// checkChannelLimit rejects a channel limit below the cost of minMessages messages of the smallest table: a channel with
+// such a limit could not be kept within it.
 func (d *decoder) checkChannelLimit(decoded control.Settings) {
-	minimum := minMessages * smallestTable(decoded.MessageOverhead, len(decoded.Classes))
+	minimum := minMessages * smallestTableCost(decoded.MessageOverhead, len(decoded.Classes))
 	if decoded.ChannelLimit < minimum {
-		d.fail("domain.pending_max", "=%d is too small for %d messages of a table, which have %d lines",
+		d.fail("domain.pending_max", "=%d is too small for %d messages of the smallest table, which take %d cost units",
 			decoded.ChannelLimit, minMessages, minimum)
 	}
 }
 
-// smallestTable returns the cost of a message of the smallest table in lines: its overhead, that it is full, three replicas that
-// may each be ejected as well, an admission rate for each traffic class, and an ack request.
-func smallestTable(overhead, classes int) int {
+// smallestTableCost returns the cost of a message of the smallest table in cost units: the message overhead, the mark that
+// the table is complete, three replicas that may each be ejected as well, an admission rate for each traffic class, and an
+// ack request.
+func smallestTableCost(overhead, classes int) int {
 	const (
-		full       = 1
-		replicas   = 3
-		ejected    = 3
-		ackRequest = 1
+		completeMark = 1
+		replicas     = 3
+		ejections    = 3
+		ackRequest   = 1
 	)
-	return overhead + full + replicas + ejected + classes + ackRequest
+	return overhead + completeMark + replicas + ejections + classes + ackRequest
 }
--- a/settings/values.go
+++ b/settings/values.go
@@ -1,6 +1,7 @@
 // Package settings decodes the settings of a deployment, which a controller reads before its first turn. The same settings
 // arrive as path=value lines on the simulator's wire and as nested JSON in a configuration file. The package checks that
-// they are complete and in range. Their keys appear in this package alone; package control has the terms that they become.
+// they are complete and in range. Only this package uses the keys of the settings; package control defines the terms into
+// which they are decoded.
 package settings
 
 import (
@@ -13,8 +14,9 @@
 	"strings"
 )
 
-// Values is the tree of settings, flattened: each dotted path with the values found there, of which a list has several. The
-// elements of a list of objects have paths of their own, such as lanes.0.name, and path.count has their number.
+// Values is the flattened tree of settings: it maps each dotted path to the values found there, several for a list. The
+// elements of a list of objects have paths of their own, such as lanes.0.name. The path of a list with .count appended has
+// its length.
 type Values map[string][]string
 
 // ParseLines reads path=value lines; commas separate the values of a list. A line without = is skipped.
@@ -33,8 +35,8 @@
 	return values
 }
 
-// ParseJSON reads one JSON object into the same paths that ParseLines reads. Values that are null are skipped. It fails if
-// raw is anything but one object.
+// ParseJSON reads one JSON object into the paths that ParseLines would read. Values that are null are skipped. It fails if
+// raw is not exactly one object.
 func ParseJSON(raw []byte) (Values, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -52,7 +54,7 @@
 	return values, nil
 }
 
-// add flattens a JSON value into the tree at a path.
+// add flattens a JSON value and stores its parts at and below a path.
 func (v Values) add(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -68,7 +70,7 @@
 	}
 }
 
-// addList keeps the scalars of a list at its own path, and everything else at the path of its index.
+// addList stores the scalars of a list at the path of the list, and all other elements at the path of their index.
 func (v Values) addList(path string, list []any) {
 	v[path] = nil
 	for index, inner := range list {
@@ -81,7 +83,7 @@
 	v[path+".count"] = []string{strconv.Itoa(len(list))}
 }
 
-// scalarText returns a JSON scalar as a configuration writes it; false for null, lists and objects.
+// scalarText returns a JSON scalar as written in the configuration, and false for null, lists and objects.
 func scalarText(value any) (string, bool) {
 	switch value := value.(type) {
 	case string:
