--- a/control/learned.go
+++ b/control/learned.go
@@ -10,7 +10,7 @@
 	EjectedFor      int64   // time until its ejection as unhealthy ends, in nanoseconds; 0: it is not ejected
 	Probation       bool    // its ejection has ended or is about to end, and it has not been evaluated since
 	Ejections       int     // of its process; healthy periods do not reset the count, a restore lowers it by its age
-	SinceLastSample int64   // time since the last load report with attempts, in nanoseconds
+	SinceLastSample int64   // time since the last sample of the speed, in nanoseconds
 }
 
 // LearnedFleet is the state that a controller has learned of the fleet as a whole.
--- a/control/settings.go
+++ b/control/settings.go
@@ -67,7 +67,7 @@
 	Controllers     int
 	Zones           int
 	HardwareClasses int
-	Proxies         int // connected to all controllers together
+	Proxies         int // number of proxies of all controllers together
 	Classes         []TrafficClass
 
 	ChannelRate     float64 // cost units a second that the channel to the proxies can send
--- a/policy/binding.go
+++ b/policy/binding.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// reassign assigns the proxies to tables after the replicas were reassigned to them. previousTables and tables are the
-// numbers of tables before and after; bound holds the table that each proxy is bound to, below 0 for none.
+// reassign assigns the proxies to tables again after the number of tables or the zones have changed. previousTables and
+// tables are the numbers of tables before and after; bound holds the table that each proxy is bound to, below 0 for none.
 func (b *binder) reassign(previousTables, tables int, bound map[int]int) {
 	for _, change := range b.bindings.Reassign(previousTables, tables, bound) {
 		b.requestBind(change)
