--- a/cmd/experiment/load.go
+++ b/cmd/experiment/load.go
@@ -17,9 +17,9 @@
 	var j load.Job
 	var out string
 	return &cli.Command{Name: "load", Usage: "send flows to addresses of loopback, by times drawn from a seed", Flags: []cli.Flag{
-		&cli.StringSliceFlag{Name: "url", Required: true, Destination: &j.URLs}, &cli.BoolFlag{Name: "h2", Destination: &j.H2},
+		&cli.StringSliceFlag{Name: "url", Required: true, Destination: &j.URLs}, &cli.BoolFlag{Name: "h2", Destination: &j.HTTP2},
 		&cli.StringFlag{Name: "method", Value: "GET", Destination: &j.Method}, &cli.FloatFlag{Name: "rate", Value: 100, Destination: &j.Rate},
-		&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Destination: &j.Span}, &cli.DurationFlag{Name: "expiry", Value: 2 * time.Second, Destination: &j.Expiry},
+		&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Destination: &j.Duration}, &cli.DurationFlag{Name: "expiry", Value: 2 * time.Second, Destination: &j.Timeout},
 		&cli.Int64Flag{Name: "seed", Value: 1, Destination: &j.Seed}, &cli.StringFlag{Name: "out", Usage: "histogram file", Destination: &out}},
 		Action: func(ctx context.Context, _ *cli.Command) error {
 			r, err := load.Run(ctx, j)
@@ -31,7 +31,7 @@
 				fmt.Printf("  %s: %d\n", reason, n)
 			}
 			if out != "" {
-				return r.Write(out)
+				return r.WriteHistogram(out)
 			}
 			return nil
 		}}
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -75,12 +75,12 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	site, err := installation.Start(ctx, installation.Shape{Zones: 1, Replicas: 2, Sidecars: 1, Dir: dir})
+	site, err := installation.Start(ctx, installation.Config{Zones: 1, Replicas: 2, Sidecars: 1, Dir: dir})
 	if err != nil {
 		return err
 	}
 	defer site.Stop()
-	address := installation.Free()
+	address := installation.FreeAddress()
 	baseline := exec.CommandContext(ctx, filepath.Clean(os.Args[0]), baselineArguments(site, address)...)
 	if err := baseline.Start(); err != nil {
 		return err
@@ -111,13 +111,13 @@
 func overheadTargets(site *installation.Site, baseline string, baselinePid int) []target {
 	direct := []string{"http://" + site.Replicas[0].Addr + path, "http://" + site.Replicas[1].Addr + path}
 	baselineURLs := []string{"http://" + baseline + path}
-	sidecarPid := site.Pid("sidecar-0")
+	sidecarPid := site.PID("sidecar-0")
 	return []target{
 		{name: "direct h1", urls: direct},
 		{name: "baseline h1", urls: baselineURLs, pid: baselinePid},
-		{name: sidecarH1, urls: []string{"http://" + site.H1s[0] + path}, pid: sidecarPid},
+		{name: sidecarH1, urls: []string{"http://" + site.HTTP1Addresses[0] + path}, pid: sidecarPid},
 		{name: "baseline h2", urls: baselineURLs, h2: true, pid: baselinePid},
-		{name: "sidecar h2", urls: []string{"http://" + site.H2s[0] + path}, h2: true, pid: sidecarPid},
+		{name: "sidecar h2", urls: []string{"http://" + site.HTTP2Addresses[0] + path}, h2: true, pid: sidecarPid},
 	}
 }
 
@@ -127,13 +127,13 @@
 	for _, t := range targets {
 		for _, concurrency := range []int{1, referenceConcurrency, 1000} {
 			before := processorTime(t.pid)
-			result, err := load.Run(ctx, load.Job{URLs: t.urls, H2: t.h2, Method: "GET", Flying: concurrency, Span: span, Expiry: overheadExpiry})
+			result, err := load.Run(ctx, load.Job{URLs: t.urls, HTTP2: t.h2, Method: "GET", Concurrency: concurrency, Duration: span, Timeout: overheadExpiry})
 			if err != nil {
 				return 0, err
 			}
 			used := processorTime(t.pid) - before
 			if t.name == sidecarH1 && concurrency == referenceConcurrency {
-				throughput = float64(result.Good) / result.Took.Seconds()
+				throughput = float64(result.Good) / result.Elapsed.Seconds()
 			}
 			fmt.Printf("%-12s %4d at once: %v; CPU %.1f us a flow\n", t.name, concurrency, result, float64(used.Microseconds())/float64(max(1, result.Good)))
 		}
@@ -149,14 +149,14 @@
 		var result load.Result
 		for _, rate := range []float64{throughput / 2, throughput / 4, throughput / plottedRateDivisor} {
 			var err error
-			result, err = load.Run(ctx, load.Job{URLs: t.urls, H2: t.h2, Method: "GET", Rate: rate, Span: span, Expiry: overheadExpiry, Seed: 1})
+			result, err = load.Run(ctx, load.Job{URLs: t.urls, HTTP2: t.h2, Method: "GET", Rate: rate, Duration: span, Timeout: overheadExpiry, Seed: 1})
 			if err != nil {
 				return nil, err
 			}
 			fmt.Printf("%-12s %.0f a second, %.2f of the sidecar's most here: %v\n", t.name, rate, rate/throughput, result)
 		}
 		for _, percentile := range []float64{0, 50, 75, 90, 95, 99, 99.5, 99.9} {
-			milliseconds := float64(result.Times.ValueAtQuantile(percentile)) / 1000
+			milliseconds := float64(result.Latencies.ValueAtQuantile(percentile)) / 1000
 			lines[t.name] = append(lines[t.name], plotter.XY{X: percentile, Y: milliseconds})
 		}
 	}
--- a/cmd/experiment/restart.go
+++ b/cmd/experiment/restart.go
@@ -27,7 +27,7 @@
 
 // restartTable prints the mean fraction of requests that were not answered in their latency budget, and its standard error.
 func restartTable(site emulator.Site, seeds int) error {
-	memories := []restart.Memory{restart.NoRestart, restart.None, restart.Kept, restart.Old, restart.Wrong}
+	memories := []restart.StateKind{restart.NoRestart, restart.NoState, restart.KeptState, restart.OldState, restart.WrongState}
 	fmt.Printf("%d replicas, %d proxies, load %.2f, %d seeds: percent of the flows of 10 s not answered in their budget (standard error)\n",
 		site.Replicas, site.Proxies, site.Load, seeds)
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', tabwriter.AlignRight)
@@ -36,7 +36,7 @@
 		fmt.Fprintf(out, "%v\t", m)
 	}
 	fmt.Fprintln(out, "lost by the restart: with / without\t")
-	for _, t := range restart.Troubles {
+	for _, t := range restart.Scenarios {
 		bad, err := restartRow(site, t, memories, seeds)
 		if err != nil {
 			return err
@@ -55,7 +55,7 @@
 }
 
 // restartRow runs all seeds with each kind of state, as many at once as there are processors.
-func restartRow(site emulator.Site, t restart.Trouble, memories []restart.Memory, seeds int) ([][]float64, error) {
+func restartRow(site emulator.Site, t restart.Scenario, memories []restart.StateKind, seeds int) ([][]float64, error) {
 	bad := make([][]float64, len(memories))
 	failed := make(chan error, seeds*len(memories))
 	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -67,7 +67,7 @@
 			runs.Go(func() {
 				defer func() { <-slots }()
 				outcome, err := restart.Run(site, t, m, int64(seed+1))
-				bad[k][seed] = outcome.Bad()
+				bad[k][seed] = outcome.BadFraction()
 				if err != nil {
 					failed <- fmt.Errorf("%s, %v, seed %d: %w", t.Name, m, seed+1, err)
 				}
--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -28,7 +28,7 @@
 
 // realService is one service of real processes.
 type realService struct {
-	shape installation.Shape
+	shape installation.Config
 	log   inForceLog
 	site  *installation.Site
 	stops context.CancelFunc
@@ -38,9 +38,9 @@
 // newRealService prepares a service with its files in a folder.
 func newRealService(program, dir string) *realService {
 	r := &realService{log: inForceLog{at: map[string]time.Time{}}, ended: make(chan struct{})}
-	r.shape = installation.Shape{Zones: realZones, Replicas: realReplicas, Places: 4, Sidecars: realSidecars, Governors: realGovernors,
-		Span: realAnswer, Dir: dir, Steered: true, Program: program, Log: &r.log}
-	r.site = &installation.Site{Shape: r.shape}
+	r.shape = installation.Config{Zones: realZones, Replicas: realReplicas, ReplicaSlots: 4, Sidecars: realSidecars, Controllers: realGovernors,
+		ServiceTime: realAnswer, Dir: dir, Controlled: true, Program: program, Log: &r.log}
+	r.site = &installation.Site{Config: r.shape}
 	return r
 }
 
@@ -53,7 +53,7 @@
 	for _, s := range servers {
 		list = append(list, fmt.Sprintf("{address: %q, region: %q}", s.Address, s.Region))
 	}
-	r.shape.Operator = fmt.Sprintf("configuration: {service: %q, region: %q, zone: a, servers: [%s]}\n", name, region, strings.Join(list, ", "))
+	r.shape.OperatorSections = fmt.Sprintf("configuration: {service: %q, region: %q, zone: a, servers: [%s]}\n", name, region, strings.Join(list, ", "))
 	ctx, r.stops = context.WithCancel(ctx)
 	s, err := installation.Start(ctx, r.shape)
 	r.site = s
@@ -75,11 +75,11 @@
 func (r *realService) load(ctx context.Context) {
 	defer close(r.ended)
 	var urls []string
-	for _, at := range r.site.H1s {
+	for _, at := range r.site.HTTP1Addresses {
 		urls = append(urls, "http://"+at+"/stock")
 	}
 	for seed := int64(1); ctx.Err() == nil; seed++ {
-		load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: realRate, Span: realSpan, Expiry: 2 * time.Second, Seed: seed})
+		load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: realRate, Duration: realSpan, Timeout: 2 * time.Second, Seed: seed})
 	}
 }
 
@@ -96,8 +96,8 @@
 // Processes lists the service's processes by role.
 func (r *realService) Processes() map[string][]int {
 	all := map[string][]int{}
-	for _, name := range r.site.Names() {
-		if pid := r.site.Pid(name); pid > 0 {
+	for _, name := range r.site.ProcessNames() {
+		if pid := r.site.PID(name); pid > 0 {
 			all[roleOf(name)] = append(all[roleOf(name)], pid)
 		}
 	}
--- a/cmd/experiment/service.go
+++ b/cmd/experiment/service.go
@@ -36,7 +36,7 @@
 						return fmt.Errorf("%s: %w", fault, err)
 					}
 					name := map[bool]string{false: "equal table", true: "governors"}[steered]
-					fmt.Printf("%-14s %-11s service %.1f%% in the budget; %v; payouts run twice %d\n", fault, name, 100*r.Within(250*time.Millisecond), r, twice)
+					fmt.Printf("%-14s %-11s service %.1f%% in the budget; %v; payouts run twice %d\n", fault, name, 100*r.FractionWithin(250*time.Millisecond), r, twice)
 				}
 			}
 			return nil
@@ -70,20 +70,20 @@
 	defer os.RemoveAll(dir)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	s, err := installation.Start(ctx, installation.Shape{Zones: 2, Replicas: 20, Places: 4, Sidecars: 4, Governors: 2, Span: 20 * time.Millisecond, Slow: 2,
-		Dir: dir, Steered: steered, State: fault == "restart-state", Standby: fault == "collector-failover", ReportBudget: budget, Log: logOf()})
+	s, err := installation.Start(ctx, installation.Config{Zones: 2, Replicas: 20, ReplicaSlots: 4, Sidecars: 4, Controllers: 2, ServiceTime: 20 * time.Millisecond, SlowFactor: 2,
+		Dir: dir, Controlled: steered, KeepState: fault == "restart-state", StandbyCollectors: fault == "collector-failover", ReportBudget: budget, Log: logOf()})
 	if err != nil {
 		return load.Result{}, 0, err
 	}
 	defer s.Stop()
 	var urls []string
-	for _, at := range s.H1s {
+	for _, at := range s.HTTP1Addresses {
 		urls = append(urls, "http://"+at+"/stock", "http://"+at+"/payouts")
 	}
 	injection := time.AfterFunc(faultDelay, func() { injectFault(ctx, s, fault) })
 	defer injection.Stop()
-	r, err := load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: rate, Span: serviceSpan, Expiry: 2 * time.Second, Seed: seed,
-		Each: func(k int, q *http.Request) {
+	r, err := load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: rate, Duration: serviceSpan, Timeout: 2 * time.Second, Seed: seed,
+		EditRequest: func(k int, q *http.Request) {
 			if q.URL.Path == "/payouts" {
 				q.Method = http.MethodPost
 				q.Header.Set("Key", fmt.Sprint(k))
@@ -92,7 +92,7 @@
 	twice := 0
 	runs := map[string]int{}
 	for _, rep := range s.Replicas {
-		for key, n := range rep.Runs() {
+		for key, n := range rep.RunsByKey() {
 			runs[key] += n
 		}
 	}
@@ -125,28 +125,28 @@
 		site.Kill("governor-0")
 		site.Kill("governor-1")
 		time.Sleep(replacementInterval)
-		site.Governor(ctx, 0)
-		site.Governor(ctx, 1)
+		site.StartController(ctx, 0)
+		site.StartController(ctx, 1)
 	}
 }
 
 // silenceTenth makes one in ten replicas accept requests and answer none.
 func silenceTenth(site *installation.Site) {
-	site.Replicas[3].Silent.Store(true)
-	site.Replicas[14].Silent.Store(true)
+	site.Replicas[3].Unresponsive.Store(true)
+	site.Replicas[14].Unresponsive.Store(true)
 }
 
 // silenceZoneB makes the replicas of zone b, which are every second one, answer no request.
 func silenceZoneB(site *installation.Site) {
 	for k := 1; k < len(site.Replicas); k += 2 {
-		site.Replicas[k].Silent.Store(true)
+		site.Replicas[k].Unresponsive.Store(true)
 	}
 }
 
 // slowThird makes a third of the replicas slowFactor times as slow.
 func slowThird(site *installation.Site) {
 	for k := 0; k < len(site.Replicas); k += 3 {
-		span := &site.Replicas[k].Span
+		span := &site.Replicas[k].ServiceTime
 		span.Store(slowFactor * span.Load())
 	}
 }
@@ -154,13 +154,13 @@
 // replaceThird replaces a third of the replicas one after another. The new ones are slow until they are warmed up.
 func replaceThird(site *installation.Site) {
 	for k := 0; k < len(site.Replicas); k += 3 {
-		site.Change(k, func(m *installation.Member) { m.Phase = "Terminating" })
+		site.ChangeMember(k, func(m *installation.Member) { m.Phase = "Terminating" })
 		time.Sleep(replacementInterval)
-		site.Change(k, func(m *installation.Member) {
+		site.ChangeMember(k, func(m *installation.Member) {
 			m.Phase = "Ready"
 			m.UpSince = time.Now().UnixMilli()
 		})
-		span := &site.Replicas[k].Span
+		span := &site.Replicas[k].ServiceTime
 		warm := span.Load()
 		span.Store(slowFactor * warm)
 		time.AfterFunc(warmUpTime, func() { span.Store(warm) })
--- a/cmd/lilacbend/child_test.go
+++ b/cmd/lilacbend/child_test.go
@@ -65,7 +65,7 @@
 // until waits for a text in the log.
 func (c *child) until(text string) *child {
 	c.t.Helper()
-	scriptedpeer.Until(c.t, "the log does not say "+text, func() bool { return c.logged(text) })
+	scriptedpeer.WaitFor(c.t, "the log does not say "+text, func() bool { return c.logged(text) })
 	return c
 }
 
@@ -86,7 +86,7 @@
 		if span := time.Since(begun); err != nil || len(signals) > 0 && span > partingLimit {
 			c.t.Errorf("ended after %v: %v: %s", span, err, c.out)
 		}
-	case <-time.After(scriptedpeer.Patience):
+	case <-time.After(scriptedpeer.WaitTimeout):
 		c.t.Error("it does not end")
 	}
 }
--- a/cmd/lilacbend/fleet_test.go
+++ b/cmd/lilacbend/fleet_test.go
@@ -48,7 +48,7 @@
 // some proxies do not read, and some connect repeatedly.
 func TestAllProxiesConnectAtOnce(t *testing.T) {
 	const governors, replicas, proxies = 350, 1024, 400
-	at := scriptedpeer.Free(t)
+	at := scriptedpeer.FreeAddress(t)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
--- a/cmd/lilacbend/follow_test.go
+++ b/cmd/lilacbend/follow_test.go
@@ -41,7 +41,7 @@
 // configservers starts a writer and a server that follows it.
 func configservers(t *testing.T, folder string) (writer, follower *child, at []string) {
 	t.Helper()
-	at = []string{scriptedpeer.Free(t), scriptedpeer.Free(t)}
+	at = []string{scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t)}
 	writer = program(t, nil, "configserver", "--name", "s0", "--region", "r0", "--listen", at[0], "--folder", folder, "--poll", "50ms").until("serving configuration")
 	follower = program(t, nil, "configserver", "--name", "s1", "--region", "r1", "--listen", at[1], "--follow", at[0]+"=r0").until("serving configuration")
 	return writer, follower, at
@@ -75,20 +75,20 @@
 	settingsFile(t, folder, "orders")
 	settingsFile(t, folder, "stock")
 	writer, follower, at := configservers(t, folder)
-	agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
-	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen, "name": "n7"})
+	agent, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+	file := configured(t, map[string]any{"discovery": agent.Address(), "listen": listen, "name": "n7"})
 	governor := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", operatorFile(t, at)).until("configuration in force")
 	first := scriptedpeer.DialWhenUp(t, listen)
-	first.Raw("*9\r\n$5\r\nhello\r\n$2\r\nid\r\n$1\r\n3\r\n$4\r\nsite\r\n$1\r\na\r\n$3\r\nrps\r\n$2\r\n20\r\n$3\r\nnew\r\n$1\r\n1\r\n")
+	first.SendRaw("*9\r\n$5\r\nhello\r\n$2\r\nid\r\n$1\r\n3\r\n$4\r\nsite\r\n$1\r\na\r\n$3\r\nrps\r\n$2\r\n20\r\n$3\r\nnew\r\n$1\r\n1\r\n")
 	governor.until("version=")
 
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":5`, `"zones":["a","b"]`, `"zones":["b","a","c"]`)
 	governor.until("proxies=5")
 	second := scriptedpeer.DialWhenUp(t, listen)
-	second.Raw("*9\r\n$5\r\nhello\r\n$2\r\nid\r\n$1\r\n4\r\n$4\r\nsite\r\n$1\r\nc\r\n$3\r\nrps\r\n$2\r\n20\r\n$3\r\nnew\r\n$1\r\n1\r\n")
+	second.SendRaw("*9\r\n$5\r\nhello\r\n$2\r\nid\r\n$1\r\n4\r\n$4\r\nsite\r\n$1\r\nc\r\n$3\r\nrps\r\n$2\r\n20\r\n$3\r\nnew\r\n$1\r\n1\r\n")
 	head := make([]byte, 1)
 	for _, conn := range []*scriptedpeer.Conn{first, second} { // both get their table
-		if _, err := conn.Read.Read(head); err != nil || head[0] != '*' {
+		if _, err := conn.Reader.Read(head); err != nil || head[0] != '*' {
 			t.Errorf("%q %v", head, err)
 		}
 	}
@@ -97,13 +97,13 @@
 	writer.until("setting domain.push_rate=-1 is not above 0")
 	settingsFile(t, folder, "orders", `"admit":"fraction"`, `"admit":"silent"`) // well for a start, but not for who runs
 	governor.until("setting domain.admit cannot change while the controller runs")
-	scriptedpeer.Until(t, "the refusal is not known to the servers", func() bool {
+	scriptedpeer.WaitFor(t, "the refusal is not known to the servers", func() bool {
 		s := status(t, at)
 		return len(s.Lagging) == 1 && s.Lagging[0].Instance == "n7" && s.Lagging[0].Rejected == s.Services[0].Version
 	})
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":6`)
 	governor.until("proxies=6")
-	scriptedpeer.Until(t, "somebody lags", func() bool {
+	scriptedpeer.WaitFor(t, "somebody lags", func() bool {
 		s := status(t, at)
 		return len(s.Lagging) == 0 && len(s.Services) == 2 && len(s.Services[0].Zones) == 1 && s.Services[0].Zones[0].Active[0].Controllers == 1
 	})
@@ -116,8 +116,8 @@
 
 // Without the section a controller follows no configuration, and logs nothing about it.
 func TestWithoutSectionNothingIsFollowed(t *testing.T) {
-	agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
-	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen})
+	agent, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+	file := configured(t, map[string]any{"discovery": agent.Address(), "listen": listen})
 	governor := run(t, file).until("serving")
 	governor.signal(syscall.SIGUSR1)
 	governor.until("counters")
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -63,16 +63,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			file, before, after := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-			write(t, file, exampleAt(t, before.At()))
-			p := launch(t, file, scriptedpeer.Free(t))
-			if got := before.Take().Request(); got != wholeList {
+			write(t, file, exampleAt(t, before.Address()))
+			p := launch(t, file, scriptedpeer.FreeAddress(t))
+			if got := before.AcceptConn().ReadRequestHead(); got != wholeList {
 				t.Errorf("asked %q", got)
 			}
-			spoil(file, exampleAt(t, after.At()))
+			spoil(file, exampleAt(t, after.Address()))
 			p.signal(syscall.SIGHUP)
 			p.until("cannot be used")
-			replace(t, file, exampleAt(t, after.At()))
-			if got := after.Take().Request(); got != wholeList {
+			replace(t, file, exampleAt(t, after.Address()))
+			if got := after.AcceptConn().ReadRequestHead(); got != wholeList {
 				t.Errorf("asked %q", got)
 			}
 			p.expectExit(syscall.SIGTERM)
@@ -87,10 +87,10 @@
 
 // SIGHUP does not affect the shutdown: while a file is retried, together with SIGTERM, and after it.
 func TestSIGHUPDuringShutdown(t *testing.T) {
-	file, agent, at := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Free(t)
-	write(t, file, exampleAt(t, agent.At()))
+	file, agent, at := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+	write(t, file, exampleAt(t, agent.Address()))
 	p := launch(t, file, at)
-	agent.Take().Request()
+	agent.AcceptConn().ReadRequestHead()
 	os.Remove(file)
 	p.signal(syscall.SIGHUP)
 	p.until("cannot be used")
@@ -117,26 +117,26 @@
 // Two signals at once, the same address, and A to B and back to A: the last file that was read counts.
 func TestSIGHUPAddressThereAndBack(t *testing.T) {
 	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-	asked, x, _ := reloading(t, file, a.At())
-	first := a.Take()
-	first.Request()
-	write(t, file, exampleAt(t, a.At()))
+	asked, x, _ := reloading(t, file, a.Address())
+	first := a.AcceptConn()
+	first.ReadRequestHead()
+	write(t, file, exampleAt(t, a.Address()))
 	asked <- syscall.SIGHUP // to where it is
 	asked <- syscall.SIGHUP // taken once the first has been read
-	scriptedpeer.Until(t, "not read twice", func() bool { return x.Counters.Reloads.Load() == 2 })
+	scriptedpeer.WaitFor(t, "not read twice", func() bool { return x.Counters.Reloads.Load() == 2 })
 	if dials := x.Counters.Dials.Load(); dials != 1 {
 		t.Errorf("%d dials", dials)
 	}
-	replace(t, file, exampleAt(t, b.At()))
+	replace(t, file, exampleAt(t, b.Address()))
 	asked <- syscall.SIGHUP
-	there := b.Take()
-	first.Ends()
-	there.Request()
-	replace(t, file, exampleAt(t, a.At()))
+	there := b.AcceptConn()
+	first.WaitForClose()
+	there.ReadRequestHead()
+	replace(t, file, exampleAt(t, a.Address()))
 	asked <- syscall.SIGHUP
-	back := a.Take()
-	there.Ends()
-	if got := back.Request(); got != wholeList || x.Counters.Reloads.Load() != 4 || x.Counters.ReloadsFailed.Load() != 0 {
+	back := a.AcceptConn()
+	there.WaitForClose()
+	if got := back.ReadRequestHead(); got != wholeList || x.Counters.Reloads.Load() != 4 || x.Counters.ReloadsFailed.Load() != 0 {
 		t.Errorf("asked %q, %d reloads", got, x.Counters.Reloads.Load())
 	}
 }
@@ -169,14 +169,14 @@
 // A second SIGHUP while a file is retried reads it at once; each signal that finds it unusable is logged.
 func TestSIGHUPWhileFileIsRetried(t *testing.T) {
 	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-	asked, x, out := reloading(t, file, a.At())
-	a.Take().Request()
+	asked, x, out := reloading(t, file, a.Address())
+	a.AcceptConn().ReadRequestHead()
 	asked <- syscall.SIGHUP
 	asked <- syscall.SIGHUP
-	scriptedpeer.Until(t, "not read twice", func() bool { return x.Counters.ReloadsFailed.Load() == 2 })
-	replace(t, file, exampleAt(t, b.At()))
+	scriptedpeer.WaitFor(t, "not read twice", func() bool { return x.Counters.ReloadsFailed.Load() == 2 })
+	replace(t, file, exampleAt(t, b.Address()))
 	asked <- syscall.SIGHUP
-	if got := b.Take().Request(); got != wholeList {
+	if got := b.AcceptConn().ReadRequestHead(); got != wholeList {
 		t.Errorf("asked %q", got)
 	}
 	if n := x.Counters.ReloadsFailed.Load(); n != 2 || out.times("cannot be used") != 2 {
@@ -187,18 +187,18 @@
 // The configuration's list is out of date. It serves the proxies that connect before discovery answers with the complete list;
 // then draining replicas are withdrawn.
 func TestProxiesConnectBeforeDiscoveryAnswers(t *testing.T) {
-	agent, at := scriptedpeer.Listen(t), scriptedpeer.Free(t)
+	agent, at := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	c := exampleConfiguration(t, at)
-	c.discovery = agent.At()
+	c.discovery = agent.Address()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- serve(ctx, c, reloader{}, slog.New(slog.DiscardHandler)) }()
 	defer func() { stop(); <-ended }()
 	proxy := scriptedpeer.DialWhenUp(t, at)
-	proxy.Say("hello id 3 site a rps 20 new 1")
-	first := proxy.Hears("push full 1 endpoints box-")
-	conn := agent.Take()
-	if got := conn.Request(); got != wholeList {
+	proxy.Send("hello id 3 site a rps 20 new 1")
+	first := proxy.WaitForMessage("push full 1 endpoints box-")
+	conn := agent.AcceptConn()
+	if got := conn.ReadRequestHead(); got != wholeList {
 		t.Errorf("asked %q", got)
 	}
 	name := strings.SplitN(strings.Fields(first)[4], ":", 2)[0]
@@ -215,9 +215,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.Raw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	conn.SendRaw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	for {
-		text := proxy.Hears("push ")
+		text := proxy.WaitForMessage("push ")
 		if words := strings.Fields(text); withdraws(words, name) {
 			break
 		}
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -50,7 +50,7 @@
 
 // A controller serves from its known list while discovery refuses, and shuts down in time.
 func TestServeFromKnownList(t *testing.T) {
-	at, out := scriptedpeer.Free(t), &lines{}
+	at, out := scriptedpeer.FreeAddress(t), &lines{}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
--- a/cmd/lilacbend/settings_test.go
+++ b/cmd/lilacbend/settings_test.go
@@ -85,15 +85,15 @@
 	if c.settings.Proxies == 0 { // nobody may join
 		return nil
 	}
-	site := emulator.Site{Replicas: 10, Proxies: c.settings.Proxies, Load: 0.3, Names: c.names, Provision: c.settings}
+	site := emulator.Site{Replicas: 10, Proxies: c.settings.Proxies, Load: 0.3, Names: c.names, Settings: c.settings}
 	simulation := emulator.New(site, 1)
 	simulation.CheckRules()
 	simulation.Start(nil)
-	simulation.Inject([]emulator.Fault{{At: 6 * second, Kind: "drain", Who: 0, Span: 6 * second},
-		{At: 7 * second, Kind: "replace", Who: 1, Span: second}, {At: 8 * second, Kind: "stream", Who: 0, Span: second / 2},
-		{At: 9 * second, Kind: "governor", Who: 0, Span: second}, {At: 12 * second, Kind: "silent", Who: 3, Span: 2 * second}})
+	simulation.Inject([]emulator.Fault{{Start: 6 * second, Kind: "drain", Target: 0, Duration: 6 * second},
+		{Start: 7 * second, Kind: "replace", Target: 1, Duration: second}, {Start: 8 * second, Kind: "stream", Target: 0, Duration: second / 2},
+		{Start: 9 * second, Kind: "governor", Target: 0, Duration: second}, {Start: 12 * second, Kind: "silent", Target: 3, Duration: 2 * second}})
 	simulation.Run(18 * second)
-	for _, b := range simulation.Breaches {
+	for _, b := range simulation.Violations {
 		if slices.Contains([]int{1, 3, 5}, b.Rule) {
 			said = append(said, b.String())
 		}
--- a/cmd/lilacbend/settingscache_test.go
+++ b/cmd/lilacbend/settingscache_test.go
@@ -35,9 +35,9 @@
 func hello(t *testing.T, listen string, proxy int) {
 	t.Helper()
 	conn := scriptedpeer.DialWhenUp(t, listen)
-	conn.Say(fmt.Sprintf("hello id %d site a rps 20 new 1", proxy))
+	conn.Send(fmt.Sprintf("hello id %d site a rps 20 new 1", proxy))
 	head := make([]byte, 1)
-	if _, err := conn.Read.Read(head); err != nil || head[0] != '*' {
+	if _, err := conn.Reader.Read(head); err != nil || head[0] != '*' {
 		t.Errorf("proxy %d: %q %v", proxy, head, err)
 	}
 }
@@ -48,14 +48,14 @@
 	folder, kept := t.TempDir(), filepath.Join(t.TempDir(), "kept")
 	settingsFile(t, folder, "orders", `"proxy_count":4`, `"proxy_count":6`)
 	writer, follower, at := configservers(t, folder)
-	agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
-	file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen, "name": "n7"})
+	agent, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+	file := configured(t, map[string]any{"discovery": agent.Address(), "listen": listen, "name": "n7"})
 	operator := keepingFile(t, kept, at...)
 	first := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", operator).until("configuration in force")
 	if first.logged("kept configuration") {
 		t.Errorf("there was nothing to keep: %s", first.out)
 	}
-	scriptedpeer.Until(t, "it is not kept", func() bool { _, found, _ := configcache.Load(filewriter.Directory(kept)); return found })
+	scriptedpeer.WaitFor(t, "it is not kept", func() bool { _, found, _ := configcache.Load(filewriter.Directory(kept)); return found })
 	for _, p := range []*child{follower, writer, first} {
 		p.expectExit(syscall.SIGTERM)
 	}
@@ -110,9 +110,9 @@
 				t.Fatal(err)
 			}
 			write(t, filepath.Join(folder, "settings"), c.file)
-			agent, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
-			file := configured(t, map[string]any{"discovery": agent.At(), "listen": listen, "name": "n7"})
-			governor := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", keepingFile(t, folder, scriptedpeer.Listen(t).At())).until("serving").until(c.says)
+			agent, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+			file := configured(t, map[string]any{"discovery": agent.Address(), "listen": listen, "name": "n7"})
+			governor := program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", keepingFile(t, folder, scriptedpeer.Listen(t).Address())).until("serving").until(c.says)
 			hello(t, listen, 3)
 			if c.used {
 				governor.until("version=5.2")
@@ -159,8 +159,8 @@
 func TestFolderOfAnotherOwnerIsNotUsed(t *testing.T) {
 	agent := scriptedpeer.Listen(t)
 	begin := func(folder string) *child {
-		file := configured(t, map[string]any{"discovery": agent.At(), "listen": scriptedpeer.Free(t), "name": "n7"})
-		return program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", keepingFile(t, folder, scriptedpeer.Listen(t).At())).until("serving")
+		file := configured(t, map[string]any{"discovery": agent.Address(), "listen": scriptedpeer.FreeAddress(t), "name": "n7"})
+		return program(t, []string{"PROXY_CONFIG=" + file}, "serve", "--operator", keepingFile(t, folder, scriptedpeer.Listen(t).Address())).until("serving")
 	}
 	shared, open := filepath.Join(t.TempDir(), "kept"), filepath.Join(t.TempDir(), "open")
 	if err := os.Mkdir(open, 0o700); err != nil {
--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -30,7 +30,7 @@
 
 // A manifest that is missing or incomplete at SIGHUP is read again until it is complete, without a second SIGHUP.
 func TestSidecarManifestIsReadAgain(t *testing.T) {
-	listen, file := scriptedpeer.Free(t), filepath.Join(t.TempDir(), "shop.yaml")
+	listen, file := scriptedpeer.FreeAddress(t), filepath.Join(t.TempDir(), "shop.yaml")
 	shop(t, file, listen, "127.0.0.1:9")
 	c := program(t, nil, "sidecar", "--manifest", file)
 	scriptedpeer.DialWhenUp(t, listen)
@@ -39,9 +39,9 @@
 			t.Fatal(err)
 		}
 		c.signal(syscall.SIGHUP)
-		scriptedpeer.Until(t, "it is not said", func() bool { return c.out.times("cannot be used") == k+1 })
+		scriptedpeer.WaitFor(t, "it is not said", func() bool { return c.out.times("cannot be used") == k+1 })
 		shop(t, file, listen, "127.0.0.1:9")
-		scriptedpeer.Until(t, "it is not taken over", func() bool { return c.out.times("rules taken over") == k+1 })
+		scriptedpeer.WaitFor(t, "it is not taken over", func() bool { return c.out.times("rules taken over") == k+1 })
 	}
 	if c.expectExit(syscall.SIGTERM); c.out.times("cannot be used") != 2 {
 		t.Error(c.out)
@@ -51,19 +51,19 @@
 // SIGTERM with a request in flight, and once more with a SIGHUP while it drains: the request gets its complete answer, which
 // closes the connection, and the exit is clean.
 func TestSidecarSIGTERMTwiceWithRequestInFlight(t *testing.T) {
-	replica, listen := scriptedpeer.Listen(t), scriptedpeer.Free(t)
+	replica, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	file := filepath.Join(t.TempDir(), "shop.yaml")
-	shop(t, file, listen, replica.At())
+	shop(t, file, listen, replica.Address())
 	c := program(t, nil, "sidecar", "--manifest", file)
 	client := scriptedpeer.DialWhenUp(t, listen)
-	client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
-	flow := replica.Take()
-	flow.Request()
+	client.SendRaw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
+	flow := replica.AcceptConn()
+	flow.ReadRequestHead()
 	c.signal(syscall.SIGTERM)
 	c.until("sidecar drains")
 	c.signal(syscall.SIGTERM, syscall.SIGHUP)
-	flow.Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	resp, err := http.ReadResponse(client.Read, nil)
+	flow.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	resp, err := http.ReadResponse(client.Reader, nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("%+v, %v", resp, err)
 	}
@@ -75,10 +75,10 @@
 
 // SIGTERM at a collector with sidecars and an unreachable controller: the exit is clean and in time.
 func TestCollectorSIGTERM(t *testing.T) {
-	listen := scriptedpeer.Free(t)
-	c := program(t, nil, "collector", "--zone", "a", "--listen", listen, "--governor", scriptedpeer.Free(t), "--every", "50ms")
+	listen := scriptedpeer.FreeAddress(t)
+	c := program(t, nil, "collector", "--zone", "a", "--listen", listen, "--governor", scriptedpeer.FreeAddress(t), "--every", "50ms")
 	sidecar := scriptedpeer.DialWhenUp(t, listen)
-	sidecar.Say("met target b count 3 fail 1 mean 10")
+	sidecar.Send("met target b count 3 fail 1 mean 10")
 	c.expectExit(syscall.SIGTERM)
-	sidecar.Ends()
+	sidecar.WaitForClose()
 }
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -22,7 +22,7 @@
 )
 
 func stateful(t *testing.T, folder string) configuration {
-	c := exampleConfiguration(t, scriptedpeer.Free(t))
+	c := exampleConfiguration(t, scriptedpeer.FreeAddress(t))
 	c.operator = operator.File{State: operator.Retention{Folder: folder, Every: 20 * time.Millisecond, HalfLife: time.Minute, Keep: 2}}
 	return c
 }
@@ -89,7 +89,7 @@
 	if !out.has("no state to begin with") || !out.has("state.failed=0") {
 		t.Errorf("first: %s", out)
 	}
-	c.listen = scriptedpeer.Free(t)
+	c.listen = scriptedpeer.FreeAddress(t)
 	out, stop = start(t, c)
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
@@ -106,7 +106,7 @@
 			t.Fatalf("told %q %v", heard, err)
 		}
 	}
-	other, end := start(t, func() configuration { second := c; second.listen = scriptedpeer.Free(t); return second }())
+	other, end := start(t, func() configuration { second := c; second.listen = scriptedpeer.FreeAddress(t); return second }())
 	if end(); !other.has("state is neither read nor kept") || !other.has(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
 		t.Errorf("two on one folder: %s", other)
 	}
--- a/example/shop/main.go
+++ b/example/shop/main.go
@@ -29,8 +29,8 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s, err := installation.Start(ctx, installation.Shape{Zones: 2, Replicas: 6, Places: 8, Sidecars: 2, Governors: 1, Span: 20 * time.Millisecond, Slow: 2,
-		H1: "127.0.0.1:18080", H2: "127.0.0.1:18081", State: true, Steered: true, Dir: dir, Log: os.Stderr})
+	s, err := installation.Start(ctx, installation.Config{Zones: 2, Replicas: 6, ReplicaSlots: 8, Sidecars: 2, Controllers: 1, ServiceTime: 20 * time.Millisecond, SlowFactor: 2,
+		HTTP1Address: "127.0.0.1:18080", HTTP2Address: "127.0.0.1:18081", KeepState: true, Controlled: true, Dir: dir, Log: os.Stderr})
 	if err != nil {
 		return err
 	}
--- a/experiment/emulator/controllers.go
+++ b/experiment/emulator/controllers.go
@@ -39,7 +39,7 @@
 // start starts a controller. It receives the restored state, if any, the list, and its proxies as they join. Proxies keep the
 // tables that they have.
 func (sim *Simulation) start(c *controllerNode, restored *learnedstate.AgedState) {
-	provision := sim.Site.Provision
+	provision := sim.Site.Settings
 	provision.Seed = uint64(sim.random.Int63())
 	c.startedAt = sim.now
 	c.core = controller.New(func() controller.Module {
@@ -158,12 +158,12 @@
 	}
 	result := c.core.Turn(sim.now, inputs)
 	if sim.Clock != nil {
-		sim.Turns = append(sim.Turns, sim.Clock()-start)
+		sim.TurnTimes = append(sim.TurnTimes, sim.Clock()-start)
 	}
 	if result.Snapshot != nil {
 		c.learned = result.Snapshot
 		c.learned.Taken = learnedstate.Timestamp{Wall: sim.now}
-		sim.Learned = sim.controllers[0].learned
+		sim.LearnedState = sim.controllers[0].learned
 	}
 	for _, outgoing := range result.Updates {
 		sim.send(c, outgoing)
--- a/experiment/emulator/fault.go
+++ b/experiment/emulator/fault.go
@@ -9,15 +9,15 @@
 
 // Fault is one scripted fault. It undoes itself after its span.
 type Fault struct {
-	At   int64
-	Kind string
-	Who  int // index of a replica, a proxy or a zone
-	Span int64
+	Start    int64
+	Kind     string
+	Target   int // index of a replica, a proxy or a zone
+	Duration int64
 }
 
 // String returns the fault in one line.
 func (f Fault) String() string {
-	return fmt.Sprintf("%.3fs %s %d for %.3fs", float64(f.At)/1e9, f.Kind, f.Who, float64(f.Span)/1e9)
+	return fmt.Sprintf("%.3fs %s %d for %.3fs", float64(f.Start)/1e9, f.Kind, f.Target, float64(f.Duration)/1e9)
 }
 
 // Kinds of faults in scripts.
@@ -45,13 +45,13 @@
 	spanSpread       = 8 * second
 )
 
-// Kinds are the kinds of faults that concern one replica, proxy, zone or controller.
-var Kinds = []string{
+// FaultKinds are the kinds of faults that concern one replica, proxy, zone or controller.
+var FaultKinds = []string{
 	kindSilent, kindSlow, kindFailing, kindRestart, kindDrain, kindReplace, kindCut, kindController, kindControllerKept, kindStall, kindStream,
 }
 
-// Crowds are the kinds of faults that concern many replicas at once.
-var Crowds = []string{kindRelease, kindZone}
+// CorrelatedFaultKinds are the kinds of faults that concern many replicas at once.
+var CorrelatedFaultKinds = []string{kindRelease, kindZone}
 
 // edgeSpans are spans at which the behaviour of the controller or the protocol changes. Drawn times are at an edge, just before or
 // just after it.
@@ -59,27 +59,27 @@
 	transit, 2 * transit, batchDelay, second / 4, second / 2, second, 2 * second, 2500 * milli, 3 * second, 4 * second, 5 * second, 10 * second,
 }
 
-// Draw draws a script from a seed: some faults of some kinds, many of them at an edge after an earlier one.
-func Draw(site Site, seed int64, from, until int64, kinds []string) []Fault {
+// RandomFaults draws a script from a seed: some faults of some kinds, many of them at an edge after an earlier one.
+func RandomFaults(site Site, seed int64, from, until int64, kinds []string) []Fault {
 	var script []Fault
 	random := rand.New(rand.NewSource(seed))
 	for range minFaults + random.Intn(faultCountSpread) {
 		fault := Fault{
-			At:   from + random.Int63n(until-from),
-			Kind: kinds[random.Intn(len(kinds))],
-			Span: minSpan + random.Int63n(spanSpread),
+			Start:    from + random.Int63n(until-from),
+			Kind:     kinds[random.Intn(len(kinds))],
+			Duration: minSpan + random.Int63n(spanSpread),
 		}
 		if len(script) > 0 && random.Intn(2) == 0 {
 			previous := script[len(script)-1]
-			fault.At = min(until-1, previous.At+drawEdge(random))
+			fault.Start = min(until-1, previous.Start+drawEdge(random))
 		}
 		if random.Intn(2) == 0 {
-			fault.Span = drawEdge(random)
+			fault.Duration = drawEdge(random)
 		}
-		fault.Who = random.Intn(site.targets(fault.Kind))
+		fault.Target = random.Intn(site.targets(fault.Kind))
 		script = append(script, fault)
 	}
-	slices.SortStableFunc(script, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(script, func(a, b Fault) int { return cmp.Compare(a.Start, b.Start) })
 	return script
 }
 
--- a/experiment/emulator/inject.go
+++ b/experiment/emulator/inject.go
@@ -24,14 +24,14 @@
 // Inject schedules the faults of a script.
 func (sim *Simulation) Inject(script []Fault) {
 	for _, fault := range script {
-		sim.at(fault.At, func() { sim.inject(fault) })
+		sim.at(fault.Start, func() { sim.inject(fault) })
 	}
 }
 
 func (sim *Simulation) inject(fault Fault) {
 	switch fault.Kind {
 	case kindSilent:
-		sim.injectReplicaFault(fault, Silent)
+		sim.injectReplicaFault(fault, Unresponsive)
 	case kindSlow:
 		sim.injectReplicaFault(fault, Slow)
 	case kindFailing:
@@ -39,16 +39,16 @@
 	case kindRestart:
 		r := sim.replica(fault)
 		r.Fault = Failing
-		sim.after(fault.Span, func() { sim.replace(r) })
+		sim.after(fault.Duration, func() { sim.replace(r) })
 	case kindDrain:
 		r := sim.replica(fault)
 		sim.changeState(r, control.Draining, r.Member.UpSince)
-		sim.after(fault.Span, func() { sim.changeState(r, control.Ready, sim.now) })
+		sim.after(fault.Duration, func() { sim.changeState(r, control.Ready, sim.now) })
 	case kindReplace:
 		r := sim.replica(fault)
 		r.Fault = Failing
 		sim.changeState(r, control.Gone, r.Member.UpSince)
-		sim.after(fault.Span, func() { sim.replace(r) })
+		sim.after(fault.Duration, func() { sim.replace(r) })
 	case kindCut:
 		sim.injectCut(fault)
 	case kindController, kindControllerKept:
@@ -59,7 +59,7 @@
 		sim.injectZoneLoss(fault)
 	case kindStall:
 		p := sim.proxy(fault)
-		p.stalledUntil = max(p.stalledUntil, sim.now+fault.Span)
+		p.stalledUntil = max(p.stalledUntil, sim.now+fault.Duration)
 	case kindStream:
 		sim.injectSecondStream(fault)
 	default:
@@ -68,32 +68,32 @@
 }
 
 func (sim *Simulation) replica(fault Fault) *Replica {
-	return sim.Replicas[fault.Who%len(sim.Replicas)]
+	return sim.Replicas[fault.Target%len(sim.Replicas)]
 }
 
-func (sim *Simulation) proxy(fault Fault) *proxy { return sim.proxies[fault.Who%len(sim.proxies)] }
+func (sim *Simulation) proxy(fault Fault) *proxy { return sim.proxies[fault.Target%len(sim.proxies)] }
 
 func (sim *Simulation) injectReplicaFault(fault Fault, kind ReplicaFault) {
 	r := sim.replica(fault)
 	r.Fault = kind
-	sim.after(fault.Span, func() { r.Fault = NoFault })
+	sim.after(fault.Duration, func() { r.Fault = NoFault })
 }
 
 func (sim *Simulation) injectCut(fault Fault) {
-	zone := sim.Site.zones()[fault.Who]
+	zone := sim.Site.zones()[fault.Target]
 	sim.cuts[zone]++
-	sim.after(fault.Span, func() { sim.reconnectZone(zone) })
+	sim.after(fault.Duration, func() { sim.reconnectZone(zone) })
 }
 
 // injectControllerRestart kills a controller and starts it after the span, with its learned state if that is kept.
 func (sim *Simulation) injectControllerRestart(fault Fault) {
-	c := sim.controllers[fault.Who%len(sim.controllers)]
+	c := sim.controllers[fault.Target%len(sim.controllers)]
 	if c.core == nil {
 		return
 	}
 	learned := c.learned
 	sim.stop(c)
-	sim.after(fault.Span, func() {
+	sim.after(fault.Duration, func() {
 		if c.core != nil {
 			return
 		}
@@ -111,7 +111,7 @@
 	replaced := sim.random.Perm(len(sim.Replicas))[:len(sim.Replicas)*releaseFraction/10]
 	for k, index := range replaced {
 		r := sim.Replicas[index]
-		delay := fault.Span * int64(k) / int64(len(replaced))
+		delay := fault.Duration * int64(k) / int64(len(replaced))
 		sim.after(delay, func() { sim.changeState(r, control.Draining, r.Member.UpSince) })
 		sim.after(delay+releaseDrainTime, func() { sim.replace(r) })
 	}
@@ -119,7 +119,7 @@
 
 // injectZoneLoss loses a zone. Its replicas are removed from the list late, and replaced at the end of the span.
 func (sim *Simulation) injectZoneLoss(fault Fault) {
-	zone := sim.Site.zones()[fault.Who]
+	zone := sim.Site.zones()[fault.Target]
 	sim.cuts[zone]++
 	for _, r := range sim.Replicas {
 		if r.Member.Zone != zone {
@@ -127,9 +127,9 @@
 		}
 		r.Fault = Failing
 		sim.after(zoneLossNoticeDelay, func() { sim.changeState(r, control.Gone, r.Member.UpSince) })
-		sim.after(max(minZoneReplaceDelay, fault.Span), func() { sim.replace(r) })
+		sim.after(max(minZoneReplaceDelay, fault.Duration), func() { sim.replace(r) })
 	}
-	sim.after(fault.Span, func() { sim.reconnectZone(zone) })
+	sim.after(fault.Duration, func() { sim.reconnectZone(zone) })
 }
 
 // injectSecondStream opens a new stream of a proxy. The end of the old one is noticed after the span.
@@ -141,7 +141,7 @@
 	}
 	c := sim.controllers[p.controller]
 	sim.join(p)
-	sim.after(fault.Span, func() { c.enqueue(controller.StreamClosed{Stream: old}) })
+	sim.after(fault.Duration, func() { c.enqueue(controller.StreamClosed{Stream: old}) })
 }
 
 // replace lets a new process take a replica's place. It warms up.
--- a/experiment/emulator/overload.go
+++ b/experiment/emulator/overload.go
@@ -3,11 +3,11 @@
 // Overload describes what makes an overload worse than its requests: full queues, proxies that avoid failing replicas, and
 // clients that send failed requests again. The zero value is an installation in which requests only wait.
 type Overload struct {
-	QueueLimit   int   // requests that may wait at a replica; further ones are rejected before they run; 0: no limit
-	ClientTries  int   // how often a client sends a failed request again
-	AvoidAfter   int   // consecutive failures after which a proxy avoids a replica; 0: never
-	AvoidSpan    int64 // for how long, in nanoseconds
-	ZoneGovernor bool  // each controller has proxies of one zone only
+	QueueLimit         int   // requests that may wait at a replica; further ones are rejected before they run; 0: no limit
+	ClientRetries      int   // how often a client sends a failed request again
+	AvoidAfterFailures int   // consecutive failures after which a proxy avoids a replica; 0: never
+	AvoidDuration      int64 // for how long, in nanoseconds
+	ZonalControllers   bool  // each controller has proxies of one zone only
 }
 
 // resendDelay is how long a client waits before it sends a failed request again.
@@ -21,7 +21,7 @@
 
 // resend lets the client send a failed request again, if it does that.
 func (sim *Simulation) resend(q *request) {
-	if q.resent >= sim.Site.Overload.ClientTries {
+	if q.resent >= sim.Site.Overload.ClientRetries {
 		return
 	}
 	sim.after(resendDelay, func() {
@@ -34,12 +34,12 @@
 	overload := sim.Site.Overload
 	id := r.Member.ID
 	p.consecutiveFailures[id]++
-	if overload.AvoidAfter == 0 || p.consecutiveFailures[id] < overload.AvoidAfter || p.avoided[id] {
+	if overload.AvoidAfterFailures == 0 || p.consecutiveFailures[id] < overload.AvoidAfterFailures || p.avoided[id] {
 		return
 	}
 	p.avoided[id] = true
 	p.candidates = nil
-	sim.after(overload.AvoidSpan, func() {
+	sim.after(overload.AvoidDuration, func() {
 		delete(p.avoided, id)
 		delete(p.consecutiveFailures, id)
 		p.candidates = nil
@@ -50,7 +50,7 @@
 func (sim *Simulation) isOwn(p *proxy, c *controllerNode) bool {
 	count := len(sim.controllers)
 	zones := len(sim.Site.zones())
-	if !sim.Site.Overload.ZoneGovernor || count < zones {
+	if !sim.Site.Overload.ZonalControllers || count < zones {
 		return p.id%count == c.index
 	}
 	zone := p.id % zones // as New assigns zones
--- a/experiment/emulator/replica.go
+++ b/experiment/emulator/replica.go
@@ -11,10 +11,10 @@
 
 // Faults of replicas.
 const (
-	NoFault ReplicaFault = iota
-	Silent               // accepts requests and answers none
-	Slow                 // takes slowFactor times as long
-	Failing              // rejects requests at once, before they run
+	NoFault      ReplicaFault = iota
+	Unresponsive              // accepts requests and answers none
+	Slow                      // takes slowFactor times as long
+	Failing                   // rejects requests at once, before they run
 )
 
 const (
@@ -101,7 +101,7 @@
 	duration := mean * (0.5 + 0.5*sim.random.ExpFloat64()) * float64(second)
 	sim.after(int64(duration), func() {
 		r.running--
-		if r.Fault != Silent {
+		if r.Fault != Unresponsive {
 			succeeded()
 		}
 		if len(r.waiting) > 0 {
@@ -114,7 +114,7 @@
 
 // warmth returns the fraction of its capacity that a replica has, which is 1 once it is warmed up.
 func (sim *Simulation) warmth(r *Replica) float64 {
-	provision := sim.Site.Provision
+	provision := sim.Site.Settings
 	age := sim.now - r.Member.UpSince
 	if r.Member.UpSince == 0 || age >= provision.SlowStartTime {
 		return 1
--- a/experiment/emulator/reports.go
+++ b/experiment/emulator/reports.go
@@ -106,7 +106,7 @@
 		}
 	}
 	line := reportLine{key: key, outcomes: outcomes, demand: demand}
-	if c.simulation.Site.Intake == 0 {
+	if c.simulation.Site.ReportRateLimit == 0 {
 		c.enqueue(line.input())
 		return
 	}
@@ -115,7 +115,7 @@
 
 // takeInReports enqueues as many waiting lines as the intake lets through in an interval.
 func (sim *Simulation) takeInReports() {
-	perSecond := float64(sim.Site.Intake)
+	perSecond := float64(sim.Site.ReportRateLimit)
 	for _, c := range sim.controllers {
 		c.credit = min(c.credit+perSecond/10, perSecond)
 		for ; len(c.reports) > 0 && c.credit >= 1; c.credit-- {
--- a/experiment/emulator/request.go
+++ b/experiment/emulator/request.go
@@ -24,7 +24,7 @@
 
 // settings returns the settings of a request's class.
 func (sim *Simulation) settings(q *request) control.TrafficClass {
-	return sim.Site.Provision.Classes[q.class]
+	return sim.Site.Settings.Classes[q.class]
 }
 
 func (sim *Simulation) className(q *request) string { return sim.Site.Names.Classes[q.class] }
@@ -35,11 +35,11 @@
 // arrive admits a request, or rejects it by the admission of its class.
 func (sim *Simulation) arrive(q *request) {
 	q.proxy.arrivals[q.class]++
-	sim.count(q, func(o *Outcome) { o.Arrived++ })
+	sim.count(q, func(o *OutcomeCounts) { o.Arrived++ })
 	admission, ok := q.proxy.admissions[sim.className(q)]
 	if ok && sim.random.Float64() >= admission.Fraction {
 		q.done = true
-		sim.count(q, func(o *Outcome) { o.Rejected++ })
+		sim.count(q, func(o *OutcomeCounts) { o.Rejected++ })
 		return
 	}
 	sim.at(sim.expiry(q), func() { sim.finish(q, false) })
@@ -47,7 +47,7 @@
 }
 
 // count adds to the counts if a request arrived in the counted window.
-func (sim *Simulation) count(q *request, add func(*Outcome)) {
+func (sim *Simulation) count(q *request, add func(*OutcomeCounts)) {
 	if q.arrived >= sim.countFrom && q.arrived < sim.countUntil {
 		add(&sim.outcome)
 	}
@@ -62,14 +62,14 @@
 	if !succeeded {
 		sim.resend(q)
 		q.proxy.failures[q.class]++
-		sim.count(q, func(o *Outcome) { o.Failed++ })
+		sim.count(q, func(o *OutcomeCounts) { o.Failed++ })
 		return
 	}
 	if sim.now-q.arrived > sim.settings(q).LatencyObjective {
-		sim.count(q, func(o *Outcome) { o.Late++ })
+		sim.count(q, func(o *OutcomeCounts) { o.Late++ })
 		return
 	}
-	sim.count(q, func(o *Outcome) { o.Good++ })
+	sim.count(q, func(o *OutcomeCounts) { o.Good++ })
 }
 
 // attempt sends a request to a replica other than the one that was tried before.
@@ -84,7 +84,7 @@
 	outcome := r.outcome(reporter{zone: p.zone, controller: p.controller})
 	crossesCut := p.zone != r.Member.Zone && (sim.isCut(p.zone) || sim.isCut(r.Member.Zone))
 	switch {
-	case crossesCut || r.Fault == Silent: // nothing is ever received
+	case crossesCut || r.Fault == Unresponsive: // nothing is ever received
 		sim.at(sim.expiry(q), outcome.addFailure)
 	case r.Fault == Failing:
 		sim.after(rejectTime, func() {
--- a/experiment/emulator/rules.go
+++ b/experiment/emulator/rules.go
@@ -33,16 +33,16 @@
 	ruleChannel  = 5
 )
 
-// Breach is a rule that was broken.
-type Breach struct {
-	At   int64
-	Rule int // 1 to 5; 0: service did not recover
-	What string
+// Violation is a rule that was broken.
+type Violation struct {
+	Time        int64
+	Rule        int // 1 to 5; 0: service did not recover
+	Description string
 }
 
 // String returns the breach in one line.
-func (b Breach) String() string {
-	return fmt.Sprintf("%.3fs rule %d: %s", float64(b.At)/1e9, b.Rule, b.What)
+func (b Violation) String() string {
+	return fmt.Sprintf("%.3fs rule %d: %s", float64(b.Time)/1e9, b.Rule, b.Description)
 }
 
 // CheckRules starts to check the rules.
@@ -54,7 +54,7 @@
 		return
 	}
 	sim.reported[key] = true
-	sim.Breaches = append(sim.Breaches, Breach{At: sim.now, Rule: rule, What: culprit + " " + fmt.Sprintf(what, args...)})
+	sim.Violations = append(sim.Violations, Violation{Time: sim.now, Rule: rule, Description: culprit + " " + fmt.Sprintf(what, args...)})
 }
 
 // hasWarmReplica reports whether a replica has been ready and warmed up for a duration.
@@ -106,7 +106,7 @@
 		return
 	}
 	grace := maxDrainGrace
-	if own := sim.Site.Provision.DrainGrace; own > 0 {
+	if own := sim.Site.Settings.DrainGrace; own > 0 {
 		grace = own + drainGraceSlack
 	}
 	notified := max(r.notifiedAt, p.joinedAt, sim.controllers[p.controller].startedAt, p.stalledUntil)
@@ -119,7 +119,7 @@
 	r.recentAttempts = append(r.recentAttempts, sim.now)
 	r.recentAttempts = dropUntil(r.recentAttempts, sim.now-overloadTime)
 	capacity := float64(r.slots) / r.meanTime * float64(overloadTime) / float64(second)
-	limit := sim.Site.Provision.OverloadMultiple * warmth * capacity
+	limit := sim.Site.Settings.OverloadMultiple * warmth * capacity
 	attempts := float64(len(r.recentAttempts))
 	if sim.isControlled() && sim.now-r.Member.UpSince >= overloadTime && attempts > limit {
 		sim.breach(ruleWarmUp, r.Member.ID, "cold, got %.0f flows in 3 s, falls at %.0f", attempts, limit)
@@ -139,7 +139,7 @@
 // checkChannel checks the limits of the channel and of messages as an update enters the channel, and returns when it has left
 // it.
 func (sim *Simulation) checkChannel(p *proxy, update controller.Update) (sentAt int64) {
-	provision := sim.Site.Provision
+	provision := sim.Site.Settings
 	cost := len(update.Endpoints) + len(update.Ejected) + len(update.Unejected) + len(update.Admissions) + provision.MessageOverhead + 1
 	c := sim.controllers[p.controller]
 	c.channelEnd = max(c.channelEnd, sim.now) + int64(float64(cost)/provision.ChannelRate*float64(second))
--- a/experiment/emulator/simulation.go
+++ b/experiment/emulator/simulation.go
@@ -25,8 +25,8 @@
 	intakeInterval = second / 10
 )
 
-// Outcome counts the outcomes of requests that arrived in a window.
-type Outcome struct {
+// OutcomeCounts counts the outcomes of requests that arrived in a window.
+type OutcomeCounts struct {
 	Arrived  int
 	Good     int // within the latency budget
 	Late     int
@@ -35,22 +35,24 @@
 }
 
 // String returns the counts in one line.
-func (o Outcome) String() string {
+func (o OutcomeCounts) String() string {
 	return fmt.Sprintf("%d came, %d good, %d late, %d lost, %d blocked", o.Arrived, o.Good, o.Late, o.Failed, o.Rejected)
 }
 
-// Bad returns the fraction of requests that were not answered within their latency budget.
-func (o Outcome) Bad() float64 { return 1 - float64(o.Good)/math.Max(1, float64(o.Arrived)) }
+// BadFraction returns the fraction of requests that were not answered within their latency budget.
+func (o OutcomeCounts) BadFraction() float64 {
+	return 1 - float64(o.Good)/math.Max(1, float64(o.Arrived))
+}
 
 // Simulation is one run.
 type Simulation struct {
-	Site     Site
-	Replicas []*Replica
-	Learned  *learnedstate.State // the latest of the first controller
-	Turns    []int64             // real nanoseconds of each turn, if Clock is set
-	Clock    func() int64
+	Site         Site
+	Replicas     []*Replica
+	LearnedState *learnedstate.State // the latest of the first controller
+	TurnTimes    []int64             // real nanoseconds of each turn, if Clock is set
+	Clock        func() int64
 
-	Breaches   []Breach
+	Violations []Violation
 	WrapModule func(controller.Module) controller.Module // replaces the decision module; nil: unchanged
 	Trace      func(text string, args ...any)            // receives each message to a proxy; nil: none
 
@@ -63,7 +65,7 @@
 	lastStream  controller.StreamID
 	countFrom   int64 // requests that arrive from then on are counted, until countUntil
 	countUntil  int64
-	outcome     Outcome
+	outcome     OutcomeCounts
 	reported    map[string]bool // breaches by rule and culprit; nil: rules are not checked
 	cuts        map[string]int  // by zone: how many faults cut it off at present
 }
@@ -88,10 +90,10 @@
 	for _, zone := range zones {
 		sim.every(second, func() { sim.reportOutcomes(zone) })
 	}
-	for k := range max(1, site.Provision.Controllers) {
+	for k := range max(1, site.Settings.Controllers) {
 		sim.controllers = append(sim.controllers, &controllerNode{simulation: sim, index: k})
 	}
-	if site.Intake > 0 {
+	if site.ReportRateLimit > 0 {
 		sim.every(intakeInterval, sim.takeInReports)
 	}
 	return sim
@@ -155,10 +157,10 @@
 // Now returns the virtual time.
 func (sim *Simulation) Now() int64 { return sim.now }
 
-// Count starts to count requests that arrive in a window.
-func (sim *Simulation) Count(from, until int64) *Outcome {
+// CountOutcomes starts to count requests that arrive in a window.
+func (sim *Simulation) CountOutcomes(from, until int64) *OutcomeCounts {
 	sim.countFrom = from
 	sim.countUntil = until
-	sim.outcome = Outcome{}
+	sim.outcome = OutcomeCounts{}
 	return &sim.outcome
 }
--- a/experiment/emulator/site.go
+++ b/experiment/emulator/site.go
@@ -7,13 +7,13 @@
 
 // Site is the size and load of a simulated installation.
 type Site struct {
-	Replicas  int
-	Proxies   int
-	Load      float64 // as a fraction of the capacity of all replicas
-	Intake    int     // lines of reports a second that each controller receives, the oldest first; 0: no limit
-	Overload  Overload
-	Names     settings.Names
-	Provision control.Settings
+	Replicas        int
+	Proxies         int
+	Load            float64 // as a fraction of the capacity of all replicas
+	ReportRateLimit int     // lines of reports a second that each controller receives, the oldest first; 0: no limit
+	Overload        Overload
+	Names           settings.Names
+	Settings        control.Settings
 }
 
 // NewSite returns an installation of two zones and two hardware classes, one half as fast as the other, though both are listed
@@ -24,7 +24,7 @@
 		Proxies:  proxies,
 		Load:     load,
 		Names:    settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1", "m2"}},
-		Provision: control.Settings{
+		Settings: control.Settings{
 			Seed:                 7,
 			Controllers:          1,
 			Zones:                2,
--- a/experiment/installation/site.go
+++ b/experiment/installation/site.go
@@ -23,39 +23,39 @@
 	"lilacbend/experiment/replica"
 )
 
-// Shape is the size of an installation, and where it listens.
-type Shape struct {
-	Zones, Replicas, Places, Sidecars, Governors int
-	Span                                         time.Duration // of a flow at a replica
-	Slow                                         float64       // every second replica takes so many times as long; 0: equal
-	H1, H2                                       string        // of the first sidecar; empty: any
-	State                                        bool          // governors keep what they learn
-	Standby                                      bool          // each zone has a second collector
-	ReportBudget                                 int           // bytes a second of a collector to each governor; 0: no limit
-	Operator                                     string        // further sections of the governors' operator file
-	Program                                      string        // that is built already; empty: it is built
-	Steered                                      bool          // else sidecars have equal tables
-	Dir                                          string
-	Log                                          io.Writer
+// Config is the size of an installation, and where it listens.
+type Config struct {
+	Zones, Replicas, ReplicaSlots, Sidecars, Controllers int
+	ServiceTime                                          time.Duration // of a flow at a replica
+	SlowFactor                                           float64       // every second replica takes so many times as long; 0: equal
+	HTTP1Address, HTTP2Address                           string        // of the first sidecar; empty: any
+	KeepState                                            bool          // governors keep what they learn
+	StandbyCollectors                                    bool          // each zone has a second collector
+	ReportBudget                                         int           // bytes a second of a collector to each governor; 0: no limit
+	OperatorSections                                     string        // further sections of the governors' operator file
+	Program                                              string        // that is built already; empty: it is built
+	Controlled                                           bool          // else sidecars have equal tables
+	Dir                                                  string
+	Log                                                  io.Writer
 }
 
 // Member is one replica as discovery lists it.
 type Member struct {
-	ID       string  `json:"id"`
-	HostPort string  `json:"host_port"`
-	Zone     string  `json:"locality"`
-	Kind     string  `json:"flavor"`
-	Cell     int     `json:"cell"`
-	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"`
+	ID            string  `json:"id"`
+	HostPort      string  `json:"host_port"`
+	Zone          string  `json:"locality"`
+	HardwareClass string  `json:"flavor"`
+	Cell          int     `json:"cell"`
+	Phase         string  `json:"phase"`
+	Size          float64 `json:"size"`
+	UpSince       int64   `json:"up_since_ms"`
 }
 
 // Site is a running installation.
 type Site struct {
-	Shape
-	Replicas []*replica.Replica
-	H1s, H2s []string // of the sidecars
+	Config
+	Replicas                       []*replica.Replica
+	HTTP1Addresses, HTTP2Addresses []string // of the sidecars
 
 	program    string
 	mu         sync.Mutex
@@ -73,8 +73,8 @@
 
 func zone(k int) string { return string(rune('a' + k)) }
 
-// Free returns an address of loopback on which nothing listens.
-func Free() string {
+// FreeAddress returns an address of loopback on which nothing listens.
+func FreeAddress() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "127.0.0.1:0"
@@ -84,8 +84,8 @@
 }
 
 // Start builds the program and starts the installation. Its processes end with ctx.
-func Start(ctx context.Context, shape Shape) (*Site, error) {
-	s := &Site{Shape: shape, program: shape.Program, revision: 1, news: make(chan struct{}), procs: map[string]*exec.Cmd{}}
+func Start(ctx context.Context, shape Config) (*Site, error) {
+	s := &Site{Config: shape, program: shape.Program, revision: 1, news: make(chan struct{}), procs: map[string]*exec.Cmd{}}
 	err := s.start(ctx)
 	if err != nil {
 		s.Stop()
@@ -99,7 +99,7 @@
 			return err
 		}
 	}
-	for k := range s.Shape.Replicas {
+	for k := range s.Config.Replicas {
 		if err := s.replica(k); err != nil {
 			return err
 		}
@@ -107,8 +107,8 @@
 	if err := s.startDiscovery(); err != nil {
 		return err
 	}
-	for range s.Governors {
-		s.governors = append(s.governors, Free())
+	for range s.Controllers {
+		s.governors = append(s.governors, FreeAddress())
 	}
 	for k := range s.Zones {
 		if err := s.startCollectors(ctx, k); err != nil {
@@ -138,11 +138,11 @@
 
 // startControllers starts the controllers, if sidecars are to be controlled.
 func (s *Site) startControllers(ctx context.Context) error {
-	if !s.Steered {
+	if !s.Controlled {
 		return nil
 	}
 	for k := range s.governors {
-		if err := s.Governor(ctx, k); err != nil {
+		if err := s.StartController(ctx, k); err != nil {
 			return err
 		}
 	}
@@ -152,14 +152,14 @@
 // startCollectors starts the collectors of a zone: collector-a, and collector-a-standby.
 func (s *Site) startCollectors(ctx context.Context, number int) error {
 	names := []string{"collector-" + zone(number)}
-	if s.Standby {
+	if s.StandbyCollectors {
 		names = append(names, names[0]+"-standby")
 	}
 	var addresses []string
 	for _, name := range names {
-		at := Free()
+		at := FreeAddress()
 		addresses = append(addresses, at)
-		if !s.Steered {
+		if !s.Controlled {
 			continue
 		}
 		args := []string{"collector", "--zone", zone(number), "--listen", at, "--every", "500ms", "--budget", strconv.Itoa(s.ReportBudget)}
@@ -184,22 +184,22 @@
 }
 
 func (s *Site) replica(k int) error {
-	r, err := replica.NewReplica("127.0.0.1:0", s.Places, nil)
+	r, err := replica.NewReplica("127.0.0.1:0", s.ReplicaSlots, nil)
 	if err != nil {
 		return err
 	}
-	span := s.Span
-	if s.Slow > 0 && k/s.Zones%2 == 1 {
-		span = time.Duration(float64(span) * s.Slow)
+	span := s.ServiceTime
+	if s.SlowFactor > 0 && k/s.Zones%2 == 1 {
+		span = time.Duration(float64(span) * s.SlowFactor)
 	}
-	r.Span.Store(int64(span))
+	r.ServiceTime.Store(int64(span))
 	s.Replicas = append(s.Replicas, r)
-	s.members = append(s.members, Member{ID: fmt.Sprintf("box-%02d", k), HostPort: r.Addr, Zone: zone(k % s.Zones), Kind: fmt.Sprint("m", 1+k/s.Zones%2), Phase: "Ready", Size: 1})
+	s.members = append(s.members, Member{ID: fmt.Sprintf("box-%02d", k), HostPort: r.Addr, Zone: zone(k % s.Zones), HardwareClass: fmt.Sprint("m", 1+k/s.Zones%2), Phase: "Ready", Size: 1})
 	return nil
 }
 
-// Change changes a replica in discovery's list.
-func (s *Site) Change(k int, change func(m *Member)) {
+// ChangeMember changes a replica in discovery's list.
+func (s *Site) ChangeMember(k int, change func(m *Member)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.members[k])
@@ -269,8 +269,8 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// Pid returns the id of the process of a name, or 0.
-func (s *Site) Pid(name string) int {
+// PID returns the id of the process of a name, or 0.
+func (s *Site) PID(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if cmd := s.procs[name]; cmd != nil {
@@ -279,8 +279,8 @@
 	return 0
 }
 
-// Names returns the running processes, sorted.
-func (s *Site) Names() []string {
+// ProcessNames returns the running processes, sorted.
+func (s *Site) ProcessNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.procs))
@@ -289,18 +289,18 @@
 // Settings returns the controllers' settings, with a latency budget that is some milliseconds longer.
 func (s *Site) Settings(longer int) string {
 	zones, _ := json.Marshal([]string{"a", "b", "c", "d"}[:s.Zones])
-	return fmt.Sprintf(settingsFile, s.Governors, s.Sidecars, 100*s.Sidecars, zones, usualBudget+longer)
+	return fmt.Sprintf(settingsFile, s.Controllers, s.Sidecars, 100*s.Sidecars, zones, usualBudget+longer)
 }
 
-// Governor starts or restarts a controller.
-func (s *Site) Governor(ctx context.Context, k int) error {
+// StartController starts or restarts a controller.
+func (s *Site) StartController(ctx context.Context, k int) error {
 	raw, _, _ := s.list()
 	file, err := s.file(fmt.Sprintf("governor-%d.json", k), fmt.Sprintf(governorFile, k, s.governors[k], s.discovery.Addr(), time.Now().UnixNano(), raw, s.Settings(0)))
 	if err != nil {
 		return err
 	}
-	args, operator := []string{"serve", "--config", file}, s.Operator
-	if s.State {
+	args, operator := []string{"serve", "--config", file}, s.OperatorSections
+	if s.KeepState {
 		operator += fmt.Sprintf("state: {folder: state-%d, every: 1s}\n", k)
 	}
 	if operator != "" {
@@ -314,12 +314,12 @@
 }
 
 func (s *Site) sidecar(ctx context.Context, k int) error {
-	h1, h2 := Free(), Free()
-	if k == 0 && s.H1 != "" {
-		h1, h2 = s.H1, s.H2
+	h1, h2 := FreeAddress(), FreeAddress()
+	if k == 0 && s.HTTP1Address != "" {
+		h1, h2 = s.HTTP1Address, s.HTTP2Address
 	}
 	governors, collectors := "[]", ""
-	if s.Steered {
+	if s.Controlled {
 		governors = asJSON(s.governors)
 		collectors = "collectors: " + asJSON(s.collectors[k%s.Zones])
 	}
@@ -327,7 +327,7 @@
 	if err != nil {
 		return err
 	}
-	s.H1s, s.H2s = append(s.H1s, h1), append(s.H2s, h2)
+	s.HTTP1Addresses, s.HTTP2Addresses = append(s.HTTP1Addresses, h1), append(s.HTTP2Addresses, h2)
 	return s.run(ctx, fmt.Sprint("sidecar-", k), "sidecar", "--manifest", file)
 }
 
@@ -339,7 +339,7 @@
 
 // ready waits until all sidecars answer.
 func (s *Site) ready(ctx context.Context) error {
-	for _, at := range s.H1s {
+	for _, at := range s.HTTP1Addresses {
 		var last error
 		for until := time.Now().Add(15 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 			resp, err := http.Get("http://" + at + "/stock")
--- a/experiment/load/load.go
+++ b/experiment/load/load.go
@@ -36,23 +36,23 @@
 
 // Job is one load.
 type Job struct {
-	URLs   []string // used in turn
-	H2     bool
-	Method string
-	Rate   float64       // requests a second; 0: as fast as Flying allows
-	Flying int           // requests at once if there is no rate
-	Span   time.Duration // of the load
-	Expiry time.Duration // of a request, after it was due
-	Seed   int64
-	Each   func(k int, r *http.Request) // may change a request before it is sent
+	URLs        []string // used in turn
+	HTTP2       bool
+	Method      string
+	Rate        float64       // requests a second; 0: as fast as Concurrency allows
+	Concurrency int           // requests at once if there is no rate
+	Duration    time.Duration // of the load
+	Timeout     time.Duration // of a request, after it was due
+	Seed        int64
+	EditRequest func(k int, r *http.Request) // may change a request before it is sent
 }
 
 // Result counts the outcomes of a load's requests.
 type Result struct {
-	Sent, Good, Blocked, Dropped int
-	Times                        *hdrhistogram.Histogram // of good answers since they were due, in microseconds
+	Sent, Good, Rejected, Failed int
+	Latencies                    *hdrhistogram.Histogram // of good answers since they were due, in microseconds
 	Reasons                      map[string]int
-	Took                         time.Duration
+	Elapsed                      time.Duration
 }
 
 // Run sends the requests. It refuses addresses that are not of this machine.
@@ -60,14 +60,14 @@
 	if err := job.check(); err != nil {
 		return Result{}, err
 	}
-	transport := newTransport(job.H2)
+	transport := newTransport(job.HTTP2)
 	defer transport.CloseIdleConnections()
 	r := newRun(job, transport)
 	start := time.Now()
 	due := start
 	interval := rand.New(rand.NewSource(job.Seed))
 	var requests sync.WaitGroup
-	for due.Sub(start) < job.Span && ctx.Err() == nil {
+	for due.Sub(start) < job.Duration && ctx.Err() == nil {
 		if job.Rate > 0 {
 			due = due.Add(time.Duration(interval.ExpFloat64() / job.Rate * float64(time.Second)))
 			sleepUntil(due)
@@ -85,7 +85,7 @@
 		r.result.Sent++
 	}
 	requests.Wait()
-	r.result.Took = time.Since(start)
+	r.result.Elapsed = time.Since(start)
 	return r.result, nil
 }
 
@@ -97,7 +97,7 @@
 			return fmt.Errorf("%q is no address of loopback: loads stay on this machine", address)
 		}
 	}
-	if j.Rate > maxRate || j.Span > maxSpan || len(j.URLs) == 0 {
+	if j.Rate > maxRate || j.Duration > maxSpan || len(j.URLs) == 0 {
 		return fmt.Errorf("at most %v a second for %v, to one address or more", maxRate, maxSpan)
 	}
 	return nil
@@ -133,13 +133,13 @@
 func newRun(job Job, transport *http.Transport) *run {
 	slots := maxConcurrent
 	if job.Rate == 0 {
-		slots = job.Flying
+		slots = job.Concurrency
 	}
 	return &run{
 		job:       job,
 		transport: transport,
 		slots:     make(chan struct{}, slots),
-		result:    Result{Times: hdrhistogram.New(1, maxRecordedMicros, histogramDigits), Reasons: map[string]int{}},
+		result:    Result{Latencies: hdrhistogram.New(1, maxRecordedMicros, histogramDigits), Reasons: map[string]int{}},
 	}
 }
 
@@ -152,11 +152,11 @@
 	switch {
 	case status >= 200 && status < 500:
 		r.result.Good++
-		r.result.Times.RecordValue(max(1, took.Microseconds()))
+		r.result.Latencies.RecordValue(max(1, took.Microseconds()))
 	case status == http.StatusServiceUnavailable:
-		r.result.Blocked++
+		r.result.Rejected++
 	default:
-		r.result.Dropped++
+		r.result.Failed++
 	}
 	if reason != "" {
 		r.result.Reasons[reason]++
@@ -165,7 +165,7 @@
 
 // send sends a request and reads its answer. The reason is why there is none, or the proxy's.
 func send(ctx context.Context, transport *http.Transport, j Job, k int, due time.Time) (status int, reason string) {
-	ctx, cancel := context.WithDeadline(ctx, due.Add(j.Expiry))
+	ctx, cancel := context.WithDeadline(ctx, due.Add(j.Timeout))
 	defer cancel()
 	var body io.Reader
 	if j.Method == http.MethodPost {
@@ -175,8 +175,8 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	if j.Each != nil {
-		j.Each(k, req)
+	if j.EditRequest != nil {
+		j.EditRequest(k, req)
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
@@ -189,10 +189,10 @@
 	return resp.StatusCode, resp.Header.Get("Lilacbend-Reason")
 }
 
-// Within returns the fraction of all requests that were answered well within a time.
-func (r Result) Within(budget time.Duration) float64 {
+// FractionWithin returns the fraction of all requests that were answered well within a time.
+func (r Result) FractionWithin(budget time.Duration) float64 {
 	n := int64(0)
-	for _, b := range r.Times.Distribution() {
+	for _, b := range r.Latencies.Distribution() {
 		if b.To <= budget.Microseconds() {
 			n += b.Count
 		}
@@ -202,19 +202,19 @@
 
 // String returns the result in one line.
 func (r Result) String() string {
-	q := func(p float64) float64 { return float64(r.Times.ValueAtQuantile(p)) / 1000 }
+	q := func(p float64) float64 { return float64(r.Latencies.ValueAtQuantile(p)) / 1000 }
 	return fmt.Sprintf("%d sent, %.2f%% good, %d blocked, %d dropped; %.0f/s; ms p50 %.3f p99 %.3f p99.9 %.3f max %.1f", r.Sent,
-		100*float64(r.Good)/float64(max(1, r.Sent)), r.Blocked, r.Dropped, float64(r.Good)/r.Took.Seconds(), q(50), q(99), q(99.9), float64(r.Times.Max())/1000)
+		100*float64(r.Good)/float64(max(1, r.Sent)), r.Rejected, r.Failed, float64(r.Good)/r.Elapsed.Seconds(), q(50), q(99), q(99.9), float64(r.Latencies.Max())/1000)
 }
 
-// Write writes the histogram to a file that other tools read.
-func (r Result) Write(file string) error {
+// WriteHistogram writes the histogram to a file that other tools read.
+func (r Result) WriteHistogram(file string) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	if _, err := r.Times.PercentilesPrint(f, 5, 1000); err != nil {
+	if _, err := r.Latencies.PercentilesPrint(f, 5, 1000); err != nil {
 		return fmt.Errorf("writing %s: %w", file, err)
 	}
 	return nil
--- a/experiment/replica/h2client.go
+++ b/experiment/replica/h2client.go
@@ -11,44 +11,44 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// H2 is a client that sends frames as scripted and records what it receives.
-type H2 struct {
+// HTTP2Client is a client that sends frames as scripted and records what it receives.
+type HTTP2Client struct {
 	Conn    net.Conn
 	Framer  *http2.Framer
 	enc     *hpack.Encoder
 	block   bytes.Buffer
 	writing sync.Mutex // one writer of frames at a time
 
-	mu      sync.Mutex
-	heard   *sync.Cond
-	Streams map[uint32]*Heard
-	GoAways []http2.GoAwayFrame
-	Ended   bool
-	Pings   int
-	Greedy  bool // windows are opened as data arrives
+	mu               sync.Mutex
+	heard            *sync.Cond
+	Streams          map[uint32]*StreamRecord
+	GoAways          []http2.GoAwayFrame
+	Closed           bool
+	Pings            int
+	AutoWindowUpdate bool // windows are opened as data arrives
 }
 
-// Heard is what was received on one stream.
-type Heard struct {
-	Status  string
-	Fields  map[string]string
-	Body    []byte
-	Ended   bool
-	Reset   bool
-	Code    http2.ErrCode
-	Answers int // final headers
+// StreamRecord is what was received on one stream.
+type StreamRecord struct {
+	Status    string
+	Fields    map[string]string
+	Body      []byte
+	Ended     bool
+	Reset     bool
+	ErrCode   http2.ErrCode
+	Responses int // final headers
 }
 
 // Done reports whether the stream has ended.
-func (h *Heard) Done() bool { return h.Ended || h.Reset }
+func (h *StreamRecord) Done() bool { return h.Ended || h.Reset }
 
-// DialH2 connects and sends the preface; window is the initial window of each stream, in bytes.
-func DialH2(addr string, window uint32) (*H2, error) {
+// DialHTTP2 connects and sends the preface; window is the initial window of each stream, in bytes.
+func DialHTTP2(addr string, window uint32) (*HTTP2Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &H2{Conn: conn, Framer: http2.NewFramer(conn, conn), Streams: map[uint32]*Heard{}, Greedy: window > 0}
+	c := &HTTP2Client{Conn: conn, Framer: http2.NewFramer(conn, conn), Streams: map[uint32]*StreamRecord{}, AutoWindowUpdate: window > 0}
 	c.heard = sync.NewCond(&c.mu)
 	c.enc = hpack.NewEncoder(&c.block)
 	c.Framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
@@ -63,12 +63,12 @@
 }
 
 // read records frames until the connection ends.
-func (c *H2) read() {
+func (c *HTTP2Client) read() {
 	for {
 		frame, err := c.Framer.ReadFrame()
 		if err != nil {
 			c.mu.Lock()
-			c.Ended = true
+			c.Closed = true
 			c.heard.Broadcast()
 			c.mu.Unlock()
 			return
@@ -78,10 +78,10 @@
 }
 
 // handle records a frame, and opens windows for its data if the client is greedy.
-func (c *H2) handle(frame http2.Frame) {
+func (c *HTTP2Client) handle(frame http2.Frame) {
 	c.mu.Lock()
 	c.record(frame)
-	greedy := c.Greedy
+	greedy := c.AutoWindowUpdate
 	c.heard.Broadcast()
 	c.mu.Unlock()
 	data, isData := frame.(*http2.DataFrame)
@@ -90,7 +90,7 @@
 	}
 	id := data.StreamID
 	size := uint32(len(data.Data()))
-	go c.Say(func() error {
+	go c.WriteFrames(func() error {
 		if err := c.Framer.WriteWindowUpdate(0, size); err != nil {
 			return err
 		}
@@ -99,7 +99,7 @@
 }
 
 // record records a frame. The caller holds mu.
-func (c *H2) record(frame http2.Frame) {
+func (c *HTTP2Client) record(frame http2.Frame) {
 	stream := c.stream(frame.Header().StreamID)
 	switch f := frame.(type) {
 	case *http2.MetaHeadersFrame:
@@ -109,25 +109,25 @@
 		stream.Ended = stream.Ended || f.StreamEnded()
 	case *http2.RSTStreamFrame:
 		stream.Reset = true
-		stream.Code = f.ErrCode
+		stream.ErrCode = f.ErrCode
 	case *http2.GoAwayFrame:
 		c.GoAways = append(c.GoAways, *f)
 	case *http2.PingFrame:
 		c.Pings++
 	case *http2.SettingsFrame:
 		if !f.IsAck() {
-			go c.Say(c.Framer.WriteSettingsAck)
+			go c.WriteFrames(c.Framer.WriteSettingsAck)
 		}
 	}
 }
 
 // stream returns what was received on a stream, which for the connection itself (0) is not kept.
-func (c *H2) stream(id uint32) *Heard {
+func (c *HTTP2Client) stream(id uint32) *StreamRecord {
 	stream := c.Streams[id]
 	if stream != nil {
 		return stream
 	}
-	stream = &Heard{Fields: map[string]string{}}
+	stream = &StreamRecord{Fields: map[string]string{}}
 	if id != 0 {
 		c.Streams[id] = stream
 	}
@@ -137,13 +137,13 @@
 // firstFinalStatus is the lowest status that is not an interim one.
 const firstFinalStatus = "200"
 
-func (h *Heard) recordHeaders(frame *http2.MetaHeadersFrame) {
+func (h *StreamRecord) recordHeaders(frame *http2.MetaHeadersFrame) {
 	status := frame.PseudoValue("status")
 	if status != "" {
 		h.Status = status
 	}
 	if status >= firstFinalStatus {
-		h.Answers++
+		h.Responses++
 	}
 	for _, field := range frame.RegularFields() {
 		h.Fields[field.Name] = field.Value
@@ -151,16 +151,16 @@
 	h.Ended = h.Ended || frame.StreamEnded()
 }
 
-// Say calls write, which writes frames, while no other caller does.
-func (c *H2) Say(write func() error) error {
+// WriteFrames calls write, which writes frames, while no other caller does.
+func (c *HTTP2Client) WriteFrames(write func() error) error {
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	return write()
 }
 
-// Open opens a stream; pairs are further fields. Without a body the stream ends with its headers.
-func (c *H2) Open(id uint32, method, path string, body bool, pairs ...string) error {
-	return c.Say(func() error {
+// OpenStream opens a stream; pairs are further fields. Without a body the stream ends with its headers.
+func (c *HTTP2Client) OpenStream(id uint32, method, path string, body bool, pairs ...string) error {
+	return c.WriteFrames(func() error {
 		c.block.Reset()
 		fields := append([]string{":method", method, ":scheme", "http", ":path", path, ":authority", "shop.example.org"}, pairs...)
 		for k := 0; k+1 < len(fields); k += 2 {
@@ -170,18 +170,18 @@
 	})
 }
 
-// Data sends a part of a body.
-func (c *H2) Data(id uint32, end bool, data []byte) error {
-	return c.Say(func() error { return c.Framer.WriteData(id, end, data) })
+// SendData sends a part of a body.
+func (c *HTTP2Client) SendData(id uint32, end bool, data []byte) error {
+	return c.WriteFrames(func() error { return c.Framer.WriteData(id, end, data) })
 }
 
-// Reset resets a stream.
-func (c *H2) Reset(id uint32) error {
-	return c.Say(func() error { return c.Framer.WriteRSTStream(id, http2.ErrCodeCancel) })
+// ResetStream resets a stream.
+func (c *HTTP2Client) ResetStream(id uint32) error {
+	return c.WriteFrames(func() error { return c.Framer.WriteRSTStream(id, http2.ErrCodeCancel) })
 }
 
-// Wait waits until a condition holds, at most for a time, and reports whether it does.
-func (c *H2) Wait(most time.Duration, holds func(c *H2) bool) bool {
+// WaitFor waits until a condition holds, at most for a time, and reports whether it does.
+func (c *HTTP2Client) WaitFor(most time.Duration, holds func(c *HTTP2Client) bool) bool {
 	timer := time.AfterFunc(most, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -200,15 +200,15 @@
 	return true
 }
 
-// Of returns a copy of what was received on a stream.
-func (c *H2) Of(id uint32) Heard {
+// Stream returns a copy of what was received on a stream.
+func (c *HTTP2Client) Stream(id uint32) StreamRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s := c.Streams[id]; s != nil {
 		return *s
 	}
-	return Heard{}
+	return StreamRecord{}
 }
 
-// Key returns the header field by which a replica counts runs.
-func Key(n int) []string { return []string{"key", "k" + strconv.Itoa(n)} }
+// KeyField returns the header field by which a replica counts runs.
+func KeyField(n int) []string { return []string{"key", "k" + strconv.Itoa(n)} }
--- a/experiment/replica/replica.go
+++ b/experiment/replica/replica.go
@@ -15,17 +15,17 @@
 
 // Replica is a scripted replica. It counts how often each key (the field Key) has run.
 type Replica struct {
-	Addr    string
-	Serves  atomic.Int64  // requests that have begun to run
-	Span    atomic.Int64  // nanoseconds that a request takes
-	Silent  atomic.Bool   // requests run but are not answered
-	Status  atomic.Int64  // of answers; 0: 200
-	Places  chan struct{} // limits requests at once; nil: no limit
-	Size    atomic.Int64  // of an answer's body, in bytes
-	mu      sync.Mutex
-	runs    map[string]int
-	server  *http.Server
-	handler http.HandlerFunc
+	Addr         string
+	RequestCount atomic.Int64  // requests that have begun to run
+	ServiceTime  atomic.Int64  // nanoseconds that a request takes
+	Unresponsive atomic.Bool   // requests run but are not answered
+	Status       atomic.Int64  // of answers; 0: 200
+	Slots        chan struct{} // limits requests at once; nil: no limit
+	BodySize     atomic.Int64  // of an answer's body, in bytes
+	mu           sync.Mutex
+	runs         map[string]int
+	server       *http.Server
+	handler      http.HandlerFunc
 }
 
 // NewReplica listens on an address of loopback. A handler, if any, answers instead of the script.
@@ -36,7 +36,7 @@
 	}
 	r := &Replica{Addr: l.Addr().String(), runs: map[string]int{}, handler: handler}
 	if places > 0 {
-		r.Places = make(chan struct{}, places)
+		r.Slots = make(chan struct{}, places)
 	}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go r.server.Serve(l)
@@ -46,15 +46,15 @@
 // Stop ends the replica at once, as a crash does.
 func (r *Replica) Stop() { r.server.Close() }
 
-// Runs returns how often each key has run.
-func (r *Replica) Runs() map[string]int {
+// RunsByKey returns how often each key has run.
+func (r *Replica) RunsByKey() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.runs)
 }
 
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request) {
-	r.Serves.Add(1)
+	r.RequestCount.Add(1)
 	if key := req.Header.Get("Key"); key != "" {
 		r.mu.Lock()
 		r.runs[key]++
@@ -65,19 +65,19 @@
 		return
 	}
 	io.Copy(io.Discard, req.Body)
-	if r.Places != nil {
+	if r.Slots != nil {
 		select {
-		case r.Places <- struct{}{}:
-			defer func() { <-r.Places }()
+		case r.Slots <- struct{}{}:
+			defer func() { <-r.Slots }()
 		case <-req.Context().Done():
 			return
 		}
 	}
-	if r.Silent.Load() {
+	if r.Unresponsive.Load() {
 		<-req.Context().Done()
 		return
 	}
-	if span := time.Duration(r.Span.Load()); span > 0 {
+	if span := time.Duration(r.ServiceTime.Load()); span > 0 {
 		select {
 		case <-time.After(span):
 		case <-req.Context().Done():
@@ -88,7 +88,7 @@
 		w.WriteHeader(status)
 	}
 	fmt.Fprint(w, r.Addr)
-	io.CopyN(w, zeros{}, r.Size.Load())
+	io.CopyN(w, zeros{}, r.BodySize.Load())
 }
 
 // zeros is an endless source of zero bytes.
--- a/experiment/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -14,38 +14,38 @@
 
 const second = int64(1e9)
 
-// Trouble is the fault of some replicas from the tenth second on.
-type Trouble struct {
+// Scenario is the fault of some replicas from the tenth second on.
+type Scenario struct {
 	Name     string
 	Fault    emulator.ReplicaFault
 	Fraction float64 // of the replicas
 }
 
-// Troubles are the faults of the standard measurement.
-var Troubles = []Trouble{
+// Scenarios are the faults of the standard measurement.
+var Scenarios = []Scenario{
 	{"none", emulator.NoFault, 0},
-	{"silent 1/10", emulator.Silent, 0.1},
+	{"silent 1/10", emulator.Unresponsive, 0.1},
 	{"slow 1/10", emulator.Slow, 0.1},
 	{"failing 1/10", emulator.Failing, 0.1},
-	{"silent 1/3", emulator.Silent, 1.0 / 3},
+	{"silent 1/3", emulator.Unresponsive, 1.0 / 3},
 	{"slow 1/3", emulator.Slow, 1.0 / 3},
 	{"failing 1/3", emulator.Failing, 1.0 / 3},
 }
 
-// Memory is the state that the restarted controller receives.
-type Memory int
+// StateKind is the state that the restarted controller receives.
+type StateKind int
 
 // Kinds of state.
 const (
-	NoRestart Memory = iota // the controller does not restart
-	None                    // no state
-	Kept                    // the learned state
-	Old                     // two minutes old, with all ejected replicas healthy and all healthy ones on probation
-	Wrong                   // the learned state with that of replicas exchanged
+	NoRestart  StateKind = iota // the controller does not restart
+	NoState                     // no state
+	KeptState                   // the learned state
+	OldState                    // two minutes old, with all ejected replicas healthy and all healthy ones on probation
+	WrongState                  // the learned state with that of replicas exchanged
 )
 
 // String returns the name in tables.
-func (m Memory) String() string {
+func (m StateKind) String() string {
 	return [...]string{"no restart", "without state", "with state", "state old", "state wrong"}[m]
 }
 
@@ -62,7 +62,7 @@
 )
 
 // Run simulates one restart and counts the requests that arrive in the window from the restart on.
-func Run(site emulator.Site, trouble Trouble, memory Memory, seed int64) (emulator.Outcome, error) {
+func Run(site emulator.Site, trouble Scenario, memory StateKind, seed int64) (emulator.OutcomeCounts, error) {
 	simulation := emulator.New(site, seed)
 	simulation.Start(nil)
 	simulation.Run(faultAt)
@@ -74,17 +74,17 @@
 		}
 	})
 	simulation.Run(restartAt + random.Int63n(snapshotInterval))
-	counted := simulation.Count(simulation.Now(), simulation.Now()+window)
+	counted := simulation.CountOutcomes(simulation.Now(), simulation.Now()+window)
 	if memory == NoRestart {
 		simulation.Run(simulation.Now() + window + settleTime)
 		return *counted, nil
 	}
-	learned := simulation.Learned
+	learned := simulation.LearnedState
 	simulation.Stop()
 	simulation.Run(simulation.Now() + restartTime)
 	restored, err := restore(simulation, learned, memory, random)
 	if err != nil {
-		return emulator.Outcome{}, err
+		return emulator.OutcomeCounts{}, err
 	}
 	simulation.Start(restored)
 	simulation.Run(simulation.Now() + window + settleTime)
@@ -92,8 +92,8 @@
 }
 
 // restore encodes and decodes the learned state as a snapshot, and changes it as the kind of state says.
-func restore(simulation *emulator.Simulation, learned *learnedstate.State, memory Memory, random *rand.Rand) (*learnedstate.AgedState, error) {
-	if memory == None || learned == nil {
+func restore(simulation *emulator.Simulation, learned *learnedstate.State, memory StateKind, random *rand.Rand) (*learnedstate.AgedState, error) {
+	if memory == NoState || learned == nil {
 		return nil, nil
 	}
 	raw, err := snapshot.Encode(*learned, 1)
@@ -107,10 +107,10 @@
 	state := generation.State
 	age := state.Taken.Age(learnedstate.Timestamp{Wall: simulation.Now()})
 	switch memory {
-	case Old:
+	case OldState:
 		age += 2 * halfLife
 		invertHealth(state.Replicas)
-	case Wrong:
+	case WrongState:
 		exchangeReplicas(state.Replicas, random)
 	}
 	names := simulation.Site.Names
--- a/experiment/restart/restart_test.go
+++ b/experiment/restart/restart_test.go
@@ -12,7 +12,7 @@
 // BenchmarkRestart is one run at the size of a deployment, for profiles.
 func BenchmarkRestart(b *testing.B) {
 	for range b.N {
-		if _, err := Run(emulator.NewSite(120, 1280, 0.5), Troubles[1], Kept, 1); err != nil {
+		if _, err := Run(emulator.NewSite(120, 1280, 0.5), Scenarios[1], KeptState, 1); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -31,13 +31,13 @@
 					simulation.Start(nil)
 					simulation.Core(0).SetSnapshotPolicy(every, 60*second)
 					simulation.Run(5500 * second / 1000)
-					simulation.Turns = simulation.Turns[:0]
+					simulation.TurnTimes = simulation.TurnTimes[:0]
 					simulation.Run(16 * second)
-					slices.Sort(simulation.Turns)
-					n := len(simulation.Turns)
-					b.ReportMetric(float64(simulation.Turns[n/2])/1e6, "p50-ms")
-					b.ReportMetric(float64(simulation.Turns[n*99/100])/1e6, "p99-ms")
-					b.ReportMetric(float64(simulation.Turns[n-1])/1e6, "max-ms")
+					slices.Sort(simulation.TurnTimes)
+					n := len(simulation.TurnTimes)
+					b.ReportMetric(float64(simulation.TurnTimes[n/2])/1e6, "p50-ms")
+					b.ReportMetric(float64(simulation.TurnTimes[n*99/100])/1e6, "p99-ms")
+					b.ReportMetric(float64(simulation.TurnTimes[n-1])/1e6, "max-ms")
 				}
 			})
 		}
--- a/experiment/scale/link_test.go
+++ b/experiment/scale/link_test.go
@@ -78,7 +78,7 @@
 	if line, err := hears(conn, r, patience); line != "two\n" {
 		t.Errorf("healed: %q, %v", line, err)
 	}
-	scriptedpeer.Until(t, "8 bytes are not counted both ways", func() bool { return l.up.Load() == 8 && l.down.Load() == 8 })
+	scriptedpeer.WaitFor(t, "8 bytes are not counted both ways", func() bool { return l.up.Load() == 8 && l.down.Load() == 8 })
 }
 
 // A cut concerns the links between inside and outside, both ways, and no other.
--- a/experiment/scale/servers_test.go
+++ b/experiment/scale/servers_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	defer c.Wait()
-	scriptedpeer.Until(t, "its end is not noticed", func() bool { return errors.Is(allRun([]int{c.Process.Pid}), errEnded) })
+	scriptedpeer.WaitFor(t, "its end is not noticed", func() bool { return errors.Is(allRun([]int{c.Process.Pid}), errEnded) })
 	ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer stop()
 	s, err := newServers(small(), ServeAs("/bin/true", nil), t.TempDir())
--- a/experiment/scriptedpeer/peers.go
+++ b/experiment/scriptedpeer/peers.go
@@ -1,6 +1,6 @@
 // Package scriptedpeer has what tests of crossings need of the other side of a connection: peers on loopback that hold bytes
 // back, reset, stop reading, or close at a given instant. An order of events is forced by what a peer has seen, never by
-// a pause. Whatever does not come within Patience fails the test.
+// a pause. Whatever does not come within WaitTimeout fails the test.
 package scriptedpeer
 
 import (
@@ -17,23 +17,23 @@
 	"lilacbend/internal/resp"
 )
 
-// Patience bounds each wait: far over what a loaded machine takes, so that only what never comes fails.
-const Patience = 20 * time.Second
+// WaitTimeout bounds each wait: far over what a loaded machine takes, so that only what never comes fails.
+const WaitTimeout = 20 * time.Second
 
 // Conn is one end of a connection, in the hands of a test.
 type Conn struct {
 	net.Conn
-	Read *bufio.Reader // what came is read here
-	resp *resp.Reader
-	pool *resp.Pool
-	t    testing.TB
+	Reader *bufio.Reader // what came is read here
+	resp   *resp.Reader
+	pool   *resp.Pool
+	t      testing.TB
 }
 
 func wrap(t testing.TB, conn net.Conn) *Conn {
-	conn.SetDeadline(time.Now().Add(Patience))
+	conn.SetDeadline(time.Now().Add(WaitTimeout))
 	t.Cleanup(func() { conn.Close() })
-	c := &Conn{Conn: conn, Read: bufio.NewReader(conn), pool: resp.NewPool(1 << 20), t: t}
-	c.resp = resp.NewReader(c.Read, c.pool)
+	c := &Conn{Conn: conn, Reader: bufio.NewReader(conn), pool: resp.NewPool(1 << 20), t: t}
+	c.resp = resp.NewReader(c.Reader, c.pool)
 	return c
 }
 
@@ -51,7 +51,7 @@
 func DialWhenUp(t testing.TB, address string) *Conn {
 	t.Helper()
 	var conn net.Conn
-	Until(t, "nobody listens on "+address, func() (up bool) {
+	WaitFor(t, "nobody listens on "+address, func() (up bool) {
 		var err error
 		conn, err = net.Dial("tcp", address)
 		return err == nil
@@ -79,13 +79,13 @@
 	return &Listener{l, t}
 }
 
-// At is the address.
-func (l *Listener) At() string { return l.Addr().String() }
+// Address is the address.
+func (l *Listener) Address() string { return l.Addr().String() }
 
-// Take accepts the next connection.
-func (l *Listener) Take() *Conn {
+// AcceptConn accepts the next connection.
+func (l *Listener) AcceptConn() *Conn {
 	l.t.Helper()
-	l.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(Patience))
+	l.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(WaitTimeout))
 	conn, err := l.Accept()
 	if err != nil {
 		l.t.Fatalf("nobody came: %v", err)
@@ -110,8 +110,8 @@
 	}()
 }
 
-// None says that nobody comes for so long. For what must not happen only: it orders nothing.
-func (l *Listener) None(span time.Duration) {
+// ExpectNoConnection says that nobody comes for so long. For what must not happen only: it orders nothing.
+func (l *Listener) ExpectNoConnection(span time.Duration) {
 	l.t.Helper()
 	l.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(span))
 	if conn, err := l.Accept(); err == nil {
@@ -120,7 +120,7 @@
 	}
 }
 
-// The ports that Free returns. They lie below those that the kernel gives to outgoing connections (from 32768 on Linux), so that
+// The ports that FreeAddress returns. They lie below those that the kernel gives to outgoing connections (from 32768 on Linux), so that
 // no connection of another test takes the port before it is listened on.
 const (
 	firstFreePort = 20000
@@ -128,8 +128,8 @@
 	freeAttempts  = 100
 )
 
-// Free returns an address of loopback that nobody listens on.
-func Free(t testing.TB) string {
+// FreeAddress returns an address of loopback that nobody listens on.
+func FreeAddress(t testing.TB) string {
 	t.Helper()
 	for range freeAttempts {
 		port := firstFreePort + rand.IntN(lastFreePort-firstFreePort)
@@ -144,32 +144,32 @@
 	return ""
 }
 
-// Raw writes bytes as they are.
-func (c *Conn) Raw(text string) {
+// SendRaw writes bytes as they are.
+func (c *Conn) SendRaw(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
 		c.t.Errorf("writing %.60q: %v", text, err)
 	}
 }
 
-// Drip writes each byte by itself.
-func (c *Conn) Drip(text string) {
+// SendByteByByte writes each byte by itself.
+func (c *Conn) SendByteByByte(text string) {
 	c.t.Helper()
 	for k := range len(text) {
-		c.Raw(text[k : k+1])
+		c.SendRaw(text[k : k+1])
 	}
 }
 
-// Say writes messages, each a line of words, as RESP2.
-func (c *Conn) Say(messages ...string) {
+// Send writes messages, each a line of words, as RESP2.
+func (c *Conn) Send(messages ...string) {
 	c.t.Helper()
 	for _, text := range messages {
-		c.Raw(Message(text))
+		c.SendRaw(EncodeMessage(text))
 	}
 }
 
-// Message is a line of words as RESP2.
-func Message(text string) string {
+// EncodeMessage is a line of words as RESP2.
+func EncodeMessage(text string) string {
 	var b strings.Builder
 	if _, err := resp.Write(&b, resp.NewPool(1<<20), strings.Fields(text)...); err != nil {
 		panic(err)
@@ -177,17 +177,17 @@
 	return b.String()
 }
 
-// Next reads one RESP2 message as a line of words; false: the connection has ended.
-func (c *Conn) Next() (string, bool) {
+// ReadMessage reads one RESP2 message as a line of words; false: the connection has ended.
+func (c *Conn) ReadMessage() (string, bool) {
 	words, err := c.resp.Next()
 	return strings.Join(words, " "), err == nil
 }
 
-// Hears reads messages until one begins with a text, and returns it.
-func (c *Conn) Hears(begins string) string {
+// WaitForMessage reads messages until one begins with a text, and returns it.
+func (c *Conn) WaitForMessage(begins string) string {
 	c.t.Helper()
 	for {
-		text, ok := c.Next()
+		text, ok := c.ReadMessage()
 		if !ok {
 			c.t.Fatalf("ended before %q", begins)
 		}
@@ -197,12 +197,12 @@
 	}
 }
 
-// Request reads the head of an HTTP/1.1 request up to the empty line, and returns its first line.
-func (c *Conn) Request() string {
+// ReadRequestHead reads the head of an HTTP/1.1 request up to the empty line, and returns its first line.
+func (c *Conn) ReadRequestHead() string {
 	c.t.Helper()
 	first := ""
 	for {
-		line, err := c.Read.ReadString('\n')
+		line, err := c.Reader.ReadString('\n')
 		if err != nil {
 			c.t.Fatalf("no request after %q: %v", first, err)
 		}
@@ -215,10 +215,10 @@
 	}
 }
 
-// Ends waits for the end of what comes, reading all before it, and says whether it was a reset.
-func (c *Conn) Ends() (reset bool) {
+// WaitForClose waits for the end of what comes, reading all before it, and says whether it was a reset.
+func (c *Conn) WaitForClose() (reset bool) {
 	c.t.Helper()
-	_, err := io.Copy(io.Discard, c.Read)
+	_, err := io.Copy(io.Discard, c.Reader)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
 		c.t.Error("the connection does not end")
 	}
@@ -236,18 +236,18 @@
 // narrow is what the kernel keeps of what is on its way, in bytes: little beside a long message, and enough to be quick.
 const narrow = 1 << 16
 
-// Narrow has the kernel keep little of what comes and is not read, and of what is written and not taken.
-func (c *Conn) Narrow() *Conn {
+// ShrinkBuffers has the kernel keep little of what comes and is not read, and of what is written and not taken.
+func (c *Conn) ShrinkBuffers() *Conn {
 	tcp := c.Conn.(*net.TCPConn)
 	tcp.SetReadBuffer(narrow)
 	tcp.SetWriteBuffer(narrow)
 	return c
 }
 
-// Until waits for a condition that something else brings about.
-func Until(t testing.TB, otherwise string, holds func() bool) {
+// WaitFor waits for a condition that something else brings about.
+func WaitFor(t testing.TB, otherwise string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal(otherwise)
 		}
--- a/experiment/scriptedpeer/peers_test.go
+++ b/experiment/scriptedpeer/peers_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	for range 50 {
-		at := Free(t)
+		at := FreeAddress(t)
 		_, port, err := net.SplitHostPort(at)
 		if err != nil {
 			t.Fatal(err)
--- a/experiment/seeds/script.go
+++ b/experiment/seeds/script.go
@@ -30,7 +30,7 @@
 	for name := range Profiles {
 		profiles[name] = name
 	}
-	for _, kind := range slices.Concat(emulator.Kinds, emulator.Crowds) {
+	for _, kind := range slices.Concat(emulator.FaultKinds, emulator.CorrelatedFaultKinds) {
 		kinds[kind] = kind
 	}
 	strictyaml.Choice(top, "profile", &s.Profile, profiles)
@@ -44,12 +44,12 @@
 		strictyaml.Choice(one, "kind", &fault.Kind, kinds)
 		one.Duration("at", &at, 0, time.Hour)
 		one.Duration("span", &span, 0, time.Hour)
-		one.Whole("who", &fault.Who, 0, math.MaxInt32)
-		if zones := len(Profiles[s.Profile].Site().Names.Zones); (fault.Kind == "cut" || fault.Kind == "zone") && fault.Who >= zones {
-			one.Fault("who", "is zone %d of %d", fault.Who, zones)
+		one.Whole("who", &fault.Target, 0, math.MaxInt32)
+		if zones := len(Profiles[s.Profile].Site().Names.Zones); (fault.Kind == "cut" || fault.Kind == "zone") && fault.Target >= zones {
+			one.Fault("who", "is zone %d of %d", fault.Target, zones)
 		}
 		one.Done()
-		fault.At, fault.Span = at.Nanoseconds(), span.Nanoseconds()
+		fault.Start, fault.Duration = at.Nanoseconds(), span.Nanoseconds()
 		s.Faults = append(s.Faults, fault)
 	}
 	top.Done()
@@ -62,7 +62,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "profile: %s\nseed: %d\nfaults:\n", s.Profile, s.Seed)
 	for _, f := range s.Faults {
-		fmt.Fprintf(&b, "  - kind: %s\n    at: %v\n    who: %d\n    span: %v\n", f.Kind, time.Duration(f.At), f.Who, time.Duration(f.Span))
+		fmt.Fprintf(&b, "  - kind: %s\n    at: %v\n    who: %d\n    span: %v\n", f.Kind, time.Duration(f.Start), f.Target, time.Duration(f.Duration))
 	}
 	return b.String()
 }
--- a/experiment/seeds/seeds.go
+++ b/experiment/seeds/seeds.go
@@ -48,15 +48,15 @@
 	"restart":  {Site: func() emulator.Site { return emulator.NewSite(12, 24, 0.4) }, Kinds: []string{"governor", "governor-kept", "restart", "silent", "stream"}},
 	"zones":    {Site: func() emulator.Site { return emulator.NewSite(12, 24, 0.3) }, Kinds: []string{"cut", "restart", "governor", "stall"}},
 	"overload": {Site: overload, Kinds: []string{"silent", "failing", "replace"}, Crowds: []string{"release"}, RulesOnly: true},
-	"fleet":    {Site: fleet, Kinds: []string{"governor", "cut", "silent", "failing", "replace"}, Crowds: emulator.Crowds},
+	"fleet":    {Site: fleet, Kinds: []string{"governor", "cut", "silent", "failing", "replace"}, Crowds: emulator.CorrelatedFaultKinds},
 }
 
 // fleet is five independent controllers whose intake is too narrow for all reports, which add up for seconds.
 func fleet() emulator.Site {
 	s := emulator.NewSite(60, 150, 0.5)
-	s.Provision.Controllers = 5
-	s.Provision.DrainGrace = 2 * second
-	s.Intake = 40
+	s.Settings.Controllers = 5
+	s.Settings.DrainGrace = 2 * second
+	s.ReportRateLimit = 40
 	return s
 }
 
@@ -65,14 +65,14 @@
 func overload() emulator.Site {
 	s := emulator.NewSite(60, 150, 1)
 	s.Names.Zones = []string{"a", "b", "c"}
-	s.Provision.Zones = 3
-	s.Provision.Controllers = 5
-	s.Provision.DrainGrace = 2 * second
-	s.Intake = 60
-	s.Provision.SlowStartTime = 18 * second
-	s.Provision.SlowStartFraction = 0.16
-	s.Provision.OverloadMultiple = 2.5
-	s.Overload = emulator.Overload{QueueLimit: 30, ClientTries: 2, AvoidAfter: 8, AvoidSpan: 5 * second, ZoneGovernor: true}
+	s.Settings.Zones = 3
+	s.Settings.Controllers = 5
+	s.Settings.DrainGrace = 2 * second
+	s.ReportRateLimit = 60
+	s.Settings.SlowStartTime = 18 * second
+	s.Settings.SlowStartFraction = 0.16
+	s.Settings.OverloadMultiple = 2.5
+	s.Overload = emulator.Overload{QueueLimit: 30, ClientRetries: 2, AvoidAfterFailures: 8, AvoidDuration: 5 * second, ZonalControllers: true}
 	return s
 }
 
@@ -80,18 +80,18 @@
 type Result struct {
 	Seed     int64
 	Script   []emulator.Fault
-	Breaches []emulator.Breach
+	Breaches []emulator.Violation
 	Digest   uint64 // of all messages and breaches, with their times
 }
 
 // Draw returns the script of a seed.
 func (p Profile) Draw(seed int64) []emulator.Fault {
-	script := emulator.Draw(p.Site(), seed, faultsFrom, faultsUntil, emulator.Kinds)
+	script := emulator.RandomFaults(p.Site(), seed, faultsFrom, faultsUntil, emulator.FaultKinds)
 	if len(p.Kinds) > 0 {
 		script = slices.DeleteFunc(script, func(f emulator.Fault) bool { return !slices.Contains(p.Kinds, f.Kind) })
 	}
 	if len(p.Crowds) > 0 {
-		script = append(script, emulator.Draw(p.Site(), seed, faultsFrom, faultsUntil, p.Crowds)[0])
+		script = append(script, emulator.RandomFaults(p.Site(), seed, faultsFrom, faultsUntil, p.Crowds)[0])
 	}
 	return script
 }
@@ -113,18 +113,18 @@
 	simulation.CheckRules()
 	simulation.Inject(script)
 	end := faultsUntil + recoveryTime
-	outcome := simulation.Count(end-finalWindow, end)
+	outcome := simulation.CountOutcomes(end-finalWindow, end)
 	simulation.Run(end + settleTime)
-	good := 1 - outcome.Bad()
+	good := 1 - outcome.BadFraction()
 	if !p.RulesOnly && outcome.Arrived > 0 && good < minGood {
 		what := fmt.Sprintf("service %.3f of the last flows: %s", good, outcome)
-		simulation.Breaches = append(simulation.Breaches, emulator.Breach{At: simulation.Now(), What: what})
+		simulation.Violations = append(simulation.Violations, emulator.Violation{Time: simulation.Now(), Description: what})
 	}
-	for _, b := range simulation.Breaches {
+	for _, b := range simulation.Violations {
 		digest.WriteString(b.String())
 	}
 	digest.Write(binary.BigEndian.AppendUint64(nil, uint64(outcome.Good)))
-	return Result{Seed: seed, Script: script, Breaches: simulation.Breaches, Digest: digest.Sum64()}
+	return Result{Seed: seed, Script: script, Breaches: simulation.Violations, Digest: digest.Sum64()}
 }
 
 // Run simulates count seeds from first on, workers at once, and passes the results to handle in the order of the seeds.
@@ -159,7 +159,7 @@
 	rule := r.Breaches[0].Rule
 	breaks := func(script []emulator.Fault) (Result, bool) {
 		next := p.Play(r.Seed, script, nil)
-		return next, slices.ContainsFunc(next.Breaches, func(b emulator.Breach) bool { return b.Rule == rule })
+		return next, slices.ContainsFunc(next.Breaches, func(b emulator.Violation) bool { return b.Rule == rule })
 	}
 	for again := true; again; {
 		again = false
@@ -171,9 +171,9 @@
 		}
 	}
 	for k := range r.Script {
-		for r.Script[k].Span > second/10 {
+		for r.Script[k].Duration > second/10 {
 			script := slices.Clone(r.Script)
-			script[k].Span /= 2
+			script[k].Duration /= 2
 			next, still := breaks(script)
 			if !still {
 				break
--- a/experiment/seeds/seeds_test.go
+++ b/experiment/seeds/seeds_test.go
@@ -42,7 +42,7 @@
 // replicas, but those that warm up must not be overloaded.
 func TestWarmingReplicasAreNotOverloaded(t *testing.T) {
 	p := Profiles["overload"]
-	releases := []emulator.Fault{{At: 10 * second, Kind: "release", Span: 4 * second}, {At: 18 * second, Kind: "release", Span: 4 * second}}
+	releases := []emulator.Fault{{Start: 10 * second, Kind: "release", Duration: 4 * second}, {Start: 18 * second, Kind: "release", Duration: 4 * second}}
 	for _, seed := range []int64{4, 5, 10} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -94,7 +94,7 @@
 func TestOverloadOfWarmingReplicaIsDetected(t *testing.T) {
 	p := Profiles["fleet"]
 	p.WrapModule = func(m controller.Module) controller.Module { return overweighting{m, map[uint32]int64{}} }
-	r := p.Play(1, []emulator.Fault{{At: 10 * second, Kind: "replace", Who: 7, Span: 2 * second}}, nil)
+	r := p.Play(1, []emulator.Fault{{Start: 10 * second, Kind: "replace", Target: 7, Duration: 2 * second}}, nil)
 	if len(r.Breaches) == 0 || r.Breaches[0].Rule != 4 {
 		t.Errorf("no overload was detected: %v", r.Breaches)
 	}
@@ -139,7 +139,7 @@
 		for seed := int64(1); seed <= 20 && detected == 0; seed++ {
 			p := Profiles["smoke"]
 			p.WrapModule = func(m controller.Module) controller.Module { return dropping{m, c.drops} }
-			for _, b := range p.Play(seed, []emulator.Fault{{At: 10 * second, Kind: "drain", Who: int(seed) % 8, Span: 6 * second}}, nil).Breaches {
+			for _, b := range p.Play(seed, []emulator.Fault{{Start: 10 * second, Kind: "drain", Target: int(seed) % 8, Duration: 6 * second}}, nil).Breaches {
 				if b.Rule == c.rule {
 					detected++
 				}
@@ -156,9 +156,9 @@
 	p.WrapModule = func(m controller.Module) controller.Module {
 		return dropping{m, withdrawals}
 	}
-	script := []emulator.Fault{{At: 9 * second, Kind: "slow", Who: 1, Span: second}, {At: 10 * second, Kind: "drain", Who: 2, Span: 8 * second}, {At: 12 * second, Kind: "stall", Who: 3, Span: second}}
+	script := []emulator.Fault{{Start: 9 * second, Kind: "slow", Target: 1, Duration: second}, {Start: 10 * second, Kind: "drain", Target: 2, Duration: 8 * second}, {Start: 12 * second, Kind: "stall", Target: 3, Duration: second}}
 	r := p.Shrink(p.Play(3, script, nil))
-	if len(r.Script) != 1 || r.Script[0].Kind != "drain" || r.Script[0].Span >= 8*second || len(r.Breaches) == 0 {
+	if len(r.Script) != 1 || r.Script[0].Kind != "drain" || r.Script[0].Duration >= 8*second || len(r.Breaches) == 0 {
 		t.Errorf("%v: %v", r.Script, r.Breaches)
 	}
 }
--- a/internal/configserver/failures_test.go
+++ b/internal/configserver/failures_test.go
@@ -57,10 +57,10 @@
 	copies := writer.Status().Counters.Copies
 	way.set(true)
 	write(t, folder, "service-3.json", exampleSettings(t, "second"))
-	scriptedpeer.Until(t, "the writer does not change", func() bool { return writer.Version().Revision == 21 })
+	scriptedpeer.WaitFor(t, "the writer does not change", func() bool { return writer.Version().Revision == 21 })
 	late := follow(t, "service-4", at(away)) // starts while the region is disconnected
 	late.until("first")
-	scriptedpeer.Until(t, "the disconnection is not noticed", func() bool { return away.log.count("configuration server fails") == 1 })
+	scriptedpeer.WaitFor(t, "the disconnection is not noticed", func() bool { return away.log.count("configuration server fails") == 1 })
 	if away.Version().Revision != 20 || g.Active().Revision == 21 {
 		t.Errorf("%s at the server, %s in force", away.Version(), g.Active())
 	}
@@ -81,7 +81,7 @@
 		write(t, folder, fmt.Sprintf("service-%d.json", k), []byte(large))
 	}
 	writer := start(t, Options{Name: "s0", Folder: folder, MaxCopies: 1})
-	scriptedpeer.Until(t, "no service is served", func() bool { return writer.Version().Revision == 8 })
+	scriptedpeer.WaitFor(t, "no service is served", func() bool { return writer.Version().Revision == 8 })
 	conn, err := net.Dial("tcp", writer.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -89,11 +89,11 @@
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	fmt.Fprint(conn, "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n") // 7 MB, and nothing is read
-	scriptedpeer.Until(t, "it gets no copy", func() bool { return writer.Status().Counters.Copies == 1 })
+	scriptedpeer.WaitFor(t, "it gets no copy", func() bool { return writer.Status().Counters.Copies == 1 })
 	g := follow(t, "service-3", at(writer))
-	scriptedpeer.Until(t, "no follower is throttled", func() bool { return g.Counts().Throttled > 0 })
+	scriptedpeer.WaitFor(t, "no follower is throttled", func() bool { return g.Counts().Throttled > 0 })
 	g.until("first")
-	scriptedpeer.Until(t, "the slow follower is not disconnected", func() bool { return writer.Status().Counters.WriteErrors == 1 })
+	scriptedpeer.WaitFor(t, "the slow follower is not disconnected", func() bool { return writer.Status().Counters.WriteErrors == 1 })
 }
 
 // Many followers that start at once are served within the limits, each with one complete copy.
@@ -125,8 +125,8 @@
 // Servers without a configuration that have lost the writer poll each other with backoff.
 func TestServersWithoutConfigurationPollWithBackoff(t *testing.T) {
 	t.Parallel()
-	lost := configclient.Server{Address: scriptedpeer.Free(t)}
-	one, two := scriptedpeer.Free(t), scriptedpeer.Free(t)
+	lost := configclient.Server{Address: scriptedpeer.FreeAddress(t)}
+	one, two := scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t)
 	first := start(t, Options{Name: "s1", Listen: one, Follow: []configclient.Server{lost, {Address: two}}})
 	second := start(t, Options{Name: "s2", Listen: two, Follow: []configclient.Server{lost, {Address: one}}})
 	const seconds, paceMost = 2, 10 // queries a second
--- a/internal/configserver/helpers_test.go
+++ b/internal/configserver/helpers_test.go
@@ -73,7 +73,7 @@
 				if span := time.Since(begun); err != nil || span > 2*shutdownTimeout {
 					t.Errorf("%s ended after %v: %v", o.Name, span, err)
 				}
-			case <-time.After(scriptedpeer.Patience):
+			case <-time.After(scriptedpeer.WaitTimeout):
 				t.Errorf("%s does not end", o.Name)
 			}
 		})
@@ -152,7 +152,7 @@
 // until waits until the settings with a class are active.
 func (g *controllerClient) until(class string) {
 	g.t.Helper()
-	scriptedpeer.Until(g.t, class+" is not active", func() bool {
+	scriptedpeer.WaitFor(g.t, class+" is not active", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return strings.Contains(g.has, fmt.Sprintf("%q", class))
--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -31,19 +31,19 @@
 	g.until("second")
 
 	write(t, folder, "orders.json", []byte(strings.Replace(string(exampleSettings(t, "third")), "push_rate", "rate", 1)))
-	scriptedpeer.Until(t, "an invalid file is not rejected", func() bool { return len(writer.Status().Faults) == 1 })
+	scriptedpeer.WaitFor(t, "an invalid file is not rejected", func() bool { return len(writer.Status().Faults) == 1 })
 	fault := writer.Status().Faults[0]
 	if fault.File != "orders.json" || !strings.Contains(fault.Reason, "setting domain.push_rate is missing") {
 		t.Errorf("%+v", fault)
 	}
 	write(t, folder, "payouts.json", exampleSettings(t, "another"))
-	scriptedpeer.Until(t, "the other service does not change", func() bool { return follower.Version() == writer.Version() && writer.Version().Revision == 4 })
+	scriptedpeer.WaitFor(t, "the other service does not change", func() bool { return follower.Version() == writer.Version() && writer.Version().Revision == 4 })
 	if got := len(g.seen); got != 2 || writer.log.count("file refused") != 1 {
 		t.Errorf("%d versions seen, the log: %s", got, writer.log.text.String())
 	}
 
 	write(t, folder, "orders.json", exampleSettings(t, "refused")) // by the governor alone
-	scriptedpeer.Until(t, "a rejection is not reported", func() bool {
+	scriptedpeer.WaitFor(t, "a rejection is not reported", func() bool {
 		w := follower.Status().Watchers
 		return len(w) == 1 && w[0].Rejected.Revision == 5 && w[0].Active.Revision == 3
 	})
@@ -77,14 +77,14 @@
 		"no name of a serv": func() { write(t, folder, "a b.json", whole) },
 	} {
 		spoil()
-		scriptedpeer.Until(t, says+" is not said", func() bool {
+		scriptedpeer.WaitFor(t, says+" is not said", func() bool {
 			all := writer.Status().Faults
 			return len(all) == 1 && strings.Contains(all[0].Reason, says)
 		})
 		os.Remove(filepath.Join(folder, "shop.json"))
 		os.Remove(filepath.Join(folder, "a b.json"))
 		write(t, folder, "orders.json", whole)
-		scriptedpeer.Until(t, says+": still a fault", func() bool { return len(writer.Status().Faults) == 0 })
+		scriptedpeer.WaitFor(t, says+": still a fault", func() bool { return len(writer.Status().Faults) == 0 })
 	}
 	if writer.Version().Epoch != before.Epoch {
 		t.Errorf("another epoch: %s", writer.Version())
@@ -160,12 +160,12 @@
 	t.Parallel()
 	folder, state := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
-	listen := scriptedpeer.Free(t)
+	listen := scriptedpeer.FreeAddress(t)
 	writer := start(t, Options{Name: "s0", Folder: folder, StateFile: state, Listen: listen})
 	follower := start(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{at(writer)}})
 	g := follow(t, "orders", at(follower))
 	g.until("first")
-	scriptedpeer.Until(t, "no state is kept", func() bool { _, err := os.Stat(state); return err == nil })
+	scriptedpeer.WaitFor(t, "no state is kept", func() bool { _, err := os.Stat(state); return err == nil })
 	backup, err := os.ReadFile(state)
 	if err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder})
-	scriptedpeer.Until(t, "no service is served", func() bool { return writer.Version().Revision == 1 })
+	scriptedpeer.WaitFor(t, "no service is served", func() bool { return writer.Version().Revision == 1 })
 	ahead := revision.Version{Epoch: writer.Version().Epoch + 1000, Revision: 7}
 	if status, body := get(t, writer, "/configuration?service=orders&since="+ahead.String()); status != 200 || !strings.Contains(body, `"first"`) {
 		t.Errorf("%d %.100s", status, body)
@@ -233,7 +233,7 @@
 	folder, state := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder, StateFile: state})
-	scriptedpeer.Until(t, "no state is kept", func() bool { _, err := os.Stat(state); return err == nil })
+	scriptedpeer.WaitFor(t, "no state is kept", func() bool { _, err := os.Stat(state); return err == nil })
 	writer.stop()
 	write(t, folder, "orders.json", []byte("{"))
 	writer = start(t, Options{Name: "s0", Folder: folder, StateFile: state})
@@ -251,7 +251,7 @@
 			t.Fatal(err)
 		}
 		writer = start(t, Options{Name: "s0", Folder: folder, StateFile: state})
-		scriptedpeer.Until(t, says+" is not said", func() bool { return writer.log.count("state refused") == 1 && writer.log.count(says) > 0 })
+		scriptedpeer.WaitFor(t, says+" is not said", func() bool { return writer.log.count("state refused") == 1 && writer.log.count(says) > 0 })
 		writer.stop()
 	}
 	for _, o := range []Options{{}, {Folder: folder, Follow: []configclient.Server{{Address: "127.0.0.1:1"}}}} {
@@ -280,7 +280,7 @@
 	folder := t.TempDir()
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder, MaxCopies: 1})
-	scriptedpeer.Until(t, "no service is served", func() bool { return writer.Version().Revision == 1 })
+	scriptedpeer.WaitFor(t, "no service is served", func() bool { return writer.Version().Revision == 1 })
 	v := writer.Version().String()
 	for _, c := range []struct {
 		query, says string
@@ -319,7 +319,7 @@
 	write(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := start(t, Options{Name: "s0", Folder: folder, MaxConnections: 3})
 	second := start(t, Options{Name: "s1", Follow: []configclient.Server{at(writer)}})
-	scriptedpeer.Until(t, "no service is served", func() bool { return second.Version().Revision == 1 }) // one of the three
+	scriptedpeer.WaitFor(t, "no service is served", func() bool { return second.Version().Revision == 1 }) // one of the three
 	var held []net.Conn
 	for range 2 {
 		conn, err := net.Dial("tcp", writer.Address())
@@ -329,7 +329,7 @@
 		defer conn.Close()
 		held = append(held, conn)
 	}
-	scriptedpeer.Until(t, "they are not accepted", func() bool { return writer.Status().Counters.Connections == 3 })
+	scriptedpeer.WaitFor(t, "they are not accepted", func() bool { return writer.Status().Counters.Connections == 3 })
 	g := follow(t, "orders", at(writer), configclient.Server{Address: second.Address(), Region: "far"})
 	g.until("first")
 	if c := writer.Status().Counters; c.Connections != 3 || c.Refused == 0 || g.Counts().Failures == 0 {
@@ -338,7 +338,7 @@
 	for _, conn := range held {
 		conn.Close()
 	}
-	scriptedpeer.Until(t, "connections are not released", func() bool { return writer.Status().Counters.Connections <= 2 })
+	scriptedpeer.WaitFor(t, "connections are not released", func() bool { return writer.Status().Counters.Connections <= 2 })
 }
 
 // A server shuts down at once while many followers wait for a change.
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -24,8 +24,8 @@
 func takeOwn(t *testing.T, l *scriptedpeer.Listener) *scriptedpeer.Conn {
 	t.Helper()
 	for {
-		conn := l.Take()
-		if strings.Contains(conn.Request(), "instance="+instance+"&") {
+		conn := l.AcceptConn()
+		if strings.Contains(conn.ReadRequestHead(), "instance="+instance+"&") {
 			return conn
 		}
 		conn.Close()
@@ -37,7 +37,7 @@
 	t.Helper()
 	var all []configclient.Server
 	for _, l := range servers {
-		all = append(all, configclient.Server{Address: l.At()})
+		all = append(all, configclient.Server{Address: l.Address()})
 	}
 	offers := make(chan revision.Version, 10)
 	w, err := New(Options{Instance: instance, Service: "orders", Zone: "a", Servers: all, Ordered: true, Seed: 1,
@@ -74,7 +74,7 @@
 	t.Helper()
 	resumed = revision.Version{Epoch: 1, Revision: 4}
 	offers = make(chan revision.Version, 10)
-	w, err := New(Options{Instance: instance, Service: "orders", Servers: []configclient.Server{{Address: server.At()}}, Seed: 1,
+	w, err := New(Options{Instance: instance, Service: "orders", Servers: []configclient.Server{{Address: server.Address()}}, Seed: 1,
 		OnOffer: func(v revision.Version, _ []byte) { offers <- v }, OnActive: onActive})
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	select {
 	case v := <-offers:
 		return v
-	case <-time.After(scriptedpeer.Patience):
+	case <-time.After(scriptedpeer.WaitTimeout):
 		t.Fatal("nothing is offered")
 		return revision.Version{}
 	}
@@ -107,26 +107,26 @@
 func TestWatchReusesConnection(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	w, offers := startWatcher(t, server)
-	conn := server.Take()
-	if got := conn.Request(); got != "GET /configuration?instance="+instance+"&service=orders&zone=a HTTP/1.1" {
+	conn := server.AcceptConn()
+	if got := conn.ReadRequestHead(); got != "GET /configuration?instance="+instance+"&service=orders&zone=a HTTP/1.1" {
 		t.Errorf("requested %q", got)
 	}
-	conn.Raw(changed(1, `{"a":1}`))
+	conn.SendRaw(changed(1, `{"a":1}`))
 	v := receiveOffer(t, offers)
 	if w.Active() != (revision.Version{}) {
 		t.Errorf("%s active before it was applied", w.Active())
 	}
 	w.Applied(v)
-	if got := conn.Request(); got != "GET /configuration?instance="+instance+"&service=orders&since=1.1&timeout_ms=5000&zone=a HTTP/1.1" {
+	if got := conn.ReadRequestHead(); got != "GET /configuration?instance="+instance+"&service=orders&since=1.1&timeout_ms=5000&zone=a HTTP/1.1" {
 		t.Errorf("requested %q", got)
 	}
-	conn.Drip(changed(2, `{"a":2}`))
+	conn.SendByteByByte(changed(2, `{"a":2}`))
 	w.Rejected(receiveOffer(t, offers), errors.New("setting a is 2"))
-	if got := conn.Request(); got != "GET /configuration?instance="+instance+"&refused=1.2&service=orders&since=1.1&timeout_ms=5000&zone=a HTTP/1.1" {
+	if got := conn.ReadRequestHead(); got != "GET /configuration?instance="+instance+"&refused=1.2&service=orders&since=1.1&timeout_ms=5000&zone=a HTTP/1.1" {
 		t.Errorf("requested %q", got)
 	}
-	conn.Raw(changed(3, `{"panic":1}`))
-	if got := conn.Request(); !strings.Contains(got, "refused=1.3&") {
+	conn.SendRaw(changed(3, `{"panic":1}`))
+	if got := conn.ReadRequestHead(); !strings.Contains(got, "refused=1.3&") {
 		t.Errorf("requested %q", got)
 	}
 	if c := w.Counts(); c.Dials != 1 || c.Answers != 3 || c.Offered != 3 || c.Rejected != 2 || c.Failures != 0 || c.BytesIn == 0 || c.BytesOut == 0 {
@@ -148,14 +148,14 @@
 	if got := receiveOffer(t, offers); got != resumed {
 		t.Errorf("offered %s, want %s", got, resumed)
 	}
-	server.None(200 * time.Millisecond)
+	server.ExpectNoConnection(200 * time.Millisecond)
 	w.Applied(resumed)
-	conn := server.Take()
-	if got := conn.Request(); !strings.Contains(got, "since=1.4&") {
+	conn := server.AcceptConn()
+	if got := conn.ReadRequestHead(); !strings.Contains(got, "since=1.4&") {
 		t.Errorf("requested %q", got)
 	}
-	conn.Raw(strings.Replace(changed(1, `{"a":4}`), `"epoch":1`, `"epoch":2`, 2)) // a new writer, the same settings
-	if got := conn.Request(); !strings.Contains(got, "since=2.1&") {
+	conn.SendRaw(strings.Replace(changed(1, `{"a":4}`), `"epoch":1`, `"epoch":2`, 2)) // a new writer, the same settings
+	if got := conn.ReadRequestHead(); !strings.Contains(got, "since=2.1&") {
 		t.Errorf("requested %q", got)
 	}
 	for range 2 {
@@ -174,12 +174,12 @@
 	server := scriptedpeer.Listen(t)
 	w, _, offers := startResumed(t, server, func(v revision.Version, _ []byte) { t.Errorf("%s is active", v) })
 	w.Rejected(receiveOffer(t, offers), errors.New("setting a is 4"))
-	conn := server.Take()
-	if got := conn.Request(); !strings.Contains(got, "refused=1.4&") || strings.Contains(got, "since=") {
+	conn := server.AcceptConn()
+	if got := conn.ReadRequestHead(); !strings.Contains(got, "refused=1.4&") || strings.Contains(got, "since=") {
 		t.Errorf("requested %q", got)
 	}
-	conn.Raw(changed(4, `{"a":4}`))
-	conn.Request()
+	conn.SendRaw(changed(4, `{"a":4}`))
+	conn.ReadRequestHead()
 	select {
 	case v := <-offers:
 		t.Errorf("%s is offered", v)
@@ -191,18 +191,18 @@
 func TestClosedConnectionIsNoFailure(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	w, offers := startWatcher(t, server)
-	conn := server.Take()
-	conn.Request()
-	conn.Raw(changed(1, `{}`))
+	conn := server.AcceptConn()
+	conn.ReadRequestHead()
+	conn.SendRaw(changed(1, `{}`))
 	v := receiveOffer(t, offers)
 	conn.Close()
 	w.Applied(v)
-	conn = server.Take()
-	conn.Request()
-	conn.Raw(strings.Replace(changed(2, `{"a":2}`), "\r\n", "\r\nConnection: close\r\n", 1))
+	conn = server.AcceptConn()
+	conn.ReadRequestHead()
+	conn.SendRaw(strings.Replace(changed(2, `{"a":2}`), "\r\n", "\r\nConnection: close\r\n", 1))
 	w.Applied(receiveOffer(t, offers))
-	conn = server.Take()
-	conn.Request()
+	conn = server.AcceptConn()
+	conn.ReadRequestHead()
 	if c := w.Counts(); c.Failures != 0 || c.Dials != 3 {
 		t.Errorf("%+v", c)
 	}
@@ -233,7 +233,7 @@
 			conn := takeOwn(t, first)
 			go func() { conn.Write([]byte(text)); conn.Close() }()
 			other := takeOwn(t, second)
-			other.Raw(changed(7, `{}`))
+			other.SendRaw(changed(7, `{}`))
 			if v := receiveOffer(t, offers); v.Revision != 7 || w.Counts().Failures != 1 {
 				t.Errorf("%s offered, %+v", v, w.Counts())
 			}
@@ -253,7 +253,7 @@
 		if span := time.Since(begun); span < configclient.AnswerTimeout/2 {
 			t.Errorf("timed out after %v", span)
 		}
-		other.Raw(changed(7, `{}`))
+		other.SendRaw(changed(7, `{}`))
 		receiveOffer(t, offers)
 	})
 	t.Run("dripping", func(t *testing.T) {
@@ -267,22 +267,22 @@
 			}
 		}()
 		other := takeOwn(t, second)
-		other.Raw(changed(7, `{}`))
+		other.SendRaw(changed(7, `{}`))
 		receiveOffer(t, offers)
 	})
 	t.Run("busy", func(t *testing.T) {
 		t.Parallel()
 		server := scriptedpeer.Listen(t)
 		w, offers := startWatcher(t, server)
-		conn := server.Take()
-		conn.Request()
-		conn.Raw(response("503 Service Unavailable", `{"error":"busy","retry_after_ms":300}`))
+		conn := server.AcceptConn()
+		conn.ReadRequestHead()
+		conn.SendRaw(response("503 Service Unavailable", `{"error":"busy","retry_after_ms":300}`))
 		begun := time.Now()
-		conn.Request()
+		conn.ReadRequestHead()
 		if span := time.Since(begun); span < 250*time.Millisecond {
 			t.Errorf("polled again after %v", span)
 		}
-		conn.Raw(changed(1, `{}`))
+		conn.SendRaw(changed(1, `{}`))
 		receiveOffer(t, offers)
 		if c := w.Counts(); c.Throttled != 1 || c.Dials != 1 || c.Failures != 0 {
 			t.Errorf("%+v", c)
@@ -294,7 +294,7 @@
 func TestFollowerOfAllServicesMerges(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	merged, ages := make(chan configapi.Answer, 10), make(chan int64, 10)
-	w, err := New(Options{Instance: "s1", Servers: []configclient.Server{{Address: server.At()}}, Seed: 1,
+	w, err := New(Options{Instance: "s1", Servers: []configclient.Server{{Address: server.Address()}}, Seed: 1,
 		OnAnswer: func(a configapi.Answer) { ages <- a.AgeMS },
 		Merge: func(a configapi.Answer) error {
 			merged <- a
@@ -311,7 +311,7 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); w.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
-	conn := server.Take()
+	conn := server.AcceptConn()
 	for _, c := range []struct{ request, answer string }{
 		{"since=1.3&timeout_ms=2000", `{"epoch":1,"revision":4,"complete":false,"age_ms":40,"services":[{"name":"a","epoch":1,"revision":4,"removed":true}]}`},
 		{"since=1.4&", `{"epoch":1,"revision":4,"complete":false,"age_ms":41,"services":[]}`},
@@ -319,10 +319,10 @@
 		{"refused=1.5&since=1.4&", `{"epoch":1,"revision":6,"complete":false,"age_ms":43,"services":[]}`},
 		{"since=1.6&", `{"epoch":1,"revision":6,"complete":false,"age_ms":44,"services":[]}`},
 	} {
-		if got := conn.Request(); !strings.Contains(got, c.request) {
+		if got := conn.ReadRequestHead(); !strings.Contains(got, c.request) {
 			t.Errorf("requested %q, want %s", got, c.request)
 		}
-		conn.Raw(response("200 OK", c.answer))
+		conn.SendRaw(response("200 OK", c.answer))
 	}
 	for want := int64(40); want < 45; want++ {
 		if got := <-ages; got != want {
@@ -338,17 +338,17 @@
 func TestServerThatDoesNotWaitIsPolledWithBackoff(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	w, offers := startWatcher(t, server)
-	conn := server.Take()
-	conn.Request()
-	conn.Raw(changed(1, `{}`))
+	conn := server.AcceptConn()
+	conn.ReadRequestHead()
+	conn.SendRaw(changed(1, `{}`))
 	w.Applied(receiveOffer(t, offers))
 	begun := time.Now()
 	const answers = 4
 	for range answers {
-		conn.Request()
-		conn.Raw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":0,"services":[]}`))
+		conn.ReadRequestHead()
+		conn.SendRaw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":0,"services":[]}`))
 	}
-	conn.Request()
+	conn.ReadRequestHead()
 	// At least minPollInterval, then halves of 0.1, 0.2, 0.4 and 0.8 s.
 	if span := time.Since(begun); span < 700*time.Millisecond {
 		t.Errorf("%d answers without a change were polled within %v", answers, span)
@@ -358,7 +358,7 @@
 // While a lost server is retried, the connection to the one that answers meanwhile stays open.
 func TestPollsOfLostServerKeepConnection(t *testing.T) {
 	server := scriptedpeer.Listen(t)
-	lost, regional := configclient.Server{Address: scriptedpeer.Free(t)}, configclient.Server{Address: server.At()}
+	lost, regional := configclient.Server{Address: scriptedpeer.FreeAddress(t)}, configclient.Server{Address: server.Address()}
 	offers := make(chan revision.Version, 1)
 	w, err := New(Options{Instance: instance, Service: "orders", Servers: []configclient.Server{lost, regional}, Ordered: true, Seed: 1,
 		OnOffer: func(v revision.Version, _ []byte) { offers <- v }})
@@ -369,15 +369,15 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); w.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
-	conn := server.Take()
-	conn.Request()
-	conn.Raw(changed(1, `{}`))
+	conn := server.AcceptConn()
+	conn.ReadRequestHead()
+	conn.SendRaw(changed(1, `{}`))
 	w.Applied(receiveOffer(t, offers))
 	for tries := w.Counts().Failures; w.Counts().Failures < tries+3; {
-		conn.Request()
-		conn.Raw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":60000,"services":[]}`))
+		conn.ReadRequestHead()
+		conn.SendRaw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":60000,"services":[]}`))
 	}
-	conn.Request()
+	conn.ReadRequestHead()
 	if c := w.Counts(); c.Dials != c.Failures+1 {
 		t.Errorf("%d connections beside %d that were refused", c.Dials-c.Failures, c.Failures)
 	}
--- a/internal/controlclient/budget_test.go
+++ b/internal/controlclient/budget_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.bytes += len(scriptedpeer.Message(text))
+	r.bytes += len(scriptedpeer.EncodeMessage(text))
 	r.attempts[words[4]] += attempts
 }
 
@@ -43,8 +43,8 @@
 	)
 	l := scriptedpeer.Listen(t)
 	_, at, _ := collectsWithin(t, every, budget, l)
-	controller := l.Take()
-	controller.Hears("agent site a")
+	controller := l.AcceptConn()
+	controller.WaitForMessage("agent site a")
 	sidecar := scriptedpeer.Dial(t, at)
 	began := time.Now()
 	told := map[string]int{}
@@ -59,12 +59,12 @@
 			}
 			messages = append(messages, fmt.Sprintf("met target %s count 10 fail %d mean 20", name, missed))
 		}
-		sidecar.Say(messages...)
+		sidecar.Send(messages...)
 	}
 	heard := reported{attempts: map[string]int{}}
 	tell(0)
 	for len(heard.attempts) < replicas { // a first report of each
-		heard.add(t, controller.Hears("outcomes"))
+		heard.add(t, controller.WaitForMessage("outcomes"))
 	}
 	tell(10)
 	before := 0
@@ -72,11 +72,11 @@
 		if before == replicas/2 {
 			t.Fatalf("%d others come before the one that fails", before)
 		}
-		text = controller.Hears("outcomes")
+		text = controller.WaitForMessage("outcomes")
 		heard.add(t, text)
 	}
 	for sum := 0; sum < 20*replicas; {
-		heard.add(t, controller.Hears("outcomes"))
+		heard.add(t, controller.WaitForMessage("outcomes"))
 		sum = 0
 		for _, attempts := range heard.attempts {
 			sum += attempts
@@ -100,7 +100,7 @@
 func first(t *testing.T, controller *scriptedpeer.Conn) string {
 	t.Helper()
 	r := reported{attempts: map[string]int{}}
-	r.add(t, controller.Hears("outcomes"))
+	r.add(t, controller.WaitForMessage("outcomes"))
 	for replica := range r.attempts {
 		return replica
 	}
@@ -117,26 +117,26 @@
 	)
 	l := scriptedpeer.Listen(t)
 	_, at, _ := collectsWithin(t, every, 0, l)
-	controller := l.Take()
-	controller.Hears("agent site a")
+	controller := l.AcceptConn()
+	controller.WaitForMessage("agent site a")
 	sidecar := scriptedpeer.Dial(t, at)
 	known := false
 	for round := 0; round < 10 && !known; round++ { // a round may begin between two messages, so that one is reported alone
-		sidecar.Say(healthy) // reported before the other, so it is the older one
-		controller.Hears("outcomes site a target healthy count 10 fail 0 ")
-		sidecar.Say(failing)
-		controller.Hears("outcomes site a target failing count 12 fail 12 ")
-		sidecar.Say(failing, healthy)
+		sidecar.Send(healthy) // reported before the other, so it is the older one
+		controller.WaitForMessage("outcomes site a target healthy count 10 fail 0 ")
+		sidecar.Send(failing)
+		controller.WaitForMessage("outcomes site a target failing count 12 fail 12 ")
+		sidecar.Send(failing, healthy)
 		known = first(t, controller) == "healthy"
-		controller.Hears("outcomes")
+		controller.WaitForMessage("outcomes")
 	}
 	if !known {
 		t.Error("the failing replica always comes first, though the controller knows of it")
 	}
 	controller.Reset()
-	restarted := l.Take()
-	restarted.Hears("agent site a")
-	sidecar.Say(failing, healthy)
+	restarted := l.AcceptConn()
+	restarted.WaitForMessage("agent site a")
+	sidecar.Send(failing, healthy)
 	if replica := first(t, restarted); replica != "failing" {
 		t.Errorf("a restarted controller gets %s first", replica)
 	}
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -185,7 +185,7 @@
 func TestCollectorJoinsAndAnswersInBytes(t *testing.T) {
 	controller, inlet := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
-	c := &Collector{Zone: "a", Controllers: []string{controller.At()}, Interval: time.Hour, MaxSidecars: 1, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Controllers: []string{controller.Address()}, Interval: time.Hour, MaxSidecars: 1, Log: slog.New(slog.DiscardHandler)}
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.Serve(ctx, inlet) }()
 	t.Cleanup(func() { stop(); <-ended })
@@ -193,13 +193,13 @@
 		name, sends, want string
 		conn              *scriptedpeer.Conn
 	}{
-		{"joining", "", "*3\r\n$5\r\nagent\r\n$4\r\nsite\r\n$1\r\na\r\n", controller.Take()},
-		{"answer to a probe", "*1\r\n$5\r\nprobe\r\n", "*1\r\n$5\r\nalive\r\n", scriptedpeer.Dial(t, inlet.At())},
+		{"joining", "", "*3\r\n$5\r\nagent\r\n$4\r\nsite\r\n$1\r\na\r\n", controller.AcceptConn()},
+		{"answer to a probe", "*1\r\n$5\r\nprobe\r\n", "*1\r\n$5\r\nalive\r\n", scriptedpeer.Dial(t, inlet.Address())},
 	} {
 		t.Run(m.name, func(t *testing.T) {
-			m.conn.Raw(m.sends)
+			m.conn.SendRaw(m.sends)
 			got := make([]byte, len(m.want))
-			if _, err := io.ReadFull(m.conn.Read, got); err != nil || string(got) != m.want {
+			if _, err := io.ReadFull(m.conn.Reader, got); err != nil || string(got) != m.want {
 				t.Errorf("%q %v, want %q", got, err, m.want)
 			}
 		})
--- a/internal/controlclient/races_test.go
+++ b/internal/controlclient/races_test.go
@@ -19,7 +19,7 @@
 func startClient(t *testing.T, c Dispatcher, to ...*scriptedpeer.Listener) *Client {
 	cl := &Client{Zone: "a", Classes: []string{"x"}, Dispatcher: c, Log: slog.New(slog.DiscardHandler)}
 	for _, l := range to {
-		cl.Controllers = append(cl.Controllers, l.At())
+		cl.Controllers = append(cl.Controllers, l.Address())
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -32,14 +32,14 @@
 // another or the same again, begins an update of its own: no half is taken for a complete one, none is put together from
 // two streams, and no nonce of the earlier stream is acknowledged on the new one.
 func TestControllerIsLostDuringAnUpdate(t *testing.T) {
-	whole := scriptedpeer.Message("push full 1 endpoints a:1,b:1 nonce_out 5")
+	whole := scriptedpeer.EncodeMessage("push full 1 endpoints a:1,b:1 nonce_out 5")
 	for name, c := range map[string]struct {
 		first   string
 		applied int // of the first stream
 	}{
-		"between two parts":         {scriptedpeer.Message("push full 1 endpoints a:1 continued 1"), 0},
+		"between two parts":         {scriptedpeer.EncodeMessage("push full 1 endpoints a:1 continued 1"), 0},
 		"in the middle of a part":   {whole[:len(whole)-4], 0},
-		"with a part and a half":    {scriptedpeer.Message("push full 1 endpoints a:1 continued 1") + whole[:20], 0},
+		"with a part and a half":    {scriptedpeer.EncodeMessage("push full 1 endpoints a:1 continued 1") + whole[:20], 0},
 		"as its ack is sent":        {whole, 1},
 		"behind a message, in half": {whole + whole[:30], 1},
 	} {
@@ -53,16 +53,16 @@
 					next = scriptedpeer.Listen(t)
 				}
 				startClient(t, dispatcher, one, next)
-				stream := one.Take()
-				stream.Hears("hello id 0 site a rps 0.000 new 1")
-				stream.Raw(c.first)
-				scriptedpeer.Until(t, "not applied", func() bool { return dispatcher.updates() == c.applied })
+				stream := one.AcceptConn()
+				stream.WaitForMessage("hello id 0 site a rps 0.000 new 1")
+				stream.SendRaw(c.first)
+				scriptedpeer.WaitFor(t, "not applied", func() bool { return dispatcher.updates() == c.applied })
 				stream.Reset() // with an answer under way, or unread
-				stream = next.Take()
-				stream.Hears(fmt.Sprint("hello id 0 site a rps 0.000 new ", 1-c.applied))
-				stream.Say("push eject b nonce_out 6") // were it a last part, it would be one with the first
+				stream = next.AcceptConn()
+				stream.WaitForMessage(fmt.Sprint("hello id 0 site a rps 0.000 new ", 1-c.applied))
+				stream.Send("push eject b nonce_out 6") // were it a last part, it would be one with the first
 				for {
-					text, ok := stream.Next()
+					text, ok := stream.ReadMessage()
 					if !ok {
 						t.Fatal("the new stream has ended")
 					}
@@ -91,14 +91,14 @@
 	began := time.Now()
 	startClient(t, dispatcher, g)
 	for range 4 {
-		stream := g.Take()
-		stream.Hears("hello")
+		stream := g.AcceptConn()
+		stream.WaitForMessage("hello")
 		stream.Reset()
 	}
-	stream := g.Take()
-	stream.Hears("hello")
+	stream := g.AcceptConn()
+	stream.WaitForMessage("hello")
 	gap := time.Since(began)
-	text := stream.Hears("demand id 0 lane x count 7 fail 0 over ")
+	text := stream.WaitForMessage("demand id 0 lane x count 7 fail 0 over ")
 	over, err := strconv.ParseFloat(text[strings.LastIndex(text, " ")+1:], 64)
 	if least := millis(gap + reportInterval - 100*time.Millisecond); err != nil || over < least {
 		t.Errorf("%q, though the first request came %v before the hello", text, gap)
@@ -115,7 +115,7 @@
 	l := scriptedpeer.Listen(t)
 	c = &Collector{Zone: "a", Interval: every, Budget: budget, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	for _, g := range to {
-		c.Controllers = append(c.Controllers, g.At())
+		c.Controllers = append(c.Controllers, g.Address())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -129,42 +129,42 @@
 		}
 	})
 	t.Cleanup(stop)
-	return c, l.At(), stop
+	return c, l.Address(), stop
 }
 
 // A controller ends a collector's connection between two reports: the next outcomes go over the next connection, and once.
 func TestControllerEndsAConnectionBetweenReports(t *testing.T) {
 	there := scriptedpeer.Listen(t)
 	_, at, _ := collects(t, 50*time.Millisecond, there)
-	controller := there.Take()
-	controller.Hears("agent site a")
+	controller := there.AcceptConn()
+	controller.WaitForMessage("agent site a")
 	sidecar := scriptedpeer.Dial(t, at)
-	sidecar.Say("met target b count 3 fail 1 mean 10")
-	controller.Hears("outcomes site a target b count 3 fail 1 mean 10.000 over ")
+	sidecar.Send("met target b count 3 fail 1 mean 10")
+	controller.WaitForMessage("outcomes site a target b count 3 fail 1 mean 10.000 over ")
 	controller.Reset() // between two reports
-	next := there.Take()
-	next.Hears("agent site a") // it has been noticed
-	sidecar.Say("met target b count 5 fail 0 mean 20")
-	next.Hears("outcomes site a target b count 5 fail 0 mean 20.000 over ")
+	next := there.AcceptConn()
+	next.WaitForMessage("agent site a") // it has been noticed
+	sidecar.Send("met target b count 5 fail 0 mean 20")
+	next.WaitForMessage("outcomes site a target b count 5 fail 0 mean 20.000 over ")
 }
 
 // Two controllers, one of which is not there when sidecars report: it gets the outcomes once it is, over their period.
 func TestOutcomesWaitForAnAbsentController(t *testing.T) {
-	there, away := scriptedpeer.Listen(t), scriptedpeer.Free(t)
+	there, away := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	l := scriptedpeer.Listen(t)
-	c := &Collector{Zone: "a", Controllers: []string{there.At(), away}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Controllers: []string{there.Address(), away}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Serve(ctx, l.Listener); close(ended) }()
 	defer func() { stop(); <-ended }()
-	sidecar := scriptedpeer.Dial(t, l.At())
-	controller := there.Take()
+	sidecar := scriptedpeer.Dial(t, l.Address())
+	controller := there.AcceptConn()
 	for _, count := range []int{3, 4} {
-		sidecar.Say(fmt.Sprint("met target b count ", count, " fail 1 mean 10"))
-		controller.Hears(fmt.Sprint("outcomes site a target b count ", count, " fail 1 mean 10.000 over "))
+		sidecar.Send(fmt.Sprint("met target b count ", count, " fail 1 mean 10"))
+		controller.WaitForMessage(fmt.Sprint("outcomes site a target b count ", count, " fail 1 mean 10.000 over "))
 	}
-	back := scriptedpeer.ListenOn(t, away).Take()
-	back.Hears("outcomes site a target b count 7 fail 2 mean 10.000 over ")
+	back := scriptedpeer.ListenOn(t, away).AcceptConn()
+	back.WaitForMessage("outcomes site a target b count 7 fail 2 mean 10.000 over ")
 }
 
 // Outcomes are held for an absent controller up to their longest age, and never reported as if they were of now.
@@ -189,9 +189,9 @@
 func TestCollectorEndsDuringAWrite(t *testing.T) {
 	g := scriptedpeer.Listen(t)
 	c, _, stop := collects(t, 50*time.Millisecond, g)
-	controller := g.Take()
-	controller.Narrow()
-	controller.Hears("agent site a")
+	controller := g.AcceptConn()
+	controller.ShrinkBuffers()
+	controller.WaitForMessage("agent site a")
 	long := strings.Repeat("x", 100)
 	feed, fed := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -206,7 +206,7 @@
 		}
 	}()
 	told, since := int64(0), time.Now()
-	scriptedpeer.Until(t, "writes never wait", func() bool {
+	scriptedpeer.WaitFor(t, "writes never wait", func() bool {
 		if now := c.Reported.Load(); now != told || now == 0 {
 			told, since = now, time.Now()
 		}
@@ -221,7 +221,7 @@
 func TestCollectorRestartsBetweenReports(t *testing.T) {
 	l := scriptedpeer.Listen(t)
 	due, taken := make(chan int), atomic.Int64{}
-	reporter := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes {
+	reporter := &Reporter{Collectors: []string{l.Address()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes {
 		n, ok := <-due
 		if !ok {
 			return nil
@@ -234,9 +234,9 @@
 	go func() { reporter.Run(ctx); close(ended) }()
 	for n := 1; n <= 5; n++ {
 		due <- n
-		collector := l.Take()
+		collector := l.AcceptConn()
 		for _, target := range []string{"b", "c"} {
-			collector.Hears(fmt.Sprintf("met target %s count %d ", target, n))
+			collector.WaitForMessage(fmt.Sprintf("met target %s count %d ", target, n))
 		}
 		collector.Close() // before the next sums are due
 	}
@@ -256,13 +256,13 @@
 		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Outcomes{Attempts: 1}
 	}
 	calls := atomic.Int64{}
-	reporter := &Reporter{Collectors: []string{l.At()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes { calls.Add(1); return sums }}
+	reporter := &Reporter{Collectors: []string{l.Address()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes { calls.Add(1); return sums }}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { reporter.Run(ctx); close(ended) }()
-	l.Take().Narrow()
+	l.AcceptConn().ShrinkBuffers()
 	told, since := int64(0), time.Now()
-	scriptedpeer.Until(t, "writes never wait", func() bool {
+	scriptedpeer.WaitFor(t, "writes never wait", func() bool {
 		if now := calls.Load(); now != told {
 			told, since = now, time.Now()
 		}
--- a/internal/controlclient/reporter_test.go
+++ b/internal/controlclient/reporter_test.go
@@ -85,16 +85,16 @@
 	const interval = 50 * time.Millisecond
 	controller := scriptedpeer.Listen(t)
 	_, first, stop := collects(t, interval, controller)
-	one := controller.Take()
+	one := controller.AcceptConn()
 	_, second, _ := collects(t, interval, controller)
-	two := controller.Take()
+	two := controller.AcceptConn()
 	r, _, _ := reports(t, interval, first, second)
-	one.Hears("agent site a")
-	two.Hears("agent site a")
-	one.Hears("outcomes site a target b count ")
+	one.WaitForMessage("agent site a")
+	two.WaitForMessage("agent site a")
+	one.WaitForMessage("outcomes site a target b count ")
 	began := time.Now()
 	stop()
-	two.Hears("outcomes site a target b count ")
+	two.WaitForMessage("outcomes site a target b count ")
 	gap := time.Since(began)
 	t.Logf("%v after the end of the first a controller gets reports of the second, reports each %v", gap, interval)
 	if gap > 20*interval {
@@ -110,11 +110,11 @@
 func TestSilentCollectorIsGivenUp(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	first, second := script(t, scriptedpeer.Listen(t), true), script(t, scriptedpeer.Listen(t), true)
-	r, _, _ := reports(t, interval, first.At(), second.At())
-	scriptedpeer.Until(t, "the first is not used", func() bool { return first.tries.Load() > 3 })
+	r, _, _ := reports(t, interval, first.Address(), second.Address())
+	scriptedpeer.WaitFor(t, "the first is not used", func() bool { return first.tries.Load() > 3 })
 	first.answers.Store(false)
 	began := time.Now()
-	scriptedpeer.Until(t, "the second is not used", func() bool { return second.tries.Load() > 0 })
+	scriptedpeer.WaitFor(t, "the second is not used", func() bool { return second.tries.Load() > 0 })
 	if took := time.Since(began); took < silenceTimeout || took > silenceTimeout+20*interval {
 		t.Errorf("given up after %v", took)
 	}
@@ -129,23 +129,23 @@
 func TestReportsReturnToThePreferredCollector(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	l := scriptedpeer.Listen(t)
-	address := l.At()
+	address := l.Address()
 	l.Close()
 	second := script(t, scriptedpeer.Listen(t), true)
-	r, told, stop := reports(t, interval, address, second.At())
-	scriptedpeer.Until(t, "the second is not used", func() bool { return second.tries.Load() > 3 })
+	r, told, stop := reports(t, interval, address, second.Address())
+	scriptedpeer.WaitFor(t, "the second is not used", func() bool { return second.tries.Load() > 3 })
 	first := script(t, scriptedpeer.ListenOn(t, address), false)
-	scriptedpeer.Until(t, "the first is not tried again", func() bool { return first.dials.Load() > 0 })
+	scriptedpeer.WaitFor(t, "the first is not tried again", func() bool { return first.dials.Load() > 0 })
 	before := second.tries.Load()
-	scriptedpeer.Until(t, "the second has no more", func() bool { return second.tries.Load() > before+10 })
+	scriptedpeer.WaitFor(t, "the second has no more", func() bool { return second.tries.Load() > before+10 })
 	if first.tries.Load() > 0 {
 		t.Error("the first has reports though it has answered nothing")
 	}
 	first.answers.Store(true)
-	scriptedpeer.Until(t, "the first has no reports", func() bool { return first.tries.Load() > 3 })
-	scriptedpeer.Until(t, "the connection to the second stays", func() bool { return second.open.Load() == 0 })
+	scriptedpeer.WaitFor(t, "the first has no reports", func() bool { return first.tries.Load() > 3 })
+	scriptedpeer.WaitFor(t, "the connection to the second stays", func() bool { return second.open.Load() == 0 })
 	stop()
-	scriptedpeer.Until(t, "an outcome is nowhere", func() bool {
+	scriptedpeer.WaitFor(t, "an outcome is nowhere", func() bool {
 		return first.tries.Load()+second.tries.Load()+r.Lost.Load() == told.Load()
 	})
 	if r.Lost.Load() > 1 {
@@ -161,8 +161,8 @@
 	var dials atomic.Int64
 	full.Serve(func(net.Conn) { dials.Add(1) })
 	second := script(t, scriptedpeer.Listen(t), true)
-	reports(t, interval, full.At(), second.At())
-	scriptedpeer.Until(t, "the second is not used", func() bool { return second.tries.Load() > 50 })
+	reports(t, interval, full.Address(), second.Address())
+	scriptedpeer.WaitFor(t, "the second is not used", func() bool { return second.tries.Load() > 50 })
 	if n := dials.Load(); n > 3 {
 		t.Errorf("dialed %d times in %v", n, 50*interval)
 	}
@@ -172,24 +172,24 @@
 func TestOnlyCollectorIsKeptWithoutAnswers(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	only := script(t, scriptedpeer.Listen(t), false)
-	r, told, stop := reports(t, interval, only.At())
-	scriptedpeer.Until(t, "it is not used", func() bool { return told.Load() > int64((silenceTimeout+time.Second)/interval) })
+	r, told, stop := reports(t, interval, only.Address())
+	scriptedpeer.WaitFor(t, "it is not used", func() bool { return told.Load() > int64((silenceTimeout+time.Second)/interval) })
 	stop()
 	if n := only.dials.Load(); n != 1 || r.Lost.Load() > 1 { // one as it is stopped
 		t.Errorf("%d connections, %d sums lost", n, r.Lost.Load())
 	}
-	scriptedpeer.Until(t, "an outcome is nowhere", func() bool { return only.tries.Load()+r.Lost.Load() == told.Load() })
+	scriptedpeer.WaitFor(t, "an outcome is nowhere", func() bool { return only.tries.Load()+r.Lost.Load() == told.Load() })
 }
 
 // All collectors of a zone are unreachable: each is dialed once in an interval, and the first that is back gets the reports.
 func TestAllCollectorsAreUnreachable(t *testing.T) {
 	const interval = 50 * time.Millisecond
-	one, two := scriptedpeer.Free(t), scriptedpeer.Free(t)
+	one, two := scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t)
 	r, _, _ := reports(t, interval, one, two)
-	scriptedpeer.Until(t, "nothing is lost", func() bool { return r.Lost.Load() > 5 })
+	scriptedpeer.WaitFor(t, "nothing is lost", func() bool { return r.Lost.Load() > 5 })
 	back := script(t, scriptedpeer.ListenOn(t, two), true)
 	began := time.Now()
-	scriptedpeer.Until(t, "it is not found", func() bool { return back.tries.Load() > 0 })
+	scriptedpeer.WaitFor(t, "it is not found", func() bool { return back.tries.Load() > 0 })
 	if took := time.Since(began); took > failover.CooldownInitial/2 {
 		t.Errorf("found after %v", took)
 	}
@@ -199,13 +199,13 @@
 func TestCollectorAnswersProbes(t *testing.T) {
 	c, at, _ := collects(t, time.Hour)
 	sidecar := scriptedpeer.Dial(t, at)
-	sidecar.Say("met target b count 1 fail 0 mean 1", "met target b", "probe")
-	sidecar.Hears("alive")
+	sidecar.Send("met target b count 1 fail 0 mean 1", "met target b", "probe")
+	sidecar.WaitForMessage("alive")
 	if c.Received.Load() != 1 || c.Skipped.Load() != 1 {
 		t.Errorf("%d received, %d skipped", c.Received.Load(), c.Skipped.Load())
 	}
-	sidecar.Say("probe")
-	if text, _ := sidecar.Next(); strings.TrimSpace(text) != "alive" {
+	sidecar.Send("probe")
+	if text, _ := sidecar.ReadMessage(); strings.TrimSpace(text) != "alive" {
 		t.Errorf("%q", text)
 	}
 }
--- a/internal/controlserver/race_test.go
+++ b/internal/controlserver/race_test.go
@@ -36,22 +36,22 @@
 		s := server(reservedDescriptors + 3)
 		serve(t, s)
 		l := scriptedpeer.Listen(t)
-		first := scriptedpeer.Dial(t, l.At())
-		s.admit(l.Take().Conn)
-		first.Say("agent site a", "outcomes site a target s-5 count 1 fail 0 mean 1 over 1")
+		first := scriptedpeer.Dial(t, l.Address())
+		s.admit(l.AcceptConn().Conn)
+		first.Send("agent site a", "outcomes site a target s-5 count 1 fail 0 mean 1 over 1")
 		receive(t, s, 1)
-		second := scriptedpeer.Dial(t, l.At())
-		s.admit(&hookedConn{l.Take().Conn, func() {
+		second := scriptedpeer.Dial(t, l.Address())
+		s.admit(&hookedConn{l.AcceptConn().Conn, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if !s.evict() {
 				t.Error("no peer is evictable")
 			}
 		}})
-		second.Say(joins)
-		second.Ends()
-		scriptedpeer.Until(t, "the connection is not over", func() bool { return s.queues.Counters.Ended.Load() == 1 })
-		first.Say("outcomes site a target s-5 count 2 fail 0 mean 1 over 1")
+		second.Send(joins)
+		second.WaitForClose()
+		scriptedpeer.WaitFor(t, "the connection is not over", func() bool { return s.queues.Counters.Ended.Load() == 1 })
+		first.Send("outcomes site a target s-5 count 2 fail 0 mean 1 over 1")
 		if events := receive(t, s, 1); len(events) != 1 || events[0].(controller.Outcomes).Attempts != 2 {
 			t.Errorf("%s: received %+v", joins, events)
 		}
@@ -71,19 +71,19 @@
 	more := strings.Repeat("*1\r\n$4\r\nnope\r\n", 4*resp.BufferSize/14)
 	for range 10 {
 		c := scriptedpeer.Dial(t, at)
-		c.Raw(scriptedpeer.Message("probe") + "what is this\r\n" + more)
-		if text, _ := c.Next(); text != "alive" {
+		c.SendRaw(scriptedpeer.EncodeMessage("probe") + "what is this\r\n" + more)
+		if text, _ := c.ReadMessage(); text != "alive" {
 			t.Errorf("a health check is answered %q", text)
 		}
-		if text, _ := c.Next(); !strings.HasPrefix(text, "error reason ") {
+		if text, _ := c.ReadMessage(); !strings.HasPrefix(text, "error reason ") {
 			t.Errorf("a rejected peer is sent %q", text)
 		}
-		if c.Ends() {
+		if c.WaitForClose() {
 			t.Error("reset")
 		}
 		c.Close()
 	}
-	scriptedpeer.Until(t, "rejected peers stay", func() bool { return s.queues.Counters.Ended.Load() == 10 })
+	scriptedpeer.WaitFor(t, "rejected peers stay", func() bool { return s.queues.Counters.Ended.Load() == 10 })
 }
 
 // The end of the server does not wait for peers that linger, do not read, or are in the middle of a message.
@@ -95,14 +95,14 @@
 	ended := make(chan error)
 	go func() { ended <- s.Serve(ctx, l) }()
 	unidentifiedPeer := scriptedpeer.Dial(t, at)
-	unidentifiedPeer.Raw("nonsense\r\n")
-	unidentifiedPeer.Hears("error") // and its connection stays open
+	unidentifiedPeer.SendRaw("nonsense\r\n")
+	unidentifiedPeer.WaitForMessage("error") // and its connection stays open
 	half := scriptedpeer.Dial(t, at)
-	half.Say("hello id 1 site a rps 2 new 1")
-	half.Raw("*3\r\n$3\r\nack\r\n$2\r\ni")
+	half.Send("hello id 1 site a rps 2 new 1")
+	half.SendRaw("*3\r\n$3\r\nack\r\n$2\r\ni")
 	deaf := scriptedpeer.Dial(t, at)
-	deaf.Narrow()
-	deaf.Say("hello id 2 site a rps 2 new 1")
+	deaf.ShrinkBuffers()
+	deaf.Send("hello id 2 site a rps 2 new 1")
 	receive(t, s, 2)
 	var lines []controller.WeightedEndpoint
 	for range 3 * maxEndpointsPerPart {
@@ -119,14 +119,14 @@
 	for range 16 { // some megabytes: more than the kernel buffers
 		s.queues.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Full: true, Endpoints: lines}})
 	}
-	scriptedpeer.Until(t, "nothing is written", func() bool { return s.queues.Counters.UpdatesSent.Load() > 0 })
+	scriptedpeer.WaitFor(t, "nothing is written", func() bool { return s.queues.Counters.UpdatesSent.Load() > 0 })
 	stop() // with all connections open
 	select {
 	case err := <-ended:
 		if err != nil || s.pool.Lent() != 0 || len(s.peers) != 0 {
 			t.Errorf("left behind: %d buffers, %d peers, %v", s.pool.Lent(), len(s.peers), err)
 		}
-	case <-time.After(scriptedpeer.Patience):
+	case <-time.After(scriptedpeer.WaitTimeout):
 		t.Error("the server does not end")
 	}
 }
@@ -138,9 +138,9 @@
 	serve(t, s)
 	l := scriptedpeer.Listen(t)
 	join := func() (*scriptedpeer.Conn, controller.StreamID) {
-		c := scriptedpeer.Dial(t, l.At()).Narrow()
-		s.admit(l.Take().Narrow().Conn)
-		c.Say("hello id 1 site a rps 2 new 1")
+		c := scriptedpeer.Dial(t, l.Address()).ShrinkBuffers()
+		s.admit(l.AcceptConn().ShrinkBuffers().Conn)
+		c.Send("hello id 1 site a rps 2 new 1")
 		return c, receive(t, s, 1)[0].(controller.StreamOpened).Stream
 	}
 	var lines []controller.WeightedEndpoint
@@ -154,12 +154,12 @@
 	} {
 		c, stream := join()
 		s.queues.Send(controller.OutgoingUpdate{Stream: stream, Number: 1, Update: message})
-		if text, ok := c.Next(); !ok || !strings.HasSuffix(text, " continued 1") {
+		if text, ok := c.ReadMessage(); !ok || !strings.HasSuffix(text, " continued 1") {
 			t.Errorf("%s: the first part ends %q", name, text[max(0, len(text)-20):])
 		}
 		end(c, stream)
 		for {
-			text, ok := c.Next()
+			text, ok := c.ReadMessage()
 			if !ok {
 				break
 			}
@@ -179,7 +179,7 @@
 	c, stream := join()
 	s.queues.Send(controller.OutgoingUpdate{Stream: stream, Number: 2, Update: message})
 	for k := range 3 {
-		if text, ok := c.Next(); !ok || strings.HasSuffix(text, " continued 1") != (k < 2) || strings.HasPrefix(text, "push full 1") != (k == 0) {
+		if text, ok := c.ReadMessage(); !ok || strings.HasSuffix(text, " continued 1") != (k < 2) || strings.HasPrefix(text, "push full 1") != (k == 0) {
 			t.Errorf("part %d: %.30q", k, text)
 		}
 	}
@@ -190,13 +190,13 @@
 	s := server(100)
 	at := serve(t, s)
 	c := scriptedpeer.Dial(t, at)
-	c.Drip(scriptedpeer.Message("probe") + scriptedpeer.Message("hello id 3 site b rps 2 new 0") + scriptedpeer.Message("ack id 3 seq 9 ms 1.5"))
-	c.Hears("alive")
+	c.SendByteByByte(scriptedpeer.EncodeMessage("probe") + scriptedpeer.EncodeMessage("hello id 3 site b rps 2 new 0") + scriptedpeer.EncodeMessage("ack id 3 seq 9 ms 1.5"))
+	c.WaitForMessage("alive")
 	events := receive(t, s, 2)
 	if events[0].(controller.StreamOpened).Proxy != 3 || events[1].(controller.Ack).Nonce != 9 {
 		t.Errorf("received %+v", events)
 	}
-	c.Drip("*7\r\n$3\r\nack\r\n$2\r\nid\r\n$1\r\n3\r\n$3\r\nseq\r\n$2\r\n1")
+	c.SendByteByByte("*7\r\n$3\r\nack\r\n$2\r\nid\r\n$1\r\n3\r\n$3\r\nseq\r\n$2\r\n1")
 	c.Reset()
 	if events := receive(t, s, 1); len(events) != 1 || events[0] != (controller.StreamClosed{Stream: events[0].(controller.StreamClosed).Stream}) {
 		t.Errorf("received %+v", events)
@@ -208,21 +208,21 @@
 	s := server(100)
 	at := serve(t, s)
 	good := scriptedpeer.Dial(t, at)
-	good.Say("hello id 1 site a rps 2 new 1")
+	good.Send("hello id 1 site a rps 2 new 1")
 	first := receive(t, s, 1)[0].(controller.StreamOpened).Stream
 	l := scriptedpeer.Listen(t)
-	bad := scriptedpeer.Dial(t, l.At())
-	s.admit(panickingConn{l.Take().Conn})
-	bad.Say("hello id 2 site a rps 2 new 1")
+	bad := scriptedpeer.Dial(t, l.Address())
+	s.admit(panickingConn{l.AcceptConn().Conn})
+	bad.Send("hello id 2 site a rps 2 new 1")
 	second := receive(t, s, 1)[0].(controller.StreamOpened).Stream
 	for _, stream := range []controller.StreamID{second, first} {
 		s.queues.Send(controller.OutgoingUpdate{Stream: stream, Update: controller.Update{Ejected: []string{"s-1"}}})
 	}
-	bad.Ends()
+	bad.WaitForClose()
 	if events := receive(t, s, 1); events[0] != (controller.StreamClosed{Stream: second}) || s.queues.Counters.Panics.Load() != 1 {
 		t.Errorf("received %+v, %d panics", events, s.queues.Counters.Panics.Load())
 	}
-	if text, _ := good.Next(); text != "push eject s-1" {
+	if text, _ := good.ReadMessage(); text != "push eject s-1" {
 		t.Errorf("the other receives %q", text)
 	}
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -76,7 +76,7 @@
 	t.Helper()
 	select {
 	case <-x.Ready():
-	case <-time.After(scriptedpeer.Patience):
+	case <-time.After(scriptedpeer.WaitTimeout):
 		t.Fatal("no list is published")
 	}
 	events := x.Drain()
@@ -86,7 +86,7 @@
 // expectRequest reads a request, which must begin with this line.
 func expectRequest(t *testing.T, conn *scriptedpeer.Conn, want string) {
 	t.Helper()
-	if got := conn.Request(); got != want {
+	if got := conn.ReadRequestHead(); got != want {
 		t.Errorf("requested %q, want %q", got, want)
 	}
 }
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -18,27 +18,27 @@
 		text  func(string) string
 		close func(*scriptedpeer.Conn, *eventloop.Queues)
 	}{
-		"said":            {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.Ends() }},
+		"said":            {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.WaitForClose() }},
 		"said and done":   {withClose, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.Close() }},
 		"not said":        {strings.Clone, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.Close() }},
 		"more than asked": {func(a string) string { return a + "HTTP/1.1" }, func(c *scriptedpeer.Conn, _ *eventloop.Queues) { c.Close() }},
 		"reset under the next call": {strings.Clone, func(c *scriptedpeer.Conn, _ *eventloop.Queues) {
-			c.Request()
+			c.ReadRequestHead()
 			c.Reset()
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			agent := scriptedpeer.Listen(t)
-			_, x, log := startClient(t, agent.At(), 40)
-			conn := agent.Take()
+			_, x, log := startClient(t, agent.Address(), 40)
+			conn := agent.AcceptConn()
 			expectRequest(t, conn, completeListLine)
 			for revision := int64(41); revision < 45; revision++ {
-				conn.Raw(way.text(list(revision, revision == 41, "Ready")))
+				conn.SendRaw(way.text(list(revision, revision == 41, "Ready")))
 				way.close(conn, x)
 				if l := nextList(t, x); l.Revision != revision {
 					t.Errorf("%d is published, want %d", l.Revision, revision)
 				}
-				conn = agent.Take()
+				conn = agent.AcceptConn()
 				expectRequest(t, conn, fmt.Sprintf(watchLine, revision))
 			}
 			if errs := x.Counters.DiscoveryErrors.Load(); errs != 0 || log.count("discovery") != 0 {
@@ -46,7 +46,7 @@
 			}
 			agent.Close()
 			conn.Reset() // it is gone
-			scriptedpeer.Until(t, "a discovery that is gone is not noticed", func() bool { return log.count("discovery fails") == 1 })
+			scriptedpeer.WaitFor(t, "a discovery that is gone is not noticed", func() bool { return log.count("discovery fails") == 1 })
 		})
 	}
 }
@@ -66,16 +66,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			agent := scriptedpeer.Listen(t)
-			_, x, log := startClient(t, agent.At(), 40)
-			conn := agent.Take()
+			_, x, log := startClient(t, agent.Address(), 40)
+			conn := agent.AcceptConn()
 			expectRequest(t, conn, completeListLine)
-			conn.Raw(list(41, true, "Ready"))
+			conn.SendRaw(list(41, true, "Ready"))
 			expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
-			conn.Raw(answer)
+			conn.SendRaw(answer)
 			conn.Close()
-			conn = agent.Take()
+			conn = agent.AcceptConn()
 			expectRequest(t, conn, completeListLine)
-			conn.Raw(list(45, true, "Terminating"))
+			conn.SendRaw(list(45, true, "Terminating"))
 			expectRequest(t, conn, fmt.Sprintf(watchLine, 45))
 			if l := nextList(t, x); l.Revision != 45 || !l.Complete {
 				t.Errorf("published %+v", l)
@@ -83,8 +83,8 @@
 			if log.count("discovery fails") != 1 || log.count("discovery answers") != 0 {
 				t.Errorf("log: %s", log.text.String())
 			}
-			conn.Raw(unchanged(45))
-			scriptedpeer.Until(t, "a watch that is answered again is not noticed", func() bool { return log.count("discovery answers") == 1 })
+			conn.SendRaw(unchanged(45))
+			scriptedpeer.WaitFor(t, "a watch that is answered again is not noticed", func() bool { return log.count("discovery answers") == 1 })
 		})
 	}
 }
@@ -93,36 +93,36 @@
 // service at the new address, which counts from a lower revision.
 func TestSetAddressDiscardsUnfinishedAnswer(t *testing.T) {
 	before, after := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-	c, x, _ := startClient(t, before.At(), 40)
-	old := before.Take()
+	c, x, _ := startClient(t, before.Address(), 40)
+	old := before.AcceptConn()
 	expectRequest(t, old, completeListLine)
-	old.Raw(list(41, true, "Ready"))
+	old.SendRaw(list(41, true, "Ready"))
 	if l := nextList(t, x); l.Revision != 41 {
 		t.Errorf("published %+v", l)
 	}
 	expectRequest(t, old, fmt.Sprintf(watchLine, 41))
 	late := list(math.MaxInt64, true, "Ready")
-	old.Raw(late[:len(late)-1])
-	c.SetAddress(after.At())
-	next := after.Take() // only after the old conversation has ended
+	old.SendRaw(late[:len(late)-1])
+	c.SetAddress(after.Address())
+	next := after.AcceptConn() // only after the old conversation has ended
 	io.WriteString(old.Conn, late[len(late)-1:])
 	for k := range staleAnswersLimitAfterMove {
 		expectRequest(t, next, completeListLine)
-		next.Raw(list(3, true, "Terminating"))
+		next.SendRaw(list(3, true, "Terminating"))
 		if k+1 < staleAnswersLimitAfterMove {
-			next = after.Take()
+			next = after.AcceptConn()
 		}
 	}
 	if l := nextList(t, x); l.Revision != 3 || len(x.Drain()) > 0 {
 		t.Errorf("published %+v", l)
 	}
 	expectRequest(t, next, fmt.Sprintf(watchLine, 3))
-	next.Raw(late) // and what has come in full may be taken, or not
-	c.SetAddress(before.At())
+	next.SendRaw(late) // and what has come in full may be taken, or not
+	c.SetAddress(before.Address())
 	for k := range staleAnswersLimitAfterMove {
-		old = before.Take()
+		old = before.AcceptConn()
 		expectRequest(t, old, completeListLine)
-		old.Raw(list(4, true, "Gone"))
+		old.SendRaw(list(4, true, "Gone"))
 		if k == 0 && nextList(t, x).Revision == 4 { // it was not
 			break
 		}
@@ -133,19 +133,19 @@
 // Two changes of the address before an answer: only the latest counts, and the complete list is requested from it.
 func TestSetAddressThereAndBackUsesLatest(t *testing.T) {
 	home, away := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-	c, x, _ := startClient(t, home.At(), 40)
-	first := home.Take()
+	c, x, _ := startClient(t, home.Address(), 40)
+	first := home.AcceptConn()
 	expectRequest(t, first, completeListLine)
-	c.SetAddress(away.At())
-	there := away.Take()
-	first.Ends()
+	c.SetAddress(away.Address())
+	there := away.AcceptConn()
+	first.WaitForClose()
 	expectRequest(t, there, completeListLine)
-	c.SetAddress(away.At()) // the same address: no effect
-	c.SetAddress(home.At())
-	second := home.Take()
-	there.Ends()
+	c.SetAddress(away.Address()) // the same address: no effect
+	c.SetAddress(home.Address())
+	second := home.AcceptConn()
+	there.WaitForClose()
 	expectRequest(t, second, completeListLine)
-	second.Raw(list(41, true, "Ready"))
+	second.SendRaw(list(41, true, "Ready"))
 	expectRequest(t, second, fmt.Sprintf(watchLine, 41))
 	if l := nextList(t, x); l.Revision != 41 || x.Counters.Dials.Load() != 3 {
 		t.Errorf("published %+v after %d dials", l, x.Counters.Dials.Load())
@@ -155,15 +155,15 @@
 // A change made between an answer and the next call arrives with that call.
 func TestChangeBetweenTwoCallsIsReceived(t *testing.T) {
 	agent := scriptedpeer.Listen(t)
-	_, x, _ := startClient(t, agent.At(), 40)
-	conn := agent.Take()
+	_, x, _ := startClient(t, agent.Address(), 40)
+	conn := agent.AcceptConn()
 	expectRequest(t, conn, completeListLine)
-	conn.Raw(list(41, true, "Ready"))
+	conn.SendRaw(list(41, true, "Ready"))
 	nextList(t, x)
 	expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
-	conn.Raw(unchanged(41)) // and now 42 is made
+	conn.SendRaw(unchanged(41)) // and now 42 is made
 	expectRequest(t, conn, fmt.Sprintf(watchLine, 41))
-	conn.Raw(list(42, false, "Terminating"))
+	conn.SendRaw(list(42, false, "Terminating"))
 	if l := nextList(t, x); l.Revision != 42 || l.Complete || len(l.Members) != 1 {
 		t.Errorf("published %+v", l)
 	}
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -65,7 +65,7 @@
 	t.Helper()
 	select {
 	case <-event:
-	case <-time.After(scriptedpeer.Patience):
+	case <-time.After(scriptedpeer.WaitTimeout):
 		t.Fatal(missing)
 	}
 }
@@ -102,12 +102,12 @@
 	shutdown := make(chan int64)
 	go func() { shutdown <- s.Shutdown() }()
 	await(t, h.holds, "the connection is not found idle")
-	client.Raw("G")
+	client.SendRaw("G")
 	await(t, h.reads, "the rest of the head is not read")
 	close(h.release)
 	await(t, h.reads, "the head is read no further behind the deadline that ended the read before")
-	client.Raw("ET / HTTP/1.1\r\nHost: x\r\n\r\n")
-	resp, err := http.ReadResponse(client.Read, nil)
+	client.SendRaw("ET / HTTP/1.1\r\nHost: x\r\n\r\n")
+	resp, err := http.ReadResponse(client.Reader, nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("%+v, %v", resp, err)
 	}
--- a/internal/sidecar/bodies_test.go
+++ b/internal/sidecar/bodies_test.go
@@ -23,7 +23,7 @@
 // nothingInFlight waits until no request is in flight and no connection to a replica is in use.
 func nothingInFlight(t *testing.T, s running) {
 	t.Helper()
-	scriptedpeer.Until(t, "something stays in flight", func() bool {
+	scriptedpeer.WaitFor(t, "something stays in flight", func() bool {
 		f := s.Counters()
 		return f.InFlight == 0 && f.Clients["in_flight"] == 0 && f.Upstream.Open == f.Upstream.Idle
 	})
@@ -40,21 +40,21 @@
 		"its replica resets":      {(*scriptedpeer.Conn).Reset, "503 unclear"},
 		"its replica closes":      {func(r *scriptedpeer.Conn) { r.Close() }, "503 unclear"},
 		"its time is over":        {func(*scriptedpeer.Conn) {}, "503 expired"},
-		"it is answered early":    {func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n") }, "413 "},
-		"the replica's own error": {func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 500 No\r\nContent-Length: 3\r\n\r\nno\n") }, "500 "},
+		"it is answered early":    {func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n") }, "413 "},
+		"the replica's own error": {func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 500 No\r\nContent-Length: 3\r\n\r\nno\n") }, "500 "},
 	} {
 		for _, protocol := range []string{"h1", "h2"} {
 			t.Run(name+" "+protocol, func(t *testing.T) {
 				t.Parallel()
 				at := scriptedpeer.Listen(t)
-				s := start(t, patient("expiry: 2s", "expiry: 500ms"), at.At())
+				s := start(t, patient("expiry: 2s", "expiry: 500ms"), at.Address())
 				answered := make(chan string, 1)
 				switch protocol {
 				case "h1":
 					client := scriptedpeer.Dial(t, s.h1)
-					client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", some))
+					client.SendRaw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n" + strings.Repeat("x", some))
 					go func() {
-						resp, err := http.ReadResponse(client.Read, nil)
+						resp, err := http.ReadResponse(client.Reader, nil)
 						if err != nil {
 							answered <- err.Error()
 							return
@@ -63,18 +63,18 @@
 					}()
 				default:
 					client := dialHTTP2(t, s, 1<<20)
-					client.Open(1, "POST", "/payouts", true, "content-length", "100000")
-					client.Data(1, false, make([]byte, 10_000))
-					client.Data(1, false, make([]byte, 10_000))
+					client.OpenStream(1, "POST", "/payouts", true, "content-length", "100000")
+					client.SendData(1, false, make([]byte, 10_000))
+					client.SendData(1, false, make([]byte, 10_000))
 					go func() {
-						client.Wait(scriptedpeer.Patience, done(1))
-						got := client.Of(1)
+						client.WaitFor(scriptedpeer.WaitTimeout, done(1))
+						got := client.Stream(1)
 						answered <- got.Status + " " + got.Fields["lilacbend-reason"]
 					}()
 				}
-				replica := at.Take()
-				replica.Request()
-				io.CopyN(io.Discard, replica.Read, some/2) // so it has been sent on, and its client is waited for
+				replica := at.AcceptConn()
+				replica.ReadRequestHead()
+				io.CopyN(io.Discard, replica.Reader, some/2) // so it has been sent on, and its client is waited for
 				c.end(replica)
 				if got := <-answered; got != c.want {
 					t.Errorf("%q, want %q", got, c.want)
@@ -100,7 +100,7 @@
 			n, err := io.Copy(io.Discard, req.Body)
 			got <- fmt.Sprint(n, " ", err)
 		})
-		s := start(t, patient("usual: again", "usual: again, never_ran_statuses: ['503']", "replica_stall", "replica_idle: 0, replica_stall"), busy.At(), good.Addr)
+		s := start(t, patient("usual: again", "usual: again, never_ran_statuses: ['503']", "replica_stall", "replica_idle: 0, replica_stall"), busy.Address(), good.Addr)
 		body := strings.Repeat("x", size)
 		if strings.HasPrefix(head, "T") {
 			body = fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", size, body)
@@ -108,9 +108,9 @@
 		again := 0
 		for range 100 {
 			client := scriptedpeer.Dial(t, s.h1)
-			client.Raw("POST /orders HTTP/1.1\r\nHost: x\r\n" + head)
+			client.SendRaw("POST /orders HTTP/1.1\r\nHost: x\r\n" + head)
 			go io.WriteString(client, body)
-			resp, err := http.ReadResponse(client.Read, nil)
+			resp, err := http.ReadResponse(client.Reader, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -139,25 +139,25 @@
 		io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 3\r\n\r\nno\n")
 		io.Copy(io.Discard, conn)
 	})
-	s := start(t, patient("replica_stall", "replica_idle: 0, replica_stall"), early.At())
+	s := start(t, patient("replica_stall", "replica_idle: 0, replica_stall"), early.Address())
 	for range 100 {
 		client := scriptedpeer.Dial(t, s.h1)
-		client.Raw("POST /orders HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 40000\r\n\r\n")
-		text := client.Request()
+		client.SendRaw("POST /orders HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 40000\r\n\r\n")
+		text := client.ReadRequestHead()
 		if text == "HTTP/1.1 100 Continue" {
-			text = client.Request()
+			text = client.ReadRequestHead()
 		}
 		rest := make([]byte, 3)
-		if io.ReadFull(client.Read, rest); text != "HTTP/1.1 413 Request Entity Too Large" || string(rest) != "no\n" {
+		if io.ReadFull(client.Reader, rest); text != "HTTP/1.1 413 Request Entity Too Large" || string(rest) != "no\n" {
 			t.Fatalf("%q, %q", text, rest)
 		}
 		client.Close()
 	}
 	two := dialHTTP2(t, s, 1<<20)
 	for id := uint32(1); id < 200; id += 2 {
-		two.Open(id, "POST", "/orders", true, "expect", "100-continue")
-		two.Wait(scriptedpeer.Patience, func(c *replica.H2) bool { return c.Streams[id] != nil && c.Streams[id].Done() })
-		if got := two.Of(id); got.Status != "413" || got.Answers != 1 || string(got.Body) != "no\n" {
+		two.OpenStream(id, "POST", "/orders", true, "expect", "100-continue")
+		two.WaitFor(scriptedpeer.WaitTimeout, func(c *replica.HTTP2Client) bool { return c.Streams[id] != nil && c.Streams[id].Done() })
+		if got := two.Stream(id); got.Status != "413" || got.Responses != 1 || string(got.Body) != "no\n" {
 			t.Fatalf("%d: %+v", id, got)
 		}
 	}
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -14,7 +14,7 @@
 
 // readAnswer reads the next answer on a client's connection, as status, reason, and whether it was complete.
 func readAnswer(c *scriptedpeer.Conn) string {
-	resp, err := http.ReadResponse(c.Read, nil)
+	resp, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
 		return err.Error()
 	}
@@ -41,7 +41,7 @@
 				client := scriptedpeer.Dial(t, s.h1)
 				all.Go(func() {
 					for range requests {
-						client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
+						client.SendRaw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
 						if got := readAnswer(client); got != "200" {
 							t.Errorf("%q", got)
 							return
@@ -79,7 +79,7 @@
 	client := scriptedpeer.Dial(t, s.h1)
 	got := map[string]int{}
 	for range 500 {
-		client.Raw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
+		client.SendRaw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
 		got[readAnswer(client)]++
 	}
 	close(end)
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -31,26 +31,26 @@
 		body, want  string
 	}{
 		"before it is written":             {close, nil, "pay", "200"},
-		"with bytes that nobody asked for": {func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n") }, nil, "pay", "200"},
+		"with bytes that nobody asked for": {func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n") }, nil, "pay", "200"},
 		"in the middle of its body":        {nil, (*scriptedpeer.Conn).Reset, long, "503 unclear"},
 		"after all of it":                  {nil, close, "pay", "503 unclear"},
 		"after all of it, by a reset":      {nil, (*scriptedpeer.Conn).Reset, "pay", "503 unclear"},
-		"after the first of an answer":     {nil, func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 200 OK\r\nCont"); r.Close() }, "pay", "503 unclear"},
-		"in the middle of an answer":       {nil, func(r *scriptedpeer.Conn) { r.Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"); r.Close() }, "pay", "200 broken off"},
-		"after an answer, with bytes left": {nil, func(r *scriptedpeer.Conn) { r.Raw(okAnswer + okAnswer) }, "pay", "200"},
+		"after the first of an answer":     {nil, func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 200 OK\r\nCont"); r.Close() }, "pay", "503 unclear"},
+		"in the middle of an answer":       {nil, func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"); r.Close() }, "pay", "200 broken off"},
+		"after an answer, with bytes left": {nil, func(r *scriptedpeer.Conn) { r.SendRaw(okAnswer + okAnswer) }, "pay", "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			at := scriptedpeer.Listen(t)
-			s := start(t, patient("usual: again", "usual: twice-more"), at.At())
+			s := start(t, patient("usual: again", "usual: twice-more"), at.Address())
 			client := scriptedpeer.Dial(t, s.h1)
 			pay := func(body string) {
 				go fmt.Fprintf(client.Conn, "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			}
 			pay("pay")
-			replica := at.Take()
-			replica.Request()
-			replica.Raw(okAnswer)
+			replica := at.AcceptConn()
+			replica.ReadRequestHead()
+			replica.SendRaw(okAnswer)
 			if got := readAnswer(client); got != "200" {
 				t.Fatal(got)
 			}
@@ -59,12 +59,12 @@
 			}
 			pay(c.body)
 			if c.end != nil {
-				replica.Request() // on the kept connection
+				replica.ReadRequestHead() // on the kept connection
 				c.end(replica)
 			} else {
-				replica = at.Take()
-				replica.Request()
-				replica.Raw(okAnswer)
+				replica = at.AcceptConn()
+				replica.ReadRequestHead()
+				replica.SendRaw(okAnswer)
 			}
 			if got := readAnswer(client); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
@@ -75,9 +75,9 @@
 			if c.end != nil {
 				client = scriptedpeer.Dial(t, s.h1)
 				pay("pay")
-				next := at.Take()
-				next.Request()
-				next.Raw(okAnswer)
+				next := at.AcceptConn()
+				next.ReadRequestHead()
+				next.SendRaw(okAnswer)
 				if got := readAnswer(client); got != "200" {
 					t.Errorf("the next request: %q", got)
 				}
@@ -91,40 +91,40 @@
 // be), or ends its half alone, which counts as leaving: capacity and connection are released.
 func TestClientLeavesDuringItsRequest(t *testing.T) {
 	at := scriptedpeer.Listen(t)
-	s := start(t, patient(" stall: 1m", " stall: 100ms", "limits: {", "limits: {waiting: 10, wait: 1m, ", "flows: 500", "flows: 1", "expiry: 2s", "expiry: 1m"), at.At())
+	s := start(t, patient(" stall: 1m", " stall: 100ms", "limits: {", "limits: {waiting: 10, wait: 1m, ", "flows: 500", "flows: 1", "expiry: 2s", "expiry: 1m"), at.Address())
 	const request = "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n"
 	for _, pay := range []string{"POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay", // with a body that has come completely
 		"POST /payouts HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\npay\r\n0\r\n\r\n"} {
 		client := scriptedpeer.Dial(t, s.h1)
-		client.Raw(pay)
-		replica := at.Take()
-		replica.Request()
+		client.SendRaw(pay)
+		replica := at.AcceptConn()
+		replica.ReadRequestHead()
 		client.Close()
-		replica.Ends()
+		replica.WaitForClose()
 		nothingInFlight(t, s)
 	}
 	first := scriptedpeer.Dial(t, s.h1)
-	first.Raw(request)
-	replica := at.Take()
-	replica.Request()
+	first.SendRaw(request)
+	replica := at.AcceptConn()
+	replica.ReadRequestHead()
 	waits := scriptedpeer.Dial(t, s.h1)
-	waits.Raw(request)
-	scriptedpeer.Until(t, "the second does not wait", func() bool { return s.Counters().InFlight == 2 })
+	waits.SendRaw(request)
+	scriptedpeer.WaitFor(t, "the second does not wait", func() bool { return s.Counters().InFlight == 2 })
 	half := scriptedpeer.Dial(t, s.h1) // is ended for its silence: so long have the others been silent as well
-	half.Raw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
-	half.Ends()
+	half.SendRaw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
+	half.WaitForClose()
 	waits.Close()
-	scriptedpeer.Until(t, "a request that has left still waits", func() bool { return s.Counters().InFlight == 1 })
+	scriptedpeer.WaitFor(t, "a request that has left still waits", func() bool { return s.Counters().InFlight == 1 })
 	first.Close()
-	replica.Ends()
+	replica.WaitForClose()
 	nothingInFlight(t, s)
 	last := scriptedpeer.Dial(t, s.h1)
-	last.Raw(request)
-	replica = at.Take()
-	replica.Request()
+	last.SendRaw(request)
+	replica = at.AcceptConn()
+	replica.ReadRequestHead()
 	last.Conn.(*net.TCPConn).CloseWrite()
-	replica.Ends()
-	last.Ends()
+	replica.WaitForClose()
+	last.WaitForClose()
 	nothingInFlight(t, s)
 	if f := s.Counters().Requests; f.Failed[dispatch.ErrClientGone] != 5 {
 		t.Errorf("%+v", f)
@@ -136,23 +136,23 @@
 func TestStreamResetDuringARetryDecision(t *testing.T) {
 	for _, resetFirst := range []bool{true, false} {
 		one, two := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-		s := start(t, patient("usual: again", "usual: twice-more", "expiry: 2s", "expiry: 1m", "latency_budget: 500ms", "latency_budget: 30s", "window: 2500ms", "window: 10m"), one.At())
+		s := start(t, patient("usual: again", "usual: twice-more", "expiry: 2s", "expiry: 1m", "latency_budget: 500ms", "latency_budget: 30s", "window: 2500ms", "window: 10m"), one.Address())
 		client := dialHTTP2(t, s, 1<<20)
-		client.Open(1, "POST", "/orders", true, "content-length", "3")
-		client.Data(1, true, []byte("buy"))
-		replica := one.Take()
-		replica.Request()
-		s.updateEndpoints(false, map[string]dispatch.Endpoint{"r1": {Zone: "a", Address: two.At()}})
+		client.OpenStream(1, "POST", "/orders", true, "content-length", "3")
+		client.SendData(1, true, []byte("buy"))
+		replica := one.AcceptConn()
+		replica.ReadRequestHead()
+		s.updateEndpoints(false, map[string]dispatch.Endpoint{"r1": {Zone: "a", Address: two.Address()}})
 		if resetFirst {
-			client.Reset(1)
-			replica.Ends() // it was noticed
+			client.ResetStream(1)
+			replica.WaitForClose() // it was noticed
 			replica.Close()
 		} else {
 			replica.Close()
-			next := two.Take()
-			next.Request()
-			client.Reset(1)
-			next.Ends()
+			next := two.AcceptConn()
+			next.ReadRequestHead()
+			client.ResetStream(1)
+			next.WaitForClose()
 		}
 		nothingInFlight(t, s)
 		tries := int64(2)
@@ -173,19 +173,19 @@
 		"another behind": "GET /stock HTTP/1.1\r\nHost: x\r\n\r\nGET /stock HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
 		at := scriptedpeer.Listen(t)
-		s := start(t, patient("drain: 2s", "drain: 50ms", "expiry: 2s", "expiry: 1m"), at.At())
+		s := start(t, patient("drain: 2s", "drain: 50ms", "expiry: 2s", "expiry: 1m"), at.Address())
 		client := scriptedpeer.Dial(t, s.h1)
-		client.Raw(text)
-		replica := at.Take()
-		replica.Request()
+		client.SendRaw(text)
+		replica := at.AcceptConn()
+		replica.ReadRequestHead()
 		ended := make(chan struct{})
 		go func() { s.stop(); close(ended) }()
 		select {
 		case <-ended:
-		case <-time.After(scriptedpeer.Patience):
+		case <-time.After(scriptedpeer.WaitTimeout):
 			t.Fatalf("%s: the sidecar goes on", name)
 		}
-		client.Ends()
+		client.WaitForClose()
 		if n := s.Counters().Clients["lost"]; n != 1 {
 			t.Errorf("%s: %d lost", name, n)
 		}
@@ -197,15 +197,15 @@
 func TestAnswerArrivesThoughTheClientStillSends(t *testing.T) {
 	const size = 1 << 20
 	at := scriptedpeer.Listen(t)
-	s := start(t, patient(), at.At())
+	s := start(t, patient(), at.Address())
 	client := scriptedpeer.Dial(t, s.h1)
-	client.Raw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\n\r\n")
+	client.SendRaw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\n\r\n")
 	go io.CopyN(client.Conn, zeros{}, 10_000_000)
-	replica := at.Take()
-	replica.Request()
+	replica := at.AcceptConn()
+	replica.ReadRequestHead()
 	go fmt.Fprintf(replica.Conn, "HTTP/1.1 413 Too Large\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
 	nothingInFlight(t, s) // the answer has been written, and the client has read none of it
-	resp, err := http.ReadResponse(client.Read, nil)
+	resp, err := http.ReadResponse(client.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,9 +225,9 @@
 
 func dialFrames(t *testing.T, s running, window, connection uint32) *frames {
 	c := &frames{Conn: scriptedpeer.Dial(t, s.h2), room: 65535}
-	c.Framer = http2.NewFramer(c.Conn.Conn, c.Conn.Read)
+	c.Framer = http2.NewFramer(c.Conn.Conn, c.Conn.Reader)
 	c.enc = hpack.NewEncoder(&c.block)
-	c.Raw(http2.ClientPreface)
+	c.SendRaw(http2.ClientPreface)
 	c.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: window})
 	if connection > 65535 {
 		c.WriteWindowUpdate(0, connection-65535)
@@ -295,8 +295,8 @@
 			t.Fatal(err)
 		}
 		if h, ok := f.(*http2.MetaHeadersFrame); ok {
-			if h.PseudoValue("status") != "431" || r.Serves.Load() != 0 {
-				t.Errorf("status %s, %d ran", h.PseudoValue("status"), r.Serves.Load())
+			if h.PseudoValue("status") != "431" || r.RequestCount.Load() != 0 {
+				t.Errorf("status %s, %d ran", h.PseudoValue("status"), r.RequestCount.Load())
 			}
 			return
 		}
@@ -307,12 +307,12 @@
 // and no request that it still sends is executed without an answer.
 func TestFailedWriteEndsItsConnection(t *testing.T) {
 	r := startReplica(t, nil)
-	r.Size.Store(64 << 20)
+	r.BodySize.Store(64 << 20)
 	s := start(t, patient(" stall: 1m", " stall: 100ms"), r.Addr)
 	c := dialFrames(t, s, 1<<30, 1<<30)
-	c.Narrow()
+	c.ShrinkBuffers()
 	c.open(1, "GET", "/stock", true)
-	scriptedpeer.Until(t, "the connection stays", func() bool {
+	scriptedpeer.WaitFor(t, "the connection stays", func() bool {
 		f := s.Counters()
 		return f.Clients["requests"] == 1 && f.Clients["open"] == 0
 	})
@@ -330,28 +330,28 @@
 		c := dialHTTP2(t, s, 1<<20)
 		all.Go(func() {
 			opened := uint32(0)
-			over := func(c *replica.H2) bool { return c.Ended || len(c.GoAways) >= 2 }
+			over := func(c *replica.HTTP2Client) bool { return c.Closed || len(c.GoAways) >= 2 }
 			for id := uint32(1); id < 40_000; id += 2 {
 				if id == 1 {
 					began <- struct{}{}
 				}
-				if c.Wait(0, over) || c.Open(id, "HEAD", "/stock", false) != nil {
+				if c.WaitFor(0, over) || c.OpenStream(id, "HEAD", "/stock", false) != nil {
 					break
 				}
 				opened = id
 				if id%16 == 1 { // not many more than can be answered
-					c.Wait(scriptedpeer.Patience, func(c *replica.H2) bool { return over(c) || c.Streams[id] != nil && c.Streams[id].Done() })
+					c.WaitFor(scriptedpeer.WaitTimeout, func(c *replica.HTTP2Client) bool { return over(c) || c.Streams[id] != nil && c.Streams[id].Done() })
 				}
 			}
-			if !c.Wait(scriptedpeer.Patience, func(c *replica.H2) bool { return c.Ended && len(c.GoAways) == 2 }) {
-				t.Errorf("ended %v, %d words of going away", c.Ended, len(c.GoAways))
+			if !c.WaitFor(scriptedpeer.WaitTimeout, func(c *replica.HTTP2Client) bool { return c.Closed && len(c.GoAways) == 2 }) {
+				t.Errorf("ended %v, %d words of going away", c.Closed, len(c.GoAways))
 				return
 			}
 			c.Conn.Close()
 			last := c.GoAways[1].LastStreamID
 			for id := uint32(1); id <= opened; id += 2 {
-				got := c.Of(id)
-				if id <= last && got.Status != "200" && !(got.Reset && got.Code == http2.ErrCodeRefusedStream) || id > last && got.Status != "" {
+				got := c.Stream(id)
+				if id <= last && got.Status != "200" && !(got.Reset && got.ErrCode == http2.ErrCodeRefusedStream) || id > last && got.Status != "" {
 					t.Errorf("stream %d of %d, the last that counts is %d: %+v", id, opened, last, got)
 					return
 				}
@@ -361,7 +361,7 @@
 	for range 8 {
 		<-began
 	}
-	scriptedpeer.Until(t, "not all are taken in", func() bool { return s.Counters().Clients["open"] == 8 })
+	scriptedpeer.WaitFor(t, "not all are taken in", func() bool { return s.Counters().Clients["open"] == 8 })
 	s.stop()
 	all.Wait()
 }
@@ -371,11 +371,11 @@
 func TestAnswerIsReadAsTheSidecarEnds(t *testing.T) {
 	const size = 1 << 20
 	r := startReplica(t, nil)
-	r.Size.Store(size)
+	r.BodySize.Store(size)
 	s := start(t, patient("drain: 2s", "drain: 1m"), r.Addr)
 	c := dialFrames(t, s, 1<<30, 1<<30)
 	c.open(1, "GET", "/stock", true)
-	scriptedpeer.Until(t, "the answer is not written", func() bool {
+	scriptedpeer.WaitFor(t, "the answer is not written", func() bool {
 		f := s.Counters()
 		return f.Clients["requests"] == 1 && f.Clients["in_flight"] == 0 && f.InFlight == 0
 	})
@@ -395,7 +395,7 @@
 			got += len(f.Data())
 			c.WriteWindowUpdate(0, uint32(max(64, len(f.Data()))))
 			if words == 0 { // the sidecar has hung up: what it had to say has all been written
-				scriptedpeer.Until(t, "it does not drain", s.server.Draining)
+				scriptedpeer.WaitFor(t, "it does not drain", s.server.Draining)
 				time.Sleep(3 * 50 * time.Millisecond) // over its pauses: it would have closed
 				words++
 			}
@@ -412,27 +412,27 @@
 
 // A drain with a request in flight: from its first moment /health says that no request should come here.
 func TestHealthDuringDrain(t *testing.T) {
-	at, local := scriptedpeer.Listen(t), scriptedpeer.Free(t)
-	s := start(t, patient("drain: 2s", "drain: 1m", "listen: {", "listen: {local: \""+local+"\", "), at.At())
+	at, local := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+	s := start(t, patient("drain: 2s", "drain: 1m", "listen: {", "listen: {local: \""+local+"\", "), at.Address())
 	health := func() string {
 		c := scriptedpeer.Dial(t, local)
-		c.Raw("GET /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		c.SendRaw("GET /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
 		return readAnswer(c)
 	}
 	if got := health(); got != "200" {
 		t.Errorf("before: %q", got)
 	}
 	client := scriptedpeer.Dial(t, s.h1)
-	client.Raw("GET /stock HTTP/1.1\r\nHost: x\r\n\r\n")
-	replica := at.Take()
-	replica.Request()
+	client.SendRaw("GET /stock HTTP/1.1\r\nHost: x\r\n\r\n")
+	replica := at.AcceptConn()
+	replica.ReadRequestHead()
 	ended := make(chan struct{})
 	go func() { s.stop(); close(ended) }()
-	scriptedpeer.Until(t, "it does not drain", s.server.Draining)
+	scriptedpeer.WaitFor(t, "it does not drain", s.server.Draining)
 	if got := health(); got != "503" {
 		t.Errorf("during: %q", got)
 	}
-	replica.Raw(okAnswer)
+	replica.SendRaw(okAnswer)
 	if got := readAnswer(client); got != "200" {
 		t.Errorf("the request in flight: %q", got)
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -100,7 +100,7 @@
 func raw(t testing.TB, attend func(conn net.Conn, r *bufio.Reader)) string {
 	l := scriptedpeer.Listen(t)
 	l.Serve(func(conn net.Conn) { attend(conn, bufio.NewReader(conn)) })
-	return l.At()
+	return l.Address()
 }
 
 // exchangeRaw sends bytes on a new connection and reads all that comes back.
@@ -194,7 +194,7 @@
 			t.Errorf("%q: %q", text, got)
 		}
 	}
-	if n := r.Serves.Load(); n != 0 {
+	if n := r.RequestCount.Load(); n != 0 {
 		t.Errorf("%d of them reached the replica", n)
 	}
 	if got := exchangeRaw(t, s.h1, get+"X: "+strings.Repeat("x", 20000)); !strings.HasPrefix(got, "HTTP/1.1 431 ") {
@@ -267,7 +267,7 @@
 					t.Errorf("%s: %v, want 200 or %s", path, got, want)
 				}
 			}
-			for key, n := range good.Runs() {
+			for key, n := range good.RunsByKey() {
 				if strings.HasPrefix(key, "/payouts") && n > 1 {
 					t.Errorf("%s ran %d times", key, n)
 				}
@@ -279,7 +279,7 @@
 // Nobody listens there, so it is certain that nothing was executed, and even a payout is retried elsewhere.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	good := startReplica(t, nil)
-	s := start(t, func(f string) string { return strings.Replace(f, "usual: again", "usual: never-ran", 1) }, scriptedpeer.Free(t), good.Addr)
+	s := start(t, func(f string) string { return strings.Replace(f, "usual: again", "usual: never-ran", 1) }, scriptedpeer.FreeAddress(t), good.Addr)
 	for path, body := range map[string]string{"/payouts": "", "/orders": "small", "/orders?long": strings.Repeat("x", 50_000)} {
 		if got := counts(t, s, 10, "POST", path, body); got["200"] != 10 {
 			t.Errorf("%s: %v", path, got)
@@ -288,7 +288,7 @@
 	if n := s.Counters().Requests.Retries; n == 0 {
 		t.Error("none was tried twice")
 	}
-	for key, n := range good.Runs() {
+	for key, n := range good.RunsByKey() {
 		if n != 1 {
 			t.Errorf("%s ran %d times", key, n)
 		}
@@ -352,7 +352,7 @@
 // Clients that send or take a byte now and then delay their own request, within the stall timeout, and nobody else's.
 func TestSlowClientsDelayNobodyElse(t *testing.T) {
 	r := startReplica(t, nil)
-	r.Size.Store(50 << 20)
+	r.BodySize.Store(50 << 20)
 	s := start(t, nil, r.Addr)
 	began := time.Now()
 	half := exchangeRaw(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
@@ -429,7 +429,7 @@
 // What controllers do while requests are in flight: replicas ejected, tables emptied, no table at all.
 func TestTablesChangeDuringRequests(t *testing.T) {
 	one, two := startReplica(t, nil), startReplica(t, nil)
-	one.Span.Store(int64(200 * time.Millisecond))
+	one.ServiceTime.Store(int64(200 * time.Millisecond))
 	s := start(t, nil, one.Addr, two.Addr)
 	apply := func(parts ...dispatch.Update) {
 		if err := (controlTarget{s.proxy}).Apply(parts); err != nil {
@@ -440,7 +440,7 @@
 	answers := make(chan string)
 	get := "GET /stock HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 	go func() { answers <- exchangeRaw(t, s.h1, get) }()
-	for one.Serves.Load() == 0 {
+	for one.RequestCount.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	apply(dispatch.Update{Eject: []string{"r0"}}) // the replica in use
@@ -470,7 +470,7 @@
 // HTTP/1.1 drains: the answer in flight says that it was the last, idle connections end, new ones are refused.
 func TestHTTP1Drain(t *testing.T) {
 	r := startReplica(t, nil)
-	r.Span.Store(int64(300 * time.Millisecond))
+	r.ServiceTime.Store(int64(300 * time.Millisecond))
 	s := start(t, nil, r.Addr)
 	idle, err := net.Dial("tcp", s.h1)
 	if err != nil {
@@ -479,7 +479,7 @@
 	defer idle.Close()
 	answers := make(chan string)
 	go func() { answers <- exchangeRaw(t, s.h1, "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n") }()
-	for r.Serves.Load() == 0 {
+	for r.RequestCount.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	s.stop()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -18,25 +18,25 @@
 func TestRequestWaitsForAConnectionInUse(t *testing.T) {
 	at := scriptedpeer.Listen(t)
 	go func() {
-		replica := at.Take()
+		replica := at.AcceptConn()
 		for range 2 {
-			replica.Request()
-			replica.Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+			replica.ReadRequestHead()
+			replica.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	}()
 	p := NewPool(Config{MaxConnections: 1, MaxIdle: 1, IdleTimeout: time.Minute, StallTimeout: time.Minute})
 	defer p.Close()
 	do := func(l *Cancellation, until time.Time) (*Response, error) {
-		return p.Do(l, until, at.At(), &Request{Method: "GET", Target: "/", Host: "x"})
+		return p.Do(l, until, at.Address(), &Request{Method: "GET", Target: "/", Host: "x"})
 	}
 	waiting := func(n int) {
-		scriptedpeer.Until(t, "nobody waits for a connection", func() bool {
+		scriptedpeer.WaitFor(t, "nobody waits for a connection", func() bool {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return p.waiting == n
 		})
 	}
-	far := time.Now().Add(scriptedpeer.Patience)
+	far := time.Now().Add(scriptedpeer.WaitTimeout)
 	first, err := do(&Cancellation{}, far)
 	if err != nil {
 		t.Fatal(err)
@@ -103,7 +103,7 @@
 	for range 8 {
 		all.Go(func() {
 			for range 50 {
-				a, err := p.Do(&Cancellation{}, time.Now().Add(scriptedpeer.Patience), at.At(), &Request{Method: "POST", Target: "/", Host: "x", FreshConnection: true})
+				a, err := p.Do(&Cancellation{}, time.Now().Add(scriptedpeer.WaitTimeout), at.Address(), &Request{Method: "POST", Target: "/", Host: "x", FreshConnection: true})
 				if err != nil {
 					t.Error(err)
 					return
