--- a/policy/placement/assignment.go
+++ b/policy/placement/assignment.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// minTableProxies is the mean number of proxies of a table from which there may be another table.
+	// minTableProxies is the mean number of proxies per table that a table count above 1 has to exceed.
 	minTableProxies = 5
 
-	// minTableReplicas is the mean number of own replicas of a table from which a zone may have another table.
+	// minTableReplicas is the mean number of own replicas that each table of a zone should have; the number of tables that
+	// follows from it is rounded to the nearest integer.
 	minTableReplicas = 5.0
 )
 
-// assignment gives each replica to one table of its zone for good: the table whose own replicas have the least listed weight. A
-// zone is divided among several tables while each has replicas and proxies enough.
+// assignment assigns each replica permanently to one table of its zone: the table whose own replicas have the least listed
+// weight in total. A zone has several tables if each of them gets enough replicas and proxies.
 //
-// After a restart or a change of settings, replicas stay at the table that they had, where the number of tables is the same
-// and the table is one of their zone.
+// After a restart or a change of settings, a replica keeps the table that it had if the number of tables is the same and the
+// table belongs to the replica's zone.
 type assignment struct {
 	tables           int // 0: no replica is known yet
 	tableOf          map[uint32]int
-	remembered       map[uint32]int // tables of an earlier assignment
-	rememberedTables int            // how many there were
+	remembered       map[uint32]int // table of each replica in an earlier assignment
+	rememberedTables int            // number of tables in the earlier assignment
 }
 
 func newAssignment() assignment {
 	return assignment{tableOf: map[uint32]int{}, remembered: map[uint32]int{}}
 }
 
-// TableCount returns how many tables a first assignment makes.
+// TableCount returns the number of tables that an assignment creates if it starts without tables.
 func TableCount(s control.Settings, replicas int) int {
 	if replicas == 0 {
 		return 0
@@ -49,7 +50,7 @@
 // Assigned returns the table of each replica that has one.
 func (a *assignment) Assigned() map[uint32]int { return maps.Clone(a.tableOf) }
 
-// TableOf returns the table of a replica, or the one that it had in an earlier assignment.
+// TableOf returns the table of a replica; if the replica has none, the one that it had in an earlier assignment.
 func (a *assignment) TableOf(id uint32) int {
 	if table, ok := a.tableOf[id]; ok {
 		return table
@@ -57,19 +58,19 @@
 	return a.remembered[id]
 }
 
-// RememberTable notes the table that a replica had at an earlier controller.
+// RememberTable records the table that a replica had at an earlier controller.
 func (a *assignment) RememberTable(id uint32, table int) { a.remembered[id] = table }
 
-// RememberTableCount notes how many tables an earlier controller had.
+// RememberTableCount records the number of tables that an earlier controller had.
 func (a *assignment) RememberTableCount(tables int) { a.rememberedTables = tables }
 
-// Forget drops a replica.
+// Forget removes a replica from the current and the earlier assignment.
 func (a *assignment) Forget(id uint32) {
 	delete(a.tableOf, id)
 	delete(a.remembered, id)
 }
 
-// Reassign makes the next plan assign all replicas anew, as after a restart.
+// Reassign makes the next plan assign all replicas again, as after a restart.
 func (a *assignment) Reassign() {
 	maps.Copy(a.remembered, a.tableOf)
 	a.rememberedTables = a.tables
@@ -102,7 +103,8 @@
 	}
 }
 
-// recall gives a replica the table of an earlier assignment, if there is one that it may have.
+// recall assigns a replica to its table of an earlier assignment, if it had one, the number of tables is the same and the
+// table belongs to the replica's zone.
 func (a *assignment) recall(s control.Settings, r *placed) {
 	table, ok := a.remembered[r.ID]
 	zoneRows := zone.Rows(s.Zones, a.tables)
--- a/policy/placement/balance_test.go
+++ b/policy/placement/balance_test.go
@@ -24,10 +24,10 @@
 		serving, ejected int
 		want             float64
 	}{
-		{"all serve", 10, 0, 10},
-		{"a few are ejected: a fault of few", 7, 3, 10},
-		{"many are ejected: only what serves", 5, 5, 5},
-		{"none serves", 0, 10, 0},
+		{"no replica is ejected", 10, 0, 10},
+		{"a few replicas are ejected: their capacity counts", 7, 3, 10},
+		{"many replicas are ejected: their capacity does not count", 5, 5, 5},
+		{"all replicas are ejected", 0, 10, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var replicas []*placed
@@ -40,7 +40,7 @@
 			replicas = append(replicas, &placed{Replica: gone(2, 0), excluded: true})
 			b := newBalance(Input{Settings: settings()}, replicas, 1)
 			if got := b.capacity[0]; got != c.want {
-				t.Errorf("got %v, want %v", got, c.want)
+				t.Errorf("got capacity %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -55,9 +55,9 @@
 		connected int // of six
 		want      float64
 	}{
-		{"just connected: forecast and what came", now, 3, (10*4 + 160) / 4.0},
-		{"connected for long: forecast counts less", 0, 3, (10*4 + 160) / (4.0 + 8)},
-		{"less than half of the proxies are connected", 0, 2, 0},
+		{"just connected: forecast and received requests", now, 3, (10*4 + 160) / 4.0},
+		{"connected for a long time: forecast counts less", 0, 3, (10*4 + 160) / (4.0 + 8)},
+		{"fewer than half of the proxies are connected", 0, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			in := Input{Now: now, Settings: settings(), Demand: demand}
@@ -65,7 +65,7 @@
 				in.Proxies = append(in.Proxies, Proxy{ID: proxy, Table: min(1, proxy-1), Rate: 10, Since: c.since})
 			}
 			if got := newBalance(in, nil, 2).need[0]; math.Abs(got-c.want) > 1e-9 {
-				t.Errorf("got %v, want %v", got, c.want)
+				t.Errorf("got a need of %v requests per second, want %v", got, c.want)
 			}
 		})
 	}
@@ -75,10 +75,10 @@
 	b := &balance{headroom: 1.25, need: []float64{60, 20, 0}, capacity: []float64{10, 10, 20}, totalNeed: 80, totalCapacity: 40}
 	for table, want := range []struct{ shortfall, spare float64 }{{14, 0}, {-2, 0}, {minShortfallNeed - 20, 1}} {
 		if got := b.shortfall(table); math.Abs(got-want.shortfall) > 1e-9 {
-			t.Errorf("table %d lacks %v, want %v", table, got, want.shortfall)
+			t.Errorf("table %d has a shortfall of %v, want %v", table, got, want.shortfall)
 		}
 		if got := b.spareFraction(table); math.Abs(got-want.spare) > 1e-9 {
-			t.Errorf("table %d spares %v, want %v", table, got, want.spare)
+			t.Errorf("table %d has a spare fraction of %v, want %v", table, got, want.spare)
 		}
 	}
 }
@@ -90,8 +90,8 @@
 			t.Errorf("table %d is served by %d, want %d", table, got, want)
 		}
 	}
-	none := &balance{capacity: []float64{0, 5, 0}}
-	if got := none.servingTable(2, 2); got != 2 {
+	without := &balance{capacity: []float64{0, 5, 0}}
+	if got := without.servingTable(2, 2); got != 2 {
 		t.Errorf("a zone without replicas is served by table %d, want its own", got)
 	}
 }
--- a/policy/placement/endpoints.go
+++ b/policy/placement/endpoints.go
@@ -12,32 +12,35 @@
 const (
 	nanosPerSecond = float64(time.Second)
 
-	// minTableSize is the least number of endpoints that a table may have.
+	// minTableSize is the least value of maxTableSize.
 	minTableSize = 3
 
-	// bindCost is what a bind and the request for its ack cost in the channel besides endpoints and message, in cost units.
+	// bindCost is the cost of a bind and the request for its ack in the channel, in cost units, without the endpoints and
+	// the overhead of the message.
 	bindCost = 2
 
-	// spilloverSteps divides a replica into the parts of it that a table gets, so that small changes of need change no weight.
+	// spilloverSteps is the number of equal steps to which the fraction of a replica in another table is rounded up, so that
+	// small changes of need do not change weights.
 	spilloverSteps = 10
 
-	// minSpillover is the least part of a replica that is of use.
+	// minSpillover is the least fraction of a replica that a spillover endpoint is computed from: above 0, so that rounding
+	// up gives at least one step.
 	minSpillover = 1e-6
 
-	// spilloverSeed mixes the order in which tables get spillover endpoints, so that each begins with others. It is a prime, so
-	// that the orders of neighbouring tables have nothing in common.
+	// spilloverSeed shuffles the order in which a table gets spillover endpoints, so that each table starts with different
+	// replicas. It is a prime, so that the orders of tables with adjacent numbers are unrelated.
 	spilloverSeed = 10007
 
-	// maxPenalizedFraction is the fraction of the replicas from which penalties are ignored: that learned state has
-	// so many as ejected is the sign of a fault that is over, or of this controller's own.
+	// maxPenalizedFraction is the fraction of replicas with a penalty at which all penalties are ignored: learned state with
+	// so many ejected replicas points to a fault that has ended, or to a fault of this controller itself.
 	maxPenalizedFraction = 0.4
 )
 
-// builder adds endpoints to tables.
+// builder builds the list of endpoints of each table.
 type builder struct {
-	maxSize        int // endpoints of a table
+	maxSize        int // limit of size
 	applyPenalties bool
-	size           []int // endpoints of each table that are not excluded
+	size           []int // by table: number of endpoints whose replicas are not excluded
 	endpoints      [][]Endpoint
 }
 
@@ -62,15 +65,16 @@
 	}
 }
 
-// maxTableSize is the number of endpoints with which all proxies of this controller can be bound within half of the channel's
-// limit.
+// maxTableSize returns the largest number of endpoints with which all proxies of this controller can be bound within half of
+// the channel's limit, at least minTableSize.
 func maxTableSize(s control.Settings) int {
 	perProxy := s.ChannelLimit / 2 * max(1, s.Controllers) / max(1, s.Proxies)
 	return max(minTableSize, perProxy-s.MessageOverhead-bindCost)
 }
 
-// add adds a part of a replica to a table, if that is not full. An excluded replica keeps its endpoint and takes no other's
-// capacity.
+// add adds an endpoint with a fraction of a replica's weight to a table, unless the replica is not ready, the weight is 0 or
+// the table is full. An excluded replica keeps its endpoint with KeepWeight and does not count towards the size of the
+// table.
 func (b *builder) add(table int, r *placed, part float64) {
 	weight := part * r.Weight
 	if b.applyPenalties {
@@ -87,7 +91,8 @@
 	b.endpoints[table] = append(b.endpoints[table], Endpoint{Replica: r.ID, Weight: weight})
 }
 
-// addSpillover adds parts of the replicas of other tables until the table's shortfall is covered.
+// addSpillover adds endpoints with fractions of other tables' replicas until the table's shortfall is covered or the table
+// is full.
 func (b *builder) addSpillover(table, zoneRows int, balance *balance, replicas []*placed) {
 	shortfall := balance.shortfall(table)
 	if shortfall <= 0 {
@@ -107,8 +112,8 @@
 	}
 }
 
-// spilloverOrder returns the replicas that may serve another table, those of its zone first. A table without any of its own gets
-// those that their own table needs as well.
+// spilloverOrder returns the replicas of other tables that may get a spillover endpoint in a table, those of the table's
+// zone first. Replicas that their own table cannot spare at all are included only for a table without capacity of its own.
 func spilloverOrder(table, zoneRows int, bare bool, replicas []*placed) []candidate {
 	var order []candidate
 	for _, r := range replicas {
--- a/policy/placement/exclusion.go
+++ b/policy/placement/exclusion.go
@@ -1,22 +1,24 @@
 package placement
 
 const (
-	// maxOutlierFraction is the fraction of the fleet's warmed-up replicas that are excluded as outliers at most, so that the
-	// fleet keeps some whatever outlier detection finds. A table may lose all of its own: it gets spillover endpoints, or its
-	// proxies are bound to a sibling table (balance.go).
+	// maxOutlierFraction is the maximum fraction of the fleet's warmed-up replicas that is excluded as outliers, so that the
+	// fleet keeps some replicas whatever outlier detection reports. A table may lose all of its own replicas: it then gets
+	// spillover endpoints, or its proxies are bound to a sibling table (balance.go).
 	maxOutlierFraction = 0.75
 
-	// surgeFactor is how many times the usual requests of a zone are a surge.
+	// surgeFactor is the ratio of a zone's newest requests to its usual requests above which the zone's requests surge.
 	surgeFactor = 1.5
 )
 
-// exclude finds the replicas that are excluded from all tables, and returns those that were not before:
+// exclude marks the replicas that are excluded from all tables, and returns those that were not excluded before. These
+// replicas are excluded:
 //
-//   - whoever is not ready
-//   - whoever is ejected, the first ones in order, up to maxOutlierFraction of the warmed-up replicas
-//   - whoever warms up and is ejected or held back, or is in a zone whose requests surge: proxies soon avoid all replicas that
-//     are overloaded, and the one that has just come would get everything, whatever its weight. They stay where no replica
-//     is warmed up.
+//   - replicas that are not ready
+//   - ejected replicas that are warmed up: the first ones in the given order, up to maxOutlierFraction of the warmed-up
+//     replicas
+//   - replicas that are warming up and are ejected or held back, or are in a zone whose requests surge: proxies soon avoid
+//     all overloaded replicas, and a replica that has just started would get all requests, whatever its weight. These
+//     replicas are not excluded if no replica is warmed up.
 func (p *Placer) exclude(in Input, replicas []*placed, zoneRows int) (newly []uint32) {
 	surges := surgingZones(in, zoneRows)
 	warmedUp := countWarmedUp(replicas)
@@ -54,7 +56,8 @@
 	return count
 }
 
-// surgingZones reports for each zone whether the newest requests of its proxies are many more than the usual ones.
+// surgingZones reports for each zone whether the newest requests of its proxies are more than surgeFactor times the usual
+// ones.
 func surgingZones(in Input, zoneRows int) []bool {
 	usual := make([]float64, zoneRows)
 	newest := make([]float64, zoneRows)
--- a/policy/placement/exclusion_test.go
+++ b/policy/placement/exclusion_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// excluded plans for one table and returns the excluded and the newly excluded replicas.
+// excluded makes a plan and returns the excluded and the newly excluded replicas.
 func excluded(t *testing.T, p *Placer, in Input) (all, newly []uint32) {
 	t.Helper()
 	in.Settings = settings()
 	plan := place(t, p, in)
 	for _, r := range in.Replicas {
 		if plan.Excluded[r.ID] != p.Excluded(r.ID) {
-			t.Errorf("replica %d: %v in the plan, %v afterwards", r.ID, plan.Excluded[r.ID], p.Excluded(r.ID))
+			t.Errorf("replica %d: excluded is %v in the plan, but %v in the Placer", r.ID, plan.Excluded[r.ID], p.Excluded(r.ID))
 		}
 		if plan.Excluded[r.ID] {
 			all = append(all, r.ID)
@@ -26,12 +26,12 @@
 	replicas := []Replica{ejected(1, 1), ejected(2, 0), ejected(3, 1), ejected(4, 0)}
 	all, newly := excluded(t, p, Input{Replicas: replicas})
 	if !slices.Equal(all, []uint32{1, 2, 3}) || !slices.Equal(newly, all) {
-		t.Errorf("excluded %v, newly %v, want three of four", all, newly)
+		t.Errorf("excluded %v, newly excluded %v, want the first three of four replicas", all, newly)
 	}
 	replicas[3] = gone(4, 0)
 	all, newly = excluded(t, p, Input{Replicas: replicas})
 	if !slices.Contains(all, 4) || !slices.Equal(newly, []uint32{4}) {
-		t.Errorf("excluded %v, newly %v, want the draining one as well", all, newly)
+		t.Errorf("excluded %v, newly excluded %v, want replica 4, which is not ready, as well", all, newly)
 	}
 }
 
@@ -51,7 +51,7 @@
 		{"warming up", warming(func(*Replica) {}), ready(2, 0), nil},
 		{"held back", warming(func(r *Replica) { r.HeldBack = true }), ready(2, 0), []uint32{1}},
 		{"ejected", warming(func(r *Replica) { r.Ejected = true }), ready(2, 0), []uint32{1}},
-		{"held back, and no other is warmed up", warming(func(r *Replica) { r.HeldBack = true }), gone(2, 0), []uint32{2}},
+		{"held back, but no replica is warmed up", warming(func(r *Replica) { r.HeldBack = true }), gone(2, 0), []uint32{2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			all, _ := excluded(t, withTables(1, map[uint32]int{}), Input{Replicas: []Replica{c.first, c.second}})
@@ -69,7 +69,7 @@
 		name   string
 		newest float64
 		want   []uint32
-	}{{"as usual", 120, nil}, {"at the limit", 150, nil}, {"surge", 200, []uint32{1}}} {
+	}{{"requests as usual", 120, nil}, {"requests at the limit", 150, nil}, {"surge", 200, []uint32{1}}} {
 		t.Run(c.name, func(t *testing.T) {
 			all, _ := excluded(t, withTables(1, map[uint32]int{}), Input{
 				Replicas: []Replica{warming, ready(2, 0)},
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestASurgeInOneZoneExcludesNobodyOfAnother(t *testing.T) {
+func TestSurgeInOneZoneDoesNotExcludeReplicasOfAnotherZone(t *testing.T) {
 	first, second := ready(1, 0), ready(2, 1)
 	first.WarmingUp, second.WarmingUp = true, true
 	all, _ := excluded(t, withTables(2, map[uint32]int{}), Input{
@@ -92,6 +92,6 @@
 		Demand:   Demand{Requests: map[int]float64{7: 100, 8: 100}, Newest: map[int]float64{7: 100, 8: 200}},
 	})
 	if !slices.Equal(all, []uint32{2}) {
-		t.Errorf("excluded %v, want replica 2", all)
+		t.Errorf("excluded %v, want only replica 2", all)
 	}
 }
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -1,19 +1,21 @@
 // Package placement decides which replicas serve which table.
 //
-// Proxies are bound to tables, a few for all of them. Place works out the endpoints of each table in this order:
+// Each proxy is bound to a table; a few tables serve all proxies. Place computes the endpoints of each table in these steps:
 //
-//  1. Assignment: each replica belongs to one table of its zone for good, in a random order weighted by listed weight
+//  1. Assignment: each replica is assigned permanently to one table of its zone, in a random order weighted by listed weight
 //     (assignment.go).
-//  2. Exclusion: replicas that are draining, gone, ejected or held back are excluded from all tables. Of the warmed-up replicas
-//     of the fleet at most three quarters are excluded as outliers. This cap is over the fleet, not over a table: a table may
-//     lose all of its own replicas, and steps 4 and 5 help it then (exclusion.go).
-//  3. Need and capacity: the requests of the proxies of each table are compared with what its own replicas can serve
+//  2. Exclusion: replicas that are draining, gone, ejected or held back are excluded from all tables. At most three quarters
+//     of the fleet's warmed-up replicas are excluded as outliers. This cap applies to the fleet, not to each table: a table
+//     may lose all of its own replicas, and steps 4 and 5 then find replicas for its proxies (exclusion.go).
+//  3. Need and capacity: the requests of each table's proxies are compared with what the table's own replicas can serve
 //     (balance.go).
-//  4. Endpoints: a table gets its own replicas, and spillover endpoints of other tables where its own cannot serve its proxies:
-//     those of its zone first, none for more than its own table can spare (endpoints.go).
-//  5. Sibling tables: a table that has lost all of its own replicas gives its proxies to one of its zone that has some.
+//  4. Endpoints: a table gets endpoints for its own replicas and, where these cannot serve its proxies, spillover endpoints
+//     for replicas of other tables: replicas of the table's zone come first, and none is used for more than its own table
+//     can spare (endpoints.go).
+//  5. Sibling tables: the proxies of a table that has lost all of its own replicas are bound to another table of its zone
+//     that still has some.
 //
-// Step 1 remembers its results; the others depend on their inputs alone.
+// Step 1 keeps its results from one call to the next; the other steps depend on their inputs alone.
 package placement
 
 import (
@@ -25,38 +27,38 @@
 	"lilacbend/policy/internal/zone"
 )
 
-// Replica is what placement needs to know of one replica.
+// Replica is the state of one replica that placement depends on.
 type Replica struct {
 	ID            uint32
 	Zone          int
 	HardwareClass int
 	Ready         bool // neither draining nor gone
 	ListedWeight  float64
-	Key           float64 // rank in the order of assignment: the highest first
-	Weight        float64 // of its endpoints
-	Capacity      float64 // what it can serve, in units of listed weight
-	Penalty       float64 // fraction of its weight that it lacks while learned state has it on probation
+	Key           float64 // sort key of the assignment: the highest is assigned first
+	Weight        float64 // weight of its endpoints
+	Capacity      float64 // capacity to serve requests, in units of listed weight
+	Penalty       float64 // fraction by which its weight is reduced while learned state has it on probation
 	WarmingUp     bool
-	HeldBack      bool // gets no requests as it is warming up
-	Ejected       bool // by outlier detection, whether placement excludes it or not
+	HeldBack      bool // it is warming up and is not to get requests yet
+	Ejected       bool // outlier detection has ejected it, whether placement excludes it or not
 }
 
 // Proxy is a connected proxy that is bound.
 type Proxy struct {
 	ID    int
-	Table int           // that it belongs to
-	Rate  float64       // forecast of its requests a second
-	Since time.Duration // connected since, from the epoch of Input.Now
+	Table int           // table that it is assigned to
+	Rate  float64       // forecast of its requests per second
+	Since time.Duration // when it connected, counted from the same moment as Input.Now
 }
 
-// Demand is the number of requests that came to each proxy recently.
+// Demand is the number of requests that each proxy received recently.
 type Demand struct {
 	Period   time.Duration
-	Requests map[int]float64 // by proxy, in Period
-	Newest   map[int]float64 // by proxy, those of the last load reports, scaled to Period
+	Requests map[int]float64 // by proxy: requests in Period
+	Newest   map[int]float64 // by proxy: requests in the last load reports, scaled to Period
 }
 
-// Input is what Place depends on.
+// Input is the input of Place.
 type Input struct {
 	Now      time.Duration
 	Settings control.Settings
@@ -65,7 +67,7 @@
 	Demand   Demand
 }
 
-// KeepWeight is the weight of an endpoint that stays as it is, as its replica is excluded.
+// KeepWeight stands in for the weight of an endpoint that keeps its current weight because its replica is excluded.
 const KeepWeight = -1
 
 // KeepsWeight reports whether a weight is KeepWeight.
@@ -79,13 +81,13 @@
 
 // Plan is the result of Place.
 type Plan struct {
-	Excluded      map[uint32]bool // from all tables, for any reason
-	NewlyExcluded []uint32        // those that were not in the plan before
-	ServingTable  []int           // for each table the one that its proxies are bound to: itself or a sibling
-	Endpoints     [][]Endpoint    // of each table
+	Excluded      map[uint32]bool // replicas that are excluded from all tables, for any reason
+	NewlyExcluded []uint32        // replicas in Excluded that the previous plan did not exclude
+	ServingTable  []int           // by table: the table that its proxies are bound to, itself or a sibling
+	Endpoints     [][]Endpoint    // by table
 }
 
-// Placer places replicas. Its zero value is not usable; see New.
+// Placer assigns replicas to tables and plans the tables' endpoints. Its zero value is not usable; see New.
 type Placer struct {
 	assignment
 	excluded map[uint32]bool
@@ -101,13 +103,13 @@
 	Replica
 	table    int
 	excluded bool
-	spare    float64 // fraction of it that its own table does not need
+	spare    float64 // fraction of the replica that its own table does not need
 }
 
 // Excluded reports whether the last plan excludes a replica.
 func (p *Placer) Excluded(id uint32) bool { return p.excluded[id] }
 
-// Place works out the plan. There is none before the first replica is known.
+// Place computes the plan. It reports false, without a plan, before the first replica is known.
 func (p *Placer) Place(in Input) (plan Plan, ok bool) {
 	replicas := make([]*placed, len(in.Replicas))
 	for k, r := range in.Replicas {
@@ -118,7 +120,7 @@
 	if p.tables == 0 {
 		return Plan{}, false
 	}
-	slices.SortStableFunc(replicas, byKey) // those that a table has no capacity for are the last ones of any class
+	slices.SortStableFunc(replicas, byKey) // a full table lacks those with the lowest keys, whatever their hardware class
 	zoneRows := zone.Rows(in.Settings.Zones, p.tables)
 	plan.NewlyExcluded = p.exclude(in, replicas, zoneRows)
 	plan.Excluded = p.excluded
@@ -140,7 +142,7 @@
 
 func byKey(a, b *placed) int { return cmp.Compare(b.Key, a.Key) }
 
-// byClassAndKey spreads each hardware class over the tables.
+// byClassAndKey orders replicas so that each hardware class is spread over the tables.
 func byClassAndKey(a, b *placed) int {
 	return cmp.Or(cmp.Compare(a.HardwareClass, b.HardwareClass), byKey(a, b))
 }
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -13,7 +13,7 @@
 	return control.Settings{Controllers: 1, Zones: 2, HardwareClasses: 1, Proxies: 6, ChannelLimit: 400, MessageOverhead: 4}
 }
 
-// ready is a replica whose key falls with its ID, so that replicas are in the order of their IDs.
+// ready returns a replica whose key decreases with its ID, so that replicas are assigned in the order of their IDs.
 func ready(id uint32, zone int) Replica {
 	return Replica{ID: id, Zone: zone, Ready: true, ListedWeight: 1, Key: 1 / float64(id), Weight: 1, Capacity: 1}
 }
@@ -30,7 +30,7 @@
 	return r
 }
 
-// withTables has the assignment made already.
+// withTables returns a Placer that has already assigned replicas to tables.
 func withTables(tables int, tableOf map[uint32]int) *Placer {
 	p := New()
 	p.tables = tables
@@ -42,7 +42,7 @@
 	t.Helper()
 	plan, ok := p.Place(in)
 	if !ok {
-		t.Fatal("no plan")
+		t.Fatal("Place made no plan")
 	}
 	return plan
 }
@@ -67,7 +67,7 @@
 
 func TestPlaceWithoutReplicasMakesNoPlan(t *testing.T) {
 	if plan, ok := New().Place(Input{Settings: settings()}); ok {
-		t.Errorf("got %+v", plan)
+		t.Errorf("got plan %+v, want none", plan)
 	}
 }
 
@@ -77,10 +77,10 @@
 	in.Proxies = []Proxy{{ID: 3, Table: 1, Rate: 5}}
 	plan := place(t, New(), in)
 	if got := plan.weightIn(1, 1); got <= 0 {
-		t.Errorf("spillover endpoint has weight %v", got)
+		t.Errorf("spillover endpoint has weight %v, want more than 0", got)
 	}
 	if got := plan.weightIn(1, 2); got != 0 {
-		t.Errorf("the replica that is gone has weight %v", got)
+		t.Errorf("the replica that is gone has weight %v, want 0", got)
 	}
 	if got := plan.ServingTable[1]; got != 1 {
 		t.Errorf("a zone without replicas is served by table %d, want its own", got)
@@ -95,22 +95,22 @@
 	}
 }
 
-func TestTableOfEjectedReplicasGetsSpilloverThatServes(t *testing.T) {
+func TestTableOfEjectedReplicasGetsSpillover(t *testing.T) {
 	in := Input{Settings: settings(), Replicas: []Replica{ready(1, 0), ejected(2, 1), ready(4, 0), ready(5, 0)}}
 	in.Settings.Proxies = 12
 	in.Proxies = []Proxy{{ID: 3, Table: 1, Rate: 5}}
 	plan := place(t, New(), in)
 	if got := plan.weightIn(1, 1) + plan.weightIn(1, 4) + plan.weightIn(1, 5); got <= 0 {
-		t.Errorf("weight of those that serve: %v", got)
+		t.Errorf("spillover endpoints have a total weight of %v, want more than 0", got)
 	}
 	if got := plan.weightIn(1, 2); got != KeepWeight {
-		t.Errorf("weight of the ejected replica: %v, want it kept", got)
+		t.Errorf("weight of the ejected replica: %v, want KeepWeight", got)
 	}
 }
 
-// A controller among hundreds has a few proxies, one table, and all replicas as its own: a table of them all would cost more than
-// the channel takes, and no proxy would ever be bound.
-func TestTableIsNoLargerThanLetsItsProxiesBeBound(t *testing.T) {
+// A controller that is one of hundreds has few proxies and a single table to which all replicas are assigned. A table with
+// all of them would cost more than the channel's limit, and no proxy would ever be bound.
+func TestTableSizeIsLimitedSoThatProxiesCanBeBound(t *testing.T) {
 	in := Input{Settings: settings()}
 	in.Settings.Controllers = 350
 	in.Settings.Proxies = 350 * 7
@@ -129,7 +129,7 @@
 	}
 	most := 400/2*350/(350*7) - 4 - 2
 	if plan.endpointCount() != most || classes[0] < most/4 || classes[1] < most/4 {
-		t.Errorf("%d endpoints, by class %v, want %d", plan.endpointCount(), classes, most)
+		t.Errorf("got %d endpoints, by hardware class %v, want %d", plan.endpointCount(), classes, most)
 	}
 }
 
@@ -139,15 +139,15 @@
 		limit, controllers, proxies, overhead int
 		want                                  int
 	}{
-		{"half of the limit for all proxies", 400, 1, 10, 4, 14},
-		{"several controllers share the proxies", 400, 3, 10, 4, 54},
-		{"never below the least size", 400, 1, 1000, 4, 3},
-		{"nothing is set", 0, 0, 0, 0, 3},
+		{"half of the channel's limit for all proxies", 400, 1, 10, 4, 14},
+		{"proxies are divided among several controllers", 400, 3, 10, 4, 54},
+		{"never below minTableSize", 400, 1, 1000, 4, 3},
+		{"no setting is given", 0, 0, 0, 0, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := control.Settings{ChannelLimit: c.limit, Controllers: c.controllers, Proxies: c.proxies, MessageOverhead: c.overhead}
 			if got := maxTableSize(s); got != c.want {
-				t.Errorf("got %d, want %d", got, c.want)
+				t.Errorf("got %d endpoints, want %d", got, c.want)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 	}
 	p := withTables(2, map[uint32]int{})
 	if got := place(t, p, in).endpointCount(); got != 51 {
-		t.Errorf("%d endpoints, want those of all replicas and one of spillover", got)
+		t.Errorf("got %d endpoints, want 51: one for each replica and one spillover endpoint", got)
 	}
 }
 
@@ -171,7 +171,7 @@
 		name      string
 		penalized int // of ten
 		want      float64
-	}{{"a few are penalized", 3, 0.25}, {"so many are that they are ignored", 4, 1}} {
+	}{{"few replicas have a penalty", 3, 0.25}, {"so many replicas have a penalty that penalties are ignored", 4, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			in := Input{Settings: settings()}
 			for id := uint32(1); id <= 10; id++ {
@@ -182,17 +182,17 @@
 				in.Replicas = append(in.Replicas, r)
 			}
 			if got := place(t, withTables(1, map[uint32]int{}), in).weightIn(0, 1); got != c.want {
-				t.Errorf("weight %v, want %v", got, c.want)
+				t.Errorf("got weight %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A table whose proxies send five of eight requests has a quarter of the capacity. It gets what the other tables do not need,
-// half of each of their replicas, and those of its zone first.
-func TestSpilloverIsForNoMoreThanOtherTablesCanSpare(t *testing.T) {
+// Table 0 has a quarter of the capacity, but its proxies send five of eight requests. It gets the capacity that the other
+// tables do not need, which is half of each of their replicas, and replicas of its own zone first.
+func TestSpilloverIsLimitedToWhatOtherTablesCanSpare(t *testing.T) {
 	in := Input{Settings: settings(), Now: time.Hour}
-	in.Settings.ChannelLimit = 4000 // tables of any size
+	in.Settings.ChannelLimit = 4000 // high enough that the size of tables is not limited
 	tableOf := map[uint32]int{}
 	for id := uint32(1); id <= 40; id++ {
 		in.Replicas = append(in.Replicas, ready(id, int(id%4)%2))
@@ -202,24 +202,24 @@
 		in.Proxies = append(in.Proxies, Proxy{ID: proxy, Table: proxy, Rate: rate})
 	}
 	plan := place(t, withTables(4, tableOf), in)
-	weights := make([]float64, 4) // in table 0, by the replica's own table
+	weights := make([]float64, 4) // total weight in table 0 of the replicas of each table
 	for _, e := range plan.Endpoints[0] {
 		table := tableOf[e.Replica]
 		weights[table] += e.Weight
 		if table != 0 && (e.Weight > 0.5 || math.Abs(e.Weight*10-math.Round(e.Weight*10)) > 1e-9) {
-			t.Errorf("replica %d of table %d lends %v", e.Replica, table, e.Weight)
+			t.Errorf("replica %d of table %d has spillover weight %v, want a multiple of 0.1 up to 0.5", e.Replica, table, e.Weight)
 		}
 	}
 	if weights[0] != 10 || weights[2] != 5 {
-		t.Errorf("by table %v, want all of table 0 and half of table 2", weights)
+		t.Errorf("weights by the replicas' own table: %v, want 10 for table 0 and 5 for table 2", weights)
 	}
 	shortfall := 40*50.0/80/headroomByWeight - 10
 	if got := weights[1] + weights[2] + weights[3]; got < shortfall || got > shortfall+0.1 {
-		t.Errorf("spillover for %v, want about %v", got, shortfall)
+		t.Errorf("spillover endpoints weigh %v, want %v to %v", got, shortfall, shortfall+0.1)
 	}
 	for table := 1; table < 4; table++ {
 		if got := len(plan.Endpoints[table]); got != 10 {
-			t.Errorf("table %d has %d endpoints, want its own", table, got)
+			t.Errorf("table %d has %d endpoints, want its own 10", table, got)
 		}
 	}
 }
@@ -242,8 +242,8 @@
 		bare                bool
 		sameZone, otherZone []uint32
 	}{
-		{"those that can spare something", false, []uint32{3, 7}, []uint32{2, 6}},
-		{"a table without any of its own: all that serve", true, []uint32{3, 4, 7}, []uint32{2, 6}},
+		{"replicas that their own table can spare", false, []uint32{3, 7}, []uint32{2, 6}},
+		{"table without capacity of its own: all replicas that are not excluded", true, []uint32{3, 4, 7}, []uint32{2, 6}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var ids []uint32
@@ -251,13 +251,13 @@
 				ids = append(ids, r.ID)
 			}
 			if len(ids) != len(c.sameZone)+len(c.otherZone) {
-				t.Fatalf("got %v", ids)
+				t.Fatalf("got %v, want %v, then %v", ids, c.sameZone, c.otherZone)
 			}
 			first, last := ids[:len(c.sameZone)], ids[len(c.sameZone):]
 			slices.Sort(first)
 			slices.Sort(last)
 			if !slices.Equal(first, c.sameZone) || !slices.Equal(last, c.otherZone) {
-				t.Errorf("got %v, then %v", first, last)
+				t.Errorf("got %v, then %v, want %v, then %v", first, last, c.sameZone, c.otherZone)
 			}
 		})
 	}
@@ -273,7 +273,7 @@
 		again := place(t, withTables(2, map[uint32]int{}), in)
 		for table := range first.Endpoints {
 			if !slices.Equal(first.Endpoints[table], again.Endpoints[table]) {
-				t.Fatalf("table %d: %v, then %v", table, first.Endpoints[table], again.Endpoints[table])
+				t.Fatalf("table %d: first plan %v, later plan %v", table, first.Endpoints[table], again.Endpoints[table])
 			}
 		}
 	}
