--- a/policy/binding/acks.go
+++ b/policy/binding/acks.go
@@ -2,21 +2,22 @@
 
 import "lilacbend/policy/internal/ordered"
 
-// PendingAcks are the proxies that have not acknowledged a nonce yet. An acknowledgement covers all nonces up to its own, as
-// messages reach a proxy in order. Nothing is awaited of a proxy that has disconnected; that a nonce is complete because its
-// last proxies have disconnected says nothing of the channel, where what was written to them may still wait.
+// PendingAcks tracks, for each nonce, the proxies that have not acknowledged it yet. An acknowledgement covers all nonces up
+// to its own, as messages reach a proxy in order. Proxies that have disconnected are not waited for. A nonce that is
+// complete only because its last proxies have disconnected tells nothing about the channel, where messages to these proxies
+// may still wait.
 type PendingAcks struct {
-	nonceMask uint64 // the bits of a nonce that messages carry
-	last      uint64 // the newest nonce, of all its bits
-	pending   map[uint64]map[int]bool
+	nonceMask uint64                  // the bits of a nonce that messages carry
+	last      uint64                  // the newest nonce, with all its bits
+	pending   map[uint64]map[int]bool // by nonce: the proxies that have not acknowledged it
 }
 
-// NewPendingAcks returns PendingAcks for nonces of which messages carry the bits of a mask.
+// NewPendingAcks returns PendingAcks without nonces. Messages carry only those bits of a nonce that are in the mask.
 func NewPendingAcks(nonceMask uint64) *PendingAcks {
 	return &PendingAcks{nonceMask: nonceMask, pending: map[uint64]map[int]bool{}}
 }
 
-// Await adds a new nonce with the proxies that are to acknowledge it.
+// Await adds a new nonce and the proxies that have to acknowledge it.
 func (p *PendingAcks) Await(nonce uint64, proxies []int) {
 	p.last = nonce
 	p.pending[nonce] = map[int]bool{}
@@ -25,11 +26,11 @@
 	}
 }
 
-// Nonce returns the newest nonce of which a message carries these bits.
+// Nonce returns the newest nonce that has the given bits under the mask.
 func (p *PendingAcks) Nonce(carried uint64) uint64 { return p.last - (p.last-carried)&p.nonceMask }
 
-// Acknowledge notes that a proxy has applied everything up to a nonce. It returns the nonces that all proxies have acknowledged
-// now, in ascending order.
+// Acknowledge records that a proxy has applied all messages up to a nonce. It returns the nonces for which this was the last
+// missing acknowledgement, in ascending order.
 func (p *PendingAcks) Acknowledge(proxy int, upTo uint64) (complete []uint64) {
 	for _, nonce := range ordered.Keys(p.pending) {
 		if nonce <= upTo && p.remove(nonce, proxy) {
@@ -39,7 +40,8 @@
 	return complete
 }
 
-// Disconnect stops waiting for a proxy. It returns the nonces that are complete without it, in ascending order.
+// Disconnect stops waiting for a proxy. It returns the nonces for which only its acknowledgement was missing, in ascending
+// order.
 func (p *PendingAcks) Disconnect(proxy int) (complete []uint64) {
 	for _, nonce := range ordered.Keys(p.pending) {
 		if p.remove(nonce, proxy) {
@@ -49,7 +51,7 @@
 	return complete
 }
 
-// remove reports whether the proxy was the last one of the nonce.
+// remove stops waiting for the proxy to acknowledge the nonce, and reports whether it was the last one that was waited for.
 func (p *PendingAcks) remove(nonce uint64, proxy int) bool {
 	proxies := p.pending[nonce]
 	if !proxies[proxy] {
--- a/policy/binding/acks_test.go
+++ b/policy/binding/acks_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestNothingIsAwaitedOfAProxyThatDisconnected(t *testing.T) {
+func TestDisconnectedProxyIsNotWaitedFor(t *testing.T) {
 	p := NewPendingAcks(testMask)
 	p.Await(1, []int{1})
 	p.Await(2, []int{1, 2})
@@ -41,17 +41,17 @@
 		name                string
 		last, carried, want uint64
 	}{
-		{"the last one", 5, 5, 5},
-		{"an earlier one", 5, 3, 3},
-		{"the last one, beyond the mask", 70000, 70000 & testMask, 70000},
-		{"before the bits wrapped", 1<<16 + 2, testMask, testMask},
-		{"bits wrap to 0", 1 << 17, 0, 1 << 17},
+		{"the last nonce", 5, 5, 5},
+		{"an earlier nonce", 5, 3, 3},
+		{"the last nonce, larger than the mask", 70000, 70000 & testMask, 70000},
+		{"a nonce from before the bits wrapped", 1<<16 + 2, testMask, testMask},
+		{"bits wrapped to 0", 1 << 17, 0, 1 << 17},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPendingAcks(testMask)
 			p.Await(c.last, nil)
 			if got := p.Nonce(c.carried); got != c.want {
-				t.Errorf("got %d, want %d", got, c.want)
+				t.Errorf("got nonce %d, want %d", got, c.want)
 			}
 		})
 	}
--- a/policy/binding/binding.go
+++ b/policy/binding/binding.go
@@ -1,17 +1,20 @@
-// Package binding decides which table serves a proxy, and counts the acknowledgements that proxies owe.
+// Package binding decides which table serves each proxy, and tracks the acknowledgements that proxies have not sent yet.
 //
-// Each connected proxy is assigned to one table of its zone and stays with it: connections to the table's replicas are open
-// already, and each change of table costs a complete table on the channel. Four events change what a proxy is bound to.
+// Each connected proxy is assigned to one table of its zone and keeps it: its connections to the table's replicas are
+// already open, and each change of table costs a complete table on the channel. Four events change which table a proxy is
+// bound to.
 //
-//   - A proxy has connected (FirstBind): it is assigned to the table of its zone with the least requests a second, or to the one
-//     that it had at an earlier controller if the tables are still as many and that one is in its zone.
-//   - Another table serves the proxies of a table (Move), as its own replicas are all gone, or does so no longer.
-//   - The settings have changed and the tables were assigned anew (Reassign): a proxy stays where it is if there are as many
-//     tables as before and its table is still in its zone, else it is assigned as a new one.
-//   - A proxy has disconnected: it is forgotten. Whatever it was bound to, a new stream begins without a binding.
+//   - A proxy connects (FirstBind): it is assigned to the table of its zone with the fewest requests per second, or to the
+//     table that it had at an earlier controller if the number of tables is the same and that table is in its zone.
+//   - Another table starts to serve the proxies of a table because all of the table's own replicas are gone, or stops
+//     serving them (Move).
+//   - The settings have changed and replicas have been assigned to tables again (Reassign): a proxy keeps its table if the
+//     number of tables is the same as before and its table is still in its zone; otherwise it is assigned like a new proxy.
+//   - A proxy disconnects: its state is dropped. A new stream starts without a binding, whatever the proxy was bound to
+//     before.
 //
-// A FirstBind is sent at once, as the proxy has no table yet. A Move is the third step of an update, once the endpoints of the
-// new table are sent.
+// A FirstBind is sent at once, as the proxy has no table yet. A Move is sent in the third step of an update, after the
+// endpoints of the new table.
 package binding
 
 import (
@@ -23,57 +26,57 @@
 	"lilacbend/policy/internal/zone"
 )
 
-// unassigned is the table of a proxy that has none yet.
+// unassigned is the table number of a proxy that is not assigned to a table yet.
 const unassigned = -1
 
 // Proxy is a connected proxy.
 type Proxy struct {
 	control.StreamOpened
 	ConnectedAt time.Duration
-	Table       int // that it is assigned to; below 0: none yet
+	Table       int // table that it is assigned to; negative: none yet
 }
 
-// Kind says how a changed binding reaches the proxy.
+// Kind is the kind of change of a proxy's binding, which determines how the change is sent.
 type Kind int
 
 // The kinds of changes.
 const (
 	Unchanged Kind = iota // the proxy stays bound to its table
-	FirstBind             // the proxy is bound to no table yet
-	Move                  // the proxy is bound to another table
+	FirstBind             // the proxy was not bound to a table
+	Move                  // the proxy was bound to another table
 )
 
-// Change is the decision on one proxy.
+// Change is the decision on the binding of one proxy.
 type Change struct {
 	Proxy Proxy
 	Kind  Kind
-	Table int // that serves the proxy from now on: its own, or the sibling table that stands in for it
+	Table int // table that serves the proxy from now on: its own, or the sibling table that replaces it
 }
 
-// earlierController is what an earlier controller knew of proxies. The zero value knows nothing.
+// earlierController is the learned state of an earlier controller about proxies. The zero value has none.
 type earlierController struct {
-	confidence float64 // left by the age of this knowledge, 0 to 1
-	tables     int
-	bindings   map[int]int     // the table of each proxy; a proxy that has connected since is removed
-	rates      map[int]float64 // requests a second of each proxy
+	confidence float64         // 0 to 1; lower the older the learned state is
+	tables     int             // number of tables
+	bindings   map[int]int     // by proxy: its table; removed once the proxy is assigned
+	rates      map[int]float64 // by proxy: requests per second
 }
 
-// Bindings holds the table of each connected proxy. Proxies are always visited in the order of their numbers, as each
-// assignment depends on those before it.
+// Bindings holds the table of each connected proxy. Proxies are always assigned in the order of their numbers, as each
+// assignment depends on the previous ones.
 type Bindings struct {
 	settings   *control.Settings
 	proxies    map[int]*Proxy
-	unassigned int   // how many of them have no table
-	serving    []int // for each table, the one that serves its proxies; nil before the first assignment
+	unassigned int   // number of proxies without a table
+	serving    []int // by table: the table that serves its proxies; nil before the first assignment
 	earlier    earlierController
 }
 
-// New returns Bindings without proxies. It reads the settings at each call, so that changed settings hold at once.
+// New returns Bindings without proxies. The settings are read at each call, so that changes take effect at once.
 func New(settings *control.Settings) *Bindings {
 	return &Bindings{settings: settings, proxies: map[int]*Proxy{}}
 }
 
-// Restore takes what an earlier controller knew of proxies.
+// Restore adopts the learned state of an earlier controller about proxies.
 func (b *Bindings) Restore(fleet control.FleetRestored) {
 	b.earlier = earlierController{
 		confidence: fleet.Weight,
@@ -89,7 +92,8 @@
 	}
 }
 
-// Connect adds a proxy with a new stream. What an earlier controller counted of its requests corrects its own forecast.
+// Connect adds a proxy that has opened a stream. If an earlier controller measured the proxy's request rate, the proxy's own
+// forecast is corrected towards it by the confidence in that controller's state.
 func (b *Bindings) Connect(now time.Duration, opened control.StreamOpened) {
 	if counted, ok := b.earlier.rates[opened.Proxy]; ok {
 		opened.Rate += (counted - opened.Rate) * b.earlier.confidence
@@ -99,7 +103,7 @@
 	b.unassigned++
 }
 
-// Disconnect forgets a proxy.
+// Disconnect removes a proxy.
 func (b *Bindings) Disconnect(proxy int) {
 	p := b.proxies[proxy]
 	if p != nil && p.Table < 0 {
@@ -108,15 +112,15 @@
 	delete(b.proxies, proxy)
 }
 
-// Assign assigns each proxy that has no table, and returns the proxies that are to be bound: first those whose table another
-// one serves from now on, then those that were assigned. Serving has an element for each table: the table that serves its
-// proxies.
+// Assign assigns each proxy that has no table, and returns the proxies that are to be bound: first those for whose table the
+// serving table has changed, then those that were assigned by this call. serving has an element for each table: the table
+// that serves its proxies.
 func (b *Bindings) Assign(serving []int) []Change {
 	if b.unassigned == 0 && slices.Equal(serving, b.serving) {
 		return nil
 	}
 	var changes []Change
-	load := make([]float64, len(serving)) // requests a second of each table
+	load := make([]float64, len(serving)) // by table: requests per second
 	for _, number := range ordered.Keys(b.proxies) {
 		proxy := b.proxies[number]
 		if proxy.Table < 0 {
@@ -141,8 +145,9 @@
 	return changes
 }
 
-// firstTable returns the table of a proxy that has just connected: its earlier one, to which its connections are open, or else
-// the least loaded one of its zone.
+// firstTable returns the table for a proxy that has just connected: the one that it had at an earlier controller, as its
+// connections to that table's replicas are open, or else the least loaded table of its zone. The earlier table is used only
+// if the number of tables is the same and the table is in the proxy's zone.
 func (b *Bindings) firstTable(proxy *Proxy, load []float64) int {
 	tables := len(load)
 	earlier, known := b.earlier.bindings[proxy.Proxy]
@@ -153,15 +158,15 @@
 	return zone.LeastLoaded(proxy.Zone, b.settings.Zones, load)
 }
 
-// isInZone reports whether a table, of so many, belongs to the proxy's zone.
+// isInZone reports whether a table belongs to the proxy's zone, given the number of tables.
 func (b *Bindings) isInZone(table int, proxy *Proxy, tables int) bool {
 	rows := zone.Rows(b.settings.Zones, tables)
 	return table%rows == proxy.Zone%rows
 }
 
-// Reassign follows tables that were assigned anew under changed settings, and returns a decision for each proxy that had a
-// table. From now on each table serves its own proxies. Before and tables are the numbers of tables; bound is the table that
-// each proxy is bound to at the moment, below 0 for none.
+// Reassign adapts to replicas that were assigned to tables again under changed settings, and returns a decision for each
+// proxy that had a table. From now on each table serves its own proxies. before and tables are the numbers of tables before
+// and after the change; bound is the table that each proxy is currently bound to, negative for none.
 func (b *Bindings) Reassign(before, tables int, bound map[int]int) []Change {
 	b.serving = make([]int, tables)
 	for table := range b.serving {
@@ -169,7 +174,7 @@
 	}
 	stays := func(proxy *Proxy) bool { return before == tables && b.isInZone(proxy.Table, proxy, tables) }
 	assigned := slices.DeleteFunc(ordered.Keys(b.proxies), func(number int) bool { return b.proxies[number].Table < 0 })
-	load := make([]float64, tables) // requests a second of each table
+	load := make([]float64, tables) // by table: requests per second
 	for _, number := range assigned {
 		proxy := b.proxies[number]
 		if stays(proxy) {
@@ -188,7 +193,7 @@
 	return changes
 }
 
-// kindOf returns the kind of the change of a proxy that is bound to one table and assigned to another.
+// kindOf returns the kind of change for a proxy, given the table that it is bound to and the table that it is assigned to.
 func kindOf(bound, assigned int) Kind {
 	switch {
 	case bound < 0:
@@ -200,7 +205,7 @@
 	}
 }
 
-// RenumberZones takes over the new zone of each proxy, and returns those of them that have a table.
+// RenumberZones replaces the zone number of each given proxy that is connected, and returns those of them that have a table.
 func (b *Bindings) RenumberZones(proxies []control.StreamOpened) []Proxy {
 	var assigned []Proxy
 	for _, renumbered := range proxies {
@@ -216,8 +221,8 @@
 	return assigned
 }
 
-// KeepsZones reports whether each proxy keeps its zone's tables under new zone numbers. The tables of a zone are those with the
-// same remainder when divided by rows.
+// KeepsZones reports whether each proxy's zone still has the same tables under new zone numbers. A table belongs to a zone
+// if both numbers have the same remainder when divided by rows (see zone.Rows).
 func (b *Bindings) KeepsZones(rows int, proxies []control.StreamOpened) bool {
 	for _, renumbered := range proxies {
 		proxy := b.proxies[renumbered.Proxy]
@@ -237,7 +242,7 @@
 	return proxies
 }
 
-// Serving returns, for each table, the one that serves its proxies.
+// Serving returns, for each table, the table that serves its proxies.
 func (b *Bindings) Serving() []int { return slices.Clone(b.serving) }
 
 // Learned returns the table of each proxy that has one, sorted by proxy.
--- a/policy/binding/binding_test.go
+++ b/policy/binding/binding_test.go
@@ -9,7 +9,7 @@
 	"lilacbend/control"
 )
 
-// own serves each of so many tables by itself.
+// own returns the serving tables if each table serves its own proxies.
 func own(tables int) []int {
 	var serving []int
 	for table := range tables {
@@ -18,7 +18,7 @@
 	return serving
 }
 
-// decision is a Change without what a test does not look at.
+// decision has the parts of a Change that the tests compare.
 type decision struct {
 	Proxy, Assigned int
 	Kind            Kind
@@ -40,7 +40,7 @@
 	}
 }
 
-// connected has proxies of one request a second, number k in zone k modulo two.
+// connected returns Bindings with connected proxies that get one request per second each; proxy k is in zone k modulo 2.
 func connected(proxies int) *Bindings {
 	b := New(&control.Settings{Zones: 2})
 	for proxy := range proxies {
@@ -54,19 +54,19 @@
 	expect(t, "two tables a zone", b.Assign(own(4)), decision{0, 0, FirstBind, 0}, decision{1, 1, FirstBind, 1},
 		decision{2, 2, FirstBind, 2}, decision{3, 3, FirstBind, 3})
 	b.Connect(time.Second, control.StreamOpened{Proxy: 9, Rate: 5})
-	expect(t, "the first of equal ones", b.Assign(own(4)), decision{9, 0, FirstBind, 0})
+	expect(t, "the first of two equally loaded tables", b.Assign(own(4)), decision{9, 0, FirstBind, 0})
 	b.Connect(time.Second, control.StreamOpened{Proxy: 4, Rate: 1})
-	expect(t, "the other one", b.Assign(own(4)), decision{4, 2, FirstBind, 2})
-	expect(t, "nothing to do", b.Assign(own(4)))
+	expect(t, "the less loaded table", b.Assign(own(4)), decision{4, 2, FirstBind, 2})
+	expect(t, "no proxy without a table", b.Assign(own(4)))
 }
 
-func TestProxyMovesWhileASiblingTableServesItsOwn(t *testing.T) {
+func TestProxyMovesWhileASiblingServesItsTable(t *testing.T) {
 	b := connected(2)
 	b.Assign(own(4))
 	b.Connect(time.Second, control.StreamOpened{Proxy: 6, Rate: 1})
 	expect(t, "moves come before first binds", b.Assign([]int{2, 1, 2, 3}), decision{0, 0, Move, 2}, decision{6, 2, FirstBind, 2})
-	expect(t, "back to its own", b.Assign(own(4)), decision{0, 0, Move, 0})
-	expect(t, "its own again", b.Assign(own(4)))
+	expect(t, "move back to its own table", b.Assign(own(4)), decision{0, 0, Move, 0})
+	expect(t, "no change", b.Assign(own(4)))
 }
 
 func TestFirstBindIsToTheSiblingOfAnEmptyTable(t *testing.T) {
@@ -80,7 +80,7 @@
 		tables         int // of the earlier controller
 		binding, table int
 	}{
-		{"as it was", 4, 2, 2},
+		{"same number of tables and same zone", 4, 2, 2},
 		{"another number of tables", 6, 2, 0},
 		{"a table of another zone", 4, 3, 0},
 		{"a table that does not exist", 4, 4, 0},
@@ -92,20 +92,20 @@
 			b.Connect(0, control.StreamOpened{Rate: 1})
 			expect(t, "first bind", b.Assign(own(4)), decision{0, c.table, FirstBind, c.table})
 			b.Connect(time.Second, control.StreamOpened{Rate: 1})
-			expect(t, "a later stream is a new one", b.Assign(own(4)), decision{0, 0, FirstBind, 0})
+			expect(t, "a later stream is not restored", b.Assign(own(4)), decision{0, 0, FirstBind, 0})
 		})
 	}
 }
 
-func TestForecastIsCorrectedByWhatAnEarlierControllerCounted(t *testing.T) {
+func TestForecastIsCorrectedByTheRateAtAnEarlierController(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		confidence float64
 		proxy      int
 		want       float64
 	}{
-		{"fresh", 1, 0, 50},
-		{"older", 0.5, 0, 30},
+		{"full confidence", 1, 0, 50},
+		{"half confidence", 0.5, 0, 30},
 		{"unknown proxy", 1, 1, 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,7 +114,7 @@
 				RequestRates: []control.ClassRate{{Proxy: 0, Class: 0, Rate: 30}, {Proxy: 0, Class: 1, Rate: 20}}}})
 			b.Connect(0, control.StreamOpened{Proxy: c.proxy, Rate: 10})
 			if got := b.Proxies()[c.proxy].Rate; got != c.want {
-				t.Errorf("rate %v, want %v", got, c.want)
+				t.Errorf("got rate %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -124,11 +124,11 @@
 	b := connected(2)
 	b.Disconnect(0)
 	b.Disconnect(7)
-	expect(t, "the other one", b.Assign(own(2)), decision{1, 1, FirstBind, 1})
+	expect(t, "the connected proxy", b.Assign(own(2)), decision{1, 1, FirstBind, 1})
 	b.Disconnect(1)
-	expect(t, "nobody", b.Assign([]int{1, 0}))
+	expect(t, "no proxy is connected", b.Assign([]int{1, 0}))
 	if got := b.Learned(); got != nil {
-		t.Errorf("learned %v", got)
+		t.Errorf("got learned bindings %v, want none", got)
 	}
 }
 
@@ -139,13 +139,13 @@
 		bound         map[int]int
 		want          []decision
 	}{
-		{"as many tables: all stay", 2, 4, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
+		{"same number of tables: all proxies keep their tables", 2, 4, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
 			[]decision{{0, 0, Unchanged, 0}, {1, 1, Unchanged, 1}, {2, 2, Unchanged, 2}, {3, 3, Unchanged, 3}}},
-		{"not bound to its own yet", 2, 4, map[int]int{0: -1, 1: 3, 2: 2, 3: 3},
+		{"proxies that are not bound to their own table yet", 2, 4, map[int]int{0: -1, 1: 3, 2: 2, 3: 3},
 			[]decision{{0, 0, FirstBind, 0}, {1, 1, Move, 1}, {2, 2, Unchanged, 2}, {3, 3, Unchanged, 3}}},
-		{"fewer tables: each is assigned anew", 2, 2, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
+		{"fewer tables: all proxies are assigned again", 2, 2, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
 			[]decision{{0, 0, Unchanged, 0}, {1, 1, Unchanged, 1}, {2, 0, Move, 0}, {3, 1, Move, 1}}},
-		{"other zones: who is in another zone moves", 4, 4, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
+		{"more zones: proxies move whose table is in another zone now", 4, 4, map[int]int{0: 0, 1: 1, 2: 2, 3: 3},
 			[]decision{{0, 0, Unchanged, 0}, {1, 1, Unchanged, 1}, {2, 0, Move, 0}, {3, 1, Move, 1}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -159,37 +159,37 @@
 			settings.Zones = c.zones
 			expect(t, "reassigned", b.Reassign(4, c.tables, c.bound), c.want...)
 			if got := b.Serving(); !slices.Equal(got, own(c.tables)) {
-				t.Errorf("serving %v", got)
+				t.Errorf("got serving tables %v, want %v", got, own(c.tables))
 			}
 			for _, change := range b.Assign(own(c.tables)) {
 				if change.Proxy.Proxy != 5 || change.Kind != FirstBind {
-					t.Errorf("then %+v", change)
+					t.Errorf("Assign after Reassign returned %+v, want only a FirstBind of proxy 5", change)
 				}
 			}
 		})
 	}
 }
 
-func TestRenumberedZonesAreTakenOver(t *testing.T) {
+func TestRenumberZonesReplacesTheZonesOfProxies(t *testing.T) {
 	b := connected(2)
 	b.Assign(own(2))
 	b.Connect(0, control.StreamOpened{Proxy: 2})
 	renumbered := []control.StreamOpened{{Proxy: 0, Zone: 1}, {Proxy: 2, Zone: 1}, {Proxy: 8, Zone: 1}}
 	if b.KeepsZones(2, renumbered) {
-		t.Error("zones are kept though they change")
+		t.Error("KeepsZones returned true though the zone of a proxy changes")
 	}
 	if !b.KeepsZones(1, renumbered) {
-		t.Error("zones are not kept in a single row of tables")
+		t.Error("KeepsZones returned false though all tables belong to a single zone")
 	}
 	want := []Proxy{{control.StreamOpened{Proxy: 0, Zone: 1, Rate: 1}, 0, 0}}
 	if got := b.RenumberZones(renumbered); !reflect.DeepEqual(got, want) {
-		t.Errorf("with a table: got %+v, want %+v", got, want)
+		t.Errorf("proxies with a table: got %+v, want %+v", got, want)
 	}
 	if got := b.Proxies()[2].Zone; got != 1 {
-		t.Errorf("zone %d of the proxy without a table, want 1", got)
+		t.Errorf("the proxy without a table is in zone %d, want 1", got)
 	}
 	if !b.KeepsZones(2, renumbered) {
-		t.Error("zones are not kept though they are the same")
+		t.Error("KeepsZones returned false though no zone changes")
 	}
 }
 
--- a/policy/internal/renumber/renumber.go
+++ b/policy/internal/renumber/renumber.go
@@ -1,8 +1,8 @@
 // Package renumber translates the numbers of traffic classes and hardware classes after the settings have changed.
 package renumber
 
-// Lookup returns the new number of what had an old one. Newer holds the new number of each old one, below 0 where it no longer
-// exists. It reports false where there is no new number.
+// Lookup returns the new number of a class, given its old number. newer holds the new number of each class by its old
+// number, negative for a class that no longer exists. Lookup reports false if the class has no new number.
 func Lookup(newer []int, old int) (number int, exists bool) {
 	if old < 0 || old >= len(newer) || newer[old] < 0 {
 		return 0, false
--- a/policy/internal/renumber/renumber_test.go
+++ b/policy/internal/renumber/renumber_test.go
@@ -13,8 +13,8 @@
 		{"renumbered", 0, 2, true},
 		{"renumbered to 0", 2, 0, true},
 		{"removed", 1, 0, false},
-		{"beyond the old numbers", 3, 0, false},
-		{"below 0", -1, 0, false},
+		{"old number out of range", 3, 0, false},
+		{"negative old number", -1, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, exists := Lookup(newer, c.old); got != c.want || exists != c.exists {
--- a/policy/internal/sample/sample.go
+++ b/policy/internal/sample/sample.go
@@ -1,10 +1,10 @@
-// Package sample has the arithmetic on lists of samples that several decisions share.
+// Package sample has functions on lists of samples that several policies share.
 package sample
 
-// Kept is how many samples of one kind are kept at most.
+// Kept is the maximum number of samples of one kind that are kept.
 const Kept = 32
 
-// Newest returns the last samples of a list, at most so many.
+// Newest returns the last samples of a list, at most the given number.
 func Newest[T any](most int, samples []T) []T { return samples[max(0, len(samples)-most):] }
 
 // Mean returns the mean of the values, 0 if there are none. Each value is divided before it is added.
--- a/policy/internal/sample/sample_test.go
+++ b/policy/internal/sample/sample_test.go
@@ -19,7 +19,7 @@
 		name   string
 		values []float64
 		want   float64
-	}{{"none", nil, 0}, {"one", []float64{3}, 3}, {"several", []float64{1, 2, 6}, 3}} {
+	}{{"no values", nil, 0}, {"one value", []float64{3}, 3}, {"several values", []float64{1, 2, 6}, 3}} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := Mean(c.values); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
--- a/policy/internal/zone/zone.go
+++ b/policy/internal/zone/zone.go
@@ -1,11 +1,12 @@
-// Package zone says which tables belong to a zone. Tables are numbered round the zones: table t belongs to zone
-// t modulo Rows, so each zone has every Rows-th table.
+// Package zone maps tables to zones. Table t belongs to zone t modulo Rows: the tables of a zone are Rows apart.
 package zone
 
-// Rows returns how many zones the tables are divided among: one for each zone, but never more than there are tables.
+// Rows returns the number of zones that the tables are divided among: the number of zones, at least 1, but never more than
+// the number of tables.
 func Rows(zones, tables int) int { return min(max(1, zones), tables) }
 
-// LeastLoaded returns the table of the zone with the least load, the first of several. Load has an element for each table.
+// LeastLoaded returns the table with the least load among the tables of a zone, the first one if several have the same load.
+// load has an element for each table.
 func LeastLoaded(zone, zones int, load []float64) int {
 	rows := Rows(zones, len(load))
 	best := zone % rows
--- a/policy/internal/zone/zone_test.go
+++ b/policy/internal/zone/zone_test.go
@@ -16,9 +16,9 @@
 		name              string
 		zone, zones, want int
 	}{
-		{"the first of two equal ones", 0, 2, 2},
+		{"the first of two tables with equal load", 0, 2, 2},
 		{"another zone", 1, 2, 1},
-		{"a zone beyond the tables", 7, 6, 1},
+		{"a zone number above the number of tables", 7, 6, 1},
 		{"no zones", 4, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
