--- a/policy/update/acks.go
+++ b/policy/update/acks.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// ackTimeout is how long a step waits for an ack after the nonce was sent: a proxy that has stalled delays the update of all
-// others by this much and no more.
+// ackTimeout is how long a step waits for an ack after the nonce was sent: a stalled proxy delays the update of all others
+// by no more than this.
 const ackTimeout = 2 * time.Second
 
-// pendingAcks are the nonces of the open step that are not acknowledged yet, and when each was sent.
+// pendingAcks maps the nonces of the open step that are not acknowledged yet to the times at which they were sent.
 type pendingAcks map[uint64]time.Duration
 
 func (a pendingAcks) expire(now time.Duration) {
--- a/policy/update/changes.go
+++ b/policy/update/changes.go
@@ -11,8 +11,8 @@
 	"lilacbend/policy/placement"
 )
 
-// minWeightChange is the relative change below which a weight is not overwritten: each change costs a message to each proxy of
-// the table, and weights are estimates that vary a little with each load report.
+// minWeightChange is the relative change below which a weight is not overwritten: each change costs a message to each proxy
+// of the table, and weights are estimates that vary a little with each load report.
 const minWeightChange = 0.15
 
 // weightChange is an endpoint whose current weight differs from its target.
@@ -33,10 +33,10 @@
 
 // endpointCommands returns the commands of a step that set weights and, in step Add, those that uneject replicas.
 //
-// Proxies pick an unejected replica by the weights that they hold, which may be those of a time when it could bear more. So all
-// changes of its endpoints, removals among them, belong to the step that unejects it. Those that lower a weight or add an
-// endpoint come before the unejection. Those that raise one come after it: too small a weight does no harm, so the
-// unejection need not wait for them.
+// Proxies pick an unejected replica by the weights that they hold, which may date from a time when the replica could serve
+// more requests. So all changes of its endpoints, removals included, belong to the step that unejects it. Changes that lower
+// a weight or add an endpoint come before the unejection. Changes that raise a weight come after it: too low a weight does
+// no harm, so the unejection need not wait for them.
 func (s *Sequence) endpointCommands(step Step) []control.Command {
 	var before, after []control.Command
 	for _, change := range s.weightChanges(step) {
@@ -52,7 +52,7 @@
 	return append(before, after...)
 }
 
-// unejections returns the commands that uneject replicas, by replica.
+// unejections returns the commands that uneject replicas, sorted by replica.
 func (s *Sequence) unejections() []control.Command {
 	var commands []control.Command
 	for _, replica := range ordered.Keys(s.ejected) {
@@ -63,7 +63,7 @@
 	return commands
 }
 
-// returns says whether a replica is ejected and is to be unejected.
+// returns reports whether a replica is ejected at the proxies and the target does not eject it.
 func (s *Sequence) returns(replica uint32) bool {
 	return s.ejected[replica] && !s.target.Ejected[replica]
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-// needed says whether a change is to be sent. Additions are sent however small they are.
+// needed reports whether a change is to be sent. Changes of the step Add are sent however small they are.
 func needed(change weightChange, step Step) bool {
 	if placement.KeepsWeight(change.target) || change.target == change.current {
 		return false
@@ -103,8 +103,9 @@
 	return step == Add || change.size() >= minWeightChange
 }
 
-// sortBySize sorts changes by table, the table with the largest change first, and within a table by size: what matters most
-// goes out first, and changes of one table share the overhead of one message to each of its proxies.
+// sortBySize sorts changes by table, the table with the largest change first, and within a table by size, the largest first:
+// the changes with the most effect are sent first, and changes of one table share the overhead of one message to each of its
+// proxies.
 func sortBySize(changes []weightChange) {
 	largest := map[int]float64{} // by table
 	for _, change := range changes {
--- a/policy/update/changes_test.go
+++ b/policy/update/changes_test.go
@@ -11,25 +11,25 @@
 	for _, c := range []struct {
 		name            string
 		current, target float64
-		ejected         replicas // so far
+		ejected         replicas // at the proxies
 		targetEjected   replicas
-		due             Step // stepCount: in none
+		due             Step // stepCount: in no step
 	}{
 		{name: "endpoint is missing", target: 1, due: Add},
-		{name: "endpoint is missing and of small weight", target: 0.001, due: Add},
-		{name: "endpoint is not wanted", current: 1, due: Remove},
-		{name: "endpoint is neither there nor wanted", due: stepCount},
-		{name: "weight rises by enough", current: 0.8, target: 1, due: Overwrite},
-		{name: "weight falls by enough", current: 1, target: 0.8, due: Overwrite},
-		{name: "weight changes by too little", current: 1, target: 0.9, due: stepCount},
-		{name: "weight stays", current: 1, target: 1, due: stepCount},
-		{name: "weight is left as it is", current: 1, target: placement.KeepWeight, due: stepCount},
-		{name: "missing endpoint is left as it is", target: placement.KeepWeight, due: stepCount},
+		{name: "endpoint is missing and its target weight is small", target: 0.001, due: Add},
+		{name: "endpoint is not in the target", current: 1, due: Remove},
+		{name: "endpoint is neither in the table nor in the target", due: stepCount},
+		{name: "weight rises by more than minWeightChange", current: 0.8, target: 1, due: Overwrite},
+		{name: "weight falls by more than minWeightChange", current: 1, target: 0.8, due: Overwrite},
+		{name: "weight changes by less than minWeightChange", current: 1, target: 0.9, due: stepCount},
+		{name: "weight does not change", current: 1, target: 1, due: stepCount},
+		{name: "weight is kept", current: 1, target: placement.KeepWeight, due: stepCount},
+		{name: "weight of a missing endpoint is kept", target: placement.KeepWeight, due: stepCount},
 		{name: "ejected replica stays ejected", current: 1, target: 0.5, ejected: replicas{1: true},
 			targetEjected: replicas{1: true}, due: Overwrite},
 		{name: "ejected replica is gone", current: 1, ejected: replicas{1: true}, targetEjected: replicas{1: true}, due: Remove},
 		{name: "replica is unejected, however small the change", current: 1, target: 0.99, ejected: replicas{1: true}, due: Add},
-		{name: "replica is unejected and not wanted in the table", current: 1, ejected: replicas{1: true}, due: Add},
+		{name: "replica is unejected and its endpoint is not in the target", current: 1, ejected: replicas{1: true}, due: Add},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			current, target := weights{}, weights{}
@@ -43,7 +43,7 @@
 			for step := range stepCount {
 				changes := len(s.weightChanges(step))
 				if due := changes == 1; changes > 1 || due != (step == c.due) {
-					t.Errorf("step %d has %d changes", step, changes)
+					t.Errorf("step %d has %d changes, want one change in step %d only", step, changes, c.due)
 				}
 			}
 		})
@@ -59,8 +59,8 @@
 		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.5})
 }
 
-// An ejected replica still has endpoints, with weights of a time when it was warmed up: proxies pick it by them from the moment
-// that it is unejected.
+// An ejected replica still has endpoints, whose weights may date from a time when it was warmed up. Proxies pick it by these
+// weights as soon as it is unejected.
 func TestAllWeightsOfAnUnejectedReplicaChangeWithIt(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 1, {1, 1}: 1, {2, 1}: 0.21},
 		Target{Weights: weights{{0, 1}: 0.2, {2, 1}: 0.2}}, replicas{1: true})
@@ -69,7 +69,7 @@
 		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.2}, control.SetEjected{Replica: 1})
 }
 
-// A replica that is unejected with less weight than it should have is safe, so weights that rise follow the unejection.
+// It is safe to uneject a replica while its weights are too low, so commands that raise weights follow the unejection.
 func TestRaisedWeightsFollowTheUnejection(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 0.2, {1, 1}: 0.4},
 		Target{Weights: weights{{0, 1}: 0.3, {1, 1}: 0.3, {2, 1}: 0.3}}, replicas{1: true})
--- a/policy/update/sequence_test.go
+++ b/policy/update/sequence_test.go
@@ -13,7 +13,7 @@
 
 type replicas = map[uint32]bool
 
-// sequenceWith returns a Sequence whose proxies have the current weights, with replicas that were ejected, on its way to the target.
+// sequenceWith returns a Sequence with the given current weights, target, and replicas that are ejected at the proxies.
 func sequenceWith(current weights, target Target, ejected replicas) *Sequence {
 	s := New()
 	s.current = current
@@ -70,20 +70,20 @@
 	assertCommands(t, "additions precede overwrites", pending.Commands,
 		addition, control.SetEndpoint{Replica: 2, Weight: 0.1}, control.SetEndpoint{Replica: 1, Weight: 0.5})
 	if pending.Additions != 1 {
-		t.Errorf("%d additions are stated, want 1", pending.Additions)
+		t.Errorf("got %d additions, want 1", pending.Additions)
 	}
 }
 
-// A proxy whose rebinding is held back, by its message cap, keeps its old endpoints until it has been sent the new ones.
+// A proxy whose move is held back by its message cap keeps the endpoints of its old table until it was sent the new table.
 func TestRemovalsWaitForRebinds(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 1, {1, 1}: 1}, Target{Weights: weights{{1, 1}: 1}}, replicas{})
 	s.Rebind(control.Bind{Proxy: 5, Table: 1})
 	s.step = Rebind
-	s.stepSent = true // other proxies were moved and have acknowledged it
+	s.stepSent = true // other proxies were moved and have acknowledged their moves
 	for range 1 + stepCount {
 		for _, command := range s.Advance().Commands {
 			if c, ok := command.(control.SetEndpoint); ok && c.Weight == 0 {
-				t.Fatalf("%v is due before the move", c)
+				t.Fatalf("removal %v is due before the move", c)
 			}
 		}
 	}
@@ -95,20 +95,20 @@
 	assertCommands(t, "after the move", last.Commands, control.SetEndpoint{Replica: 1})
 }
 
-func TestAcknowledgedStepEndsThoughMoreHasChanged(t *testing.T) {
+func TestAcknowledgedStepEndsThoughMoreChangesAreDue(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 1, {0, 2}: 1}, Target{Weights: weights{{0, 1}: 0.5}}, replicas{})
 	s.step = Overwrite
 	s.stepSent = true
 	s.Advance()
-	assertStep(t, "though a weight differs", s, Remove)
+	assertStep(t, "with a further overwrite due", s, Remove)
 }
 
 func TestRemovalOfAReplicaThatReturnsIsDropped(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 1}, Target{Weights: weights{}, Ejected: replicas{1: true}}, replicas{1: true})
-	assertCommands(t, "while it is gone", s.commands(Remove), control.SetEndpoint{Replica: 1})
+	assertCommands(t, "removal while the replica is ejected", s.commands(Remove), control.SetEndpoint{Replica: 1})
 	s.SetTarget(Target{Weights: weights{{0, 1}: 1}, Ejected: replicas{}})
-	assertCommands(t, "removal once it is back", s.commands(Remove))
-	assertCommands(t, "addition once it is back", s.commands(Add), control.SetEjected{Replica: 1})
+	assertCommands(t, "removal once the replica has returned", s.commands(Remove))
+	assertCommands(t, "unejection once the replica has returned", s.commands(Add), control.SetEjected{Replica: 1})
 }
 
 func TestStepEndsWithItsLastAckOrTheTimeout(t *testing.T) {
@@ -117,9 +117,9 @@
 		end   func(*Sequence)
 		opens Step
 	}{
-		{"nothing has come", func(s *Sequence) { s.Expire(0) }, Overwrite},
+		{"no ack yet", func(s *Sequence) { s.Expire(0) }, Overwrite},
 		{"at the timeout", func(s *Sequence) { s.Expire(ackTimeout) }, Overwrite},
-		{"past the timeout", func(s *Sequence) { s.Expire(ackTimeout + 1) }, Remove},
+		{"after the timeout", func(s *Sequence) { s.Expire(ackTimeout + 1) }, Remove},
 		{"acknowledged", func(s *Sequence) { s.Acknowledged(1) }, Remove},
 		{"another nonce acknowledged", func(s *Sequence) { s.Acknowledged(2) }, Overwrite},
 	} {
@@ -128,10 +128,10 @@
 			s.step = Overwrite
 			s.acks[1] = 0
 			s.Advance()
-			assertStep(t, "before", s, Overwrite)
+			assertStep(t, "before the event", s, Overwrite)
 			c.end(s)
 			s.Advance()
-			assertStep(t, "after", s, c.opens)
+			assertStep(t, "after the event", s, c.opens)
 		})
 	}
 }
@@ -145,11 +145,11 @@
 		assertCommands(t, what, pending.Commands, want...)
 		s.Sent(time.Duration(nonce), nonce, pending.Commands)
 	}
-	send("new tables", 1, control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 1})
+	send("additions of new tables", 1, control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 1})
 	s.SetTarget(Target{Weights: weights{{0, 1}: 2, {1, 3}: 1}})
 	s.Rebind(control.Bind{Proxy: 7, Table: 1})
-	send("an addition, at once", 2, control.SetEndpoint{Table: 1, Replica: 3, Weight: 1})
-	assertCommands(t, "nothing while an ack is missing", s.Advance().Commands)
+	send("addition while an ack is missing", 2, control.SetEndpoint{Table: 1, Replica: 3, Weight: 1})
+	assertCommands(t, "no other command while an ack is missing", s.Advance().Commands)
 	s.Acknowledged(1)
 	s.Acknowledged(2)
 	send("overwrite", 3, control.SetEndpoint{Replica: 1, Weight: 2})
@@ -158,14 +158,14 @@
 	s.Acknowledged(4)
 	send("remove", 5, control.SetEndpoint{Replica: 2})
 	s.Acknowledged(5)
-	assertCommands(t, "nothing is left", s.Advance().Commands)
+	assertCommands(t, "no command after the last step", s.Advance().Commands)
 	if want := (weights{{0, 1}: 2, {1, 3}: 1}); !reflect.DeepEqual(s.Weights(), want) {
 		t.Errorf("weights: got %v, want %v", s.Weights(), want)
 	}
 }
 
-// Without any proxy that is concerned no ack will come.
-func TestSentWithoutANonceIsNotWaitedFor(t *testing.T) {
+// Commands that reach no proxy are never acknowledged: a step that waited for their ack would not end.
+func TestCommandsWithoutANonceAreNotWaitedFor(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		nonce    uint64
@@ -180,10 +180,10 @@
 			s := New()
 			s.Sent(0, c.nonce, c.commands)
 			if got := len(s.acks) > 0; got != c.waits {
-				t.Errorf("waits for an ack: %v, want %v", got, c.waits)
+				t.Errorf("step waits for an ack: got %v, want %v", got, c.waits)
 			}
 			if s.stepSent != c.waits {
-				t.Errorf("the step has sent something: %v, want %v", s.stepSent, c.waits)
+				t.Errorf("stepSent: got %v, want %v", s.stepSent, c.waits)
 			}
 		})
 	}
@@ -193,10 +193,10 @@
 	s := New()
 	s.Rebind(control.Bind{Proxy: 1, Table: 2})
 	s.Rebind(control.Bind{Proxy: 1, Table: 3})
-	assertCommands(t, "the later one", s.commands(Rebind), control.Bind{Proxy: 1, Table: 3})
+	assertCommands(t, "the later of two rebinds", s.commands(Rebind), control.Bind{Proxy: 1, Table: 3})
 	s.CancelRebinds()
-	assertCommands(t, "once cancelled", s.commands(Rebind))
+	assertCommands(t, "after CancelRebinds", s.commands(Rebind))
 	if s.Rebinds() != 0 {
-		t.Errorf("%d proxies wait to be moved", s.Rebinds())
+		t.Errorf("%d proxies wait to be moved, want 0", s.Rebinds())
 	}
 }
