--- a/policy/pacing/budget.go
+++ b/policy/pacing/budget.go
@@ -7,23 +7,25 @@
 	"lilacbend/control"
 )
 
-// budget is how much of the two limits may be used once a command is sent. A command waits if it would exceed either:
+// budget is how much of two limits may be used after a command is sent. A command waits if it would exceed either of them:
 //
-//   - the channel: what may still wait in it, what the turn has sent and the command's price, together;
-//   - the message cap of each recipient that gets no message in this turn yet.
+//   - the limit of the channel, for the sum of what may still wait in the channel, what the turn has sent and the command's
+//     price;
+//   - the message cap of each recipient that does not get a message in this turn yet.
 //
-// The more urgent a command is, the larger is its budget, so that what is less urgent leaves capacity for it:
+// The more urgent a command is, the larger is its budget, so that less urgent commands leave capacity for it:
 //
 //	command                                channel limit                       message cap
-//	changed weights, rebinds, removals     0.4, less if acks come late         0.5
+//	changed weights, rebinds, removals     0.4, less if acks are late          0.5
 //	additions and unejections              0.4                                 0.75
-//	rest of a table after a subset         a quarter of the drain grace        0.75
+//	rest of a table after a subset         1/4 of what the drain grace sends   0.75
 //	first binds                            0.4 to 0.85, see firstBindFraction  0.95
 //	admission rates, ejections             0.85                                0.95
 //	ejections, where the host queues       no limit                            no limit
 //	first binds, where the host queues     by size, see subset.go              no limit
 //
-// Whatever the budget, a bind waits until its table has an endpoint, and stepPass names what waits for other commands of the step.
+// The host queues if Settings.HostQueues is set. Whatever the budget, a bind waits until its table has an endpoint, and
+// commands of the step wait for other commands of the step by the rules of stepPass.
 type budget struct {
 	channel  float64 // fraction of Settings.ChannelLimit
 	messages float64 // fraction of Settings.MaxMessages
@@ -31,42 +33,45 @@
 
 // Fractions of Settings.ChannelLimit.
 const (
-	// ordinaryChannelFraction is what the update's step may use: under half, so that more than half remains for what is urgent.
+	// ordinaryChannelFraction is what the update's step may use: under half, so that more than half remains for urgent
+	// commands.
 	ordinaryChannelFraction = 0.4
-	// urgentChannelFraction is what urgent commands may use. The rest is a margin, as prices are estimates.
+	// urgentChannelFraction is what urgent commands may use. The remainder is a margin, as prices are estimates.
 	urgentChannelFraction = 0.85
 )
 
 // Fractions of Settings.MaxMessages.
 const (
-	// ordinaryMessageFraction leaves half of the messages to what is more urgent.
+	// ordinaryMessageFraction leaves half of the messages to more urgent commands.
 	ordinaryMessageFraction = 0.5
 	// additionMessageFraction is above ordinaryMessageFraction, as a proxy that lacks endpoints comes before one whose
 	// weights are out of date.
 	additionMessageFraction = 0.75
-	// urgentMessageFraction leaves a margin, too.
+	// urgentMessageFraction leaves a margin, like urgentChannelFraction.
 	urgentMessageFraction = 0.95
 )
 
 var (
 	additionBudget = budget{ordinaryChannelFraction, additionMessageFraction}
 	urgentBudget   = budget{urgentChannelFraction, urgentMessageFraction}
-	// unlimited admits everything, even where a limit is 0.
+	// unlimited admits every command, even if a limit is 0.
 	unlimited = budget{math.Inf(1), math.Inf(1)}
 )
 
-// ordinaryBudget shrinks as acks come late: in a slow channel ejections must not wait behind changed weights.
+// ordinaryBudget returns the budget of the step's commands that are not additions. It shrinks as acks get late: in a slow
+// channel ejections must not wait behind changed weights.
 func (p *Pacer) ordinaryBudget() budget {
 	return budget{ordinaryChannelFraction / p.channel.latenessFactor(), ordinaryMessageFraction}
 }
 
-// firstBindBudget is for complete tables where the host does not queue.
+// firstBindBudget returns the budget of first binds that are sent as complete tables.
 func (p *Pacer) firstBindBudget() budget {
 	return budget{p.firstBindFraction(), urgentMessageFraction}
 }
 
-// budgetOfUrgent returns the budget of an urgent command that is sent as it is. A host that queues holds an ejection back for
-// a proxy at its message cap alone; elsewhere that proxy's cap would hold it back from all.
+// budgetOfUrgent returns the budget of an urgent command that is sent unchanged, without a subset in place of a table.
+// Ejections are unlimited if the host queues: it holds them back only for those proxies that are at their message cap. If it
+// does not queue, the cap of one proxy holds an ejection back from all proxies.
 func (p *Pacer) budgetOfUrgent(command control.Command) budget {
 	switch c := command.(type) {
 	case control.SetEjected:
@@ -79,7 +84,7 @@
 	return urgentBudget
 }
 
-// admits says whether a budget allows sending a command of this price now.
+// admits reports whether a budget allows sending a command of this price now.
 func (p *Pacer) admits(cost price, limit budget) bool {
 	return p.capsAdmit(cost.recipients, limit) && p.channelAdmits(cost, limit)
 }
@@ -91,7 +96,7 @@
 	window := time.Duration(p.settings.MessageWindow)
 	for _, proxy := range recipients {
 		if p.turn.reached[proxy] {
-			continue // the command goes into the message that it gets already
+			continue // the command becomes part of the message that the proxy gets anyway
 		}
 		messages := p.messages.count(p.turn.now, window, proxy) + 1
 		if float64(messages) > limit.messages*float64(p.settings.MaxMessages) {
@@ -109,7 +114,8 @@
 	return !exceeded
 }
 
-// fitTogether says whether a fraction of the channel's limit has capacity for all the commands.
+// fitTogether reports whether all the commands fit into a fraction of the channel's limit, in addition to what may still
+// wait in the channel and what the turn has sent.
 func (p *Pacer) fitTogether(commands []control.Command, fraction float64) bool {
 	units := 0.0
 	begun := map[int]bool{}
@@ -119,10 +125,10 @@
 	return p.turn.waiting+p.turn.units+units <= fraction*float64(p.settings.ChannelLimit)
 }
 
-// firstBindFraction is the fraction of the channel's limit that the complete tables of a reconnect storm may use where the
-// host does not queue. An ejection then waits for capacity behind the tables that are under way and is sent beside as
-// many more: both are to take half of the drain grace each. It is never less than what ordinary changes may use, or no proxy
-// would be bound where the grace is short.
+// firstBindFraction returns the fraction of the channel's limit that the complete tables of a reconnect storm may use if the
+// host does not queue. An ejection then waits for capacity until the tables in the channel are sent, and is itself sent
+// together with as many more tables: each of these two phases may take half of the drain grace. The fraction is never less
+// than what ordinary changes may use; otherwise no proxy would be bound if the grace is short.
 func (p *Pacer) firstBindFraction() float64 {
 	if p.settings.DrainGrace == 0 || p.settings.HostQueues {
 		return urgentChannelFraction
@@ -131,8 +137,8 @@
 	return min(urgentChannelFraction, max(ordinaryChannelFraction, halfGrace))
 }
 
-// graceFraction is the fraction of the channel's limit that reaches the proxies within the drain grace; 0 where no grace is
-// known or the host does not queue.
+// graceFraction returns the fraction of the channel's limit that reaches the proxies within the drain grace; 0 if no grace
+// is known or the host does not queue.
 func (p *Pacer) graceFraction() float64 {
 	if !p.settings.HostQueues {
 		return 0
@@ -140,8 +146,8 @@
 	return p.fractionSentWithin(time.Duration(p.settings.DrainGrace - p.settings.MaxTransit))
 }
 
-// fractionSentWithin is the fraction of its limit that the channel sends in a span; 0 if the span is negative or there is no
-// limit.
+// fractionSentWithin returns the fraction of its limit that the channel sends within a time span; 0 if the span is negative
+// or the limit is 0.
 func (p *Pacer) fractionSentWithin(span time.Duration) float64 {
 	if p.settings.ChannelLimit == 0 {
 		return 0
--- a/policy/pacing/budget_test.go
+++ b/policy/pacing/budget_test.go
@@ -16,13 +16,13 @@
 	p.Eject(5)
 	sent := p.Send(0)
 	assertEqual(t, "ejections", len(ofType[control.SetEjected](sent.Commands)), 1)
-	assertEqual(t, "some weights", len(ofType[control.SetEndpoint](sent.Commands)) > 0, true)
+	assertEqual(t, "some changed weights are sent", len(ofType[control.SetEndpoint](sent.Commands)) > 0, true)
 	if waiting := p.Waiting(0); waiting > urgentChannelFraction*400 {
-		t.Errorf("%v cost units wait", waiting)
+		t.Errorf("%v cost units wait in the channel, want at most %v", waiting, urgentChannelFraction*400)
 	}
-	assertEqual(t, "commands while no ack comes", len(p.Send(0).Commands), 0)
+	assertEqual(t, "commands while the ack is missing", len(p.Send(0).Commands), 0)
 	p.Acknowledged(0, sent.Nonce, true)
-	assertEqual(t, "some commands once acknowledged", len(p.Send(0).Commands) > 0, true)
+	assertEqual(t, "some commands are sent after the ack", len(p.Send(0).Commands) > 0, true)
 }
 
 func TestMessageCapKeepsCapacityForUrgentMessages(t *testing.T) {
@@ -41,8 +41,8 @@
 		p.Send(0)
 	}
 	messages := len(p.messages.sent[0])
-	assertEqual(t, "messages within the cap", messages <= 10, true)
-	assertEqual(t, "more than additions may use", float64(messages) > additionMessageFraction*10, true)
+	assertEqual(t, "messages are within the cap", messages <= 10, true)
+	assertEqual(t, "messages are more than additions may use", float64(messages) > additionMessageFraction*10, true)
 }
 
 func TestBudgetAdmitsUpToItsFractions(t *testing.T) {
@@ -55,14 +55,14 @@
 		reached, concerns bool
 		want              bool
 	}{
-		{name: "channel just full", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 50, concerns: true, want: true},
-		{name: "channel over", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 51, concerns: true, want: false},
-		{name: "channel over, unlimited", limit: unlimited, waiting: 1e9, concerns: true, want: true},
-		{name: "channel over, but nobody is concerned", limit: budget{0.5, 1}, waiting: 1e9, want: true},
+		{name: "channel exactly at the limit", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 50, concerns: true, want: true},
+		{name: "channel above the limit", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 51, concerns: true, want: false},
+		{name: "channel above the limit, unlimited budget", limit: unlimited, waiting: 1e9, concerns: true, want: true},
+		{name: "channel above the limit, command without recipients", limit: budget{0.5, 1}, waiting: 1e9, want: true},
 		{name: "last message of the cap", limit: budget{1, 0.5}, messages: 4, concerns: true, want: true},
 		{name: "cap used up", limit: budget{1, 0.5}, messages: 5, concerns: true, want: false},
-		{name: "cap used up, in a message that goes anyway", limit: budget{1, 0.5}, messages: 5, reached: true, concerns: true, want: true},
-		{name: "cap used up, unlimited", limit: unlimited, messages: 50, concerns: true, want: true},
+		{name: "cap used up, proxy gets a message in this turn anyway", limit: budget{1, 0.5}, messages: 5, reached: true, concerns: true, want: true},
+		{name: "cap used up, unlimited budget", limit: unlimited, messages: 50, concerns: true, want: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPacer(func(s *control.Settings) { s.MaxMessages = 10 })
@@ -84,8 +84,8 @@
 	p := newPacer(func(s *control.Settings) { s.ChannelLimit = 0 })
 	p.beginTurn(0)
 	cost := price{recipients: []int{1}, units: 5}
-	assertEqual(t, "unlimited", p.admits(cost, unlimited), true)
-	assertEqual(t, "urgent", p.admits(cost, urgentBudget), false)
+	assertEqual(t, "admitted with the unlimited budget", p.admits(cost, unlimited), true)
+	assertEqual(t, "admitted with the urgent budget", p.admits(cost, urgentBudget), false)
 	assertEqual(t, "fraction sent within a second", p.fractionSentWithin(time.Second), 0.0)
 }
 
@@ -128,9 +128,9 @@
 	}{
 		{"no grace is known", 0, false, urgentChannelFraction},
 		{"the host queues", 4 * second, true, urgentChannelFraction},
-		{"half of the grace sends little", second, false, ordinaryChannelFraction},
+		{"half of the grace sends less than ordinary commands may use", second, false, ordinaryChannelFraction},
 		{"half of the grace, less the transit", 4 * second, false, 0.75}, // 1500 of 2000 units
-		{"half of the grace sends more than is urgent", 40 * second, false, urgentChannelFraction},
+		{"half of the grace sends more than urgent commands may use", 40 * second, false, urgentChannelFraction},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPacer(func(s *control.Settings) {
@@ -151,11 +151,11 @@
 		queues bool
 		want   float64
 	}{
-		{"neither", 0, false, 0},
-		{"a grace alone", 4 * second, false, 0},
-		{"a queueing host alone", 0, true, 0},
-		{"a grace shorter than the transit", second / 4, true, 0},
-		{"both", 5 * second / 2, true, 1},
+		{"neither grace nor queueing host", 0, false, 0},
+		{"grace, but the host does not queue", 4 * second, false, 0},
+		{"queueing host, but no grace", 0, true, 0},
+		{"grace shorter than the transit", second / 4, true, 0},
+		{"grace and queueing host", 5 * second / 2, true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPacer(func(s *control.Settings) {
@@ -174,6 +174,6 @@
 	p.turn.waiting = 10
 	commands := []control.Command{control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 1}}
 	const units = 10 + 2*(5+2) // two proxies, each with the overhead, a nonce and two endpoints
-	assertEqual(t, "just fit", p.fitTogether(commands, units/400.0), true)
-	assertEqual(t, "do not fit", p.fitTogether(commands, math.Nextafter(units/400.0, 0)), false)
+	assertEqual(t, "fit exactly", p.fitTogether(commands, units/400.0), true)
+	assertEqual(t, "fit into slightly less", p.fitTogether(commands, math.Nextafter(units/400.0, 0)), false)
 }
--- a/policy/pacing/channel_test.go
+++ b/policy/pacing/channel_test.go
@@ -7,7 +7,7 @@
 	"lilacbend/control"
 )
 
-// threeBatches returns an account of three batches of 10, 20 and 30 units, due after 1, 2 and 3 seconds.
+// threeBatches returns an account with three batches of 10, 20 and 30 units, which are due after 1, 2 and 3 seconds.
 func threeBatches() *channelAccount {
 	c := &channelAccount{}
 	for k := range 3 {
@@ -16,7 +16,7 @@
 	return c
 }
 
-func TestAckClearsAllThatWasSentBefore(t *testing.T) {
+func TestAckClearsAllEarlierBatches(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		nonce uint64
@@ -27,58 +27,58 @@
 		{"first nonce by all", 1, true, 50},
 		{"last nonce by one proxy", 3, false, 30},
 		{"last nonce by all", 3, true, 0},
-		{"nonce before all of them", 0, true, 60},
-		{"nonce after all of them", 9, false, 0},
+		{"nonce before all batches", 0, true, 60},
+		{"nonce after all batches", 9, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			account := threeBatches()
 			account.acknowledge(time.Second, c.nonce, c.all)
-			assertEqual(t, "waiting", account.waiting(time.Second), c.want)
+			assertEqual(t, "waiting cost units", account.waiting(time.Second), c.want)
 		})
 	}
 }
 
-func TestBatchIsLostAfterATime(t *testing.T) {
+func TestOverdueBatchIsLost(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		orphaned uint64
 		now      time.Duration
 		want     float64
 	}{
-		{"overdue", 0, time.Minute/2 + time.Second, 60},
-		{"overdue for too long", 0, time.Minute/2 + time.Second + 1, 50},
-		{"nobody is left, not yet due", 1, time.Second, 60},
-		{"nobody is left, overdue", 1, time.Second + 1, 50},
-		{"nobody is left to acknowledge a later one", 2, 2*time.Second + 1, 40},
-		{"nobody is left to acknowledge an unknown one", 9, 3*time.Second + 1, 60},
+		{"overdue by lostAfter", 0, time.Minute/2 + time.Second, 60},
+		{"overdue by more than lostAfter", 0, time.Minute/2 + time.Second + 1, 50},
+		{"orphaned, not yet overdue", 1, time.Second, 60},
+		{"orphaned, overdue", 1, time.Second + 1, 50},
+		{"a later batch is orphaned, overdue", 2, 2*time.Second + 1, 40},
+		{"an unknown nonce is orphaned", 9, 3*time.Second + 1, 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			account := threeBatches()
 			account.abandon(c.orphaned)
-			assertEqual(t, "waiting", account.waiting(c.now), c.want)
+			assertEqual(t, "waiting cost units", account.waiting(c.now), c.want)
 		})
 	}
 }
 
 func TestChannelIsOverdueWithItsOldestBatch(t *testing.T) {
 	account := threeBatches()
-	assertEqual(t, "in time", account.overdue(time.Second), false)
-	assertEqual(t, "late", account.overdue(time.Second+1), true)
+	assertEqual(t, "overdue when the oldest batch is due", account.overdue(time.Second), false)
+	assertEqual(t, "overdue after the oldest batch was due", account.overdue(time.Second+1), true)
 	account.acknowledge(time.Second, 1, true)
-	assertEqual(t, "once acknowledged", account.overdue(2*time.Second), false)
-	assertEqual(t, "empty", (&channelAccount{}).overdue(time.Hour), false)
+	assertEqual(t, "overdue once the oldest batch is acknowledged", account.overdue(2*time.Second), false)
+	assertEqual(t, "overdue without batches", (&channelAccount{}).overdue(time.Hour), false)
 }
 
 func TestLatenessIsThatOfTheLastBatchCleared(t *testing.T) {
 	account := threeBatches()
 	assertEqual(t, "before any ack", account.latenessFactor(), 1.0)
 	account.acknowledge(time.Second/2, 1, true)
-	assertEqual(t, "early", account.latenessFactor(), 1.0)
+	assertEqual(t, "after an early ack", account.latenessFactor(), 1.0)
 	account.acknowledge(9*time.Second, 3, true)
-	assertEqual(t, "three times as long", account.latenessFactor(), 3.0)
+	assertEqual(t, "after an ack that took three times as long as expected", account.latenessFactor(), 3.0)
 }
 
-func TestBatchIsDueWhenTheChannelHasSentAllBefore(t *testing.T) {
+func TestBatchIsDueAfterEarlierBatchesAreSent(t *testing.T) {
 	p := withTable(2, nil)
 	p.channel.add(batch{nonce: 1, units: 100, due: time.Hour})
 	p.nonce = 1
@@ -96,20 +96,20 @@
 	p.proxies.bind(1, 1)
 	p.Eject(99)
 	sent := p.Send(0)
-	assertEqual(t, "only the proxy that holds it", len(sent.Proxies) == 1 && sent.Proxies[0] == 1, true)
+	assertEqual(t, "reaches only the proxy that holds an endpoint", len(sent.Proxies) == 1 && sent.Proxies[0] == 1, true)
 	lost := p.channel.outstanding[0].due + lostAfter + 1
-	assertEqual(t, "waiting once the ack is taken for lost", p.Waiting(lost), 0.0)
+	assertEqual(t, "waiting cost units once the batch counts as lost", p.Waiting(lost), 0.0)
 }
 
-// The messages of proxies that disconnect may wait in the channel all the same.
+// Messages to proxies that have disconnected may still wait in the channel.
 func TestDisconnectingClearsNothingFromTheChannel(t *testing.T) {
 	p := withTable(1, nil)
 	p.Connected(1, 1)
 	p.Bind(control.Bind{Proxy: 1})
 	sent := p.Send(0)
 	units := p.Waiting(0)
-	assertEqual(t, "something waits", units > 0, true)
+	assertEqual(t, "cost units wait", units > 0, true)
 	p.Disconnected(1)
 	p.Abandoned(sent.Nonce)
-	assertEqual(t, "waiting", p.Waiting(0), units)
+	assertEqual(t, "waiting cost units", p.Waiting(0), units)
 }
--- a/policy/pacing/cost.go
+++ b/policy/pacing/cost.go
@@ -7,15 +7,15 @@
 	"lilacbend/policy/internal/ordered"
 )
 
-// price is what sending a command takes.
+// price is the cost of sending a command.
 type price struct {
 	recipients []int   // the proxies that the command reaches
 	units      float64 // cost units at all of them, message overheads included
 }
 
-// price returns what a command takes besides what the turn has sent already: its content at each recipient, and the overhead
-// of a message for each recipient that gets none yet. It takes recipients in begun for those that get one, and adds the others to
-// begun, unless that is nil.
+// price returns the cost of a command in addition to what the turn has sent already: its content for each recipient, and the
+// overhead of a message for each recipient that gets none yet. Recipients in begun count as getting a message; the others
+// are added to begun, unless it is nil.
 func (p *Pacer) price(command control.Command, begun map[int]bool) price {
 	recipients, units := p.content(command)
 	total := float64(units * len(recipients))
@@ -31,10 +31,10 @@
 	return price{recipients, total}
 }
 
-// content returns which proxies a command reaches and how many cost units its content takes at each.
+// content returns the proxies that a command reaches and the cost units of its content for each of them.
 //
-// An ejection reaches only the proxies that hold an endpoint of the replica. No others would send an ack for it, and the
-// channel would be taken for full while the ack is missing.
+// An ejection reaches only the proxies that hold an endpoint of the replica. Other proxies would not send an ack for it, and
+// the channel would count as full while the ack is missing.
 func (p *Pacer) content(command control.Command) (recipients []int, units int) {
 	switch c := command.(type) {
 	case control.Bind:
@@ -49,13 +49,14 @@
 	return ordered.Keys(p.proxies.bindings), 1
 }
 
-// tableUnits is the cost of a complete table at one proxy: two units for each endpoint, as each may have to be ejected or
-// unejected as well.
+// tableUnits returns the cost of a complete table for one proxy: two units for each endpoint, as each may have to be ejected
+// or unejected as well, and the units that are sent with each first table.
 func (p *Pacer) tableUnits(table int) int {
 	return 2*len(p.proxies.tables[table]) + p.admissionUnits()
 }
 
-// admissionUnits is the cost of what goes with each first table: an admission rate for each traffic class, and the binding.
+// admissionUnits returns the cost of what is sent with each first table: an admission rate for each traffic class, and the
+// binding.
 func (p *Pacer) admissionUnits() int { return len(p.settings.Classes) + 1 }
 
 // holdersInAnyTable returns the proxies that hold an endpoint of a replica, ascending.
--- a/policy/pacing/helpers_test.go
+++ b/policy/pacing/helpers_test.go
@@ -9,14 +9,14 @@
 
 const testTickInterval = 250 * time.Millisecond
 
-// testSettings are those of a host that sends each command as it is given, without a drain grace and message caps.
+// testSettings returns settings without a drain grace and message caps, for a host that does not queue.
 func testSettings() control.Settings {
 	return control.Settings{Controllers: 1, Zones: 2, HardwareClasses: 1, Proxies: 6, ChannelRate: 1000, ChannelLimit: 400,
 		MessageOverhead: 4, MaxTransit: int64(time.Second / 2), MessageWindow: int64(10 * time.Second),
 		Classes: make([]control.TrafficClass, 2)}
 }
 
-// newPacer returns a Pacer without proxies, for settings that change makes from testSettings.
+// newPacer returns a Pacer without proxies, with testSettings as modified by change.
 func newPacer(change func(*control.Settings)) *Pacer {
 	settings := testSettings()
 	if change != nil {
@@ -25,7 +25,7 @@
 	return New(&settings, testTickInterval)
 }
 
-// withTable returns a Pacer whose table 0 has 20 replicas of weight 1, and so many proxies bound to it.
+// withTable returns a Pacer whose table 0 has 20 replicas of weight 1 and the given number of proxies bound to it.
 func withTable(proxies int, change func(*control.Settings)) *Pacer {
 	p := newPacer(change)
 	for proxy := range proxies {
@@ -43,7 +43,7 @@
 	return weights
 }
 
-// atCap makes the Pacer believe that a proxy got so many messages at time 0.
+// atCap records a number of messages to a proxy at time 0.
 func atCap(p *Pacer, proxy, messages int) {
 	for range messages {
 		p.messages.record(0, []int{proxy})
--- a/policy/pacing/messagecap.go
+++ b/policy/pacing/messagecap.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// messageCaps counts the messages to each proxy, as Settings.MaxMessages limits how many a proxy takes within
-// Settings.MessageWindow. The count outlives streams: the proxy's cap does not begin anew when it reconnects.
+// messageCaps counts the messages to each proxy, as Settings.MaxMessages limits how many messages a proxy accepts within
+// Settings.MessageWindow. The count is kept across streams: a proxy's cap is not reset when it reconnects.
 type messageCaps struct {
-	sent map[int][]time.Duration // when each message was sent, by proxy
+	sent map[int][]time.Duration // by proxy: when each message was sent
 }
 
 // record counts a message to each of the proxies.
--- a/policy/pacing/messagecap_test.go
+++ b/policy/pacing/messagecap_test.go
@@ -7,7 +7,7 @@
 	"lilacbend/control"
 )
 
-func TestMessageCapCountsTheWindow(t *testing.T) {
+func TestMessageCapCountsMessagesInTheWindow(t *testing.T) {
 	var caps messageCaps
 	for second := range 5 {
 		caps.record(time.Duration(second)*time.Second, []int{1, second})
@@ -18,11 +18,11 @@
 		proxy int
 		want  int
 	}{
-		{"all", 4 * time.Second, 1, 6},
-		{"at the end of the window", 10 * time.Second, 1, 6},
-		{"the first has left the window", 10*time.Second + 1, 1, 5},
+		{"all messages are in the window", 4 * time.Second, 1, 6},
+		{"the first message is at the end of the window", 10 * time.Second, 1, 6},
+		{"the first message has left the window", 10*time.Second + 1, 1, 5},
 		{"another proxy", 10*time.Second + 1, 0, 0},
-		{"all have left the window", time.Minute, 1, 0},
+		{"all messages have left the window", time.Minute, 1, 0},
 		{"a proxy without messages", 0, 7, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -31,8 +31,8 @@
 	}
 }
 
-// A stream that breaks for a moment must not start the proxy's cap anew: it would get more messages than it may.
-func TestMessageCapOutlivesAStream(t *testing.T) {
+// A short interruption of a stream must not reset the proxy's message cap: the proxy would get more messages than allowed.
+func TestMessageCapIsKeptAcrossStreams(t *testing.T) {
 	p := newPacer(func(s *control.Settings) { s.MaxMessages = 10 })
 	p.Connected(0, 0)
 	for second := time.Duration(11); second <= 19; second++ {
@@ -43,7 +43,7 @@
 	p.Connected(0, 0)
 	limit := budget{1, urgentMessageFraction}
 	p.beginTurn(20 * time.Second)
-	assertEqual(t, "sent at once", p.trySend(control.Bind{Proxy: 0}, limit), false)
+	assertEqual(t, "sent after reconnecting", p.trySend(control.Bind{Proxy: 0}, limit), false)
 	p.beginTurn(22 * time.Second)
-	assertEqual(t, "sent once two have left the window", p.trySend(control.Bind{Proxy: 0}, limit), true)
+	assertEqual(t, "sent once two messages have left the window", p.trySend(control.Bind{Proxy: 0}, limit), true)
 }
--- a/policy/pacing/order.go
+++ b/policy/pacing/order.go
@@ -7,14 +7,15 @@
 	"lilacbend/control"
 )
 
-// Send sends what the budgets admit, in this order:
+// Send sends the commands that the budgets admit, in this order:
 //
 //  1. the rest of tables of which proxies hold only a subset: proxies that lack endpoints come first;
 //  2. the commands of the update's step, in the step's order;
-//  3. all that is urgent, in its queue's order. It comes last as its budget is the largest: what precedes it leaves capacity for it.
+//  3. the urgent commands, in the order of their queue. They come last as their budget is the largest: the commands before
+//     them leave capacity for them.
 //
-// A command that is held back holds back no other, except where stepPass or sendRestOfTables says so. All commands of a turn to
-// one proxy go in one message, and one nonce covers the turn.
+// A command that is held back does not hold back others, except by the rules of stepPass and sendRestOfTables. All commands
+// of a turn to one proxy are sent in one message, and one nonce covers the turn.
 func (p *Pacer) Send(now time.Duration) Sent {
 	p.beginTurn(now)
 	p.sendRestOfTables()
@@ -23,17 +24,17 @@
 	return p.endTurn(stepCommands)
 }
 
-// sendUrgent sends what it can of the urgent commands.
+// sendUrgent sends the urgent commands that their budgets admit.
 func (p *Pacer) sendUrgent() {
 	p.urgent.commands = slices.DeleteFunc(p.urgent.commands, func(command control.Command) bool {
 		if bind, ok := command.(control.Bind); ok && p.graceFraction() > 0 {
-			return p.trySend(p.firstTable(bind), unlimited) // what it may cost bounds its size
+			return p.trySend(p.firstTable(bind), unlimited) // firstTable limits its size to the cost that it may have
 		}
 		return p.trySend(command, p.budgetOfUrgent(command))
 	})
 }
 
-// sendStep sends what it can of the step and returns the commands that were sent.
+// sendStep sends the commands of the step that are not held back, and returns them.
 func (p *Pacer) sendStep() []control.Command {
 	pass := &stepPass{
 		pacer:         p,
@@ -50,27 +51,30 @@
 		}
 		return done
 	})
-	p.step.Additions = 0 // what was held back counts as an addition again once the update says so
+	p.step.Additions = 0 // the update states the number of additions again with the next SetStep
 	return sent
 }
 
 // stepPass is one pass over the commands of a step. Besides the budget these rules hold commands back:
 //
-//   - While the oldest ack is overdue only additions are sent: ejections must not wait behind changed weights in a slow channel.
-//   - A replica is not unejected while a change of its weights is held back: proxies would pick it by weights of a time when it
-//     may have been warmed up.
-//   - Where warming replicas are to be unejected together (Warming.UnejectTogether), none is until there is capacity for all, or the channel
-//     is empty. Weights of ejected replicas are not raised before: they rise at each evaluation, and would use up this capacity.
+//   - While the oldest ack is overdue only additions are sent: ejections must not wait behind changed weights in a slow
+//     channel.
+//   - A replica is not unejected while a change of its weights is held back: proxies would pick it by weights from a time
+//     when it may have been warmed up.
+//   - If warming replicas are to be unejected together (Warming.UnejectTogether), none is unejected until there is capacity
+//     for all of them or the channel is empty. Until then, weights of ejected replicas are not raised: they rise at each
+//     evaluation, and would use up this capacity.
 type stepPass struct {
 	pacer           *Pacer
 	additionsLeft   int
 	overdue         bool
 	staleWeights    map[uint32]bool   // replicas with a change of weight that was held back
-	unejections     []control.Command // those of warming replicas, all of them
+	unejections     []control.Command // the step's unejections of warming replicas
 	unejectTogether togetherDecision
 }
 
-// togetherDecision says whether warming replicas may be unejected. It is made once in a pass, when the first one is due.
+// togetherDecision is the decision whether the warming replicas may be unejected together. It is made once in a pass, when
+// the first of their unejections is due.
 type togetherDecision int
 
 const (
@@ -98,8 +102,8 @@
 	return sent
 }
 
-// raisesTooEarly says whether a command raises the weight of an endpoint of an ejected replica while warming replicas are to
-// be unejected together.
+// raisesTooEarly reports whether a command raises the weight of an endpoint of an ejected replica while warming replicas are
+// to be unejected together.
 func (s *stepPass) raisesTooEarly(command control.Command) bool {
 	endpoint, ok := command.(control.SetEndpoint)
 	if !ok || !s.pacer.warming.UnejectTogether || !s.pacer.proxies.ejected[endpoint.Replica] {
@@ -109,7 +113,7 @@
 	return weight > 0 && endpoint.Weight > weight
 }
 
-// holdsUnejection says whether a command is an unejection that has to wait for other commands.
+// holdsUnejection reports whether a command is an unejection that has to wait for other commands.
 func (s *stepPass) holdsUnejection(command control.Command) bool {
 	unejection, ok := command.(control.SetEjected)
 	if !ok {
@@ -121,7 +125,7 @@
 	return s.pacer.warming.UnejectTogether && s.pacer.warming.Replicas[unejection.Replica] && !s.mayUnejectTogether()
 }
 
-// mayUnejectTogether says whether all warming replicas of the step can be unejected.
+// mayUnejectTogether reports whether all warming replicas of the step may be unejected in this pass.
 func (s *stepPass) mayUnejectTogether() bool {
 	if s.unejectTogether == undecided {
 		s.unejectTogether = heldBack
@@ -132,7 +136,7 @@
 	return s.unejectTogether == allowed
 }
 
-// anyStale says whether a change of weight of any warming replica that is to be unejected was held back.
+// anyStale reports whether a change of weight of any warming replica that is to be unejected was held back.
 func (s *stepPass) anyStale() bool {
 	return slices.ContainsFunc(s.unejections, func(command control.Command) bool {
 		unejection, ok := command.(control.SetEjected)
--- a/policy/pacing/order_test.go
+++ b/policy/pacing/order_test.go
@@ -8,24 +8,25 @@
 	"lilacbend/control"
 )
 
-// An ejected replica still has endpoints, with weights of a time when it was warmed up.
+// An ejected replica still has endpoints, whose weights may date from a time when it was warmed up: it must not be unejected
+// before these weights are lowered.
 func TestReplicaIsNotUnejectedWhileAChangeOfItsWeightIsHeldBack(t *testing.T) {
 	p := newPacer(func(s *control.Settings) { s.MaxMessages = 4 })
 	for proxy := range 2 {
 		p.proxies.bind(proxy, proxy)
 		p.proxies.tables[proxy] = map[uint32]float64{1: 1}
 	}
-	atCap(p, 0, 3) // may get no more
+	atCap(p, 0, 3) // an addition may not use the last message of the cap
 	p.SetStep(Step{Additions: 4, Commands: []control.Command{
 		control.SetEndpoint{Table: 1, Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.2},
 		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.2}, control.SetEjected{Replica: 1}}})
 	sent := p.Send(0)
 	assertEqual(t, "unejections", len(ofType[control.SetEjected](sent.Commands)), 0)
-	assertEqual(t, "weights of the other tables", len(ofType[control.SetEndpoint](sent.Commands)), 2)
+	assertEqual(t, "changed weights of the other tables", len(ofType[control.SetEndpoint](sent.Commands)), 2)
 }
 
-// Where warming replicas are unejected together a weight that rises goes out only once its replica is unejected: weights rise at each
-// evaluation, and would leave no capacity for the unejection.
+// If warming replicas are unejected together, a raised weight is sent only after its replica is unejected: weights rise at
+// each evaluation, and sending them earlier would leave no capacity for the unejection.
 func TestRaisedWeightWaitsForTheUnejectionWhereWarmingReplicasReturnTogether(t *testing.T) {
 	p := newPacer(func(s *control.Settings) { s.MaxMessages = 4 })
 	p.proxies.tables = map[int]map[uint32]float64{0: {1: 0.2}, 1: {1: 0.4}, 2: {}}
@@ -40,13 +41,13 @@
 		control.SetEjected{Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.3}}})
 	for _, c := range ofType[control.SetEndpoint](p.Send(0).Commands) {
 		if c.Table == 0 {
-			t.Errorf("%v raises the weight of an ejected replica", c)
+			t.Errorf("sent %v, which raises the weight of an ejected replica", c)
 		}
 	}
 	p.messages = messageCaps{}
 	sent := p.Send(0)
 	assertEqual(t, "unejections", len(ofType[control.SetEjected](sent.Commands)), 1)
-	assertEqual(t, "left in the step", len(p.step.Commands), 0)
+	assertEqual(t, "commands left in the step", len(p.step.Commands), 0)
 }
 
 func TestWarmingReplicasAreUnejectedTogether(t *testing.T) {
@@ -64,29 +65,29 @@
 		}
 		return p
 	}
-	t.Run("all if there is capacity for all", func(t *testing.T) {
-		p := returning(450) // 120 units and ten message overheads are under 0.4 of it
+	t.Run("all are unejected if there is capacity for all", func(t *testing.T) {
+		p := returning(450) // the cost, 120 units and ten message overheads, is less than 0.4 of this limit
 		assertEqual(t, "unejected", unejected(p), warming)
 	})
-	t.Run("none while some would have no capacity, then all", func(t *testing.T) {
+	t.Run("none are unejected without capacity for all, then all at once", func(t *testing.T) {
 		p := returning(450)
 		p.channel.add(full)
 		assertEqual(t, "unejected while the channel is full", unejected(p), 0)
 		p.channel = channelAccount{}
 		assertEqual(t, "unejected once it is empty", unejected(p), warming)
 	})
-	t.Run("one by one where they need not be unejected together", func(t *testing.T) {
+	t.Run("some are unejected if they need not be unejected together", func(t *testing.T) {
 		p := returning(450)
 		p.warming.UnejectTogether = false
 		p.channel.add(full)
 		assertEqual(t, "some are unejected", unejected(p) > 0, true)
 	})
-	t.Run("as many as an empty channel has capacity for", func(t *testing.T) {
+	t.Run("as many are unejected as an empty channel has capacity for", func(t *testing.T) {
 		p := returning(300)
 		some := unejected(p)
 		assertEqual(t, "some, not all", some > 0 && some < warming, true)
 	})
-	t.Run("none while a weight of one of them is too high", func(t *testing.T) {
+	t.Run("none are unejected while a changed weight of one of them is held back", func(t *testing.T) {
 		p := returning(4000)
 		p.settings.MaxMessages = 4
 		p.step.Commands = append([]control.Command{control.SetEndpoint{Table: 1, Replica: 3, Weight: 0.1}}, p.step.Commands...)
@@ -106,9 +107,9 @@
 	p.SetStep(Step{Additions: 2, Commands: []control.Command{
 		control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Table: 1, Replica: 1, Weight: 1}}})
 	sent := p.Send(0)
-	assertEqual(t, "sent", len(sent.StepCommands), 1)
-	assertEqual(t, "the other table's endpoint", sent.StepCommands[0].(control.SetEndpoint).Table, 1)
-	assertEqual(t, "left in the step", len(p.step.Commands), 1)
+	assertEqual(t, "sent commands of the step", len(sent.StepCommands), 1)
+	assertEqual(t, "table of the sent endpoint", sent.StepCommands[0].(control.SetEndpoint).Table, 1)
+	assertEqual(t, "commands left in the step", len(p.step.Commands), 1)
 }
 
 func TestOnlyAdditionsAreSentWhileAnAckIsOverdue(t *testing.T) {
@@ -117,8 +118,8 @@
 	p.SetStep(Step{Additions: 1, Commands: []control.Command{
 		control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 0.5}}})
 	sent := ofType[control.SetEndpoint](p.Send(20 * time.Second).Commands)
-	assertEqual(t, "sent", len(sent), 1)
-	assertEqual(t, "the addition", sent[0].Replica, uint32(1))
+	assertEqual(t, "sent commands", len(sent), 1)
+	assertEqual(t, "replica of the addition", sent[0].Replica, uint32(1))
 }
 
 func TestTurnSendsStepThenUrgentThenNonce(t *testing.T) {
@@ -145,7 +146,7 @@
 	sent := p.Send(0)
 	assertEqual(t, "commands", len(sent.Commands), 1)
 	assertEqual(t, "nonce", sent.Nonce, uint64(0))
-	assertEqual(t, "waiting", p.Waiting(0), 0.0)
+	assertEqual(t, "waiting cost units", p.Waiting(0), 0.0)
 }
 
 func TestNonceOfACommandIsMasked(t *testing.T) {
@@ -154,7 +155,7 @@
 	p.Eject(1)
 	sent := p.Send(0)
 	assertEqual(t, "nonce", sent.Nonce, uint64(NonceMask+1))
-	assertEqual(t, "its bits in the command", ofType[control.RequestAck](sent.Commands)[0].Nonce, uint64(0))
+	assertEqual(t, "masked nonce in the command", ofType[control.RequestAck](sent.Commands)[0].Nonce, uint64(0))
 }
 
 func TestProxyIsNotBoundBeforeItsTableHasEndpoints(t *testing.T) {
@@ -162,9 +163,9 @@
 	table := p.proxies.tables[0]
 	p.proxies.tables[0] = nil
 	p.Bind(control.Bind{Proxy: 0, Table: 0})
-	p.Bind(control.Bind{Proxy: 99, Table: 0}) // was never connected
-	assertEqual(t, "binds", len(ofType[control.Bind](p.Send(0).Commands)), 0)
-	assertEqual(t, "queued, without the proxy that is not connected", p.urgent.len(), 1)
+	p.Bind(control.Bind{Proxy: 99, Table: 0}) // never connected
+	assertEqual(t, "binds while the table has no endpoint", len(ofType[control.Bind](p.Send(0).Commands)), 0)
+	assertEqual(t, "queued commands, without the bind of the proxy that is not connected", p.urgent.len(), 1)
 	p.proxies.tables[0] = table
-	assertEqual(t, "binds", len(ofType[control.Bind](p.Send(0).Commands)), 1)
+	assertEqual(t, "binds once the table has endpoints", len(ofType[control.Bind](p.Send(0).Commands)), 1)
 }
--- a/policy/pacing/pacing.go
+++ b/policy/pacing/pacing.go
@@ -1,22 +1,24 @@
-// Package pacing decides what is sent, in which order and within which budget. The channel to the proxies is slow and limits
-// what may wait in it, and each proxy takes only so many messages in a time. An ejection must reach all proxies within the
-// drain grace whatever else is to be sent, so everything else leaves capacity for it.
+// Package pacing decides which commands are sent to the proxies, in which order and within which budget. The channel to the
+// proxies is slow and limits how much may wait in it, and each proxy accepts only a limited number of messages within a
+// window of time. An ejection must reach all proxies within the drain grace whatever else is to be sent, so all other
+// commands leave capacity for it.
 //
-// One concern, one file:
+// Each file has one concern:
 //
 //   - cost.go: which proxies a command reaches and how many cost units of the channel it takes.
-//   - channel.go: what may still wait in the channel; what an ack clears; when a message is taken for lost.
-//   - messagecap.go: how many messages each proxy was sent lately.
-//   - budget.go: how much of both each kind of command may use: why a command is not sent yet.
-//   - subset.go: which proxies get only a subset of their table first, which one, and when they get the rest.
+//   - channel.go: how much may still wait in the channel, what an ack clears, and when a message counts as lost.
+//   - messagecap.go: how many messages each proxy was sent within the window.
+//   - budget.go: how much of the channel and of the message caps each kind of command may use; a command that exceeds its
+//     budget is not sent yet.
+//   - subset.go: which proxies get only a subset of their table first, which subset, and when they get the rest.
 //   - partition.go: how a table is divided into subsets.
-//   - order.go: the order of a turn's commands, and what is held back whatever the budget.
+//   - order.go: the order of a turn's commands, and the rules that hold a command back whatever its budget.
 //   - urgent.go: the queue of urgent commands: ejections, first binds and admission rates.
 //   - send.go: sending a command: its effects on the state of the proxies and on the turn.
 //   - proxies.go: the state of the proxies: bindings, tables, subsets, ejections.
 //
-// A cost unit is what one endpoint, ejection or admission rate takes of the channel at one proxy; control.Settings gives
-// the channel's rate and limit and the overhead of a message in the same unit.
+// A cost unit is the capacity of the channel that one endpoint, ejection or admission rate takes for one proxy;
+// control.Settings gives the channel's rate and limit and the overhead of a message in the same unit.
 //
 // The package has no I/O, no clock and no goroutine. Times are durations since any fixed moment.
 package pacing
@@ -28,33 +30,34 @@
 	"lilacbend/control"
 )
 
-// NonceMask has the bits of a nonce that a RequestAck carries.
+// NonceMask selects the bits of a nonce that a RequestAck carries.
 const NonceMask = 1<<16 - 1
 
-// Step is what the open step of the update has to send, in order.
+// Step holds the commands that the open step of the update has to send, in order.
 type Step struct {
-	Additions int // so many of the first commands add endpoints or uneject replicas
+	Additions int // number of commands at the start of Commands that add endpoints or uneject replicas
 	Commands  []control.Command
 }
 
-// Warming are the replicas that are still warming up.
+// Warming holds the replicas that are still warming up.
 type Warming struct {
 	Replicas map[uint32]bool
-	// UnejectTogether says that the warming replicas that are ejected are to be unejected all at once: a single one would get the
-	// load that is meant for all of them.
+	// UnejectTogether is whether the warming replicas that are ejected are to be unejected all at once: a single unejected
+	// replica would get the load that is meant for all of them.
 	UnejectTogether bool
 }
 
-// Sent is what Send has sent.
+// Sent reports what Send has sent.
 type Sent struct {
-	Commands     []control.Command // all of them, in order
-	StepCommands []control.Command // those of the update's step
-	Proxies      []int             // that the commands reach; ascending
-	Nonce        uint64            // that each of the proxies is asked to acknowledge; 0: there are none
+	Commands     []control.Command // all commands, in order
+	StepCommands []control.Command // the commands of the update's step
+	Proxies      []int             // the proxies that the commands reach, ascending
+	Nonce        uint64            // the nonce that each of Proxies is asked to acknowledge; 0: there are no such proxies
 }
 
-// Pacer is the only sender of commands to proxies. Its methods note what is to be sent and what is known of the proxies; Send,
-// once at the end of a turn, sends what the budgets admit. The rest waits for later turns.
+// Pacer is the only sender of commands to proxies. Its methods record which commands are to be sent and what the proxies
+// have reported; Send, called once at the end of a turn, sends the commands that the budgets admit. The others wait for
+// later turns.
 type Pacer struct {
 	settings     *control.Settings
 	tickInterval time.Duration
@@ -63,15 +66,15 @@
 	proxies  *proxyStates
 	channel  channelAccount
 	messages messageCaps
-	nonce    uint64 // the last one sent
+	nonce    uint64 // the last nonce that was sent
 
 	urgent urgentQueue
 	step   Step
 	turn   turn
 }
 
-// New returns a Pacer for proxies of which nothing is known. It reads the settings at each call, so that changed settings hold at
-// once. A turn comes at least once in each tick interval.
+// New returns a Pacer without proxies. The settings are read at each call, so that changes take effect at once. There is at
+// least one turn in each tick interval.
 func New(settings *control.Settings, tickInterval time.Duration) *Pacer {
 	return &Pacer{
 		settings:     settings,
@@ -80,26 +83,26 @@
 	}
 }
 
-// RenumberClasses follows changed traffic classes: newClasses has the new number of each old one, below 0 if the class no longer
-// exists.
+// RenumberClasses adapts to changed traffic classes: newClasses has the new number of each class by its old number, negative
+// if the class no longer exists.
 func (p *Pacer) RenumberClasses(newClasses []int) {
 	p.proxies.renumberClasses(newClasses)
 	p.urgent.renumberClasses(newClasses)
 }
 
-// SetStep replaces what the update's open step has to send.
+// SetStep replaces the commands that the update's open step has to send.
 func (p *Pacer) SetStep(step Step) { p.step = step }
 
 // SetWarming replaces the set of warming replicas.
 func (p *Pacer) SetWarming(warming Warming) { p.warming = warming }
 
-// Eject has a replica ejected before all else that is urgent.
+// Eject queues the ejection of a replica before all other urgent commands.
 func (p *Pacer) Eject(replica uint32) { p.urgent.eject(replica) }
 
-// Bind has a proxy bound to its first table.
+// Bind queues the bind of a proxy to its first table.
 func (p *Pacer) Bind(bind control.Bind) { p.urgent.add(bind) }
 
-// SetAdmission has an admission rate sent.
+// SetAdmission queues an admission rate.
 func (p *Pacer) SetAdmission(admission control.SetAdmission) { p.urgent.add(admission) }
 
 // CancelBinds drops all binds that were not sent yet.
@@ -108,24 +111,26 @@
 	p.step.Commands = withoutBinds(p.step.Commands)
 }
 
-// Connected notes a proxy whose stream has opened, with its forecast of requests a second.
+// Connected records a proxy whose stream has opened, with its forecast of requests per second.
 func (p *Pacer) Connected(proxy int, rate float64) { p.proxies.connect(proxy, rate) }
 
-// Disconnected notes a proxy whose stream has closed. What was sent to it still counts for the channel and for its message cap.
+// Disconnected records that a proxy's stream has closed. Messages that were sent to it still count for the channel and for
+// its message cap.
 func (p *Pacer) Disconnected(proxy int) { p.proxies.disconnect(proxy) }
 
-// Forget drops a replica that no longer exists.
+// Forget removes the ejection of a replica that no longer exists from the state of the proxies.
 func (p *Pacer) Forget(replica uint32) { delete(p.proxies.ejected, replica) }
 
-// Acknowledged notes that a proxy has acknowledged a nonce, or with all that every proxy concerned has.
+// Acknowledged records that a proxy has acknowledged a nonce; all is whether every proxy that was sent the nonce has now
+// done so.
 func (p *Pacer) Acknowledged(now time.Duration, nonce uint64, all bool) {
 	p.channel.acknowledge(now, nonce, all)
 }
 
-// Abandoned notes that every proxy that has not acknowledged the nonce has disconnected.
+// Abandoned records that every proxy that has not acknowledged the nonce has disconnected.
 func (p *Pacer) Abandoned(nonce uint64) { p.channel.abandon(nonce) }
 
-// Bindings returns the table of each connected proxy, below 0 where it is not bound yet.
+// Bindings returns the table of each connected proxy, negative for a proxy that is not bound yet.
 func (p *Pacer) Bindings() map[int]int { return maps.Clone(p.proxies.bindings) }
 
 // Waiting returns how many cost units may still wait in the channel.
--- a/policy/pacing/partition.go
+++ b/policy/pacing/partition.go
@@ -7,16 +7,18 @@
 	"lilacbend/policy/internal/ordered"
 )
 
-// partition divides a table into subsets. Each replica is in exactly one, and all subsets weigh nearly the same. Endpoints keep
-// their weights, so a replica gets from all subsets together what it would get from complete tables.
+// partition divides a table into subsets. Each replica is in exactly one subset, and all subsets have nearly the same total
+// weight. Endpoints keep their weights, so the requests that a replica gets from all subsets together are those that it
+// would get from complete tables.
 type partition struct {
 	subsets  [][]uint32
-	requests []float64      // a second, that proxies send to each subset by the subsets that they hold
-	subsetOf map[uint32]int // of each replica
+	requests []float64      // by subset: requests per second from the proxies that hold replicas of it
+	subsetOf map[uint32]int // by replica: index of its subset
 }
 
-// newPartition divides the replicas of a table, but those that are ejected at the proxies, into as few subsets as have at most size replicas
-// each. The heaviest replica that is left always goes to the lightest subset that has capacity.
+// newPartition divides the replicas of a table, except those that are ejected at the proxies, into the smallest number of
+// subsets that have at most size replicas each. Replicas are added in descending order of weight, each to the lightest
+// subset that has fewer than size replicas.
 func newPartition(weights map[uint32]float64, ejected map[uint32]bool, size int) *partition {
 	replicas := slices.DeleteFunc(ordered.Keys(weights), func(replica uint32) bool { return ejected[replica] })
 	slices.SortStableFunc(replicas, func(a, b uint32) int { return cmp.Compare(weights[b], weights[a]) })
@@ -47,7 +49,7 @@
 	return lightest
 }
 
-// addRequests counts the requests a second of a proxy that holds some of the replicas: equal parts go to each.
+// addRequests adds the requests per second of a proxy that holds the given replicas, divided equally among these replicas.
 func (p *partition) addRequests(held map[uint32]bool, rate float64) {
 	for replica := range held {
 		if k, ok := p.subsetOf[replica]; ok {
@@ -56,7 +58,7 @@
 	}
 }
 
-// assign returns the subset with the fewest requests and counts those of a further proxy to it.
+// assign returns the subset with the fewest requests per second, and adds the rate of the proxy that is to hold it.
 func (p *partition) assign(rate float64) []uint32 {
 	least := 0
 	for k := range p.requests {
--- a/policy/pacing/proxies.go
+++ b/policy/pacing/proxies.go
@@ -8,21 +8,22 @@
 	"lilacbend/policy/internal/renumber"
 )
 
-// unbound is the table of a proxy that is connected and not bound yet: it may hold any table of an earlier controller.
+// unbound is the table number of a proxy that is connected but not bound yet: it may still hold any table of an earlier
+// controller.
 const unbound = -1
 
-// minRequestRate, in requests a second, is assumed for a proxy whose forecast is 0, so that such proxies are divided among subsets,
-// too.
+// minRequestRate, in requests per second, is assumed for a proxy whose forecast is 0, so that such proxies are divided among
+// subsets as well.
 const minRequestRate = 1e-6
 
-// proxyStates is what the proxies hold once they have got everything that was sent.
+// proxyStates is the state that the proxies have once they have received all messages that were sent.
 type proxyStates struct {
-	bindings map[int]int                // table of each connected proxy, or unbound
-	members  map[int][]int              // the same by table: its proxies, ascending
-	tables   map[int]map[uint32]float64 // weight of each replica in each table; never 0
+	bindings map[int]int                // by connected proxy: its table, or unbound
+	members  map[int][]int              // by table, or unbound: its proxies, ascending
+	tables   map[int]map[uint32]float64 // by table and replica: the weight; never 0
 	ejected  map[uint32]bool
-	subsets  map[int]*subset // of the proxies that hold only a subset of their table
-	rates    map[int]float64 // forecast of each connected proxy, in requests a second
+	subsets  map[int]*subset // by proxy, for those that hold only a subset of their table
+	rates    map[int]float64 // by connected proxy: forecast, in requests per second
 	limited  map[int]bool    // traffic classes for which an admission rate was sent
 }
 
@@ -53,7 +54,7 @@
 	return ok
 }
 
-// bind puts a proxy on a table, which it holds completely.
+// bind binds a proxy to a table, which it holds completely.
 func (s *proxyStates) bind(proxy, table int) {
 	s.unbind(proxy)
 	s.bindings[proxy] = table
@@ -61,7 +62,7 @@
 	s.members[table] = slices.Insert(s.members[table], k, proxy)
 }
 
-// bindSubset puts a proxy on a table of which it holds a subset.
+// bindSubset binds a proxy to a table, of which it holds only a subset.
 func (s *proxyStates) bindSubset(c control.BindSubset) {
 	s.bind(c.Proxy, c.Table)
 	s.subsets[c.Proxy] = newSubset(c.Replicas)
@@ -91,7 +92,7 @@
 	s.tables[c.Table][c.Replica] = c.Weight
 }
 
-// setEjected notes an ejection, or its end.
+// setEjected records an ejection or an unejection. An ejected replica is also removed from the subsets that proxies hold.
 func (s *proxyStates) setEjected(c control.SetEjected) {
 	if !c.Ejected {
 		delete(s.ejected, c.Replica)
@@ -103,7 +104,7 @@
 	}
 }
 
-// loseFromSubsets drops a replica from the subsets of a table.
+// loseFromSubsets removes a replica from the subsets that proxies hold of a table.
 func (s *proxyStates) loseFromSubsets(table int, replica uint32) {
 	for proxy, held := range s.subsets {
 		if s.bindings[proxy] == table {
@@ -112,7 +113,7 @@
 	}
 }
 
-// holders returns the proxies on a table that hold the endpoint of a replica, or would if it was in the table.
+// holders returns the proxies bound to a table that hold the endpoint of a replica, or would hold it if it was in the table.
 func (s *proxyStates) holders(table int, replica uint32) []int {
 	if len(s.subsets) == 0 {
 		return s.members[table]
@@ -127,18 +128,19 @@
 	return holders
 }
 
-// withCompleteTable is how many proxies are bound and hold their complete table.
+// withCompleteTable returns the number of proxies that are bound and hold their complete table.
 func (s *proxyStates) withCompleteTable() int {
 	return len(s.bindings) - len(s.members[unbound]) - len(s.subsets)
 }
 
-// requestRate is the forecast of a proxy, in requests a second. A stream may give none.
+// requestRate returns the forecast of a proxy in requests per second, or minRequestRate if the proxy gave none.
 func (s *proxyStates) requestRate(proxy int) float64 { return math.Max(s.rates[proxy], minRequestRate) }
 
-// limitedClasses is how many traffic classes have an admission rate.
+// limitedClasses returns the number of traffic classes for which an admission rate was sent.
 func (s *proxyStates) limitedClasses() int { return len(s.limited) }
 
-// renumberClasses gives the admission rates the new numbers of their traffic classes.
+// renumberClasses replaces the numbers of traffic classes that have an admission rate, and drops classes that no longer
+// exist.
 func (s *proxyStates) renumberClasses(newClasses []int) {
 	limited := map[int]bool{}
 	for class := range s.limited {
--- a/policy/pacing/proxies_test.go
+++ b/policy/pacing/proxies_test.go
@@ -19,12 +19,12 @@
 	assertEqual(t, "bindings", reflect.DeepEqual(s.bindings, map[int]int{1: 7, 3: 8, 5: unbound}), true)
 	for table, want := range map[int][]int{unbound: {5}, 7: {1}, 8: {3}} {
 		if !slices.Equal(s.members[table], want) {
-			t.Errorf("table %d: got %v, want %v", table, s.members[table], want)
+			t.Errorf("table %d: got members %v, want %v", table, s.members[table], want)
 		}
 	}
 	s.disconnect(3)
 	assertEqual(t, "connected", s.connected(3), false)
-	assertEqual(t, "complete tables", s.withCompleteTable(), 1)
+	assertEqual(t, "proxies with a complete table", s.withCompleteTable(), 1)
 }
 
 func TestReconnectedProxyIsUnbound(t *testing.T) {
@@ -33,8 +33,8 @@
 	s.bindSubset(control.BindSubset{Proxy: 1, Table: 4, Replicas: []uint32{1}})
 	s.connect(1, 0)
 	assertEqual(t, "binding", s.bindings[1], unbound)
-	assertEqual(t, "subsets", len(s.subsets), 0)
-	assertEqual(t, "requests a second", s.requestRate(1), minRequestRate)
+	assertEqual(t, "proxies with a subset", len(s.subsets), 0)
+	assertEqual(t, "requests per second", s.requestRate(1), minRequestRate)
 }
 
 func TestSubsetLosesReplicas(t *testing.T) {
@@ -44,7 +44,7 @@
 		left   float64
 		holds  bool // replica 1
 	}{
-		{"nothing happened", func(*proxyStates) {}, 1, true},
+		{"no change", func(*proxyStates) {}, 1, true},
 		{"weight changed", func(s *proxyStates) { s.setWeight(control.SetEndpoint{Table: 4, Replica: 1, Weight: 3}) }, 1, true},
 		{"endpoint removed", func(s *proxyStates) { s.setWeight(control.SetEndpoint{Table: 4, Replica: 1}) }, 0.75, false},
 		{"endpoint of another table removed", func(s *proxyStates) { s.setWeight(control.SetEndpoint{Table: 5, Replica: 1}) }, 1, true},
@@ -63,8 +63,8 @@
 			}
 			s.bindSubset(control.BindSubset{Proxy: 1, Table: 4, Replicas: []uint32{1, 2, 3, 4}})
 			c.change(s)
-			assertEqual(t, "left", s.subsets[1].left(), c.left)
-			assertEqual(t, "holds the replica", slices.Contains(s.holders(4, 1), 1), c.holds)
+			assertEqual(t, "fraction left", s.subsets[1].left(), c.left)
+			assertEqual(t, "holds replica 1", slices.Contains(s.holders(4, 1), 1), c.holds)
 		})
 	}
 }
@@ -80,17 +80,17 @@
 	if got, want := s.holdingSubsets(), []int{1, 3, 2, 0}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	assertEqual(t, "half is left", s.subsets[2].needsRenewal(), false)
-	assertEqual(t, "a third is left", s.subsets[3].needsRenewal(), true)
+	assertEqual(t, "needs renewal with half of its subset left", s.subsets[2].needsRenewal(), false)
+	assertEqual(t, "needs renewal with a third of its subset left", s.subsets[3].needsRenewal(), true)
 }
 
 func TestForgottenReplicaIsNoLongerEjected(t *testing.T) {
 	p := withTable(1, nil)
 	p.Eject(5)
 	p.Send(0)
-	assertEqual(t, "ejected", p.proxies.ejected[5], true)
+	assertEqual(t, "ejected before Forget", p.proxies.ejected[5], true)
 	p.Forget(5)
-	assertEqual(t, "ejected", p.proxies.ejected[5], false)
+	assertEqual(t, "ejected after Forget", p.proxies.ejected[5], false)
 }
 
 func TestBindingsAreACopy(t *testing.T) {
@@ -99,5 +99,5 @@
 	got := p.Bindings()
 	assertEqual(t, "bindings", reflect.DeepEqual(got, map[int]int{0: 0, 1: 0, 7: unbound}), true)
 	got[0] = 9
-	assertEqual(t, "binding", p.proxies.bindings[0], 0)
+	assertEqual(t, "binding after the copy was changed", p.proxies.bindings[0], 0)
 }
--- a/policy/pacing/send.go
+++ b/policy/pacing/send.go
@@ -7,15 +7,15 @@
 	"lilacbend/policy/internal/ordered"
 )
 
-// turn is what is sent in one turn.
+// turn holds what is sent in one turn.
 type turn struct {
 	now             time.Duration
 	commands        []control.Command
 	reached         map[int]bool       // proxies that get a message
 	units           float64            // cost units of all commands, message overheads included
-	waiting         float64            // cost units that wait in the channel as the turn begins
-	firstTableUnits float64            // that the first table of a proxy may take
-	partitions      map[int]*partition // of the tables of which a subset was needed
+	waiting         float64            // cost units that may wait in the channel as the turn begins
+	firstTableUnits float64            // cost units that the first table of a proxy may take
+	partitions      map[int]*partition // by table, for the tables that were divided into subsets in this turn
 }
 
 func (p *Pacer) beginTurn(now time.Duration) {
@@ -28,8 +28,8 @@
 	p.turn.firstTableUnits = p.firstTableUnits()
 }
 
-// trySend sends a command if its budget admits it, and says whether the command is done with: sent, or a bind of a proxy that
-// has disconnected. A bind also waits until its table has an endpoint.
+// trySend sends a command if its budget admits it, and reports whether the command need not be sent any more: it was sent,
+// or binds a proxy that has disconnected. A bind also waits until its table has an endpoint.
 func (p *Pacer) trySend(command control.Command, limit budget) bool {
 	cost := p.price(command, nil)
 	if !p.admits(cost, limit) {
@@ -48,7 +48,7 @@
 	return true
 }
 
-// apply notes what the proxies hold once they have got a command.
+// apply updates the state of the proxies to what it is once they have received a command.
 func (p *Pacer) apply(command control.Command) {
 	switch c := command.(type) {
 	case control.Bind:
@@ -90,8 +90,8 @@
 	return sent
 }
 
-// ackTime is how long the ack of this turn's messages takes if the channel keeps its rate: until everything before and in them
-// is sent, has reached the proxies, and the controller has received the ack in a turn.
+// ackTime returns how long the ack of this turn's messages takes if the channel keeps its rate: until these messages and all
+// earlier ones are sent and have reached the proxies, and the controller has received the ack in a turn.
 func (p *Pacer) ackTime() time.Duration {
 	seconds := (p.turn.waiting + p.turn.units) / p.settings.ChannelRate
 	return p.tickInterval + time.Duration(p.settings.MaxTransit) + time.Duration(seconds*float64(time.Second))
--- a/policy/pacing/subset.go
+++ b/policy/pacing/subset.go
@@ -9,23 +9,23 @@
 	"lilacbend/policy/internal/ordered"
 )
 
-// subset is what a proxy holds that was given only a subset of its table first.
+// subset holds the endpoints of a proxy that was first sent only a subset of its table.
 //
-// A proxy that connects knows nothing valid: within the drain grace it needs a table without the replicas that are ejected.
-// In a reconnect storm complete tables for all proxies would take longer than the grace, and ejections would wait behind them.
-// So where the host queues and the grace is known, a proxy gets only a subset of its table first if the complete table costs
-// more than its share of what the channel sends within the grace (firstTableUnits). The grace is divided:
+// A proxy that connects has no valid state: within the drain grace it needs a table without the replicas that are ejected.
+// In a reconnect storm complete tables for all proxies would take longer than the grace, and ejections would wait behind
+// them. So if the host queues and the grace is known, a proxy first gets only a subset of its table if the complete table
+// costs more than its share of what the channel sends within the grace (firstTableUnits). The grace is divided:
 //
-//	3/8   first tables of all proxies that are not bound yet, in equal shares
-//	3/8   less what waits in the channel: first tables of the proxies that are to be bound in this turn, in equal shares; so a few
-//	      proxies get complete tables at once
-//	1/4   ejections for the proxies that are bound; rests of tables, while no more than this waits
+//	3/8   first tables of all proxies that do not hold a complete table yet, in equal shares
+//	3/8   less what waits in the channel: first tables of the proxies that are to be bound in this turn, in equal shares; so
+//	      a small number of proxies gets complete tables at once
+//	1/4   ejections for the proxies that are bound; also the rest of tables, while no more than this waits in the channel
 //
-// A proxy gets the rest of its table when nothing urgent waits and completionBudget has capacity. If more than half of its
-// subset has been ejected or removed before, the subset is renewed at once (minSubsetLeft).
+// A proxy gets the rest of its table when no urgent command waits and completionBudget has capacity. If more than half of
+// its subset has been ejected or removed before that, the subset is renewed at once (minSubsetLeft).
 type subset struct {
-	replicas map[uint32]bool // those that were neither ejected nor removed since
-	given    int             // how many there were
+	replicas map[uint32]bool // those that were neither ejected nor removed since the subset was sent
+	given    int             // number of replicas when the subset was sent
 }
 
 const (
@@ -33,12 +33,13 @@
 	sharedGraceFraction     = 3.0 / 8
 	completionGraceFraction = 1.0 / 4
 
-	// minSubset is the least number of replicas in a subset. So many are also unejected with it: an earlier
-	// controller may have ejected them, and the proxy must not be left without any endpoint.
+	// minSubset is the least number of replicas in a subset, and the number of replicas that are unejected with each subset:
+	// an earlier controller may have ejected them, and the proxy must not be left without any endpoint.
 	minSubset = 3
 	// minSubsetLeft is the fraction of a subset below which it is renewed.
 	minSubsetLeft = 0.5
-	// subsetMessageUnits is what a message with a subset costs besides the overhead and its replicas: the nonce and the binding.
+	// subsetMessageUnits is what a message with a subset costs besides the overhead and its replicas: the nonce and the
+	// binding.
 	subsetMessageUnits = 2
 )
 
@@ -50,12 +51,12 @@
 	return s
 }
 
-// left is the fraction of the subset that was neither ejected nor removed.
+// left returns the fraction of the subset that was neither ejected nor removed since it was sent.
 func (s *subset) left() float64 { return float64(len(s.replicas)) / float64(max(1, s.given)) }
 
 func (s *subset) needsRenewal() bool { return s.left() < minSubsetLeft }
 
-// firstTableUnits is how many cost units the first table of one proxy may take in this turn.
+// firstTableUnits returns how many cost units the first table of one proxy may take in this turn.
 func (p *Pacer) firstTableUnits() float64 {
 	grace := p.graceFraction() * float64(p.settings.ChannelLimit)
 	unbound := p.settings.Proxies - p.proxies.withCompleteTable()
@@ -64,15 +65,15 @@
 	return reserved + shared/float64(1+p.urgent.len())
 }
 
-// subsetSize is how many replicas fit into the first table of a proxy.
+// subsetSize returns how many replicas fit into the first table of a proxy, at least minSubset.
 func (p *Pacer) subsetSize() int {
 	units := int(p.turn.firstTableUnits) - p.settings.MessageOverhead - subsetMessageUnits
 	return max(minSubset, units-p.proxies.limitedClasses()-minSubset)
 }
 
-// firstTable returns the command that gives a proxy its first table: complete, or a subset if the complete table costs more
-// than its share. The subset is the one to which the proxies that hold it send the fewest requests: together they load the
-// table evenly.
+// firstTable returns the command that sends a proxy its first table: the complete table, or a subset if the complete table
+// costs more than the proxy's share. It chooses the subset that gets the fewest requests from the proxies that hold it, so
+// that the proxies together load the table evenly.
 func (p *Pacer) firstTable(bind control.Bind) control.Command {
 	units := float64(p.tableUnits(bind.Table) + p.settings.MessageOverhead + 1)
 	partition := p.partition(bind.Table)
@@ -87,7 +88,8 @@
 	}
 }
 
-// partition returns how a table is divided in this turn: as the table stands when the first proxy of the turn needs a subset.
+// partition returns the division of a table into subsets, which stays the same during a turn: it is made from the state of
+// the table when the first proxy of the turn needs it.
 func (p *Pacer) partition(table int) *partition {
 	if known := p.turn.partitions[table]; known != nil {
 		return known
@@ -103,15 +105,16 @@
 	return made
 }
 
-// completionBudget is the budget of the rest of a table after a subset.
+// completionBudget returns the budget of the rest of a table after a subset.
 func (p *Pacer) completionBudget() budget {
 	return budget{completionGraceFraction * p.graceFraction(), additionMessageFraction}
 }
 
-// sendRestOfTables renews subsets that have lost too much, and completes tables as far as the budget goes. It ends at the first
-// proxy whose table it cannot complete: this holds back the later proxies' completions in this pass, though a smaller one might
-// fit, so that the proxy with the least left goes first. Any urgent command that waits, of this turn or before, stops all
-// completions. Proxies whose subset needs renewal come before all others, so no completion holds them back.
+// sendRestOfTables renews subsets of which too little is left, and completes tables as far as the budget allows. It stops at
+// the first proxy whose table it cannot complete: this holds back the completions of later proxies in this turn, even if a
+// smaller table would fit, so that the proxy with the least of its subset left is completed first. Any waiting urgent
+// command, of this turn or an earlier one, stops all completions. Proxies whose subset needs renewal come before all others,
+// so completions do not hold renewals back.
 func (p *Pacer) sendRestOfTables() {
 	for _, proxy := range p.proxies.holdingSubsets() {
 		bind := control.Bind{Proxy: proxy, Table: p.proxies.bindings[proxy]}
@@ -125,7 +128,8 @@
 	}
 }
 
-// holdingSubsets returns the proxies that hold only a subset of their table, those first that have least of it left.
+// holdingSubsets returns the proxies that hold only a subset of their table, those with the least of their subset left
+// first.
 func (s *proxyStates) holdingSubsets() []int {
 	holders := ordered.Keys(s.subsets)
 	slices.SortStableFunc(holders, func(a, b int) int {
@@ -134,9 +138,10 @@
 	return holders
 }
 
-// subsetCandidates returns the endpoints of a table that subsets are made of: those that are not warming up, while they have half of
-// the weight of all that are not ejected; all endpoints otherwise. Half of a subset may be ejected, and a proxy may send more
-// than it forecast: a warming replica in a subset could get several times the load that its weight is meant for.
+// subsetCandidates returns the endpoints of a table that subsets are made of: those of replicas that are neither warming up
+// nor ejected, if they have at least half of the weight of all replicas that are not ejected; all endpoints otherwise. Half
+// of a subset may be ejected, and a proxy may send more requests than it forecast: a warming replica in a subset could get
+// several times the load that its weight is meant for.
 func (s *proxyStates) subsetCandidates(table int, warming map[uint32]bool) map[uint32]float64 {
 	warmedUp := map[uint32]float64{}
 	warmedUpWeight := 0.0
--- a/policy/pacing/subset_test.go
+++ b/policy/pacing/subset_test.go
@@ -10,8 +10,8 @@
 
 const second = int64(time.Second)
 
-// inStorm returns a Pacer whose table 0 has so many replicas, with a grace in which the channel sends 6000 cost units, and
-// proxies that have just connected.
+// inStorm returns a Pacer in a reconnect storm: table 0 has the given number of replicas, the given number of proxies has
+// just connected, and the channel sends 6000 cost units within the drain grace.
 func inStorm(replicas uint32, connected int, change func(*control.Settings)) *Pacer {
 	p := newPacer(func(s *control.Settings) {
 		s.HostQueues = true
@@ -49,17 +49,18 @@
 			assignments[replica]++
 		}
 	}
-	for replica := range uint32(60) { // all alike, by turns
+	for replica := range uint32(60) { // all replicas are in nearly the same number of subsets
 		if assignments[replica] < 160*len(subsets[0].Replicas)/60-4 {
-			t.Errorf("replica %d is in %d subsets", replica, assignments[replica])
+			t.Errorf("replica %d is in the subsets of %d proxies, want at least %d",
+				replica, assignments[replica], 160*len(subsets[0].Replicas)/60-4)
 		}
 	}
 	within := p.turn.units <= (reservedGraceFraction+sharedGraceFraction)*6000
-	assertEqual(t, "all within what the grace has for first tables", within, true)
+	assertEqual(t, "first tables cost no more than their part of the grace", within, true)
 }
 
-// Where the host does not queue a reconnect storm gets complete tables, as many at a time as half of the grace lets through: an
-// ejection while they are under way need not wait for their acks.
+// If the host does not queue, the proxies of a reconnect storm get complete tables, at one time as many as the channel sends
+// in half of the grace: an ejection need not wait for the acks of these tables.
 func TestCompleteTablesOfAReconnectStormLeaveCapacityForAnEjection(t *testing.T) {
 	p := inStorm(40, 160, func(s *control.Settings) {
 		s.HostQueues = false
@@ -68,17 +69,17 @@
 		s.DrainGrace = 38 * second / 10
 		s.MaxTransit = second / 2
 	})
-	assertEqual(t, "some are bound", len(ofType[control.Bind](p.Send(0).Commands)) > 0, true)
-	assertEqual(t, "within half of the grace", p.Waiting(0) <= 1500*1.4, true)
+	assertEqual(t, "some proxies are bound", len(ofType[control.Bind](p.Send(0).Commands)) > 0, true)
+	assertEqual(t, "no more waits than is sent in half of the grace", p.Waiting(0) <= 1500*1.4, true)
 	p.Eject(3)
-	assertEqual(t, "ejections while no ack has come", len(ofType[control.SetEjected](p.Send(0).Commands)), 1)
-	p.settings.DrainGrace = second // in half of which nothing gets through
+	assertEqual(t, "ejections before the first ack", len(ofType[control.SetEjected](p.Send(0).Commands)), 1)
+	p.settings.DrainGrace = second // half of it is no longer than the transit
 	p.channel = channelAccount{}
-	assertEqual(t, "some are bound with a short grace", len(ofType[control.Bind](p.Send(0).Commands)) > 0, true)
+	assertEqual(t, "some proxies are bound with a short grace", len(ofType[control.Bind](p.Send(0).Commands)) > 0, true)
 }
 
-// Once the reconnect storm has its subsets the rest follows as the channel has capacity; a subset of which more than half is lost
-// is renewed at once.
+// After the subsets of a reconnect storm are sent, the rest of the tables is sent as the channel has capacity; a subset of
+// which more than half is lost is renewed at once.
 func TestRestOfATableFollowsAndALostSubsetIsRenewed(t *testing.T) {
 	p := inStorm(60, 160, nil)
 	p.Send(0)
@@ -93,28 +94,29 @@
 	sent := p.Send(0)
 	renewed := ofType[control.BindSubset](sent.Commands)
 	includes := slices.ContainsFunc(renewed, func(c control.BindSubset) bool { return c.Proxy == 5 })
-	assertEqual(t, "some are renewed, the proxy among them", includes, true)
+	assertEqual(t, "the subset of proxy 5 is renewed", includes, true)
 	for _, c := range renewed {
 		assertEqual(t, "an ejected replica is in a renewed subset", slices.Contains(c.Replicas, lost[0]), false)
 	}
-	assertEqual(t, "complete tables while much waits", len(ofType[control.Bind](sent.Commands)), 0)
-	p.channel = channelAccount{} // all is acknowledged
+	assertEqual(t, "complete tables while the channel is full", len(ofType[control.Bind](sent.Commands)), 0)
+	p.channel = channelAccount{} // all messages are acknowledged
 	complete := len(ofType[control.Bind](p.Send(0).Commands))
-	assertEqual(t, "some get the rest", complete > 0 && complete < 160, true)
-	assertEqual(t, "the others wait", len(p.proxies.subsets), 160-complete)
+	assertEqual(t, "some proxies get the rest of their table", complete > 0 && complete < 160, true)
+	assertEqual(t, "the other proxies keep their subset", len(p.proxies.subsets), 160-complete)
 }
 
 func TestRestOfATableWaitsForUrgentCommands(t *testing.T) {
 	p := inStorm(60, 0, func(s *control.Settings) { s.HostQueues = true })
 	p.proxies.bindSubset(control.BindSubset{Proxy: 1, Replicas: []uint32{1, 2, 3}})
 	p.SetAdmission(control.SetAdmission{Class: 1})
-	assertEqual(t, "complete tables", len(ofType[control.Bind](p.Send(0).Commands)), 0)
-	assertEqual(t, "complete tables once nothing urgent waits", len(ofType[control.Bind](p.Send(0).Commands)), 1)
+	assertEqual(t, "complete tables while an urgent command waits", len(ofType[control.Bind](p.Send(0).Commands)), 0)
+	assertEqual(t, "complete tables once no urgent command waits", len(ofType[control.Bind](p.Send(0).Commands)), 1)
 	assertEqual(t, "proxies with a subset", len(p.proxies.subsets), 0)
 }
 
-// A warming replica gets nothing from subsets while the others have half of their table's weight: where some of a subset is
-// ejected, or a proxy sends more than it forecast, a warming one would get a load that it does not get from complete tables.
+// Subsets have no warming replicas while the warmed-up replicas have at least half of the table's weight: if replicas of a
+// subset are ejected, or a proxy sends more requests than it forecast, a warming replica would get more load than from
+// complete tables.
 func TestSubsetsAreOfWarmedUpReplicasWhileTheyHaveHalfOfTheWeight(t *testing.T) {
 	p := inStorm(20, 0, nil)
 	warming := map[uint32]bool{}
@@ -122,11 +124,11 @@
 		warming[replica] = true
 	}
 	candidates := func() int { return len(p.proxies.subsetCandidates(0, warming)) }
-	assertEqual(t, "the warmed up", candidates(), 10)
+	assertEqual(t, "candidates: the warmed-up replicas", candidates(), 10)
 	p.proxies.ejected[15] = true
-	assertEqual(t, "all, as the warmed up that are not ejected have less than half", candidates(), 20)
+	assertEqual(t, "candidates: all replicas, as the warmed-up ones that are not ejected have less than half", candidates(), 20)
 	p.proxies.ejected[3] = true
-	assertEqual(t, "the warmed up that are not ejected", candidates(), 9)
+	assertEqual(t, "candidates: the warmed-up replicas that are not ejected", candidates(), 9)
 }
 
 func TestFirstTableIsASubsetOnlyAboveItsShare(t *testing.T) {
@@ -134,12 +136,12 @@
 	for _, c := range []struct {
 		name  string
 		units float64
-		size  int // 0: complete
+		size  int // of the subset; 0: the table is complete
 	}{
-		{"the table costs less", complete + 1, 0},
-		{"the table costs all of it", complete, 60},
+		{"the table costs less than the share", complete + 1, 0},
+		{"the table costs exactly the share", complete, 60},
 		{"a third of the table fits", 4 + 2 + 3 + 20, 20},
-		{"next to nothing fits", 1, minSubset},
+		{"less than a subset of least size fits", 1, minSubset},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := inStorm(60, 0, nil)
@@ -148,10 +150,10 @@
 			p.turn.firstTableUnits = c.units
 			got := p.firstTable(control.Bind{Proxy: 1})
 			if subset, ok := got.(control.BindSubset); ok {
-				assertEqual(t, "replicas", len(subset.Replicas), c.size)
+				assertEqual(t, "replicas in the subset", len(subset.Replicas), c.size)
 				return
 			}
-			assertEqual(t, "replicas", 0, c.size)
+			assertEqual(t, "replicas in the subset", 0, c.size)
 		})
 	}
 }
@@ -164,12 +166,12 @@
 		waiting       float64
 		want          float64
 	}{
-		{"nobody is bound", 0, 1, 0, 3*grace/8/200 + 3*grace/8/2},
-		{"most are bound", 150, 1, 0, 3*grace/8/50 + 3*grace/8/2},
-		{"all are bound", 200, 1, 0, 3*grace/8 + 3*grace/8/2},
-		{"many are to be bound", 0, 99, 0, 3*grace/8/200 + 3*grace/8/100},
-		{"much waits in the channel", 0, 1, 2000, 3*grace/8/200 + 250.0/2},
-		{"more waits in the channel", 0, 1, 5000, 3 * grace / 8 / 200},
+		{"no proxy is bound", 0, 1, 0, 3*grace/8/200 + 3*grace/8/2},
+		{"most proxies are bound", 150, 1, 0, 3*grace/8/50 + 3*grace/8/2},
+		{"all proxies are bound", 200, 1, 0, 3*grace/8 + 3*grace/8/2},
+		{"many proxies are to be bound", 0, 99, 0, 3*grace/8/200 + 3*grace/8/100},
+		{"less waits in the channel than the shared part of the grace", 0, 1, 2000, 3*grace/8/200 + 250.0/2},
+		{"more waits in the channel than the shared part of the grace", 0, 1, 5000, 3 * grace / 8 / 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := inStorm(60, 0, nil)
@@ -180,7 +182,7 @@
 				p.Bind(control.Bind{Proxy: 1000 + proxy})
 			}
 			p.turn.waiting = c.waiting
-			assertEqual(t, "units", p.firstTableUnits(), c.want)
+			assertEqual(t, "cost units of a first table", p.firstTableUnits(), c.want)
 		})
 	}
 }
--- a/policy/pacing/urgent.go
+++ b/policy/pacing/urgent.go
@@ -7,8 +7,8 @@
 	"lilacbend/policy/internal/renumber"
 )
 
-// urgentQueue holds the commands that must not wait for the update: ejections, the latest first; then first binds and admission
-// rates in the order in which they came.
+// urgentQueue holds the commands that must not wait for the update: first ejections, the latest one first; then first binds
+// and admission rates, in the order in which they were added.
 type urgentQueue struct {
 	commands []control.Command
 }
@@ -17,13 +17,13 @@
 
 func (q *urgentQueue) add(command control.Command) { q.commands = append(q.commands, command) }
 
-// eject puts an ejection before everything else.
+// eject adds an ejection at the head of the queue.
 func (q *urgentQueue) eject(replica uint32) {
 	var ejection control.Command = control.SetEjected{Replica: replica, Ejected: true}
 	q.commands = slices.Insert(q.commands, 0, ejection)
 }
 
-// cancelEjection drops the ejections of a replica that is unejected now: sent later, they would undo it.
+// cancelEjection removes the ejections of a replica that is unejected now: sent later, they would undo the unejection.
 func (q *urgentQueue) cancelEjection(replica uint32) {
 	ejection := control.SetEjected{Replica: replica, Ejected: true}
 	q.commands = slices.DeleteFunc(q.commands, func(command control.Command) bool {
@@ -41,8 +41,8 @@
 	})
 }
 
-// renumberClasses gives the admission rates the new numbers of their traffic classes, and drops those of classes that no
-// longer exist.
+// renumberClasses replaces the class numbers of the admission rates, and drops the rates of traffic classes that no longer
+// exist.
 func (q *urgentQueue) renumberClasses(newClasses []int) {
 	var kept []control.Command
 	for _, command := range q.commands {
--- a/policy/pacing/urgent_test.go
+++ b/policy/pacing/urgent_test.go
@@ -15,7 +15,7 @@
 	assertEqual(t, "commands", reflect.DeepEqual(got, []control.SetEjected{{Replica: 5}}), true)
 }
 
-func TestUrgentQueueKeepsWhatStillHolds(t *testing.T) {
+func TestUrgentQueueDropsOnlyObsoleteCommands(t *testing.T) {
 	ejection := control.SetEjected{Replica: 5, Ejected: true}
 	bind := control.Bind{Proxy: 1, Table: 2}
 	admission := func(class int) control.Command { return control.SetAdmission{Class: class, Fraction: 0.5} }
@@ -24,16 +24,16 @@
 		change func(*urgentQueue)
 		want   []control.Command
 	}{
-		{"as it is", func(*urgentQueue) {}, []control.Command{ejection, bind, admission(0), admission(1)}},
+		{"no change", func(*urgentQueue) {}, []control.Command{ejection, bind, admission(0), admission(1)}},
 		{"another ejection comes first", func(q *urgentQueue) { q.eject(6) },
 			[]control.Command{control.SetEjected{Replica: 6, Ejected: true}, ejection, bind, admission(0), admission(1)}},
 		{"ejection cancelled", func(q *urgentQueue) { q.cancelEjection(5) }, []control.Command{bind, admission(0), admission(1)}},
-		{"another one cancelled", func(q *urgentQueue) { q.cancelEjection(6) },
+		{"ejection of another replica cancelled", func(q *urgentQueue) { q.cancelEjection(6) },
 			[]control.Command{ejection, bind, admission(0), admission(1)}},
 		{"binds cancelled", func(q *urgentQueue) { q.cancelBinds() }, []control.Command{ejection, admission(0), admission(1)}},
-		{"classes renumbered, one is gone", func(q *urgentQueue) { q.renumberClasses([]int{-1, 0}) },
+		{"classes renumbered, one class no longer exists", func(q *urgentQueue) { q.renumberClasses([]int{-1, 0}) },
 			[]control.Command{ejection, bind, admission(0)}},
-		{"fewer classes than numbers in use", func(q *urgentQueue) { q.renumberClasses([]int{3}) },
+		{"new numbers for only some of the classes", func(q *urgentQueue) { q.renumberClasses([]int{3}) },
 			[]control.Command{ejection, bind, admission(3)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -52,9 +52,9 @@
 		p.SetAdmission(control.SetAdmission{Class: class, Fraction: 0.5})
 	}
 	p.Send(0)
-	assertEqual(t, "classes", p.proxies.limitedClasses(), 3)
+	assertEqual(t, "number of classes with an admission rate", p.proxies.limitedClasses(), 3)
 	p.RenumberClasses([]int{1, -1, 0})
-	assertEqual(t, "classes", reflect.DeepEqual(p.proxies.limited, map[int]bool{0: true, 1: true}), true)
+	assertEqual(t, "classes with an admission rate after renumbering", reflect.DeepEqual(p.proxies.limited, map[int]bool{0: true, 1: true}), true)
 }
 
 func TestCancelledBindsAreNotSent(t *testing.T) {
