--- a/policy/placement/assignment.go
+++ b/policy/placement/assignment.go
@@ -38,10 +38,10 @@
 	if replicas == 0 {
 		return 0
 	}
-	most := max(1, (s.Proxies/max(1, s.Controllers)-1)/minTableProxies)
-	zoneRows := zone.Rows(s.Zones, most)
-	perZone := math.Round(float64(replicas/zoneRows) / minTableReplicas)
-	return zoneRows * max(1, min(most/zoneRows, int(perZone)))
+	maxTables := max(1, (s.Proxies/max(1, s.Controllers)-1)/minTableProxies)
+	zoneRows := zone.Rows(s.Zones, maxTables)
+	tablesPerZone := math.Round(float64(replicas/zoneRows) / minTableReplicas)
+	return zoneRows * max(1, min(maxTables/zoneRows, int(tablesPerZone)))
 }
 
 // Tables returns the number of tables; 0: no replica is known yet.
@@ -79,12 +79,12 @@
 }
 
 // assign gives a table to each replica that has none, in the order given.
-func (a *assignment) assign(s control.Settings, replicas []*placed) {
+func (a *assignment) assign(s control.Settings, replicas []*placedReplica) {
 	if a.tables == 0 {
 		a.tables = TableCount(s, len(replicas))
 	}
 	for _, r := range replicas {
-		a.recall(s, r)
+		a.reuseRememberedTable(s, r)
 	}
 	weights := make([]float64, a.tables)
 	for _, r := range replicas {
@@ -103,9 +103,9 @@
 	}
 }
 
-// recall assigns a replica to its table of an earlier assignment, if it had one, the number of tables is the same and the
-// table belongs to the replica's zone.
-func (a *assignment) recall(s control.Settings, r *placed) {
+// reuseRememberedTable assigns a replica to its table of an earlier assignment, if it had one, the number of tables is the
+// same and the table belongs to the replica's zone.
+func (a *assignment) reuseRememberedTable(s control.Settings, r *placedReplica) {
 	table, ok := a.remembered[r.ID]
 	zoneRows := zone.Rows(s.Zones, a.tables)
 	if ok && a.rememberedTables == a.tables && table < a.tables && table%zoneRows == r.Zone%zoneRows {
--- a/policy/placement/assignment_test.go
+++ b/policy/placement/assignment_test.go
@@ -7,10 +7,10 @@
 	"lilacbend/control"
 )
 
-func replicasOf(count, zones int) []*placed {
-	var replicas []*placed
+func readyPlacedReplicas(count, zones int) []*placedReplica {
+	var replicas []*placedReplica
 	for id := 1; id <= count; id++ {
-		replicas = append(replicas, &placed{Replica: ready(uint32(id), id%zones)})
+		replicas = append(replicas, &placedReplica{Replica: readyReplica(uint32(id), id%zones)})
 	}
 	return replicas
 }
@@ -42,7 +42,7 @@
 func TestAssignGivesReplicasToTablesOfTheirZoneEvenly(t *testing.T) {
 	s := control.Settings{Zones: 2, Proxies: 400, Controllers: 1}
 	a := newAssignment()
-	replicas := replicasOf(40, 2)
+	replicas := readyPlacedReplicas(40, 2)
 	a.assign(s, replicas)
 	if a.Tables() != 8 {
 		t.Fatalf("got %d tables, want 8", a.Tables())
@@ -64,13 +64,13 @@
 func TestAssignKeepsTablesAndFillsTheLightest(t *testing.T) {
 	s := control.Settings{Zones: 1, Proxies: 400, Controllers: 1}
 	a := newAssignment()
-	replicas := replicasOf(10, 1)
+	replicas := readyPlacedReplicas(10, 1)
 	a.assign(s, replicas)
 	before := a.Assigned()
 	for _, r := range replicas {
 		r.Ready = r.Ready && r.table != 1 // all replicas of table 1 leave
 	}
-	replicas = append(replicas, &placed{Replica: ready(11, 0)})
+	replicas = append(replicas, &placedReplica{Replica: readyReplica(11, 0)})
 	a.assign(s, replicas)
 	if got := a.TableOf(11); got != 1 {
 		t.Errorf("the new replica is in table %d, want table 1, whose replicas have left", got)
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestAssignRecallsAnEarlierAssignment(t *testing.T) {
+func TestAssignReusesAnEarlierAssignment(t *testing.T) {
 	s := control.Settings{Zones: 2, Proxies: 400, Controllers: 1}
 	for _, c := range []struct {
 		name             string
@@ -100,7 +100,7 @@
 			if got := a.TableOf(1); got != c.remembered {
 				t.Errorf("before the assignment: got table %d, want the remembered table %d", got, c.remembered)
 			}
-			a.assign(s, replicasOf(40, 2))
+			a.assign(s, readyPlacedReplicas(40, 2))
 			if got := a.TableOf(1); got != c.want {
 				t.Errorf("got table %d, want %d", got, c.want)
 			}
@@ -112,28 +112,28 @@
 	a := newAssignment()
 	a.RememberTableCount(8)
 	a.RememberTable(2, 8)
-	a.assign(control.Settings{Zones: 2, Proxies: 400, Controllers: 1}, replicasOf(40, 2))
+	a.assign(control.Settings{Zones: 2, Proxies: 400, Controllers: 1}, readyPlacedReplicas(40, 2))
 	if got := a.TableOf(2); got != 0 {
 		t.Errorf("got table %d, want table 0, the first of its zone", got)
 	}
 }
 
-func TestReassignKeepsTablesWhereTheirNumberAllows(t *testing.T) {
+func TestReassignKeepsTablesIfTheirNumberIsUnchanged(t *testing.T) {
 	s := control.Settings{Zones: 2, Proxies: 400, Controllers: 1}
 	a := newAssignment()
-	a.assign(s, replicasOf(40, 2))
+	a.assign(s, readyPlacedReplicas(40, 2))
 	before := a.Assigned()
 	a.Reassign()
 	if a.Tables() != 0 || len(a.Assigned()) != 0 {
 		t.Errorf("after Reassign: got %d tables and assigned replicas %v, want none", a.Tables(), a.Assigned())
 	}
-	a.assign(s, replicasOf(40, 2))
+	a.assign(s, readyPlacedReplicas(40, 2))
 	if !maps.Equal(a.Assigned(), before) {
 		t.Errorf("assigned tables after Reassign: %v, before: %v", a.Assigned(), before)
 	}
 	a.Reassign()
 	s.Proxies = 20
-	a.assign(s, replicasOf(40, 2))
+	a.assign(s, readyPlacedReplicas(40, 2))
 	if a.Tables() != 2 {
 		t.Errorf("got %d tables with fewer proxies, want 2", a.Tables())
 	}
--- a/policy/placement/balance.go
+++ b/policy/placement/balance.go
@@ -40,7 +40,7 @@
 	totalCapacity float64
 }
 
-func newBalance(in Input, replicas []*placed, tables int) *balance {
+func newBalance(in Input, replicas []*placedReplica, tables int) *balance {
 	b := &balance{
 		headroom: headroom(in.Settings.Pick),
 		need:     make([]float64, tables),
@@ -58,7 +58,7 @@
 	return headroomByWeight
 }
 
-func (b *balance) addCapacities(replicas []*placed) {
+func (b *balance) addCapacities(replicas []*placedReplica) {
 	serving := make([]float64, len(b.capacity))
 	for _, r := range replicas {
 		if !r.Ready {
--- a/policy/placement/balance_test.go
+++ b/policy/placement/balance_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestCapacityCountsWhatServesWhereTooLittleDoes(t *testing.T) {
+func TestEjectedReplicasCountAsCapacityUnlessManyAreEjected(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		serving, ejected int
@@ -30,14 +30,14 @@
 		{"all replicas are ejected", 0, 10, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var replicas []*placed
+			var replicas []*placedReplica
 			for range c.serving {
-				replicas = append(replicas, &placed{Replica: ready(1, 0)})
+				replicas = append(replicas, &placedReplica{Replica: readyReplica(1, 0)})
 			}
 			for range c.ejected {
-				replicas = append(replicas, &placed{Replica: ready(1, 0), excluded: true})
+				replicas = append(replicas, &placedReplica{Replica: readyReplica(1, 0), excluded: true})
 			}
-			replicas = append(replicas, &placed{Replica: gone(2, 0), excluded: true})
+			replicas = append(replicas, &placedReplica{Replica: goneReplica(2, 0), excluded: true})
 			b := newBalance(Input{Settings: settings()}, replicas, 1)
 			if got := b.capacity[0]; got != c.want {
 				t.Errorf("got capacity %v, want %v", got, c.want)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestShortfallAndSpareOfTables(t *testing.T) {
+func TestShortfallAndSpareFraction(t *testing.T) {
 	b := &balance{headroom: 1.25, need: []float64{60, 20, 0}, capacity: []float64{10, 10, 20}, totalNeed: 80, totalCapacity: 40}
 	for table, want := range []struct{ shortfall, spare float64 }{{14, 0}, {-2, 0}, {minShortfallNeed - 20, 1}} {
 		if got := b.shortfall(table); math.Abs(got-want.shortfall) > 1e-9 {
@@ -90,8 +90,8 @@
 			t.Errorf("table %d is served by %d, want %d", table, got, want)
 		}
 	}
-	without := &balance{capacity: []float64{0, 5, 0}}
-	if got := without.servingTable(2, 2); got != 2 {
+	emptyZone := &balance{capacity: []float64{0, 5, 0}}
+	if got := emptyZone.servingTable(2, 2); got != 2 {
 		t.Errorf("a zone without replicas is served by table %d, want its own", got)
 	}
 }
--- a/policy/placement/endpoints.go
+++ b/policy/placement/endpoints.go
@@ -46,11 +46,11 @@
 
 // candidate is a replica that may become a spillover endpoint.
 type candidate struct {
-	*placed
+	*placedReplica
 	rank float64
 }
 
-func newBuilder(s control.Settings, replicas []*placed, tables int) *builder {
+func newBuilder(s control.Settings, replicas []*placedReplica, tables int) *builder {
 	penalized := 0.0
 	for _, r := range replicas {
 		if r.Ready && r.Penalty > 0 {
@@ -75,8 +75,8 @@
 // add adds an endpoint with a fraction of a replica's weight to a table, unless the replica is not ready, the weight is 0 or
 // the table is full. An excluded replica keeps its endpoint with KeepWeight and does not count towards the size of the
 // table.
-func (b *builder) add(table int, r *placed, part float64) {
-	weight := part * r.Weight
+func (b *builder) add(table int, r *placedReplica, fraction float64) {
+	weight := fraction * r.Weight
 	if b.applyPenalties {
 		weight *= 1 - r.Penalty
 	}
@@ -93,36 +93,36 @@
 
 // addSpillover adds endpoints with fractions of other tables' replicas until the table's shortfall is covered or the table
 // is full.
-func (b *builder) addSpillover(table, zoneRows int, balance *balance, replicas []*placed) {
+func (b *builder) addSpillover(table, zoneRows int, balance *balance, replicas []*placedReplica) {
 	shortfall := balance.shortfall(table)
 	if shortfall <= 0 {
 		return
 	}
-	bare := balance.capacity[table] == 0
-	for _, r := range spilloverOrder(table, zoneRows, bare, replicas) {
+	withoutCapacity := balance.capacity[table] == 0
+	for _, r := range spilloverOrder(table, zoneRows, withoutCapacity, replicas) {
 		if shortfall <= 0 || b.size[table] >= b.maxSize {
 			return
 		}
 		capacity := math.Max(minSum, r.Capacity)
 		wanted := math.Max(minSpillover, math.Min(r.spare, shortfall/capacity))
-		part := math.Ceil(wanted*spilloverSteps) / spilloverSteps
-		shortfall -= part * capacity
-		r.spare = math.Max(0, r.spare-part)
-		b.add(table, r.placed, part)
+		fraction := math.Ceil(wanted*spilloverSteps) / spilloverSteps
+		shortfall -= fraction * capacity
+		r.spare = math.Max(0, r.spare-fraction)
+		b.add(table, r.placedReplica, fraction)
 	}
 }
 
 // spilloverOrder returns the replicas of other tables that may get a spillover endpoint in a table, those of the table's
 // zone first. Replicas that their own table cannot spare at all are included only for a table without capacity of its own.
-func spilloverOrder(table, zoneRows int, bare bool, replicas []*placed) []candidate {
+func spilloverOrder(table, zoneRows int, withoutCapacity bool, replicas []*placedReplica) []candidate {
 	var order []candidate
 	for _, r := range replicas {
-		if r.table == table || r.excluded || r.spare <= 0 && !bare {
+		if r.table == table || r.excluded || r.spare <= 0 && !withoutCapacity {
 			continue
 		}
 		otherZone := min(1, math.Abs(float64(r.table%zoneRows-table%zoneRows)))
-		mixed := math.Mod(r.Key*float64(spilloverSeed+table), 1)
-		order = append(order, candidate{placed: r, rank: otherZone + mixed})
+		shuffled := math.Mod(r.Key*float64(spilloverSeed+table), 1)
+		order = append(order, candidate{placedReplica: r, rank: otherZone + shuffled})
 	}
 	slices.SortFunc(order, func(a, b candidate) int { return cmp.Compare(a.rank, b.rank) })
 	return order
--- a/policy/placement/exclusion.go
+++ b/policy/placement/exclusion.go
@@ -19,7 +19,7 @@
 //   - replicas that are warming up and are ejected or held back, or are in a zone whose requests surge: proxies soon avoid
 //     all overloaded replicas, and a replica that has just started would get all requests, whatever its weight. These
 //     replicas are not excluded if no replica is warmed up.
-func (p *Placer) exclude(in Input, replicas []*placed, zoneRows int) (newly []uint32) {
+func (p *Placer) exclude(in Input, replicas []*placedReplica, zoneRows int) (newly []uint32) {
 	surges := surgingZones(in, zoneRows)
 	warmedUp := countWarmedUp(replicas)
 	outliersLeft := warmedUp * maxOutlierFraction
@@ -46,7 +46,7 @@
 	return newly
 }
 
-func countWarmedUp(replicas []*placed) float64 {
+func countWarmedUp(replicas []*placedReplica) float64 {
 	count := 0.0
 	for _, r := range replicas {
 		if r.Ready && !r.WarmingUp {
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -67,7 +67,7 @@
 	Demand   Demand
 }
 
-// KeepWeight stands in for the weight of an endpoint that keeps its current weight because its replica is excluded.
+// KeepWeight is set in place of the weight of an endpoint that keeps its current weight because its replica is excluded.
 const KeepWeight = -1
 
 // KeepsWeight reports whether a weight is KeepWeight.
@@ -98,8 +98,8 @@
 	return &Placer{assignment: newAssignment()}
 }
 
-// placed is a replica with its table.
-type placed struct {
+// placedReplica is a replica with the table that it is assigned to.
+type placedReplica struct {
 	Replica
 	table    int
 	excluded bool
@@ -111,9 +111,9 @@
 
 // Place computes the plan. It reports false, without a plan, before the first replica is known.
 func (p *Placer) Place(in Input) (plan Plan, ok bool) {
-	replicas := make([]*placed, len(in.Replicas))
+	replicas := make([]*placedReplica, len(in.Replicas))
 	for k, r := range in.Replicas {
-		replicas[k] = &placed{Replica: r}
+		replicas[k] = &placedReplica{Replica: r}
 	}
 	slices.SortStableFunc(replicas, byClassAndKey)
 	p.assign(in.Settings, replicas)
@@ -140,9 +140,9 @@
 	return plan, true
 }
 
-func byKey(a, b *placed) int { return cmp.Compare(b.Key, a.Key) }
+func byKey(a, b *placedReplica) int { return cmp.Compare(b.Key, a.Key) }
 
 // byClassAndKey orders replicas so that each hardware class is spread over the tables.
-func byClassAndKey(a, b *placed) int {
+func byClassAndKey(a, b *placedReplica) int {
 	return cmp.Or(cmp.Compare(a.HardwareClass, b.HardwareClass), byKey(a, b))
 }
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -13,32 +13,32 @@
 	return control.Settings{Controllers: 1, Zones: 2, HardwareClasses: 1, Proxies: 6, ChannelLimit: 400, MessageOverhead: 4}
 }
 
-// ready returns a replica whose key decreases with its ID, so that replicas are assigned in the order of their IDs.
-func ready(id uint32, zone int) Replica {
+// readyReplica returns a replica whose key decreases with its ID, so that replicas are assigned in the order of their IDs.
+func readyReplica(id uint32, zone int) Replica {
 	return Replica{ID: id, Zone: zone, Ready: true, ListedWeight: 1, Key: 1 / float64(id), Weight: 1, Capacity: 1}
 }
 
-func gone(id uint32, zone int) Replica {
-	r := ready(id, zone)
+func goneReplica(id uint32, zone int) Replica {
+	r := readyReplica(id, zone)
 	r.Ready = false
 	return r
 }
 
-func ejected(id uint32, zone int) Replica {
-	r := ready(id, zone)
+func ejectedReplica(id uint32, zone int) Replica {
+	r := readyReplica(id, zone)
 	r.Ejected = true
 	return r
 }
 
-// withTables returns a Placer that has already assigned replicas to tables.
-func withTables(tables int, tableOf map[uint32]int) *Placer {
+// placerWithTables returns a Placer that has already assigned replicas to tables.
+func placerWithTables(tables int, tableOf map[uint32]int) *Placer {
 	p := New()
 	p.tables = tables
 	p.tableOf = tableOf
 	return p
 }
 
-func place(t *testing.T, p *Placer, in Input) Plan {
+func mustPlace(t *testing.T, p *Placer, in Input) Plan {
 	t.Helper()
 	plan, ok := p.Place(in)
 	if !ok {
@@ -72,10 +72,10 @@
 }
 
 func TestTableWithoutItsOwnReplicasGetsSpillover(t *testing.T) {
-	in := Input{Settings: settings(), Replicas: []Replica{ready(1, 0), gone(2, 1)}}
+	in := Input{Settings: settings(), Replicas: []Replica{readyReplica(1, 0), goneReplica(2, 1)}}
 	in.Settings.Proxies = 12
 	in.Proxies = []Proxy{{ID: 3, Table: 1, Rate: 5}}
-	plan := place(t, New(), in)
+	plan := mustPlace(t, New(), in)
 	if got := plan.weightIn(1, 1); got <= 0 {
 		t.Errorf("spillover endpoint has weight %v, want more than 0", got)
 	}
@@ -88,18 +88,18 @@
 }
 
 func TestTableWithoutItsOwnReplicasIsServedByASibling(t *testing.T) {
-	p := withTables(4, map[uint32]int{1: 0, 2: 2})
-	plan := place(t, p, Input{Settings: settings(), Replicas: []Replica{ready(1, 0), gone(2, 0)}})
+	p := placerWithTables(4, map[uint32]int{1: 0, 2: 2})
+	plan := mustPlace(t, p, Input{Settings: settings(), Replicas: []Replica{readyReplica(1, 0), goneReplica(2, 0)}})
 	if got, want := plan.ServingTable, []int{0, 1, 0, 3}; !slices.Equal(got, want) {
 		t.Errorf("tables are served by %v, want %v", got, want)
 	}
 }
 
 func TestTableOfEjectedReplicasGetsSpillover(t *testing.T) {
-	in := Input{Settings: settings(), Replicas: []Replica{ready(1, 0), ejected(2, 1), ready(4, 0), ready(5, 0)}}
+	in := Input{Settings: settings(), Replicas: []Replica{readyReplica(1, 0), ejectedReplica(2, 1), readyReplica(4, 0), readyReplica(5, 0)}}
 	in.Settings.Proxies = 12
 	in.Proxies = []Proxy{{ID: 3, Table: 1, Rate: 5}}
-	plan := place(t, New(), in)
+	plan := mustPlace(t, New(), in)
 	if got := plan.weightIn(1, 1) + plan.weightIn(1, 4) + plan.weightIn(1, 5); got <= 0 {
 		t.Errorf("spillover endpoints have a total weight of %v, want more than 0", got)
 	}
@@ -115,12 +115,12 @@
 	in.Settings.Controllers = 350
 	in.Settings.Proxies = 350 * 7
 	for id := uint32(1); id <= 300; id++ {
-		r := ready(id, 0)
+		r := readyReplica(id, 0)
 		r.HardwareClass = int(id % 2)
 		r.Key = float64((id * 37) % 101)
 		in.Replicas = append(in.Replicas, r)
 	}
-	plan := place(t, New(), in)
+	plan := mustPlace(t, New(), in)
 	classes := map[uint32]int{}
 	for _, endpoints := range plan.Endpoints {
 		for _, e := range endpoints {
@@ -153,15 +153,15 @@
 	}
 }
 
-func TestExcludedReplicasTakeNoCapacityOfSpillover(t *testing.T) {
+func TestExcludedReplicasDoNotCountTowardsTableSize(t *testing.T) {
 	in := Input{Settings: settings()}
 	for id := uint32(1); id <= 50; id++ {
-		r := ready(id, int(min(1, id/21)))
+		r := readyReplica(id, int(min(1, id/21)))
 		r.Ejected = id > 20
 		in.Replicas = append(in.Replicas, r)
 	}
-	p := withTables(2, map[uint32]int{})
-	if got := place(t, p, in).endpointCount(); got != 51 {
+	p := placerWithTables(2, map[uint32]int{})
+	if got := mustPlace(t, p, in).endpointCount(); got != 51 {
 		t.Errorf("got %d endpoints, want 51: one for each replica and one spillover endpoint", got)
 	}
 }
@@ -175,13 +175,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			in := Input{Settings: settings()}
 			for id := uint32(1); id <= 10; id++ {
-				r := ready(id, 0)
+				r := readyReplica(id, 0)
 				if int(id) <= c.penalized {
 					r.Penalty = 0.75
 				}
 				in.Replicas = append(in.Replicas, r)
 			}
-			if got := place(t, withTables(1, map[uint32]int{}), in).weightIn(0, 1); got != c.want {
+			if got := mustPlace(t, placerWithTables(1, map[uint32]int{}), in).weightIn(0, 1); got != c.want {
 				t.Errorf("got weight %v, want %v", got, c.want)
 			}
 		})
@@ -195,13 +195,13 @@
 	in.Settings.ChannelLimit = 4000 // high enough that the size of tables is not limited
 	tableOf := map[uint32]int{}
 	for id := uint32(1); id <= 40; id++ {
-		in.Replicas = append(in.Replicas, ready(id, int(id%4)%2))
+		in.Replicas = append(in.Replicas, readyReplica(id, int(id%4)%2))
 		tableOf[id] = int(id % 4) // tables 0 and 2 are of zone 0
 	}
 	for proxy, rate := range []float64{50, 10, 10, 10} {
 		in.Proxies = append(in.Proxies, Proxy{ID: proxy, Table: proxy, Rate: rate})
 	}
-	plan := place(t, withTables(4, tableOf), in)
+	plan := mustPlace(t, placerWithTables(4, tableOf), in)
 	weights := make([]float64, 4) // total weight in table 0 of the replicas of each table
 	for _, e := range plan.Endpoints[0] {
 		table := tableOf[e.Replica]
@@ -225,10 +225,10 @@
 }
 
 func TestSpilloverOrder(t *testing.T) {
-	replica := func(id uint32, table int, spare float64, excluded bool) *placed {
-		return &placed{Replica: ready(id, table%2), table: table, spare: spare, excluded: excluded}
+	replica := func(id uint32, table int, spare float64, excluded bool) *placedReplica {
+		return &placedReplica{Replica: readyReplica(id, table%2), table: table, spare: spare, excluded: excluded}
 	}
-	replicas := []*placed{
+	replicas := []*placedReplica{
 		replica(1, 0, 1, false), // of the table itself
 		replica(2, 1, 1, false), // of the other zone
 		replica(3, 2, 1, false), // of the same zone
@@ -239,7 +239,7 @@
 	}
 	for _, c := range []struct {
 		name                string
-		bare                bool
+		withoutCapacity     bool
 		sameZone, otherZone []uint32
 	}{
 		{"replicas that their own table can spare", false, []uint32{3, 7}, []uint32{2, 6}},
@@ -247,7 +247,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var ids []uint32
-			for _, r := range spilloverOrder(0, 2, c.bare, replicas) {
+			for _, r := range spilloverOrder(0, 2, c.withoutCapacity, replicas) {
 				ids = append(ids, r.ID)
 			}
 			if len(ids) != len(c.sameZone)+len(c.otherZone) {
@@ -266,11 +266,11 @@
 func TestPlaceIsDeterministic(t *testing.T) {
 	in := Input{Settings: settings(), Proxies: []Proxy{{ID: 1, Table: 1, Rate: 100}, {ID: 2, Table: 0, Rate: 1}, {ID: 3, Table: 0, Rate: 1}}}
 	for id := uint32(1); id <= 30; id++ {
-		in.Replicas = append(in.Replicas, ready(id, int(id%2)))
+		in.Replicas = append(in.Replicas, readyReplica(id, int(id%2)))
 	}
-	first := place(t, withTables(2, map[uint32]int{}), in)
+	first := mustPlace(t, placerWithTables(2, map[uint32]int{}), in)
 	for range 10 {
-		again := place(t, withTables(2, map[uint32]int{}), in)
+		again := mustPlace(t, placerWithTables(2, map[uint32]int{}), in)
 		for table := range first.Endpoints {
 			if !slices.Equal(first.Endpoints[table], again.Endpoints[table]) {
 				t.Fatalf("table %d: first plan %v, later plan %v", table, first.Endpoints[table], again.Endpoints[table])
