--- a/policy/binding/acks_test.go
+++ b/policy/binding/acks_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestNonceIsTheNewestOfTheCarriedBits(t *testing.T) {
+func TestNonceReturnsTheNewestWithTheCarriedBits(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		last, carried, want uint64
--- a/policy/binding/binding.go
+++ b/policy/binding/binding.go
@@ -26,8 +26,8 @@
 	"lilacbend/policy/internal/zone"
 )
 
-// unassigned is the table number of a proxy that is not assigned to a table yet.
-const unassigned = -1
+// noTable is the table number of a proxy that is not assigned to a table yet.
+const noTable = -1
 
 // Proxy is a connected proxy.
 type Proxy struct {
@@ -64,11 +64,11 @@
 // Bindings holds the table of each connected proxy. Proxies are always assigned in the order of their numbers, as each
 // assignment depends on the previous ones.
 type Bindings struct {
-	settings   *control.Settings
-	proxies    map[int]*Proxy
-	unassigned int   // number of proxies without a table
-	serving    []int // by table: the table that serves its proxies; nil before the first assignment
-	earlier    earlierController
+	settings        *control.Settings
+	proxies         map[int]*Proxy
+	unassignedCount int   // number of proxies without a table
+	serving         []int // by table: the table that serves its proxies; nil before the first assignment
+	earlier         earlierController
 }
 
 // New returns Bindings without proxies. The settings are read at each call, so that changes take effect at once.
@@ -99,15 +99,15 @@
 		opened.Rate += (counted - opened.Rate) * b.earlier.confidence
 	}
 	b.Disconnect(opened.Proxy)
-	b.proxies[opened.Proxy] = &Proxy{opened, now, unassigned}
-	b.unassigned++
+	b.proxies[opened.Proxy] = &Proxy{opened, now, noTable}
+	b.unassignedCount++
 }
 
 // Disconnect removes a proxy.
 func (b *Bindings) Disconnect(proxy int) {
 	p := b.proxies[proxy]
 	if p != nil && p.Table < 0 {
-		b.unassigned--
+		b.unassignedCount--
 	}
 	delete(b.proxies, proxy)
 }
@@ -116,7 +116,7 @@
 // serving table has changed, then those that were assigned by this call. serving has an element for each table: the table
 // that serves its proxies.
 func (b *Bindings) Assign(serving []int) []Change {
-	if b.unassigned == 0 && slices.Equal(serving, b.serving) {
+	if b.unassignedCount == 0 && slices.Equal(serving, b.serving) {
 		return nil
 	}
 	var changes []Change
@@ -138,7 +138,7 @@
 		}
 		proxy.Table = b.firstTable(proxy, load)
 		load[proxy.Table] += proxy.Rate
-		b.unassigned--
+		b.unassignedCount--
 		changes = append(changes, Change{*proxy, FirstBind, serving[proxy.Table]})
 	}
 	b.serving = serving
@@ -165,14 +165,14 @@
 }
 
 // Reassign adapts to replicas that were assigned to tables again under changed settings, and returns a decision for each
-// proxy that had a table. From now on each table serves its own proxies. before and tables are the numbers of tables before
-// and after the change; bound is the table that each proxy is currently bound to, negative for none.
-func (b *Bindings) Reassign(before, tables int, bound map[int]int) []Change {
+// proxy that had a table. From now on each table serves its own proxies. tablesBefore and tables are the numbers of tables
+// before and after the change; bound is the table that each proxy is currently bound to, negative for none.
+func (b *Bindings) Reassign(tablesBefore, tables int, bound map[int]int) []Change {
 	b.serving = make([]int, tables)
 	for table := range b.serving {
 		b.serving[table] = table
 	}
-	stays := func(proxy *Proxy) bool { return before == tables && b.isInZone(proxy.Table, proxy, tables) }
+	stays := func(proxy *Proxy) bool { return tablesBefore == tables && b.isInZone(proxy.Table, proxy, tables) }
 	assigned := slices.DeleteFunc(ordered.Keys(b.proxies), func(number int) bool { return b.proxies[number].Table < 0 })
 	load := make([]float64, tables) // by table: requests per second
 	for _, number := range assigned {
@@ -188,13 +188,14 @@
 			proxy.Table = zone.LeastLoaded(proxy.Zone, b.settings.Zones, load)
 			load[proxy.Table] += proxy.Rate
 		}
-		changes = append(changes, Change{*proxy, kindOf(bound[number], proxy.Table), proxy.Table})
+		changes = append(changes, Change{*proxy, changeKind(bound[number], proxy.Table), proxy.Table})
 	}
 	return changes
 }
 
-// kindOf returns the kind of change for a proxy, given the table that it is bound to and the table that it is assigned to.
-func kindOf(bound, assigned int) Kind {
+// changeKind returns the kind of change for a proxy, given the table that it is bound to and the table that it is assigned
+// to.
+func changeKind(bound, assigned int) Kind {
 	switch {
 	case bound < 0:
 		return FirstBind
--- a/policy/binding/binding_test.go
+++ b/policy/binding/binding_test.go
@@ -9,8 +9,8 @@
 	"lilacbend/control"
 )
 
-// own returns the serving tables if each table serves its own proxies.
-func own(tables int) []int {
+// eachServesItself returns the serving tables if each table serves its own proxies.
+func eachServesItself(tables int) []int {
 	var serving []int
 	for table := range tables {
 		serving = append(serving, table)
@@ -33,15 +33,16 @@
 	return all
 }
 
-func expect(t *testing.T, what string, changes []Change, want ...decision) {
+func assertDecisions(t *testing.T, what string, changes []Change, want ...decision) {
 	t.Helper()
 	if got := decisions(changes); !slices.Equal(got, want) {
 		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
-// connected returns Bindings with connected proxies that get one request per second each; proxy k is in zone k modulo 2.
-func connected(proxies int) *Bindings {
+// withConnectedProxies returns Bindings with connected proxies that get one request per second each; proxy k is in zone k
+// modulo 2.
+func withConnectedProxies(proxies int) *Bindings {
 	b := New(&control.Settings{Zones: 2})
 	for proxy := range proxies {
 		b.Connect(time.Duration(proxy), control.StreamOpened{Proxy: proxy, Zone: proxy % 2, Rate: 1})
@@ -50,31 +51,31 @@
 }
 
 func TestFirstBindIsToTheLeastLoadedTableOfTheZone(t *testing.T) {
-	b := connected(4)
-	expect(t, "two tables a zone", b.Assign(own(4)), decision{0, 0, FirstBind, 0}, decision{1, 1, FirstBind, 1},
+	b := withConnectedProxies(4)
+	assertDecisions(t, "two tables in each zone", b.Assign(eachServesItself(4)), decision{0, 0, FirstBind, 0}, decision{1, 1, FirstBind, 1},
 		decision{2, 2, FirstBind, 2}, decision{3, 3, FirstBind, 3})
 	b.Connect(time.Second, control.StreamOpened{Proxy: 9, Rate: 5})
-	expect(t, "the first of two equally loaded tables", b.Assign(own(4)), decision{9, 0, FirstBind, 0})
+	assertDecisions(t, "the first of two equally loaded tables", b.Assign(eachServesItself(4)), decision{9, 0, FirstBind, 0})
 	b.Connect(time.Second, control.StreamOpened{Proxy: 4, Rate: 1})
-	expect(t, "the less loaded table", b.Assign(own(4)), decision{4, 2, FirstBind, 2})
-	expect(t, "no proxy without a table", b.Assign(own(4)))
+	assertDecisions(t, "the less loaded table", b.Assign(eachServesItself(4)), decision{4, 2, FirstBind, 2})
+	assertDecisions(t, "no proxy without a table", b.Assign(eachServesItself(4)))
 }
 
 func TestProxyMovesWhileASiblingServesItsTable(t *testing.T) {
-	b := connected(2)
-	b.Assign(own(4))
+	b := withConnectedProxies(2)
+	b.Assign(eachServesItself(4))
 	b.Connect(time.Second, control.StreamOpened{Proxy: 6, Rate: 1})
-	expect(t, "moves come before first binds", b.Assign([]int{2, 1, 2, 3}), decision{0, 0, Move, 2}, decision{6, 2, FirstBind, 2})
-	expect(t, "move back to its own table", b.Assign(own(4)), decision{0, 0, Move, 0})
-	expect(t, "no change", b.Assign(own(4)))
+	assertDecisions(t, "moves come before first binds", b.Assign([]int{2, 1, 2, 3}), decision{0, 0, Move, 2}, decision{6, 2, FirstBind, 2})
+	assertDecisions(t, "move back to its own table", b.Assign(eachServesItself(4)), decision{0, 0, Move, 0})
+	assertDecisions(t, "no change", b.Assign(eachServesItself(4)))
 }
 
 func TestFirstBindIsToTheSiblingOfAnEmptyTable(t *testing.T) {
-	b := connected(1)
-	expect(t, "first bind", b.Assign([]int{2, 1, 2, 3}), decision{0, 0, FirstBind, 2})
+	b := withConnectedProxies(1)
+	assertDecisions(t, "first bind", b.Assign([]int{2, 1, 2, 3}), decision{0, 0, FirstBind, 2})
 }
 
-func TestEarlierBindingIsRestoredWhereItStillFits(t *testing.T) {
+func TestEarlierBindingIsRestoredIfItStillFits(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		tables         int // of the earlier controller
@@ -90,9 +91,9 @@
 			b.Restore(control.FleetRestored{Weight: 1, LearnedFleet: control.LearnedFleet{Tables: c.tables,
 				Bindings: []control.Binding{{Proxy: 0, Table: c.binding}}}})
 			b.Connect(0, control.StreamOpened{Rate: 1})
-			expect(t, "first bind", b.Assign(own(4)), decision{0, c.table, FirstBind, c.table})
+			assertDecisions(t, "first bind", b.Assign(eachServesItself(4)), decision{0, c.table, FirstBind, c.table})
 			b.Connect(time.Second, control.StreamOpened{Rate: 1})
-			expect(t, "a later stream is not restored", b.Assign(own(4)), decision{0, 0, FirstBind, 0})
+			assertDecisions(t, "a later stream is not restored", b.Assign(eachServesItself(4)), decision{0, 0, FirstBind, 0})
 		})
 	}
 }
@@ -121,12 +122,12 @@
 }
 
 func TestDisconnectedProxyIsForgotten(t *testing.T) {
-	b := connected(2)
+	b := withConnectedProxies(2)
 	b.Disconnect(0)
 	b.Disconnect(7)
-	expect(t, "the connected proxy", b.Assign(own(2)), decision{1, 1, FirstBind, 1})
+	assertDecisions(t, "the connected proxy", b.Assign(eachServesItself(2)), decision{1, 1, FirstBind, 1})
 	b.Disconnect(1)
-	expect(t, "no proxy is connected", b.Assign([]int{1, 0}))
+	assertDecisions(t, "no proxy is connected", b.Assign([]int{1, 0}))
 	if got := b.Learned(); got != nil {
 		t.Errorf("got learned bindings %v, want none", got)
 	}
@@ -154,14 +155,14 @@
 			for proxy := range 4 {
 				b.Connect(0, control.StreamOpened{Proxy: proxy, Zone: proxy % 2, Rate: 1})
 			}
-			b.Assign(own(4))
+			b.Assign(eachServesItself(4))
 			b.Connect(0, control.StreamOpened{Proxy: 5}) // has no table yet
 			settings.Zones = c.zones
-			expect(t, "reassigned", b.Reassign(4, c.tables, c.bound), c.want...)
-			if got := b.Serving(); !slices.Equal(got, own(c.tables)) {
-				t.Errorf("got serving tables %v, want %v", got, own(c.tables))
+			assertDecisions(t, "reassigned", b.Reassign(4, c.tables, c.bound), c.want...)
+			if got := b.Serving(); !slices.Equal(got, eachServesItself(c.tables)) {
+				t.Errorf("got serving tables %v, want %v", got, eachServesItself(c.tables))
 			}
-			for _, change := range b.Assign(own(c.tables)) {
+			for _, change := range b.Assign(eachServesItself(c.tables)) {
 				if change.Proxy.Proxy != 5 || change.Kind != FirstBind {
 					t.Errorf("Assign after Reassign returned %+v, want only a FirstBind of proxy 5", change)
 				}
@@ -171,8 +172,8 @@
 }
 
 func TestRenumberZonesReplacesTheZonesOfProxies(t *testing.T) {
-	b := connected(2)
-	b.Assign(own(2))
+	b := withConnectedProxies(2)
+	b.Assign(eachServesItself(2))
 	b.Connect(0, control.StreamOpened{Proxy: 2})
 	renumbered := []control.StreamOpened{{Proxy: 0, Zone: 1}, {Proxy: 2, Zone: 1}, {Proxy: 8, Zone: 1}}
 	if b.KeepsZones(2, renumbered) {
@@ -194,8 +195,8 @@
 }
 
 func TestLearnedBindingsAreSortedByProxy(t *testing.T) {
-	b := connected(3)
-	b.Assign(own(2))
+	b := withConnectedProxies(3)
+	b.Assign(eachServesItself(2))
 	b.Connect(0, control.StreamOpened{Proxy: 4})
 	if got, want := b.Learned(), []control.Binding{{Proxy: 0, Table: 0}, {Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
--- a/policy/internal/renumber/renumber_test.go
+++ b/policy/internal/renumber/renumber_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestLookup(t *testing.T) {
-	newer := []int{2, -1, 0}
+	newNumbers := []int{2, -1, 0}
 	for _, c := range []struct {
 		name   string
 		old    int
@@ -17,7 +17,7 @@
 		{"negative old number", -1, 0, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got, exists := Lookup(newer, c.old); got != c.want || exists != c.exists {
+			if got, exists := Lookup(newNumbers, c.old); got != c.want || exists != c.exists {
 				t.Errorf("got %d, %v, want %d, %v", got, exists, c.want, c.exists)
 			}
 		})
--- a/policy/internal/sample/sample.go
+++ b/policy/internal/sample/sample.go
@@ -4,8 +4,8 @@
 // Kept is the maximum number of samples of one kind that are kept.
 const Kept = 32
 
-// Newest returns the last samples of a list, at most the given number.
-func Newest[T any](most int, samples []T) []T { return samples[max(0, len(samples)-most):] }
+// Newest returns the last samples of a list, at most limit of them.
+func Newest[T any](limit int, samples []T) []T { return samples[max(0, len(samples)-limit):] }
 
 // Mean returns the mean of the values, 0 if there are none. Each value is divided before it is added.
 func Mean(values []float64) float64 {
--- a/policy/internal/sample/sample_test.go
+++ b/policy/internal/sample/sample_test.go
@@ -7,9 +7,9 @@
 
 func TestNewestKeepsTheLast(t *testing.T) {
 	samples := []int{1, 2, 3}
-	for most, want := range map[int][]int{0: {}, 2: {2, 3}, 3: {1, 2, 3}, 9: {1, 2, 3}} {
-		if got := Newest(most, samples); !slices.Equal(got, want) {
-			t.Errorf("at most %d: got %v, want %v", most, got, want)
+	for limit, want := range map[int][]int{0: {}, 2: {2, 3}, 3: {1, 2, 3}, 9: {1, 2, 3}} {
+		if got := Newest(limit, samples); !slices.Equal(got, want) {
+			t.Errorf("at most %d: got %v, want %v", limit, got, want)
 		}
 	}
 }
--- a/policy/update/changes.go
+++ b/policy/update/changes.go
@@ -56,15 +56,15 @@
 func (s *Sequence) unejections() []control.Command {
 	var commands []control.Command
 	for _, replica := range ordered.Keys(s.ejected) {
-		if s.returns(replica) {
+		if s.mustUneject(replica) {
 			commands = append(commands, control.SetEjected{Replica: replica})
 		}
 	}
 	return commands
 }
 
-// returns reports whether a replica is ejected at the proxies and the target does not eject it.
-func (s *Sequence) returns(replica uint32) bool {
+// mustUneject reports whether a replica is ejected at the proxies and the target does not eject it.
+func (s *Sequence) mustUneject(replica uint32) bool {
 	return s.ejected[replica] && !s.target.Ejected[replica]
 }
 
@@ -75,7 +75,7 @@
 	var changes []weightChange
 	for endpoint := range all {
 		change := weightChange{endpoint, s.current[endpoint], s.target.Weights[endpoint]}
-		if s.stepOf(change) == step && needed(change, step) {
+		if s.stepOf(change) == step && mustSend(change, step) {
 			changes = append(changes, change)
 		}
 	}
@@ -86,7 +86,7 @@
 // stepOf returns the step that a change of weight belongs to.
 func (s *Sequence) stepOf(change weightChange) Step {
 	switch {
-	case change.current == 0 || s.returns(change.endpoint.Replica):
+	case change.current == 0 || s.mustUneject(change.endpoint.Replica):
 		return Add
 	case change.target == 0:
 		return Remove
@@ -95,8 +95,8 @@
 	}
 }
 
-// needed reports whether a change is to be sent. Changes of the step Add are sent however small they are.
-func needed(change weightChange, step Step) bool {
+// mustSend reports whether a change is to be sent. Changes of the step Add are sent however small they are.
+func mustSend(change weightChange, step Step) bool {
 	if placement.KeepsWeight(change.target) || change.target == change.current {
 		return false
 	}
--- a/policy/update/changes_test.go
+++ b/policy/update/changes_test.go
@@ -61,7 +61,7 @@
 
 // An ejected replica still has endpoints, whose weights may date from a time when it was warmed up. Proxies pick it by these
 // weights as soon as it is unejected.
-func TestAllWeightsOfAnUnejectedReplicaChangeWithIt(t *testing.T) {
+func TestAllWeightChangesOfAReplicaAreDueWithItsUnejection(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 1, {1, 1}: 1, {2, 1}: 0.21},
 		Target{Weights: weights{{0, 1}: 0.2, {2, 1}: 0.2}}, replicas{1: true})
 	assertCommands(t, "removals and small changes included", s.commands(Add),
--- a/policy/update/sequence.go
+++ b/policy/update/sequence.go
@@ -75,9 +75,9 @@
 	ejected map[uint32]bool      // replicas that were ejected and not unejected since
 	rebinds map[int]int          // by proxy that is to be moved: its new table
 
-	step     Step
-	stepSent bool // the open step has sent something
-	acks     pendingAcks
+	step        Step
+	stepHasSent bool // the open step has sent something
+	acks        pendingAcks
 }
 
 // New returns a Sequence for proxies that have no tables yet.
@@ -114,7 +114,7 @@
 	}
 	if nonce > 0 && len(commands) > 0 {
 		s.acks[nonce] = now
-		s.stepSent = true
+		s.stepHasSent = true
 	}
 }
 
@@ -150,7 +150,7 @@
 			break
 		}
 		s.step = s.step.next()
-		s.stepSent = false
+		s.stepHasSent = false
 	}
 	return Pending{Additions: len(additions), Commands: due}
 }
@@ -172,7 +172,7 @@
 // finished reports whether the open step ends, given the commands that are due in it. Only acks time out (Expire): a step
 // that has sent nothing yet because the budget had no capacity stays open.
 func (s *Sequence) finished(due []control.Command) bool {
-	return len(s.acks) == 0 && (len(due) == 0 || s.stepSent)
+	return len(s.acks) == 0 && (len(due) == 0 || s.stepHasSent)
 }
 
 // commands returns all commands of one step.
--- a/policy/update/sequence_test.go
+++ b/policy/update/sequence_test.go
@@ -79,7 +79,7 @@
 	s := sequenceWith(weights{{0, 1}: 1, {1, 1}: 1}, Target{Weights: weights{{1, 1}: 1}}, replicas{})
 	s.Rebind(control.Bind{Proxy: 5, Table: 1})
 	s.step = Rebind
-	s.stepSent = true // other proxies were moved and have acknowledged their moves
+	s.stepHasSent = true // other proxies were moved and have acknowledged their moves
 	for range 1 + stepCount {
 		for _, command := range s.Advance().Commands {
 			if c, ok := command.(control.SetEndpoint); ok && c.Weight == 0 {
@@ -98,7 +98,7 @@
 func TestAcknowledgedStepEndsThoughMoreChangesAreDue(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 1, {0, 2}: 1}, Target{Weights: weights{{0, 1}: 0.5}}, replicas{})
 	s.step = Overwrite
-	s.stepSent = true
+	s.stepHasSent = true
 	s.Advance()
 	assertStep(t, "with a further overwrite due", s, Remove)
 }
@@ -182,8 +182,8 @@
 			if got := len(s.acks) > 0; got != c.waits {
 				t.Errorf("step waits for an ack: got %v, want %v", got, c.waits)
 			}
-			if s.stepSent != c.waits {
-				t.Errorf("stepSent: got %v, want %v", s.stepSent, c.waits)
+			if s.stepHasSent != c.waits {
+				t.Errorf("stepSent: got %v, want %v", s.stepHasSent, c.waits)
 			}
 		})
 	}
