--- a/policy/pacing/budget.go
+++ b/policy/pacing/budget.go
@@ -10,7 +10,7 @@
 // budget is how much of two limits may be used after a command is sent. A command waits if it would exceed either of them:
 //
 //   - the limit of the channel, for the sum of what may still wait in the channel, what the turn has sent and the command's
-//     price;
+//     cost;
 //   - the message cap of each recipient that does not get a message in this turn yet.
 //
 // The more urgent a command is, the larger is its budget, so that less urgent commands leave capacity for it:
@@ -36,7 +36,7 @@
 	// ordinaryChannelFraction is what the update's step may use: under half, so that more than half remains for urgent
 	// commands.
 	ordinaryChannelFraction = 0.4
-	// urgentChannelFraction is what urgent commands may use. The remainder is a margin, as prices are estimates.
+	// urgentChannelFraction is what urgent commands may use. The remainder is a margin, as costs are estimates.
 	urgentChannelFraction = 0.85
 )
 
@@ -84,12 +84,12 @@
 	return urgentBudget
 }
 
-// admits reports whether a budget allows sending a command of this price now.
-func (p *Pacer) admits(cost price, limit budget) bool {
-	return p.capsAdmit(cost.recipients, limit) && p.channelAdmits(cost, limit)
+// admits reports whether a budget allows sending a command of this cost now.
+func (p *Pacer) admits(cost commandCost, limit budget) bool {
+	return p.messageCapsAdmit(cost.recipients, limit) && p.channelAdmits(cost, limit)
 }
 
-func (p *Pacer) capsAdmit(recipients []int, limit budget) bool {
+func (p *Pacer) messageCapsAdmit(recipients []int, limit budget) bool {
 	if p.settings.MaxMessages <= 0 {
 		return true
 	}
@@ -106,7 +106,7 @@
 	return true
 }
 
-func (p *Pacer) channelAdmits(cost price, limit budget) bool {
+func (p *Pacer) channelAdmits(cost commandCost, limit budget) bool {
 	if len(cost.recipients) == 0 {
 		return true
 	}
@@ -118,9 +118,9 @@
 // wait in the channel and what the turn has sent.
 func (p *Pacer) fitTogether(commands []control.Command, fraction float64) bool {
 	units := 0.0
-	begun := map[int]bool{}
+	messaged := map[int]bool{}
 	for _, command := range commands {
-		units += p.price(command, begun).units
+		units += p.costOf(command, messaged).units
 	}
 	return p.turn.waiting+p.turn.units+units <= fraction*float64(p.settings.ChannelLimit)
 }
--- a/policy/pacing/budget_test.go
+++ b/policy/pacing/budget_test.go
@@ -9,14 +9,14 @@
 )
 
 func TestOrdinaryCommandsLeaveCapacityForEjections(t *testing.T) {
-	p := withTable(10, nil)
+	p := pacerWithTable(10, nil)
 	for replica := range uint32(200) {
 		p.step.Commands = append(p.step.Commands, control.SetEndpoint{Replica: replica, Weight: 1})
 	}
 	p.Eject(5)
 	sent := p.Send(0)
-	assertEqual(t, "ejections", len(ofType[control.SetEjected](sent.Commands)), 1)
-	assertEqual(t, "some changed weights are sent", len(ofType[control.SetEndpoint](sent.Commands)) > 0, true)
+	assertEqual(t, "ejections", len(commandsOfType[control.SetEjected](sent.Commands)), 1)
+	assertEqual(t, "some changed weights are sent", len(commandsOfType[control.SetEndpoint](sent.Commands)) > 0, true)
 	if waiting := p.Waiting(0); waiting > urgentChannelFraction*400 {
 		t.Errorf("%v cost units wait in the channel, want at most %v", waiting, urgentChannelFraction*400)
 	}
@@ -26,14 +26,14 @@
 }
 
 func TestMessageCapKeepsCapacityForUrgentMessages(t *testing.T) {
-	p := withTable(1, func(s *control.Settings) {
+	p := pacerWithTable(1, func(s *control.Settings) {
 		s.MaxMessages = 10
 		s.ChannelLimit = 1 << 20
 	})
 	weights := 0
 	for k := range 20 {
 		p.SetStep(Step{Commands: []control.Command{control.SetEndpoint{Replica: 1, Weight: float64(k + 1)}}})
-		weights += len(ofType[control.SetEndpoint](p.Send(0).Commands))
+		weights += len(commandsOfType[control.SetEndpoint](p.Send(0).Commands))
 	}
 	assertEqual(t, "changed weights", weights, int(ordinaryMessageFraction*10))
 	for replica := range uint32(20) {
@@ -70,8 +70,8 @@
 			p.turn.waiting = c.waiting
 			p.turn.units = c.sent
 			p.turn.reached[3] = c.reached
-			atCap(p, 3, c.messages)
-			cost := price{units: c.units}
+			recordMessages(p, 3, c.messages)
+			cost := commandCost{units: c.units}
 			if c.concerns {
 				cost.recipients = []int{3}
 			}
@@ -83,7 +83,7 @@
 func TestUnlimitedBudgetAdmitsWhereTheChannelHasNoLimit(t *testing.T) {
 	p := newPacer(func(s *control.Settings) { s.ChannelLimit = 0 })
 	p.beginTurn(0)
-	cost := price{recipients: []int{1}, units: 5}
+	cost := commandCost{recipients: []int{1}, units: 5}
 	assertEqual(t, "admitted with the unlimited budget", p.admits(cost, unlimited), true)
 	assertEqual(t, "admitted with the urgent budget", p.admits(cost, urgentBudget), false)
 	assertEqual(t, "fraction sent within a second", p.fractionSentWithin(time.Second), 0.0)
@@ -169,7 +169,7 @@
 }
 
 func TestFitTogetherCountsEachMessageOverheadOnce(t *testing.T) {
-	p := withTable(2, nil)
+	p := pacerWithTable(2, nil)
 	p.beginTurn(0)
 	p.turn.waiting = 10
 	commands := []control.Command{control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 1}}
--- a/policy/pacing/channel_test.go
+++ b/policy/pacing/channel_test.go
@@ -79,7 +79,7 @@
 }
 
 func TestBatchIsDueAfterEarlierBatchesAreSent(t *testing.T) {
-	p := withTable(2, nil)
+	p := pacerWithTable(2, nil)
 	p.channel.add(batch{nonce: 1, units: 100, due: time.Hour})
 	p.nonce = 1
 	p.Eject(3)
@@ -91,7 +91,7 @@
 }
 
 func TestEjectionWaitsOnlyForProxiesThatHoldAnEndpoint(t *testing.T) {
-	p := withTable(2, nil)
+	p := pacerWithTable(2, nil)
 	p.proxies.tables[1] = map[uint32]float64{99: 1}
 	p.proxies.bind(1, 1)
 	p.Eject(99)
@@ -103,7 +103,7 @@
 
 // Messages to proxies that have disconnected may still wait in the channel.
 func TestDisconnectingClearsNothingFromTheChannel(t *testing.T) {
-	p := withTable(1, nil)
+	p := pacerWithTable(1, nil)
 	p.Connected(1, 1)
 	p.Bind(control.Bind{Proxy: 1})
 	sent := p.Send(0)
--- a/policy/pacing/cost.go
+++ b/policy/pacing/cost.go
@@ -7,35 +7,35 @@
 	"lilacbend/policy/internal/ordered"
 )
 
-// price is the cost of sending a command.
-type price struct {
+// commandCost is the cost of sending a command.
+type commandCost struct {
 	recipients []int   // the proxies that the command reaches
 	units      float64 // cost units at all of them, message overheads included
 }
 
-// price returns the cost of a command in addition to what the turn has sent already: its content for each recipient, and the
-// overhead of a message for each recipient that gets none yet. Recipients in begun count as getting a message; the others
-// are added to begun, unless it is nil.
-func (p *Pacer) price(command control.Command, begun map[int]bool) price {
-	recipients, units := p.content(command)
+// costOf returns the cost of a command in addition to what the turn has sent already: its content for each recipient, and
+// the overhead of a message for each recipient that gets none yet. Recipients in messaged count as getting a message; the
+// others are added to messaged, unless it is nil.
+func (p *Pacer) costOf(command control.Command, messaged map[int]bool) commandCost {
+	recipients, units := p.recipientsAndUnits(command)
 	total := float64(units * len(recipients))
 	for _, proxy := range recipients {
-		if p.turn.reached[proxy] || begun[proxy] {
+		if p.turn.reached[proxy] || messaged[proxy] {
 			continue
 		}
 		total += float64(p.settings.MessageOverhead + 1) // 1: the nonce
-		if begun != nil {
-			begun[proxy] = true
+		if messaged != nil {
+			messaged[proxy] = true
 		}
 	}
-	return price{recipients, total}
+	return commandCost{recipients, total}
 }
 
-// content returns the proxies that a command reaches and the cost units of its content for each of them.
+// recipientsAndUnits returns the proxies that a command reaches and the cost units of its content for each of them.
 //
 // An ejection reaches only the proxies that hold an endpoint of the replica. Other proxies would not send an ack for it, and
 // the channel would count as full while the ack is missing.
-func (p *Pacer) content(command control.Command) (recipients []int, units int) {
+func (p *Pacer) recipientsAndUnits(command control.Command) (recipients []int, units int) {
 	switch c := command.(type) {
 	case control.Bind:
 		return []int{c.Proxy}, p.tableUnits(c.Table)
--- a/policy/pacing/cost_test.go
+++ b/policy/pacing/cost_test.go
@@ -7,7 +7,7 @@
 	"lilacbend/control"
 )
 
-func TestPriceOfACommand(t *testing.T) {
+func TestCostOfACommand(t *testing.T) {
 	const overhead = 4 + 1 // of a message, and its nonce
 	for _, c := range []struct {
 		name       string
@@ -31,25 +31,25 @@
 		{"admission rate: all proxies", control.SetAdmission{Class: 1}, []int{0, 1, 2, 3}, 4 * (overhead + 1)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := withTable(2, nil) // proxies 0 and 1 are bound to table 0
+			p := pacerWithTable(2, nil) // proxies 0 and 1 are bound to table 0
 			p.proxies.tables[1] = map[uint32]float64{5: 1, 8: 1}
 			p.proxies.bind(2, 1)
 			p.proxies.bindSubset(control.BindSubset{Proxy: 3, Table: 1, Replicas: []uint32{5}})
-			got := p.price(c.command, nil)
+			got := p.costOf(c.command, nil)
 			if !slices.Equal(got.recipients, c.recipients) || got.units != c.units {
-				t.Errorf("got price %v, want %v", got, price{c.recipients, c.units})
+				t.Errorf("got cost %v, want %v", got, commandCost{c.recipients, c.units})
 			}
 		})
 	}
 }
 
-func TestPriceCountsOneOverheadForEachMessage(t *testing.T) {
-	p := withTable(3, nil)
+func TestCostCountsOneOverheadForEachMessage(t *testing.T) {
+	p := pacerWithTable(3, nil)
 	p.beginTurn(0)
 	p.turn.reached[0] = true
-	begun := map[int]bool{1: true}
+	messaged := map[int]bool{1: true}
 	command := control.SetEndpoint{Replica: 1, Weight: 1}
-	assertEqual(t, "units if one proxy gets no message yet", p.price(command, begun).units, 3.0+5)
-	assertEqual(t, "units if all proxies get a message", p.price(command, begun).units, 3.0)
-	assertEqual(t, "units if only the turn's messages count", p.price(command, nil).units, 3.0+2*5)
+	assertEqual(t, "units if one proxy gets no message yet", p.costOf(command, messaged).units, 3.0+5)
+	assertEqual(t, "units if all proxies get a message", p.costOf(command, messaged).units, 3.0)
+	assertEqual(t, "units if only the turn's messages count", p.costOf(command, nil).units, 3.0+2*5)
 }
--- a/policy/pacing/helpers_test.go
+++ b/policy/pacing/helpers_test.go
@@ -25,8 +25,8 @@
 	return New(&settings, testTickInterval)
 }
 
-// withTable returns a Pacer whose table 0 has 20 replicas of weight 1 and the given number of proxies bound to it.
-func withTable(proxies int, change func(*control.Settings)) *Pacer {
+// pacerWithTable returns a Pacer whose table 0 has 20 replicas of weight 1 and the given number of proxies bound to it.
+func pacerWithTable(proxies int, change func(*control.Settings)) *Pacer {
 	p := newPacer(change)
 	for proxy := range proxies {
 		p.proxies.bind(proxy, 0)
@@ -43,22 +43,22 @@
 	return weights
 }
 
-// atCap records a number of messages to a proxy at time 0.
-func atCap(p *Pacer, proxy, messages int) {
+// recordMessages records a number of messages to a proxy at time 0.
+func recordMessages(p *Pacer, proxy, messages int) {
 	for range messages {
 		p.messages.record(0, []int{proxy})
 	}
 }
 
-// ofType returns the commands of one type.
-func ofType[T control.Command](commands []control.Command) []T {
-	var those []T
+// commandsOfType returns the commands of one type.
+func commandsOfType[T control.Command](commands []control.Command) []T {
+	var matching []T
 	for _, command := range commands {
 		if c, ok := command.(T); ok {
-			those = append(those, c)
+			matching = append(matching, c)
 		}
 	}
-	return those
+	return matching
 }
 
 func assertEqual(t *testing.T, what string, got, want any) {
--- a/policy/pacing/order.go
+++ b/policy/pacing/order.go
@@ -51,7 +51,7 @@
 		}
 		return done
 	})
-	p.step.Additions = 0 // the update states the number of additions again with the next SetStep
+	p.step.Additions = 0 // held-back additions count as additions again once the next SetStep says so
 	return sent
 }
 
@@ -70,15 +70,15 @@
 	overdue         bool
 	staleWeights    map[uint32]bool   // replicas with a change of weight that was held back
 	unejections     []control.Command // the step's unejections of warming replicas
-	unejectTogether togetherDecision
+	unejectTogether unejectTogetherDecision
 }
 
-// togetherDecision is the decision whether the warming replicas may be unejected together. It is made once in a pass, when
-// the first of their unejections is due.
-type togetherDecision int
+// unejectTogetherDecision is the decision whether the warming replicas may be unejected together. It is made once in a pass,
+// when the first of their unejections is due.
+type unejectTogetherDecision int
 
 const (
-	undecided togetherDecision = iota
+	undecided unejectTogetherDecision = iota
 	allowed
 	heldBack
 )
@@ -91,10 +91,10 @@
 	if !addition {
 		limit = s.pacer.ordinaryBudget()
 	}
-	if s.raisesTooEarly(command) {
+	if s.raisesWeightTooEarly(command) {
 		return false
 	}
-	held := s.holdsUnejection(command) || !addition && s.overdue
+	held := s.mustHoldBackUnejection(command) || !addition && s.overdue
 	sent := !held && s.pacer.trySend(command, limit)
 	if endpoint, ok := command.(control.SetEndpoint); ok && !sent {
 		s.staleWeights[endpoint.Replica] = true
@@ -102,9 +102,9 @@
 	return sent
 }
 
-// raisesTooEarly reports whether a command raises the weight of an endpoint of an ejected replica while warming replicas are
-// to be unejected together.
-func (s *stepPass) raisesTooEarly(command control.Command) bool {
+// raisesWeightTooEarly reports whether a command raises the weight of an endpoint of an ejected replica while warming
+// replicas are to be unejected together.
+func (s *stepPass) raisesWeightTooEarly(command control.Command) bool {
 	endpoint, ok := command.(control.SetEndpoint)
 	if !ok || !s.pacer.warming.UnejectTogether || !s.pacer.proxies.ejected[endpoint.Replica] {
 		return false
@@ -113,8 +113,8 @@
 	return weight > 0 && endpoint.Weight > weight
 }
 
-// holdsUnejection reports whether a command is an unejection that has to wait for other commands.
-func (s *stepPass) holdsUnejection(command control.Command) bool {
+// mustHoldBackUnejection reports whether a command is an unejection that has to wait for other commands.
+func (s *stepPass) mustHoldBackUnejection(command control.Command) bool {
 	unejection, ok := command.(control.SetEjected)
 	if !ok {
 		return false
@@ -129,15 +129,15 @@
 func (s *stepPass) mayUnejectTogether() bool {
 	if s.unejectTogether == undecided {
 		s.unejectTogether = heldBack
-		if !s.anyStale() && (s.pacer.turn.waiting+s.pacer.turn.units == 0 || s.pacer.fitTogether(s.unejections, ordinaryChannelFraction)) {
+		if !s.anyStaleWeight() && (s.pacer.turn.waiting+s.pacer.turn.units == 0 || s.pacer.fitTogether(s.unejections, ordinaryChannelFraction)) {
 			s.unejectTogether = allowed
 		}
 	}
 	return s.unejectTogether == allowed
 }
 
-// anyStale reports whether a change of weight of any warming replica that is to be unejected was held back.
-func (s *stepPass) anyStale() bool {
+// anyStaleWeight reports whether a change of weight of any warming replica that is to be unejected was held back.
+func (s *stepPass) anyStaleWeight() bool {
 	return slices.ContainsFunc(s.unejections, func(command control.Command) bool {
 		unejection, ok := command.(control.SetEjected)
 		return ok && s.staleWeights[unejection.Replica]
--- a/policy/pacing/order_test.go
+++ b/policy/pacing/order_test.go
@@ -16,18 +16,18 @@
 		p.proxies.bind(proxy, proxy)
 		p.proxies.tables[proxy] = map[uint32]float64{1: 1}
 	}
-	atCap(p, 0, 3) // an addition may not use the last message of the cap
+	recordMessages(p, 0, 3) // an addition may not use the last message of the cap
 	p.SetStep(Step{Additions: 4, Commands: []control.Command{
 		control.SetEndpoint{Table: 1, Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.2},
 		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.2}, control.SetEjected{Replica: 1}}})
 	sent := p.Send(0)
-	assertEqual(t, "unejections", len(ofType[control.SetEjected](sent.Commands)), 0)
-	assertEqual(t, "changed weights of the other tables", len(ofType[control.SetEndpoint](sent.Commands)), 2)
+	assertEqual(t, "unejections", len(commandsOfType[control.SetEjected](sent.Commands)), 0)
+	assertEqual(t, "changed weights of the other tables", len(commandsOfType[control.SetEndpoint](sent.Commands)), 2)
 }
 
 // If warming replicas are unejected together, a raised weight is sent only after its replica is unejected: weights rise at
 // each evaluation, and sending them earlier would leave no capacity for the unejection.
-func TestRaisedWeightWaitsForTheUnejectionWhereWarmingReplicasReturnTogether(t *testing.T) {
+func TestRaisedWeightWaitsForTheUnejectionIfWarmingReplicasAreUnejectedTogether(t *testing.T) {
 	p := newPacer(func(s *control.Settings) { s.MaxMessages = 4 })
 	p.proxies.tables = map[int]map[uint32]float64{0: {1: 0.2}, 1: {1: 0.4}, 2: {}}
 	for table := range 3 {
@@ -35,27 +35,27 @@
 	}
 	p.proxies.ejected[1] = true
 	p.SetWarming(Warming{UnejectTogether: true})
-	atCap(p, 2, 3) // the addition to its table is held back, and the unejection with it
+	recordMessages(p, 2, 3) // the addition to its table is held back, and the unejection with it
 	p.SetStep(Step{Additions: 4, Commands: []control.Command{
 		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.3}, control.SetEndpoint{Table: 1, Replica: 1, Weight: 0.3},
 		control.SetEjected{Replica: 1}, control.SetEndpoint{Table: 0, Replica: 1, Weight: 0.3}}})
-	for _, c := range ofType[control.SetEndpoint](p.Send(0).Commands) {
+	for _, c := range commandsOfType[control.SetEndpoint](p.Send(0).Commands) {
 		if c.Table == 0 {
 			t.Errorf("sent %v, which raises the weight of an ejected replica", c)
 		}
 	}
 	p.messages = messageCaps{}
 	sent := p.Send(0)
-	assertEqual(t, "unejections", len(ofType[control.SetEjected](sent.Commands)), 1)
+	assertEqual(t, "unejections", len(commandsOfType[control.SetEjected](sent.Commands)), 1)
 	assertEqual(t, "commands left in the step", len(p.step.Commands), 0)
 }
 
 func TestWarmingReplicasAreUnejectedTogether(t *testing.T) {
 	const warming = 12
 	full := batch{nonce: 1, units: 100, due: time.Second}
-	unejected := func(p *Pacer) int { return len(ofType[control.SetEjected](p.Send(0).Commands)) }
-	returning := func(limit int) *Pacer {
-		p := withTable(10, func(s *control.Settings) { s.ChannelLimit = limit })
+	unejected := func(p *Pacer) int { return len(commandsOfType[control.SetEjected](p.Send(0).Commands)) }
+	pacerWithUnejections := func(limit int) *Pacer {
+		p := pacerWithTable(10, func(s *control.Settings) { s.ChannelLimit = limit })
 		p.warming = Warming{Replicas: map[uint32]bool{}, UnejectTogether: true}
 		p.step.Additions = warming
 		for replica := range uint32(warming) {
@@ -66,43 +66,43 @@
 		return p
 	}
 	t.Run("all are unejected if there is capacity for all", func(t *testing.T) {
-		p := returning(450) // the cost, 120 units and ten message overheads, is less than 0.4 of this limit
+		p := pacerWithUnejections(450) // the cost, 120 units and ten message overheads, is less than 0.4 of this limit
 		assertEqual(t, "unejected", unejected(p), warming)
 	})
 	t.Run("none are unejected without capacity for all, then all at once", func(t *testing.T) {
-		p := returning(450)
+		p := pacerWithUnejections(450)
 		p.channel.add(full)
 		assertEqual(t, "unejected while the channel is full", unejected(p), 0)
 		p.channel = channelAccount{}
 		assertEqual(t, "unejected once it is empty", unejected(p), warming)
 	})
 	t.Run("some are unejected if they need not be unejected together", func(t *testing.T) {
-		p := returning(450)
+		p := pacerWithUnejections(450)
 		p.warming.UnejectTogether = false
 		p.channel.add(full)
 		assertEqual(t, "some are unejected", unejected(p) > 0, true)
 	})
 	t.Run("as many are unejected as an empty channel has capacity for", func(t *testing.T) {
-		p := returning(300)
+		p := pacerWithUnejections(300)
 		some := unejected(p)
 		assertEqual(t, "some, not all", some > 0 && some < warming, true)
 	})
 	t.Run("none are unejected while a changed weight of one of them is held back", func(t *testing.T) {
-		p := returning(4000)
+		p := pacerWithUnejections(4000)
 		p.settings.MaxMessages = 4
 		p.step.Commands = append([]control.Command{control.SetEndpoint{Table: 1, Replica: 3, Weight: 0.1}}, p.step.Commands...)
 		p.step.Additions++
 		p.proxies.tables[1] = map[uint32]float64{3: 0.5}
 		p.proxies.bind(11, 1)
-		atCap(p, 11, 3)
+		recordMessages(p, 11, 3)
 		assertEqual(t, "unejected", unejected(p), 0)
 	})
 }
 
-func TestCommandHeldBackHoldsBackNoOther(t *testing.T) {
-	p := withTable(2, func(s *control.Settings) { s.MaxMessages = 4 })
+func TestHeldBackCommandDoesNotHoldBackOthers(t *testing.T) {
+	p := pacerWithTable(2, func(s *control.Settings) { s.MaxMessages = 4 })
 	p.proxies.tables[1] = map[uint32]float64{}
-	atCap(p, 0, 3)
+	recordMessages(p, 0, 3)
 	p.proxies.bind(1, 1)
 	p.SetStep(Step{Additions: 2, Commands: []control.Command{
 		control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Table: 1, Replica: 1, Weight: 1}}})
@@ -113,17 +113,17 @@
 }
 
 func TestOnlyAdditionsAreSentWhileAnAckIsOverdue(t *testing.T) {
-	p := withTable(2, nil)
+	p := pacerWithTable(2, nil)
 	p.channel.add(batch{nonce: 1, units: 10, due: time.Second})
 	p.SetStep(Step{Additions: 1, Commands: []control.Command{
 		control.SetEndpoint{Replica: 1, Weight: 1}, control.SetEndpoint{Replica: 2, Weight: 0.5}}})
-	sent := ofType[control.SetEndpoint](p.Send(20 * time.Second).Commands)
+	sent := commandsOfType[control.SetEndpoint](p.Send(20 * time.Second).Commands)
 	assertEqual(t, "sent commands", len(sent), 1)
 	assertEqual(t, "replica of the addition", sent[0].Replica, uint32(1))
 }
 
 func TestTurnSendsStepThenUrgentThenNonce(t *testing.T) {
-	p := withTable(1, nil)
+	p := pacerWithTable(1, nil)
 	p.Connected(1, 1)
 	p.Bind(control.Bind{Proxy: 1})
 	p.SetAdmission(control.SetAdmission{Class: 1, Fraction: 0.5})
@@ -150,22 +150,22 @@
 }
 
 func TestNonceOfACommandIsMasked(t *testing.T) {
-	p := withTable(1, nil)
+	p := pacerWithTable(1, nil)
 	p.nonce = NonceMask
 	p.Eject(1)
 	sent := p.Send(0)
 	assertEqual(t, "nonce", sent.Nonce, uint64(NonceMask+1))
-	assertEqual(t, "masked nonce in the command", ofType[control.RequestAck](sent.Commands)[0].Nonce, uint64(0))
+	assertEqual(t, "masked nonce in the command", commandsOfType[control.RequestAck](sent.Commands)[0].Nonce, uint64(0))
 }
 
 func TestProxyIsNotBoundBeforeItsTableHasEndpoints(t *testing.T) {
-	p := withTable(1, nil)
+	p := pacerWithTable(1, nil)
 	table := p.proxies.tables[0]
 	p.proxies.tables[0] = nil
 	p.Bind(control.Bind{Proxy: 0, Table: 0})
 	p.Bind(control.Bind{Proxy: 99, Table: 0}) // never connected
-	assertEqual(t, "binds while the table has no endpoint", len(ofType[control.Bind](p.Send(0).Commands)), 0)
+	assertEqual(t, "binds while the table has no endpoint", len(commandsOfType[control.Bind](p.Send(0).Commands)), 0)
 	assertEqual(t, "queued commands, without the bind of the proxy that is not connected", p.urgent.len(), 1)
 	p.proxies.tables[0] = table
-	assertEqual(t, "binds once the table has endpoints", len(ofType[control.Bind](p.Send(0).Commands)), 1)
+	assertEqual(t, "binds once the table has endpoints", len(commandsOfType[control.Bind](p.Send(0).Commands)), 1)
 }
--- a/policy/pacing/proxies.go
+++ b/policy/pacing/proxies.go
@@ -18,24 +18,24 @@
 
 // proxyStates is the state that the proxies have once they have received all messages that were sent.
 type proxyStates struct {
-	bindings map[int]int                // by connected proxy: its table, or unbound
-	members  map[int][]int              // by table, or unbound: its proxies, ascending
-	tables   map[int]map[uint32]float64 // by table and replica: the weight; never 0
-	ejected  map[uint32]bool
-	subsets  map[int]*subset // by proxy, for those that hold only a subset of their table
-	rates    map[int]float64 // by connected proxy: forecast, in requests per second
-	limited  map[int]bool    // traffic classes for which an admission rate was sent
+	bindings       map[int]int                // by connected proxy: its table, or unbound
+	members        map[int][]int              // by table, or unbound: its proxies, ascending
+	tables         map[int]map[uint32]float64 // by table and replica: the weight; never 0
+	ejected        map[uint32]bool
+	subsets        map[int]*subset // by proxy, for those that hold only a subset of their table
+	rates          map[int]float64 // by connected proxy: forecast, in requests per second
+	limitedClasses map[int]bool    // traffic classes for which an admission rate was sent
 }
 
 func newProxyStates() *proxyStates {
 	return &proxyStates{
-		bindings: map[int]int{},
-		members:  map[int][]int{},
-		tables:   map[int]map[uint32]float64{},
-		ejected:  map[uint32]bool{},
-		subsets:  map[int]*subset{},
-		rates:    map[int]float64{},
-		limited:  map[int]bool{},
+		bindings:       map[int]int{},
+		members:        map[int][]int{},
+		tables:         map[int]map[uint32]float64{},
+		ejected:        map[uint32]bool{},
+		subsets:        map[int]*subset{},
+		rates:          map[int]float64{},
+		limitedClasses: map[int]bool{},
 	}
 }
 
@@ -86,7 +86,7 @@
 	}
 	if c.Weight == 0 {
 		delete(s.tables[c.Table], c.Replica)
-		s.loseFromSubsets(c.Table, c.Replica)
+		s.removeFromSubsets(c.Table, c.Replica)
 		return
 	}
 	s.tables[c.Table][c.Replica] = c.Weight
@@ -100,12 +100,12 @@
 	}
 	s.ejected[c.Replica] = true
 	for table := range s.tables {
-		s.loseFromSubsets(table, c.Replica)
+		s.removeFromSubsets(table, c.Replica)
 	}
 }
 
-// loseFromSubsets removes a replica from the subsets that proxies hold of a table.
-func (s *proxyStates) loseFromSubsets(table int, replica uint32) {
+// removeFromSubsets removes a replica from the subsets that proxies hold of a table.
+func (s *proxyStates) removeFromSubsets(table int, replica uint32) {
 	for proxy, held := range s.subsets {
 		if s.bindings[proxy] == table {
 			delete(held.replicas, replica)
@@ -128,25 +128,25 @@
 	return holders
 }
 
-// withCompleteTable returns the number of proxies that are bound and hold their complete table.
-func (s *proxyStates) withCompleteTable() int {
+// completeTableCount returns the number of proxies that are bound and hold their complete table.
+func (s *proxyStates) completeTableCount() int {
 	return len(s.bindings) - len(s.members[unbound]) - len(s.subsets)
 }
 
 // requestRate returns the forecast of a proxy in requests per second, or minRequestRate if the proxy gave none.
 func (s *proxyStates) requestRate(proxy int) float64 { return math.Max(s.rates[proxy], minRequestRate) }
 
-// limitedClasses returns the number of traffic classes for which an admission rate was sent.
-func (s *proxyStates) limitedClasses() int { return len(s.limited) }
+// limitedClassCount returns the number of traffic classes for which an admission rate was sent.
+func (s *proxyStates) limitedClassCount() int { return len(s.limitedClasses) }
 
 // renumberClasses replaces the numbers of traffic classes that have an admission rate, and drops classes that no longer
 // exist.
 func (s *proxyStates) renumberClasses(newClasses []int) {
 	limited := map[int]bool{}
-	for class := range s.limited {
+	for class := range s.limitedClasses {
 		if number, ok := renumber.Lookup(newClasses, class); ok {
 			limited[number] = true
 		}
 	}
-	s.limited = limited
+	s.limitedClasses = limited
 }
--- a/policy/pacing/proxies_test.go
+++ b/policy/pacing/proxies_test.go
@@ -24,7 +24,7 @@
 	}
 	s.disconnect(3)
 	assertEqual(t, "connected", s.connected(3), false)
-	assertEqual(t, "proxies with a complete table", s.withCompleteTable(), 1)
+	assertEqual(t, "proxies with a complete table", s.completeTableCount(), 1)
 }
 
 func TestReconnectedProxyIsUnbound(t *testing.T) {
@@ -63,7 +63,7 @@
 			}
 			s.bindSubset(control.BindSubset{Proxy: 1, Table: 4, Replicas: []uint32{1, 2, 3, 4}})
 			c.change(s)
-			assertEqual(t, "fraction left", s.subsets[1].left(), c.left)
+			assertEqual(t, "fraction left", s.subsets[1].remainingFraction(), c.left)
 			assertEqual(t, "holds replica 1", slices.Contains(s.holders(4, 1), 1), c.holds)
 		})
 	}
@@ -75,9 +75,9 @@
 		s.bindSubset(control.BindSubset{Proxy: proxy, Table: 4, Replicas: replicas})
 	}
 	for _, replica := range []uint32{3, 4} {
-		s.loseFromSubsets(4, replica)
+		s.removeFromSubsets(4, replica)
 	}
-	if got, want := s.holdingSubsets(), []int{1, 3, 2, 0}; !slices.Equal(got, want) {
+	if got, want := s.proxiesWithSubset(), []int{1, 3, 2, 0}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 	assertEqual(t, "needs renewal with half of its subset left", s.subsets[2].needsRenewal(), false)
@@ -85,7 +85,7 @@
 }
 
 func TestForgottenReplicaIsNoLongerEjected(t *testing.T) {
-	p := withTable(1, nil)
+	p := pacerWithTable(1, nil)
 	p.Eject(5)
 	p.Send(0)
 	assertEqual(t, "ejected before Forget", p.proxies.ejected[5], true)
@@ -94,7 +94,7 @@
 }
 
 func TestBindingsAreACopy(t *testing.T) {
-	p := withTable(2, nil)
+	p := pacerWithTable(2, nil)
 	p.Connected(7, 1)
 	got := p.Bindings()
 	assertEqual(t, "bindings", reflect.DeepEqual(got, map[int]int{0: 0, 1: 0, 7: unbound}), true)
--- a/policy/pacing/send.go
+++ b/policy/pacing/send.go
@@ -31,7 +31,7 @@
 // trySend sends a command if its budget admits it, and reports whether the command need not be sent any more: it was sent,
 // or binds a proxy that has disconnected. A bind also waits until its table has an endpoint.
 func (p *Pacer) trySend(command control.Command, limit budget) bool {
-	cost := p.price(command, nil)
+	cost := p.costOf(command, nil)
 	if !p.admits(cost, limit) {
 		return false
 	}
@@ -58,7 +58,7 @@
 	case control.SetEndpoint:
 		p.proxies.setWeight(c)
 	case control.SetAdmission:
-		p.proxies.limited[c.Class] = true
+		p.proxies.limitedClasses[c.Class] = true
 	case control.SetEjected:
 		p.proxies.setEjected(c)
 		if !c.Ejected {
@@ -68,7 +68,7 @@
 }
 
 // charge adds a command and its cost to the turn.
-func (p *Pacer) charge(command control.Command, cost price) {
+func (p *Pacer) charge(command control.Command, cost commandCost) {
 	for _, proxy := range cost.recipients {
 		p.turn.reached[proxy] = true
 	}
--- a/policy/pacing/subset.go
+++ b/policy/pacing/subset.go
@@ -22,10 +22,10 @@
 //	1/4   ejections for the proxies that are bound; also the rest of tables, while no more than this waits in the channel
 //
 // A proxy gets the rest of its table when no urgent command waits and completionBudget has capacity. If more than half of
-// its subset has been ejected or removed before that, the subset is renewed at once (minSubsetLeft).
+// its subset has been ejected or removed before that, the subset is renewed at once (minRemainingFraction).
 type subset struct {
-	replicas map[uint32]bool // those that were neither ejected nor removed since the subset was sent
-	given    int             // number of replicas when the subset was sent
+	replicas    map[uint32]bool // those that were neither ejected nor removed since the subset was sent
+	initialSize int             // number of replicas when the subset was sent
 }
 
 const (
@@ -33,47 +33,49 @@
 	sharedGraceFraction     = 3.0 / 8
 	completionGraceFraction = 1.0 / 4
 
-	// minSubset is the least number of replicas in a subset, and the number of replicas that are unejected with each subset:
-	// an earlier controller may have ejected them, and the proxy must not be left without any endpoint.
-	minSubset = 3
-	// minSubsetLeft is the fraction of a subset below which it is renewed.
-	minSubsetLeft = 0.5
+	// minSubsetSize is the least number of replicas in a subset, and the number of replicas that are unejected with each
+	// subset: an earlier controller may have ejected them, and the proxy must not be left without any endpoint.
+	minSubsetSize = 3
+	// minRemainingFraction is the fraction of a subset below which it is renewed.
+	minRemainingFraction = 0.5
 	// subsetMessageUnits is what a message with a subset costs besides the overhead and its replicas: the nonce and the
 	// binding.
 	subsetMessageUnits = 2
 )
 
 func newSubset(replicas []uint32) *subset {
-	s := &subset{replicas: map[uint32]bool{}, given: len(replicas)}
+	s := &subset{replicas: map[uint32]bool{}, initialSize: len(replicas)}
 	for _, replica := range replicas {
 		s.replicas[replica] = true
 	}
 	return s
 }
 
-// left returns the fraction of the subset that was neither ejected nor removed since it was sent.
-func (s *subset) left() float64 { return float64(len(s.replicas)) / float64(max(1, s.given)) }
+// remainingFraction returns the fraction of the subset that was neither ejected nor removed since it was sent.
+func (s *subset) remainingFraction() float64 {
+	return float64(len(s.replicas)) / float64(max(1, s.initialSize))
+}
 
-func (s *subset) needsRenewal() bool { return s.left() < minSubsetLeft }
+func (s *subset) needsRenewal() bool { return s.remainingFraction() < minRemainingFraction }
 
 // firstTableUnits returns how many cost units the first table of one proxy may take in this turn.
 func (p *Pacer) firstTableUnits() float64 {
 	grace := p.graceFraction() * float64(p.settings.ChannelLimit)
-	unbound := p.settings.Proxies - p.proxies.withCompleteTable()
+	unbound := p.settings.Proxies - p.proxies.completeTableCount()
 	reserved := reservedGraceFraction * grace / float64(max(1, unbound))
 	shared := math.Max(0, sharedGraceFraction*grace-p.turn.waiting)
 	return reserved + shared/float64(1+p.urgent.len())
 }
 
-// subsetSize returns how many replicas fit into the first table of a proxy, at least minSubset.
+// subsetSize returns how many replicas fit into the first table of a proxy, at least minSubsetSize.
 func (p *Pacer) subsetSize() int {
 	units := int(p.turn.firstTableUnits) - p.settings.MessageOverhead - subsetMessageUnits
-	return max(minSubset, units-p.proxies.limitedClasses()-minSubset)
+	return max(minSubsetSize, units-p.proxies.limitedClassCount()-minSubsetSize)
 }
 
-// firstTable returns the command that sends a proxy its first table: the complete table, or a subset if the complete table
-// costs more than the proxy's share. It chooses the subset that gets the fewest requests from the proxies that hold it, so
-// that the proxies together load the table evenly.
+// firstTable returns the command that sends a proxy its first table: the complete table if it costs less than the proxy's
+// share or cannot be divided into subsets, else a subset. It chooses the subset that gets the fewest requests from the
+// proxies that hold it, so that the proxies together load the table evenly.
 func (p *Pacer) firstTable(bind control.Bind) control.Command {
 	units := float64(p.tableUnits(bind.Table) + p.settings.MessageOverhead + 1)
 	partition := p.partition(bind.Table)
@@ -84,7 +86,7 @@
 		Proxy:     bind.Proxy,
 		Table:     bind.Table,
 		Replicas:  partition.assign(p.proxies.requestRate(bind.Proxy)),
-		Unejected: minSubset,
+		Unejected: minSubsetSize,
 	}
 }
 
@@ -95,14 +97,14 @@
 		return known
 	}
 	weights := p.proxies.subsetCandidates(table, p.warming.Replicas)
-	made := newPartition(weights, p.proxies.ejected, p.subsetSize())
+	created := newPartition(weights, p.proxies.ejected, p.subsetSize())
 	for _, proxy := range ordered.Keys(p.proxies.subsets) {
 		if p.proxies.bindings[proxy] == table {
-			made.addRequests(p.proxies.subsets[proxy].replicas, p.proxies.requestRate(proxy))
+			created.addRequests(p.proxies.subsets[proxy].replicas, p.proxies.requestRate(proxy))
 		}
 	}
-	p.turn.partitions[table] = made
-	return made
+	p.turn.partitions[table] = created
+	return created
 }
 
 // completionBudget returns the budget of the rest of a table after a subset.
@@ -116,7 +118,7 @@
 // command, of this turn or an earlier one, stops all completions. Proxies whose subset needs renewal come before all others,
 // so completions do not hold renewals back.
 func (p *Pacer) sendRestOfTables() {
-	for _, proxy := range p.proxies.holdingSubsets() {
+	for _, proxy := range p.proxies.proxiesWithSubset() {
 		bind := control.Bind{Proxy: proxy, Table: p.proxies.bindings[proxy]}
 		if p.proxies.subsets[proxy].needsRenewal() {
 			p.trySend(p.firstTable(bind), unlimited)
@@ -128,12 +130,12 @@
 	}
 }
 
-// holdingSubsets returns the proxies that hold only a subset of their table, those with the least of their subset left
+// proxiesWithSubset returns the proxies that hold only a subset of their table, those with the least of their subset left
 // first.
-func (s *proxyStates) holdingSubsets() []int {
+func (s *proxyStates) proxiesWithSubset() []int {
 	holders := ordered.Keys(s.subsets)
 	slices.SortStableFunc(holders, func(a, b int) int {
-		return cmp.Compare(s.subsets[a].left(), s.subsets[b].left())
+		return cmp.Compare(s.subsets[a].remainingFraction(), s.subsets[b].remainingFraction())
 	})
 	return holders
 }
--- a/policy/pacing/subset_test.go
+++ b/policy/pacing/subset_test.go
@@ -10,9 +10,9 @@
 
 const second = int64(time.Second)
 
-// inStorm returns a Pacer in a reconnect storm: table 0 has the given number of replicas, the given number of proxies has
-// just connected, and the channel sends 6000 cost units within the drain grace.
-func inStorm(replicas uint32, connected int, change func(*control.Settings)) *Pacer {
+// pacerInReconnectStorm returns a Pacer in a reconnect storm: table 0 has the given number of replicas, the given number of
+// proxies has just connected, and the channel sends 6000 cost units within the drain grace.
+func pacerInReconnectStorm(replicas uint32, connected int, change func(*control.Settings)) *Pacer {
 	p := newPacer(func(s *control.Settings) {
 		s.HostQueues = true
 		s.Proxies = 200
@@ -34,17 +34,17 @@
 }
 
 func TestSingleProxyGetsItsCompleteTable(t *testing.T) {
-	sent := inStorm(60, 1, nil).Send(0)
-	assertEqual(t, "complete tables", len(ofType[control.Bind](sent.Commands)), 1)
+	sent := pacerInReconnectStorm(60, 1, nil).Send(0)
+	assertEqual(t, "complete tables", len(commandsOfType[control.Bind](sent.Commands)), 1)
 }
 
 func TestReconnectStormGetsSubsets(t *testing.T) {
-	p := inStorm(60, 160, nil)
-	subsets := ofType[control.BindSubset](p.Send(0).Commands)
+	p := pacerInReconnectStorm(60, 160, nil)
+	subsets := commandsOfType[control.BindSubset](p.Send(0).Commands)
 	assertEqual(t, "subsets", len(subsets), 160)
 	assignments := map[uint32]int{}
 	for _, c := range subsets {
-		assertEqual(t, "unejected", c.Unejected, minSubset)
+		assertEqual(t, "unejected", c.Unejected, minSubsetSize)
 		for _, replica := range c.Replicas {
 			assignments[replica]++
 		}
@@ -62,26 +62,26 @@
 // If the host does not queue, the proxies of a reconnect storm get complete tables, at one time as many as the channel sends
 // in half of the grace: an ejection need not wait for the acks of these tables.
 func TestCompleteTablesOfAReconnectStormLeaveCapacityForAnEjection(t *testing.T) {
-	p := inStorm(40, 160, func(s *control.Settings) {
+	p := pacerInReconnectStorm(40, 160, func(s *control.Settings) {
 		s.HostQueues = false
 		s.ChannelRate = 1500
 		s.ChannelLimit = 3800
 		s.DrainGrace = 38 * second / 10
 		s.MaxTransit = second / 2
 	})
-	assertEqual(t, "some proxies are bound", len(ofType[control.Bind](p.Send(0).Commands)) > 0, true)
+	assertEqual(t, "some proxies are bound", len(commandsOfType[control.Bind](p.Send(0).Commands)) > 0, true)
 	assertEqual(t, "no more waits than is sent in half of the grace", p.Waiting(0) <= 1500*1.4, true)
 	p.Eject(3)
-	assertEqual(t, "ejections before the first ack", len(ofType[control.SetEjected](p.Send(0).Commands)), 1)
+	assertEqual(t, "ejections before the first ack", len(commandsOfType[control.SetEjected](p.Send(0).Commands)), 1)
 	p.settings.DrainGrace = second // half of it is no longer than the transit
 	p.channel = channelAccount{}
-	assertEqual(t, "some proxies are bound with a short grace", len(ofType[control.Bind](p.Send(0).Commands)) > 0, true)
+	assertEqual(t, "some proxies are bound with a short grace", len(commandsOfType[control.Bind](p.Send(0).Commands)) > 0, true)
 }
 
 // After the subsets of a reconnect storm are sent, the rest of the tables is sent as the channel has capacity; a subset of
 // which more than half is lost is renewed at once.
-func TestRestOfATableFollowsAndALostSubsetIsRenewed(t *testing.T) {
-	p := inStorm(60, 160, nil)
+func TestRestOfATableIsSentAndALostSubsetIsRenewed(t *testing.T) {
+	p := pacerInReconnectStorm(60, 160, nil)
 	p.Send(0)
 	var lost []uint32
 	for replica := range p.proxies.subsets[5].replicas {
@@ -92,25 +92,25 @@
 	}
 	p.Send(0)
 	sent := p.Send(0)
-	renewed := ofType[control.BindSubset](sent.Commands)
+	renewed := commandsOfType[control.BindSubset](sent.Commands)
 	includes := slices.ContainsFunc(renewed, func(c control.BindSubset) bool { return c.Proxy == 5 })
 	assertEqual(t, "the subset of proxy 5 is renewed", includes, true)
 	for _, c := range renewed {
 		assertEqual(t, "an ejected replica is in a renewed subset", slices.Contains(c.Replicas, lost[0]), false)
 	}
-	assertEqual(t, "complete tables while the channel is full", len(ofType[control.Bind](sent.Commands)), 0)
+	assertEqual(t, "complete tables while the channel is full", len(commandsOfType[control.Bind](sent.Commands)), 0)
 	p.channel = channelAccount{} // all messages are acknowledged
-	complete := len(ofType[control.Bind](p.Send(0).Commands))
+	complete := len(commandsOfType[control.Bind](p.Send(0).Commands))
 	assertEqual(t, "some proxies get the rest of their table", complete > 0 && complete < 160, true)
 	assertEqual(t, "the other proxies keep their subset", len(p.proxies.subsets), 160-complete)
 }
 
 func TestRestOfATableWaitsForUrgentCommands(t *testing.T) {
-	p := inStorm(60, 0, func(s *control.Settings) { s.HostQueues = true })
+	p := pacerInReconnectStorm(60, 0, func(s *control.Settings) { s.HostQueues = true })
 	p.proxies.bindSubset(control.BindSubset{Proxy: 1, Replicas: []uint32{1, 2, 3}})
 	p.SetAdmission(control.SetAdmission{Class: 1})
-	assertEqual(t, "complete tables while an urgent command waits", len(ofType[control.Bind](p.Send(0).Commands)), 0)
-	assertEqual(t, "complete tables once no urgent command waits", len(ofType[control.Bind](p.Send(0).Commands)), 1)
+	assertEqual(t, "complete tables while an urgent command waits", len(commandsOfType[control.Bind](p.Send(0).Commands)), 0)
+	assertEqual(t, "complete tables once no urgent command waits", len(commandsOfType[control.Bind](p.Send(0).Commands)), 1)
 	assertEqual(t, "proxies with a subset", len(p.proxies.subsets), 0)
 }
 
@@ -118,7 +118,7 @@
 // subset are ejected, or a proxy sends more requests than it forecast, a warming replica would get more load than from
 // complete tables.
 func TestSubsetsAreOfWarmedUpReplicasWhileTheyHaveHalfOfTheWeight(t *testing.T) {
-	p := inStorm(20, 0, nil)
+	p := pacerInReconnectStorm(20, 0, nil)
 	warming := map[uint32]bool{}
 	for replica := range uint32(10) {
 		warming[replica] = true
@@ -141,10 +141,10 @@
 		{"the table costs less than the share", complete + 1, 0},
 		{"the table costs exactly the share", complete, 60},
 		{"a third of the table fits", 4 + 2 + 3 + 20, 20},
-		{"less than a subset of least size fits", 1, minSubset},
+		{"less than a subset of least size fits", 1, minSubsetSize},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := inStorm(60, 0, nil)
+			p := pacerInReconnectStorm(60, 0, nil)
 			p.Connected(1, 5)
 			p.beginTurn(0)
 			p.turn.firstTableUnits = c.units
@@ -174,7 +174,7 @@
 		{"more waits in the channel than the shared part of the grace", 0, 1, 5000, 3 * grace / 8 / 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := inStorm(60, 0, nil)
+			p := pacerInReconnectStorm(60, 0, nil)
 			for proxy := range c.bound {
 				p.proxies.bind(proxy, 0)
 			}
--- a/policy/pacing/urgent_test.go
+++ b/policy/pacing/urgent_test.go
@@ -8,10 +8,10 @@
 )
 
 func TestLateEjectionDoesNotUndoAnUnejection(t *testing.T) {
-	p := withTable(1, nil)
+	p := pacerWithTable(1, nil)
 	p.Eject(5)
 	p.SetStep(Step{Additions: 1, Commands: []control.Command{control.SetEjected{Replica: 5}}})
-	got := ofType[control.SetEjected](p.Send(0).Commands)
+	got := commandsOfType[control.SetEjected](p.Send(0).Commands)
 	assertEqual(t, "commands", reflect.DeepEqual(got, []control.SetEjected{{Replica: 5}}), true)
 }
 
@@ -47,22 +47,22 @@
 }
 
 func TestRenumberingKeepsAdmissionRatesOfKnownClasses(t *testing.T) {
-	p := withTable(1, nil)
+	p := pacerWithTable(1, nil)
 	for class := range 3 {
 		p.SetAdmission(control.SetAdmission{Class: class, Fraction: 0.5})
 	}
 	p.Send(0)
-	assertEqual(t, "number of classes with an admission rate", p.proxies.limitedClasses(), 3)
+	assertEqual(t, "number of classes with an admission rate", p.proxies.limitedClassCount(), 3)
 	p.RenumberClasses([]int{1, -1, 0})
-	assertEqual(t, "classes with an admission rate after renumbering", reflect.DeepEqual(p.proxies.limited, map[int]bool{0: true, 1: true}), true)
+	assertEqual(t, "classes with an admission rate after renumbering", reflect.DeepEqual(p.proxies.limitedClasses, map[int]bool{0: true, 1: true}), true)
 }
 
 func TestCancelledBindsAreNotSent(t *testing.T) {
-	p := withTable(2, nil)
+	p := pacerWithTable(2, nil)
 	p.Bind(control.Bind{Proxy: 0, Table: 0})
 	p.SetStep(Step{Commands: []control.Command{control.Bind{Proxy: 1, Table: 0}, control.SetEndpoint{Replica: 1, Weight: 2}}})
 	p.CancelBinds()
 	sent := p.Send(0)
-	assertEqual(t, "binds", len(ofType[control.Bind](sent.Commands)), 0)
-	assertEqual(t, "endpoints", len(ofType[control.SetEndpoint](sent.Commands)), 1)
+	assertEqual(t, "binds", len(commandsOfType[control.Bind](sent.Commands)), 0)
+	assertEqual(t, "endpoints", len(commandsOfType[control.SetEndpoint](sent.Commands)), 1)
 }
