--- a/policy/binding/binding.go
+++ b/policy/binding/binding.go
@@ -14,7 +14,7 @@
 //     before.
 //
 // A FirstBind is sent at once, as the proxy has no table yet. A Move is sent in the third step of an update, after the
-// endpoints of the new table.
+// endpoints of the new table have been sent.
 package binding
 
 import (
--- a/policy/pacing/budget_test.go
+++ b/policy/pacing/budget_test.go
@@ -47,22 +47,22 @@
 
 func TestBudgetAdmitsUpToItsFractions(t *testing.T) {
 	for _, c := range []struct {
-		name              string
-		limit             budget
-		waiting, sent     float64
-		units             float64
-		messages          int
-		reached, concerns bool
-		want              bool
+		name                  string
+		limit                 budget
+		waiting, sent         float64
+		units                 float64
+		messages              int
+		reached, hasRecipient bool
+		want                  bool
 	}{
-		{name: "channel exactly at the limit", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 50, concerns: true, want: true},
-		{name: "channel above the limit", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 51, concerns: true, want: false},
-		{name: "channel above the limit, unlimited budget", limit: unlimited, waiting: 1e9, concerns: true, want: true},
+		{name: "channel exactly at the limit", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 50, hasRecipient: true, want: true},
+		{name: "channel above the limit", limit: budget{0.5, 1}, waiting: 100, sent: 50, units: 51, hasRecipient: true, want: false},
+		{name: "channel above the limit, unlimited budget", limit: unlimited, waiting: 1e9, hasRecipient: true, want: true},
 		{name: "channel above the limit, command without recipients", limit: budget{0.5, 1}, waiting: 1e9, want: true},
-		{name: "last message of the cap", limit: budget{1, 0.5}, messages: 4, concerns: true, want: true},
-		{name: "cap used up", limit: budget{1, 0.5}, messages: 5, concerns: true, want: false},
-		{name: "cap used up, proxy gets a message in this turn anyway", limit: budget{1, 0.5}, messages: 5, reached: true, concerns: true, want: true},
-		{name: "cap used up, unlimited budget", limit: unlimited, messages: 50, concerns: true, want: true},
+		{name: "last message of the cap", limit: budget{1, 0.5}, messages: 4, hasRecipient: true, want: true},
+		{name: "cap used up", limit: budget{1, 0.5}, messages: 5, hasRecipient: true, want: false},
+		{name: "cap used up, proxy gets a message in this turn anyway", limit: budget{1, 0.5}, messages: 5, reached: true, hasRecipient: true, want: true},
+		{name: "cap used up, unlimited budget", limit: unlimited, messages: 50, hasRecipient: true, want: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPacer(func(s *control.Settings) { s.MaxMessages = 10 })
@@ -72,7 +72,7 @@
 			p.turn.reached[3] = c.reached
 			recordMessages(p, 3, c.messages)
 			cost := commandCost{units: c.units}
-			if c.concerns {
+			if c.hasRecipient {
 				cost.recipients = []int{3}
 			}
 			assertEqual(t, "admitted", p.admits(cost, c.limit), c.want)
--- a/policy/pacing/partition_test.go
+++ b/policy/pacing/partition_test.go
@@ -28,8 +28,8 @@
 				seen[replica] = true
 			}
 			assertEqual(t, "subset is not larger than size", len(subset) <= size, true)
-			least = math.Min(least, weigh(weights, subset))
-			most = math.Max(most, weigh(weights, subset))
+			least = math.Min(least, totalWeight(weights, subset))
+			most = math.Max(most, totalWeight(weights, subset))
 		}
 		assertEqual(t, "replicas in subsets", len(seen), 68)
 		if full := 68%size == 0 || len(subsets) == 1; size > 3 && full && most-least > heaviest {
@@ -37,13 +37,13 @@
 		}
 	}
 	subsets := newPartition(weights, nil, 10).subsets
-	if len(subsets) != 7 || math.Abs(weigh(weights, subsets[0])-total/7) > heaviest/2 {
-		t.Errorf("got %d subsets, the first with weight %v of %v, want 7 of similar weight", len(subsets), weigh(weights, subsets[0]), total)
+	if len(subsets) != 7 || math.Abs(totalWeight(weights, subsets[0])-total/7) > heaviest/2 {
+		t.Errorf("got %d subsets, the first with weight %v of %v, want 7 of similar weight", len(subsets), totalWeight(weights, subsets[0]), total)
 	}
 	assertEqual(t, "subsets of an empty table", len(newPartition(nil, nil, 3).subsets), 0)
 }
 
-func weigh(weights map[uint32]float64, subset []uint32) float64 {
+func totalWeight(weights map[uint32]float64, subset []uint32) float64 {
 	sum := 0.0
 	for _, replica := range subset {
 		sum += weights[replica]
--- a/policy/placement/endpoints.go
+++ b/policy/placement/endpoints.go
@@ -19,8 +19,8 @@
 	// the overhead of the message.
 	bindCost = 2
 
-	// spilloverSteps is the number of equal steps to which the fraction of a replica in another table is rounded up, so that
-	// small changes of need do not change weights.
+	// spilloverSteps is the number of steps into which a replica is divided for spillover: the fraction of it that another
+	// table gets is rounded up to a whole step, so that small changes of need do not change weights.
 	spilloverSteps = 10
 
 	// minSpillover is the least fraction of a replica that a spillover endpoint is computed from: above 0, so that rounding
--- a/policy/placement/exclusion.go
+++ b/policy/placement/exclusion.go
@@ -19,7 +19,7 @@
 //   - replicas that are warming up and are ejected or held back, or are in a zone whose requests surge: proxies soon avoid
 //     all overloaded replicas, and a replica that has just started would get all requests, whatever its weight. These
 //     replicas are not excluded if no replica is warmed up.
-func (p *Placer) exclude(in Input, replicas []*placedReplica, zoneRows int) (newly []uint32) {
+func (p *Placer) exclude(in Input, replicas []*placedReplica, zoneRows int) (newlyExcluded []uint32) {
 	surges := surgingZones(in, zoneRows)
 	warmedUp := countWarmedUp(replicas)
 	outliersLeft := warmedUp * maxOutlierFraction
@@ -39,11 +39,11 @@
 		}
 		excluded[r.ID] = true
 		if !p.excluded[r.ID] {
-			newly = append(newly, r.ID)
+			newlyExcluded = append(newlyExcluded, r.ID)
 		}
 	}
 	p.excluded = excluded
-	return newly
+	return newlyExcluded
 }
 
 func countWarmedUp(replicas []*placedReplica) float64 {
--- a/policy/placement/exclusion_test.go
+++ b/policy/placement/exclusion_test.go
@@ -6,7 +6,7 @@
 )
 
 // planExclusions makes a plan and returns the excluded and the newly excluded replicas.
-func planExclusions(t *testing.T, p *Placer, in Input) (all, newly []uint32) {
+func planExclusions(t *testing.T, p *Placer, in Input) (all, newlyExcluded []uint32) {
 	t.Helper()
 	in.Settings = settings()
 	plan := mustPlace(t, p, in)
--- a/policy/update/sequence_test.go
+++ b/policy/update/sequence_test.go
@@ -183,7 +183,7 @@
 				t.Errorf("step waits for an ack: got %v, want %v", got, c.waits)
 			}
 			if s.stepHasSent != c.waits {
-				t.Errorf("stepSent: got %v, want %v", s.stepHasSent, c.waits)
+				t.Errorf("stepHasSent: got %v, want %v", s.stepHasSent, c.waits)
 			}
 		})
 	}
