--- a/policy/pacing/helpers_test.go
+++ b/policy/pacing/helpers_test.go
@@ -9,14 +9,14 @@
 
 const testTickInterval = 250 * time.Millisecond
 
-// testSettings are those of a host that sends each command as it is given, without a drain grace and message caps.
+// testSettings returns settings without a drain grace and message caps, for a host that does not queue.
 func testSettings() control.Settings {
 	return control.Settings{Controllers: 1, Zones: 2, HardwareClasses: 1, Proxies: 6, ChannelRate: 1000, ChannelLimit: 400,
 		MessageOverhead: 4, MaxTransit: int64(time.Second / 2), MessageWindow: int64(10 * time.Second),
 		Classes: make([]control.TrafficClass, 2)}
 }
 
-// newPacer returns a Pacer without proxies, for settings that change makes from testSettings.
+// newPacer returns a Pacer without proxies, with testSettings as modified by change.
 func newPacer(change func(*control.Settings)) *Pacer {
 	settings := testSettings()
 	if change != nil {
@@ -25,8 +25,8 @@
 	return New(&settings, testTickInterval)
 }
 
-// withTable returns a Pacer whose table 0 has 20 replicas of weight 1, and so many proxies bound to it.
-func withTable(proxies int, change func(*control.Settings)) *Pacer {
+// pacerWithTable returns a Pacer whose table 0 has 20 replicas of weight 1 and the given number of proxies bound to it.
+func pacerWithTable(proxies int, change func(*control.Settings)) *Pacer {
 	p := newPacer(change)
 	for proxy := range proxies {
 		p.proxies.bind(proxy, 0)
@@ -43,22 +43,22 @@
 	return weights
 }
 
-// atCap makes the Pacer believe that a proxy got so many messages at time 0.
-func atCap(p *Pacer, proxy, messages int) {
+// recordMessages records a number of messages to a proxy at time 0.
+func recordMessages(p *Pacer, proxy, messages int) {
 	for range messages {
 		p.messages.record(0, []int{proxy})
 	}
 }
 
-// ofType returns the commands of one type.
-func ofType[T control.Command](commands []control.Command) []T {
-	var those []T
+// commandsOfType returns the commands of one type.
+func commandsOfType[T control.Command](commands []control.Command) []T {
+	var matching []T
 	for _, command := range commands {
 		if c, ok := command.(T); ok {
-			those = append(those, c)
+			matching = append(matching, c)
 		}
 	}
-	return those
+	return matching
 }
 
 func assertEqual(t *testing.T, what string, got, want any) {
