--- a/experiment/emulator/controllers.go
+++ b/experiment/emulator/controllers.go
@@ -11,18 +11,18 @@
 	"lilacbend/policy"
 )
 
-// controllerNode is one controller, and what is on its way to it.
+// controllerNode is one controller, with its queued inputs and reports.
 type controllerNode struct {
-	simulation *Simulation
-	index      int
-	core       *controller.Core // nil: it does not run
-	startedAt  int64
-	inputs     []controller.Input
-	nextTurn   int64 // 0: none is scheduled
-	channelEnd int64 // when its channel has sent all that is queued
-	learned    *learnedstate.State
-	reports    []reportLine // that wait for the intake, the oldest first
-	credit     float64      // lines that the intake lets through
+	simulation    *Simulation
+	index         int
+	core          *controller.Core // nil: not running
+	startedAt     int64
+	inputs        []controller.Input
+	nextTurn      int64 // 0: not scheduled
+	channelFreeAt int64 // when the send channel has sent all queued messages
+	learned       *learnedstate.State
+	queuedReports []reportLine // queued by the rate limit, oldest first
+	reportCredit  float64      // report lines that the rate limit permits at present
 }
 
 // Start starts all controllers. The first one receives the restored state.
@@ -36,36 +36,36 @@
 // Core returns the core of a controller, or nil if it does not run.
 func (sim *Simulation) Core(k int) *controller.Core { return sim.controllers[k].core }
 
-// start starts a controller. It receives the restored state, if any, the list, and its proxies as they join. Proxies keep the
-// tables that they have.
+// start starts a controller. It receives the restored state, if any, the replica list, and later the proxies that join it.
+// Proxies keep the tables that they have.
 func (sim *Simulation) start(c *controllerNode, restored *learnedstate.AgedState) {
-	provision := sim.Site.Settings
-	provision.Seed = uint64(sim.random.Int63())
+	settings := sim.Site.Settings
+	settings.Seed = uint64(sim.random.Int63())
 	c.startedAt = sim.now
 	c.core = controller.New(func() controller.Module {
 		if sim.WrapModule != nil {
-			return sim.WrapModule(policy.New(provision))
+			return sim.WrapModule(policy.New(settings))
 		}
-		return policy.New(provision)
-	}, controller.NewTopology(sim.Site.Names, provision))
+		return policy.New(settings)
+	}, controller.NewTopology(sim.Site.Names, settings))
 	if restored != nil {
 		c.enqueue(controller.SnapshotRestored{Snapshot: restored})
 	}
-	sim.sendList(c)
+	sim.sendReplicaList(c)
 	for _, p := range sim.proxies {
-		delete(p.messageTimes, c.index) // those of an earlier incarnation
-		if sim.isOwn(p, c) {
+		delete(p.messageTimes, c.index) // of the process before the restart
+		if sim.isPreferredController(p, c) {
 			sim.scheduleJoin(p, c)
 		}
 	}
 }
 
-// scheduleJoin lets a proxy join a controller that has started: within a third of a second if it has none, some seconds later
-// if it has another one.
+// scheduleJoin has a proxy join a controller that has started: within a third of a second if it has no stream, or 3 to 12 s
+// later if it has a stream to another controller.
 func (sim *Simulation) scheduleJoin(p *proxy, c *controllerNode) {
 	core := c.core
 	sim.after(sim.random.Int63n(second/3), func() {
-		if c.core == core && !sim.isCut(p.zone) && p.stream == 0 {
+		if c.core == core && !sim.isPartitioned(p.zone) && p.stream == 0 {
 			p.controller = c.index
 			sim.join(p)
 		}
@@ -74,7 +74,7 @@
 		return
 	}
 	sim.after(3*second+sim.random.Int63n(9*second), func() {
-		if c.core == core && !sim.isCut(p.zone) && p.stream != 0 && p.controller != c.index {
+		if c.core == core && !sim.isPartitioned(p.zone) && p.stream != 0 && p.controller != c.index {
 			sim.controllers[p.controller].enqueue(controller.StreamClosed{Stream: p.stream})
 			p.controller = c.index
 			sim.join(p)
@@ -82,7 +82,7 @@
 	})
 }
 
-// Stop kills all controllers, with all inputs that they have not processed.
+// Stop kills all controllers. Their unprocessed inputs are lost.
 func (sim *Simulation) Stop() {
 	for _, c := range sim.controllers {
 		sim.stop(c)
@@ -93,7 +93,7 @@
 	c.core = nil
 	c.inputs = nil
 	c.nextTurn = 0
-	c.reports = nil
+	c.queuedReports = nil
 	for _, p := range sim.proxies {
 		if p.controller == c.index {
 			p.stream = 0
@@ -102,19 +102,19 @@
 	}
 }
 
-// ChangeReplicas changes replicas and sends the list to the controllers.
+// ChangeReplicas calls change for each replica, and then sends the replica list to the running controllers.
 func (sim *Simulation) ChangeReplicas(change func(k int, r *Replica)) {
 	for k, r := range sim.Replicas {
 		change(k, r)
 	}
 	for _, c := range sim.controllers {
 		if c.core != nil {
-			sim.sendList(c)
+			sim.sendReplicaList(c)
 		}
 	}
 }
 
-func (sim *Simulation) sendList(c *controllerNode) {
+func (sim *Simulation) sendReplicaList(c *controllerNode) {
 	list := controller.ReplicaList{Revision: 1, Complete: true, ReadAt: sim.now, ReadAtWall: sim.now}
 	for _, r := range sim.Replicas {
 		list.Members = append(list.Members, r.Member)
@@ -122,7 +122,7 @@
 	c.enqueue(list)
 }
 
-// enqueue adds an input and schedules a turn.
+// enqueue adds an input for the next turn and schedules that turn. A controller that is not running ignores it.
 func (c *controllerNode) enqueue(input controller.Input) {
 	if c.core == nil {
 		return
@@ -131,16 +131,16 @@
 	c.scheduleTurn(c.simulation.now + batchDelay)
 }
 
-// scheduleTurn schedules a turn, unless one is scheduled before.
-func (c *controllerNode) scheduleTurn(when int64) {
-	if c.nextTurn != 0 && c.nextTurn <= when {
+// scheduleTurn schedules a turn, unless an earlier one is already scheduled.
+func (c *controllerNode) scheduleTurn(time int64) {
+	if c.nextTurn != 0 && c.nextTurn <= time {
 		return
 	}
 	core := c.core
 	sim := c.simulation
-	c.nextTurn = max(when, sim.now)
-	sim.at(when, func() {
-		if c.core != core || c.nextTurn != sim.now { // replaced by another one
+	c.nextTurn = max(time, sim.now)
+	sim.at(time, func() {
+		if c.core != core || c.nextTurn != sim.now { // the controller was restarted, or the turn was moved
 			return
 		}
 		c.nextTurn = 0
@@ -148,7 +148,7 @@
 	})
 }
 
-// turn runs one turn of a core and sends its updates.
+// turn runs one turn of a controller's core and sends the resulting updates.
 func (sim *Simulation) turn(c *controllerNode) {
 	inputs := c.inputs
 	c.inputs = nil
@@ -173,7 +173,7 @@
 	}
 }
 
-// send sends an update through the controller's channel to the proxy of its stream, which applies updates in order.
+// send sends an update through the controller's send channel to the proxy of its stream, which applies updates in order.
 func (sim *Simulation) send(c *controllerNode, outgoing controller.OutgoingUpdate) {
 	index := slices.IndexFunc(sim.proxies, func(p *proxy) bool { return p.stream == outgoing.Stream })
 	if index < 0 {
@@ -185,16 +185,16 @@
 	}
 	sentAt := sim.checkChannel(p, outgoing.Update)
 	c.inputs = append(c.inputs, controller.MessageSent{Number: outgoing.Number})
-	p.lastApplied = max(p.lastApplied, sentAt+transit, p.stalledUntil)
+	p.lastApplied = max(p.lastApplied, sentAt+transitTime, p.stalledUntil)
 	sim.at(p.lastApplied, func() { sim.apply(p, outgoing) })
 }
 
-// wireBytes returns an update as a controller writes it to a proxy's stream.
+// wireBytes returns the bytes that a controller writes to a proxy's stream for an update.
 func wireBytes(update controller.Update) []byte {
 	var buffer bytes.Buffer
 	pool := resp.NewPool(0)
 	for _, words := range controlserver.EncodeUpdate(update) {
-		resp.Write(&buffer, pool, words...) // cannot fail on a buffer
+		resp.Write(&buffer, pool, words...) // writes to a bytes.Buffer do not fail
 	}
 	return buffer.Bytes()
 }
--- a/experiment/emulator/emulator_test.go
+++ b/experiment/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 func TestTargetsByKindOfFault(t *testing.T) {
 	site := NewSite(8, 10, 0.3)
 	for kind, want := range map[string]int{
-		kindCut: 2, kindZone: 2, kindStall: 10, kindStream: 10, kindSilent: 8, kindController: 8, kindRelease: 8,
+		kindZonePartition: 2, kindZoneLoss: 2, kindProxyStall: 10, kindSecondStream: 10, kindUnresponsive: 8, kindControllerRestart: 8, kindRelease: 8,
 	} {
 		if got := site.targets(kind); got != want {
 			t.Errorf("%s has %d targets, want %d", kind, got, want)
--- a/experiment/emulator/fault.go
+++ b/experiment/emulator/fault.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// Fault is one scripted fault. It undoes itself after its span.
+// Fault is one scripted fault. Its effect ends after its duration.
 type Fault struct {
-	Start    int64
+	Start    int64 // virtual time, in nanoseconds
 	Kind     string
-	Target   int // index of a replica, a proxy or a zone
-	Duration int64
+	Target   int   // index of a replica, proxy, zone or controller; too large ones wrap around, except for a zone
+	Duration int64 // nanoseconds
 }
 
 // String returns the fault in one line.
@@ -22,44 +22,46 @@
 
 // Kinds of faults in scripts.
 const (
-	kindSilent         = "silent"
-	kindSlow           = "slow"
-	kindFailing        = "failing"
-	kindRestart        = "restart"       // a replica restarts; its requests are lost
-	kindDrain          = "drain"         // a replica drains and starts again
-	kindReplace        = "replace"       // a replica is removed with its machine; a new one takes its place
-	kindCut            = "cut"           // a zone is cut off
-	kindController     = "governor"      // a controller restarts without state
-	kindControllerKept = "governor-kept" // a controller restarts with its learned state
-	kindStall          = "stall"         // a proxy applies no messages
-	kindStream         = "stream"        // a proxy opens a new stream before the end of the old one is noticed
-	kindRelease        = "release"       // six in ten replicas are replaced within the span
-	kindZone           = "zone"          // replicas and proxies of a zone are lost, and return with all replicas warming up
+	kindUnresponsive               = "silent"
+	kindSlow                       = "slow"
+	kindFailing                    = "failing"
+	kindRestart                    = "restart"       // a replica rejects all requests and then restarts
+	kindDrain                      = "drain"         // a replica drains, and is then ready again and warming up
+	kindReplace                    = "replace"       // a replica is lost with its machine and replaced by a new one
+	kindZonePartition              = "cut"           // a zone is partitioned from the others and from the controllers
+	kindControllerRestart          = "governor"      // a controller restarts without state
+	kindControllerRestartWithState = "governor-kept" // a controller restarts with its learned state
+	kindProxyStall                 = "stall"         // a proxy does not apply messages
+	kindSecondStream               = "stream"        // a proxy opens a new stream before the end of the old one is noticed
+	kindRelease                    = "release"       // six in ten replicas are replaced within the duration
+	kindZoneLoss                   = "zone"          // a zone's replicas and proxies are lost; all replicas return warming up
 )
 
-// Sizes of drawn scripts.
+// Limits of random scripts: the number of faults and their durations.
 const (
 	minFaults        = 2
 	faultCountSpread = 6
-	minSpan          = 200 * milli
-	spanSpread       = 8 * second
+	minDuration      = 200 * millisecond
+	durationSpread   = 8 * second
 )
 
-// FaultKinds are the kinds of faults that concern one replica, proxy, zone or controller.
+// FaultKinds are the kinds of faults that affect one replica, proxy, zone or controller.
 var FaultKinds = []string{
-	kindSilent, kindSlow, kindFailing, kindRestart, kindDrain, kindReplace, kindCut, kindController, kindControllerKept, kindStall, kindStream,
+	kindUnresponsive, kindSlow, kindFailing, kindRestart, kindDrain, kindReplace, kindZonePartition,
+	kindControllerRestart, kindControllerRestartWithState, kindProxyStall, kindSecondStream,
 }
 
-// CorrelatedFaultKinds are the kinds of faults that concern many replicas at once.
-var CorrelatedFaultKinds = []string{kindRelease, kindZone}
+// CorrelatedFaultKinds are the kinds of faults that affect many replicas at once.
+var CorrelatedFaultKinds = []string{kindRelease, kindZoneLoss}
 
-// edgeSpans are spans at which the behaviour of the controller or the protocol changes. Drawn times are at an edge, just before or
-// just after it.
-var edgeSpans = []int64{
-	transit, 2 * transit, batchDelay, second / 4, second / 2, second, 2 * second, 2500 * milli, 3 * second, 4 * second, 5 * second, 10 * second,
+// boundaryDurations are durations at which the behaviour of the controller or of the protocol changes. Random scripts use
+// times at these boundaries, just before and just after them.
+var boundaryDurations = []int64{
+	transitTime, 2 * transitTime, batchDelay, second / 4, second / 2, second, 2 * second, 2500 * millisecond, 3 * second, 4 * second, 5 * second, 10 * second,
 }
 
-// RandomFaults draws a script from a seed: some faults of some kinds, many of them at an edge after an earlier one.
+// RandomFaults returns a random script from a seed: faults of the given kinds that start from one time until another. Half
+// of the later ones start a boundary duration after the previous one, and half of the faults last a boundary duration.
 func RandomFaults(site Site, seed int64, from, until int64, kinds []string) []Fault {
 	var script []Fault
 	random := rand.New(rand.NewSource(seed))
@@ -67,14 +69,14 @@
 		fault := Fault{
 			Start:    from + random.Int63n(until-from),
 			Kind:     kinds[random.Intn(len(kinds))],
-			Duration: minSpan + random.Int63n(spanSpread),
+			Duration: minDuration + random.Int63n(durationSpread),
 		}
 		if len(script) > 0 && random.Intn(2) == 0 {
 			previous := script[len(script)-1]
-			fault.Start = min(until-1, previous.Start+drawEdge(random))
+			fault.Start = min(until-1, previous.Start+randomBoundary(random))
 		}
 		if random.Intn(2) == 0 {
-			fault.Duration = drawEdge(random)
+			fault.Duration = randomBoundary(random)
 		}
 		fault.Target = random.Intn(site.targets(fault.Kind))
 		script = append(script, fault)
@@ -83,19 +85,19 @@
 	return script
 }
 
-// drawEdge draws a span at an edge, just before or just after it.
-func drawEdge(random *rand.Rand) int64 {
-	edge := edgeSpans[random.Intn(len(edgeSpans))]
-	shifts := []int64{-1, 0, 1, milli}
-	return edge + shifts[random.Intn(len(shifts))]
+// randomBoundary returns a random boundary duration, exact, 1 ns less, or 1 ns or 1 ms more.
+func randomBoundary(random *rand.Rand) int64 {
+	boundary := boundaryDurations[random.Intn(len(boundaryDurations))]
+	shifts := []int64{-1, 0, 1, millisecond}
+	return boundary + shifts[random.Intn(len(shifts))]
 }
 
-// targets returns how many targets a kind of fault has.
+// targets returns the number of possible targets of a kind of fault.
 func (s Site) targets(kind string) int {
 	switch kind {
-	case kindCut, kindZone:
+	case kindZonePartition, kindZoneLoss:
 		return len(s.zones())
-	case kindStall, kindStream:
+	case kindProxyStall, kindSecondStream:
 		return s.Proxies
 	}
 	return s.Replicas
--- a/experiment/emulator/inject.go
+++ b/experiment/emulator/inject.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// snapshotHalfLife is the half-life of the learned state that a controller restarts with.
+	// snapshotHalfLife is the half-life by which learned state loses weight until a controller restarts with it.
 	snapshotHalfLife = 60 * second
-	// zoneLossNoticeDelay is when a lost zone's replicas are removed from the list.
+	// zoneLossNoticeDelay is how long after the loss of a zone its replicas are removed from the list.
 	zoneLossNoticeDelay = second
-	// minZoneReplaceDelay is the earliest time at which they are replaced.
+	// minZoneReplaceDelay is the shortest time after the loss of a zone at which its replicas are replaced.
 	minZoneReplaceDelay = 2 * second
-	// releaseFraction is the fraction of replicas that a release replaces, in tenths.
-	releaseFraction = 6
+	// releaseTenths is the fraction of replicas that a release replaces, in tenths.
+	releaseTenths = 6
 	// releaseDrainTime is how long a replica drains before a release replaces it.
 	releaseDrainTime = 2 * second
 )
 
-// Inject schedules the faults of a script.
+// Inject schedules faults.
 func (sim *Simulation) Inject(script []Fault) {
 	for _, fault := range script {
 		sim.at(fault.Start, func() { sim.inject(fault) })
@@ -30,7 +30,7 @@
 
 func (sim *Simulation) inject(fault Fault) {
 	switch fault.Kind {
-	case kindSilent:
+	case kindUnresponsive:
 		sim.injectReplicaFault(fault, Unresponsive)
 	case kindSlow:
 		sim.injectReplicaFault(fault, Slow)
@@ -49,21 +49,21 @@
 		r.Fault = Failing
 		sim.changeState(r, control.Gone, r.Member.UpSince)
 		sim.after(fault.Duration, func() { sim.replace(r) })
-	case kindCut:
-		sim.injectCut(fault)
-	case kindController, kindControllerKept:
+	case kindZonePartition:
+		sim.injectZonePartition(fault)
+	case kindControllerRestart, kindControllerRestartWithState:
 		sim.injectControllerRestart(fault)
 	case kindRelease:
 		sim.injectRelease(fault)
-	case kindZone:
+	case kindZoneLoss:
 		sim.injectZoneLoss(fault)
-	case kindStall:
+	case kindProxyStall:
 		p := sim.proxy(fault)
 		p.stalledUntil = max(p.stalledUntil, sim.now+fault.Duration)
-	case kindStream:
+	case kindSecondStream:
 		sim.injectSecondStream(fault)
 	default:
-		panic(fmt.Sprintf("unknown kind of fault %q", fault.Kind)) // scripts are checked when they are read
+		panic(fmt.Sprintf("unknown kind of fault %q", fault.Kind)) // kinds are checked when a script is read
 	}
 }
 
@@ -79,13 +79,14 @@
 	sim.after(fault.Duration, func() { r.Fault = NoFault })
 }
 
-func (sim *Simulation) injectCut(fault Fault) {
+func (sim *Simulation) injectZonePartition(fault Fault) {
 	zone := sim.Site.zones()[fault.Target]
-	sim.cuts[zone]++
+	sim.partitions[zone]++
 	sim.after(fault.Duration, func() { sim.reconnectZone(zone) })
 }
 
-// injectControllerRestart kills a controller and starts it after the span, with its learned state if that is kept.
+// injectControllerRestart kills a controller and starts it after the fault's duration, with its learned state if the kind of
+// fault keeps it.
 func (sim *Simulation) injectControllerRestart(fault Fault) {
 	c := sim.controllers[fault.Target%len(sim.controllers)]
 	if c.core == nil {
@@ -98,7 +99,7 @@
 			return
 		}
 		var restored *learnedstate.AgedState
-		if fault.Kind == kindControllerKept && learned != nil {
+		if fault.Kind == kindControllerRestartWithState && learned != nil {
 			age := learned.Taken.Age(learnedstate.Timestamp{Wall: sim.now})
 			restored = learnedstate.NewAgedState(*learned, sim.now, age, snapshotHalfLife)
 		}
@@ -106,9 +107,9 @@
 	})
 }
 
-// injectRelease replaces replicas one after another, in a random order. Each drains before.
+// injectRelease replaces replicas one after another, in a random order. Each one drains before it is replaced.
 func (sim *Simulation) injectRelease(fault Fault) {
-	replaced := sim.random.Perm(len(sim.Replicas))[:len(sim.Replicas)*releaseFraction/10]
+	replaced := sim.random.Perm(len(sim.Replicas))[:len(sim.Replicas)*releaseTenths/10]
 	for k, index := range replaced {
 		r := sim.Replicas[index]
 		delay := fault.Duration * int64(k) / int64(len(replaced))
@@ -117,10 +118,11 @@
 	}
 }
 
-// injectZoneLoss loses a zone. Its replicas are removed from the list late, and replaced at the end of the span.
+// injectZoneLoss loses a zone. Its replicas are removed from the list with a delay, and replaced at the end of the fault's
+// duration, but not before minZoneReplaceDelay.
 func (sim *Simulation) injectZoneLoss(fault Fault) {
 	zone := sim.Site.zones()[fault.Target]
-	sim.cuts[zone]++
+	sim.partitions[zone]++
 	for _, r := range sim.Replicas {
 		if r.Member.Zone != zone {
 			continue
@@ -132,11 +134,12 @@
 	sim.after(fault.Duration, func() { sim.reconnectZone(zone) })
 }
 
-// injectSecondStream opens a new stream of a proxy. The end of the old one is noticed after the span.
+// injectSecondStream opens a new stream of a proxy. Its controller notices the end of the old one after the fault's
+// duration.
 func (sim *Simulation) injectSecondStream(fault Fault) {
 	p := sim.proxy(fault)
 	old := p.stream
-	if old == 0 || sim.isCut(p.zone) {
+	if old == 0 || sim.isPartitioned(p.zone) {
 		return
 	}
 	c := sim.controllers[p.controller]
@@ -144,14 +147,14 @@
 	sim.after(fault.Duration, func() { c.enqueue(controller.StreamClosed{Stream: old}) })
 }
 
-// replace lets a new process take a replica's place. It warms up.
+// replace replaces a replica by a new process of the same ID, which warms up.
 func (sim *Simulation) replace(r *Replica) {
 	r.Fault = NoFault
 	r.recentAttempts = nil
 	sim.changeState(r, control.Ready, sim.now)
 }
 
-// changeState changes a replica in the list and notifies the controllers.
+// changeState changes the state of a replica in the list and notifies the controllers.
 func (sim *Simulation) changeState(r *Replica, state control.State, upSince int64) {
 	r.Member.State = state
 	r.Member.UpSince = upSince
@@ -161,10 +164,11 @@
 	}
 }
 
-// reconnectZone ends one cut of a zone. After the last one its proxies join again; messages in flight are lost.
+// reconnectZone ends one partition of a zone. After the last one its proxies join again, and messages to their old streams
+// are lost.
 func (sim *Simulation) reconnectZone(zone string) {
-	sim.cuts[zone]--
-	if sim.cuts[zone] > 0 {
+	sim.partitions[zone]--
+	if sim.partitions[zone] > 0 {
 		return
 	}
 	for _, p := range sim.proxies {
@@ -174,7 +178,7 @@
 	}
 }
 
-// rejoin replaces a proxy's stream, or reconnects the proxy if its controller does not run.
+// rejoin replaces a proxy's stream by a new one to the same controller, or to another one if that is not running.
 func (sim *Simulation) rejoin(p *proxy) {
 	c := sim.controllers[p.controller]
 	if c.core == nil {
--- a/experiment/emulator/overload.go
+++ b/experiment/emulator/overload.go
@@ -1,35 +1,35 @@
 package emulator
 
-// Overload describes what makes an overload worse than its requests: full queues, proxies that avoid failing replicas, and
-// clients that send failed requests again. The zero value is an installation in which requests only wait.
+// Overload describes effects that amplify an overload: full queues, proxies that avoid failing replicas, and clients that
+// retry failed requests. With the zero value, requests queue without limit and have no such effects.
 type Overload struct {
-	QueueLimit         int   // requests that may wait at a replica; further ones are rejected before they run; 0: no limit
-	ClientRetries      int   // how often a client sends a failed request again
+	QueueLimit         int   // requests that may wait at a replica; more are rejected before they run; 0: no limit
+	ClientRetries      int   // retries of a failed request by its client
 	AvoidAfterFailures int   // consecutive failures after which a proxy avoids a replica; 0: never
-	AvoidDuration      int64 // for how long, in nanoseconds
-	ZonalControllers   bool  // each controller has proxies of one zone only
+	AvoidDuration      int64 // nanoseconds
+	ZonalControllers   bool  // proxies prefer the controllers of their zone, if each zone has one
 }
 
-// resendDelay is how long a client waits before it sends a failed request again.
-const resendDelay = 200 * milli
+// clientRetryDelay is how long a client waits before it retries a failed request.
+const clientRetryDelay = 200 * millisecond
 
-// isFull reports whether a replica rejects another request.
+// isFull reports whether a replica without a fault rejects another request because its queue is full.
 func (sim *Simulation) isFull(r *Replica) bool {
 	limit := sim.Site.Overload.QueueLimit
 	return limit > 0 && r.Fault == NoFault && len(r.waiting) >= limit
 }
 
-// resend lets the client send a failed request again, if it does that.
-func (sim *Simulation) resend(q *request) {
-	if q.resent >= sim.Site.Overload.ClientRetries {
+// retryByClient has the client retry a failed request, up to ClientRetries times.
+func (sim *Simulation) retryByClient(req *request) {
+	if req.clientRetries >= sim.Site.Overload.ClientRetries {
 		return
 	}
-	sim.after(resendDelay, func() {
-		sim.arrive(&request{proxy: q.proxy, class: q.class, arrived: sim.now, resent: q.resent + 1})
+	sim.after(clientRetryDelay, func() {
+		sim.handleArrival(&request{proxy: req.proxy, class: req.class, arrived: sim.now, clientRetries: req.clientRetries + 1})
 	})
 }
 
-// attemptFailed counts a failed attempt. A proxy avoids a replica for a while after too many in a row.
+// attemptFailed counts a failed attempt. After AvoidAfterFailures in a row the proxy avoids the replica for AvoidDuration.
 func (sim *Simulation) attemptFailed(p *proxy, r *Replica) {
 	overload := sim.Site.Overload
 	id := r.Member.ID
@@ -46,14 +46,14 @@
 	})
 }
 
-// isOwn reports whether a proxy connects to a controller when that starts.
-func (sim *Simulation) isOwn(p *proxy, c *controllerNode) bool {
+// isPreferredController reports whether a proxy connects to a controller as soon as that has started.
+func (sim *Simulation) isPreferredController(p *proxy, c *controllerNode) bool {
 	count := len(sim.controllers)
 	zones := len(sim.Site.zones())
 	if !sim.Site.Overload.ZonalControllers || count < zones {
 		return p.id%count == c.index
 	}
-	zone := p.id % zones // as New assigns zones
+	zone := p.id % zones // New assigns zones likewise
 	controllersOfZone := (count - zone + zones - 1) / zones
 	return c.index == zone+zones*(p.id/zones%controllersOfZone)
 }
--- a/experiment/emulator/proxy.go
+++ b/experiment/emulator/proxy.go
@@ -5,32 +5,32 @@
 	"lilacbend/internal/controller"
 )
 
-// proxy follows the table that a controller sends it.
+// proxy routes requests by the table that its controller sends.
 type proxy struct {
 	id         int
 	zone       string
 	stream     controller.StreamID // 0: none
-	controller int                 // of the stream, or of the last one
-	weights    map[string]float64  // of endpoints, by replica
+	controller int                 // that the stream, or the previous one, is connected to
+	weights    map[string]float64  // of endpoints, by replica ID
 	ejected    map[string]bool
 	admissions map[string]controller.Admission // by class
-	arrivals   []int                           // by class, since they were last reported
-	failures   []int                           // likewise
+	arrivals   []int                           // requests by class since the last report
+	failures   []int                           // failed requests by class since the last report
 
-	candidates  []candidate // what may be picked; nil: to be computed
+	candidates  []candidate // replicas that may be picked; nil: not computed yet
 	totalWeight float64     // of all candidates
 
-	consecutiveFailures map[string]int  // by replica
-	avoided             map[string]bool // replicas that the proxy itself avoids for a while
+	consecutiveFailures map[string]int  // by replica ID
+	avoided             map[string]bool // IDs of replicas that the proxy avoids because of its own failed attempts
 
-	joinedAt     int64           // when the stream was opened
-	stalledUntil int64           // messages are applied after that
-	lastApplied  int64           // when the last message was, or will be, applied
-	bareSince    int64           // when it had no endpoint any more; 0: it has one
-	messageTimes map[int][]int64 // when each controller sent it messages, within the message window
+	joinedAt        int64           // when the stream was opened
+	stalledUntil    int64           // messages are not applied before that time
+	lastApplied     int64           // when the latest message was, or will be, applied
+	noEndpointSince int64           // since when it has had no endpoint; 0: it has one
+	messageTimes    map[int][]int64 // by controller: when it sent messages to the proxy, within the message window
 }
 
-// candidate is a replica that a proxy may pick.
+// candidate is a replica that a proxy may pick, with its weight.
 type candidate struct {
 	replica *Replica
 	weight  float64
@@ -51,18 +51,19 @@
 	}
 }
 
-// pick draws a replica by weight, except one that was tried before. It returns nil if there is none.
-func (sim *Simulation) pick(p *proxy, except string) *Replica {
+// pick returns a random replica by weight, but not the excluded one (the one of the first attempt). It returns nil if there
+// is none.
+func (sim *Simulation) pick(p *proxy, excluded string) *Replica {
 	if p.candidates == nil {
 		sim.computeCandidates(p)
 	}
 	total := p.totalWeight
-	if except != "" && !p.ejected[except] && !p.avoided[except] {
-		total -= p.weights[except]
+	if excluded != "" && !p.ejected[excluded] && !p.avoided[excluded] {
+		total -= p.weights[excluded]
 	}
 	drawn := sim.random.Float64() * total
 	for _, c := range p.candidates {
-		if c.replica.Member.ID == except {
+		if c.replica.Member.ID == excluded {
 			continue
 		}
 		drawn -= c.weight
@@ -73,7 +74,8 @@
 	return nil
 }
 
-// computeCandidates lists the candidates in the order of the replicas, which does not depend on that of a map.
+// computeCandidates computes the candidates in the order of the replicas. The random order of a map would make runs of one
+// seed differ.
 func (sim *Simulation) computeCandidates(p *proxy) {
 	p.totalWeight = 0
 	for _, r := range sim.Replicas {
@@ -86,7 +88,7 @@
 	}
 }
 
-// hasEndpoint reports whether a proxy has an endpoint that is not ejected, whether it avoids that by itself or not.
+// hasEndpoint reports whether a proxy has an endpoint that is not ejected. Endpoints that it avoids by itself count too.
 func (p *proxy) hasEndpoint() bool {
 	for id, weight := range p.weights {
 		if weight > 0 && !p.ejected[id] {
@@ -101,7 +103,7 @@
 	sim.lastStream++
 	p.stream = sim.lastStream
 	p.joinedAt = sim.now
-	p.bareSince = 0
+	p.noEndpointSince = 0
 	sim.controllers[p.controller].enqueue(controller.StreamOpened{
 		Stream:       p.stream,
 		Proxy:        p.id,
@@ -112,14 +114,14 @@
 	sim.checkEndpoint(p)
 }
 
-// reconnect joins a running controller after a while, and again until there is one. If there is only one controller, its
-// proxies join when it starts.
+// reconnect joins a random running controller after a delay, and retries until one runs. If there is only one controller,
+// its proxies join when it starts.
 func (sim *Simulation) reconnect(p *proxy) {
 	if len(sim.controllers) == 1 {
 		return
 	}
 	sim.after(second/7+sim.random.Int63n(3*second/2), func() {
-		if p.stream != 0 || sim.isCut(p.zone) {
+		if p.stream != 0 || sim.isPartitioned(p.zone) {
 			return
 		}
 		for _, k := range sim.random.Perm(len(sim.controllers)) {
@@ -133,9 +135,9 @@
 	})
 }
 
-// apply applies an update when it arrives at a proxy.
+// apply applies an update that has arrived at a proxy, or postpones it while the proxy is stalled, and acknowledges it.
 func (sim *Simulation) apply(p *proxy, outgoing controller.OutgoingUpdate) {
-	if p.stream != outgoing.Stream || sim.isCut(p.zone) { // lost with its stream
+	if p.stream != outgoing.Stream || sim.isPartitioned(p.zone) { // the update is lost with its stream
 		return
 	}
 	if sim.now < p.stalledUntil {
@@ -145,11 +147,11 @@
 	}
 	p.applyUpdate(outgoing.Update)
 	if outgoing.Update.WantsAck {
-		sim.after(transit, func() {
-			if sim.isCut(p.zone) {
+		sim.after(transitTime, func() {
+			if sim.isPartitioned(p.zone) {
 				return
 			}
-			sim.controllers[p.controller].enqueue(controller.Ack{Stream: outgoing.Stream, Nonce: outgoing.Update.Nonce, Delay: transit})
+			sim.controllers[p.controller].enqueue(controller.Ack{Stream: outgoing.Stream, Nonce: outgoing.Update.Nonce, Delay: transitTime})
 		})
 	}
 	sim.checkEndpoint(p)
@@ -179,11 +181,11 @@
 	}
 }
 
-// mayRetry reports whether a proxy may retry a request of a class that certainly did not run.
+// mayRetry reports whether a proxy may retry a request of a class if its first attempt certainly did not run.
 func (p *proxy) mayRetry(class string) bool {
 	admission, ok := p.admissions[class]
 	return !ok || admission.Retries != control.NoRetry
 }
 
-// isCut reports whether a zone is cut off.
-func (sim *Simulation) isCut(zone string) bool { return sim.cuts[zone] > 0 }
+// isPartitioned reports whether a zone is partitioned from the others and from the controllers.
+func (sim *Simulation) isPartitioned(zone string) bool { return sim.partitions[zone] > 0 }
--- a/experiment/emulator/replica.go
+++ b/experiment/emulator/replica.go
@@ -6,60 +6,60 @@
 	"lilacbend/internal/controller"
 )
 
-// ReplicaFault is what is wrong with a replica.
+// ReplicaFault is a kind of fault of a replica.
 type ReplicaFault int
 
-// Faults of replicas.
+// Kinds of faults of replicas.
 const (
 	NoFault      ReplicaFault = iota
-	Unresponsive              // accepts requests and answers none
-	Slow                      // takes slowFactor times as long
-	Failing                   // rejects requests at once, before they run
+	Unresponsive              // accepts requests but never responds
+	Slow                      // takes slowFactor times as long for each request
+	Failing                   // rejects requests before they run
 )
 
 const (
-	// replicaSlots is how many requests a replica runs at once.
+	// replicaSlots is the number of requests that a replica runs concurrently.
 	replicaSlots = 8
-	// baseTime is the mean time of a request at the faster hardware class, in seconds.
-	baseTime   = 0.1
-	slowFactor = 5
-	// rejectTime is how long a rejection takes.
-	rejectTime = 5 * milli
+	// baseServiceTime is the mean service time of the faster hardware class, in seconds.
+	baseServiceTime = 0.1
+	slowFactor      = 5
+	// rejectTime is how long a replica takes to reject a request.
+	rejectTime = 5 * millisecond
 )
 
-// Replica is one server. Requests beyond its slots wait.
+// Replica is one server. Requests wait while all its slots are in use.
 type Replica struct {
 	Member controller.Member
 	Fault  ReplicaFault
 
-	slots          int
-	meanTime       float64 // seconds
-	running        int
-	waiting        []func()
-	notifiedAt     int64   // when controllers were last notified of a change
-	recentAttempts []int64 // times of attempts within overloadTime, while it is warming up
-	outcomes       map[reporter]*outcomeSum
+	slots           int
+	meanServiceTime float64 // seconds
+	running         int
+	waiting         []func()
+	notifiedAt      int64   // when controllers were last notified of a change
+	recentAttempts  []int64 // times of attempts within overloadTime, recorded while it is warming up
+	outcomes        map[reporter]*outcomeSum
 }
 
-// reporter is who sums outcomes: the collector of a zone, for one controller.
+// reporter is the collector of a zone, as it sums outcomes for one controller.
 type reporter struct {
 	zone       string
 	controller int
 }
 
-// outcomeSum sums the outcomes of attempts since they were last reported.
+// outcomeSum sums the outcomes of attempts since the last report.
 type outcomeSum struct {
 	attempts     int
 	failures     int
-	responseTime int64 // of all successful attempts
+	responseTime int64 // total of all successful attempts, in nanoseconds
 }
 
 func newReplica(site Site, zones []string, k int) *Replica {
 	class := k / 2 % 2
 	return &Replica{
-		slots:    replicaSlots,
-		meanTime: baseTime * float64(1+class),
-		outcomes: map[reporter]*outcomeSum{},
+		slots:           replicaSlots,
+		meanServiceTime: baseServiceTime * float64(1+class),
+		outcomes:        map[reporter]*outcomeSum{},
 		Member: controller.Member{
 			ID:            fmt.Sprintf("s-%04d", k),
 			Zone:          zones[k%len(zones)],
@@ -69,12 +69,12 @@
 	}
 }
 
-// outcome returns the sum for a reporter.
-func (r *Replica) outcome(by reporter) *outcomeSum {
-	if r.outcomes[by] == nil {
-		r.outcomes[by] = &outcomeSum{}
+// outcomesFor returns the sum of a reporter.
+func (r *Replica) outcomesFor(from reporter) *outcomeSum {
+	if r.outcomes[from] == nil {
+		r.outcomes[from] = &outcomeSum{}
 	}
-	return r.outcomes[by]
+	return r.outcomes[from]
 }
 
 func (s *outcomeSum) addFailure() {
@@ -87,14 +87,15 @@
 	s.responseTime += responseTime
 }
 
-// execute runs an attempt on a replica, at once or when a slot is free, and calls succeeded when it has run.
+// execute runs an attempt on a replica as soon as a slot is free, and calls succeeded when it has completed. An unresponsive
+// replica does not call it.
 func (sim *Simulation) execute(r *Replica, succeeded func()) {
 	if r.running >= r.slots {
 		r.waiting = append(r.waiting, func() { sim.execute(r, succeeded) })
 		return
 	}
 	r.running++
-	mean := r.meanTime / sim.warmth(r)
+	mean := r.meanServiceTime / sim.warmUpFraction(r)
 	if r.Fault == Slow {
 		mean *= slowFactor
 	}
@@ -112,12 +113,12 @@
 	})
 }
 
-// warmth returns the fraction of its capacity that a replica has, which is 1 once it is warmed up.
-func (sim *Simulation) warmth(r *Replica) float64 {
-	provision := sim.Site.Settings
+// warmUpFraction returns the fraction of its full capacity that a replica has at present: 1 once it is warmed up.
+func (sim *Simulation) warmUpFraction(r *Replica) float64 {
+	settings := sim.Site.Settings
 	age := sim.now - r.Member.UpSince
-	if r.Member.UpSince == 0 || age >= provision.SlowStartTime {
+	if r.Member.UpSince == 0 || age >= settings.SlowStartTime {
 		return 1
 	}
-	return provision.SlowStartFraction + (1-provision.SlowStartFraction)*float64(age)/float64(provision.SlowStartTime)
+	return settings.SlowStartFraction + (1-settings.SlowStartFraction)*float64(age)/float64(settings.SlowStartTime)
 }
--- a/experiment/emulator/reports.go
+++ b/experiment/emulator/reports.go
@@ -5,29 +5,28 @@
 	"lilacbend/internal/controller"
 )
 
-// Delays of collectors' reports.
+// The random delay of collectors' reports: the minimum and the range above it.
 const (
-	minReportDelay    = 700 * milli
-	reportDelaySpread = 900 * milli
+	minReportDelay    = 700 * millisecond
+	reportDelaySpread = 900 * millisecond
 )
 
-// reportKey identifies what a line of a report is about. Lines of the same key that wait are added up.
+// reportKey identifies the subject of a report line. Queued lines of the same key are merged.
 type reportKey struct {
-	zone    string // of outcomes
+	zone    string // zone and replica are set for outcomes
 	replica string
-	stream  controller.StreamID // of demand
+	stream  controller.StreamID // stream and class are set for demand
 	class   string
 }
 
-// reportLine is a line of a report that waits for a controller's intake. Its demand has a class only if it is the content;
-// otherwise the outcomes are.
+// reportLine is a queued line of a report, either of demand or of outcomes. It is one of demand if the demand has a class.
 type reportLine struct {
 	key      reportKey
 	outcomes controller.Outcomes
 	demand   controller.Demand
 }
 
-// add adds another line of the same key.
+// add merges another line of the same key.
 func (l *reportLine) add(outcomes controller.Outcomes, demand controller.Demand) {
 	before := int64(l.outcomes.Attempts - l.outcomes.Failures)
 	added := int64(outcomes.Attempts - outcomes.Failures)
@@ -49,7 +48,7 @@
 	return l.outcomes
 }
 
-// reportOutcomes sends the outcomes that the proxies of a zone met to the controllers, with a delay.
+// reportOutcomes sends the outcomes of the attempts of a zone's proxies to the controllers, with a random delay.
 func (sim *Simulation) reportOutcomes(zone string) {
 	delay := minReportDelay + sim.random.Int63n(reportDelaySpread)
 	for _, c := range sim.controllers {
@@ -60,7 +59,7 @@
 			}
 			outcomes := sum.report(zone, r.Member.ID)
 			*sum = outcomeSum{}
-			if sim.isCut(zone) {
+			if sim.isPartitioned(zone) {
 				continue
 			}
 			key := reportKey{zone: zone, replica: outcomes.Replica}
@@ -69,7 +68,7 @@
 	}
 }
 
-// report returns the sum as a report of a zone's collector.
+// report returns the sum as a zone's collector reports it. The requests in flight are not known (-1).
 func (s *outcomeSum) report(zone, replica string) controller.Outcomes {
 	outcomes := controller.Outcomes{Zone: zone, Replica: replica}
 	outcomes.Outcomes = control.Outcomes{Attempts: s.attempts, Failures: s.failures, Period: second, InFlight: -1}
@@ -83,11 +82,11 @@
 // reportDemand sends the demand of a proxy to its controller.
 func (sim *Simulation) reportDemand(p *proxy) {
 	for class, name := range sim.Site.Names.Classes {
-		if p.arrivals[class] > 0 && p.stream != 0 && !sim.isCut(p.zone) {
+		if p.arrivals[class] > 0 && p.stream != 0 && !sim.isPartitioned(p.zone) {
 			demand := controller.Demand{Stream: p.stream, Class: name}
 			demand.Demand = control.Demand{Proxy: p.id, Requests: p.arrivals[class], Failures: p.failures[class], Period: second}
 			c := sim.controllers[p.controller]
-			sim.after(transit, func() {
+			sim.after(transitTime, func() {
 				key := reportKey{stream: p.stream, class: name}
 				c.receiveReport(key, controller.Outcomes{}, demand)
 			})
@@ -97,11 +96,12 @@
 	}
 }
 
-// receiveReport enqueues a line of a report, or lets it wait for the intake.
+// receiveReport merges a report line into a queued line of the same key. If there is none, it queues the line if the rate of
+// lines is limited, and otherwise enqueues it as an input at once.
 func (c *controllerNode) receiveReport(key reportKey, outcomes controller.Outcomes, demand controller.Demand) {
-	for k := range c.reports {
-		if c.reports[k].key == key {
-			c.reports[k].add(outcomes, demand)
+	for k := range c.queuedReports {
+		if c.queuedReports[k].key == key {
+			c.queuedReports[k].add(outcomes, demand)
 			return
 		}
 	}
@@ -110,17 +110,17 @@
 		c.enqueue(line.input())
 		return
 	}
-	c.reports = append(c.reports, line)
+	c.queuedReports = append(c.queuedReports, line)
 }
 
-// takeInReports enqueues as many waiting lines as the intake lets through in an interval.
-func (sim *Simulation) takeInReports() {
+// deliverReports enqueues queued report lines as inputs, as many as the rate limit permits in an interval.
+func (sim *Simulation) deliverReports() {
 	perSecond := float64(sim.Site.ReportRateLimit)
 	for _, c := range sim.controllers {
-		c.credit = min(c.credit+perSecond/10, perSecond)
-		for ; len(c.reports) > 0 && c.credit >= 1; c.credit-- {
-			c.enqueue(c.reports[0].input())
-			c.reports = c.reports[1:]
+		c.reportCredit = min(c.reportCredit+perSecond/10, perSecond)
+		for ; len(c.queuedReports) > 0 && c.reportCredit >= 1; c.reportCredit-- {
+			c.enqueue(c.queuedReports[0].input())
+			c.queuedReports = c.queuedReports[1:]
 		}
 	}
 }
--- a/experiment/emulator/request.go
+++ b/experiment/emulator/request.go
@@ -2,135 +2,138 @@
 
 import "lilacbend/control"
 
-// request is one request of a client. It has a second attempt only if the first one certainly did not run.
+// request is one request of a client. Its proxy makes a second attempt only if the first one certainly did not run.
 type request struct {
-	proxy   *proxy
-	class   int
-	arrived int64
-	retried bool
-	done    bool
-	resent  int // how often its client has sent it again after a failure
+	proxy         *proxy
+	class         int
+	arrived       int64
+	retried       bool
+	done          bool
+	clientRetries int // retries by its client before this request
 }
 
-// scheduleArrival schedules a proxy's next request. One in five is of the second class.
+// scheduleArrival schedules the next request at a proxy, with exponentially distributed intervals. One in five requests is
+// of the second class.
 func (sim *Simulation) scheduleArrival(p *proxy, rate float64) {
 	interval := sim.random.ExpFloat64() / rate * float64(second)
 	sim.after(int64(interval), func() {
 		sim.scheduleArrival(p, rate)
 		class := min(len(p.arrivals)-1, sim.random.Intn(5)/4)
-		sim.arrive(&request{proxy: p, class: class, arrived: sim.now})
+		sim.handleArrival(&request{proxy: p, class: class, arrived: sim.now})
 	})
 }
 
-// settings returns the settings of a request's class.
-func (sim *Simulation) settings(q *request) control.TrafficClass {
-	return sim.Site.Settings.Classes[q.class]
+// classSettings returns the settings of a request's class.
+func (sim *Simulation) classSettings(req *request) control.TrafficClass {
+	return sim.Site.Settings.Classes[req.class]
 }
 
-func (sim *Simulation) className(q *request) string { return sim.Site.Names.Classes[q.class] }
+func (sim *Simulation) className(req *request) string { return sim.Site.Names.Classes[req.class] }
 
-// expiry returns when a request times out.
-func (sim *Simulation) expiry(q *request) int64 { return q.arrived + sim.settings(q).Timeout }
+// deadline returns when a request times out.
+func (sim *Simulation) deadline(req *request) int64 {
+	return req.arrived + sim.classSettings(req).Timeout
+}
 
-// arrive admits a request, or rejects it by the admission of its class.
-func (sim *Simulation) arrive(q *request) {
-	q.proxy.arrivals[q.class]++
-	sim.count(q, func(o *OutcomeCounts) { o.Arrived++ })
-	admission, ok := q.proxy.admissions[sim.className(q)]
+// handleArrival admits a request, or rejects it by the admission fraction of its class.
+func (sim *Simulation) handleArrival(req *request) {
+	req.proxy.arrivals[req.class]++
+	sim.count(req, func(o *OutcomeCounts) { o.Arrived++ })
+	admission, ok := req.proxy.admissions[sim.className(req)]
 	if ok && sim.random.Float64() >= admission.Fraction {
-		q.done = true
-		sim.count(q, func(o *OutcomeCounts) { o.Rejected++ })
+		req.done = true
+		sim.count(req, func(o *OutcomeCounts) { o.Rejected++ })
 		return
 	}
-	sim.at(sim.expiry(q), func() { sim.finish(q, false) })
-	sim.attempt(q, "")
+	sim.at(sim.deadline(req), func() { sim.finish(req, false) })
+	sim.attempt(req, "")
 }
 
-// count adds to the counts if a request arrived in the counted window.
-func (sim *Simulation) count(q *request, add func(*OutcomeCounts)) {
-	if q.arrived >= sim.countFrom && q.arrived < sim.countUntil {
-		add(&sim.outcome)
+// count calls add if a request arrived in the counted window.
+func (sim *Simulation) count(req *request, add func(*OutcomeCounts)) {
+	if req.arrived >= sim.countFrom && req.arrived < sim.countUntil {
+		add(&sim.outcomes)
 	}
 }
 
-// finish records the outcome of a request, once.
-func (sim *Simulation) finish(q *request, succeeded bool) {
-	if q.done {
+// finish records the outcome of a request. Later calls for the same request have no effect.
+func (sim *Simulation) finish(req *request, succeeded bool) {
+	if req.done {
 		return
 	}
-	q.done = true
+	req.done = true
 	if !succeeded {
-		sim.resend(q)
-		q.proxy.failures[q.class]++
-		sim.count(q, func(o *OutcomeCounts) { o.Failed++ })
+		sim.retryByClient(req)
+		req.proxy.failures[req.class]++
+		sim.count(req, func(o *OutcomeCounts) { o.Failed++ })
 		return
 	}
-	if sim.now-q.arrived > sim.settings(q).LatencyObjective {
-		sim.count(q, func(o *OutcomeCounts) { o.Late++ })
+	if sim.now-req.arrived > sim.classSettings(req).LatencyObjective {
+		sim.count(req, func(o *OutcomeCounts) { o.Late++ })
 		return
 	}
-	sim.count(q, func(o *OutcomeCounts) { o.Good++ })
+	sim.count(req, func(o *OutcomeCounts) { o.Good++ })
 }
 
-// attempt sends a request to a replica other than the one that was tried before.
-func (sim *Simulation) attempt(q *request, except string) {
-	p := q.proxy
-	r := sim.pick(p, except)
+// attempt sends a request to a replica, but not to the excluded one (the one of the first attempt).
+func (sim *Simulation) attempt(req *request, excluded string) {
+	p := req.proxy
+	r := sim.pick(p, excluded)
 	if r == nil {
-		sim.finish(q, false)
+		sim.finish(req, false)
 		return
 	}
 	sim.checkAttempt(p, r)
-	outcome := r.outcome(reporter{zone: p.zone, controller: p.controller})
-	crossesCut := p.zone != r.Member.Zone && (sim.isCut(p.zone) || sim.isCut(r.Member.Zone))
+	sum := r.outcomesFor(reporter{zone: p.zone, controller: p.controller})
+	crossesPartition := p.zone != r.Member.Zone && (sim.isPartitioned(p.zone) || sim.isPartitioned(r.Member.Zone))
 	switch {
-	case crossesCut || r.Fault == Unresponsive: // nothing is ever received
-		sim.at(sim.expiry(q), outcome.addFailure)
+	case crossesPartition || r.Fault == Unresponsive: // no response will arrive
+		sim.at(sim.deadline(req), sum.addFailure)
 	case r.Fault == Failing:
 		sim.after(rejectTime, func() {
-			outcome.addFailure()
-			sim.retry(q, r)
+			sum.addFailure()
+			sim.retry(req, r)
 		})
 	case sim.isFull(r):
 		sim.after(rejectTime, func() {
-			outcome.addFailure()
+			sum.addFailure()
 			sim.attemptFailed(p, r)
-			sim.retry(q, r)
+			sim.retry(req, r)
 		})
 	default:
-		sim.attemptHealthy(q, r, outcome)
+		sim.attemptHealthy(req, r, sum)
 	}
 }
 
-// retry makes a second attempt, as the first one certainly did not run, or fails the request.
-func (sim *Simulation) retry(q *request, tried *Replica) {
-	if q.retried || !q.proxy.mayRetry(sim.className(q)) {
-		sim.finish(q, false)
+// retry makes a second attempt after a first one that certainly did not run, or fails the request if no retry is allowed.
+func (sim *Simulation) retry(req *request, tried *Replica) {
+	if req.retried || !req.proxy.mayRetry(sim.className(req)) {
+		sim.finish(req, false)
 		return
 	}
-	q.retried = true
-	sim.attempt(q, tried.Member.ID)
+	req.retried = true
+	sim.attempt(req, tried.Member.ID)
 }
 
-// attemptHealthy runs an attempt on a replica that answers, though maybe too late.
-func (sim *Simulation) attemptHealthy(q *request, r *Replica, outcome *outcomeSum) {
+// attemptHealthy makes an attempt on a replica that responds, though possibly after the request's deadline.
+func (sim *Simulation) attemptHealthy(req *request, r *Replica, sum *outcomeSum) {
 	start := sim.now
-	answered := false
-	sim.at(sim.expiry(q), func() {
-		if answered {
+	finished := false
+	sim.at(sim.deadline(req), func() {
+		if finished {
 			return
 		}
-		answered = true
-		outcome.addFailure()
-		sim.attemptFailed(q.proxy, r)
+		finished = true
+		sum.addFailure()
+		sim.attemptFailed(req.proxy, r)
 	})
 	sim.execute(r, func() {
-		if answered {
+		if finished {
 			return
 		}
-		answered = true
-		outcome.addSuccess(sim.now - start)
-		delete(q.proxy.consecutiveFailures, r.Member.ID)
-		sim.finish(q, true)
+		finished = true
+		sum.addSuccess(sim.now - start)
+		delete(req.proxy.consecutiveFailures, r.Member.ID)
+		sim.finish(req, true)
 	})
 }
--- a/experiment/emulator/simulation.go
+++ b/experiment/emulator/simulation.go
@@ -1,6 +1,6 @@
-// Package emulator simulates replicas, and proxies that follow tables, around the controller's core in virtual time: one event
-// after another, random numbers from a seed. It shows the effect of a change of the controller on requests, at sizes that
-// sockets on one machine do not carry. All its results are simulated.
+// Package emulator is a discrete-event simulation of replicas, and of proxies that follow tables, around the controller's
+// core. Time is virtual, events run one after another, and random numbers come from a seed. It shows how a change of the
+// controller affects requests, at sizes that one machine cannot reach with sockets. All its results are simulated.
 package emulator
 
 import (
@@ -15,17 +15,17 @@
 
 // Units and delays, in nanoseconds.
 const (
-	second = int64(1e9)
-	milli  = int64(1e6)
-	// transit is how long a message to a proxy takes, and its acknowledgement.
-	transit = 100 * milli
-	// batchDelay is how long a core waits for further inputs before its turn.
-	batchDelay = 10 * milli
-	// intakeInterval is how often report lines are taken in if the intake is limited.
-	intakeInterval = second / 10
+	second      = int64(1e9)
+	millisecond = int64(1e6)
+	// transitTime is how long a message to a proxy takes, and how long its acknowledgement takes.
+	transitTime = 100 * millisecond
+	// batchDelay is how long a controller collects inputs before its turn.
+	batchDelay = 10 * millisecond
+	// reportDeliveryInterval is how often queued report lines are delivered to a controller if their rate is limited.
+	reportDeliveryInterval = second / 10
 )
 
-// OutcomeCounts counts the outcomes of requests that arrived in a window.
+// OutcomeCounts counts the requests that arrived in a time window, by outcome.
 type OutcomeCounts struct {
 	Arrived  int
 	Good     int // within the latency budget
@@ -36,7 +36,7 @@
 
 // String returns the counts in one line.
 func (o OutcomeCounts) String() string {
-	return fmt.Sprintf("%d came, %d good, %d late, %d lost, %d blocked", o.Arrived, o.Good, o.Late, o.Failed, o.Rejected)
+	return fmt.Sprintf("%d arrived, %d good, %d late, %d failed, %d rejected", o.Arrived, o.Good, o.Late, o.Failed, o.Rejected)
 }
 
 // BadFraction returns the fraction of requests that were not answered within their latency budget.
@@ -44,40 +44,40 @@
 	return 1 - float64(o.Good)/math.Max(1, float64(o.Arrived))
 }
 
-// Simulation is one run.
+// Simulation is one simulated installation with its virtual clock.
 type Simulation struct {
 	Site         Site
 	Replicas     []*Replica
-	LearnedState *learnedstate.State // the latest of the first controller
-	TurnTimes    []int64             // real nanoseconds of each turn, if Clock is set
+	LearnedState *learnedstate.State // the latest snapshot of the first controller
+	TurnTimes    []int64             // duration of each turn by Clock; empty if Clock is nil
 	Clock        func() int64
 
 	Violations []Violation
-	WrapModule func(controller.Module) controller.Module // replaces the decision module; nil: unchanged
-	Trace      func(text string, args ...any)            // receives each message to a proxy; nil: none
-
-	proxies     []*proxy
-	random      *rand.Rand
-	now         int64
-	events      eventHeap
-	scheduled   int64 // events so far
-	controllers []*controllerNode
-	lastStream  controller.StreamID
-	countFrom   int64 // requests that arrive from then on are counted, until countUntil
-	countUntil  int64
-	outcome     OutcomeCounts
-	reported    map[string]bool // breaches by rule and culprit; nil: rules are not checked
-	cuts        map[string]int  // by zone: how many faults cut it off at present
+	WrapModule func(controller.Module) controller.Module // wraps each controller's decision module; nil: not wrapped
+	Trace      func(text string, args ...any)            // called for each message to a proxy; nil: no trace
+
+	proxies            []*proxy
+	random             *rand.Rand
+	now                int64
+	events             eventHeap
+	scheduled          int64 // events scheduled so far
+	controllers        []*controllerNode
+	lastStream         controller.StreamID
+	countFrom          int64 // requests that arrive from countFrom until countUntil are counted
+	countUntil         int64
+	outcomes           OutcomeCounts
+	reportedViolations map[string]bool // violations by rule and subject; nil: rules are not checked
+	partitions         map[string]int  // by zone: number of current faults that partition it
 }
 
-// New returns a simulation of a site at time 0.
+// New returns a simulation of a site at time 0, with random numbers from a seed. Its controllers are not started.
 func New(site Site, seed int64) *Simulation {
 	zones := site.zones()
-	sim := &Simulation{Site: site, cuts: map[string]int{}, random: rand.New(rand.NewSource(seed))}
+	sim := &Simulation{Site: site, partitions: map[string]int{}, random: rand.New(rand.NewSource(seed))}
 	capacity := 0.0
 	for k := range site.Replicas {
 		r := newReplica(site, zones, k)
-		capacity += float64(r.slots) / r.meanTime
+		capacity += float64(r.slots) / r.meanServiceTime
 		sim.Replicas = append(sim.Replicas, r)
 	}
 	rate := capacity * site.Load / float64(site.Proxies)
@@ -94,19 +94,19 @@
 		sim.controllers = append(sim.controllers, &controllerNode{simulation: sim, index: k})
 	}
 	if site.ReportRateLimit > 0 {
-		sim.every(intakeInterval, sim.takeInReports)
+		sim.every(reportDeliveryInterval, sim.deliverReports)
 	}
 	return sim
 }
 
-// event is something that happens at a time; order keeps events of one time in the order in which they were scheduled.
+// event is a function that runs at a time. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at    int64
 	order int64
-	do    func()
+	run   func()
 }
 
-// eventHeap is a heap.Interface; the next event is the first.
+// eventHeap implements heap.Interface with the earliest event first.
 type eventHeap []event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -126,30 +126,30 @@
 	return popped
 }
 
-// at schedules an event, not before now.
-func (sim *Simulation) at(when int64, do func()) {
+// at schedules an event at a time, or now if that has passed.
+func (sim *Simulation) at(time int64, run func()) {
 	sim.scheduled++
-	heap.Push(&sim.events, event{at: max(when, sim.now), order: sim.scheduled, do: do})
+	heap.Push(&sim.events, event{at: max(time, sim.now), order: sim.scheduled, run: run})
 }
 
-func (sim *Simulation) after(delay int64, do func()) { sim.at(sim.now+delay, do) }
+func (sim *Simulation) after(delay int64, run func()) { sim.at(sim.now+delay, run) }
 
-// every schedules an event at intervals, the first one within the first interval.
-func (sim *Simulation) every(interval int64, do func()) {
+// every schedules an event at intervals. The first time is random within the first interval.
+func (sim *Simulation) every(interval int64, run func()) {
 	var repeat func()
 	repeat = func() {
-		do()
+		run()
 		sim.after(interval, repeat)
 	}
 	sim.after(sim.random.Int63n(interval), repeat)
 }
 
-// Run runs all events until a time.
+// Run runs the events up to a virtual time.
 func (sim *Simulation) Run(until int64) {
 	for len(sim.events) > 0 && sim.events[0].at <= until {
 		next := heap.Pop(&sim.events).(event)
 		sim.now = next.at
-		next.do()
+		next.run()
 	}
 	sim.now = until
 }
@@ -157,10 +157,11 @@
 // Now returns the virtual time.
 func (sim *Simulation) Now() int64 { return sim.now }
 
-// CountOutcomes starts to count requests that arrive in a window.
+// CountOutcomes resets the counts and counts the requests that arrive from one time until another. The result is updated as
+// they finish.
 func (sim *Simulation) CountOutcomes(from, until int64) *OutcomeCounts {
 	sim.countFrom = from
 	sim.countUntil = until
-	sim.outcome = OutcomeCounts{}
-	return &sim.outcome
+	sim.outcomes = OutcomeCounts{}
+	return &sim.outcomes
 }
--- a/experiment/emulator/site.go
+++ b/experiment/emulator/site.go
@@ -9,15 +9,15 @@
 type Site struct {
 	Replicas        int
 	Proxies         int
-	Load            float64 // as a fraction of the capacity of all replicas
-	ReportRateLimit int     // lines of reports a second that each controller receives, the oldest first; 0: no limit
+	Load            float64 // request rate, as a fraction of the capacity of all replicas
+	ReportRateLimit int     // report lines a second that each controller receives, oldest first; 0: no limit
 	Overload        Overload
 	Names           settings.Names
 	Settings        control.Settings
 }
 
-// NewSite returns an installation of two zones and two hardware classes, one half as fast as the other, though both are listed
-// with the same weight.
+// NewSite returns a site of two zones and two hardware classes. One class is half as fast as the other, though replicas of
+// both are listed with the same weight.
 func NewSite(replicas, proxies int, load float64) Site {
 	return Site{
 		Replicas: replicas,
@@ -60,7 +60,7 @@
 	return s.Names.Zones
 }
 
-// hardwareClass returns the name of a hardware class, which is empty if the site does not name it.
+// hardwareClass returns the name of the k-th hardware class, or an empty name if the site has fewer.
 func (s Site) hardwareClass(k int) string {
 	if k >= len(s.Names.HardwareClasses) {
 		return ""
--- a/experiment/installation/site.go
+++ b/experiment/installation/site.go
@@ -1,5 +1,5 @@
-// Package installation starts an installation on loopback: the product's program as controllers, collectors and sidecars, with
-// scripted discovery and replicas. The example and the experiments use it.
+// Package installation starts an installation on loopback for the example and the experiments: processes of lilacbend as
+// controllers, collectors and sidecars, and within this process a scripted discovery service and scripted replicas.
 package installation
 
 import (
@@ -23,23 +23,31 @@
 	"lilacbend/experiment/replica"
 )
 
-// Config is the size of an installation, and where it listens.
+// Config describes the size and the settings of an installation.
 type Config struct {
-	Zones, Replicas, ReplicaSlots, Sidecars, Controllers int
-	ServiceTime                                          time.Duration // of a flow at a replica
-	SlowFactor                                           float64       // every second replica takes so many times as long; 0: equal
-	HTTP1Address, HTTP2Address                           string        // of the first sidecar; empty: any
-	KeepState                                            bool          // governors keep what they learn
-	StandbyCollectors                                    bool          // each zone has a second collector
-	ReportBudget                                         int           // bytes a second of a collector to each governor; 0: no limit
-	OperatorSections                                     string        // further sections of the governors' operator file
-	Program                                              string        // that is built already; empty: it is built
-	Controlled                                           bool          // else sidecars have equal tables
-	Dir                                                  string
-	Log                                                  io.Writer
+	Zones        int
+	Replicas     int
+	ReplicaSlots int // concurrent requests of each replica; 0: no limit
+	Sidecars     int
+	Controllers  int
+	ServiceTime  time.Duration // of a request at a replica
+	SlowFactor   float64       // factor of the service time of hardware class m2; 0: none
+
+	// Addresses of the first sidecar; empty: unused ports.
+	HTTP1Address, HTTP2Address string
+
+	Controlled        bool   // if false, sidecars have equal tables, and no controllers or collectors run
+	KeepState         bool   // controllers save their learned state
+	StandbyCollectors bool   // each zone has a second collector
+	ReportBudget      int    // bytes a second of a collector to each controller; 0: no limit
+	OperatorSections  string // YAML of further sections of the controllers' operator file
+
+	Program string // path of a lilacbend binary; empty: Start builds one
+	Dir     string // for the binary and the files of the processes
+	Log     io.Writer
 }
 
-// Member is one replica as discovery lists it.
+// Member is one replica in discovery's list.
 type Member struct {
 	ID            string  `json:"id"`
 	HostPort      string  `json:"host_port"`
@@ -57,23 +65,23 @@
 	Replicas                       []*replica.Replica
 	HTTP1Addresses, HTTP2Addresses []string // of the sidecars
 
-	program    string
-	mu         sync.Mutex
-	members    []Member
-	revision   int
-	news       chan struct{}
-	discovery  net.Listener
-	governors  []string
-	collectors [][]string // of each zone, the preferred one first
-	procs      map[string]*exec.Cmd
+	program     string
+	mu          sync.Mutex
+	members     []Member
+	revision    int
+	changed     chan struct{}
+	discovery   net.Listener
+	controllers []string   // addresses
+	collectors  [][]string // addresses by zone, the preferred collector first
+	processes   map[string]*exec.Cmd
 }
 
-// usualBudget is the latency budget of the first traffic group, in milliseconds.
-const usualBudget = 250
+// baseLatencyBudgetMillis is the latency budget of the first traffic class, in milliseconds.
+const baseLatencyBudgetMillis = 250
 
-func zone(k int) string { return string(rune('a' + k)) }
+func zoneName(k int) string { return string(rune('a' + k)) }
 
-// FreeAddress returns an address of loopback on which nothing listens.
+// FreeAddress returns a loopback address that is not listened on.
 func FreeAddress() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,9 +91,10 @@
 	return l.Addr().String()
 }
 
-// Start builds the program and starts the installation. Its processes end with ctx.
-func Start(ctx context.Context, shape Config) (*Site, error) {
-	s := &Site{Config: shape, program: shape.Program, revision: 1, news: make(chan struct{}), procs: map[string]*exec.Cmd{}}
+// Start builds the program if necessary, starts the installation and waits until its sidecars serve requests. Its processes
+// end when ctx does.
+func Start(ctx context.Context, config Config) (*Site, error) {
+	s := &Site{Config: config, program: config.Program, revision: 1, changed: make(chan struct{}), processes: map[string]*exec.Cmd{}}
 	err := s.start(ctx)
 	if err != nil {
 		s.Stop()
@@ -100,7 +109,7 @@
 		}
 	}
 	for k := range s.Config.Replicas {
-		if err := s.replica(k); err != nil {
+		if err := s.startReplica(k); err != nil {
 			return err
 		}
 	}
@@ -108,7 +117,7 @@
 		return err
 	}
 	for range s.Controllers {
-		s.governors = append(s.governors, FreeAddress())
+		s.controllers = append(s.controllers, FreeAddress())
 	}
 	for k := range s.Zones {
 		if err := s.startCollectors(ctx, k); err != nil {
@@ -119,11 +128,11 @@
 		return err
 	}
 	for k := range s.Sidecars {
-		if err := s.sidecar(ctx, k); err != nil {
+		if err := s.startSidecar(ctx, k); err != nil {
 			return err
 		}
 	}
-	return s.ready(ctx)
+	return s.waitUntilReady(ctx)
 }
 
 func (s *Site) startDiscovery() error {
@@ -132,16 +141,16 @@
 		return err
 	}
 	s.discovery = listener
-	go http.Serve(listener, http.HandlerFunc(s.discover)) // ends when Stop closes the listener
+	go http.Serve(listener, http.HandlerFunc(s.serveDiscovery)) // returns when Stop closes the listener
 	return nil
 }
 
-// startControllers starts the controllers, if sidecars are to be controlled.
+// startControllers starts the controllers, if the sidecars are controlled.
 func (s *Site) startControllers(ctx context.Context) error {
 	if !s.Controlled {
 		return nil
 	}
-	for k := range s.governors {
+	for k := range s.controllers {
 		if err := s.StartController(ctx, k); err != nil {
 			return err
 		}
@@ -149,24 +158,24 @@
 	return nil
 }
 
-// startCollectors starts the collectors of a zone: collector-a, and collector-a-standby.
+// startCollectors starts the collectors of a zone, which for zone a are collector-a and, if configured, collector-a-standby.
 func (s *Site) startCollectors(ctx context.Context, number int) error {
-	names := []string{"collector-" + zone(number)}
+	names := []string{"collector-" + zoneName(number)}
 	if s.StandbyCollectors {
 		names = append(names, names[0]+"-standby")
 	}
 	var addresses []string
 	for _, name := range names {
-		at := FreeAddress()
-		addresses = append(addresses, at)
+		address := FreeAddress()
+		addresses = append(addresses, address)
 		if !s.Controlled {
 			continue
 		}
-		args := []string{"collector", "--zone", zone(number), "--listen", at, "--every", "500ms", "--budget", strconv.Itoa(s.ReportBudget)}
-		for _, g := range s.governors {
-			args = append(args, "--governor", g)
+		arguments := []string{"collector", "--zone", zoneName(number), "--listen", address, "--every", "500ms", "--budget", strconv.Itoa(s.ReportBudget)}
+		for _, g := range s.controllers {
+			arguments = append(arguments, "--governor", g)
 		}
-		if err := s.run(ctx, name, args...); err != nil {
+		if err := s.startProcess(ctx, name, arguments...); err != nil {
 			return err
 		}
 	}
@@ -178,23 +187,23 @@
 	s.program = filepath.Join(s.Dir, "lilacbend")
 	out, err := exec.CommandContext(ctx, "go", "build", "-buildvcs=false", "-o", s.program, "lilacbend/cmd/lilacbend").CombinedOutput()
 	if err != nil {
-		return fmt.Errorf("building: %w: %s", err, out)
+		return fmt.Errorf("building lilacbend: %w: %s", err, out)
 	}
 	return nil
 }
 
-func (s *Site) replica(k int) error {
+func (s *Site) startReplica(k int) error {
 	r, err := replica.NewReplica("127.0.0.1:0", s.ReplicaSlots, nil)
 	if err != nil {
 		return err
 	}
-	span := s.ServiceTime
+	serviceTime := s.ServiceTime
 	if s.SlowFactor > 0 && k/s.Zones%2 == 1 {
-		span = time.Duration(float64(span) * s.SlowFactor)
+		serviceTime = time.Duration(float64(serviceTime) * s.SlowFactor)
 	}
-	r.ServiceTime.Store(int64(span))
+	r.ServiceTime.Store(int64(serviceTime))
 	s.Replicas = append(s.Replicas, r)
-	s.members = append(s.members, Member{ID: fmt.Sprintf("box-%02d", k), HostPort: r.Addr, Zone: zone(k % s.Zones), HardwareClass: fmt.Sprint("m", 1+k/s.Zones%2), Phase: "Ready", Size: 1})
+	s.members = append(s.members, Member{ID: fmt.Sprintf("box-%02d", k), HostPort: r.Addr, Zone: zoneName(k % s.Zones), HardwareClass: fmt.Sprint("m", 1+k/s.Zones%2), Phase: "Ready", Size: 1})
 	return nil
 }
 
@@ -204,11 +213,11 @@
 	defer s.mu.Unlock()
 	change(&s.members[k])
 	s.revision++
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (s *Site) list() (raw []byte, revision int, news <-chan struct{}) {
+func (s *Site) listMembers() (raw []byte, revision int, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	present := []Member{}
@@ -218,45 +227,45 @@
 		}
 	}
 	raw, _ = json.Marshal(map[string]any{"revision": s.revision, "complete": true, "members": present})
-	return raw, s.revision, s.news
+	return raw, s.revision, s.changed
 }
 
-func (s *Site) discover(w http.ResponseWriter, r *http.Request) {
-	raw, revision, news := s.list()
+func (s *Site) serveDiscovery(w http.ResponseWriter, r *http.Request) {
+	raw, revision, changed := s.listMembers()
 	since, err := strconv.Atoi(r.URL.Query().Get("since"))
 	if wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms")); err == nil && since >= revision {
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-r.Context().Done():
 			return
 		}
-		raw, _, _ = s.list()
+		raw, _, _ = s.listMembers()
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.Write(raw)
 }
 
-// run starts the product's program.
-func (s *Site) run(ctx context.Context, name string, args ...string) error {
+// startProcess starts a process of lilacbend under a name.
+func (s *Site) startProcess(ctx context.Context, name string, args ...string) error {
 	cmd := exec.CommandContext(ctx, s.program, args...)
 	cmd.Stderr = s.Log
 	cmd.Cancel = func() error { return cmd.Process.Signal(syscall.SIGTERM) }
 	cmd.WaitDelay = 15 * time.Second
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("%s: %w", name, err)
+		return fmt.Errorf("starting %s: %w", name, err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.procs[name] = cmd
+	s.processes[name] = cmd
 	return nil
 }
 
-// Kill kills a process and waits for it.
+// Kill kills a process and waits until it has ended.
 func (s *Site) Kill(name string) {
 	s.mu.Lock()
-	cmd := s.procs[name]
-	delete(s.procs, name)
+	cmd := s.processes[name]
+	delete(s.processes, name)
 	s.mu.Unlock()
 	if cmd != nil {
 		cmd.Process.Kill()
@@ -264,85 +273,86 @@
 	}
 }
 
-func (s *Site) file(name, text string) (string, error) {
+func (s *Site) writeFile(name, text string) (string, error) {
 	path := filepath.Join(s.Dir, name)
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// PID returns the id of the process of a name, or 0.
+// PID returns the process ID of a running process, or 0 if none has the name.
 func (s *Site) PID(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if cmd := s.procs[name]; cmd != nil {
+	if cmd := s.processes[name]; cmd != nil {
 		return cmd.Process.Pid
 	}
 	return 0
 }
 
-// ProcessNames returns the running processes, sorted.
+// ProcessNames returns the names of the running processes, sorted.
 func (s *Site) ProcessNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Sorted(maps.Keys(s.procs))
+	return slices.Sorted(maps.Keys(s.processes))
 }
 
-// Settings returns the controllers' settings, with a latency budget that is some milliseconds longer.
-func (s *Site) Settings(longer int) string {
+// Settings returns the controllers' settings as JSON, with the latency budget of the first traffic class extended by some
+// milliseconds.
+func (s *Site) Settings(extraMillis int) string {
 	zones, _ := json.Marshal([]string{"a", "b", "c", "d"}[:s.Zones])
-	return fmt.Sprintf(settingsFile, s.Controllers, s.Sidecars, 100*s.Sidecars, zones, usualBudget+longer)
+	return fmt.Sprintf(settingsTemplate, s.Controllers, s.Sidecars, 100*s.Sidecars, zones, baseLatencyBudgetMillis+extraMillis)
 }
 
-// StartController starts or restarts a controller.
+// StartController starts the k-th controller, or starts it again after Kill.
 func (s *Site) StartController(ctx context.Context, k int) error {
-	raw, _, _ := s.list()
-	file, err := s.file(fmt.Sprintf("governor-%d.json", k), fmt.Sprintf(governorFile, k, s.governors[k], s.discovery.Addr(), time.Now().UnixNano(), raw, s.Settings(0)))
+	raw, _, _ := s.listMembers()
+	file, err := s.writeFile(fmt.Sprintf("governor-%d.json", k), fmt.Sprintf(controllerFileTemplate, k, s.controllers[k], s.discovery.Addr(), time.Now().UnixNano(), raw, s.Settings(0)))
 	if err != nil {
 		return err
 	}
-	args, operator := []string{"serve", "--config", file}, s.OperatorSections
+	arguments, operator := []string{"serve", "--config", file}, s.OperatorSections
 	if s.KeepState {
 		operator += fmt.Sprintf("state: {folder: state-%d, every: 1s}\n", k)
 	}
 	if operator != "" {
-		rules, err := s.file(fmt.Sprintf("operator-%d.yaml", k), operator)
+		operatorFile, err := s.writeFile(fmt.Sprintf("operator-%d.yaml", k), operator)
 		if err != nil {
 			return err
 		}
-		args = append(args, "--operator", rules)
+		arguments = append(arguments, "--operator", operatorFile)
 	}
-	return s.run(ctx, fmt.Sprint("governor-", k), args...)
+	return s.startProcess(ctx, fmt.Sprint("governor-", k), arguments...)
 }
 
-func (s *Site) sidecar(ctx context.Context, k int) error {
+func (s *Site) startSidecar(ctx context.Context, k int) error {
 	h1, h2 := FreeAddress(), FreeAddress()
 	if k == 0 && s.HTTP1Address != "" {
 		h1, h2 = s.HTTP1Address, s.HTTP2Address
 	}
-	governors, collectors := "[]", ""
+	controllers, collectors := "[]", ""
 	if s.Controlled {
-		governors = asJSON(s.governors)
+		controllers = asJSON(s.controllers)
 		collectors = "collectors: " + asJSON(s.collectors[k%s.Zones])
 	}
-	file, err := s.file(fmt.Sprintf("sidecar-%d.yaml", k), fmt.Sprintf(sidecarFile, k, k, zone(k%s.Zones), h1, h2, governors, s.discovery.Addr(), collectors))
+	file, err := s.writeFile(fmt.Sprintf("sidecar-%d.yaml", k), fmt.Sprintf(sidecarFileTemplate, k, k, zoneName(k%s.Zones), h1, h2, controllers, s.discovery.Addr(), collectors))
 	if err != nil {
 		return err
 	}
 	s.HTTP1Addresses, s.HTTP2Addresses = append(s.HTTP1Addresses, h1), append(s.HTTP2Addresses, h2)
-	return s.run(ctx, fmt.Sprint("sidecar-", k), "sidecar", "--manifest", file)
+	return s.startProcess(ctx, fmt.Sprint("sidecar-", k), "sidecar", "--manifest", file)
 }
 
-// asJSON returns addresses as JSON, which is YAML, too.
+// asJSON returns addresses as a JSON array, which is also valid YAML.
 func asJSON(addresses []string) string {
-	raw, _ := json.Marshal(addresses) // texts can always be encoded
+	raw, _ := json.Marshal(addresses) // strings can always be encoded
 	return string(raw)
 }
 
-// ready waits until all sidecars answer.
-func (s *Site) ready(ctx context.Context) error {
-	for _, at := range s.HTTP1Addresses {
-		var last error
-		for until := time.Now().Add(15 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-			resp, err := http.Get("http://" + at + "/stock")
+// waitUntilReady waits until all sidecars serve requests.
+func (s *Site) waitUntilReady(ctx context.Context) error {
+	for _, address := range s.HTTP1Addresses {
+		var lastErr error
+		for deadline := time.Now().Add(15 * time.Second); ; time.Sleep(50 * time.Millisecond) {
+			resp, err := http.Get("http://" + address + "/stock")
 			if err == nil {
 				resp.Body.Close()
 				if resp.StatusCode == http.StatusOK {
@@ -350,24 +360,24 @@
 				}
 				err = errors.New(resp.Status)
 			}
-			if last = err; time.Now().After(until) || ctx.Err() != nil {
-				return fmt.Errorf("sidecar at %s: %w", at, last)
+			if lastErr = err; time.Now().After(deadline) || ctx.Err() != nil {
+				return fmt.Errorf("sidecar at %s not ready: %w", address, lastErr)
 			}
 		}
 	}
 	return nil
 }
 
-// Stop ends all processes and waits for them.
+// Stop terminates all processes and waits for them, and then stops discovery and the replicas.
 func (s *Site) Stop() {
 	s.mu.Lock()
-	procs := s.procs
-	s.procs = map[string]*exec.Cmd{}
+	processes := s.processes
+	s.processes = map[string]*exec.Cmd{}
 	s.mu.Unlock()
-	for _, cmd := range procs {
+	for _, cmd := range processes {
 		cmd.Process.Signal(syscall.SIGTERM)
 	}
-	for _, cmd := range procs {
+	for _, cmd := range processes {
 		cmd.Wait()
 	}
 	if s.discovery != nil {
@@ -378,11 +388,11 @@
 	}
 }
 
-const governorFile = `{"name": "n%d", "listen": %q, "discovery": %q, "seed": "%016x",
+const controllerFileTemplate = `{"name": "n%d", "listen": %q, "discovery": %q, "seed": "%016x",
 "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 1024}, "known": %s, "settings": %s}
 `
 
-const settingsFile = `{"balancers": %d, "domain": {"admit": "fraction", "cycle_ms": 500.0, "envelope": 4.0, "pick": "random", "proxy_count": %d,
+const settingsTemplate = `{"balancers": %d, "domain": {"admit": "fraction", "cycle_ms": 500.0, "envelope": 4.0, "pick": "random", "proxy_count": %d,
 "pending_max": %d.0, "push_rate": 1200.0, "pushes_allowed": 30, "reload_span_ms": 10000.0, "shards": 0, "try_factor": 1.0, "usual_how": 1, "worst_transit_ms": 257.5},
 "invariants": {"cold_from": 0.2, "tip_multiple": 3.0, "warm_after_ms": 10000.0}, "kinds": ["m1", "m2"], "zones": %s, "lanes": [
 {"name": "stock", "effect": "read_like", "gain": 1.0, "slo_ms": %d.0, "deadline_ms": 1000.0},
@@ -390,7 +400,7 @@
 {"name": "payout", "effect": "non_idempotent", "gain": 3.0, "slo_ms": 250.0, "deadline_ms": 1000.0}]}
 `
 
-const sidecarFile = `name: sidecar-%d
+const sidecarFileTemplate = `name: sidecar-%d
 proxy: %d
 zone: %s
 listen: {http1: %q, http2: %q}
--- a/experiment/load/load.go
+++ b/experiment/load/load.go
@@ -1,5 +1,6 @@
-// Package load sends requests at times that are drawn from a seed and do not depend on earlier requests, and measures each
-// from the time it was due. Loads stay on loopback, are limited, and end by themselves.
+// Package load is an open-loop load generator for HTTP: arrival times come from a seed and do not depend on earlier
+// responses, and the latency of a request is measured from its arrival time. It sends to loopback only, and limits rate,
+// duration and concurrency.
 package load
 
 import (
@@ -21,41 +22,41 @@
 // Limits of a job.
 const (
 	maxRate       = 50_000.0 // requests a second
-	maxSpan       = 5 * time.Minute
-	maxConcurrent = 4096 // requests at once; further ones wait, which counts as their time
+	maxDuration   = 5 * time.Minute
+	maxConcurrent = 4096 // requests in flight; more wait, which counts towards their latency
 )
 
 const (
-	// minSleep is the shortest wait for which Run sleeps; timers are no more accurate.
+	// minSleep is the shortest wait for which Run sleeps, since timers are no more accurate than that.
 	minSleep = 100 * time.Microsecond
-	// maxRecordedMicros is the longest recorded time, in microseconds.
+	// maxRecordedMicros is the longest latency that the histogram records, in microseconds.
 	maxRecordedMicros = 60_000_000
-	// histogramDigits is the precision of recorded times, in significant digits.
+	// histogramDigits is the precision of the recorded latencies, in significant digits.
 	histogramDigits = 3
 )
 
-// Job is one load.
+// Job describes the requests to send.
 type Job struct {
-	URLs        []string // used in turn
+	URLs        []string // round robin
 	HTTP2       bool
 	Method      string
-	Rate        float64       // requests a second; 0: as fast as Concurrency allows
-	Concurrency int           // requests at once if there is no rate
-	Duration    time.Duration // of the load
-	Timeout     time.Duration // of a request, after it was due
+	Rate        float64       // requests a second; 0: as fast as Concurrency permits
+	Concurrency int           // requests in flight if Rate is 0
+	Duration    time.Duration // for which requests are sent
+	Timeout     time.Duration // of a request, from its arrival time
 	Seed        int64
-	EditRequest func(k int, r *http.Request) // may change a request before it is sent
+	EditRequest func(k int, r *http.Request) // modifies the k-th request before it is sent; nil: none
 }
 
-// Result counts the outcomes of a load's requests.
+// Result has the outcomes of a job's requests.
 type Result struct {
 	Sent, Good, Rejected, Failed int
-	Latencies                    *hdrhistogram.Histogram // of good answers since they were due, in microseconds
+	Latencies                    *hdrhistogram.Histogram // of good responses, from the arrival time, in microseconds
 	Reasons                      map[string]int
 	Elapsed                      time.Duration
 }
 
-// Run sends the requests. It refuses addresses that are not of this machine.
+// Run sends the requests of a job and waits for their responses. It rejects addresses other than loopback.
 func Run(ctx context.Context, job Job) (Result, error) {
 	if err := job.check(); err != nil {
 		return Result{}, err
@@ -64,23 +65,23 @@
 	defer transport.CloseIdleConnections()
 	r := newRun(job, transport)
 	start := time.Now()
-	due := start
+	arrival := start
 	interval := rand.New(rand.NewSource(job.Seed))
 	var requests sync.WaitGroup
-	for due.Sub(start) < job.Duration && ctx.Err() == nil {
+	for arrival.Sub(start) < job.Duration && ctx.Err() == nil {
 		if job.Rate > 0 {
-			due = due.Add(time.Duration(interval.ExpFloat64() / job.Rate * float64(time.Second)))
-			sleepUntil(due)
+			arrival = arrival.Add(time.Duration(interval.ExpFloat64() / job.Rate * float64(time.Second)))
+			sleepUntil(arrival)
 		}
 		r.slots <- struct{}{}
 		if job.Rate == 0 {
-			due = time.Now()
+			arrival = time.Now()
 		}
 		number := r.result.Sent
-		dueAt := due
+		arrivalTime := arrival
 		requests.Go(func() {
 			defer func() { <-r.slots }()
-			r.request(ctx, number, dueAt)
+			r.sendAndRecord(ctx, number, arrivalTime)
 		})
 		r.result.Sent++
 	}
@@ -89,42 +90,42 @@
 	return r.result, nil
 }
 
-// check returns what is wrong with a job.
+// check returns an error if a job exceeds a limit or has an address other than loopback.
 func (j Job) check() error {
 	for _, address := range j.URLs {
 		parsed, err := url.Parse(address)
 		if err != nil || !net.ParseIP(parsed.Hostname()).IsLoopback() {
-			return fmt.Errorf("%q is no address of loopback: loads stay on this machine", address)
+			return fmt.Errorf("URL %q: host is not a loopback IP address", address)
 		}
 	}
-	if j.Rate > maxRate || j.Duration > maxSpan || len(j.URLs) == 0 {
-		return fmt.Errorf("at most %v a second for %v, to one address or more", maxRate, maxSpan)
+	if j.Rate > maxRate || j.Duration > maxDuration || len(j.URLs) == 0 {
+		return fmt.Errorf("job must have a rate of at most %v requests a second, a duration of at most %v and at least one URL", maxRate, maxDuration)
 	}
 	return nil
 }
 
-func newTransport(h2 bool) *http.Transport {
+func newTransport(http2 bool) *http.Transport {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxConcurrent, DisableCompression: true}
-	if h2 {
+	if http2 {
 		transport.Protocols = new(http.Protocols)
 		transport.Protocols.SetUnencryptedHTTP2(true)
 	}
 	return transport
 }
 
-// sleepUntil sleeps until a time, unless that is nearer than a sleep's accuracy.
-func sleepUntil(due time.Time) {
-	wait := time.Until(due)
+// sleepUntil sleeps until a time, unless that is less than minSleep away.
+func sleepUntil(wakeTime time.Time) {
+	wait := time.Until(wakeTime)
 	if wait > minSleep {
 		time.Sleep(wait)
 	}
 }
 
-// run is a job that is being run. Its result has a field that only Run writes (Sent); mu guards the others.
+// run is a job in progress. mu guards all fields of its result except Sent, which only Run writes.
 type run struct {
 	job       Job
 	transport *http.Transport
-	slots     chan struct{} // limits requests at once
+	slots     chan struct{} // limits requests in flight
 
 	mu     sync.Mutex
 	result Result
@@ -143,16 +144,16 @@
 	}
 }
 
-// request sends a request and records its result.
-func (r *run) request(ctx context.Context, number int, due time.Time) {
-	status, reason := send(ctx, r.transport, r.job, number, due)
-	took := time.Since(due)
+// sendAndRecord sends a request and records its outcome.
+func (r *run) sendAndRecord(ctx context.Context, number int, arrival time.Time) {
+	status, reason := send(ctx, r.transport, r.job, number, arrival)
+	latency := time.Since(arrival)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case status >= 200 && status < 500:
 		r.result.Good++
-		r.result.Latencies.RecordValue(max(1, took.Microseconds()))
+		r.result.Latencies.RecordValue(max(1, latency.Microseconds()))
 	case status == http.StatusServiceUnavailable:
 		r.result.Rejected++
 	default:
@@ -163,33 +164,33 @@
 	}
 }
 
-// send sends a request and reads its answer. The reason is why there is none, or the proxy's.
-func send(ctx context.Context, transport *http.Transport, j Job, k int, due time.Time) (status int, reason string) {
-	ctx, cancel := context.WithDeadline(ctx, due.Add(j.Timeout))
+// send sends a request and reads its response. The reason is the proxy's, or why there is no complete response.
+func send(ctx context.Context, transport *http.Transport, job Job, number int, arrival time.Time) (status int, reason string) {
+	ctx, cancel := context.WithDeadline(ctx, arrival.Add(job.Timeout))
 	defer cancel()
 	var body io.Reader
-	if j.Method == http.MethodPost {
+	if job.Method == http.MethodPost {
 		body = strings.NewReader("amount=5")
 	}
-	req, err := http.NewRequestWithContext(ctx, j.Method, j.URLs[k%len(j.URLs)], body)
+	req, err := http.NewRequestWithContext(ctx, job.Method, job.URLs[number%len(job.URLs)], body)
 	if err != nil {
 		return 0, err.Error()
 	}
-	if j.EditRequest != nil {
-		j.EditRequest(k, req)
+	if job.EditRequest != nil {
+		job.EditRequest(number, req)
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		return 0, "no answer"
+		return 0, "no response"
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return 0, "half an answer"
+		return 0, "incomplete response body"
 	}
 	return resp.StatusCode, resp.Header.Get("Lilacbend-Reason")
 }
 
-// FractionWithin returns the fraction of all requests that were answered well within a time.
+// FractionWithin returns the fraction of all requests that had a good response within a latency budget.
 func (r Result) FractionWithin(budget time.Duration) float64 {
 	n := int64(0)
 	for _, b := range r.Latencies.Distribution() {
@@ -202,12 +203,12 @@
 
 // String returns the result in one line.
 func (r Result) String() string {
-	q := func(p float64) float64 { return float64(r.Latencies.ValueAtQuantile(p)) / 1000 }
-	return fmt.Sprintf("%d sent, %.2f%% good, %d blocked, %d dropped; %.0f/s; ms p50 %.3f p99 %.3f p99.9 %.3f max %.1f", r.Sent,
-		100*float64(r.Good)/float64(max(1, r.Sent)), r.Rejected, r.Failed, float64(r.Good)/r.Elapsed.Seconds(), q(50), q(99), q(99.9), float64(r.Latencies.Max())/1000)
+	quantileMillis := func(p float64) float64 { return float64(r.Latencies.ValueAtQuantile(p)) / 1000 }
+	return fmt.Sprintf("%d sent, %.2f%% good, %d rejected, %d failed; %.0f/s; ms p50 %.3f p99 %.3f p99.9 %.3f max %.1f", r.Sent,
+		100*float64(r.Good)/float64(max(1, r.Sent)), r.Rejected, r.Failed, float64(r.Good)/r.Elapsed.Seconds(), quantileMillis(50), quantileMillis(99), quantileMillis(99.9), float64(r.Latencies.Max())/1000)
 }
 
-// WriteHistogram writes the histogram to a file that other tools read.
+// WriteHistogram writes the latencies to a file, in the percentile format of HdrHistogram tools.
 func (r Result) WriteHistogram(file string) error {
 	f, err := os.Create(file)
 	if err != nil {
--- a/experiment/replica/h2client.go
+++ b/experiment/replica/h2client.go
@@ -11,21 +11,21 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// HTTP2Client is a client that sends frames as scripted and records what it receives.
+// HTTP2Client is an HTTP/2 client that sends scripted frames and records what it receives.
 type HTTP2Client struct {
-	Conn    net.Conn
-	Framer  *http2.Framer
-	enc     *hpack.Encoder
-	block   bytes.Buffer
-	writing sync.Mutex // one writer of frames at a time
+	Conn        net.Conn
+	Framer      *http2.Framer
+	encoder     *hpack.Encoder
+	headerBlock bytes.Buffer
+	writeMu     sync.Mutex // serializes writes of frames
 
 	mu               sync.Mutex
-	heard            *sync.Cond
+	received         *sync.Cond
 	Streams          map[uint32]*StreamRecord
 	GoAways          []http2.GoAwayFrame
 	Closed           bool
 	Pings            int
-	AutoWindowUpdate bool // windows are opened as data arrives
+	AutoWindowUpdate bool // flow-control windows are replenished as data arrives
 }
 
 // StreamRecord is what was received on one stream.
@@ -36,21 +36,22 @@
 	Ended     bool
 	Reset     bool
 	ErrCode   http2.ErrCode
-	Responses int // final headers
+	Responses int // HEADERS frames with a final (not 1xx) status
 }
 
 // Done reports whether the stream has ended.
-func (h *StreamRecord) Done() bool { return h.Ended || h.Reset }
+func (s *StreamRecord) Done() bool { return s.Ended || s.Reset }
 
-// DialHTTP2 connects and sends the preface; window is the initial window of each stream, in bytes.
+// DialHTTP2 connects and sends the client preface. window is the initial flow-control window of each stream, in bytes; at 0,
+// windows are not replenished either.
 func DialHTTP2(addr string, window uint32) (*HTTP2Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	c := &HTTP2Client{Conn: conn, Framer: http2.NewFramer(conn, conn), Streams: map[uint32]*StreamRecord{}, AutoWindowUpdate: window > 0}
-	c.heard = sync.NewCond(&c.mu)
-	c.enc = hpack.NewEncoder(&c.block)
+	c.received = sync.NewCond(&c.mu)
+	c.encoder = hpack.NewEncoder(&c.headerBlock)
 	c.Framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	if _, err := conn.Write([]byte(http2.ClientPreface)); err != nil {
 		return nil, err
@@ -69,7 +70,7 @@
 		if err != nil {
 			c.mu.Lock()
 			c.Closed = true
-			c.heard.Broadcast()
+			c.received.Broadcast()
 			c.mu.Unlock()
 			return
 		}
@@ -77,15 +78,15 @@
 	}
 }
 
-// handle records a frame, and opens windows for its data if the client is greedy.
+// handle records a frame, and replenishes the flow-control windows by its data if AutoWindowUpdate is set.
 func (c *HTTP2Client) handle(frame http2.Frame) {
 	c.mu.Lock()
 	c.record(frame)
-	greedy := c.AutoWindowUpdate
-	c.heard.Broadcast()
+	autoWindowUpdate := c.AutoWindowUpdate
+	c.received.Broadcast()
 	c.mu.Unlock()
 	data, isData := frame.(*http2.DataFrame)
-	if !greedy || !isData || len(data.Data()) == 0 {
+	if !autoWindowUpdate || !isData || len(data.Data()) == 0 {
 		return
 	}
 	id := data.StreamID
@@ -100,7 +101,7 @@
 
 // record records a frame. The caller holds mu.
 func (c *HTTP2Client) record(frame http2.Frame) {
-	stream := c.stream(frame.Header().StreamID)
+	stream := c.recordOf(frame.Header().StreamID)
 	switch f := frame.(type) {
 	case *http2.MetaHeadersFrame:
 		stream.recordHeaders(f)
@@ -121,8 +122,8 @@
 	}
 }
 
-// stream returns what was received on a stream, which for the connection itself (0) is not kept.
-func (c *HTTP2Client) stream(id uint32) *StreamRecord {
+// recordOf returns the record of a stream. Records of stream 0, the connection itself, are not kept.
+func (c *HTTP2Client) recordOf(id uint32) *StreamRecord {
 	stream := c.Streams[id]
 	if stream != nil {
 		return stream
@@ -134,73 +135,75 @@
 	return stream
 }
 
-// firstFinalStatus is the lowest status that is not an interim one.
+// firstFinalStatus is the lowest status code that is not interim (1xx).
 const firstFinalStatus = "200"
 
-func (h *StreamRecord) recordHeaders(frame *http2.MetaHeadersFrame) {
+func (s *StreamRecord) recordHeaders(frame *http2.MetaHeadersFrame) {
 	status := frame.PseudoValue("status")
 	if status != "" {
-		h.Status = status
+		s.Status = status
 	}
 	if status >= firstFinalStatus {
-		h.Responses++
+		s.Responses++
 	}
 	for _, field := range frame.RegularFields() {
-		h.Fields[field.Name] = field.Value
+		s.Fields[field.Name] = field.Value
 	}
-	h.Ended = h.Ended || frame.StreamEnded()
+	s.Ended = s.Ended || frame.StreamEnded()
 }
 
-// WriteFrames calls write, which writes frames, while no other caller does.
+// WriteFrames calls write, which writes frames, while no other goroutine writes any.
 func (c *HTTP2Client) WriteFrames(write func() error) error {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	return write()
 }
 
-// OpenStream opens a stream; pairs are further fields. Without a body the stream ends with its headers.
+// OpenStream sends the headers of a request; pairs are names and values of further fields. Without a body the headers end
+// the stream.
 func (c *HTTP2Client) OpenStream(id uint32, method, path string, body bool, pairs ...string) error {
 	return c.WriteFrames(func() error {
-		c.block.Reset()
+		c.headerBlock.Reset()
 		fields := append([]string{":method", method, ":scheme", "http", ":path", path, ":authority", "shop.example.org"}, pairs...)
 		for k := 0; k+1 < len(fields); k += 2 {
-			c.enc.WriteField(hpack.HeaderField{Name: fields[k], Value: fields[k+1]})
+			c.encoder.WriteField(hpack.HeaderField{Name: fields[k], Value: fields[k+1]})
 		}
-		return c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: c.block.Bytes(), EndStream: !body, EndHeaders: true})
+		return c.Framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: c.headerBlock.Bytes(), EndStream: !body, EndHeaders: true})
 	})
 }
 
-// SendData sends a part of a body.
+// SendData sends a part of a request body; end ends the stream.
 func (c *HTTP2Client) SendData(id uint32, end bool, data []byte) error {
 	return c.WriteFrames(func() error { return c.Framer.WriteData(id, end, data) })
 }
 
-// ResetStream resets a stream.
+// ResetStream resets a stream with the error code CANCEL.
 func (c *HTTP2Client) ResetStream(id uint32) error {
 	return c.WriteFrames(func() error { return c.Framer.WriteRSTStream(id, http2.ErrCodeCancel) })
 }
 
-// WaitFor waits until a condition holds, at most for a time, and reports whether it does.
-func (c *HTTP2Client) WaitFor(most time.Duration, holds func(c *HTTP2Client) bool) bool {
-	timer := time.AfterFunc(most, func() {
+// WaitFor waits until a condition holds or the timeout has passed, and reports whether the condition holds. The condition is
+// checked after each received frame, under the client's lock.
+func (c *HTTP2Client) WaitFor(timeout time.Duration, condition func(c *HTTP2Client) bool) bool {
+	timer := time.AfterFunc(timeout, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.heard.Broadcast()
+		c.received.Broadcast()
 	})
 	defer timer.Stop()
-	until := time.Now().Add(most)
+	deadline := time.Now().Add(timeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !holds(c) {
-		if !time.Now().Before(until) {
+	for !condition(c) {
+		if !time.Now().Before(deadline) {
 			return false
 		}
-		c.heard.Wait()
+		c.received.Wait()
 	}
 	return true
 }
 
-// Stream returns a copy of what was received on a stream.
+// Stream returns a copy of the record of a stream.
 func (c *HTTP2Client) Stream(id uint32) StreamRecord {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,5 +213,5 @@
 	return StreamRecord{}
 }
 
-// KeyField returns the header field by which a replica counts runs.
+// KeyField returns name and value of the header field by which a replica counts runs, for the n-th key.
 func KeyField(n int) []string { return []string{"key", "k" + strconv.Itoa(n)} }
--- a/experiment/replica/replica.go
+++ b/experiment/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica has scripted peers for tests and experiments: a replica, and an HTTP/2 client that sends any frame. They
-// listen on loopback only.
+// Package replica provides scripted peers for tests and experiments: a replica that serves HTTP/1.1, and an HTTP/2 client
+// that can send any frame. They are for use on loopback only.
 package replica
 
 import (
@@ -13,40 +13,41 @@
 	"time"
 )
 
-// Replica is a scripted replica. It counts how often each key (the field Key) has run.
+// Replica is a scripted HTTP server. It counts how many requests it ran for each value of the header field Key.
 type Replica struct {
 	Addr         string
-	RequestCount atomic.Int64  // requests that have begun to run
-	ServiceTime  atomic.Int64  // nanoseconds that a request takes
-	Unresponsive atomic.Bool   // requests run but are not answered
-	Status       atomic.Int64  // of answers; 0: 200
-	Slots        chan struct{} // limits requests at once; nil: no limit
-	BodySize     atomic.Int64  // of an answer's body, in bytes
+	RequestCount atomic.Int64  // requests received
+	ServiceTime  atomic.Int64  // of each request, in nanoseconds
+	Unresponsive atomic.Bool   // requests are received but not answered
+	Status       atomic.Int64  // of responses; 0: 200
+	Slots        chan struct{} // limits concurrent requests; nil: no limit
+	BodySize     atomic.Int64  // bytes that follow the address in a response body
 	mu           sync.Mutex
 	runs         map[string]int
 	server       *http.Server
 	handler      http.HandlerFunc
 }
 
-// NewReplica listens on an address of loopback. A handler, if any, answers instead of the script.
-func NewReplica(addr string, places int, handler http.HandlerFunc) (*Replica, error) {
+// NewReplica starts a replica on an address, with a limit of concurrent requests (0: none). A handler that is not nil
+// replaces the scripted response.
+func NewReplica(addr string, slots int, handler http.HandlerFunc) (*Replica, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	r := &Replica{Addr: l.Addr().String(), runs: map[string]int{}, handler: handler}
-	if places > 0 {
-		r.Slots = make(chan struct{}, places)
+	if slots > 0 {
+		r.Slots = make(chan struct{}, slots)
 	}
 	r.server = &http.Server{Handler: http.HandlerFunc(r.serve)}
 	go r.server.Serve(l)
 	return r, nil
 }
 
-// Stop ends the replica at once, as a crash does.
+// Stop closes the listener and all connections at once, like a crash.
 func (r *Replica) Stop() { r.server.Close() }
 
-// RunsByKey returns how often each key has run.
+// RunsByKey returns the number of requests that ran for each key.
 func (r *Replica) RunsByKey() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,9 +78,9 @@
 		<-req.Context().Done()
 		return
 	}
-	if span := time.Duration(r.ServiceTime.Load()); span > 0 {
+	if serviceTime := time.Duration(r.ServiceTime.Load()); serviceTime > 0 {
 		select {
-		case <-time.After(span):
+		case <-time.After(serviceTime):
 		case <-req.Context().Done():
 			return
 		}
--- a/experiment/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -1,5 +1,5 @@
-// Package restart measures the cost of a controller's restart, with and without the state that was learned before it. All
-// results are simulated.
+// Package restart measures how a restart of the controller affects requests, with and without the state learned before the
+// restart. All results are simulated.
 package restart
 
 import (
@@ -14,14 +14,14 @@
 
 const second = int64(1e9)
 
-// Scenario is the fault of some replicas from the tenth second on.
+// Scenario is a fault of a fraction of the replicas, which starts at faultTime.
 type Scenario struct {
 	Name     string
 	Fault    emulator.ReplicaFault
 	Fraction float64 // of the replicas
 }
 
-// Scenarios are the faults of the standard measurement.
+// Scenarios are the scenarios of the standard measurement.
 var Scenarios = []Scenario{
 	{"none", emulator.NoFault, 0},
 	{"silent 1/10", emulator.Unresponsive, 0.1},
@@ -32,57 +32,58 @@
 	{"failing 1/3", emulator.Failing, 1.0 / 3},
 }
 
-// StateKind is the state that the restarted controller receives.
+// StateKind is the kind of learned state that the restarted controller receives.
 type StateKind int
 
-// Kinds of state.
+// Kinds of learned state.
 const (
 	NoRestart  StateKind = iota // the controller does not restart
 	NoState                     // no state
-	KeptState                   // the learned state
-	OldState                    // two minutes old, with all ejected replicas healthy and all healthy ones on probation
-	WrongState                  // the learned state with that of replicas exchanged
+	KeptState                   // the state learned before the restart
+	OldState                    // two minutes older, with ejected replicas healthy and healthy ones on probation
+	WrongState                  // the learned state, with the entries of the replicas exchanged at random
 )
 
-// String returns the name in tables.
-func (m StateKind) String() string {
-	return [...]string{"no restart", "without state", "with state", "state old", "state wrong"}[m]
+// String returns the name for tables of results.
+func (k StateKind) String() string {
+	return [...]string{"no restart", "without state", "with state", "state old", "state wrong"}[k]
 }
 
 const (
-	faultAt     = 10 * second
-	restartAt   = 30 * second
-	restartTime = second / 2
-	// snapshotInterval is how old the learned state may be at the restart.
+	faultTime      = 10 * second
+	minRestartTime = 30 * second
+	downtime       = second / 2
+	// snapshotInterval is the longest age of the learned state at the restart.
 	snapshotInterval = 5 * second
-	// window is how long requests are counted, from the restart on, and settleTime how long they may take after it.
+	// window is how long arriving requests are counted, from the restart on. settleTime is how long they may then take to
+	// finish.
 	window     = 10 * second
 	settleTime = 5 * second
 	halfLife   = 60 * second
 )
 
-// Run simulates one restart and counts the requests that arrive in the window from the restart on.
-func Run(site emulator.Site, trouble Scenario, memory StateKind, seed int64) (emulator.OutcomeCounts, error) {
+// Run simulates one restart, and counts the requests that arrive within the window after it by outcome.
+func Run(site emulator.Site, scenario Scenario, kind StateKind, seed int64) (emulator.OutcomeCounts, error) {
 	simulation := emulator.New(site, seed)
 	simulation.Start(nil)
-	simulation.Run(faultAt)
+	simulation.Run(faultTime)
 	random := rand.New(rand.NewSource(seed))
-	faulty := random.Perm(site.Replicas)[:int(trouble.Fraction*float64(site.Replicas)+0.5)]
+	faulty := random.Perm(site.Replicas)[:int(scenario.Fraction*float64(site.Replicas)+0.5)]
 	simulation.ChangeReplicas(func(k int, r *emulator.Replica) {
 		if slices.Contains(faulty, k) {
-			r.Fault = trouble.Fault
+			r.Fault = scenario.Fault
 		}
 	})
-	simulation.Run(restartAt + random.Int63n(snapshotInterval))
+	simulation.Run(minRestartTime + random.Int63n(snapshotInterval))
 	counted := simulation.CountOutcomes(simulation.Now(), simulation.Now()+window)
-	if memory == NoRestart {
+	if kind == NoRestart {
 		simulation.Run(simulation.Now() + window + settleTime)
 		return *counted, nil
 	}
 	learned := simulation.LearnedState
 	simulation.Stop()
-	simulation.Run(simulation.Now() + restartTime)
-	restored, err := restore(simulation, learned, memory, random)
+	simulation.Run(simulation.Now() + downtime)
+	restored, err := restore(simulation, learned, kind, random)
 	if err != nil {
 		return emulator.OutcomeCounts{}, err
 	}
@@ -91,9 +92,10 @@
 	return *counted, nil
 }
 
-// restore encodes and decodes the learned state as a snapshot, and changes it as the kind of state says.
-func restore(simulation *emulator.Simulation, learned *learnedstate.State, memory StateKind, random *rand.Rand) (*learnedstate.AgedState, error) {
-	if memory == NoState || learned == nil {
+// restore encodes and decodes the learned state as a snapshot, and changes it according to the kind of state. It returns nil
+// if there is no state.
+func restore(simulation *emulator.Simulation, learned *learnedstate.State, kind StateKind, random *rand.Rand) (*learnedstate.AgedState, error) {
+	if kind == NoState || learned == nil {
 		return nil, nil
 	}
 	raw, err := snapshot.Encode(*learned, 1)
@@ -102,16 +104,16 @@
 	}
 	generation, err := snapshot.Decode(raw)
 	if err != nil {
-		return nil, fmt.Errorf("what was kept is not read: %w", err)
+		return nil, fmt.Errorf("decoding the encoded snapshot: %w", err)
 	}
 	state := generation.State
 	age := state.Taken.Age(learnedstate.Timestamp{Wall: simulation.Now()})
-	switch memory {
+	switch kind {
 	case OldState:
 		age += 2 * halfLife
 		invertHealth(state.Replicas)
 	case WrongState:
-		exchangeReplicas(state.Replicas, random)
+		shuffleReplicaState(state.Replicas, random)
 	}
 	names := simulation.Site.Names
 	installation := learnedstate.Installation{Classes: names.Classes, HardwareClasses: names.HardwareClasses, Proxies: simulation.Site.Proxies}
@@ -119,7 +121,7 @@
 	return learnedstate.NewAgedState(fitted, simulation.Now(), age, halfLife), nil
 }
 
-// invertHealth makes ejected replicas healthy, and puts healthy ones on probation.
+// invertHealth marks replicas healthy that are ejected or on probation, and puts healthy ones on probation.
 func invertHealth(replicas []learnedstate.Replica) {
 	for k := range replicas {
 		r := &replicas[k]
@@ -133,8 +135,8 @@
 	}
 }
 
-// exchangeReplicas gives each replica the learned state of another one.
-func exchangeReplicas(replicas []learnedstate.Replica, random *rand.Rand) {
+// shuffleReplicaState exchanges the learned state of the replicas at random.
+func shuffleReplicaState(replicas []learnedstate.Replica, random *rand.Rand) {
 	originals := slices.Clone(replicas)
 	for k, n := range random.Perm(len(originals)) {
 		r := &replicas[k]
--- a/experiment/scriptedpeer/peers.go
+++ b/experiment/scriptedpeer/peers.go
@@ -1,6 +1,6 @@
-// Package scriptedpeer has what tests of crossings need of the other side of a connection: peers on loopback that hold bytes
-// back, reset, stop reading, or close at a given instant. An order of events is forced by what a peer has seen, never by
-// a pause. Whatever does not come within WaitTimeout fails the test.
+// Package scriptedpeer provides the remote end of connections for tests of race conditions: peers on loopback that delay
+// bytes, reset, stop reading, or close at a given point of the exchange. Tests order events by what a peer has received,
+// never by sleeping. Each wait that exceeds WaitTimeout fails the test.
 package scriptedpeer
 
 import (
@@ -17,23 +17,24 @@
 	"lilacbend/internal/resp"
 )
 
-// WaitTimeout bounds each wait: far over what a loaded machine takes, so that only what never comes fails.
+// WaitTimeout bounds each wait. It is far longer than any wait on a loaded machine, so only an event that never happens
+// fails a test.
 const WaitTimeout = 20 * time.Second
 
-// Conn is one end of a connection, in the hands of a test.
+// Conn is one end of a connection that a test controls.
 type Conn struct {
 	net.Conn
-	Reader *bufio.Reader // what came is read here
-	resp   *resp.Reader
-	pool   *resp.Pool
-	t      testing.TB
+	Reader   *bufio.Reader // buffers the received bytes; read from it only, not from Conn
+	messages *resp.Reader
+	pool     *resp.Pool
+	t        testing.TB
 }
 
-func wrap(t testing.TB, conn net.Conn) *Conn {
+func newConn(t testing.TB, conn net.Conn) *Conn {
 	conn.SetDeadline(time.Now().Add(WaitTimeout))
 	t.Cleanup(func() { conn.Close() })
 	c := &Conn{Conn: conn, Reader: bufio.NewReader(conn), pool: resp.NewPool(1 << 20), t: t}
-	c.resp = resp.NewReader(c.Reader, c.pool)
+	c.messages = resp.NewReader(c.Reader, c.pool)
 	return c
 }
 
@@ -44,28 +45,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return wrap(t, conn)
+	return newConn(t, conn)
 }
 
-// DialWhenUp connects to an address on which somebody will listen soon.
+// DialWhenUp retries to connect to an address until it is listened on.
 func DialWhenUp(t testing.TB, address string) *Conn {
 	t.Helper()
 	var conn net.Conn
-	WaitFor(t, "nobody listens on "+address, func() (up bool) {
+	WaitFor(t, "no listener on "+address, func() (up bool) {
 		var err error
 		conn, err = net.Dial("tcp", address)
 		return err == nil
 	})
-	return wrap(t, conn)
+	return newConn(t, conn)
 }
 
-// Listener takes connections in when the test says so; until then they wait in the kernel's queue, connected but unanswered.
+// Listener accepts connections when the test calls for it. Until then they wait in the kernel's accept queue, established
+// but not served.
 type Listener struct {
 	net.Listener
 	t testing.TB
 }
 
-// Listen listens on an address of loopback that nobody else uses.
+// Listen listens on an unused loopback address.
 func Listen(t testing.TB) *Listener { return ListenOn(t, "127.0.0.1:0") }
 
 // ListenOn listens on an address.
@@ -79,7 +81,7 @@
 	return &Listener{l, t}
 }
 
-// Address is the address.
+// Address returns the host and port that the listener is bound to.
 func (l *Listener) Address() string { return l.Addr().String() }
 
 // AcceptConn accepts the next connection.
@@ -88,14 +90,14 @@
 	l.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(WaitTimeout))
 	conn, err := l.Accept()
 	if err != nil {
-		l.t.Fatalf("nobody came: %v", err)
+		l.t.Fatalf("no connection to %s within %v: %v", l.Address(), WaitTimeout, err)
 	}
-	return wrap(l.t, conn)
+	return newConn(l.t, conn)
 }
 
-// Serve has a function attend each connection that comes from now on, in a goroutine of its own, and closes the connection after
-// it. It does not wait.
-func (l *Listener) Serve(attend func(net.Conn)) {
+// Serve starts to accept connections and returns. It calls handle for each in a goroutine of its own, and closes the
+// connection when handle returns.
+func (l *Listener) Serve(handle func(net.Conn)) {
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -104,31 +106,32 @@
 			}
 			go func() {
 				defer conn.Close()
-				attend(conn)
+				handle(conn)
 			}()
 		}
 	}()
 }
 
-// ExpectNoConnection says that nobody comes for so long. For what must not happen only: it orders nothing.
-func (l *Listener) ExpectNoConnection(span time.Duration) {
+// ExpectNoConnection fails the test if a connection arrives within a duration. Use it only to check that none is made, not
+// to order events.
+func (l *Listener) ExpectNoConnection(duration time.Duration) {
 	l.t.Helper()
-	l.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(span))
+	l.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(duration))
 	if conn, err := l.Accept(); err == nil {
 		conn.Close()
-		l.t.Error("somebody came")
+		l.t.Errorf("unexpected connection to %s within %v", l.Address(), duration)
 	}
 }
 
-// The ports that FreeAddress returns. They lie below those that the kernel gives to outgoing connections (from 32768 on Linux), so that
-// no connection of another test takes the port before it is listened on.
+// The range of ports that FreeAddress returns. It lies below the ephemeral ports that the kernel assigns to outgoing
+// connections (from 32768 on Linux), so that no connection of another test takes the port before the test listens on it.
 const (
 	firstFreePort = 20000
 	lastFreePort  = 32000
 	freeAttempts  = 100
 )
 
-// FreeAddress returns an address of loopback that nobody listens on.
+// FreeAddress returns a loopback address that is not listened on.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	for range freeAttempts {
@@ -144,7 +147,7 @@
 	return ""
 }
 
-// SendRaw writes bytes as they are.
+// SendRaw writes a text without encoding it.
 func (c *Conn) SendRaw(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
@@ -152,15 +155,15 @@
 	}
 }
 
-// SendByteByByte writes each byte by itself.
+// SendByteByByte writes each byte in a separate write.
 func (c *Conn) SendByteByByte(text string) {
 	c.t.Helper()
-	for k := range len(text) {
-		c.SendRaw(text[k : k+1])
+	for index := range len(text) {
+		c.SendRaw(text[index : index+1])
 	}
 }
 
-// Send writes messages, each a line of words, as RESP2.
+// Send writes messages as RESP2 arrays. Each is given as its words, separated by spaces.
 func (c *Conn) Send(messages ...string) {
 	c.t.Helper()
 	for _, text := range messages {
@@ -168,7 +171,7 @@
 	}
 }
 
-// EncodeMessage is a line of words as RESP2.
+// EncodeMessage returns the RESP2 array of the words of a text, which are separated by spaces.
 func EncodeMessage(text string) string {
 	var b strings.Builder
 	if _, err := resp.Write(&b, resp.NewPool(1<<20), strings.Fields(text)...); err != nil {
@@ -177,55 +180,56 @@
 	return b.String()
 }
 
-// ReadMessage reads one RESP2 message as a line of words; false: the connection has ended.
+// ReadMessage reads one RESP2 message and returns its words, separated by spaces. It returns false if none can be read
+// because the connection has ended, the wait timed out or the message is invalid.
 func (c *Conn) ReadMessage() (string, bool) {
-	words, err := c.resp.Next()
+	words, err := c.messages.Next()
 	return strings.Join(words, " "), err == nil
 }
 
-// WaitForMessage reads messages until one begins with a text, and returns it.
-func (c *Conn) WaitForMessage(begins string) string {
+// WaitForMessage reads messages until one begins with a prefix, and returns that one.
+func (c *Conn) WaitForMessage(prefix string) string {
 	c.t.Helper()
 	for {
 		text, ok := c.ReadMessage()
 		if !ok {
-			c.t.Fatalf("ended before %q", begins)
+			c.t.Fatalf("connection ended or timed out before a message that begins with %q", prefix)
 		}
-		if strings.HasPrefix(text, begins) {
+		if strings.HasPrefix(text, prefix) {
 			return text
 		}
 	}
 }
 
-// ReadRequestHead reads the head of an HTTP/1.1 request up to the empty line, and returns its first line.
+// ReadRequestHead reads the head of an HTTP/1.1 request up to the empty line, and returns the request line.
 func (c *Conn) ReadRequestHead() string {
 	c.t.Helper()
-	first := ""
+	requestLine := ""
 	for {
 		line, err := c.Reader.ReadString('\n')
 		if err != nil {
-			c.t.Fatalf("no request after %q: %v", first, err)
+			c.t.Fatalf("reading a request head after request line %q: %v", requestLine, err)
 		}
 		if line = strings.TrimRight(line, "\r\n"); line == "" {
-			return first
+			return requestLine
 		}
-		if first == "" {
-			first = line
+		if requestLine == "" {
+			requestLine = line
 		}
 	}
 }
 
-// WaitForClose waits for the end of what comes, reading all before it, and says whether it was a reset.
+// WaitForClose discards all received bytes until the peer closes the connection, and reports whether it was reset.
 func (c *Conn) WaitForClose() (reset bool) {
 	c.t.Helper()
 	_, err := io.Copy(io.Discard, c.Reader)
 	if timeout := net.Error(nil); errors.As(err, &timeout) && timeout.Timeout() {
-		c.t.Error("the connection does not end")
+		c.t.Errorf("connection not closed within %v", WaitTimeout)
 	}
 	return err != nil
 }
 
-// Reset closes with a reset, whatever waits to be sent.
+// Reset closes the connection with a TCP reset, which discards unsent bytes.
 func (c *Conn) Reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
@@ -233,23 +237,25 @@
 	c.Conn.Close()
 }
 
-// narrow is what the kernel keeps of what is on its way, in bytes: little beside a long message, and enough to be quick.
-const narrow = 1 << 16
+// shrunkBufferSize is the size of each socket buffer after ShrinkBuffers, in bytes: small compared with a long message, but
+// large enough to transfer one quickly.
+const shrunkBufferSize = 1 << 16
 
-// ShrinkBuffers has the kernel keep little of what comes and is not read, and of what is written and not taken.
+// ShrinkBuffers shrinks the kernel's buffers of received bytes that are not read yet and of written bytes that the peer has
+// not received, so that a write to a peer that does not read blocks early.
 func (c *Conn) ShrinkBuffers() *Conn {
 	tcp := c.Conn.(*net.TCPConn)
-	tcp.SetReadBuffer(narrow)
-	tcp.SetWriteBuffer(narrow)
+	tcp.SetReadBuffer(shrunkBufferSize)
+	tcp.SetWriteBuffer(shrunkBufferSize)
 	return c
 }
 
-// WaitFor waits for a condition that something else brings about.
-func WaitFor(t testing.TB, otherwise string, holds func() bool) {
+// WaitFor polls a condition until it holds. It fails the test with a message if that exceeds WaitTimeout.
+func WaitFor(t testing.TB, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(WaitTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal(otherwise)
+	for deadline := time.Now().Add(WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal(failure)
 		}
 	}
 }
--- a/experiment/scriptedpeer/peers_test.go
+++ b/experiment/scriptedpeer/peers_test.go
@@ -8,30 +8,30 @@
 	"testing"
 )
 
-// kernelPorts is where Linux says which ports it gives to outgoing connections.
-const kernelPorts = "/proc/sys/net/ipv4/ip_local_port_range"
+// portRangeFile has the first and the last of the ports that Linux assigns to outgoing connections.
+const portRangeFile = "/proc/sys/net/ipv4/ip_local_port_range"
 
-func TestFreePortsAreNotThoseOfOutgoingConnections(t *testing.T) {
-	text, err := os.ReadFile(kernelPorts)
+func TestFreeAddressIsBelowEphemeralPorts(t *testing.T) {
+	text, err := os.ReadFile(portRangeFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, err := strconv.Atoi(strings.Fields(string(text))[0])
+	firstEphemeral, err := strconv.Atoi(strings.Fields(string(text))[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range 50 {
-		at := FreeAddress(t)
-		_, port, err := net.SplitHostPort(at)
+		address := FreeAddress(t)
+		_, port, err := net.SplitHostPort(address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if number, err := strconv.Atoi(port); err != nil || number >= first {
-			t.Errorf("%s: the kernel gives ports from %d on to outgoing connections", at, first)
+		if number, err := strconv.Atoi(port); err != nil || number >= firstEphemeral {
+			t.Errorf("%s is in the range of ephemeral ports, which starts at %d", address, firstEphemeral)
 		}
-		l, err := net.Listen("tcp", at)
+		l, err := net.Listen("tcp", address)
 		if err != nil {
-			t.Errorf("not free: %v", err)
+			t.Errorf("returned address is in use: %v", err)
 			continue
 		}
 		l.Close()
