--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -6,25 +6,26 @@
 	"lilacbend/control"
 )
 
-// Nonces are counted modulo nonceModulus. The core's own ones are half of that away from the last one of the module, so that
-// the two cannot be confused.
+// Nonces are counted modulo nonceModulus. A nonce that the core chooses is half the modulus away from the module's last one,
+// so that the two cannot be confused.
 const (
 	nonceModulus   = 1 << 16
 	ownNonceOffset = 1 << 15
 )
 
-// ackDeadlines remembers since when streams owe an ack.
+// ackDeadlines records since when each stream has owed an ack.
 type ackDeadlines struct {
-	awaited []awaitedAck // the longest first
+	awaited []awaitedAck // oldest first
 }
 
-// awaitedAck is an ack that a stream has owed since a time. It is void if the stream has spoken since.
+// awaitedAck is an ack that a stream has owed since the given time. It is obsolete if anything arrived on the stream in the
+// meantime.
 type awaitedAck struct {
 	stream *stream
 	since  int64
 }
 
-// await records that a stream owes an ack, unless it owes one already.
+// await records that a stream owes an ack from now on. It does nothing if the stream already owes one.
 func (d *ackDeadlines) await(s *stream, now int64) {
 	if s.silent.since != 0 {
 		return
@@ -33,8 +34,8 @@
 	d.awaited = append(d.awaited, awaitedAck{stream: s, since: now})
 }
 
-// takeOverdue removes the acks that are awaited for longer than a timeout and returns the streams that still owe them. A
-// stream may be among them more than once.
+// takeOverdue removes the acks that have been awaited for longer than the timeout and returns the streams that still owe
+// them. The result may contain a stream more than once.
 func (d *ackDeadlines) takeOverdue(now, timeout int64) []*stream {
 	var overdue []*stream
 	for len(d.awaited) > 0 && now-d.awaited[0].since > timeout {
@@ -47,9 +48,10 @@
 	return overdue
 }
 
-// expireSilentProxies reports to the module that each proxy which has owed an ack for too long has disconnected. A machine
-// that vanishes leaves its stream open. The stream is neither closed nor left out of updates, so a proxy that was only slow
-// has missed nothing and counts as connected again once it speaks.
+// expireSilentProxies reports each proxy that has owed an ack for longer than the silence timeout to the module as
+// disconnected, since a machine that fails leaves its stream open. The core keeps the stream open and continues to send
+// updates on it, so a proxy that was only slow has missed nothing and is connected again as soon as anything arrives from
+// it.
 func (c *Core) expireSilentProxies(now int64) []control.Event {
 	var proxies []int
 	for _, s := range c.delivery.acks.takeOverdue(now, c.silenceTimeout) {
@@ -68,7 +70,8 @@
 	return events
 }
 
-// streamSpoke records that a proxy has spoken. One that was reported as disconnected has connected anew to the module.
+// streamSpoke records that something has arrived from a proxy. If the proxy was reported to the module as disconnected, the
+// function returns an event that reports it as connected.
 func (c *Core) streamSpoke(s *stream, now int64) []control.Event {
 	s.silent.since = 0
 	if !s.silent.reported {
@@ -81,8 +84,8 @@
 	return []control.Event{s.opened}
 }
 
-// handleAck clears the messages that an ack covers: the one of its nonce and all sent before it. The last nonce of the
-// module's own among them is reported to it.
+// handleAck clears the messages that an ack covers: the message with its nonce and all messages sent before it. The last
+// nonce among them that the module chose is reported to the module.
 func (c *Core) handleAck(ack Ack, now int64) []control.Event {
 	s := c.streams.byID[ack.Stream]
 	if s == nil {
@@ -94,7 +97,7 @@
 	if place >= 0 {
 		c.delivery.account.Acknowledge(s.opened.Proxy, s.unacked[place].number, now)
 	}
-	// The module has given up the acks of a proxy that was reported as disconnected.
+	// The module no longer waits for acks of a proxy that was reported to it as disconnected.
 	if place < 0 || reconnected != nil || ack.Delay > maxReportPeriod {
 		c.Counters.Stale++
 		return reconnected
@@ -106,8 +109,8 @@
 	return []control.Event{control.Ack{Proxy: s.opened.Proxy, Nonce: nonce, Delay: ack.Delay}}
 }
 
-// requestMissingAck asks one proxy for an ack of the core's own when acks are missing and nothing is being written that could
-// be acknowledged. The proxies take turns, as the one that is asked may have vanished.
+// requestMissingAck sends one proxy an ack request with a nonce of the core when acks are missing and no message is being
+// written that could be acknowledged. Successive requests go to different proxies, since the proxy asked may have failed.
 func (c *Core) requestMissingAck(t *turn) {
 	if !c.delivery.account.NeedsAckRequest(t.now) {
 		return
@@ -132,8 +135,8 @@
 	t.send(s, update, number)
 }
 
-// nextOwnNonce returns a nonce of the core's own: half the modulus past the module's last one, or the next after one that is
-// not the module's.
+// nextOwnNonce returns the nonce of the core's next ack request: half the modulus past the last nonce if that one is the
+// running module's, and one past it otherwise.
 func (u unackedMessages) nextOwnNonce() uint64 {
 	last := u[len(u)-1]
 	if last.own {
--- a/internal/controller/buildupdate.go
+++ b/internal/controller/buildupdate.go
@@ -7,8 +7,8 @@
 	"lilacbend/control"
 )
 
-// concerns reports whether an ejection concerns a stream: the replica is in what the stream has of its table, or the stream
-// is bound to none, so that what its proxy holds is not known.
+// concerns reports whether the ejection of a replica affects a stream. It does if the stream has the replica in its table or
+// subset, and if the stream is unbound, because then it is not known which replicas its proxy holds.
 func (c *Core) concerns(s *stream, replica uint32) bool {
 	if s.binding.table < 0 {
 		return true
@@ -19,10 +19,10 @@
 	return s.binding.subset == nil || s.binding.subset.replicas[replica]
 }
 
-// maxCost returns the most cost units that the next update of a stream can have. All admissions count, as they may go with
-// any update.
+// maxCost returns an upper bound of the cost units of a stream's next update. It counts all admissions, since any update may
+// carry them.
 func (c *Core) maxCost(s *stream, changes *turnChanges, urgent bool) int {
-	fixed := 1 + len(c.names.Classes) + 1 // full, an admission for each class, and the ack request
+	fixed := 1 + len(c.names.Classes) + 1 // the full flag, one admission per class and the ack request
 	part := s.binding.subset
 	if s.binding.needsFull && part != nil {
 		return fixed + len(part.replicas) + part.confirmed
@@ -30,7 +30,7 @@
 	return fixed + c.maxEndpointCost(s, changes, urgent) + c.maxEjectionCost(s, changes) + len(s.delivered.cancelledAdmissions)
 }
 
-// maxEndpointCost counts the endpoints of the next update, and with each whether it is ejected.
+// maxEndpointCost counts the endpoints of the next update and the ejections or unejections of these endpoints.
 func (c *Core) maxEndpointCost(s *stream, changes *turnChanges, urgent bool) int {
 	changed := changes.endpoints[s.binding.table]
 	units := len(changed)
@@ -50,7 +50,7 @@
 	return units
 }
 
-// maxEjectionCost counts the ejections of the next update that do not go with an endpoint.
+// maxEjectionCost counts the ejections and unejections of the next update that maxEndpointCost has not counted.
 func (c *Core) maxEjectionCost(s *stream, changes *turnChanges) int {
 	ejections := changes.ejections
 	if s.binding.needsFull && s.binding.table < 0 {
@@ -65,7 +65,8 @@
 	return units
 }
 
-// ejectionCost is 1 if an update has to say whether a replica is ejected, as the proxy may hold otherwise, else 0.
+// ejectionCost returns 1 if an update has to state whether a replica is ejected, because the proxy may hold the opposite,
+// and 0 otherwise.
 func (c *Core) ejectionCost(s *stream, replica uint32) int {
 	if s.delivered.mayDiffer(replica, c.routing.ejected[replica]) {
 		return 1
@@ -73,9 +74,9 @@
 	return 0
 }
 
-// buildUpdate builds the next update of a stream and records what it says as delivered. It reports whether the turn's
-// commands reach the stream, even if the update says nothing. An urgent update leaves out the rest of a table that the
-// stream has a subset of, unless nothing of the subset can be used.
+// buildUpdate builds the next update of a stream and records its content as delivered. It also reports whether the turn's
+// commands affect the stream, which is possible even if the update is empty. If the stream has only a subset of its table,
+// an urgent update omits the rest of the table unless no replica of the subset is usable.
 func (c *Core) buildUpdate(s *stream, changes *turnChanges, urgent bool) (update Update, reached bool) {
 	needsFull := s.binding.needsFull
 	s.binding.needsFull = false
@@ -87,9 +88,9 @@
 		s.delivered.admissions = map[int]Admission{}
 	}
 	c.addEndpoints(s, c.dueEndpoints(s, changes, update.Full, urgent), &update)
-	if !update.Full { // a full update has the ejections of its table and replaces all admissions
+	if !update.Full { // a full update contains the ejections of its table and replaces all admissions
 		ejections := changes.ejections
-		if needsFull { // the updates that were lost went to a proxy bound to no table
+		if needsFull { // the stream is unbound and its updates were lost
 			ejections = c.routing.ejected
 		}
 		reached = c.addEjections(s, ejections, &update)
@@ -103,13 +104,14 @@
 	return update, reached || update.cost() > 0 || changes.reach(s.binding)
 }
 
-// reach reports whether the changes of endpoints and admissions concern a binding.
+// reach reports whether the changed endpoints or admissions affect a binding.
 func (t *turnChanges) reach(b binding) bool {
 	tableChanged := b.subset == nil && len(t.endpoints[b.table]) > 0
 	return tableChanged || t.admissions[control.AllTables] || t.admissions[b.table]
 }
 
-// dueEndpoints returns the endpoints that go with the next update: all of the table, a subset of it, or what has changed.
+// dueEndpoints returns the endpoints of the next update: the whole table, its subset, the rest of the table beside the
+// subset, or the changed endpoints.
 func (c *Core) dueEndpoints(s *stream, changes *turnChanges, full, urgent bool) endpointList {
 	table := s.binding.table
 	switch {
@@ -126,8 +128,8 @@
 	return sharedEndpoints(c, table, changes.endpoints[table], changes.changedTables)
 }
 
-// addEndpoints adds endpoints to an update, and whether they are ejected. The first update of a subset confirms only its
-// first replicas.
+// addEndpoints adds endpoints to an update, together with their ejections and unejections. The first update of a subset
+// states these only for the first subset.confirmed replicas.
 func (c *Core) addEndpoints(s *stream, list endpointList, update *Update) {
 	update.Endpoints = list.endpoints
 	confirmed := len(list.replicas)
@@ -141,7 +143,8 @@
 	}
 }
 
-// addEjections adds whether replicas are ejected, and reports whether any of that concerns the stream.
+// addEjections adds the ejections and unejections of replicas to an update and reports whether any of them affects the
+// stream.
 func (c *Core) addEjections(s *stream, replicas map[uint32]bool, update *Update) (concerned bool) {
 	for _, replica := range slices.Sorted(maps.Keys(replicas)) {
 		if c.concerns(s, replica) {
@@ -152,7 +155,7 @@
 	return concerned
 }
 
-// addEjection adds whether a replica is ejected, if the proxy may hold otherwise.
+// addEjection adds the ejection or unejection of a replica to an update if the proxy may hold the opposite.
 func (c *Core) addEjection(s *stream, replica uint32, update *Update) {
 	ejected := c.routing.ejected[replica]
 	if !s.delivered.mayDiffer(replica, ejected) {
@@ -167,8 +170,8 @@
 	}
 }
 
-// addAdmissions adds the admissions that were not delivered. Those of all tables reach a stream with its next update
-// for any reason.
+// addAdmissions adds the admissions that have not been delivered. An admission for all tables reaches a stream with the next
+// update that is sent on it for any reason.
 func (c *Core) addAdmissions(s *stream, update *Update) {
 	for class, name := range c.names.Classes {
 		command, set := c.routing.admission(s.binding.table, class)
@@ -183,8 +186,8 @@
 	}
 }
 
-// sharedEndpoints returns the endpoints of a table for some replicas, made once for all its streams: made holds those that
-// are made already.
+// sharedEndpoints returns the endpoints of a table for the given replicas. The list is made once and shared by all streams
+// of the table: made holds the lists made so far, by table.
 func sharedEndpoints[V any](c *Core, table int, replicas map[uint32]V, made map[int]endpointList) endpointList {
 	list, isMade := made[table]
 	if !isMade {
@@ -194,7 +197,7 @@
 	return list
 }
 
-// endpointsIn lists replicas with their names and their weights in a table.
+// endpointsIn returns the endpoints of replicas with their weights in a table.
 func (c *Core) endpointsIn(table int, replicas []uint32) endpointList {
 	list := endpointList{replicas: replicas}
 	for _, replica := range replicas {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -8,7 +8,7 @@
 	"lilacbend/control"
 )
 
-// applyCommands carries out the commands of a turn in their order and returns what they have changed.
+// applyCommands applies the commands of a turn in order and returns the resulting changes.
 func (c *Core) applyCommands(t *turn, commands []control.Command) *turnChanges {
 	changes := newTurnChanges()
 	for _, command := range commands {
@@ -17,7 +17,7 @@
 	return changes
 }
 
-// applyCommand carries out one command. A control.HealthCheck counts as invalid, as controllers do not probe replicas.
+// applyCommand applies one command. A control.HealthCheck counts as invalid, since controllers do not probe replicas.
 func (c *Core) applyCommand(t *turn, command control.Command, changes *turnChanges) {
 	switch command := command.(type) {
 	case control.SetEndpoint:
@@ -45,7 +45,8 @@
 	}
 }
 
-// setEndpoint sets the weight of a replica in a table. A replica without a name could never be named to a proxy.
+// setEndpoint sets the weight of a replica in a table. The command is invalid if the replica's name is not known, since an
+// update could not name the replica to a proxy.
 func (c *Core) setEndpoint(command control.SetEndpoint, changes *turnChanges) {
 	if c.replicas.byNumber[command.Replica] == nil {
 		c.Counters.Invalid++
@@ -56,7 +57,7 @@
 	c.Counters.CostRequested += int64(len(c.streams.byTable[command.Table]))
 }
 
-// bind binds a proxy to a table, or marks the rest of the table that it has a subset of as due.
+// bind binds a proxy to a table. If the proxy already has a subset of that table, bind marks the rest of the table as due.
 func (c *Core) bind(command control.Bind) {
 	s := c.streams.byProxy[command.Proxy]
 	if s == nil {
@@ -97,14 +98,14 @@
 	}
 }
 
-// setAdmission sets the admission of a traffic class in a table, or in all of them.
+// setAdmission sets the admission of a traffic class in one table or in all tables.
 func (c *Core) setAdmission(command control.SetAdmission, changes *turnChanges) {
 	changes.admissions[command.Table] = true
 	c.routing.admissions[tableClass{command.Table, command.Class}] = command
 	c.Counters.CostRequested += int64(len(c.streams.reachedBy(command.Table)))
 }
 
-// nameReplica replaces the number of a replica in a log line by its name, which the operators know it by.
+// nameReplica replaces the number of a replica in a log line by its name, since operators do not know the numbers.
 func (c *Core) nameReplica(text string) string {
 	var number uint32
 	scanned, _ := fmt.Sscanf(text, "replica %d ", &number)
--- a/internal/controller/configure.go
+++ b/internal/controller/configure.go
@@ -10,43 +10,45 @@
 	"lilacbend/internal/revision"
 )
 
-// maxFormerZones bounds the zones that are remembered after they have left the settings.
+// maxFormerZones limits how many zones are remembered after their removal from the settings.
 const maxFormerZones = 1 << 10
 
-// Reasons why settings are refused.
+// Errors for refused settings.
 var (
-	// ErrNeedsRestart is a setting that cannot change while proxies are connected: what was sent to them before would mean
-	// something else.
+	// ErrNeedsRestart means that a setting differs that cannot change while proxies are connected: the change would alter
+	// the meaning of updates already sent to them.
 	ErrNeedsRestart = errors.New("setting domain.admit cannot change while the controller runs: restart it")
-	// ErrModuleFails is settings by which no module runs.
+	// ErrModuleFails means that a new module panics with the settings.
 	ErrModuleFails = errors.New("the module panics with these settings")
 )
 
-// maxFailureText bounds the text of a module's panic in an error, in bytes.
+// maxFailureText limits the length of a module's panic message in an error, in characters.
 const maxFailureText = 200
 
-// ConfigurationResult says what became of a Configure: in force, or refused for a reason.
+// ConfigurationResult is the result of a Configure input. Err is nil if the settings are in force, and otherwise the reason
+// why they were refused.
 type ConfigurationResult struct {
 	Configure
 	Err error
 }
 
-// configuration is what settings determine.
+// configuration holds everything that is derived from one version of the settings.
 type configuration struct {
 	version  revision.Version
 	topology Topology
 	create   func() Module
 }
 
-// configurationState is the version of the settings in force and what this turn has done with settings that came. Settings
-// are put in force as a whole or not at all; streams, what was delivered to them, the channel's account and learned state stay.
+// configurationState holds the version of the settings in force and the results of the settings that arrived in this turn.
+// Settings are applied as a whole or not at all. Streams, the state delivered to them, the channel's account and learned
+// state persist across changes.
 type configurationState struct {
-	version  revision.Version      // zero: those of the start
-	previous *configuration        // before this turn; nil: the turn has changed nothing
+	version  revision.Version      // zero for the settings that the controller started with
+	previous *configuration        // the configuration before this turn; nil if the turn has not changed it
 	results  []ConfigurationResult // of this turn
 }
 
-// endTurn makes the settings of this turn final and returns what became of them.
+// endTurn makes the settings of this turn final and returns their results.
 func (s *configurationState) endTurn() []ConfigurationResult {
 	results := s.results
 	s.results = nil
@@ -54,18 +56,19 @@
 	return results
 }
 
-// record notes what became of settings; err is nil if they are in force.
+// record adds the result of settings; err is nil if they are in force.
 func (s *configurationState) record(configure Configure, err error) {
 	s.results = append(s.results, ConfigurationResult{Configure: configure, Err: err})
 }
 
-// ConfigurationVersion returns the version of the settings in force; zero are those of the start.
+// ConfigurationVersion returns the version of the settings in force. It is zero for the settings that the controller started
+// with.
 func (c *Core) ConfigurationVersion() revision.Version { return c.configuration.version }
 
-// CurrentTopology returns the topology in force, for those who check streams before they come here.
+// CurrentTopology returns the topology in force. Callers use it to check streams before they pass them to Turn.
 func (c *Core) CurrentTopology() Topology { return c.Topology }
 
-// Accepts returns an error if a setting differs that cannot change while proxies are connected.
+// Accepts returns ErrNeedsRestart if next differs in a setting that cannot change while proxies are connected.
 func (t Topology) Accepts(next Topology) error {
 	if t.admission != next.admission {
 		return ErrNeedsRestart
@@ -73,7 +76,8 @@
 	return nil
 }
 
-// configure puts settings in force. A module that has had a turn is notified; another one starts by them.
+// configure puts settings in force. A module that has already had a turn is notified of them; otherwise a new module is
+// started with them.
 func (c *Core) configure(configure Configure) []control.Event {
 	next := NewTopology(configure.Names, configure.Settings)
 	if err := c.Accepts(next); err != nil {
@@ -101,13 +105,13 @@
 	return []control.Event{control.SettingsChanged{
 		Settings:           configure.Settings,
 		NewClasses:         classes,
-		NewHardwareClasses: append(hardwareClasses, len(c.names.HardwareClasses)), // the last for those that have no name
+		NewHardwareClasses: append(hardwareClasses, len(c.names.HardwareClasses)), // last: classes not in the settings
 		Replicas:           c.replicas.currentList().Entries,
 		Proxies:            c.connectedProxies(),
 	}}
 }
 
-// connectedProxies returns all proxies that have a stream, in order.
+// connectedProxies returns all proxies that have a stream, sorted by number.
 func (c *Core) connectedProxies() []control.StreamOpened {
 	var proxies []control.StreamOpened
 	for _, proxy := range sortedKeys(c.streams.byProxy) {
@@ -116,7 +120,7 @@
 	return proxies
 }
 
-// adopt makes a configuration the one in force, and gives replicas and proxies its numbers.
+// adopt puts a configuration in force and updates the zone and hardware class numbers of replicas and proxies.
 func (c *Core) adopt(next configuration) {
 	c.configuration.version = next.version
 	c.Topology = next.topology
@@ -130,8 +134,9 @@
 	}
 }
 
-// renumberDelivered keeps what was delivered to streams of each traffic class. An admission of a class that no longer exists is
-// cancelled once, so that no proxy goes on rejecting requests by an admission that nobody will change.
+// renumberDelivered moves the delivered admissions of all streams to the new numbers of their traffic classes. An admission
+// of a class that no longer exists is cancelled once, so that no proxy keeps rejecting requests because of an admission that
+// will never be updated.
 func (c *Core) renumberDelivered(numbers []int, before []string) {
 	for _, proxy := range sortedKeys(c.streams.byProxy) {
 		s := c.streams.byProxy[proxy]
@@ -141,8 +146,8 @@
 	}
 }
 
-// renumberClasses keeps the admissions under the new numbers of their traffic classes, and reports whether any is to be
-// cancelled.
+// renumberClasses moves the admissions to the new numbers of their traffic classes and reports whether any admission has to
+// be cancelled.
 func (d *deliveredState) renumberClasses(numbers []int, before []string, topology Topology) bool {
 	exists := func(a Admission) bool { return slices.Contains(topology.names.Classes, a.Class) }
 	d.cancelledAdmissions = slices.DeleteFunc(d.cancelledAdmissions, exists)
@@ -161,7 +166,7 @@
 	return lifts
 }
 
-// revertConfiguration goes back to the settings from before this turn, as no module runs by the new ones.
+// revertConfiguration restores the settings from before this turn, because the module panics with the new ones.
 func (c *Core) revertConfiguration(failure string) {
 	c.adopt(*c.configuration.previous)
 	c.configuration.previous = nil
@@ -175,8 +180,8 @@
 	}
 }
 
-// zonesLeft returns the zones that have left the settings since the controller started. Their proxies may still be connected,
-// and reports of them are taken.
+// zonesLeft returns the zones that were removed from the settings since the controller started, given the zones of the new
+// settings. Proxies of these zones may still be connected, so reports about them are accepted.
 func (c *Core) zonesLeft(zones []string) []string {
 	var left []string
 	for _, zone := range append(slices.Clone(c.formerZones), c.names.Zones...) {
@@ -187,17 +192,18 @@
 	return left[max(0, len(left)-maxFormerZones):]
 }
 
-// newNumbers returns for each old name its number among the new ones; below 0: it is not among them.
+// newNumbers returns the new number of each old name, or -1 if the name no longer exists.
 func newNumbers(before, after []string) []int {
-	numbers := make([]int, 0, len(before)+1) // one more for a caller that appends
+	numbers := make([]int, 0, len(before)+1) // room for the entry that configure appends
 	for _, name := range before {
 		numbers = append(numbers, slices.Index(after, name))
 	}
 	return numbers
 }
 
-// sameOrder returns the new names with those that were there before at their old numbers, if there are as many as before: the
-// module assigns tables by the numbers of zones. New names take the numbers of those that are gone.
+// sameOrder returns the new names in an order that keeps the numbers of the names that existed before; added names take the
+// numbers of removed ones. The numbers matter because the module assigns tables by the numbers of zones. If the number of
+// names has changed, the new names are returned as they are.
 func sameOrder(before, after []string) []string {
 	if len(before) != len(after) {
 		return after
--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -10,6 +10,7 @@
 	"lilacbend/settings"
 )
 
+// namesOf returns names from comma-separated lists.
 func namesOf(groups, zones, kinds string) settings.Names {
 	split := func(text string) []string {
 		if text == "" {
@@ -20,7 +21,7 @@
 	return settings.Names{Classes: split(groups), Zones: split(zones), HardwareClasses: split(kinds)}
 }
 
-// changed are settings of the scripted core with other names.
+// changed returns a Configure input that gives the core of a test other names.
 func changed(number uint64, names settings.Names, module Module) Configure {
 	p := control.Settings{Proxies: 9, Zones: len(names.Zones), HardwareClasses: len(names.HardwareClasses) + 1, DefaultRetries: control.RetryIfNotExecuted}
 	for range names.Classes {
@@ -29,7 +30,7 @@
 	return Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: p, Start: func() Module { return module }}
 }
 
-// Names keep their meaning in any order: admissions, tables and reports go by names.
+// Settings that list the same names in another order keep admissions, tables and reports assigned to the same names.
 func TestReorderedNamesKeepTheirMeaning(t *testing.T) {
 	c, s := core()
 	turn := func(inputs []Input, commands ...control.Command) TurnResult {
@@ -48,7 +49,7 @@
 		endpoint(0, 1, 1), endpoint(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
 		control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}, control.SetAdmission{Table: 0, Class: 0, Fraction: 0.7})
 	o := turn([]Input{
-		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // by the old numbers
+		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // before the change: the old number
 		changed(2, namesOf("order,new,read", "b,a", "m0,m2"), s),
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 2}},
 		Outcomes{Zone: "a", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
@@ -61,11 +62,11 @@
 		switch e := e.(type) {
 		case control.Demand:
 			if want := map[int]int{1: 1, 2: 0}[e.Requests]; e.Class != want {
-				t.Errorf("event %d: usage of group %d, want %d", k, e.Class, want)
+				t.Errorf("event %d: demand of class %d, want %d", k, e.Class, want)
 			}
 		case control.Outcomes:
-			if e.Zone != 0 { // zones that are as many as before stay at their numbers
-				t.Errorf("event %d: zone %d", k, e.Zone)
+			if e.Zone != 0 { // zones keep their numbers if there are as many as before
+				t.Errorf("event %d: outcomes of zone %d, want 0", k, e.Zone)
 			}
 		case control.SettingsChanged:
 			event = e
@@ -79,11 +80,11 @@
 		t.Error(got)
 	}
 	if got := text(turn(nil, control.SetAdmission{Table: control.AllTables, Class: 0, Fraction: 0.5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 1})); got != "1: new~1/0; 2: new~1/0" {
-		t.Error(got) // order is at 0.5 as it was
+		t.Error(got) // the admission of class order is 0.5 already
 	}
 }
 
-// The admission of a traffic class that is removed is cancelled once at every proxy that has one.
+// The admission of a removed traffic class is cancelled once at every proxy that holds one.
 func TestAdmissionOfARemovedClassIsCancelled(t *testing.T) {
 	c, s := core([]control.Command{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}})
 	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}})
@@ -91,14 +92,15 @@
 		t.Error(got)
 	}
 	if got := text(c.Turn(2, []Input{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Invalid != 1 {
-		t.Errorf("%q, %d invalid", got, c.Counters.Invalid)
+		t.Errorf("updates %q and %d invalid inputs after demand of a removed class, want none and 1", got, c.Counters.Invalid)
 	}
 	if got := text(c.Turn(3, []Input{changed(3, namesOf("order,read", "a,b", "m1,m2"), s)})); got != "" {
 		t.Error(got)
 	}
 }
 
-// Proxies of a removed zone stay connected and reports of them are taken, but none can connect; a zone that returns is theirs again.
+// Proxies of a removed zone stay connected and reports about them are accepted, but no further proxy of the zone can
+// connect. If the zone returns, its proxies belong to it again.
 func TestProxiesOfARemovedZoneStayConnected(t *testing.T) {
 	c, s := core()
 	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
@@ -111,7 +113,7 @@
 		t.Errorf("events %+v", s.events)
 	}
 	if err := c.CurrentTopology().CheckCollector("b"); err == nil {
-		t.Error("a collector of the zone may come")
+		t.Error("a collector of a removed zone is accepted")
 	}
 	c.Turn(2, []Input{changed(3, namesOf("read,order", "a,c,b", "m1,m2"), s)})
 	if event := s.events[0].(control.SettingsChanged); event.Proxies[0].Zone != 2 || event.Replicas[0].Zone != 2 {
@@ -119,7 +121,8 @@
 	}
 }
 
-// A setting that cannot change while the controller runs is refused by its key, and the others with it.
+// If a setting changes that cannot change while the controller runs, all new settings are refused with an error that names
+// the key of the setting.
 func TestSettingsThatNeedARestartAreRefused(t *testing.T) {
 	c, s := core()
 	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
@@ -128,27 +131,27 @@
 	o := c.Turn(1, []Input{next})
 	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "domain.admit") ||
 		len(s.events) != 0 || len(c.names.Zones) != 2 || !c.ConfigurationVersion().IsZero() || c.Counters.ConfigurationsRefused != 1 {
-		t.Errorf("%+v %+v", o.Configured, s.events)
+		t.Errorf("results %+v, events %+v", o.Configured, s.events)
 	}
 }
 
-// panickingModule fails at every turn.
+// panickingModule panics in every turn.
 type panickingModule struct{}
 
 func (panickingModule) Turn(int64, []control.Event) []control.Command { panic("no way") }
 
-// Settings by which no module runs are refused, and the former ones stay in force with every stream. Settings by which a new
-// module runs, though the running one failed to take them over, are in force.
+// Settings with which a new module panics are refused: the former ones stay in force and every stream stays open. If the
+// running module panics on the change but a new module runs with the settings, they are in force.
 func TestSettingsByWhichTheModuleFailsAreReverted(t *testing.T) {
 	c, s := core()
 	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	s.turns = [][]control.Command{panicking}
 	o := c.Turn(1, []Input{changed(2, namesOf("read", "a", "m1"), panickingModule{})})
 	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "the module panics with these settings") {
-		t.Fatalf("%+v", o.Configured)
+		t.Fatalf("results %+v", o.Configured)
 	}
 	if !c.ConfigurationVersion().IsZero() || len(c.names.Zones) != 2 || c.streams.byProxy[4].opened.Zone != 1 || c.replicas.byNumber[1].Zone != 1 || len(o.CloseStreams) != 0 {
-		t.Errorf("not as before: %s %v", c.ConfigurationVersion(), c.names)
+		t.Errorf("configuration was not reverted: version %s, names %v, %d streams closed", c.ConfigurationVersion(), c.names, len(o.CloseStreams))
 	}
 	if _, again := s.events[len(s.events)-1].(control.StreamOpened); !again {
 		t.Errorf("events %+v", s.events)
@@ -156,11 +159,11 @@
 	s.turns = [][]control.Command{panicking}
 	o = c.Turn(2, []Input{changed(3, namesOf("read", "a", "m1"), s)})
 	if len(o.Configured) != 1 || o.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 3 || c.streams.byProxy[4].opened.Zone != 1 || c.Counters.ConfigurationsApplied != 1 {
-		t.Errorf("%+v %s", o.Configured, c.ConfigurationVersion())
+		t.Errorf("results %+v, version %s in force", o.Configured, c.ConfigurationVersion())
 	}
 }
 
-// Settings that come before the first turn, or while the module is paused after a failure, are those of the next module.
+// Settings that arrive with the first turn, or while the module is paused after a failure, are used by the next module.
 func TestSettingsBeforeAModuleRunsStartTheNextOne(t *testing.T) {
 	c, _ := core()
 	next, s := changed(2, namesOf("read", "a", "m1"), nil), &scriptedModule{}
@@ -174,7 +177,7 @@
 	s2 := &scriptedModule{}
 	next.Start = func() Module { return s2 }
 	if o := c.Turn(1, []Input{next}); len(o.Configured) != 1 || o.Configured[0].Err != nil || s2.events != nil {
-		t.Errorf("%+v, events %+v", o.Configured, s2.events)
+		t.Errorf("results %+v, events %+v while the module is paused", o.Configured, s2.events)
 	}
 	if c.Turn(restartDelay+1, nil); len(s2.events) != 1 {
 		t.Errorf("events %+v", s2.events)
@@ -186,7 +189,7 @@
 		{"a,b", "b,a", "a,b"}, {"a,b", "a,b,c", "a,b,c"}, {"a,b", "c,b", "c,b"}, {"a,b", "b,c", "c,b"}, {"a,b,c", "c,a", "c,a"}, {"a", "b", "b"}, {"", "", ""},
 	} {
 		if got := sameOrder(namesOf("", c[0], "").Zones, namesOf("", c[1], "").Zones); strings.Join(got, ",") != c[2] {
-			t.Errorf("%s to %s: %v", c[0], c[1], got)
+			t.Errorf("from %s to %s: got %v, want %s", c[0], c[1], got, c[2])
 		}
 	}
 }
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -1,8 +1,9 @@
-// Package controller is the core of a controller without I/O. A turn takes in what proxies, collectors, discovery and the
-// operator have reported since the last one, runs the decision module, and returns one update for each proxy that its
-// commands concern. The core maps names to the module's numbers and back, keeps what was delivered to each stream, and holds
-// updates back while the channel or a proxy's message cap has no capacity for them. It has no clock and no goroutine and
-// makes no routing decision. Times are nanoseconds of the caller's monotonic clock unless stated otherwise.
+// Package controller is the core of a controller without I/O. A turn processes the inputs that proxies, collectors,
+// discovery and the operator have sent since the last turn, runs the decision module, and returns one update for each proxy
+// that the module's commands affect. The core maps names to the module's numbers and back, records what was delivered on
+// each stream, and holds updates back while the channel or a proxy's message cap has no capacity for them. It has no clock,
+// starts no goroutines and makes no routing decisions. Times are nanoseconds of the caller's monotonic clock unless stated
+// otherwise.
 package controller
 
 import (
@@ -14,19 +15,19 @@
 	"lilacbend/internal/sendbudget"
 )
 
-// evictionInterval is how often state that nobody needs any more is evicted, in nanoseconds: a fraction of nameRetention.
+// evictionInterval is the time between evictions of unused state, in nanoseconds: a fraction of nameRetention.
 const evictionInterval = int64(5 * time.Second)
 
-// Core is the state of a controller between turns. One goroutine drives it.
+// Core is the state of a controller between turns. It must be used by one goroutine at a time.
 type Core struct {
-	// Counters count since the start; a module's restart does not reset them.
+	// Counters count since the start of the core; a module restart does not reset them.
 	Counters Counters
-	// Topology is the one in force. It is embedded, so c.names, c.drainGrace, c.bounds and the like are its fields; settings that
-	// change replace it as a whole.
+	// Topology is the topology in force. A change of the settings replaces it as a whole. It is embedded: c.names,
+	// c.drainGrace and c.bounds, for example, are its fields.
 	Topology
 	module        moduleRunner
-	routing       routingState // set by the commands of the running module alone
-	timers        timerSet     // likewise
+	routing       routingState // set only by commands of the running module
+	timers        timerSet     // set only by commands of the running module
 	streams       streamSet
 	replicas      replicaSet
 	delivery      deliveryState
@@ -49,14 +50,14 @@
 	return c
 }
 
-// turn is one run of the module: when it takes place, and what goes out.
+// turn is one turn in progress: its time and its result so far.
 type turn struct {
 	now    int64
 	result TurnResult
 }
 
-// Turn takes in what was reported since the last turn and returns what goes out. After a panic of the module a new one takes
-// over within the same turn.
+// Turn processes the inputs since the last turn and returns the updates and other actions for the caller to carry out. If
+// the module panics, a new module replaces it within the same turn.
 func (c *Core) Turn(now int64, inputs []Input) TurnResult {
 	t := &turn{now: now}
 	c.Counters.Turns++
@@ -69,7 +70,7 @@
 	return t.result
 }
 
-// countCurrent sets the counters that state the present rather than a sum.
+// countCurrent sets the gauges among the counters: those that hold current values instead of sums.
 func (c *Core) countCurrent() {
 	c.Counters.KnownReplicas = int64(len(c.replicas.byNumber))
 	c.Counters.ConnectedProxies = int64(len(c.streams.byProxy))
@@ -77,7 +78,7 @@
 	c.Counters.PendingStreams = int64(len(c.delivery.urgent) + len(c.delivery.normal))
 }
 
-// nextTurn returns when the next turn is due at the latest; 0: whenever an input arrives.
+// nextTurn returns the latest time at which the next turn is due, or 0 if no turn is due before the next input.
 func (c *Core) nextTurn(now int64) int64 {
 	var next int64
 	if c.module.pausedUntil > now {
@@ -89,8 +90,8 @@
 	return next
 }
 
-// collectEvents returns the module's events of a turn: what its inputs mean, which proxies have fallen silent and which
-// timers are due.
+// collectEvents returns the module's events of a turn: those of the inputs, those of proxies whose acks are overdue, and
+// those of due timers.
 func (c *Core) collectEvents(t *turn, inputs []Input) []control.Event {
 	var events []control.Event
 	for _, input := range inputs {
@@ -103,8 +104,8 @@
 	return events
 }
 
-// initialEvents reports to a new module what was learned before it, the last endpoint list and the connected proxies.
-// What was learned of the fleet precedes the list, what was learned of replicas follows it.
+// initialEvents returns the first events of a new module, in order: the learned state of the fleet, the current endpoint
+// list, the learned state of the listed replicas, and the connected proxies.
 func (c *Core) initialEvents(now int64) []control.Event {
 	learned := c.snapshots.lastLearned()
 	list := c.replicas.currentList()
@@ -120,7 +121,8 @@
 	return events
 }
 
-// evict drops what nobody needs any more: old charges, queue entries of streams that have ended, and names.
+// evict drops state that is no longer needed: expired charges, queue entries of closed streams, and names of replicas that
+// are gone.
 func (c *Core) evict(now int64) {
 	c.delivery.account.Evict(now)
 	ended := func(s *stream) bool { return !c.streams.isCurrent(s) }
@@ -129,17 +131,17 @@
 	c.evictNames(now)
 }
 
-// timerSet holds the due time of each of the module's timers, by the number that the module chose.
+// timerSet holds the due times of the module's timers, by the numbers that the module gave them.
 type timerSet map[uint64]int64
 
-// set sets a timer. One that is set already fires once, at the earlier of both times.
+// set sets a timer. A timer that is already set fires once, at the earlier of the two times.
 func (t timerSet) set(timer uint64, due int64) {
 	if earlier, isSet := t[timer]; !isSet || due < earlier {
 		t[timer] = due
 	}
 }
 
-// next returns when the first timer is due; false: no timer is set.
+// next returns the time at which the first timer is due, or false if no timer is set.
 func (t timerSet) next() (due int64, set bool) {
 	for _, at := range t {
 		if !set || at < due {
@@ -150,7 +152,7 @@
 	return due, set
 }
 
-// takeDue removes the timers that are due and returns them by their numbers.
+// takeDue removes the due timers and returns their numbers in ascending order.
 func (t timerSet) takeDue(now int64) []uint64 {
 	var due []uint64
 	for timer, at := range t {
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -14,7 +14,8 @@
 	"lilacbend/settings"
 )
 
-// scriptedModule returns the commands of its next turn and keeps the events that it got.
+// scriptedModule returns scripted commands and records the events of its last turn, except snapshot requests. An empty
+// command list that is not nil makes it panic.
 type scriptedModule struct {
 	turns  [][]control.Command
 	events []control.Event
@@ -38,24 +39,29 @@
 	return commands
 }
 
+// panicking is the command list of a turn in which a scriptedModule panics.
 var panicking = []control.Command{}
 
+// core returns a core with two classes, zones and hardware classes, and its scripted module.
 func core(turns ...[]control.Command) (*Core, *scriptedModule) {
 	s := &scriptedModule{turns: turns}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1", "m2"}}
 	return New(func() Module { return s }, NewTopology(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}}})), s
 }
 
+// list returns a replica list. Each member is a name followed by a letter for its state: r for ready, t for draining, g for
+// gone, or ? for an unusable state.
 func list(complete bool, members ...string) ReplicaList {
 	l := ReplicaList{Complete: complete, ReadAt: 1000e9, ReadAtWall: 1000e9}
-	for _, m := range members { // the name, and a letter of its state: r, t, g, or ? for unusable
+	for _, m := range members {
 		l.Members = append(l.Members, Member{ID: m[:len(m)-1], Zone: "b", HardwareClass: "m2", Weight: 1, Unusable: m[len(m)-1] == '?',
 			State: control.State(max(0, strings.IndexByte("rtg", m[len(m)-1])))})
 	}
 	return l
 }
 
-// text writes the updates of a turn in one line.
+// text formats the updates of a turn in one line: for each stream "full", endpoints as name=weight, ejections as -name,
+// unejections as +name, admissions as class~fraction/retries, and the nonce of an ack request as #nonce.
 func text(o TurnResult) string {
 	var out []string
 	for _, s := range o.Updates {
@@ -98,7 +104,7 @@
 	}{
 		{[]Input{list(true, "xr", "yr", "zr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}},
 			commands{endpoint(0, 1, 1), endpoint(0, 2, 0.5), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, "1: full x=1 y=0.5 #1"},
-		{nil, commands{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // it may eject anyone
+		{nil, commands{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // may hold any replica as ejected
 		{nil, commands{endpoint(0, 2, 0.7), control.RequestAck{Nonce: 3}}, "1: y=0.7 #3; 2: y=0.7 #3"},
 		{nil, commands{endpoint(1, 3, 1), control.RequestAck{Nonce: 4}}, ""}, // no proxy is bound to the table
 		{nil, commands{control.SetEjected{Replica: 3, Ejected: true}}, ""},
@@ -114,7 +120,7 @@
 		{nil, commands{control.SetEjected{Replica: 1, Ejected: true}}, "2: -x"},
 		{[]Input{StreamOpened{Stream: 3, Proxy: 4, Zone: "b"}}, commands{control.Bind{Proxy: 4, Table: 0}}, "3: full x=1 y=0.7 z=2 -x +y +z order~0.5/2"},
 		{[]Input{StreamOpened{Stream: 4, Proxy: 5, Zone: "b"}}, nil, "4: order~0.5/1"},
-		{nil, commands{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 8}}, "3: -y #8; 4: -y #8"}, // the second is unbound
+		{nil, commands{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 8}}, "3: -y #8; 4: -y #8"}, // stream 4 is unbound
 		{[]Input{UpdatesDropped{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2 #8"},
 		{[]Input{Ack{Stream: 3, Nonce: 8}, UpdatesDropped{3}}, nil, "3: full x=1 y=0.7 z=2 -x -y +z order~0.5/2"},
 		{[]Input{UpdatesDropped{4}}, nil, "4: -x -y order~0.5/1 #8"},
@@ -131,29 +137,31 @@
 	}
 }
 
-// A stream whose send queue dropped its updates gets a resync even if there is nothing to say: its queue takes nothing else before.
+// A stream whose send queue dropped its updates gets a resync even if the resync is empty, since the send queue accepts no
+// other update before it.
 func TestStreamThatDroppedUpdatesAlwaysGetsAResync(t *testing.T) {
 	c, _ := core()
 	c.Turn(0, []Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	if o := c.Turn(1, []Input{UpdatesDropped{1}}); len(o.Updates) != 1 || !o.Updates[0].Update.Resync || c.Counters.Updates != 0 {
-		t.Errorf("%+v", o.Updates)
+		t.Errorf("updates %+v, counted %d, want one resync that is not counted", o.Updates, c.Counters.Updates)
 	}
 }
 
-// The cost units of the module's commands are those of the updates, as long as nothing is sent twice.
+// The cost of the updates is that of the module's commands, as long as nothing is sent twice.
 func TestCostRequestedIsTheCostSent(t *testing.T) {
 	c, _ := core(commands{endpoint(0, 1, 1), endpoint(0, 2, 1), control.SetAdmission{Table: control.AllTables, Fraction: 0.5},
 		control.SetEjected{Replica: 2, Ejected: true}, control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}},
 		commands{endpoint(0, 1, 2), control.RequestAck{Nonce: 2}})
 	c.Turn(0, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}})
 	c.Turn(1, nil)
-	// A bind: itself, two endpoints, one admission, one ejection, each with its ack request; then an endpoint and an ack request each.
+	// For each of two proxies, first the full flag, two endpoints, an admission, an ejection and an ack request, and then an
+	// endpoint and an ack request.
 	if n := c.Counters; n.CostSent != 2*(5+1)+2*2 || n.AckRequests != 4 || n.FullTables != 2 {
-		t.Errorf("%+v", n)
+		t.Errorf("counters %+v", n)
 	}
 }
 
-// unknownInput is an input that the core does not know.
+// unknownInput is an input of a type that the core does not handle.
 type unknownInput struct{}
 
 func (unknownInput) input() {}
@@ -165,36 +173,37 @@
 		want   []control.Event
 		end    []StreamID
 	}{
-		"connected":                  {[]Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
-		"no such proxy":              {[]Input{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []StreamID{2, 3}},
-		"twice by one stream":        {[]Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
-		"a newer stream":             {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
-		"an older stream":            {[]Input{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []StreamID{0}},
-		"disconnected":               {[]Input{StreamClosed{1}, StreamClosed{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
-		"acknowledged":               {[]Input{Ack{Stream: 1, Nonce: 7, Delay: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
-		"acknowledged twice":         {[]Input{Ack{Stream: 1, Nonce: 7}, Ack{Stream: 1, Nonce: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
-		"a nonce of another":         {[]Input{Ack{Stream: 1, Nonce: 8}, Ack{Stream: 3, Nonce: 7}}, nil, nil},
-		"a nonce of an older stream": {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
-		"demand":                     {[]Input{Demand{1, "order", demand}, Demand{0, "read", demand}}, []control.Event{control.Demand{Proxy: 4, Class: 1, Requests: 3}, demand}, nil},
-		"stale demand":               {[]Input{Demand{3, "order", demand}, Demand{1, "no such", demand}, Demand{0, "read", control.Demand{Proxy: 8}}}, nil, nil},
-		"outcomes":                   {[]Input{Outcomes{"b", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
+		"proxy connects":           {[]Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b", Rate: 2}}, []control.Event{control.StreamOpened{Proxy: 5, Zone: 1, Rate: 2}}, nil},
+		"unknown proxy or zone":    {[]Input{StreamOpened{Stream: 2, Proxy: 9, Zone: "b"}, StreamOpened{Stream: 3, Proxy: 5, Zone: "q"}}, nil, []StreamID{2, 3}},
+		"stream opened twice":      {[]Input{StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}}, nil, nil},
+		"newer stream of a proxy":  {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, StreamClosed{1}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
+		"older stream of a proxy":  {[]Input{StreamOpened{Stream: 0, Proxy: 4, Zone: "b"}}, nil, []StreamID{0}},
+		"stream closed twice":      {[]Input{StreamClosed{1}, StreamClosed{1}}, []control.Event{control.StreamClosed{Proxy: 4}}, nil},
+		"ack":                      {[]Input{Ack{Stream: 1, Nonce: 7, Delay: 5}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7, Delay: 5}}, nil},
+		"repeated ack":             {[]Input{Ack{Stream: 1, Nonce: 7}, Ack{Stream: 1, Nonce: 7}}, []control.Event{control.Ack{Proxy: 4, Nonce: 7}}, nil},
+		"unknown nonce or stream":  {[]Input{Ack{Stream: 1, Nonce: 8}, Ack{Stream: 3, Nonce: 7}}, nil, nil},
+		"nonce of an older stream": {[]Input{StreamOpened{Stream: 2, Proxy: 4, Zone: "b"}, Ack{Stream: 2, Nonce: 7}}, []control.Event{control.StreamOpened{Proxy: 4, Zone: 1}}, []StreamID{1}},
+		"demand":                   {[]Input{Demand{1, "order", demand}, Demand{0, "read", demand}}, []control.Event{control.Demand{Proxy: 4, Class: 1, Requests: 3}, demand}, nil},
+		"stale or unknown demand":  {[]Input{Demand{3, "order", demand}, Demand{1, "no such", demand}, Demand{0, "read", control.Demand{Proxy: 8}}}, nil, nil},
+		"outcomes":                 {[]Input{Outcomes{"b", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "w", control.Outcomes{}}}, []control.Event{control.Outcomes{Replica: 2, Zone: 1, Attempts: 2}}, nil},
 		"impossible outcomes": {[]Input{Outcomes{"q", "y", control.Outcomes{Attempts: 2}}, Outcomes{"b", "y", control.Outcomes{Attempts: 2, Failures: 3}},
 			Outcomes{"b", "y", control.Outcomes{Attempts: maxReportCount + 1}}, Outcomes{"b", "y", control.Outcomes{ResponseTime: maxTimeouts*2e9 + 1}},
 			Outcomes{"b", "y", control.Outcomes{Period: maxReportPeriod + 1}}}, nil, nil},
 		"impossible demand": {[]Input{Demand{1, "order", control.Demand{Proxy: 4, Requests: maxReportCount + 1}},
 			Demand{1, "order", control.Demand{Proxy: 4, Failures: maxReportCount + 1}}, Demand{0, "read", control.Demand{Proxy: 4, Period: maxReportPeriod + 1}}}, nil, nil},
-		"an impossible delay": {[]Input{Ack{Stream: 1, Nonce: 7, Delay: maxReportPeriod + 1}}, nil, nil},
-		"something unknown":   {[]Input{unknownInput{}}, nil, nil},
+		"impossible ack delay": {[]Input{Ack{Stream: 1, Nonce: 7, Delay: maxReportPeriod + 1}}, nil, nil},
+		"unknown input type":   {[]Input{unknownInput{}}, nil, nil},
 	} {
 		c0, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
 		c0.Turn(0, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 		o := c0.Turn(1, c.inputs)
 		if !reflect.DeepEqual(s.events, c.want) || !reflect.DeepEqual(o.CloseStreams, c.end) {
-			t.Errorf("%s: events %+v, closes %v", name, s.events, o.CloseStreams)
+			t.Errorf("%s: got events %+v, closed streams %v; want %+v, %v", name, s.events, o.CloseStreams, c.want, c.end)
 		}
 	}
 }
 
+// states formats the entries of a replica list event: for each the replica's number and the letter of its state (see list).
 func states(ev control.Event) (out string) {
 	for _, e := range ev.(control.ReplicasListed).Entries {
 		out += fmt.Sprintf("%d%c", e.Replica, "rtg"[e.State])
@@ -210,24 +219,24 @@
 		odd  int64
 	}{
 		{list(true, "xr", "yr", "z?"), "1r2r", 1},
-		{list(false, "y?", "wr", "xt"), "2r3r1t", 2}, // what cannot be read stays as it is
+		{list(false, "y?", "wr", "xt"), "2r3r1t", 2}, // a replica whose state cannot be read keeps its state
 		{list(true, "yr", "w?"), "2r3r", 3},          // x is gone
 		{list(false, "yg", "xr"), "2g1r", 3},
 	} {
 		c.Turn(int64(k), []Input{step.l})
 		if got := states(s.events[0]); got != step.want || c.Counters.Invalid != step.odd {
-			t.Errorf("list %d: %s, %d unusable", k, got, c.Counters.Invalid)
+			t.Errorf("list %d: got replicas %s and %d invalid members so far, want %s and %d", k, got, c.Counters.Invalid, step.want, step.odd)
 		}
 	}
 	if l := c.replicas.currentList(); !l.Full || states(l) != "1r3r" {
-		t.Errorf("standing list %+v", l)
+		t.Errorf("current list %+v", l)
 	}
-	if k := c.replicas.byNumber[1].HardwareClass; k != 1 || indexOrLast(c.names.HardwareClasses, "new kind") != 2 {
-		t.Errorf("kinds %d", k)
+	if k := c.replicas.byNumber[1].HardwareClass; k != 1 || indexOrLast(c.names.HardwareClasses, "new class") != 2 {
+		t.Errorf("hardware class %d, want 1; an unknown class must get number 2", k)
 	}
 }
 
-// A step of the wall clock between two lists must not look like a restart of every replica.
+// A step of the wall clock between two lists must not be taken for a restart of every replica.
 func TestStartTimesSurviveStepsOfTheWallClock(t *testing.T) {
 	c, s := core()
 	at := func(wall, up int64) int64 {
@@ -247,9 +256,9 @@
 		held func(c *Core)
 		kept bool
 	}{
-		"nobody":   {func(*Core) {}, false},
-		"a table":  {func(c *Core) { c.routing.tables[3] = map[uint32]float64{1: 1} }, true},
-		"a stream": {func(c *Core) { c.streams.byProxy[4].delivered.ejections[1] = true }, false},
+		"unused":              {func(*Core) {}, false},
+		"in a table":          {func(c *Core) { c.routing.tables[3] = map[uint32]float64{1: 1} }, true},
+		"ejected at a stream": {func(c *Core) { c.streams.byProxy[4].delivered.ejections[1] = true }, false},
 	} {
 		g, _ := core()
 		g.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
@@ -258,16 +267,17 @@
 		c.held(g)
 		g.evict(nameRetention)
 		if g.replicas.byNumber[1] == nil {
-			t.Errorf("%s: evicted early", name)
+			t.Errorf("%s: name evicted before its retention has passed", name)
 		}
 		g.evict(nameRetention + 1)
 		if _, kept := g.replicas.numbers["x"]; kept != c.kept || g.routing.ejected[1] != c.kept || g.replicas.byNumber[2] == nil {
-			t.Errorf("%s: kept %v", name, kept)
+			t.Errorf("%s: name kept %v, want %v", name, kept, c.kept)
 		}
 	}
 }
 
-// Streams keep no names for ever, yet a replica that returns after its name was evicted is unejected where it was ejected.
+// Delivered ejections do not keep names forever, yet a replica that returns after the eviction of its name is unejected at
+// the proxies that hold it as ejected.
 func TestEvictedReplicaIsRestoredWhenItReturns(t *testing.T) {
 	for _, others := range []int{0, maxEvictedEjections} {
 		c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}}, commands{control.SetEjected{Replica: 1, Ejected: true}, endpoint(0, 1, 0)})
@@ -281,11 +291,11 @@
 		}
 		c.evict(nameRetention + 2)
 		if len(c.replicas.byNumber) != 0 || len(c.streams.byProxy[4].delivered.ejections) != 0 || len(c.replicas.evictedEjections) > maxEvictedEjections {
-			t.Errorf("%d names, %d reported, %d evicted ejections", len(c.replicas.byNumber), len(c.streams.byProxy[4].delivered.ejections), len(c.replicas.evictedEjections))
+			t.Errorf("%d names, %d delivered ejections, %d evicted ejections", len(c.replicas.byNumber), len(c.streams.byProxy[4].delivered.ejections), len(c.replicas.evictedEjections))
 		}
 		s.turns = []commands{{endpoint(0, 2, 1)}}
 		if got := text(c.Turn(nameRetention+3, []Input{list(true, "xr")})); got != "1: x=1 +x" {
-			t.Errorf("after %d others: %s", others, got)
+			t.Errorf("after %d other evicted ejections: updates %s", others, got)
 		}
 	}
 }
@@ -299,22 +309,23 @@
 	if !strings.HasPrefix(o.Panic, "scripted at") || !reflect.DeepEqual(s.events, want) || c.Counters.ModuleRestarts != 1 {
 		t.Errorf("events %+v after %.40q", s.events, o.Panic)
 	}
-	if got := text(o); got != "1: full x=1 y=1 +x +y" { // what the failed module had ejected is unejected
+	if got := text(o); got != "1: full x=1 y=1 +x +y" { // the failed module's ejection is reverted
 		t.Errorf("updates %s", got)
 	}
 	if o = c.Turn(2, nil); o.Panic == "" || o.NextTurn != 2+restartDelay {
-		t.Errorf("a module that fails at once: %+v", o)
+		t.Errorf("after a module that panics in its first turn: %+v", o)
 	}
 	s.turns, s.events = []commands{{control.SetEjected{Replica: 1, Ejected: true}}}, nil
 	if o = c.Turn(3, []Input{StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}}); s.events != nil || o.NextTurn != 2+restartDelay {
-		t.Errorf("asked while it is paused: %+v", o)
+		t.Errorf("the module ran while it was paused, or the pause changed: %+v", o)
 	}
 	if o = c.Turn(2+restartDelay, nil); len(s.events) != 3 || text(o) != "1: -x; 2: -x" {
 		t.Errorf("events %+v, updates %s", s.events, text(o))
 	}
 }
 
-// A machine that vanished leaves its stream open: nothing must wait for it, and it must miss nothing if it was only slow.
+// A machine that fails leaves its stream open. The module must not wait for its acks, and if the proxy was only slow, it
+// must not have missed any update.
 func TestSilentProxyThatOwesAnAckIsReportedAsDisconnected(t *testing.T) {
 	ack := control.RequestAck{Nonce: 1}
 	c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, ack})
@@ -339,7 +350,7 @@
 	} {
 		s.turns = []commands{step.commands}
 		o := c.Turn(step.at, step.inputs)
-		o.Updates = slices.DeleteFunc(o.Updates, func(s OutgoingUpdate) bool { return s.Update.Nonce >= ownNonceOffset }) // see requestMissingAck
+		o.Updates = slices.DeleteFunc(o.Updates, func(s OutgoingUpdate) bool { return s.Update.Nonce >= ownNonceOffset }) // of requestMissingAck
 		if got := text(o); got != step.want || !reflect.DeepEqual(s.events, step.events) {
 			t.Errorf("at %d: events %+v, updates %s", step.at, s.events, got)
 		}
@@ -371,7 +382,8 @@
 	}
 }
 
-// Whatever happens: after a turn no stream that was not looked at has changes unsent, and each binding is in its table.
+// After any sequence of inputs, commands and module failures, no stream has unsent changes at the end of a turn, and every
+// stream is listed under the table that it is bound to.
 func TestNoStreamIsLeftWithChangesUnsent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, s := core()
@@ -381,12 +393,12 @@
 		draw := func(what string, most int) int { return rapid.IntRange(0, most).Draw(t, what) }
 		for range draw("turns", 30) {
 			var inputs []Input
-			for range draw("notes", 4) {
+			for range draw("inputs", 4) {
 				proxy := draw("proxy", 5)
-				switch draw("note", 5) {
+				switch draw("input", 5) {
 				case 0, 1:
 					stream++
-					inputs = append(inputs, StreamOpened{Stream: stream, Proxy: proxy, Zone: "b", WithoutTable: draw("blank", 1) == 0})
+					inputs = append(inputs, StreamOpened{Stream: stream, Proxy: proxy, Zone: "b", WithoutTable: draw("without table", 1) == 0})
 				case 2:
 					inputs = append(inputs, StreamClosed{StreamID(draw("stream", int(stream)))})
 				case 3:
@@ -400,15 +412,15 @@
 			var given commands
 			for range draw("commands", 6) {
 				table, id := draw("table", 2), uint32(1+draw("replica", 2))
-				switch draw("order", 4) {
+				switch draw("command", 4) {
 				case 0:
 					given = append(given, endpoint(table, id, float64(draw("weight", 2))))
 				case 1:
 					given = append(given, control.Bind{Proxy: draw("proxy", 5), Table: table})
 				case 2:
-					given = append(given, control.SetEjected{Replica: id, Ejected: draw("out", 1) == 0})
+					given = append(given, control.SetEjected{Replica: id, Ejected: draw("ejected", 1) == 0})
 				case 3:
-					given = append(given, control.SetAdmission{Table: []int{0, 1, control.AllTables}[table], Class: draw("group", 1), Fraction: float64(draw("share", 4)) / 4})
+					given = append(given, control.SetAdmission{Table: []int{0, 1, control.AllTables}[table], Class: draw("class", 1), Fraction: float64(draw("fraction", 4)) / 4})
 				default:
 					given = append(given, control.RequestAck{Nonce: uint64(now)})
 				}
@@ -423,31 +435,32 @@
 			for table, streams := range c.streams.byTable {
 				for proxy, s := range streams {
 					if at++; c.streams.byProxy[proxy] != s || s.binding.table != table {
-						t.Fatalf("%d is bound to %d, not to %d", proxy, s.binding.table, table)
+						t.Fatalf("the stream of proxy %d is bound to table %d but listed under table %d", proxy, s.binding.table, table)
 					}
 				}
 			}
 			if at != len(c.streams.byProxy) {
-				t.Fatalf("%d bindings of %d", at, len(c.streams.byProxy))
+				t.Fatalf("%d streams listed by table, %d streams connected", at, len(c.streams.byProxy))
 			}
 			for proxy, s := range c.streams.byProxy {
 				if p, reached := c.buildUpdate(s, &turnChanges{fullTables: map[int]endpointList{}, changedTables: map[int]endpointList{}}, false); c.module.pausedUntil <= now && (reached || p.cost() > 0 || p.Resync) {
-					t.Fatalf("%d is still to be sent %+v", proxy, p)
+					t.Fatalf("proxy %d has unsent changes: %+v", proxy, p)
 				}
 			}
 		}
 	})
 }
 
-// limitedCore returns a core with a channel limit in cost units and a cap of messages for each proxy in 10 s.
+// limitedCore returns a core whose channel has a limit in cost units and whose proxies have a message cap per 10 s.
 func limitedCore(limit, messages int, turns ...[]control.Command) (*Core, *scriptedModule) {
 	c, s := core(turns...)
 	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: limit, ChannelRate: 100, MessageOverhead: 4, MaxMessages: messages, MessageWindow: 10e9, MaxTransit: 1e8})
 	return c, s
 }
 
-// What the core adds to the module's commands can fill a channel that the module takes for half empty. It waits, and is sent
-// as it stands by then, once acks free capacity.
+// The core sends more than the module's commands, such as ejections of new table entries, and can thus fill a channel that
+// the module estimates to be half empty. Changes then wait until acks free capacity and are sent with their values at that
+// time.
 func TestChangesWaitForCapacityOfTheChannel(t *testing.T) {
 	c, s := limitedCore(28, 0, commands{endpoint(0, 1, 1), endpoint(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}})
 	connected := []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}}
@@ -471,12 +484,12 @@
 		}
 	}
 	if c.delivery.account.Queued() != 0 || c.Counters.StreamsEnqueued == 0 {
-		t.Errorf("%d cost units wait, %d streams were enqueued", c.delivery.account.Queued(), c.Counters.StreamsEnqueued)
+		t.Errorf("%d cost units charged after all acks, %d streams were enqueued", c.delivery.account.Queued(), c.Counters.StreamsEnqueued)
 	}
 }
 
-// A stream whose send queue drops its updates again and again, a module that fails, a proxy that reconnects: none of it gets a proxy more
-// messages than its cap, and pending changes are not lost by it.
+// Repeatedly dropped updates, module failures and reconnects do not get a proxy more messages than its cap, and its pending
+// changes are not lost.
 func TestNothingCircumventsTheMessageCap(t *testing.T) {
 	c, s := limitedCore(0, 3)
 	inputs, sent := []Input{list(true, "xr")}, 0
@@ -488,7 +501,7 @@
 		}
 		sent, inputs = sent+len(c.Turn(int64(k)*1e7, inputs).Updates), nil
 		if sent > 3 || k < 40 && sent > 1 {
-			t.Fatalf("%d messages in %d ms, the first alone has no pace to keep", sent, 10*k)
+			t.Fatalf("%d messages in %d ms, want at most 3, and only 1 within the first spacing", sent, 10*k)
 		}
 	}
 	if sent < 1 {
@@ -496,19 +509,19 @@
 	}
 	s.turns = nil
 	if got := text(c.Turn(11e9, nil)); got != "4: full x=400 +x #399" {
-		t.Errorf("at last %s", got)
+		t.Errorf("after the window: updates %s", got)
 	}
 }
 
-// A replica that has long been gone keeps its name for as long as some stream has not been sent its removal.
+// A replica that is gone keeps its name until its removal has been sent on every stream.
 func TestPendingChangesKeepNames(t *testing.T) {
 	c, s := limitedCore(11, 0, commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, commands{endpoint(0, 1, 0), control.RequestAck{Nonce: 2}})
-	c.delivery.account.ChannelRate = 1 // so slow that what is not acknowledged is charged for a minute
+	c.delivery.account.ChannelRate = 1 // so slow that unacknowledged messages stay charged for more than a minute
 	c.Turn(1, []Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
 	if got := text(c.Turn(2, []Input{list(true, "yr")})); got != "" || len(s.turns) > 0 {
 		t.Fatalf("got %s", got)
 	}
-	for at := evictionInterval; at <= nameRetention+4*evictionInterval; at += evictionInterval { // it lives, but acknowledges nothing
+	for at := evictionInterval; at <= nameRetention+4*evictionInterval; at += evictionInterval { // the proxy is alive but sends no acks
 		c.Turn(at, []Input{StreamActive{1}})
 	}
 	if got := text(c.Turn(nameRetention+5*evictionInterval, []Input{Ack{Stream: 1, Nonce: 1}})); got != "1: x=0 #2" {
@@ -516,8 +529,8 @@
 	}
 }
 
-// Many small changes while the channel is busy are one update for each proxy, and no proxy waits behind others for ever: the
-// one that has waited longest comes first.
+// Many small changes while the channel is busy result in one update for each proxy. No proxy starves: the one that has
+// waited longest is sent its update first.
 func TestPendingChangesAreBroughtUpToDate(t *testing.T) {
 	c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 1}, control.Bind{Proxy: 2}, control.Bind{Proxy: 3}, control.RequestAck{Nonce: 1}})
 	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 1 << 20, ChannelRate: 100, MessageOverhead: 4, MaxTransit: 1e7}) // busy from 4 cost units on
@@ -544,20 +557,20 @@
 	}
 }
 
-// All acks are lost, and nothing is sent that could be acknowledged: after a while the core requests an ack of its own, which
-// covers the module's as well.
+// If all acks are lost and no message is sent that could be acknowledged, the core sends an ack request of its own. Its ack
+// also covers the messages for which the module requested acks.
 func TestMissingAcksAreRequested(t *testing.T) {
 	c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 7}})
 	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 40, ChannelRate: 100, MessageOverhead: 4, MaxMessages: 2, MessageWindow: 10e9, MaxTransit: 1e8})
 	c.Turn(1e9, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
 	if got := text(c.Turn(3e9, []Input{StreamActive{1}})); got != "" {
-		t.Errorf("after 2 s %s", got)
+		t.Errorf("updates after 2 s: %s, want none yet", got)
 	}
 	if got := text(c.Turn(3e9+1, nil)) + text(c.Turn(6e9, nil)); got != "1: #32775" {
-		t.Errorf("after more, once for all under a cap of 2: %s", got)
+		t.Errorf("updates after more than 2 s: %s, want one ack request, since the message cap is 2", got)
 	}
 	c.Turn(7e9, []Input{Ack{Stream: 1, Nonce: 32775}})
 	if want := []control.Event{control.Ack{Proxy: 4, Nonce: 7}}; !reflect.DeepEqual(s.events, want) || c.delivery.account.Queued() != 0 || len(c.streams.byProxy[4].unacked) != 0 {
-		t.Errorf("events %+v, %d cost units wait", s.events, c.delivery.account.Queued())
+		t.Errorf("events %+v, %d cost units charged after the ack", s.events, c.delivery.account.Queued())
 	}
 }
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -7,28 +7,29 @@
 	"lilacbend/internal/sendbudget"
 )
 
-// deliveryState holds what is to be sent when. Updates that keep proxies away from replicas are urgent and go first. What the
-// channel or a proxy's message cap has no capacity for waits here, the oldest first, and is brought up to date until it
-// goes: an update that waits in the channel instead is stale when it arrives, and costs its overhead each time.
+// deliveryState decides which updates are sent in which turn. Updates that stop proxies from using a replica are urgent and
+// are sent first. Changes for which the channel or a proxy's message cap has no capacity wait here, oldest first, and are
+// kept up to date until they are sent. An update that waits in the channel instead would be stale on arrival and would cost
+// its overhead each time.
 //
-// The module plans what it asks for by an estimate of the same channel (policy/pacing); account is charged for each message as
-// it is sent, and decides what goes now.
+// The module plans its commands with an estimate of the same channel (policy/pacing). The account here is charged for each
+// message when it is sent, and it determines which messages are sent now.
 type deliveryState struct {
-	account *sendbudget.Account // outlives modules and streams
-	due     map[int]*stream     // by proxy: those to be looked at with the next updates, whether or not a command concerns them
-	urgent  []*stream           // with urgent pending changes, the longest first
-	normal  []*stream           // with pending changes, the longest first; urgent ones are skipped here
+	account *sendbudget.Account // persists across modules and streams
+	due     map[int]*stream     // by proxy: streams to consider in the next updates even if no command affects them
+	urgent  []*stream           // streams with urgent pending changes, longest waiting first
+	normal  []*stream           // streams with pending changes, longest waiting first; urgent ones are skipped here
 	acks    ackDeadlines
 
 	lastCatchUp    int64  // when unbound streams were last checked
-	ownAckRequests uint64 // how many there were, so that each asks another proxy
+	ownAckRequests uint64 // number of ack requests by the core, so that successive ones go to different proxies
 }
 
 func newDeliveryState(account *sendbudget.Account) deliveryState {
 	return deliveryState{account: account, due: map[int]*stream{}}
 }
 
-// markDue marks a stream to be looked at with the next updates.
+// markDue marks a stream to be considered in the next updates.
 func (d *deliveryState) markDue(s *stream) { d.due[s.opened.Proxy] = s }
 
 // unmarkDue undoes markDue.
@@ -38,15 +39,15 @@
 	}
 }
 
-// takeDue returns the streams that are due, by proxy, and starts anew with none.
+// takeDue returns the streams that are due, by proxy, and marks none as due.
 func (d *deliveryState) takeDue() map[int]*stream {
 	due := d.due
 	d.due = map[int]*stream{}
 	return due
 }
 
-// sendUpdates sends one update for each proxy that the changes concern, urgent ones first, as far as there is capacity.
-// Within each urgency, streams that have waited precede the others.
+// sendUpdates sends one update to each proxy that the changes affect, as far as capacity allows. Urgent updates are sent
+// first. Among updates of the same urgency, streams with pending changes precede the others.
 func (c *Core) sendUpdates(t *turn, changes *turnChanges) {
 	c.delivery.account.Expire(t.now)
 	c.catchUpUnbound(t.now)
@@ -58,8 +59,8 @@
 	c.requestMissingAck(t)
 }
 
-// sortByUrgency returns the streams that the changes concern, in the order of their proxies. Those that wait already get the
-// changes added to what waits.
+// sortByUrgency returns the streams that the changes affect, sorted by proxy. Streams that already have pending changes are
+// left out: the changes are added to their pending ones.
 func (c *Core) sortByUrgency(changes *turnChanges) (urgent, normal []*stream) {
 	for _, proxy := range c.concernedProxies(changes) {
 		s := c.streams.byProxy[proxy]
@@ -76,8 +77,8 @@
 	return urgent, normal
 }
 
-// concernedProxies returns the proxies that the changes concern or that are due, in order. No others are looked at, as there
-// may be ten thousand of them.
+// concernedProxies returns the proxies that the changes affect or that are due, sorted by number. Other proxies are not
+// visited, since there may be ten thousand of them.
 func (c *Core) concernedProxies(changes *turnChanges) []int {
 	concerned := c.delivery.takeDue()
 	for table := range changes.endpoints {
@@ -94,8 +95,9 @@
 	return slices.Sorted(maps.Keys(concerned))
 }
 
-// isUrgent reports whether an update keeps a proxy away from a replica. A full one does, or the rest of a table whose subset
-// cannot be used: it replaces what the proxy held when it connected, which may name any replica that is ejected.
+// isUrgent reports whether a stream's next update stops its proxy from using a replica. Besides new ejections, a full update
+// does so, and so does the rest of a table whose subset has no usable replica: both replace the table that the proxy held
+// when it connected, which may contain ejected replicas.
 func (c *Core) isUrgent(s *stream, ejections map[uint32]bool) bool {
 	if s.binding.needsFull && s.binding.table >= 0 && c.drainGrace > 0 {
 		return true
@@ -111,7 +113,8 @@
 	return false
 }
 
-// sendOrEnqueue sends streams the changes, or holds them back behind those that wait already.
+// sendOrEnqueue sends the changes to streams. If there is no capacity, or other streams are already waiting, it enqueues
+// them.
 func (c *Core) sendOrEnqueue(t *turn, streams []*stream, urgent bool, changes *turnChanges) {
 	queue := &c.delivery.normal
 	if urgent {
@@ -126,16 +129,16 @@
 	}
 }
 
-// fits reports whether the next update of a stream is within the channel's budget and the proxy's message cap.
+// fits reports whether the channel's budget and the proxy's message cap allow the next update of a stream now.
 func (c *Core) fits(t *turn, s *stream, urgent bool, changes *turnChanges) bool {
 	return c.delivery.account.Fits(s.opened.Proxy, c.maxCost(s, changes, urgent), urgent, t.now)
 }
 
-// sendPending sends what a queue holds for as long as the channel has capacity, and returns the streams that go on waiting.
-// One that is at its proxy's message cap holds up nobody else.
+// sendPending sends the pending changes of the streams in a queue while the channel has capacity, and returns the streams
+// that remain in the queue. A stream that has reached its proxy's message cap does not block the streams behind it.
 func (c *Core) sendPending(t *turn, queue []*stream, urgent bool, changes *turnChanges) (waiting []*stream) {
 	for k, s := range queue {
-		if s.pending == nil || s.pending.urgent != urgent || !c.streams.isCurrent(s) { // sent by now, or of the other queue
+		if s.pending == nil || s.pending.urgent != urgent || !c.streams.isCurrent(s) { // sent, in the other queue, or closed
 			continue
 		}
 		if !c.delivery.account.HasRoom(urgent) {
@@ -152,7 +155,7 @@
 	return waiting
 }
 
-// sendUpdate builds the update of a stream, charges it and sends it, if it says anything.
+// sendUpdate builds the update of a stream, charges it to the account and sends it, unless it is empty.
 func (c *Core) sendUpdate(t *turn, s *stream, urgent bool, changes *turnChanges) {
 	update, reached := c.buildUpdate(s, changes, urgent)
 	wantsNewAck := reached && changes.wantsAck
@@ -163,7 +166,7 @@
 		update.Nonce = changes.nonce
 		c.Counters.CostRequested++
 		c.Counters.AckRequests++
-	case update.Resync && last >= 0: // the update that asked for the last ack may have been lost
+	case update.Resync && last >= 0: // the update that requested the last ack may have been lost
 		update.WantsAck = true
 		update.Nonce = s.unacked[last].nonce
 	}
@@ -172,11 +175,11 @@
 	if units > 0 {
 		c.Counters.Updates++
 	}
-	if units == 0 && !update.Resync { // a send queue that dropped its updates waits for its resync, empty or not
+	if units == 0 && !update.Resync { // a send queue that dropped its updates needs a resync even if the resync is empty
 		return
 	}
 	number := c.delivery.account.Charge(s.opened.Proxy, units, t.now)
-	// A nonce that is sent once more is not recorded again: its ack may be to the first message and clears no more than that.
+	// A repeated nonce is not recorded again: its ack may answer the first message, so it must not clear any later one.
 	if wantsNewAck {
 		s.unacked.add(sentMessage{nonce: update.Nonce, number: number})
 		c.delivery.acks.await(s, t.now)
@@ -188,8 +191,8 @@
 	t.result.Updates = append(t.result.Updates, OutgoingUpdate{Stream: s.id, Update: update, Number: number})
 }
 
-// enqueue holds back what the changes mean to a stream. A stream is in the queue of normal changes from then on, and in the
-// other one once something urgent is among its changes.
+// enqueue adds changes to the pending changes of a stream. It puts the stream into the normal queue, and into the urgent
+// queue as well once its pending changes are urgent.
 func (c *Core) enqueue(s *stream, changes *turnChanges) {
 	if s.pending == nil {
 		c.Counters.StreamsEnqueued++
@@ -203,16 +206,16 @@
 	}
 }
 
-// The delay after which an unbound proxy is caught up is the drain grace divided by catchUpDelayDivisor, the time between two
-// checks is the drain grace divided by catchUpIntervalDivisor.
+// An unbound proxy is sent all ejections after the drain grace divided by catchUpDelayDivisor. The core checks for such
+// proxies at intervals of the drain grace divided by catchUpIntervalDivisor.
 const (
 	catchUpDelayDivisor    = 2
 	catchUpIntervalDivisor = 8
 )
 
-// catchUpUnbound sends all ejections to streams that have been unbound for a while. What a proxy held when it
-// connected may name replicas ejected before, and in a reconnect storm, or if no replica is left for its table, its own
-// table may come too late to say so.
+// catchUpUnbound enqueues all ejections for streams that have been unbound for longer than the catch-up delay. The table
+// that a proxy held when it connected may contain replicas that were ejected earlier. In a reconnect storm, or if no replica
+// is left for its new table, that table may arrive too late to replace them.
 func (c *Core) catchUpUnbound(now int64) {
 	if c.drainGrace <= 0 || len(c.routing.ejected) == 0 || now-c.delivery.lastCatchUp < c.drainGrace/catchUpIntervalDivisor {
 		return
--- a/internal/controller/handleinput.go
+++ b/internal/controller/handleinput.go
@@ -6,7 +6,7 @@
 	"lilacbend/control"
 )
 
-// handleInput takes in one input and returns what it means to the module.
+// handleInput processes one input and returns the resulting events for the module.
 func (c *Core) handleInput(t *turn, input Input) []control.Event {
 	switch input := input.(type) {
 	case StreamOpened:
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// handleStreamOpened takes a stream in. Of two streams of one proxy the one with the higher number stays, whichever came
-// first.
+// handleStreamOpened adds a stream. Of two streams of one proxy, the one with the higher number is kept and the other is
+// closed, regardless of the order in which they arrive.
 func (c *Core) handleStreamOpened(t *turn, opened StreamOpened) []control.Event {
 	old := c.streams.byProxy[opened.Proxy]
 	switch {
@@ -89,7 +89,8 @@
 	return s
 }
 
-// handleStreamClosed drops a stream. The module is notified, unless it was already, as the proxy was silent.
+// handleStreamClosed removes a stream. The module is notified unless the proxy was already reported as disconnected because
+// its ack was overdue.
 func (c *Core) handleStreamClosed(id StreamID, now int64) []control.Event {
 	s := c.streams.byID[id]
 	if s == nil {
@@ -102,7 +103,8 @@
 	return []control.Event{control.StreamClosed{Proxy: s.opened.Proxy}}
 }
 
-// handleOutcomes passes on what a collector reports, unless it names what is unknown or its figures are impossible.
+// handleOutcomes passes a collector's report to the module. A report with an unknown replica or zone or with impossible
+// figures counts as invalid.
 func (c *Core) handleOutcomes(report Outcomes) []control.Event {
 	replica, known := c.replicas.numbers[report.Replica]
 	if !known || !c.validOutcomes(report) {
@@ -115,7 +117,8 @@
 	return []control.Event{outcomes}
 }
 
-// handleDemand passes on what a proxy reports by its present stream, or what a collector reports of it.
+// handleDemand passes a report of demand to the module: one that the proxy sent on its current stream, or one from a
+// collector.
 func (c *Core) handleDemand(report Demand, now int64) []control.Event {
 	s := c.streams.byProxy[report.Proxy]
 	fromCollector := report.Stream == 0
@@ -136,7 +139,8 @@
 	return append(events, demand)
 }
 
-// handleReplicaList passes on a list, followed by what an earlier controller had learned of the replicas that are new in it.
+// handleReplicaList passes a list to the module, followed by the state that an earlier controller had learned of replicas
+// that are new in the list or have restarted or moved.
 func (c *Core) handleReplicaList(list ReplicaList, now int64) []control.Event {
 	applied := c.applyList(list, now)
 	c.Counters.Invalid += int64(applied.unusable)
@@ -144,7 +148,7 @@
 	return append(events, c.restoredReplicas(c.snapshots.restored, applied.started, now)...)
 }
 
-// handleStreamActive records that a proxy lives, whatever it has sent.
+// handleStreamActive records that a proxy is alive, since something arrived on its stream.
 func (c *Core) handleStreamActive(id StreamID, now int64) []control.Event {
 	s := c.streams.byID[id]
 	if s == nil {
@@ -153,7 +157,7 @@
 	return c.streamSpoke(s, now)
 }
 
-// handleUpdatesDropped marks a stream as in need of its complete state, as its send queue dropped its updates.
+// handleUpdatesDropped schedules a resync with the complete state for a stream whose send queue dropped its updates.
 func (c *Core) handleUpdatesDropped(id StreamID) {
 	s := c.streams.byID[id]
 	if s == nil {
--- a/internal/controller/input.go
+++ b/internal/controller/input.go
@@ -7,83 +7,85 @@
 	"lilacbend/settings"
 )
 
-// Input is one thing that a turn takes in. Names in it are as the peers write them. The set of inputs is closed: only types
-// of this package implement it.
+// Input is one input of a turn. It refers to replicas, zones and classes by the names that the peers use. The set of inputs
+// is closed: only types of this package implement the interface.
 type Input interface{ input() }
 
-// StreamID numbers one connection of one proxy. Whoever accepts connections numbers them upwards.
+// StreamID identifies one connection of one proxy. The server that accepts connections assigns increasing numbers.
 type StreamID uint64
 
-// StreamOpened reports that a proxy has connected by a stream.
+// StreamOpened reports that a proxy has opened a stream.
 type StreamOpened struct {
 	Stream StreamID
 	Proxy  int
 	Zone   string
-	Rate   float64 // a rough forecast of its requests a second
-	// WithoutTable says that the proxy holds no table that a controller has assigned, and so ejects nobody.
+	Rate   float64 // a rough forecast of the proxy's requests per second
+	// WithoutTable means that the proxy holds no table assigned by a controller, and hence no ejected replicas.
 	WithoutTable bool
 }
 
-// StreamClosed reports that a stream has ended.
+// StreamClosed reports that a stream has been closed.
 type StreamClosed struct{ Stream StreamID }
 
-// Ack reports that the proxy of a stream has applied everything up to the nonce.
+// Ack reports that the proxy of a stream has applied all updates up to the one with the nonce.
 type Ack struct {
 	Stream StreamID
 	Nonce  uint64
-	Delay  int64 // what the proxy took to apply it, in nanoseconds
+	Delay  int64 // the time that the proxy took to apply the update, in nanoseconds
 }
 
-// Outcomes sums the attempts of a zone's proxies at a replica.
+// Outcomes sums the attempts that the proxies of a zone made at a replica.
 type Outcomes struct {
 	Zone    string
 	Replica string
 	control.Outcomes
 }
 
-// Demand sums the requests that arrived at a proxy. Stream is 0 if a collector reports it.
+// Demand sums the requests that arrived at a proxy. Stream is 0 if a collector reports them.
 type Demand struct {
 	Stream StreamID
 	Class  string
 	control.Demand
 }
 
-// ReplicaList is an answer of discovery.
+// ReplicaList is a response of discovery.
 type ReplicaList struct {
 	Revision   int64
-	Complete   bool // a replica that it does not name is gone
+	Complete   bool // replicas that are not in the list are gone
 	Members    []Member
-	ReadAt     int64 // when it was read, by the core's clock
+	ReadAt     int64 // when the list was read, by the core's clock
 	ReadAtWall int64 // the same moment by the wall clock
 }
 
-// Member is one replica of a list.
+// Member is one replica in a ReplicaList.
 type Member struct {
 	ID            string
 	Zone          string
 	HardwareClass string
-	Address       string // not for the core
-	Cell          string // not for the core
+	Address       string // not used by the core
+	Cell          string // not used by the core
 	State         control.State
-	Unusable      bool // its state could not be read
+	Unusable      bool // the state could not be read
 	Weight        float64
-	UpSince       int64 // when its process started, by the wall clock; 0: long ago
+	UpSince       int64 // when the replica's process started, by the wall clock; 0 means long ago
 }
 
-// StreamActive reports that something arrived on a stream that could not be used.
+// StreamActive reports that a message arrived on a stream which could not be used as any other input. It shows that the
+// proxy is alive.
 type StreamActive struct{ Stream StreamID }
 
-// MessageSent reports that all bytes of an update have been written, by its number in the channel's account.
+// MessageSent reports that all bytes of an update have been written. Number is the update's number in the channel's account.
 type MessageSent struct{ Number uint64 }
 
-// UpdatesDropped reports that a stream's send queue was full and has dropped its updates.
+// UpdatesDropped reports that a stream's send queue was full and dropped its updates.
 type UpdatesDropped struct{ Stream StreamID }
 
-// SnapshotRestored brings what an earlier controller had learned, fitted to this installation. It precedes the first list.
+// SnapshotRestored passes in the state that an earlier controller had learned, fitted to this installation. It precedes the
+// first ReplicaList.
 type SnapshotRestored struct{ Snapshot *learnedstate.AgedState }
 
-// Configure brings settings to put in force. They have passed the checks of a controller's start; Start creates modules by
-// them.
+// Configure requests that settings be put in force. They have passed the same checks as the settings of a starting
+// controller. Start creates modules that use them.
 type Configure struct {
 	Version  revision.Version
 	Names    settings.Names
--- a/internal/controller/messagecap_test.go
+++ b/internal/controller/messagecap_test.go
@@ -11,7 +11,8 @@
 	"lilacbend/settings"
 )
 
-// cappedSettings are those of six proxies, each of which gets so many messages in 10 s. The channel's are left to the test.
+// cappedSettings returns settings with six proxies, each of which may get the given number of messages in 10 s. The test
+// sets the limits of the channel itself.
 func cappedSettings(grace int64, messages int) control.Settings {
 	return control.Settings{
 		Seed: 5, Controllers: 1, Zones: 1, HardwareClasses: 2, Proxies: 6,
@@ -23,8 +24,9 @@
 	}
 }
 
-// A proxy that reconnects again and again uses up its message cap. A drain that is listed then still reaches the other proxies
-// of its table within the grace: the core holds back only what is for that proxy, and the module must not delay the rest.
+// A proxy that reconnects repeatedly uses up its message cap. A replica that starts draining then must still be removed at
+// the other proxies of the table within the grace: the core holds back only the updates of the capped proxy, and the module
+// must not delay the others.
 func TestCappedProxyDoesNotDelayOthers(t *testing.T) {
 	const grace = 2 * second
 	p := cappedSettings(grace, 6)
@@ -66,7 +68,7 @@
 			}
 		}
 		switch {
-		case now < 26*second/10 && (now/(second/10))%4 == 0: // with the first that is all that may be used but for one
+		case now < 26*second/10 && (now/(second/10))%4 == 0: // with the first connection, this uses the cap up to one message
 			inputs = append(inputs, join(0))
 		case drainedAt == 0 && now >= 3*second:
 			drainedAt, inputs = now, append(inputs, list("s-0"))
@@ -74,13 +76,13 @@
 	}
 	for proxy := 1; proxy < p.Proxies; proxy++ {
 		if !left[proxy] {
-			t.Errorf("proxy %d still sends to the one that drains", proxy)
+			t.Errorf("proxy %d was not told within the grace that replica s-0 is draining", proxy)
 		}
 	}
 }
 
-// A release drains forty replicas one after the other, faster than a proxy may get messages. Each proxy stops sending to each
-// within the grace: the first thirty do not use up the cap.
+// A release drains forty replicas one after another, faster than a proxy may get messages. Each proxy must stop using each
+// replica within the grace: the first thirty drains must not use up the message cap.
 func TestDrainGraceHoldsForMoreStepsThanMessages(t *testing.T) {
 	const (
 		grace    = 2 * second
@@ -133,7 +135,7 @@
 		for id, at := range drained {
 			for stream, held := range holds {
 				if held[id] && now > at+grace-p.MaxTransit {
-					t.Fatalf("stream %d, %d messages since the release began: not told at %d ms that %s drains since %d ms", stream, messages[stream], now/1e6, id, at/1e6)
+					t.Fatalf("stream %d, %d messages since the release began: not told by %d ms that %s has been draining since %d ms", stream, messages[stream], now/1e6, id, at/1e6)
 				}
 			}
 		}
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -8,13 +8,14 @@
 	"lilacbend/control"
 )
 
-// restartDelay is how long the core waits after a module that failed at its start as well, in nanoseconds: long enough that
-// restarts do not take up the controller, short enough that its proxies are not left alone.
+// restartDelay is how long the module is paused, in nanoseconds, after the modules that replaced a failed one have failed in
+// their first turns as well. It is long enough that restarts do not occupy the controller, and short enough that the proxies
+// are not left without updates for long.
 const restartDelay = int64(time.Second)
 
-// Module makes the decisions. Package policy has the one in use.
+// Module makes the routing decisions. Package policy has the implementation in use.
 type Module interface {
-	// Turn takes the events since the last turn and returns commands, which take effect in their order.
+	// Turn processes the events since the last turn and returns commands, which are applied in order.
 	Turn(now int64, events []control.Event) []control.Command
 }
 
@@ -22,8 +23,8 @@
 type moduleRunner struct {
 	create      func() Module
 	current     Module
-	isNew       bool  // it has had no turn yet
-	pausedUntil int64 // no turns until then
+	isNew       bool  // the current module has not had a turn yet
+	pausedUntil int64 // the module has no turns before this time
 }
 
 // restart replaces the module by a new one.
@@ -32,7 +33,7 @@
 	r.isNew = true
 }
 
-// runTurn runs one turn of the module and returns the text of its panic; empty: there was none.
+// runTurn runs one turn of the module and returns the message of its panic, or "" if it did not panic.
 func (c *Core) runTurn(t *turn, inputs []Input) (failure string) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -59,8 +60,8 @@
 	return ""
 }
 
-// recoverTurn starts a new module after a panic. If that fails too, what it may fail by is left out, one thing after
-// another: first the settings that came with this turn, then the learned state. After that the module is paused.
+// recoverTurn starts a new module after a panic. If the new module panics as well, the possible causes are dropped one after
+// another: first the settings that arrived in this turn, then the learned state. If the module still panics, it is paused.
 func (c *Core) recoverTurn(t *turn, failure string) {
 	c.restartModule()
 	c.Counters.ModuleRestarts++
@@ -87,20 +88,21 @@
 	c.module.pausedUntil = t.now + restartDelay
 }
 
-// retryTurn runs the turn of a new module, which is sent everything that stands, and reports whether it succeeded.
+// retryTurn runs the first turn of a new module, which receives the current state as its initial events, and reports whether
+// the turn succeeded.
 func (c *Core) retryTurn(t *turn, failure string) bool {
 	t.fail(failure)
 	return c.runTurn(t, nil) == ""
 }
 
-// fail drops what the failed module has sent in this turn. The streams that are to be closed have been replaced whatever the
-// module does.
+// fail discards the output of the failed module in this turn. It keeps the streams to close, since closing them does not
+// depend on the module.
 func (t *turn) fail(failure string) {
 	t.result = TurnResult{Panic: failure, CloseStreams: t.result.CloseStreams}
 }
 
-// restartModule starts a new module. What the proxies hold is not known any more, as updates of the turn that failed were
-// recorded as sent but dropped.
+// restartModule starts a new module and unbinds all streams. It forgets what was delivered to the proxies, because the
+// updates of the failed turn were recorded as delivered but then discarded.
 func (c *Core) restartModule() {
 	c.module.restart()
 	c.routing = newRoutingState()
--- a/internal/controller/pendingchanges.go
+++ b/internal/controller/pendingchanges.go
@@ -2,19 +2,19 @@
 
 import "maps"
 
-// turnChanges is what the commands of one turn have changed.
+// turnChanges records the changes that the commands of one turn have made.
 type turnChanges struct {
-	endpoints  map[int]map[uint32]bool // replicas by table
+	endpoints  map[int]map[uint32]bool // changed replicas by table
 	ejections  map[uint32]bool         // replicas that were ejected or unejected
-	admissions map[int]bool            // by table, control.AllTables among them
+	admissions map[int]bool            // changed tables, including control.AllTables
 	wantsAck   bool
 	nonce      uint64
-	// The endpoints of a table are made once and shared by the updates of all its streams.
+	// The endpoint lists of a table are made once and shared by the updates of all its streams.
 	fullTables    map[int]endpointList
 	changedTables map[int]endpointList
 }
 
-// endpointList is a table, or what has changed of it.
+// endpointList is a table or its changed endpoints.
 type endpointList struct {
 	replicas  []uint32
 	endpoints []WeightedEndpoint // in the order of replicas
@@ -38,21 +38,21 @@
 	t.endpoints[table][replica] = true
 }
 
-// pendingChanges are changes that concern a stream and have not been sent, as the channel or the proxy's message cap had no
-// capacity. They name what has changed; its value is looked up when it is sent.
+// pendingChanges are changes that affect a stream and have not been sent for lack of capacity of the channel or of the
+// proxy's message cap. They identify what has changed; the current values are looked up when the update is sent.
 type pendingChanges struct {
-	endpoints map[uint32]bool // replicas of the stream's table
+	endpoints map[uint32]bool // changed replicas in the stream's table
 	ejections map[uint32]bool
 	urgent    bool
 	wantsAck  bool
-	nonce     uint64 // the last one asked for
+	nonce     uint64 // of the last requested ack
 }
 
 func newPendingChanges() *pendingChanges {
 	return &pendingChanges{endpoints: map[uint32]bool{}, ejections: map[uint32]bool{}}
 }
 
-// add adds the changes of a turn that concern a stream.
+// add adds those changes of a turn that affect a stream.
 func (p *pendingChanges) add(changes *turnChanges, table int, concerns func(replica uint32) bool) {
 	maps.Copy(p.endpoints, changes.endpoints[table])
 	for replica := range changes.ejections {
@@ -66,7 +66,8 @@
 	}
 }
 
-// forOneStream returns pending changes in the form of a turn's. Complete tables are shared with the turn's other updates.
+// forOneStream returns the pending changes of one stream as turnChanges. Full tables are shared with the turn's other
+// updates.
 func (p *pendingChanges) forOneStream(table int, shared *turnChanges) *turnChanges {
 	return &turnChanges{
 		endpoints:     map[int]map[uint32]bool{table: p.endpoints},
--- a/internal/controller/reconfigure_test.go
+++ b/internal/controller/reconfigure_test.go
@@ -13,9 +13,9 @@
 	"lilacbend/settings"
 )
 
-// This file changes the settings of core and module while the simulation runs.
+// This file tests changes of the settings of core and module while the simulation runs.
 
-// group is a traffic group of the world's by its name.
+// classNamed returns the traffic class with a name.
 func classNamed(name string) control.TrafficClass {
 	g := control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}
 	switch name {
@@ -27,7 +27,7 @@
 	return g
 }
 
-// configure has the next turn take settings in.
+// configure adds settings to the inputs of the next turn.
 func (w *simulation) configure(number uint64, p control.Settings, names settings.Names) {
 	p.Zones, p.HardwareClasses, p.Classes = len(names.Zones), len(names.HardwareClasses)+1, nil
 	for _, name := range names.Classes {
@@ -40,13 +40,13 @@
 
 var worldNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 
-// The limits of the channel and the invariants hold for any sequence of changes, among reconnect storms, releases, faults and a
-// module that fails now and then; after the last change everybody is served as from the start.
+// The limits of the channel and the invariants hold for any sequence of settings changes, combined with reconnect storms,
+// releases, faults and occasional module failures. After the last change all proxies are served as before the first one.
 func TestInvariantsHoldThroughChangesOfSettings(t *testing.T) {
 	t.Parallel()
 	zones := [][]string{{"a", "b"}, {"b", "a"}, {"a", "b", "c"}, {"c", "b", "a"}, {"b"}, {"a", "c"}, {}}
 	groups := [][]string{{"read", "order"}, {"order", "read"}, {"browse", "read", "order"}, {"order"}, {"read", "browse"}}
-	for seed := range int64(60) { // drawn, and the same every time
+	for seed := range int64(60) { // fixed seeds, so that every run is the same
 		draw := rand.New(rand.NewSource(seed))
 		proxies := 2 + draw.Intn(39)
 		limit := (20 + draw.Intn(41)) * proxies
@@ -59,7 +59,7 @@
 				p.Proxies, p.Controllers = p.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
 				p.DrainGrace, p.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
 				p.ChannelLimit, p.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
-				if w.waits > 0 || len(w.stalled) > 0 { // what waits may be over a bound that has just shrunk
+				if w.waits > 0 || len(w.stalled) > 0 { // queued messages may exceed limits that shrink
 					p.ChannelLimit, p.MaxMessages = w.settings.ChannelLimit, w.settings.MaxMessages
 				}
 				w.configure(number, p, settings.Names{Classes: groups[draw.Intn(len(groups))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
@@ -69,14 +69,14 @@
 		wrong := w.broken
 		w.configure(number+1, original, worldNames)
 		w.pass(second)
-		for k := range w.proxies { // those that were refused for their zone among them
+		for k := range w.proxies { // including those that were refused because of their zone
 			w.join(k)
 		}
 		if wrong == "" {
 			wrong = w.settle(150 * second)
 		}
 		if version := w.core.ConfigurationVersion(); wrong == "" && version.Revision != number+1 {
-			wrong = fmt.Sprintf("%s in force, not %d", version, number+1)
+			wrong = fmt.Sprintf("settings version %s in force, want revision %d", version, number+1)
 		}
 		if wrong != "" {
 			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d: %s", seed, proxies, len(w.names), limit, wrong)
@@ -84,7 +84,7 @@
 	}
 }
 
-// Settings that say the same in another order change nothing: not one update more, and the same tables at every proxy.
+// Settings with the same names in another order cause no additional update and leave all proxies with the same tables.
 func TestReorderedSettingsChangeNothing(t *testing.T) {
 	for seed := range int64(12) {
 		var worlds []*simulation
@@ -108,17 +108,18 @@
 		}
 		a, b := worlds[0], worlds[1]
 		if a.core.Counters.Updates != b.core.Counters.Updates || a.core.Counters.CostSent != b.core.Counters.CostSent || b.core.Counters.ConfigurationsApplied != 5 {
-			t.Fatalf("seed %d: %d updates of %d cost units, and %d of %d with the changes", seed, a.core.Counters.Updates, a.core.Counters.CostSent, b.core.Counters.Updates, b.core.Counters.CostSent)
+			t.Fatalf("seed %d: %d updates of %d cost units without the changes, %d of %d with them", seed, a.core.Counters.Updates, a.core.Counters.CostSent, b.core.Counters.Updates, b.core.Counters.CostSent)
 		}
 		for k := range a.proxies {
 			if fmt.Sprint(a.proxies[k].endpoints, a.proxies[k].ejected) != fmt.Sprint(b.proxies[k].endpoints, b.proxies[k].ejected) {
-				t.Fatalf("seed %d, proxy %d: %v and %v", seed, k, a.proxies[k].endpoints, b.proxies[k].endpoints)
+				t.Fatalf("seed %d, proxy %d: endpoints %v without the changes, %v with them", seed, k, a.proxies[k].endpoints, b.proxies[k].endpoints)
 			}
 		}
 	}
 }
 
-// settledSimulation returns a simulation in which all proxies are connected and bound, and nothing else happens any more.
+// settledSimulation returns a simulation in which all proxies are connected and bound and no inputs other than demand
+// reports follow.
 func settledSimulation(t testing.TB, proxies, replicas int) *simulation {
 	w := newSimulation(1, proxies, replicas, 1, 1<<16, 1<<16, updateCost)
 	for k := range w.proxies {
@@ -130,7 +131,7 @@
 	return w
 }
 
-// A change that leaves all assignments as they are sends no tables.
+// A change of the settings that affects no assignment of tables sends no tables.
 func TestChangedFiguresSendNoTables(t *testing.T) {
 	w, control := settledSimulation(t, 40, 24), settledSimulation(t, 40, 24)
 	p := w.settings
@@ -141,24 +142,24 @@
 	}
 	control.settle(20 * second)
 	if got, want := w.core.Counters, control.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
-		t.Errorf("%d full tables and %d cost units, without the change %d and %d", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
+		t.Errorf("%d full tables and %d cost units with the change, %d and %d without it", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
 	}
 }
 
-// While tables are assigned anew no proxy is without endpoints.
+// While a change of the settings reassigns tables, no proxy is ever without endpoints.
 func TestReassignedTablesLeaveNoProxyEmpty(t *testing.T) {
 	for name, change := range map[string]func(p *control.Settings, names *settings.Names){
-		"a zone more":           func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"a", "b", "c"} },
-		"one in front":          func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"c", "a", "b"} },
-		"a zone less":           func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"b"} },
+		"zone added at the end": func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"a", "b", "c"} },
+		"zone added in front":   func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"c", "a", "b"} },
+		"zone removed":          func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"b"} },
 		"no zones":              func(_ *control.Settings, names *settings.Names) { names.Zones = nil },
 		"more proxies":          func(p *control.Settings, _ *settings.Names) { p.Proxies *= 10 },
-		"fewer":                 func(p *control.Settings, _ *settings.Names) { p.Proxies /= 4 },
-		"shared by controllers": func(p *control.Settings, _ *settings.Names) { p.Controllers = 4 },
+		"fewer proxies":         func(p *control.Settings, _ *settings.Names) { p.Proxies /= 4 },
+		"more controllers":      func(p *control.Settings, _ *settings.Names) { p.Controllers = 4 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := settledSimulation(t, 60, 36)
-			for _, m := range w.states { // a third zone's replicas are there already
+			for _, m := range w.states { // replicas of a third zone are listed before the zone is in the settings
 				if m.ID >= "s-0024" && m.ID < "s-0030" {
 					m.Zone = "c"
 					w.states[m.ID] = m
@@ -175,7 +176,7 @@
 				w.pass(second / 10)
 				for k, proxy := range w.proxies {
 					if len(proxy.endpoints) == 0 {
-						t.Fatalf("proxy %d has no line", k)
+						t.Fatalf("proxy %d has no endpoint", k)
 					}
 				}
 			}
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -8,30 +8,31 @@
 	"lilacbend/control"
 )
 
-// maxNames bounds the names that are known at a time, listed or not: more than any list of one deployment, so that a discovery
-// that makes up names cannot fill the memory. Past it new ones are not taken in.
+// maxNames limits how many replica names are known at a time, whether listed or gone. It exceeds the list of any deployment,
+// so that a discovery service that invents names cannot exhaust memory. Once it is reached, new names are rejected.
 const maxNames = 1 << 16
 
-// replicaSet gives replicas numbers: a replica keeps its number for as long as it is known.
+// replicaSet assigns numbers to replicas. A replica keeps its number for as long as its name is known.
 type replicaSet struct {
 	numbers    map[string]uint32 // by name
 	byNumber   map[uint32]*replica
 	lastNumber uint32
 	revision   int64 // of the last list
-	lists      int   // taken in so far
-	// evictedEjections are names that were evicted though some streams may still eject them.
+	lists      int   // number of lists applied
+	// evictedEjections are the names of evicted replicas that some proxies may still hold as ejected.
 	evictedEjections []string
 }
 
-// replica is what lists have said of one replica.
+// replica is the state of one replica according to the lists applied so far.
 type replica struct {
 	control.ListedReplica
 	name          string
 	zone          string // as listed
 	hardwareClass string // as listed
 	upSince       int64  // as listed, by the wall clock
-	lastListed    int64  // when it was last listed and not gone
-	// lastList is the number of the last list that named it. Two lists may be taken in at one time, within one turn.
+	lastListed    int64  // when the replica was last listed or not gone
+	// lastList is the number of the last list that contained the replica. A time would not identify a list, since one turn
+	// may apply several lists.
 	lastList int
 }
 
@@ -39,7 +40,7 @@
 	return replicaSet{numbers: map[string]uint32{}, byNumber: map[uint32]*replica{}}
 }
 
-// indexOrLast returns the index of a name, or one more than the last for all names that the settings do not have.
+// indexOrLast returns the index of a name in names, or len(names) for any name that is not in the settings.
 func indexOrLast(names []string, name string) int {
 	index := slices.Index(names, name)
 	if index < 0 {
@@ -48,14 +49,14 @@
 	return index
 }
 
-// appliedList is what a list has changed.
+// appliedList is the result of applying a list.
 type appliedList struct {
 	event    control.ReplicasListed
-	started  []control.ListedReplica // those not known before, or started or moved since
-	unusable int                     // members
+	started  []control.ListedReplica // replicas that are new, or have restarted or moved since the last list
+	unusable int                     // number of unusable members
 }
 
-// applyList takes in an answer of discovery.
+// applyList applies a response of discovery.
 func (c *Core) applyList(list ReplicaList, now int64) appliedList {
 	applied := appliedList{event: control.ReplicasListed{Full: list.Complete}}
 	c.replicas.revision = list.Revision
@@ -82,7 +83,8 @@
 	return applied
 }
 
-// lookUp returns the replica of a member, which it takes in if it is new; nil: it is new and cannot be used, or one too many.
+// lookUp returns the replica of a member and adds it if it is new. It returns nil if the replica is new and either the
+// member cannot be used or maxNames is reached.
 func (c *Core) lookUp(member Member) *replica {
 	if number, known := c.replicas.numbers[member.ID]; known {
 		return c.replicas.byNumber[number]
@@ -96,11 +98,11 @@
 	return c.replicas.add(member.ID)
 }
 
-// updateReplica takes over what a list says of a replica, and reports whether it is new, has started or has moved.
+// updateReplica updates a replica from a list and reports whether the replica is new, has restarted or has moved.
 func (c *Core) updateReplica(r *replica, member Member, list ReplicaList) bool {
 	restarted := member.UpSince != r.upSince
 	moved := member.Zone != r.zone || member.HardwareClass != r.hardwareClass
-	if restarted { // only then, so that steps of the wall clock look like no restart
+	if restarted { // only then, so that steps of the wall clock do not look like restarts
 		r.upSince = member.UpSince
 		r.Start = startTime(member.UpSince, list)
 	}
@@ -118,8 +120,8 @@
 	r.HardwareClass = indexOrLast(topology.names.HardwareClasses, r.hardwareClass)
 }
 
-// startTime returns by the core's clock when a process started that is up since a time of the wall clock: above 0 and not
-// after the list was read; 0: long ago.
+// startTime converts the start time of a process from the wall clock to the core's clock. The result is above 0 and not
+// after the time at which the list was read; it is 0 if the process started long ago.
 func startTime(upSince int64, list ReplicaList) int64 {
 	if upSince <= 0 {
 		return 0
@@ -127,20 +129,20 @@
 	return max(1, min(list.ReadAt, list.ReadAt-list.ReadAtWall+upSince))
 }
 
-// add gives a new name the next number.
+// add adds a replica with a new name and the next number.
 func (set *replicaSet) add(name string) *replica {
 	set.lastNumber++
 	added := &replica{
 		ListedReplica: control.ListedReplica{Replica: set.lastNumber},
 		name:          name,
-		upSince:       -1, // unlike any that is listed
+		upSince:       -1, // differs from every listed value
 	}
 	set.numbers[name] = set.lastNumber
 	set.byNumber[set.lastNumber] = added
 	return added
 }
 
-// markUnlistedGone marks whoever the last list did not name as gone.
+// markUnlistedGone marks the replicas that the last list did not contain as gone.
 func (set *replicaSet) markUnlistedGone() {
 	for _, r := range set.byNumber {
 		if r.lastList != set.lists {
@@ -149,7 +151,7 @@
 	}
 }
 
-// currentList returns the replicas that are listed, for a module that starts over.
+// currentList returns the replicas that are not gone as a complete list, for a new module or changed settings.
 func (set *replicaSet) currentList() control.ReplicasListed {
 	list := control.ReplicasListed{Full: true}
 	for _, number := range slices.Sorted(maps.Keys(set.byNumber)) {
@@ -161,17 +163,17 @@
 	return list
 }
 
-// nameRetention is how long a name is kept that is no longer listed, in nanoseconds: for as long as discovery may leave it out
-// by mistake, and shorter than the module keeps a replica that is gone. One that returns later has a new number and is new
-// to both.
+// nameRetention is how long the name of a replica is kept after it was last listed, in nanoseconds: as long as discovery may
+// omit a replica by mistake, and shorter than the module keeps a replica that is gone. A replica that returns later gets a
+// new number and is new to the core and the module.
 const nameRetention = int64(30 * time.Second)
 
-// maxEvictedEjections bounds the names that were evicted though they may be ejected at some stream: a few releases of a
-// thousand replicas. Past it every stream is taken to eject whoever it got no report about, which costs a unit for
-// each endpoint.
+// maxEvictedEjections limits the number of evicted names that some proxies may still hold as ejected: enough for a few
+// releases of a thousand replicas. Beyond it, every stream's proxy is assumed to eject all replicas that it has received no
+// report about, which costs one unit per endpoint.
 const maxEvictedEjections = 4 << 10
 
-// evictNames drops the names of replicas that have long been gone and that nobody needs any more.
+// evictNames drops the names of replicas that have been gone for longer than nameRetention and are no longer needed.
 func (c *Core) evictNames(now int64) {
 	needed := c.neededNames()
 	for number, r := range c.replicas.byNumber {
@@ -188,7 +190,7 @@
 	}
 }
 
-// neededNames returns the replicas that are in a table, or in changes that some stream has yet to be sent.
+// neededNames returns the replicas that are in a table or in the pending changes of a stream.
 func (c *Core) neededNames() map[uint32]bool {
 	needed := map[uint32]bool{}
 	for _, weights := range c.routing.tables {
@@ -205,7 +207,8 @@
 	return needed
 }
 
-// evictName drops the number of a replica. Its name is kept if its ejection was delivered to some stream.
+// evictName drops a replica and its number. The name is added to evictedEjections if the ejection of the replica was
+// delivered to any stream.
 func (c *Core) evictName(number uint32, r *replica) {
 	delete(c.replicas.numbers, r.name)
 	delete(c.replicas.byNumber, number)
@@ -220,7 +223,7 @@
 	}
 }
 
-// assumeEjections takes all streams to eject whoever they got no report about.
+// assumeEjections makes the core assume that every connected proxy ejects all replicas that it has received no report about.
 func (c *Core) assumeEjections() {
 	for _, s := range c.streams.byProxy {
 		s.delivered.ejectsOnlyReported = false
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -7,12 +7,12 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// Installation returns what learned state has to fit.
+// Installation returns the classes, hardware classes and number of proxies to which restored learned state is fitted.
 func (t Topology) Installation() learnedstate.Installation {
 	return learnedstate.Installation{Classes: t.names.Classes, HardwareClasses: t.names.HardwareClasses, Proxies: t.proxies}
 }
 
-// restoredReplicas returns what was learned of the replicas of a list.
+// restoredReplicas returns events with the learned state of the replicas in a list.
 func (c *Core) restoredReplicas(learned *learnedstate.AgedState, entries []control.ListedReplica, now int64) []control.Event {
 	if learned == nil {
 		return nil
@@ -37,7 +37,7 @@
 	return events
 }
 
-// learnedReplica returns what was learned of a replica under its present number.
+// learnedReplica converts the learned state of a replica, which now has the given number.
 func learnedReplica(number uint32, r learnedstate.Replica) control.LearnedReplica {
 	return control.LearnedReplica{
 		Replica:         number,
@@ -52,7 +52,8 @@
 	}
 }
 
-// restoredFleet returns what was learned of the fleet as a whole; none if nothing of it counts any more.
+// restoredFleet returns an event with the learned state of the whole fleet, or none if the state is so old that its weight
+// is 0.
 func (c *Core) restoredFleet(learned *learnedstate.AgedState, now int64) []control.Event {
 	if learned == nil {
 		return nil
@@ -95,8 +96,8 @@
 	return rates
 }
 
-// baselineIndex returns the index of a hardware class in control.LearnedFleet.BaselineResponseTimes; below 0: there is none
-// of this name. All together have the last index and no name.
+// baselineIndex returns the index of a hardware class in control.LearnedFleet.BaselineResponseTimes, or -1 if no class has
+// this name. The last index, with an empty name, is that of the baseline over all hardware classes.
 func (t Topology) baselineIndex(name string) int {
 	if name == "" {
 		return t.hardwareClasses
--- a/internal/controller/result.go
+++ b/internal/controller/result.go
@@ -5,32 +5,32 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// TurnResult is what a turn asks for.
+// TurnResult is the result of a turn: the actions that the caller has to carry out.
 type TurnResult struct {
 	Updates      []OutgoingUpdate
-	CloseStreams []StreamID // refused, or replaced by newer streams of the same proxies
-	NextTurn     int64      // when the next turn is due at the latest, if above 0
+	CloseStreams []StreamID // refused streams, and streams replaced by newer ones of the same proxies
+	NextTurn     int64      // the latest time at which the next turn is due; 0 if none is due before the next input
 	Logs         []string
-	Panic        string // what the module panicked with, and where
-	// Snapshot is what the module has learned, now and then. It must not be changed; Controller and Taken are for the caller
-	// to fill.
+	Panic        string // the message and the stack of the module's panic
+	// Snapshot is the learned state. It is set only in turns in which the module returned a snapshot. It must not be
+	// modified, except that the caller fills in Controller and Taken.
 	Snapshot *learnedstate.State
-	// Configured says what became of the settings that came with this turn.
+	// Configured holds the results of the Configure inputs of this turn.
 	Configured []ConfigurationResult
 }
 
-// OutgoingUpdate is an update, the stream it is for, and its number in the channel's account.
+// OutgoingUpdate is an update with the stream to send it on and its number in the channel's account.
 type OutgoingUpdate struct {
 	Stream StreamID
 	Update Update
 	Number uint64
 }
 
-// Update is one message to one proxy. A full one replaces the table and all admissions.
+// Update is one message to one proxy. A full update replaces the table and all admissions.
 type Update struct {
 	Full       bool
-	Resync     bool               // the complete state, as earlier updates were lost
-	Endpoints  []WeightedEndpoint // shared between updates: not to be changed
+	Resync     bool               // the update restores the complete state because earlier updates were lost
+	Endpoints  []WeightedEndpoint // shared between updates: must not be modified
 	Ejected    []string
 	Unejected  []string
 	Admissions []Admission
@@ -38,20 +38,20 @@
 	Nonce      uint64
 }
 
-// WeightedEndpoint is a replica in the table of a proxy. Weight 0 removes it.
+// WeightedEndpoint is a replica in the table of a proxy. Weight 0 removes the replica.
 type WeightedEndpoint struct {
 	Replica string
 	Weight  float64
 }
 
-// Admission is which fraction of a traffic class a proxy admits, and when it retries.
+// Admission states which fraction of a traffic class a proxy admits and when it retries.
 type Admission struct {
 	Class    string
 	Fraction float64
 	Retries  control.RetryPolicy
 }
 
-// cost returns the cost units of an update in the channel, beside the overhead of the message.
+// cost returns the cost units of an update in the channel, without the overhead of the message.
 func (u Update) cost() int {
 	units := len(u.Endpoints) + len(u.Ejected) + len(u.Unejected) + len(u.Admissions)
 	if u.Full {
@@ -63,43 +63,43 @@
 	return units
 }
 
-// Counters count what the core has done since its start, unless stated otherwise.
+// Counters are the counters of a core since its start, unless stated otherwise.
 type Counters struct {
 	Turns int64
 
-	// Inputs taken in.
+	// Inputs processed.
 	StreamsOpened  int64
 	StreamsClosed  int64
 	Acks           int64
 	OutcomeReports int64
 	DemandReports  int64
 	ReplicaLists   int64
-	Invalid        int64 // inputs and commands that cannot be used, as they are malformed or name what is unknown
-	Stale          int64 // inputs of streams that have ended, and acks that nothing waits for
+	Invalid        int64 // inputs and commands that are malformed or refer to unknown names or numbers
+	Stale          int64 // inputs of closed streams, and acks that match no message or come too late
 
 	// Streams.
-	ProxiesSilent   int64 // reported to the module as disconnected, as an ack was missing for too long
-	StreamsReplaced int64 // by another stream of the same proxy
+	ProxiesSilent   int64 // proxies reported to the module as disconnected because their ack was overdue
+	StreamsReplaced int64 // streams closed in favor of another stream of the same proxy
 
 	// Updates sent.
 	Updates         int64
-	CostRequested   int64 // cost units of the module's commands, for all streams that they reach
+	CostRequested   int64 // cost units of the module's commands, for all streams that they affect
 	CostSent        int64 // cost units of the updates
-	AckRequests     int64 // of the module
-	OwnAckRequests  int64 // of the core itself, as acks were missing
+	AckRequests     int64 // ack requests of the module
+	OwnAckRequests  int64 // ack requests of the core for missing acks
 	FullTables      int64 // updates that replace the table
 	StreamsEnqueued int64 // times that a stream's changes were held back for lack of capacity
 
 	// Module and settings.
-	ModuleRestarts        int64 // after a panic
-	RestartsWithoutState  int64 // those of them that left the learned state out
-	ReplicasRestored      int64 // replicas of which something had been learned before
+	ModuleRestarts        int64 // module restarts after a panic
+	RestartsWithoutState  int64 // times that the learned state was discarded because new modules panicked as well
+	ReplicasRestored      int64 // replicas whose learned state was restored
 	ConfigurationsApplied int64
 	ConfigurationsRefused int64
 
-	// Now, not sums.
+	// Current values, not sums.
 	KnownReplicas    int64
 	ConnectedProxies int64
 	ChannelCost      int64 // cost units charged to the channel
-	PendingStreams   int64 // queue entries of streams with pending changes
+	PendingStreams   int64 // entries of both queues of streams with pending changes
 }
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -6,10 +6,10 @@
 	"lilacbend/control"
 )
 
-// routingState is what the running module's commands have set: weights by table, ejections and admissions.
+// routingState is the state set by the commands of the running module: weights by table, ejections and admissions.
 type routingState struct {
-	tables     map[int]map[uint32]float64 // weight by replica; one that is not in a table has no entry
-	ejected    map[uint32]bool            // holds no false
+	tables     map[int]map[uint32]float64 // weight by table and replica; all weights are positive
+	ejected    map[uint32]bool            // contains only true values
 	admissions map[tableClass]control.SetAdmission
 }
 
@@ -27,7 +27,7 @@
 	}
 }
 
-// setWeight sets the weight of a replica in a table; one of 0 or less removes it.
+// setWeight sets the weight of a replica in a table. A weight of 0 or less removes the replica.
 func (r *routingState) setWeight(table int, replica uint32, weight float64) {
 	if r.tables[table] == nil {
 		r.tables[table] = map[uint32]float64{}
@@ -48,13 +48,13 @@
 	delete(r.ejected, replica)
 }
 
-// usable reports whether a replica is in a table and not ejected.
+// usable reports whether a replica is in a table and is not ejected.
 func (r *routingState) usable(table int, replica uint32) bool {
 	return r.tables[table][replica] > 0 && !r.ejected[replica]
 }
 
-// tablesWith returns the tables whose streams an ejection concerns, in no order: unbound is among them, as what unbound
-// proxies hold is not known.
+// tablesWith returns the tables whose streams the ejection of a replica affects, in no particular order. The result always
+// contains unbound, since it is not known which replicas unbound proxies hold.
 func (r *routingState) tablesWith(replica uint32) []int {
 	tables := []int{unbound}
 	for table, weights := range r.tables {
@@ -65,8 +65,9 @@
 	return tables
 }
 
-// admission returns what holds for a traffic class in a table: the lower fraction of the table's own admission and the one
-// for all tables, and the retry policy of its own; false: neither is set.
+// admission returns the effective admission of a traffic class in a table, or false if none is set. If the table has an
+// admission of its own and there is one for all tables, the lower fraction of the two applies, with the retry policy of the
+// table's own admission.
 func (r *routingState) admission(table, class int) (control.SetAdmission, bool) {
 	own, hasOwn := r.admissions[tableClass{table, class}]
 	general, hasGeneral := r.admissions[tableClass{control.AllTables, class}]
@@ -80,7 +81,7 @@
 	return own, hasOwn
 }
 
-// tableCost returns the cost units of an update that brings all of a table, with its ejections and admissions.
+// tableCost returns the cost units of an update with a whole table, its ejections and its admissions.
 func (r *routingState) tableCost(table, classes int) int {
 	units := 1 + len(r.tables[table])
 	for replica := range r.tables[table] {
@@ -96,8 +97,8 @@
 	return units
 }
 
-// renumberClasses keeps the admissions under the new numbers of their traffic classes; a class whose number is below 0 no
-// longer exists.
+// renumberClasses moves the admissions to the new numbers of their traffic classes and drops those of classes whose new
+// number is negative: these classes no longer exist.
 func (r *routingState) renumberClasses(numbers []int) {
 	renumbered := map[tableClass]control.SetAdmission{}
 	for key, admission := range r.admissions {
--- a/internal/controller/routing_test.go
+++ b/internal/controller/routing_test.go
@@ -19,11 +19,11 @@
 	}
 	r.setEjected(1, true)
 	if r.usable(0, 1) {
-		t.Error("an ejected replica is usable")
+		t.Error("ejected replica is usable")
 	}
 	r.setEjected(1, false)
 	if !r.usable(0, 1) || len(r.ejected) != 0 {
-		t.Errorf("an unejected replica is not usable, ejected %v", r.ejected)
+		t.Errorf("unejected replica is not usable, or still in the ejected ones %v", r.ejected)
 	}
 }
 
@@ -64,7 +64,7 @@
 			}
 			got, isSet := r.admission(1, 2)
 			if isSet != c.isSet || got.Fraction != c.fraction || got.Retries != c.retries {
-				t.Errorf("%+v %v", got, isSet)
+				t.Errorf("got %+v, set %v; want fraction %v, retries %v, set %v", got, isSet, c.fraction, c.retries, c.isSet)
 			}
 		})
 	}
@@ -78,10 +78,10 @@
 	r.setEjected(3, true) // in no table
 	r.admissions[tableClass{control.AllTables, 1}] = control.SetAdmission{Class: 1}
 	if got := r.tableCost(0, 2); got != 1+2+1+1 {
-		t.Errorf("%d units", got)
+		t.Errorf("%d units, want 5", got)
 	}
 	if got := r.tableCost(7, 2); got != 1+1 {
-		t.Errorf("%d units of an empty table", got)
+		t.Errorf("%d units of an empty table, want 2", got)
 	}
 }
 
@@ -96,14 +96,14 @@
 		{0, 0}: {Class: 0, Fraction: 2},
 	}
 	if !maps.Equal(r.admissions, want) {
-		t.Errorf("%+v", r.admissions)
+		t.Errorf("got admissions %+v, want %+v", r.admissions, want)
 	}
 }
 
 func TestTimerSetFiresAtTheEarlierTime(t *testing.T) {
 	timers := timerSet{}
 	if _, set := timers.next(); set {
-		t.Error("a timer is due though none is set")
+		t.Error("an empty set has a next timer")
 	}
 	timers.set(5, 20)
 	timers.set(5, 10)
@@ -114,7 +114,7 @@
 		t.Errorf("next at %d %v", due, set)
 	}
 	if due := timers.takeDue(9); due != nil {
-		t.Errorf("early: %v", due)
+		t.Errorf("due before their time: %v", due)
 	}
 	if due := timers.takeDue(10); !slices.Equal(due, []uint64{2, 5}) {
 		t.Errorf("due %v", due)
@@ -140,7 +140,7 @@
 	one := p.forOneStream(0, later)
 	if !maps.Equal(one.endpoints[0], map[uint32]bool{1: true, 4: true}) || len(one.endpoints) != 1 ||
 		!maps.Equal(one.ejections, map[uint32]bool{1: true}) || !one.wantsAck || one.nonce != 7 {
-		t.Errorf("%+v", one)
+		t.Errorf("changes of the stream %+v", one)
 	}
 }
 
@@ -150,7 +150,7 @@
 		t.Errorf("changed %v", got)
 	}
 	if s.confirmed != 1 || !slices.Equal(s.ordered, []uint32{3, 1}) || s.restDue {
-		t.Errorf("%+v", s)
+		t.Errorf("new subset %+v", s)
 	}
 }
 
@@ -162,7 +162,7 @@
 		want bool
 	}{{100, false}, {104, false}, {105, true}, {106, false}, {110, true}} {
 		if got := s.due(step.now); got != step.want {
-			t.Errorf("at %d: %v", step.now, got)
+			t.Errorf("at %d: due %v, want %v", step.now, got, step.want)
 		}
 	}
 }
@@ -178,10 +178,10 @@
 		}
 	}
 	if asked != 1+settleTime || s.settledAt != 1+settleTime {
-		t.Errorf("first asked at %d, settled at %d", asked, s.settledAt)
+		t.Errorf("first request at %d, settled at %d, want both at %d", asked, s.settledAt, 1+settleTime)
 	}
 	if s.lastLearned() != s.restored {
-		t.Error("a new module does not start from what was restored")
+		t.Error("a new module does not start from the restored snapshot")
 	}
 	s.last = agedState(2, 0)
 	if s.lastLearned() != s.last {
@@ -200,9 +200,9 @@
 	s.record(Configure{}, ErrNeedsRestart)
 	results := s.endTurn()
 	if len(results) != 2 || results[0].Err != nil || results[1].Err != ErrNeedsRestart {
-		t.Errorf("%+v", results)
+		t.Errorf("results %+v", results)
 	}
 	if s.previous != nil || s.endTurn() != nil {
-		t.Errorf("a turn leaves %+v", s)
+		t.Errorf("state after the end of the turn: %+v", s)
 	}
 }
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -14,51 +14,54 @@
 	"lilacbend/settings"
 )
 
-// This file checks that core and module keep the limits of the channel and the invariants in a simulation: the channel may be
-// slow, writers stall, acks are lost, many proxies connect and disconnect at once, lists change and modules fail.
+// This file checks in a simulation that core and module keep the limits of the channel and the invariants. In the simulation
+// the channel may be slow, writers stall, acks are lost, many proxies connect and disconnect at once, lists change and
+// modules fail.
 
 const second = int64(1e9)
 
+// simulatedProxy is a proxy and the state that it has received.
 type simulatedProxy struct {
-	stream    controller.StreamID
+	stream    controller.StreamID // 0 if the proxy is not connected
 	connected int64
 	zone      string
 	endpoints map[string]float64
 	ejected   map[string]bool
 	enters    int64   // when the last message enters the channel
-	got       []int64 // when messages entered the channel, of this joining
+	got       []int64 // when messages of the current connection entered the channel, within the message window
 }
 
-// message is an update that is on its way to the channel, or waits in it.
+// message is an update that its writer has not yet written to the channel, or that waits in the channel.
 type message struct {
 	proxy, units int
 	sent         controller.OutgoingUpdate
-	enters       int64
+	enters       int64 // when the message enters the channel
 }
 
+// simulation runs a core and its module against simulated proxies, a channel and discovery.
 type simulation struct {
 	*rand.Rand
 	settings control.Settings
 	core     *controller.Core
-	cost     func(controller.Update) int // true cost units beside the overhead
+	cost     func(controller.Update) int // true cost units of an update, without the overhead
 	proxies  []*simulatedProxy
-	states   map[string]controller.Member
-	names    []string
+	states   map[string]controller.Member // by name
+	names    []string                     // of the replicas
 	now      int64
-	streams  controller.StreamID
-	inputs   []controller.Input
-	stalled  []message
-	queue    []message
-	waits    int
-	credit   float64
-	pace     float64 // of the channel, 1 when all is well
-	lost     float64 // of the answers
-	failing  bool    // the module fails now and then
-	prompt   bool    // writers never stall
-	broken   string
+	streams  controller.StreamID // the last one opened
+	inputs   []controller.Input  // of the next turn
+	stalled  []message           // not yet written to the channel
+	queue    []message           // in the channel
+	waits    int                 // cost units in the channel
+	credit   float64             // cost units that the channel may send now
+	pace     float64             // factor on the channel's rate; 1 is normal
+	lost     float64             // fraction of acks that are lost
+	failing  bool                // the module panics occasionally
+	prompt   bool                // writers never stall
+	broken   string              // the first violated limit or invariant
 }
 
-// failingModule panics now and then while the simulation says so.
+// failingModule panics occasionally while simulation.failing is set.
 type failingModule struct {
 	controller.Module
 	w *simulation
@@ -71,6 +74,7 @@
 	return m.Module.Turn(now, events)
 }
 
+// updateCost returns the cost units of an update without the overhead of the message.
 func updateCost(p controller.Update) int {
 	units := len(p.Endpoints) + len(p.Ejected) + len(p.Unejected) + len(p.Admissions)
 	if p.Full {
@@ -102,6 +106,7 @@
 	return w
 }
 
+// list adds a list with some replicas to the inputs of the next turn.
 func (w *simulation) list(names []string, complete bool) {
 	l := controller.ReplicaList{Complete: complete, ReadAt: w.now, ReadAtWall: w.now}
 	for _, name := range names {
@@ -110,6 +115,7 @@
 	w.inputs = append(w.inputs, l)
 }
 
+// join connects a proxy by a new stream.
 func (w *simulation) join(k int) {
 	p := w.proxies[k]
 	w.streams++
@@ -117,15 +123,15 @@
 	w.inputs = append(w.inputs, controller.StreamOpened{Stream: p.stream, Proxy: k, Zone: p.zone, Rate: 1, WithoutTable: len(p.endpoints)+len(p.ejected) == 0})
 }
 
-// step makes one thing happen and then passes some time, with a turn at its end.
+// step simulates one event of the given kind, lets a random period pass and runs a turn.
 func (w *simulation) step(what int) {
 	some := 1 + w.Intn(max(1, len(w.proxies)))
 	switch what {
-	case 0, 1: // many connect, some by a new stream while the old one is still open
+	case 0, 1: // many proxies connect, some with a new stream while the old one is still open
 		for range some {
 			w.join(w.Intn(len(w.proxies)))
 		}
-	case 2: // many disconnect
+	case 2: // many proxies disconnect
 		for range some {
 			if p := w.proxies[w.Intn(len(w.proxies))]; p.stream != 0 {
 				w.inputs = append(w.inputs, controller.StreamClosed{Stream: p.stream})
@@ -144,19 +150,19 @@
 			names = append(names, m.ID)
 		}
 		w.list(names, false)
-	case 5: // reports: some attempts fail
+	case 5: // collectors report outcomes with some failed attempts
 		for range 20 {
 			m := controller.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))]}
 			m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, 20*w.Intn(2), second/10, second
 			w.inputs = append(w.inputs, m)
 		}
-	case 6: // send queues dropped their updates
+	case 6: // send queues drop their updates
 		for range some {
 			if p := w.proxies[w.Intn(len(w.proxies))]; p.stream != 0 {
 				w.inputs = append(w.inputs, controller.UpdatesDropped{Stream: p.stream})
 			}
 		}
-	case 7:
+	case 7: // the channel's speed, the loss of acks and the module's failures change
 		w.pace, w.lost, w.failing = []float64{1, 1, 0.3, 0.05}[w.Intn(4)], []float64{0, 0.2, 0.9}[w.Intn(3)], w.Intn(4) == 0
 	}
 	w.pass([]int64{second / 100, second / 4, second, 4 * second}[w.Intn(4)])
@@ -174,7 +180,7 @@
 	if len(w.queue) == 0 {
 		w.credit = 0
 	}
-	for k, p := range w.proxies { // they report their demand
+	for k, p := range w.proxies { // some proxies report their demand
 		if p.stream != 0 && w.Intn(4) == 0 {
 			w.inputs = append(w.inputs, controller.Demand{Stream: p.stream, Class: "read", Demand: control.Demand{Proxy: k, Requests: 5, Period: second}})
 		}
@@ -194,7 +200,7 @@
 		}
 	}
 	var later []message
-	for _, m := range w.stalled { // what a stalled writer still has is lost with its stream
+	for _, m := range w.stalled { // messages of a stalled writer are lost if their stream has ended
 		if p := w.proxies[m.proxy]; m.enters > w.now {
 			later = append(later, m)
 		} else if p.stream == m.sent.Stream {
@@ -204,26 +210,28 @@
 	w.stalled = later
 }
 
+// enter puts a message into the channel and checks the limits of the channel and of the proxy's message cap.
 func (w *simulation) enter(p *simulatedProxy, m message) {
 	w.inputs = append(w.inputs, controller.MessageSent{Number: m.sent.Number})
 	w.queue, w.waits = append(w.queue, m), w.waits+m.units
 	if w.waits > w.settings.ChannelLimit && w.broken == "" {
-		w.broken = fmt.Sprintf("%d cost units wait, %d may", w.waits, w.settings.ChannelLimit)
+		w.broken = fmt.Sprintf("%d cost units in the channel, limit %d", w.waits, w.settings.ChannelLimit)
 	}
 	p.got = append(p.got, w.now)
 	for w.now-p.got[0] > w.settings.MessageWindow {
 		p.got = p.got[1:]
 	}
 	if len(p.got) > w.settings.MaxMessages && w.broken == "" {
-		w.broken = fmt.Sprintf("%d messages in a span for proxy %d", len(p.got), m.proxy)
+		w.broken = fmt.Sprintf("%d messages within a message window to proxy %d", len(p.got), m.proxy)
 	}
 	for _, l := range m.sent.Update.Admissions {
 		if l.Class == "order" && l.Retries > control.RetryIfNotExecuted {
-			w.broken = "a retry that could act twice"
+			w.broken = "an admission allows retries of requests that are not idempotent and may have been executed"
 		}
 	}
 }
 
+// apply delivers a message to its proxy, which may acknowledge it.
 func (w *simulation) apply(m message) {
 	p, update := w.proxies[m.proxy], m.sent.Update
 	if p.stream != m.sent.Stream {
@@ -248,7 +256,8 @@
 	}
 }
 
-// settle ends all faults and returns what is wrong after a while, by which everything that waited has been sent.
+// settle ends all faults and lets a period pass in which all pending changes are sent. It returns the first violated limit
+// or invariant, or "".
 func (w *simulation) settle(span int64) string {
 	w.pace, w.lost, w.failing = 1, 0, false
 	for until := w.now + span; w.now < until; {
@@ -275,9 +284,10 @@
 	return w.broken
 }
 
+// Core and module keep the limits of the channel and the invariants for any sequence of simulated events.
 func TestChannelLimitAndInvariantsHold(t *testing.T) {
 	t.Parallel()
-	for seed := range int64(100) { // drawn, and the same every time
+	for seed := range int64(100) { // fixed seeds, so that every run is the same
 		draw := rand.New(rand.NewSource(seed))
 		proxies := 2 + draw.Intn(39)
 		limit := (20 + draw.Intn(41)) * proxies
@@ -292,13 +302,13 @@
 			wrong = w.settle(150 * second)
 		}
 		if wrong != "" {
-			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d, %v cost units a second, steps %v: %s", seed, proxies, len(w.names), limit, w.settings.ChannelRate,
+			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d, %v cost units per second, steps %v: %s", seed, proxies, len(w.names), limit, w.settings.ChannelRate,
 				steps, wrong)
 		}
 	}
 }
 
-// The same at sizes nobody draws by chance.
+// The limits of the channel also hold at sizes that TestChannelLimitAndInvariantsHold does not draw.
 func TestChannelLimitHoldsAtFullSize(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ proxies, replicas, controllers, limit int }{
@@ -318,21 +328,21 @@
 	}
 }
 
-// Each part of what a message costs is needed: with any one taken out, which is as if the channel counted it once more,
-// some of the same sequences break the bound.
+// Each part of a message's cost is needed to keep the channel's limit. The test makes the channel count one part once more
+// than the core charges for it, as if the charge lacked that part. Some of the sequences must then exceed the limit.
 func TestEachPartOfTheCostIsNeeded(t *testing.T) {
 	t.Parallel()
 	for what, more := range map[string]func(controller.Update) int{
 		"nothing":    func(p controller.Update) int { return 0 },
-		"heads":      func(p controller.Update) int { return 4 },
+		"overhead":   func(p controller.Update) int { return 4 },
 		"endpoints":  func(p controller.Update) int { return len(p.Endpoints) },
 		"ejected":    func(p controller.Update) int { return len(p.Ejected) },
-		"unejected":  func(p controller.Update) int { return 5 * len(p.Unejected) },  // of few units, as a part unejects three: five times
-		"admissions": func(p controller.Update) int { return 5 * len(p.Admissions) }, // of few units, five times
-		"once more":  func(p controller.Update) int { return map[bool]int{true: updateCost(p)}[p.Resync] },
+		"unejected":  func(p controller.Update) int { return 5 * len(p.Unejected) },  // five times, since a subset has only three unejections
+		"admissions": func(p controller.Update) int { return 5 * len(p.Admissions) }, // five times, since admissions are few
+		"resyncs":    func(p controller.Update) int { return map[bool]int{true: updateCost(p)}[p.Resync] },
 		"full with ack requests": func(p controller.Update) int {
 			return 5 * (map[bool]int{true: 1}[p.Full] + map[bool]int{true: 1}[p.WantsAck])
-		}, // as levels
+		}, // five times, since these are few
 	} {
 		broke := 0
 		for seed := range int64(40) {
@@ -349,12 +359,12 @@
 			}
 		}
 		if (broke == 0) != (what == "nothing") {
-			t.Errorf("without a charge for %s %d of 40 broke", what, broke)
+			t.Errorf("without a charge for %s: %d of 40 sequences exceed a limit", what, broke)
 		}
 	}
 }
 
-// All proxies connect in one turn, and are bound in it as far as the channel has capacity.
+// BenchmarkTurnThatBindsAll measures a turn in which all proxies connect and are bound as far as the channel has capacity.
 func BenchmarkTurnThatBindsAll(b *testing.B) {
 	for _, proxies := range []int{480, 1200, 2400} {
 		for _, replicas := range []int{200, 1024} {
@@ -369,7 +379,7 @@
 					}
 					b.StartTimer()
 					if o := w.core.Turn(w.now+second/4, w.inputs); len(o.Updates) == 0 {
-						b.Fatal("nobody is bound")
+						b.Fatal("no proxy was bound")
 					}
 				}
 			})
@@ -377,8 +387,8 @@
 	}
 }
 
-// Turns of a controller that all proxies are connected to, with the reports of a quarter of a second each: their time, what they
-// allocate, and what a proxy holds.
+// BenchmarkTurnAtSize measures turns of a controller with all proxies connected, each with the reports of a quarter of a
+// second: their duration, their allocations, and the memory per proxy.
 func BenchmarkTurnAtSize(b *testing.B) {
 	for _, c := range []struct{ proxies, replicas int }{{480, 60}, {1280, 120}, {2400, 200}, {10000, 1000}} {
 		b.Run(fmt.Sprintf("%dx%d", c.proxies, c.replicas), func(b *testing.B) {
@@ -397,7 +407,7 @@
 			var spans []time.Duration
 			allocs := uint64(0)
 			for b.Loop() {
-				for range 40 { // of a hundred and fifty units a second
+				for range 40 { // a quarter of a second's share of about 150 reports per second
 					m := controller.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))]}
 					m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, w.Intn(2), second/10+int64(w.Intn(int(second/20))), second
 					w.inputs = append(w.inputs, m)
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -10,33 +10,34 @@
 )
 
 const (
-	// defaultSnapshotInterval is how often the module is asked for a snapshot, in nanoseconds. A new module starts from the last
-	// one after a panic, and a few seconds cost it little of what was learned.
+	// defaultSnapshotInterval is the time between snapshot requests to the module, in nanoseconds. After a panic, a new
+	// module starts from the last snapshot, and the loss of a few seconds of learned state matters little.
 	defaultSnapshotInterval = int64(5 * time.Second)
-	// defaultHalfLife is the time after which learned state counts half, in nanoseconds: most faults of a replica pass within
-	// minutes.
+	// defaultHalfLife is the age, in nanoseconds, at which learned state has half its weight: most faults of a replica pass
+	// within minutes.
 	defaultHalfLife = int64(time.Minute)
-	// settleTime is for how long a controller that began from a snapshot leaves that one in place, in nanoseconds: until its
-	// proxies have connected and have reported for a while, a snapshot of its own would hold less. A controller that is
-	// restarted again and again goes on from the last complete one, at its true age.
+	// settleTime is how long a controller that started from a snapshot takes no snapshot itself, in nanoseconds. Until its
+	// proxies have connected and have sent reports for a while, a new snapshot would contain less than the restored one. A
+	// controller that restarts repeatedly thus continues from the last complete snapshot, at its true age.
 	settleTime = int64(10 * time.Second)
 )
 
-// snapshotState says when the module is asked for what it has learned, and holds what it starts from.
+// snapshotState determines when the module is asked for a snapshot, and holds the learned state that a new module starts
+// from.
 type snapshotState struct {
 	interval    int64
 	halfLife    int64
-	restored    *learnedstate.AgedState // of an earlier controller; nil: there is none
-	last        *learnedstate.AgedState // the last that a module here has returned
-	requestedAt int64                   // 0: never
-	settledAt   int64                   // before that a snapshot would hold less than restored
+	restored    *learnedstate.AgedState // state of an earlier controller; nil if there is none
+	last        *learnedstate.AgedState // last snapshot that a module of this core returned
+	requestedAt int64                   // time of the last request; 0 if there was none
+	settledAt   int64                   // before this time a snapshot would contain less than restored
 }
 
 func newSnapshotState() snapshotState {
 	return snapshotState{interval: defaultSnapshotInterval, halfLife: defaultHalfLife}
 }
 
-// due reports whether the module is to be asked for a snapshot with this turn.
+// due reports whether the module is to be asked for a snapshot in this turn, and records the request.
 func (s *snapshotState) due(now int64) bool {
 	if s.requestedAt == 0 {
 		s.requestedAt = now
@@ -52,7 +53,8 @@
 	return true
 }
 
-// lastLearned returns what a new module starts from: the last snapshot taken here, else the one of an earlier controller.
+// lastLearned returns the state that a new module starts from: the last snapshot of this core, or else the restored one of
+// an earlier controller.
 func (s *snapshotState) lastLearned() *learnedstate.AgedState {
 	if s.last != nil {
 		return s.last
@@ -66,14 +68,15 @@
 	s.restored = nil
 }
 
-// SetSnapshotPolicy sets how often the module is asked for a snapshot and the half-life of learned state, both in nanoseconds.
+// SetSnapshotPolicy sets how often the module is asked for a snapshot and the half-life of learned state, both in
+// nanoseconds.
 func (c *Core) SetSnapshotPolicy(interval, halfLife int64) {
 	c.snapshots.interval = interval
 	c.snapshots.halfLife = halfLife
 }
 
-// FinalSnapshot asks the module for a snapshot before the controller ends; nil: it fails, or would hold less than what the
-// controller began from.
+// FinalSnapshot asks the module for a snapshot before the controller stops. It returns nil if the module fails, or if the
+// snapshot would contain less than the one that the controller started from.
 func (c *Core) FinalSnapshot(now int64) *learnedstate.State {
 	if now < c.snapshots.settledAt {
 		return nil
@@ -82,8 +85,8 @@
 	return c.Turn(now, nil).Snapshot
 }
 
-// ListFromSnapshot returns the listed replicas of a snapshot as an endpoint list, for a start at which discovery may not
-// answer.
+// ListFromSnapshot returns the listed replicas of a snapshot as a complete replica list, for a start while discovery may be
+// unavailable.
 func ListFromSnapshot(state learnedstate.State) ReplicaList {
 	list := ReplicaList{Revision: state.Revision, Complete: true}
 	for _, r := range state.Replicas {
@@ -102,8 +105,8 @@
 	return list
 }
 
-// snapshot returns by names what the module has learned, together with what an earlier controller had learned of replicas
-// that are not listed now, and keeps it for a new module.
+// snapshot converts the module's learned state from numbers to names, merges in the state that an earlier controller had
+// learned of replicas that are not listed now, and keeps the result for a new module.
 func (c *Core) snapshot(learned control.Snapshot, now int64) learnedstate.State {
 	state := learnedstate.State{
 		Revision:              c.replicas.revision,
@@ -124,7 +127,7 @@
 	return state
 }
 
-// snapshotReplicas returns what was learned of the listed replicas, in the order of their names.
+// snapshotReplicas returns the learned state of the listed replicas, sorted by name.
 func (c *Core) snapshotReplicas(learned []control.LearnedReplica) []learnedstate.Replica {
 	var replicas []learnedstate.Replica
 	for _, l := range learned {
@@ -153,8 +156,8 @@
 	return replicas
 }
 
-// snapshotResponseTimes returns the baselines by the names of the hardware classes. The last one is of all together and has
-// no name.
+// snapshotResponseTimes returns the baselines with the names of their hardware classes. The last one is the baseline over
+// all hardware classes and has no name.
 func (c *Core) snapshotResponseTimes(baselines [][]float64) []learnedstate.ResponseTimes {
 	var responseTimes []learnedstate.ResponseTimes
 	for class, times := range baselines {
--- a/internal/controller/storm_test.go
+++ b/internal/controller/storm_test.go
@@ -11,23 +11,30 @@
 	"lilacbend/settings"
 )
 
-// This file simulates a release during which most controllers are lost, so that all their proxies connect to the one that is
-// left. Each proxy has to stop sending to a draining replica within the grace, counted from its drain or from the proxy's
-// own connection, whichever is later.
+// This file simulates a release during which most controllers are lost, so that their proxies connect to a remaining one.
+// Each proxy has to stop sending to a draining replica within the grace. The grace starts when the replica starts draining
+// or when the proxy connects, whichever is later.
 
-// unavoidableCost is the cost of an update that cannot be put off, in units beside the overhead: as many endpoints as a proxy
-// holds before it connects. A platform states a grace within which these reach all proxies so many times (deliveries).
-const unavoidableCost, deliveries = 10.75, 2
+const (
+	// unavoidableCost is the cost of an update that cannot be delayed, in units without the overhead: as many endpoints as a
+	// proxy holds before it connects.
+	unavoidableCost = 10.75
+	// deliveries is how many such updates to all proxies the channel has to be able to send within the platform's drain
+	// grace.
+	deliveries = 2
+)
 
-// storm is a release, the proxies that a controller has when it begins, and those that connect in the middle of it.
+// storm simulates a release, the proxies that a controller has when it begins, and those that connect during the release.
 type storm struct {
 	*simulation
-	draining  map[string]int64 // since when a replica is draining
-	bare      map[int]int64    // since when a proxy has had no usable endpoint
-	successor int
-	worst     int64 // the longest that a proxy held a draining replica, from the later of its connection and the drain
+	draining  map[string]int64 // since when each draining replica has been draining
+	bare      map[int]int64    // since when each proxy without usable endpoints has had none
+	successor int              // number of the next replica that replaces a draining one
+	// worst is the longest time for which a proxy held a draining replica, from the later of its connection and the drain.
+	worst int64
 }
 
+// newStorm returns a storm whose drain grace is as short as the channel's rate allows, but at least 2 s.
 func newStorm(seed int64, proxies, controllers, replicas, rate int) *storm {
 	limit := (22 + int(seed%4)) * proxies
 	w := newSimulation(seed, proxies, replicas, controllers, limit, rate, updateCost)
@@ -42,7 +49,7 @@
 	return c
 }
 
-// settled connects the first part of the proxies and waits until they are bound.
+// settled connects the first proxies and waits until they are bound.
 func (c *storm) settled(proxies int) {
 	for k := range proxies {
 		c.join(k)
@@ -52,7 +59,7 @@
 	}
 }
 
-// wave drains some of the ready replicas and starts as many successors.
+// wave drains some of the ready replicas and starts as many new ones.
 func (c *storm) wave(share float64) {
 	var names []string
 	for _, name := range c.names {
@@ -71,7 +78,7 @@
 	c.list(names, false)
 }
 
-// bring connects a proxy that holds a table of another controller: some of the replicas, some of which it ejects.
+// bring connects a proxy that holds a table from another controller, with some of the replicas and some of these ejected.
 func (c *storm) bring(k, endpoints int) {
 	p := c.proxies[k]
 	for _, at := range c.Perm(len(c.names))[:min(endpoints, len(c.names))] {
@@ -83,7 +90,8 @@
 	c.join(k)
 }
 
-// look records which proxies still send to a draining replica.
+// look records how long proxies have been sending to draining replicas, and fails the simulation if a proxy has had no
+// usable endpoint for longer than the grace.
 func (c *storm) look() {
 	for k, p := range c.proxies {
 		if p.stream == 0 {
@@ -107,11 +115,13 @@
 			c.bare[k] = c.now
 		}
 		if c.now-max(c.bare[k], p.connected) > c.settings.DrainGrace && c.broken == "" {
-			c.broken = fmt.Sprintf("proxy %d has had no endpoint for longer than the grace", k)
+			c.broken = fmt.Sprintf("proxy %d has had no usable endpoint for longer than the grace", k)
 		}
 	}
 }
 
+// While a release is in progress and the proxies of lost controllers connect, no proxy holds a draining replica for longer
+// than the drain grace, and none is without usable endpoints for that long.
 func TestDrainGraceHoldsInAReconnectStorm(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(24) {
@@ -123,7 +133,7 @@
 		c.settled(here)
 		every, share, lost := 4+draw.Intn(8), 0.05+0.1*draw.Float64(), 1+draw.Intn(controllers-1)
 		comes := draw.Intn(40)
-		for step := range 160 { // of a quarter of a second
+		for step := range 160 { // a quarter of a second each
 			if step < 60 && step%every == 0 {
 				c.wave(share)
 			}
@@ -136,7 +146,7 @@
 			c.look()
 		}
 		if most := c.settings.DrainGrace - c.settings.MaxTransit; c.worst > most || c.broken != "" {
-			t.Errorf("seed %d: %d of %d controllers lost, %d proxies, %d replicas, %v cost units a second, waves of %.2f each %d: a proxy held a draining replica for %.2f of %.2f s; %s",
+			t.Errorf("seed %d: %d of %d controllers lost, %d proxies, %d replicas, %v cost units per second, waves of %.2f every %d steps: a proxy held a draining replica for %.2f s, limit %.2f s; %s",
 				seed, lost, controllers, proxies, len(c.names), c.settings.ChannelRate, share, every, float64(c.worst)/1e9, float64(most)/1e9, c.broken)
 		}
 	}
--- a/internal/controller/streams.go
+++ b/internal/controller/streams.go
@@ -6,89 +6,90 @@
 	"lilacbend/control"
 )
 
-// unbound stands in place of a table for proxies that are bound to none: they keep what they held when they connected, which
-// the core does not know.
+// unbound is the table number of streams that are bound to no table. Their proxies keep the table that they held when they
+// connected, which the core does not know.
 const unbound = -1
 
-// maxUnacked bounds the messages that one stream may leave unacknowledged. A proxy gets a few messages a second and an ack
-// covers everything before it, so this many are hours without any ack.
+// maxUnacked limits the number of unacknowledged messages of one stream. A proxy receives a few messages per second and an
+// ack covers all messages before it, so the limit is reached only after hours without any ack.
 const maxUnacked = 4096
 
-// stream is what the core knows of one proxy while it is connected.
+// stream is the state of one connected proxy.
 type stream struct {
 	id        StreamID
 	opened    control.StreamOpened // as reported to the module
-	zone      string               // as the proxy names it
+	zone      string               // the zone name that the proxy sent
 	binding   binding
 	delivered deliveredState
 	unacked   unackedMessages
-	pending   *pendingChanges // what the channel or the message cap has had no capacity for; nil: nothing
+	pending   *pendingChanges // changes held back for lack of capacity; nil if there are none
 	silent    silence
 
-	unboundSince int64 // when it was last bound to no table
-	caughtUp     bool  // since then it was sent all ejections
+	unboundSince int64 // when the stream last became unbound
+	caughtUp     bool  // all ejections have been enqueued since unboundSince
 }
 
-// binding is the table of a stream and what of it is still due.
+// binding is the table of a stream and the parts of the table that are still due.
 type binding struct {
-	table       int     // unbound: none
-	needsFull   bool    // the next update replaces what the proxy holds
-	needsResync bool    // likewise, and says that earlier updates were lost
-	subset      *subset // nil: the stream gets all of the table
+	table       int     // the table's number, or unbound
+	needsFull   bool    // the next update replaces the table that the proxy holds
+	needsResync bool    // the next update is marked as a resync, because earlier updates were lost
+	subset      *subset // nil if the stream gets the whole table
 }
 
-// deliveredState is what a stream's updates have delivered beside the table.
+// deliveredState is the state that the updates of a stream have delivered, apart from the table.
 type deliveredState struct {
-	// ejectsOnlyReported says that the proxy ejects nobody that ejections does not name, as it held no assigned table when
-	// it connected. Otherwise it may eject anyone that ejections does not name.
+	// ejectsOnlyReported means that the proxy ejects only replicas that are in ejections, because it held no assigned table
+	// when it connected. Otherwise it may eject any replica that is not in ejections.
 	ejectsOnlyReported  bool
-	ejections           map[uint32]bool   // by replica; false: unejected
+	ejections           map[uint32]bool   // by replica: whether it was last reported as ejected or as unejected
 	admissions          map[int]Admission // by traffic class
-	cancelledAdmissions []Admission       // of traffic classes that no longer exist, still to be sent
+	cancelledAdmissions []Admission       // not yet sent; of traffic classes that no longer exist
 }
 
-// reset forgets what was delivered, after which everything is sent anew. What is still to be sent stays.
+// reset forgets the delivered state, so that everything is sent again. It keeps the cancelled admissions, which have not
+// been sent yet.
 func (d *deliveredState) reset() {
 	d.ejectsOnlyReported = false
 	d.ejections = map[uint32]bool{}
 	d.admissions = map[int]Admission{}
 }
 
-// mayDiffer reports whether the proxy may hold something else of a replica than whether it is ejected now.
+// mayDiffer reports whether the proxy may have a replica as ejected or unejected contrary to its current state.
 func (d *deliveredState) mayDiffer(replica uint32, ejected bool) bool {
 	last, reported := d.ejections[replica]
 	return ejected != last || !reported && !d.ejectsOnlyReported
 }
 
-// silence says whether a proxy has kept silent though it owes an ack.
+// silence records whether a proxy owes an ack while nothing has arrived from it.
 type silence struct {
-	since    int64 // 0: it owes none, or has spoken since
-	reported bool  // to the module, as disconnected
+	since    int64 // when the ack was requested; 0 if none is owed or something has arrived since
+	reported bool  // whether the proxy was reported to the module as disconnected
 }
 
-// sentMessage is an update that asked for an ack.
+// sentMessage is an update that requested an ack.
 type sentMessage struct {
 	nonce  uint64
 	number uint64 // in the channel's account
-	own    bool   // the nonce is the core's own, or of a module that has failed: its ack is not the running module's
+	own    bool   // the core or a failed module chose the nonce, so its ack is not reported to the running module
 }
 
-// unackedMessages are the messages of a stream that were sent and not acknowledged, in the order sent.
+// unackedMessages are the messages of a stream that were sent but not acknowledged, in the order sent.
 type unackedMessages []sentMessage
 
-// add appends a message and drops the oldest past maxUnacked.
+// add appends a message and drops the oldest messages beyond maxUnacked.
 func (u *unackedMessages) add(m sentMessage) {
 	all := append(*u, m)
 	*u = all[max(0, len(all)-maxUnacked):]
 }
 
-// find returns the place of the first message with a nonce; below 0: there is none.
+// find returns the index of the first message with a nonce, or -1 if there is none.
 func (u unackedMessages) find(nonce uint64) int {
 	return slices.IndexFunc(u, func(m sentMessage) bool { return m.nonce == nonce })
 }
 
-// takeCovered removes the messages that an ack of the one at a place covers, and returns the last nonce among them that is the
-// module's; false: there is none.
+// takeCovered removes the messages covered by an ack of the message at an index. It returns the last nonce among them that
+// the running module chose, or false if there is none.
 func (u *unackedMessages) takeCovered(place int) (nonce uint64, found bool) {
 	covered := (*u)[:place+1]
 	*u = (*u)[place+1:]
@@ -100,33 +101,33 @@
 	return 0, false
 }
 
-// markOwn marks all messages as not the running module's: a new module counts its nonces anew, and an ack of an old one
-// must not end a step of it.
+// markOwn excludes the acks of all messages from being reported to the module. A new module counts its nonces from the
+// beginning, and an ack of an earlier module's message must not complete one of its steps.
 func (u unackedMessages) markOwn() {
 	for k := range u {
 		u[k].own = true
 	}
 }
 
-// streamSet holds the streams of all connected proxies. Each proxy has one stream; each stream is bound to one table, or
-// to none.
+// streamSet holds the streams of all connected proxies. Each proxy has one stream, and each stream is bound to one table or
+// is unbound.
 type streamSet struct {
 	byProxy map[int]*stream
 	byID    map[StreamID]*stream
-	byTable map[int]map[int]*stream // by table, unbound among them, and proxy
+	byTable map[int]map[int]*stream // by table, including unbound, and by proxy
 }
 
 func newStreamSet() streamSet {
 	return streamSet{byProxy: map[int]*stream{}, byID: map[StreamID]*stream{}, byTable: map[int]map[int]*stream{}}
 }
 
-// add records a stream, which is not bound yet.
+// add adds a stream without binding it.
 func (set *streamSet) add(s *stream) {
 	set.byProxy[s.opened.Proxy] = s
 	set.byID[s.id] = s
 }
 
-// remove drops a stream.
+// remove removes a stream and its binding.
 func (set *streamSet) remove(s *stream) {
 	set.unbind(s)
 	delete(set.byID, s.id)
@@ -150,10 +151,10 @@
 	}
 }
 
-// isCurrent reports whether a stream is still the one of its proxy.
+// isCurrent reports whether a stream is still the stream of its proxy.
 func (set *streamSet) isCurrent(s *stream) bool { return set.byProxy[s.opened.Proxy] == s }
 
-// reachedBy returns the streams that an admission of a table reaches.
+// reachedBy returns the streams that an admission of a table, or of control.AllTables, affects.
 func (set *streamSet) reachedBy(table int) map[int]*stream {
 	if table == control.AllTables {
 		return set.byProxy
@@ -161,24 +162,24 @@
 	return set.byTable[table]
 }
 
-// bindStream binds a stream to a table, all of which it gets unless the caller says otherwise.
+// bindStream binds a stream to a table without a subset. The caller may set one afterwards.
 func (c *Core) bindStream(s *stream, table int) {
 	c.streams.bind(s, table)
 	s.binding.subset = nil
-	if s.pending != nil { // changes of one table mean nothing in another
+	if s.pending != nil { // the pending endpoints are those of the old table
 		s.pending.endpoints = map[uint32]bool{}
 	}
 	c.delivery.markDue(s)
 }
 
-// removeStream drops a stream that has ended or is replaced. Its messages may still be in the channel.
+// removeStream removes a stream that was closed or replaced. Its messages may still be in the channel.
 func (c *Core) removeStream(s *stream, now int64) {
 	c.streams.remove(s)
 	c.delivery.unmarkDue(s)
 	c.delivery.account.Disconnect(s.opened.Proxy, now)
 }
 
-// forgetDelivered has everything sent anew to a stream.
+// forgetDelivered forgets the state delivered to a stream, so that everything is sent again.
 func (c *Core) forgetDelivered(s *stream) {
 	s.caughtUp = false
 	s.delivered.reset()
--- a/internal/controller/streams_test.go
+++ b/internal/controller/streams_test.go
@@ -21,19 +21,19 @@
 		set.bind(s, table)
 		for other, bound := range set.byTable {
 			if (bound[4] == s) != (other == table) {
-				t.Errorf("bound to %d: table %d has %v", table, other, bound)
+				t.Errorf("stream bound to table %d: table %d has streams %v", table, other, bound)
 			}
 		}
 	}
 	if reached := set.reachedBy(control.AllTables); reached[4] != s {
-		t.Errorf("all tables reach %v", reached)
+		t.Errorf("streams of all tables: %v", reached)
 	}
 	if reached := set.reachedBy(2); len(reached) != 0 {
-		t.Errorf("a table that the stream has left reaches %v", reached)
+		t.Errorf("streams of a table from which the only stream was moved: %v", reached)
 	}
 	set.remove(s)
 	if set.isCurrent(s) || len(set.byProxy)+len(set.byID)+len(set.byTable[0]) != 0 {
-		t.Errorf("a removed stream stays: %+v", set)
+		t.Errorf("removed stream is still in the set: %+v", set)
 	}
 }
 
@@ -47,7 +47,7 @@
 	set.bind(next, 0)
 	set.unbind(old)
 	if set.byTable[0][4] != next || set.isCurrent(old) || !set.isCurrent(next) {
-		t.Errorf("the successor is not the proxy's stream: %+v", set)
+		t.Errorf("the new stream is not the proxy's stream: %+v", set)
 	}
 }
 
@@ -66,7 +66,7 @@
 		{"reported as unejected", deliveredState{ejections: map[uint32]bool{1: false}}, false, false},
 	} {
 		if got := c.delivered.mayDiffer(1, c.ejected); got != c.want {
-			t.Errorf("%s: %v", c.name, got)
+			t.Errorf("%s: may differ %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -80,22 +80,22 @@
 	}
 	d.reset()
 	if d.ejectsOnlyReported || len(d.ejections)+len(d.admissions) != 0 || len(d.cancelledAdmissions) != 1 {
-		t.Errorf("%+v", d)
+		t.Errorf("after the reset: %+v", d)
 	}
 }
 
 func TestUnackedMessagesAckCoversAllBeforeIt(t *testing.T) {
 	u := unackedMessages{{nonce: 1}, {nonce: 2}, {nonce: 9, own: true}, {nonce: 3}}
 	if place := u.find(7); place >= 0 {
-		t.Errorf("a nonce that was not sent is found at %d", place)
+		t.Errorf("a nonce that was not sent was found at index %d", place)
 	}
 	nonce, found := u.takeCovered(u.find(9))
 	if !found || nonce != 2 || len(u) != 1 || u[0].nonce != 3 {
-		t.Errorf("nonce %d %v, left %v", nonce, found, u)
+		t.Errorf("got nonce %d, found %v; messages left %v", nonce, found, u)
 	}
 	u.markOwn()
 	if _, found := u.takeCovered(0); found || len(u) != 0 {
-		t.Errorf("an ack of a failed module is the new one's; left %v", u)
+		t.Errorf("a failed module's nonce was returned for the new module; messages left %v", u)
 	}
 }
 
@@ -105,7 +105,7 @@
 		u.add(sentMessage{nonce: nonce})
 	}
 	if len(u) != maxUnacked || u[0].nonce != 2 {
-		t.Errorf("%d messages, the first %d", len(u), u[0].nonce)
+		t.Errorf("%d messages, the first with nonce %d", len(u), u[0].nonce)
 	}
 }
 
@@ -120,7 +120,7 @@
 		{sentMessage{nonce: nonceModulus - 1, own: true}, 0},
 	} {
 		if got := (unackedMessages{{nonce: 3}, c.last}).nextOwnNonce(); got != c.want {
-			t.Errorf("after %+v: %d, want %d", c.last, got, c.want)
+			t.Errorf("nonce after %+v: got %d, want %d", c.last, got, c.want)
 		}
 	}
 }
@@ -131,12 +131,12 @@
 	for _, s := range []*stream{quiet, spoke, again} {
 		d.await(s, 10)
 	}
-	d.await(quiet, 11) // owes one already
+	d.await(quiet, 11) // no effect: the stream already owes an ack
 	spoke.silent.since = 0
 	again.silent.since = 0
 	d.await(again, 12)
 	if overdue := d.takeOverdue(15, 5); overdue != nil {
-		t.Errorf("in time: %v", overdue)
+		t.Errorf("overdue before the timeout: %v", overdue)
 	}
 	if overdue := d.takeOverdue(16, 5); !slices.Equal(overdue, []*stream{quiet}) {
 		t.Errorf("overdue: %v", overdue)
@@ -157,6 +157,6 @@
 	d.markDue(s)
 	d.unmarkDue(s)
 	if due := d.takeDue(); len(due) != 0 {
-		t.Errorf("due once more: %v", due)
+		t.Errorf("due after unmarkDue: %v", due)
 	}
 }
--- a/internal/controller/subset.go
+++ b/internal/controller/subset.go
@@ -7,11 +7,12 @@
 	"lilacbend/control"
 )
 
-// subset is the part of its table that a stream gets first. Which part, and when the rest follows, the module decides.
+// subset is the part of its table that a stream gets first. The module decides which part this is and when the rest follows.
 type subset struct {
-	ordered  []uint32        // as the module gave it
-	replicas map[uint32]bool // those of ordered that were sent, or are about to be
-	// confirmed is how many of the first replicas the first update says are not ejected, if the proxy may hold that they are.
+	ordered  []uint32        // in the module's order
+	replicas map[uint32]bool // those of ordered that were sent or are about to be sent
+	// confirmed is the number of replicas at the beginning of the first update for which this update also states that they
+	// are not ejected, if the proxy may hold the opposite.
 	confirmed int
 	restDue   bool // the rest of the table is due
 }
@@ -24,7 +25,7 @@
 	return s
 }
 
-// changed returns those of some replicas that are in the subset.
+// changed returns those of the given replicas that are in the subset.
 func (s *subset) changed(replicas map[uint32]bool) map[uint32]bool {
 	changed := map[uint32]bool{}
 	for replica := range replicas {
@@ -35,7 +36,7 @@
 	return changed
 }
 
-// hasUsableSubset reports whether a stream has a subset of which something can still be used.
+// hasUsableSubset reports whether a stream has a subset with at least one usable replica.
 func (c *Core) hasUsableSubset(s *stream) bool {
 	if s.binding.subset == nil {
 		return false
@@ -48,13 +49,13 @@
 	return false
 }
 
-// hasUnusableSubset reports whether a stream has a subset of which nothing can be used any more.
+// hasUnusableSubset reports whether a stream has a subset without any usable replica.
 func (c *Core) hasUnusableSubset(s *stream) bool {
 	return s.binding.subset != nil && !c.hasUsableSubset(s)
 }
 
-// sendsRest reports whether the rest of a table goes with the next update. An urgent one leaves it out, so as to be short,
-// unless the stream has nothing else.
+// sendsRest reports whether the next update contains the rest of a table. An urgent update omits it to stay short, unless
+// the subset has no usable replica.
 func (c *Core) sendsRest(s *stream, urgent bool) bool {
 	if s.binding.subset == nil || !s.binding.subset.restDue {
 		return false
@@ -62,8 +63,8 @@
 	return !urgent || c.hasUnusableSubset(s)
 }
 
-// subsetEndpoints returns the endpoints of a subset's first update in the module's order. What has been ejected or removed
-// since the module gave it is left out.
+// subsetEndpoints returns the endpoints of a subset's first update in the module's order. It omits replicas that were
+// ejected or removed after the module sent the subset.
 func (c *Core) subsetEndpoints(s *stream) endpointList {
 	var usable []uint32
 	s.binding.subset.replicas = map[uint32]bool{}
@@ -76,8 +77,8 @@
 	return c.endpointsIn(s.binding.table, usable)
 }
 
-// restEndpoints returns the endpoints of the table beside the subset, those of the subset that have changed, and those which
-// the proxy may still eject. From then on the stream has all of the table.
+// restEndpoints returns the endpoints of the table outside the subset, the changed ones of the subset, and those that the
+// proxy may still hold as ejected. It removes the subset: from then on the stream has the whole table.
 func (c *Core) restEndpoints(s *stream, changes *turnChanges) endpointList {
 	part := s.binding.subset
 	due := part.changed(changes.endpoints[s.binding.table])
--- a/internal/controller/subset_test.go
+++ b/internal/controller/subset_test.go
@@ -6,7 +6,8 @@
 	"lilacbend/control"
 )
 
-// A stream that has a subset of its table gets the changes of the subset alone, and all others with the rest of the table.
+// A stream that has a subset of its table gets only the changes of the subset. It gets all other changes with the rest of
+// the table.
 func TestSubsetOfATableAndItsRest(t *testing.T) {
 	steps := []struct {
 		inputs   []Input
@@ -18,7 +19,7 @@
 				control.BindSubset{Proxy: 4, Replicas: []uint32{2, 1}, Unejected: 1}, control.RequestAck{Nonce: 1}}, "1: full y=0.5 x=1 +y #1"},
 		{nil, commands{endpoint(0, 3, 3), control.RequestAck{Nonce: 2}}, ""},
 		{nil, commands{control.SetEjected{Replica: 3, Ejected: true}, control.RequestAck{Nonce: 3}}, ""},
-		{nil, commands{endpoint(0, 1, 0.7), control.RequestAck{Nonce: 4}}, "1: x=0.7 +x #4"}, // it may hold that x is ejected
+		{nil, commands{endpoint(0, 1, 0.7), control.RequestAck{Nonce: 4}}, "1: x=0.7 +x #4"}, // the proxy may hold x as ejected
 		{nil, commands{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 5}}, "1: -y #5"},
 		{nil, commands{control.Bind{Proxy: 4}, control.RequestAck{Nonce: 6}}, "1: z=3 v=1 -z +v #6"},
 		{nil, commands{endpoint(0, 3, 1), control.RequestAck{Nonce: 7}}, "1: z=1 #7"},
@@ -32,7 +33,7 @@
 	c, _ := core(turns...)
 	for k, s := range steps {
 		if got := text(c.Turn(int64(k)*1e9, s.inputs)); got != s.want {
-			t.Errorf("step %d: %q, want %q", k, got, s.want)
+			t.Errorf("step %d: got updates %q, want %q", k, got, s.want)
 		}
 	}
 }
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -9,7 +9,7 @@
 
 const second = int64(1e9)
 
-// Where the settings name no zones all peers are in one, whatever they call it.
+// If the settings name no zones, all peers are in one zone, and any zone name is accepted.
 func TestTopologyWithoutZonesTakesAnyZone(t *testing.T) {
 	p := control.Settings{Proxies: 2, Classes: []control.TrafficClass{{Timeout: second}}}
 	none := NewTopology(settings.Names{}, p)
@@ -17,17 +17,17 @@
 	for _, zone := range []string{"", "a", "a-"} {
 		report := Outcomes{Zone: zone, Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: second}}
 		if none.CheckCollector(zone) != nil || none.CheckProxy(StreamOpened{Proxy: 1, Zone: zone}) != nil || !none.validOutcomes(report) {
-			t.Errorf("%q is refused where there are no zones", zone)
+			t.Errorf("zone %q is refused though the settings name no zones", zone)
 		}
 		known := zone == "a"
 		joins := some.CheckProxy(StreamOpened{Proxy: 1, Zone: zone}) == nil
 		if (some.CheckCollector(zone) == nil) != known || joins != known || some.validOutcomes(report) != known {
-			t.Errorf("%q, where there are zones", zone)
+			t.Errorf("zone %q: accepted must be %v for settings with zones a and a-1", zone, known)
 		}
 	}
 }
 
-// Reports that come once in a quarter of an hour tell of that long.
+// If the report interval is longer than maxReportPeriod, a report may cover several intervals.
 func TestTopologyTakesReportsOfSeveralIntervals(t *testing.T) {
 	const cycle = 900 * second
 	p := control.Settings{Proxies: 2, ReportInterval: cycle, Classes: []control.TrafficClass{{Timeout: second}}}
@@ -35,7 +35,7 @@
 	for span, usable := range map[int64]bool{cycle: true, 2 * cycle: true, 5 * cycle: false} {
 		report := Outcomes{Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: span}}
 		if c.validOutcomes(report) != usable || c.validDemand(Demand{Demand: control.Demand{Period: span}}) != usable {
-			t.Errorf("a sum of %d s: not %v", span/second, usable)
+			t.Errorf("report over %d s: valid must be %v", span/second, usable)
 		}
 	}
 }
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -16,41 +16,43 @@
 	"lilacbend/settings"
 )
 
-// The benchmarks of this file give the slopes of docs/CAPACITY.md: each varies one input of a turn and leaves the others at
-// the shape of one controller of a mean service. They measure the core and the module alone, without sockets.
+// The benchmarks of this file measure the slopes in docs/CAPACITY.md: each varies one parameter of a turn and keeps the
+// others at the values of one controller of a mean service. They measure only the core and the module, without sockets.
 
-// The channel of a fleet: cost units that may wait in it, and cost units a second.
+// The channel of a fleet.
 const (
-	channelLimit = 49200
-	channelRate  = 1200
-	// wideChannel holds back nothing, so that every table lists every replica.
+	channelLimit = 49200 // cost units that may wait in the channel
+	channelRate  = 1200  // cost units per second
+	// wideChannel is the limit and the rate of a channel that holds back no updates, so that every table lists every
+	// replica.
 	wideChannel = 1 << 20
 )
 
 const (
 	tickInterval   = second / 4
-	reportInterval = second / 500 // between two turns that no tick is due in
+	reportInterval = second / 500 // between two turns in which no tick is due
 	settlingTurns  = 40
 )
 
-// turnShape is the size of one controller and what each of its turns takes in.
+// turnShape is the size of one controller and the inputs of each of its turns.
 type turnShape struct {
 	replicas, proxies, classes int
 	reports, demands, changes  int
 	interval                   int64
-	wide                       bool
+	wide                       bool // the channel holds back no updates
 }
 
+// meanService returns the shape of one controller of a mean service.
 func meanService() turnShape {
 	return turnShape{replicas: 33, proxies: 480, classes: 3, reports: 40, interval: tickInterval}
 }
 
-// sizedWorld is a controller that all of its proxies are connected to, behind a channel that delivers at once.
+// sizedWorld simulates a controller with all proxies connected, behind a channel that delivers messages immediately.
 type sizedWorld struct {
 	*simulation
 	shape   turnShape
 	classes []string
-	heap    uint64        // bytes that it holds once it has settled
+	heap    uint64        // heap size in bytes after settling
 	used    time.Duration // processor time of all turns
 	updates int
 	units   int // cost units of all updates, without overhead
@@ -90,7 +92,7 @@
 	return m.HeapAlloc
 }
 
-// turn has one turn, says how long it took, and delivers its messages before the next one.
+// turn runs one turn after an interval, delivers its messages, and returns how long the turn took.
 func (w *sizedWorld) turn(interval int64) time.Duration {
 	w.now += interval
 	events := w.inputs
@@ -108,10 +110,10 @@
 	return took
 }
 
-// threadTime is the processor time of the calling thread. Unlike the wall's time it does not grow when others use the
-// machine. What the garbage collector does on threads of its own is not in it.
+// threadTime returns the processor time of the calling thread. Unlike wall time, it does not grow when other processes use
+// the machine. It does not include the work of the garbage collector on other threads.
 func threadTime() time.Duration {
-	const rusageThread = 1 // RUSAGE_THREAD, which package syscall does not name
+	const rusageThread = 1 // RUSAGE_THREAD, which package syscall does not define
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(rusageThread, &usage); err != nil {
 		panic(err)
@@ -119,7 +121,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// report adds the inputs of one turn of the shape.
+// report adds the inputs of one turn.
 func (w *sizedWorld) report() {
 	for range w.shape.reports {
 		w.inputs = append(w.inputs, controller.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))], Outcomes: control.Outcomes{
@@ -139,7 +141,7 @@
 	}
 }
 
-// restarted has some replicas start anew, and names them.
+// restarted restarts random replicas and returns their names.
 func (w *sizedWorld) restarted(count int) []string {
 	var names []string
 	for range count {
@@ -151,6 +153,7 @@
 	return names
 }
 
+// benchmarkTurns measures turns of a shape.
 func benchmarkTurns(b *testing.B, shape turnShape) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -171,7 +174,7 @@
 	runtime.KeepAlive(w)
 }
 
-// varying runs the turns of the mean service with one input varied.
+// varying measures turns of the mean service for several values of one parameter.
 func varying(b *testing.B, input string, values []int, set func(*turnShape, int)) {
 	for _, v := range values {
 		b.Run(fmt.Sprintf("%s=%d", input, v), func(b *testing.B) {
@@ -188,12 +191,13 @@
 	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas = v })
 }
 
-// The same behind a channel that holds back nothing.
+// BenchmarkTurnByReplicasWideChannel is BenchmarkTurnByReplicas with a channel that holds back no updates.
 func BenchmarkTurnByReplicasWideChannel(b *testing.B) {
 	varying(b, "replicas", []int{200, 1000, 3000, 9500}, func(s *turnShape, v int) { s.replicas, s.wide = v, true })
 }
 
-// Turns between two ticks: one report each, as reports come spread over time.
+// BenchmarkTurnBetweenTicksByReplicas measures turns between two ticks with one report each, since reports arrive one by
+// one.
 func BenchmarkTurnBetweenTicksByReplicas(b *testing.B) {
 	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas, s.reports, s.interval = v, 1, reportInterval })
 }
@@ -218,13 +222,13 @@
 	varying(b, "changes", []int{0, 1, 10, 100}, func(s *turnShape, v int) { s.changes, s.replicas = v, 655 })
 }
 
-// A turn that puts changed settings in force: one class has another timeout.
+// BenchmarkTurnThatConfiguresByClasses measures turns that put settings in force in which one class has another timeout.
 func BenchmarkTurnThatConfiguresByClasses(b *testing.B) {
 	for _, classes := range []int{3, 48, 240, 960} {
 		b.Run(fmt.Sprintf("classes=%d", classes), func(b *testing.B) {
 			shape := meanService()
 			shape.classes = classes
-			shape.interval = reportInterval // so that few of them have a tick
+			shape.interval = reportInterval // so that a tick is due in few of the turns
 			w := newSizedWorld(shape)
 			version := revision.Version{Epoch: 1}
 			var spans []time.Duration
@@ -237,7 +241,7 @@
 					Start: func() controller.Module { return policy.New(changed) }})
 				spans = append(spans, w.turn(shape.interval))
 				if w.core.ConfigurationVersion() != version {
-					b.Fatal("not in force")
+					b.Fatal("changed settings are not in force")
 				}
 			}
 			slices.Sort(spans)
@@ -246,7 +250,8 @@
 	}
 }
 
-// All proxies connect within one turn to a controller of a mean service behind the channel of a fleet.
+// BenchmarkTurnThatBindsByProxies measures a turn in which all proxies connect to a controller of a mean service behind the
+// channel of a fleet.
 func BenchmarkTurnThatBindsByProxies(b *testing.B) {
 	for _, proxies := range []int{48, 240, 480, 960, 1920} {
 		b.Run(fmt.Sprintf("proxies=%d", proxies), func(b *testing.B) {
@@ -261,7 +266,7 @@
 				}
 				began := time.Now()
 				if o := w.core.Turn(w.now+tickInterval, w.inputs); len(o.Updates) == 0 {
-					b.Fatal("nobody is bound")
+					b.Fatal("no proxy was bound")
 				}
 				spans = append(spans, time.Since(began))
 			}
--- a/internal/sendbudget/account.go
+++ b/internal/sendbudget/account.go
@@ -1,23 +1,23 @@
 package sendbudget
 
-// Account holds the charges of one controller, across all modules and streams that it has had.
+// Account holds the charges of one controller, across all of its modules and streams.
 type Account struct {
 	Bounds
-	queued       int       // units that may wait in the channel
-	likelyQueued int       // units that are likely to wait in it: how busy it is, and nothing else
-	messages     []message // in the order charged, from the first that is not known to have left
-	firstNumber  uint64    // of messages[0]
+	queued       int       // units that may still wait in the channel
+	likelyQueued int       // units that are likely to wait in the channel; used only to judge how busy it is
+	messages     []message // in the order charged, starting with the oldest that is not known to have left
+	firstNumber  uint64    // number of messages[0]
 	proxies      map[int]*proxyAccount
 }
 
-// message is one that may still wait in the channel.
+// message is a charged message. It may still wait in the channel unless its units are 0.
 type message struct {
 	proxy       int
-	units       int   // 0: known to have left
-	likelyUnits int   // 0: likely to have left
-	chargedAt   int64 // when it was about to be written
-	sendTime    int64 // that the channel takes when all is well to send what waited, and this
-	writtenAt   int64 // when its last byte was known to have been written; 0: not yet
+	units       int   // 0 if the message is known to have left the channel
+	likelyUnits int   // 0 if the message is likely to have left the channel
+	chargedAt   int64 // when the message was charged, just before it was written
+	sendTime    int64 // time to send this message and all that waited before it, at the channel's stated rate
+	writtenAt   int64 // when its last byte was reported as written; 0 if it was not
 }
 
 // New returns an account of an empty channel.
@@ -26,16 +26,16 @@
 // Queued returns how many units may still wait in the channel.
 func (a *Account) Queued() int { return a.queued }
 
-// HasRoom reports whether the channel takes messages now. A few keep it busy until acks arrive; the rest had better wait
-// outside, where they can be brought up to date.
+// HasRoom reports whether the channel is to be given more messages now. A few messages keep it busy until acks arrive.
+// Others wait outside the channel, where they can still be brought up to date.
 func (a *Account) HasRoom(urgent bool) bool {
 	busy := a.busyUnits(urgent)
 	return busy <= 0 || float64(a.likelyQueued) < busy
 }
 
-// NeedsAckRequest reports that something is charged, that nothing was written for so long that all of it must have entered the
-// channel, and that an ack request fits: its ack would show that everything has left. Otherwise a channel that is full of
-// messages whose acks are lost stays full, and nothing is sent that could be acknowledged.
+// NeedsAckRequest reports whether messages are charged, all of them were charged so long ago that they must have entered the
+// channel, and an ack request fits. The ack of such a request shows that all of them have left. Without it, a channel full
+// of messages whose acks are lost would stay full, and no message that could be acknowledged would be sent.
 func (a *Account) NeedsAckRequest(now int64) bool {
 	if a.queued == 0 {
 		return false
@@ -47,8 +47,8 @@
 	return a.ChannelLimit == 0 || a.queued+a.MessageOverhead+1 <= a.ChannelLimit
 }
 
-// Fits reports whether a message of some units to a proxy keeps all bounds. One that keeps the proxy away from a replica is
-// urgent.
+// Fits reports whether a message to a proxy with the given units is within all bounds. A message that stops the proxy from
+// using a replica is urgent.
 func (a *Account) Fits(proxy, units int, urgent bool, now int64) bool {
 	if !a.HasRoom(urgent) {
 		return false
@@ -82,7 +82,7 @@
 	return number
 }
 
-// lookUp returns the message of a number; nil: it has left.
+// lookUp returns the message with a number, or nil if it is no longer in the account.
 func (a *Account) lookUp(number uint64) *message {
 	if number < a.firstNumber || number-a.firstNumber >= uint64(len(a.messages)) {
 		return nil
@@ -102,9 +102,10 @@
 	}
 }
 
-// Acknowledge takes back what the ack of a proxy to a message shows to have left: all that was sent to it up to then and, as
-// messages leave in the order in which they enter, what was written to anybody so long before this one was charged that it
-// must have entered first. What has not been written may enter at any moment, of a stalled writer too.
+// Acknowledge takes back the charges of all messages that have left the channel according to a proxy's ack of a message.
+// These are the messages to the same proxy up to the acknowledged one. Since messages leave in the order in which they
+// enter, they are also the messages to any proxy that were written so long before the acknowledged one was charged that they
+// must have entered first. A message that has not been written may enter at any time, even if its writer has stalled.
 func (a *Account) Acknowledge(proxy int, number uint64, now int64) {
 	if p := a.proxies[proxy]; p != nil {
 		p.acknowledge(number, now)
@@ -115,7 +116,7 @@
 	a.trim()
 }
 
-// takeBackUpTo takes back the messages up to an acknowledged one as far as its ack shows that they have left.
+// takeBackUpTo takes back the charges of those messages up to an acknowledged one that have left according to its ack.
 func (a *Account) takeBackUpTo(last uint64, acknowledged message, proxy int, now int64) {
 	for number := a.firstNumber; number <= last; number++ {
 		m := a.lookUp(number)
@@ -130,8 +131,9 @@
 	}
 }
 
-// Disconnect records that the stream of a proxy has ended. What the proxy might still get it may have got just now, as messages
-// do not outlive their stream. Whether they still wait in the channel is not known, so they stay charged to it.
+// Disconnect records that the stream of a proxy has ended. The outstanding messages count as received now, since a message
+// cannot arrive after the end of its stream. It is not known whether they still wait in the channel, so they stay charged to
+// it.
 func (a *Account) Disconnect(proxy int, now int64) {
 	p := a.proxies[proxy]
 	if p == nil {
@@ -140,13 +142,14 @@
 	p.disconnect(now)
 	for k := range a.messages {
 		m := &a.messages[k]
-		if m.proxy == proxy && m.writtenAt == 0 { // no more of it will be written
+		if m.proxy == proxy && m.writtenAt == 0 { // no more of the message will be written
 			m.writtenAt = now
 		}
 	}
 }
 
-// Expire takes back what has waited for so long that it must have left, though nobody has acknowledged it.
+// Expire takes back the charges of unacknowledged messages that were charged so long ago that they must have left the
+// channel.
 func (a *Account) Expire(now int64) {
 	for k := range a.messages {
 		m := &a.messages[k]
@@ -162,7 +165,7 @@
 	a.trim()
 }
 
-// Evict expires messages and drops the proxies of which nothing is charged any more.
+// Evict expires messages and drops the accounts of proxies for which nothing counts any more.
 func (a *Account) Evict(now int64) {
 	a.Expire(now)
 	for proxy, p := range a.proxies {
@@ -173,7 +176,7 @@
 	}
 }
 
-// takeBack frees the units of a message.
+// takeBack takes back the charge of a message.
 func (m *message) takeBack(a *Account) {
 	a.queued -= m.units
 	a.likelyQueued -= m.likelyUnits
@@ -181,7 +184,7 @@
 	m.likelyUnits = 0
 }
 
-// markLikelyLeft takes a message as likely to have left the channel.
+// markLikelyLeft records that a message is likely to have left the channel.
 func (a *Account) markLikelyLeft(number uint64, now int64) {
 	m := a.lookUp(number)
 	a.likelyQueued -= m.likelyUnits
@@ -191,21 +194,21 @@
 	}
 }
 
-// markLeft takes back a message that has left the channel without an ack of its own.
+// markLeft takes back the charge of a message that has left the channel without an ack of its own.
 func (a *Account) markLeft(number uint64, now int64) {
 	a.assumeReceived(number, now)
 	a.lookUp(number).takeBack(a)
 }
 
-// assumeReceived counts a message without an ack as received now, or as late as its transit takes. Otherwise a proxy whose acks
-// are lost would get no more than its cap of messages for as long as the channel might hold them.
+// assumeReceived counts an unacknowledged message as received after the longest transit from now. Otherwise a proxy whose
+// acks are lost would get no more messages than its cap for as long as the channel might hold the unacknowledged ones.
 func (a *Account) assumeReceived(number uint64, now int64) {
 	if p := a.proxies[a.lookUp(number).proxy]; p != nil {
 		p.assumeReceived(number, now+a.MaxTransit)
 	}
 }
 
-// trim drops the oldest messages as far as all of them have left.
+// trim drops the oldest messages up to the first that may still be in the channel.
 func (a *Account) trim() {
 	for len(a.messages) > 0 && a.messages[0].units == 0 {
 		a.messages = a.messages[1:]
