--- a/internal/sendbudget/bounds.go
+++ b/internal/sendbudget/bounds.go
@@ -1,73 +1,79 @@
-// Package sendbudget accounts for every message that a controller sends to its proxies, against the limit of the channel that
-// they share and against the message cap of each proxy. A message is charged before it is sent, and only what shows that it
-// has left the channel takes the charge back, so the limits hold however slow the channel, the proxies and the controller
-// are and whichever acks are lost.
+// Package sendbudget accounts for every message that a controller sends to its proxies, against the limit of the channel
+// that the proxies share and against the message cap of each proxy. A message is charged before it is sent. The charge is
+// taken back only on evidence that the message has left the channel, so the limits hold no matter how slow the channel, the
+// proxies and the controller are and which acks are lost.
 //
-// The same channel has a second account in policy/pacing, which plans in cost units what the module may ask for in a turn. This
-// one is charged for each message as it is sent, and it decides: what it has no room for waits, whatever was planned.
+// Package policy/pacing has a second account of the same channel, with which the module plans how many cost units its
+// commands may use in a turn. The account here is charged for each message when it is sent and has the final decision: a
+// message for which it has no room waits, even if the module planned for it.
 //
-// The package has no I/O, no clock and no goroutine. Costs are units of the channel, times
+// The package has no I/O and no clock and starts no goroutines. Costs are in units of the channel, and times are in
 // nanoseconds of one monotonic clock.
 package sendbudget
 
 import "time"
 
-// Bounds are what the platform says of the channel.
+// Bounds are the limits and properties of the channel as stated by the platform.
 type Bounds struct {
-	ChannelLimit    int     // cost units that may wait in the channel, overheads included; 0: any number
-	ChannelRate     float64 // units a second that it sends when all is well
-	MessageOverhead int     // units that a message costs beside its own
-	MaxMessages     int     // that one proxy may get within MessageWindow; 0: any number
+	ChannelLimit    int     // cost units that may wait in the channel, including overheads; 0 means no limit
+	ChannelRate     float64 // units per second that the channel normally sends
+	MessageOverhead int     // units that each message costs in addition to the units of its content
+	MaxMessages     int     // message cap: messages to one proxy within MessageWindow; 0 means no limit
 	MessageWindow   int64
-	MaxTransit      int64 // the longest from the channel to a proxy
-	DrainGrace      int64 // within which a proxy has to get what keeps it away from a replica; 0: not known
+	MaxTransit      int64 // the longest transit time from the channel to a proxy
+	DrainGrace      int64 // time within which a message that stops a proxy from using a replica must arrive; 0 if unknown
 }
 
 const (
-	// reservedDivisor gives the part of the channel, one in so many units, that is kept for urgent messages: about what the
-	// ejection of a replica costs for all proxies of a controller.
+	// reservedDivisor is the divisor that gives the part of the channel reserved for urgent messages: about the cost of
+	// ejecting one replica at all proxies of a controller.
 	reservedDivisor = 16
-	// reservedAckRequests is how many ack requests fit into a channel that is full otherwise.
+	// reservedAckRequests is the number of ack requests that still fit into a channel that is full otherwise.
 	reservedAckRequests = 4
-	// busyTransits is for how many of the longest transits ordinary messages may keep the channel busy: those of messages, of
-	// the acks to the ones before them, there and back twice.
+	// busyTransits is the time for which normal messages may keep the channel busy, as a multiple of MaxTransit: the
+	// transits of the messages and of the acks to the messages before them, each in both directions.
 	busyTransits = 4
-	// busyGraceDivisor bounds the same by the drain grace divided by it, as what is urgent waits behind all that is in
-	// the channel.
+	// busyGraceDivisor limits the same time to the drain grace divided by busyGraceDivisor, since urgent messages wait
+	// behind all messages that are already in the channel.
 	busyGraceDivisor = 4
-	// urgentBusyFactor is how many times as long urgent messages may keep it busy.
+	// urgentBusyFactor is the factor by which urgent messages may keep the channel busy for longer than normal ones.
 	urgentBusyFactor = 2
 )
 
 const (
-	// usualSlowdown is how many times slower than stated the channel may be before a message without an ack is taken as likely to
-	// have left. From then on it does not count as keeping the channel busy, as its ack may be lost.
+	// usualSlowdown is the factor by which the channel may be slower than its stated rate before an unacknowledged message
+	// counts as likely to have left. From then on the message does not count as keeping the channel busy, since its ack may
+	// be lost.
 	usualSlowdown = 4
-	// maxSlowdown and lostDelay say when a message without an ack is taken to have left for good: when a channel this many times
-	// slower than stated would have sent all that waited with it, and some time later.
+	// maxSlowdown and lostDelay determine when an unacknowledged message counts as having left: lostDelay after the time at
+	// which a channel slower than its stated rate by the factor maxSlowdown would have sent it and all messages that waited
+	// before it.
 	maxSlowdown = 24
 	lostDelay   = int64(30 * time.Second)
-	// reorderWindow is by how much messages of different streams may change places, in nanoseconds. A message is written in
-	// pieces and enters the channel with its last one; the longest transit alone is too short.
+	// reorderWindow is the time, in nanoseconds, within which messages of different streams may change their order. A
+	// message is written in pieces and enters the channel with its last piece, so the longest transit time alone would be
+	// too short.
 	reorderWindow = int64(2 * time.Second)
 )
 
 const (
-	// countedTransits is for how many of the longest transits beyond the window a message counts against a proxy's cap.
+	// countedTransits is the time beyond the window for which a message counts against a proxy's cap, as a multiple of
+	// MaxTransit.
 	countedTransits = 4
-	// spacingGraceDivisor bounds the time between spaced messages by what the drain grace leaves beside the transit, divided by
-	// it.
+	// spacingGraceDivisor limits the time between spaced messages to the drain grace without the transit, divided by
+	// spacingGraceDivisor.
 	spacingGraceDivisor = 2
-	// spacedDivisor gives the part of a proxy's messages, one in so many, that is not spaced where no grace is known.
+	// spacedDivisor is the divisor that gives the part of a proxy's messages that is not spaced if the drain grace is not
+	// known.
 	spacedDivisor = 2
 )
 
-// reserve is what no message may use of the channel, so that ack requests fit.
+// reserve returns the units of the channel that only ack requests may use.
 func (b *Bounds) reserve() int {
 	return min(reservedAckRequests*(b.MessageOverhead+1), b.ChannelLimit/reservedDivisor)
 }
 
-// messageLimit returns the most units that may wait with one more message.
+// messageLimit returns the limit of the units in the channel, including a message that is about to be charged.
 func (b *Bounds) messageLimit(urgent bool) int {
 	limit := b.ChannelLimit - b.reserve()
 	if !urgent {
@@ -89,7 +95,7 @@
 	return units
 }
 
-// sendTime returns how long the channel takes to send some units when all is well.
+// sendTime returns how long the channel takes to send units at its stated rate.
 func (b *Bounds) sendTime(units int) int64 {
 	if b.ChannelRate <= 0 {
 		return 0
@@ -97,12 +103,12 @@
 	return int64(float64(units) / b.ChannelRate * float64(time.Second))
 }
 
-// countedWindow returns for how long a message counts against a proxy's cap: until its ack, after its transit there and back, is
-// a window old.
+// countedWindow returns how long a message counts against a proxy's cap: until a window has passed since its ack, which
+// arrives after the transits of the message and of the ack.
 func (b *Bounds) countedWindow() int64 { return b.MessageWindow + countedTransits*b.MaxTransit }
 
-// spacedMessages returns how many of the messages that a proxy may get within a window are spaced: the last ones, as many as
-// make their spacing short enough for the drain grace.
+// spacedMessages returns how many of the messages that a proxy may get within a window are spaced. These are the last ones,
+// and as few as make the spacing short enough for the drain grace.
 func (b *Bounds) spacedMessages() int {
 	if b.DrainGrace == 0 {
 		return b.MaxMessages - b.MaxMessages/spacedDivisor
@@ -115,6 +121,6 @@
 	return min(b.MaxMessages, int(rounded))
 }
 
-// spacing returns the time between two spaced messages to a proxy. Without it a proxy that is sent each of many changes by
-// itself uses up its cap, and gets no ejection until the first of its messages are a window old.
+// spacing returns the minimum time between two spaced messages to a proxy. Without spacing, a proxy that is sent many
+// changes in a message each would use up its cap, and would get no ejection until its first messages are a window old.
 func (b *Bounds) spacing() int64 { return b.countedWindow() / int64(b.spacedMessages()) }
--- a/internal/sendbudget/messagecap.go
+++ b/internal/sendbudget/messagecap.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// proxyAccount is what is charged to one proxy. What counts against its message cap is whichever is more: the messages that
-// were sent to it within the window, or those that it may receive within one.
+// proxyAccount holds the messages charged to one proxy. The larger of two numbers counts against its message cap: the
+// messages that were sent to the proxy within the window, and the messages that the proxy may receive within one window.
 type proxyAccount struct {
-	outstanding []uint64 // numbers of messages that it may well still receive, in the order charged
-	receivedAt  []int64  // when it may have received others: the times of their acks, within the window
-	chargedAt   []int64  // when messages to it were charged, within the window
+	outstanding []uint64 // numbers of the messages that the proxy may still receive, in the order charged
+	receivedAt  []int64  // latest times at which the proxy may have received other messages, within the window
+	chargedAt   []int64  // times at which messages to the proxy were charged, within the window
 }
 
-// used returns how many messages of the window count.
+// used returns how many messages count against the cap.
 func (p *proxyAccount) used() int {
 	return max(len(p.chargedAt), len(p.outstanding)+len(p.receivedAt))
 }
 
-// evict drops the times before one.
+// evict drops all times before the given one.
 func (p *proxyAccount) evict(before int64) {
 	past := func(at int64) bool { return at < before }
 	p.chargedAt = slices.DeleteFunc(p.chargedAt, past)
 	p.receivedAt = slices.DeleteFunc(p.receivedAt, past)
 }
 
-// isEmpty reports whether nothing counts any more.
+// isEmpty reports whether no message counts against the cap any more.
 func (p *proxyAccount) isEmpty() bool {
 	return len(p.outstanding)+len(p.chargedAt)+len(p.receivedAt) == 0
 }
 
-// acknowledge records that the proxy has received everything up to a message, the last of it possibly just now.
+// acknowledge records that the proxy has received all messages up to the one with a number, possibly only just now.
 func (p *proxyAccount) acknowledge(number uint64, now int64) {
 	for len(p.outstanding) > 0 && p.outstanding[0] <= number {
 		p.outstanding = p.outstanding[1:]
@@ -35,7 +35,8 @@
 	}
 }
 
-// assumeReceived records that the proxy has received one message at a time, unless it is known to have.
+// assumeReceived records that the proxy has received a message at the given time, unless the message is no longer
+// outstanding.
 func (p *proxyAccount) assumeReceived(number uint64, at int64) {
 	k := slices.Index(p.outstanding, number)
 	if k < 0 {
@@ -45,7 +46,7 @@
 	p.receivedAt = append(p.receivedAt, at)
 }
 
-// disconnect records that the proxy receives nothing more by its stream.
+// disconnect records that the proxy's stream has ended: the outstanding messages count as received now.
 func (p *proxyAccount) disconnect(now int64) {
 	for range p.outstanding {
 		p.receivedAt = append(p.receivedAt, now)
@@ -53,7 +54,7 @@
 	p.outstanding = nil
 }
 
-// UnderMessageCap reports whether a proxy stays within its cap with one more message.
+// UnderMessageCap reports whether one more message to a proxy stays within the proxy's message cap.
 func (a *Account) UnderMessageCap(proxy int, now int64) bool {
 	p := a.proxies[proxy]
 	if p == nil || a.MaxMessages == 0 {
@@ -63,8 +64,8 @@
 	return p.used() < a.MaxMessages
 }
 
-// keepsSpacing reports whether a message to a proxy may be sent now as far as its spacing is concerned. The first messages of a
-// window are not spaced.
+// keepsSpacing reports whether the spacing of messages allows a message to a proxy now. The first messages of a window are
+// not spaced.
 func (a *Account) keepsSpacing(proxy int, now int64) bool {
 	p := a.proxies[proxy]
 	if p == nil || a.MaxMessages == 0 || len(p.chargedAt) == 0 {
--- a/internal/sendbudget/messagecap_test.go
+++ b/internal/sendbudget/messagecap_test.go
@@ -8,24 +8,24 @@
 func TestProxyAccountCountsWhicheverIsMore(t *testing.T) {
 	p := &proxyAccount{outstanding: []uint64{1, 2, 3}, chargedAt: []int64{10, 20}}
 	if p.used() != 3 {
-		t.Errorf("%d used with three outstanding", p.used())
+		t.Errorf("%d messages count with three outstanding and two charged, want 3", p.used())
 	}
 	p.acknowledge(2, 30)
 	if p.used() != 3 || len(p.outstanding) != 1 || len(p.receivedAt) != 2 {
-		t.Errorf("%d used after an ack of two: %+v", p.used(), p)
+		t.Errorf("%d messages count after an ack of two, want 3: %+v", p.used(), p)
 	}
 	p.assumeReceived(9, 35) // not outstanding
 	p.assumeReceived(3, 40)
 	if p.used() != 3 || len(p.outstanding) != 0 || p.receivedAt[2] != 40 {
-		t.Errorf("after all are received: %+v", p)
+		t.Errorf("after all messages are received: %+v", p)
 	}
 	p.evict(40)
 	if p.used() != 1 || len(p.chargedAt) != 0 {
-		t.Errorf("after a window: %+v", p)
+		t.Errorf("after the eviction of times before the last receipt: %+v", p)
 	}
 	p.evict(41)
 	if !p.isEmpty() {
-		t.Errorf("left: %+v", p)
+		t.Errorf("after the eviction of all times: %+v", p)
 	}
 }
 
@@ -33,7 +33,7 @@
 	p := &proxyAccount{outstanding: []uint64{1, 2}}
 	p.disconnect(50)
 	if len(p.outstanding) != 0 || p.used() != 2 || p.isEmpty() {
-		t.Errorf("%+v", p)
+		t.Errorf("after the disconnection: %+v", p)
 	}
 }
 
@@ -47,7 +47,7 @@
 		{"large", Bounds{ChannelLimit: 1600, MessageOverhead: 4}, 1580, 1482},
 	} {
 		if urgent, general := c.bounds.messageLimit(true), c.bounds.messageLimit(false); urgent != c.urgent || general != c.general {
-			t.Errorf("%s: %d urgent, %d others", c.name, urgent, general)
+			t.Errorf("%s: limits of %d units for urgent messages and %d for others, want %d and %d", c.name, urgent, general, c.urgent, c.general)
 		}
 	}
 }
@@ -55,20 +55,20 @@
 func TestBoundsBusyUnitsFollowTransitAndDrainGrace(t *testing.T) {
 	b := Bounds{ChannelRate: 100, MaxTransit: second / 4}
 	if got := b.busyUnits(false); math.Abs(got-100) > 1e-9 {
-		t.Errorf("%v units without a grace", got)
+		t.Errorf("%v busy units without a drain grace, want 100", got)
 	}
 	b.DrainGrace = 2 * second
 	if got := b.busyUnits(false); math.Abs(got-50) > 1e-9 {
-		t.Errorf("%v units with a grace", got)
+		t.Errorf("%v busy units with a drain grace, want 50", got)
 	}
 	if got := b.busyUnits(true); math.Abs(got-100) > 1e-9 {
-		t.Errorf("%v urgent units", got)
+		t.Errorf("%v busy units for urgent messages, want 100", got)
 	}
 	if got := b.sendTime(50); got != second/2 {
-		t.Errorf("50 units take %d", got)
+		t.Errorf("50 units take %d ns", got)
 	}
 	b.ChannelRate = 0
 	if got := b.sendTime(50); got != 0 {
-		t.Errorf("50 units take %d at an unknown rate", got)
+		t.Errorf("50 units take %d ns at an unknown rate, want 0", got)
 	}
 }
