--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -9,8 +9,8 @@
 // Nonces are counted modulo nonceModulus. A nonce that the core chooses is half the modulus away from the module's last one,
 // so that the two cannot be confused.
 const (
-	nonceModulus   = 1 << 16
-	ownNonceOffset = 1 << 15
+	nonceModulus    = 1 << 16
+	coreNonceOffset = 1 << 15
 )
 
 // ackDeadlines records since when each stream has owed an ack.
@@ -27,10 +27,10 @@
 
 // await records that a stream owes an ack from now on. It does nothing if the stream already owes one.
 func (d *ackDeadlines) await(s *stream, now int64) {
-	if s.silent.since != 0 {
+	if s.ackWait.since != 0 {
 		return
 	}
-	s.silent.since = now
+	s.ackWait.since = now
 	d.awaited = append(d.awaited, awaitedAck{stream: s, since: now})
 }
 
@@ -41,7 +41,7 @@
 	for len(d.awaited) > 0 && now-d.awaited[0].since > timeout {
 		ack := d.awaited[0]
 		d.awaited = d.awaited[1:]
-		if ack.stream.silent.since == ack.since {
+		if ack.stream.ackWait.since == ack.since {
 			overdue = append(overdue, ack.stream)
 		}
 	}
@@ -55,10 +55,10 @@
 func (c *Core) expireSilentProxies(now int64) []control.Event {
 	var proxies []int
 	for _, s := range c.delivery.acks.takeOverdue(now, c.silenceTimeout) {
-		if s.silent.reported || !c.streams.isCurrent(s) {
+		if s.ackWait.reportedDisconnected || !c.streams.isCurrent(s) {
 			continue
 		}
-		s.silent.reported = true
+		s.ackWait.reportedDisconnected = true
 		c.Counters.ProxiesSilent++
 		proxies = append(proxies, s.opened.Proxy)
 	}
@@ -70,14 +70,14 @@
 	return events
 }
 
-// streamSpoke records that something has arrived from a proxy. If the proxy was reported to the module as disconnected, the
-// function returns an event that reports it as connected.
-func (c *Core) streamSpoke(s *stream, now int64) []control.Event {
-	s.silent.since = 0
-	if !s.silent.reported {
+// recordActivity records that something has arrived from a proxy. If the proxy was reported to the module as disconnected,
+// the function returns an event that reports it as connected.
+func (c *Core) recordActivity(s *stream, now int64) []control.Event {
+	s.ackWait.since = 0
+	if !s.ackWait.reportedDisconnected {
 		return nil
 	}
-	s.silent.reported = false
+	s.ackWait.reportedDisconnected = false
 	s.unboundSince = now
 	s.caughtUp = false
 	c.bindStream(s, unbound)
@@ -92,17 +92,17 @@
 		c.Counters.Stale++
 		return nil
 	}
-	reconnected := c.streamSpoke(s, now)
-	place := s.unacked.find(ack.Nonce)
-	if place >= 0 {
-		c.delivery.account.Acknowledge(s.opened.Proxy, s.unacked[place].number, now)
+	reconnected := c.recordActivity(s, now)
+	index := s.unacked.find(ack.Nonce)
+	if index >= 0 {
+		c.delivery.account.Acknowledge(s.opened.Proxy, s.unacked[index].number, now)
 	}
 	// The module no longer waits for acks of a proxy that was reported to it as disconnected.
-	if place < 0 || reconnected != nil || ack.Delay > maxReportPeriod {
+	if index < 0 || reconnected != nil || ack.Delay > maxReportPeriod {
 		c.Counters.Stale++
 		return reconnected
 	}
-	nonce, found := s.unacked.takeCovered(place)
+	nonce, found := s.unacked.takeCovered(index)
 	if !found {
 		return nil
 	}
@@ -125,22 +125,22 @@
 		return
 	}
 	slices.Sort(candidates)
-	chosen := candidates[c.delivery.ownAckRequests%uint64(len(candidates))]
-	c.delivery.ownAckRequests++
+	chosen := candidates[c.delivery.coreAckRequests%uint64(len(candidates))]
+	c.delivery.coreAckRequests++
 	c.Counters.OwnAckRequests++
 	s := c.streams.byProxy[chosen]
-	update := Update{WantsAck: true, Nonce: s.unacked.nextOwnNonce()}
+	update := Update{WantsAck: true, Nonce: s.unacked.nextCoreNonce()}
 	number := c.delivery.account.Charge(chosen, update.cost(), t.now)
-	s.unacked = append(s.unacked, sentMessage{nonce: update.Nonce, number: number, own: true})
+	s.unacked = append(s.unacked, sentMessage{nonce: update.Nonce, number: number, hiddenFromModule: true})
 	t.send(s, update, number)
 }
 
-// nextOwnNonce returns the nonce of the core's next ack request: half the modulus past the last nonce if that one is the
+// nextCoreNonce returns the nonce of the core's next ack request: half the modulus past the last nonce if that one is the
 // running module's, and one past it otherwise.
-func (u unackedMessages) nextOwnNonce() uint64 {
+func (u unackedMessages) nextCoreNonce() uint64 {
 	last := u[len(u)-1]
-	if last.own {
+	if last.hiddenFromModule {
 		return (last.nonce + 1) % nonceModulus
 	}
-	return (last.nonce + ownNonceOffset) % nonceModulus
+	return (last.nonce + coreNonceOffset) % nonceModulus
 }
--- a/internal/controller/buildupdate.go
+++ b/internal/controller/buildupdate.go
@@ -7,9 +7,9 @@
 	"lilacbend/control"
 )
 
-// concerns reports whether the ejection of a replica affects a stream. It does if the stream has the replica in its table or
-// subset, and if the stream is unbound, because then it is not known which replicas its proxy holds.
-func (c *Core) concerns(s *stream, replica uint32) bool {
+// ejectionAffects reports whether the ejection of a replica affects a stream. It does if the stream has the replica in its
+// table or subset, and if the stream is unbound, because then it is not known which replicas its proxy holds.
+func (c *Core) ejectionAffects(s *stream, replica uint32) bool {
 	if s.binding.table < 0 {
 		return true
 	}
@@ -23,9 +23,9 @@
 // carry them.
 func (c *Core) maxCost(s *stream, changes *turnChanges, urgent bool) int {
 	fixed := 1 + len(c.names.Classes) + 1 // the full flag, one admission per class and the ack request
-	part := s.binding.subset
-	if s.binding.needsFull && part != nil {
-		return fixed + len(part.replicas) + part.confirmed
+	boundSubset := s.binding.subset
+	if s.binding.needsFull && boundSubset != nil {
+		return fixed + len(boundSubset.replicas) + boundSubset.confirmedCount
 	}
 	return fixed + c.maxEndpointCost(s, changes, urgent) + c.maxEjectionCost(s, changes) + len(s.delivered.cancelledAdmissions)
 }
@@ -101,11 +101,11 @@
 	if s.binding.subset != nil && s.binding.subset.restDue {
 		c.delivery.markDue(s)
 	}
-	return update, reached || update.cost() > 0 || changes.reach(s.binding)
+	return update, reached || update.cost() > 0 || changes.affects(s.binding)
 }
 
-// reach reports whether the changed endpoints or admissions affect a binding.
-func (t *turnChanges) reach(b binding) bool {
+// affects reports whether the changed endpoints or admissions affect a binding.
+func (t *turnChanges) affects(b binding) bool {
 	tableChanged := b.subset == nil && len(t.endpoints[b.table]) > 0
 	return tableChanged || t.admissions[control.AllTables] || t.admissions[b.table]
 }
@@ -129,12 +129,12 @@
 }
 
 // addEndpoints adds endpoints to an update, together with their ejections and unejections. The first update of a subset
-// states these only for the first subset.confirmed replicas.
+// states these only for the first subset.confirmedCount replicas.
 func (c *Core) addEndpoints(s *stream, list endpointList, update *Update) {
 	update.Endpoints = list.endpoints
 	confirmed := len(list.replicas)
 	if update.Full && s.binding.subset != nil {
-		confirmed = s.binding.subset.confirmed
+		confirmed = s.binding.subset.confirmedCount
 	}
 	for k, replica := range list.replicas {
 		if k < confirmed && c.routing.tables[s.binding.table][replica] > 0 {
@@ -145,14 +145,14 @@
 
 // addEjections adds the ejections and unejections of replicas to an update and reports whether any of them affects the
 // stream.
-func (c *Core) addEjections(s *stream, replicas map[uint32]bool, update *Update) (concerned bool) {
+func (c *Core) addEjections(s *stream, replicas map[uint32]bool, update *Update) (affected bool) {
 	for _, replica := range slices.Sorted(maps.Keys(replicas)) {
-		if c.concerns(s, replica) {
-			concerned = true
+		if c.ejectionAffects(s, replica) {
+			affected = true
 			c.addEjection(s, replica, update)
 		}
 	}
-	return concerned
+	return affected
 }
 
 // addEjection adds the ejection or unejection of a replica to an update if the proxy may hold the opposite.
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -39,7 +39,7 @@
 		snapshot := c.snapshot(command, t.now)
 		t.result.Snapshot = &snapshot
 	case control.Log:
-		t.result.Logs = append(t.result.Logs, c.nameReplica(command.Text))
+		t.result.Logs = append(t.result.Logs, c.replaceReplicaNumber(command.Text))
 	default:
 		c.Counters.Invalid++
 	}
@@ -105,8 +105,8 @@
 	c.Counters.CostRequested += int64(len(c.streams.reachedBy(command.Table)))
 }
 
-// nameReplica replaces the number of a replica in a log line by its name, since operators do not know the numbers.
-func (c *Core) nameReplica(text string) string {
+// replaceReplicaNumber replaces the number of a replica in a log line by its name, since operators do not know the numbers.
+func (c *Core) replaceReplicaNumber(text string) string {
 	var number uint32
 	scanned, _ := fmt.Sscanf(text, "replica %d ", &number)
 	if scanned != 1 || c.replicas.byNumber[number] == nil {
--- a/internal/controller/configure.go
+++ b/internal/controller/configure.go
@@ -18,8 +18,8 @@
 	// ErrNeedsRestart means that a setting differs that cannot change while proxies are connected: the change would alter
 	// the meaning of updates already sent to them.
 	ErrNeedsRestart = errors.New("setting domain.admit cannot change while the controller runs: restart it")
-	// ErrModuleFails means that a new module panics with the settings.
-	ErrModuleFails = errors.New("the module panics with these settings")
+	// ErrModulePanics means that a new module panics with the settings.
+	ErrModulePanics = errors.New("the module panics with these settings")
 )
 
 // maxFailureText limits the length of a module's panic message in an error, in characters.
@@ -89,9 +89,9 @@
 		c.configuration.previous = &configuration{c.configuration.version, c.Topology, c.module.create}
 	}
 	before := c.names
-	next.names.Zones = sameOrder(before.Zones, configure.Names.Zones)
-	next.formerZones = c.zonesLeft(configure.Names.Zones)
-	c.adopt(configuration{configure.Version, next, configure.Start})
+	next.names.Zones = keepNumbers(before.Zones, configure.Names.Zones)
+	next.formerZones = c.updatedFormerZones(configure.Names.Zones)
+	c.putInForce(configuration{configure.Version, next, configure.Start})
 	c.Counters.ConfigurationsApplied++
 	c.configuration.record(configure, nil)
 	classes := newNumbers(before.Classes, c.names.Classes)
@@ -120,8 +120,8 @@
 	return proxies
 }
 
-// adopt puts a configuration in force and updates the zone and hardware class numbers of replicas and proxies.
-func (c *Core) adopt(next configuration) {
+// putInForce puts a configuration in force and updates the zone and hardware class numbers of replicas and proxies.
+func (c *Core) putInForce(next configuration) {
 	c.configuration.version = next.version
 	c.Topology = next.topology
 	c.module.create = next.create
@@ -151,7 +151,7 @@
 func (d *deliveredState) renumberClasses(numbers []int, before []string, topology Topology) bool {
 	exists := func(a Admission) bool { return slices.Contains(topology.names.Classes, a.Class) }
 	d.cancelledAdmissions = slices.DeleteFunc(d.cancelledAdmissions, exists)
-	lifts := false
+	cancels := false
 	renumbered := map[int]Admission{}
 	for _, class := range sortedKeys(d.admissions) {
 		number := numbers[class]
@@ -160,36 +160,36 @@
 			continue
 		}
 		d.cancelledAdmissions = append(d.cancelledAdmissions, Admission{Class: before[class], Fraction: 1, Retries: topology.defaultRetries})
-		lifts = true
+		cancels = true
 	}
 	d.admissions = renumbered
-	return lifts
+	return cancels
 }
 
 // revertConfiguration restores the settings from before this turn, because the module panics with the new ones.
 func (c *Core) revertConfiguration(failure string) {
-	c.adopt(*c.configuration.previous)
+	c.putInForce(*c.configuration.previous)
 	c.configuration.previous = nil
 	for k := range c.configuration.results {
 		result := &c.configuration.results[k]
 		if result.Err == nil {
-			result.Err = fmt.Errorf("%w: %.*s", ErrModuleFails, maxFailureText, failure)
+			result.Err = fmt.Errorf("%w: %.*s", ErrModulePanics, maxFailureText, failure)
 			c.Counters.ConfigurationsApplied--
 			c.Counters.ConfigurationsRefused++
 		}
 	}
 }
 
-// zonesLeft returns the zones that were removed from the settings since the controller started, given the zones of the new
-// settings. Proxies of these zones may still be connected, so reports about them are accepted.
-func (c *Core) zonesLeft(zones []string) []string {
-	var left []string
+// updatedFormerZones returns the zones that were removed from the settings since the controller started, given the zones of
+// the new settings. Proxies of these zones may still be connected, so reports about them are accepted.
+func (c *Core) updatedFormerZones(zones []string) []string {
+	var former []string
 	for _, zone := range append(slices.Clone(c.formerZones), c.names.Zones...) {
-		if zone != "" && !slices.Contains(zones, zone) && !slices.Contains(left, zone) {
-			left = append(left, zone)
+		if zone != "" && !slices.Contains(zones, zone) && !slices.Contains(former, zone) {
+			former = append(former, zone)
 		}
 	}
-	return left[max(0, len(left)-maxFormerZones):]
+	return former[max(0, len(former)-maxFormerZones):]
 }
 
 // newNumbers returns the new number of each old name, or -1 if the name no longer exists.
@@ -201,10 +201,10 @@
 	return numbers
 }
 
-// sameOrder returns the new names in an order that keeps the numbers of the names that existed before; added names take the
-// numbers of removed ones. The numbers matter because the module assigns tables by the numbers of zones. If the number of
-// names has changed, the new names are returned as they are.
-func sameOrder(before, after []string) []string {
+// keepNumbers returns the new names in an order that keeps the numbers of the names that existed before; added names take
+// the numbers of removed ones. The numbers matter because the module assigns tables by the numbers of zones. If the number
+// of names has changed, the new names are returned as they are.
+func keepNumbers(before, after []string) []string {
 	if len(before) != len(after) {
 		return after
 	}
--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -21,44 +21,44 @@
 	return settings.Names{Classes: split(groups), Zones: split(zones), HardwareClasses: split(kinds)}
 }
 
-// changed returns a Configure input that gives the core of a test other names.
-func changed(number uint64, names settings.Names, module Module) Configure {
-	p := control.Settings{Proxies: 9, Zones: len(names.Zones), HardwareClasses: len(names.HardwareClasses) + 1, DefaultRetries: control.RetryIfNotExecuted}
+// changedNames returns a Configure input that gives the core of a test other names.
+func changedNames(number uint64, names settings.Names, module Module) Configure {
+	changed := control.Settings{Proxies: 9, Zones: len(names.Zones), HardwareClasses: len(names.HardwareClasses) + 1, DefaultRetries: control.RetryIfNotExecuted}
 	for range names.Classes {
-		p.Classes = append(p.Classes, control.TrafficClass{Timeout: 2e9})
+		changed.Classes = append(changed.Classes, control.TrafficClass{Timeout: 2e9})
 	}
-	return Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: p, Start: func() Module { return module }}
+	return Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: changed, Start: func() Module { return module }}
 }
 
 // Settings that list the same names in another order keep admissions, tables and reports assigned to the same names.
 func TestReorderedNamesKeepTheirMeaning(t *testing.T) {
-	c, s := core()
+	c, module := newTestCore()
 	turn := func(inputs []Input, commands ...control.Command) TurnResult {
 		t.Helper()
-		s.turns = [][]control.Command{append([]control.Command{}, commands...)}
+		module.turns = [][]control.Command{append([]control.Command{}, commands...)}
 		if len(commands) == 0 {
-			s.turns = nil
+			module.turns = nil
 		}
-		o := c.Turn(c.lastEviction, inputs)
-		if o.Panic != "" {
-			t.Fatal(o.Panic)
+		result := c.Turn(c.lastEviction, inputs)
+		if result.Panic != "" {
+			t.Fatal(result.Panic)
 		}
-		return o
+		return result
 	}
-	turn([]Input{list(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}},
-		endpoint(0, 1, 1), endpoint(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
+	turn([]Input{replicaList(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}},
+		setEndpoint(0, 1, 1), setEndpoint(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
 		control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}, control.SetAdmission{Table: 0, Class: 0, Fraction: 0.7})
 	o := turn([]Input{
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // before the change: the old number
-		changed(2, namesOf("order,new,read", "b,a", "m0,m2"), s),
+		changedNames(2, namesOf("order,new,read", "b,a", "m0,m2"), module),
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 2}},
 		Outcomes{Zone: "a", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
 	})
 	if len(o.Updates) != 0 || len(o.CloseStreams) != 0 || len(o.Configured) != 1 || o.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 2 {
-		t.Errorf("%s, %+v", text(o), o.Configured)
+		t.Errorf("%s, %+v", formatUpdates(o), o.Configured)
 	}
 	var event control.SettingsChanged
-	for k, e := range s.events {
+	for k, e := range module.events {
 		switch e := e.(type) {
 		case control.Demand:
 			if want := map[int]int{1: 1, 2: 0}[e.Requests]; e.Class != want {
@@ -76,25 +76,25 @@
 		event.Replicas[0].Zone != 1 || len(event.Proxies) != 2 || event.Proxies[0].Zone != 1 {
 		t.Errorf("events %+v", event)
 	}
-	if got := text(turn(nil, control.SetAdmission{Table: 0, Class: 2, Fraction: 0.6})); got != "1: read~0.6/0; 2: read~0.6/0" {
+	if got := formatUpdates(turn(nil, control.SetAdmission{Table: 0, Class: 2, Fraction: 0.6})); got != "1: read~0.6/0; 2: read~0.6/0" {
 		t.Error(got)
 	}
-	if got := text(turn(nil, control.SetAdmission{Table: control.AllTables, Class: 0, Fraction: 0.5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 1})); got != "1: new~1/0; 2: new~1/0" {
+	if got := formatUpdates(turn(nil, control.SetAdmission{Table: control.AllTables, Class: 0, Fraction: 0.5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 1})); got != "1: new~1/0; 2: new~1/0" {
 		t.Error(got) // the admission of class order is 0.5 already
 	}
 }
 
 // The admission of a removed traffic class is cancelled once at every proxy that holds one.
 func TestAdmissionOfARemovedClassIsCancelled(t *testing.T) {
-	c, s := core([]control.Command{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}})
-	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}})
-	if got := text(c.Turn(1, []Input{changed(2, namesOf("read", "a,b", "m1,m2"), s)})); got != "1: order~1/1; 2: order~1/1" {
+	c, module := newTestCore([]control.Command{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}})
+	c.Turn(0, []Input{replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}})
+	if got := formatUpdates(c.Turn(1, []Input{changedNames(2, namesOf("read", "a,b", "m1,m2"), module)})); got != "1: order~1/1; 2: order~1/1" {
 		t.Error(got)
 	}
-	if got := text(c.Turn(2, []Input{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Invalid != 1 {
+	if got := formatUpdates(c.Turn(2, []Input{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Invalid != 1 {
 		t.Errorf("updates %q and %d invalid inputs after demand of a removed class, want none and 1", got, c.Counters.Invalid)
 	}
-	if got := text(c.Turn(3, []Input{changed(3, namesOf("order,read", "a,b", "m1,m2"), s)})); got != "" {
+	if got := formatUpdates(c.Turn(3, []Input{changedNames(3, namesOf("order,read", "a,b", "m1,m2"), module)})); got != "" {
 		t.Error(got)
 	}
 }
@@ -102,21 +102,21 @@
 // Proxies of a removed zone stay connected and reports about them are accepted, but no further proxy of the zone can
 // connect. If the zone returns, its proxies belong to it again.
 func TestProxiesOfARemovedZoneStayConnected(t *testing.T) {
-	c, s := core()
-	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-	o := c.Turn(1, []Input{changed(2, namesOf("read,order", "a", "m1,m2"), s), Outcomes{Zone: "b", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
+	c, module := newTestCore()
+	c.Turn(0, []Input{replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	result := c.Turn(1, []Input{changedNames(2, namesOf("read,order", "a", "m1,m2"), module), Outcomes{Zone: "b", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
 		StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, Outcomes{Zone: "c", Replica: "x"}})
-	if len(o.CloseStreams) != 1 || o.CloseStreams[0] != 2 || c.Counters.Invalid != 2 || c.Counters.ConnectedProxies != 1 {
-		t.Errorf("%v closed, %d invalid, %d connected", o.CloseStreams, c.Counters.Invalid, c.Counters.ConnectedProxies)
+	if len(result.CloseStreams) != 1 || result.CloseStreams[0] != 2 || c.Counters.Invalid != 2 || c.Counters.ConnectedProxies != 1 {
+		t.Errorf("%v closed, %d invalid, %d connected", result.CloseStreams, c.Counters.Invalid, c.Counters.ConnectedProxies)
 	}
-	if report, is := s.events[1].(control.Outcomes); !is || report.Zone != 1 {
-		t.Errorf("events %+v", s.events)
+	if report, is := module.events[1].(control.Outcomes); !is || report.Zone != 1 {
+		t.Errorf("events %+v", module.events)
 	}
 	if err := c.CurrentTopology().CheckCollector("b"); err == nil {
 		t.Error("a collector of a removed zone is accepted")
 	}
-	c.Turn(2, []Input{changed(3, namesOf("read,order", "a,c,b", "m1,m2"), s)})
-	if event := s.events[0].(control.SettingsChanged); event.Proxies[0].Zone != 2 || event.Replicas[0].Zone != 2 {
+	c.Turn(2, []Input{changedNames(3, namesOf("read,order", "a,c,b", "m1,m2"), module)})
+	if event := module.events[0].(control.SettingsChanged); event.Proxies[0].Zone != 2 || event.Replicas[0].Zone != 2 {
 		t.Errorf("events %+v", event)
 	}
 }
@@ -124,14 +124,14 @@
 // If a setting changes that cannot change while the controller runs, all new settings are refused with an error that names
 // the key of the setting.
 func TestSettingsThatNeedARestartAreRefused(t *testing.T) {
-	c, s := core()
-	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-	next := changed(2, namesOf("read", "a", "m1"), s)
+	c, module := newTestCore()
+	c.Turn(0, []Input{replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	next := changedNames(2, namesOf("read", "a", "m1"), module)
 	next.Settings.Admission = control.AdmitRate
-	o := c.Turn(1, []Input{next})
-	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "domain.admit") ||
-		len(s.events) != 0 || len(c.names.Zones) != 2 || !c.ConfigurationVersion().IsZero() || c.Counters.ConfigurationsRefused != 1 {
-		t.Errorf("results %+v, events %+v", o.Configured, s.events)
+	result := c.Turn(1, []Input{next})
+	if len(result.Configured) != 1 || result.Configured[0].Err == nil || !strings.Contains(result.Configured[0].Err.Error(), "domain.admit") ||
+		len(module.events) != 0 || len(c.names.Zones) != 2 || !c.ConfigurationVersion().IsZero() || c.Counters.ConfigurationsRefused != 1 {
+		t.Errorf("results %+v, events %+v", result.Configured, module.events)
 	}
 }
 
@@ -142,53 +142,53 @@
 
 // Settings with which a new module panics are refused: the former ones stay in force and every stream stays open. If the
 // running module panics on the change but a new module runs with the settings, they are in force.
-func TestSettingsByWhichTheModuleFailsAreReverted(t *testing.T) {
-	c, s := core()
-	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
-	s.turns = [][]control.Command{panicking}
-	o := c.Turn(1, []Input{changed(2, namesOf("read", "a", "m1"), panickingModule{})})
-	if len(o.Configured) != 1 || o.Configured[0].Err == nil || !strings.Contains(o.Configured[0].Err.Error(), "the module panics with these settings") {
-		t.Fatalf("results %+v", o.Configured)
+func TestSettingsWithWhichTheModulePanicsAreReverted(t *testing.T) {
+	c, module := newTestCore()
+	c.Turn(0, []Input{replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b"}})
+	module.turns = [][]control.Command{panickingTurn}
+	result := c.Turn(1, []Input{changedNames(2, namesOf("read", "a", "m1"), panickingModule{})})
+	if len(result.Configured) != 1 || result.Configured[0].Err == nil || !strings.Contains(result.Configured[0].Err.Error(), "the module panics with these settings") {
+		t.Fatalf("results %+v", result.Configured)
 	}
-	if !c.ConfigurationVersion().IsZero() || len(c.names.Zones) != 2 || c.streams.byProxy[4].opened.Zone != 1 || c.replicas.byNumber[1].Zone != 1 || len(o.CloseStreams) != 0 {
-		t.Errorf("configuration was not reverted: version %s, names %v, %d streams closed", c.ConfigurationVersion(), c.names, len(o.CloseStreams))
+	if !c.ConfigurationVersion().IsZero() || len(c.names.Zones) != 2 || c.streams.byProxy[4].opened.Zone != 1 || c.replicas.byNumber[1].Zone != 1 || len(result.CloseStreams) != 0 {
+		t.Errorf("configuration was not reverted: version %s, names %v, %d streams closed", c.ConfigurationVersion(), c.names, len(result.CloseStreams))
 	}
-	if _, again := s.events[len(s.events)-1].(control.StreamOpened); !again {
-		t.Errorf("events %+v", s.events)
+	if _, again := module.events[len(module.events)-1].(control.StreamOpened); !again {
+		t.Errorf("events %+v", module.events)
 	}
-	s.turns = [][]control.Command{panicking}
-	o = c.Turn(2, []Input{changed(3, namesOf("read", "a", "m1"), s)})
-	if len(o.Configured) != 1 || o.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 3 || c.streams.byProxy[4].opened.Zone != 1 || c.Counters.ConfigurationsApplied != 1 {
-		t.Errorf("results %+v, version %s in force", o.Configured, c.ConfigurationVersion())
+	module.turns = [][]control.Command{panickingTurn}
+	result = c.Turn(2, []Input{changedNames(3, namesOf("read", "a", "m1"), module)})
+	if len(result.Configured) != 1 || result.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 3 || c.streams.byProxy[4].opened.Zone != 1 || c.Counters.ConfigurationsApplied != 1 {
+		t.Errorf("results %+v, version %s in force", result.Configured, c.ConfigurationVersion())
 	}
 }
 
 // Settings that arrive with the first turn, or while the module is paused after a failure, are used by the next module.
-func TestSettingsBeforeAModuleRunsStartTheNextOne(t *testing.T) {
-	c, _ := core()
-	next, s := changed(2, namesOf("read", "a", "m1"), nil), &scriptedModule{}
-	next.Start = func() Module { return s }
-	c.Turn(0, []Input{next, list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
-	if len(s.events) != 2 || c.ConfigurationVersion().Revision != 2 {
-		t.Errorf("events %+v", s.events)
-	}
-	c, s = core(panicking, panicking)
-	c.Turn(0, []Input{list(true, "xr")})
-	s2 := &scriptedModule{}
-	next.Start = func() Module { return s2 }
-	if o := c.Turn(1, []Input{next}); len(o.Configured) != 1 || o.Configured[0].Err != nil || s2.events != nil {
-		t.Errorf("results %+v, events %+v while the module is paused", o.Configured, s2.events)
-	}
-	if c.Turn(restartDelay+1, nil); len(s2.events) != 1 {
-		t.Errorf("events %+v", s2.events)
+func TestNextModuleUsesSettingsThatArriveBeforeItRuns(t *testing.T) {
+	c, _ := newTestCore()
+	next, firstModule := changedNames(2, namesOf("read", "a", "m1"), nil), &scriptedModule{}
+	next.Start = func() Module { return firstModule }
+	c.Turn(0, []Input{next, replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
+	if len(firstModule.events) != 2 || c.ConfigurationVersion().Revision != 2 {
+		t.Errorf("events %+v", firstModule.events)
+	}
+	c, firstModule = newTestCore(panickingTurn, panickingTurn)
+	c.Turn(0, []Input{replicaList(true, "xr")})
+	nextModule := &scriptedModule{}
+	next.Start = func() Module { return nextModule }
+	if result := c.Turn(1, []Input{next}); len(result.Configured) != 1 || result.Configured[0].Err != nil || nextModule.events != nil {
+		t.Errorf("results %+v, events %+v while the module is paused", result.Configured, nextModule.events)
+	}
+	if c.Turn(restartDelay+1, nil); len(nextModule.events) != 1 {
+		t.Errorf("events %+v", nextModule.events)
 	}
 }
 
-func TestSameOrderKeepsNumbers(t *testing.T) {
+func TestKeepNumbersKeepsThoseOfExistingNames(t *testing.T) {
 	for _, c := range [][3]string{
 		{"a,b", "b,a", "a,b"}, {"a,b", "a,b,c", "a,b,c"}, {"a,b", "c,b", "c,b"}, {"a,b", "b,c", "c,b"}, {"a,b,c", "c,a", "c,a"}, {"a", "b", "b"}, {"", "", ""},
 	} {
-		if got := sameOrder(namesOf("", c[0], "").Zones, namesOf("", c[1], "").Zones); strings.Join(got, ",") != c[2] {
+		if got := keepNumbers(namesOf("", c[0], "").Zones, namesOf("", c[1], "").Zones); strings.Join(got, ",") != c[2] {
 			t.Errorf("from %s to %s: got %v, want %s", c[0], c[1], got, c[2])
 		}
 	}
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -66,12 +66,12 @@
 	}
 	t.result.Configured = c.configuration.endTurn()
 	t.result.NextTurn = c.nextTurn(now)
-	c.countCurrent()
+	c.updateGauges()
 	return t.result
 }
 
-// countCurrent sets the gauges among the counters: those that hold current values instead of sums.
-func (c *Core) countCurrent() {
+// updateGauges sets the gauges among the counters: those that hold current values instead of sums.
+func (c *Core) updateGauges() {
 	c.Counters.KnownReplicas = int64(len(c.replicas.byNumber))
 	c.Counters.ConnectedProxies = int64(len(c.streams.byProxy))
 	c.Counters.ChannelCost = int64(c.delivery.account.Queued())
@@ -114,16 +114,16 @@
 	events = append(events, c.restoredReplicas(learned, list.Entries, now)...)
 	for _, proxy := range slices.Sorted(maps.Keys(c.streams.byProxy)) {
 		s := c.streams.byProxy[proxy]
-		if !s.silent.reported {
+		if !s.ackWait.reportedDisconnected {
 			events = append(events, s.opened)
 		}
 	}
 	return events
 }
 
-// evict drops state that is no longer needed: expired charges, queue entries of closed streams, and names of replicas that
-// are gone.
-func (c *Core) evict(now int64) {
+// evictUnused drops state that is no longer needed: expired charges, queue entries of closed streams, and names of replicas
+// that are gone.
+func (c *Core) evictUnused(now int64) {
 	c.delivery.account.Evict(now)
 	ended := func(s *stream) bool { return !c.streams.isCurrent(s) }
 	c.delivery.urgent = slices.DeleteFunc(c.delivery.urgent, ended)
--- a/internal/controller/crossings_test.go
+++ b/internal/controller/crossings_test.go
@@ -13,34 +13,34 @@
 
 // Lists that are applied in one turn share its time. A replica that the last complete list does not contain must be gone
 // nevertheless: otherwise a new module would consider it ready, and its name would be kept forever.
-func TestListsOfOneTurnAreTakenInOrder(t *testing.T) {
+func TestListsOfOneTurnAreAppliedInOrder(t *testing.T) {
 	for name, lists := range map[string][]Input{
-		"complete, complete":          {list(true, "xr", "yr"), list(true, "yr")},
-		"changes, complete":           {list(true, "yr"), list(false, "xr"), list(true, "yr")},
-		"complete, changes, complete": {list(true, "xr", "yr"), list(false, "xt"), list(true, "yr")},
+		"complete, complete":          {replicaList(true, "xr", "yr"), replicaList(true, "yr")},
+		"changes, complete":           {replicaList(true, "yr"), replicaList(false, "xr"), replicaList(true, "yr")},
+		"complete, changes, complete": {replicaList(true, "xr", "yr"), replicaList(false, "xt"), replicaList(true, "yr")},
 	} {
-		c, _ := core()
+		c, _ := newTestCore()
 		c.Turn(7, lists)
 		if l := c.replicas.currentList(); len(l.Entries) != 1 || c.replicas.byNumber[l.Entries[0].Replica].name != "y" {
 			t.Errorf("%s: a new module gets %+v, want only replica y", name, l.Entries)
 		}
-		if c.evict(8 + nameRetention); c.replicas.numbers["x"] != 0 || c.replicas.numbers["y"] == 0 {
+		if c.evictUnused(8 + nameRetention); c.replicas.numbers["x"] != 0 || c.replicas.numbers["y"] == 0 {
 			t.Errorf("%s: names kept %v", name, c.replicas.numbers)
 		}
 	}
 }
 
 // If a replica is gone and then ready again within one list, or in two lists of one turn, its last entry applies.
-func TestLastEntryOfATurnHolds(t *testing.T) {
+func TestLastEntryOfATurnApplies(t *testing.T) {
 	up := func(m Member, since int64) Member { m.UpSince = since; return m }
-	x := list(false, "xr").Members[0]
-	gone := list(false, "xg").Members[0]
+	x := replicaList(false, "xr").Members[0]
+	gone := replicaList(false, "xg").Members[0]
 	for name, lists := range map[string][]ReplicaList{
 		"one list":  {{Members: []Member{gone, up(x, 900e9)}}},
 		"two lists": {{Members: []Member{gone}}, {Members: []Member{up(x, 900e9)}}},
 	} {
-		c, s := core()
-		c.Turn(1, []Input{list(true, "xr")})
+		c, module := newTestCore()
+		c.Turn(1, []Input{replicaList(true, "xr")})
 		var inputs []Input
 		for _, l := range lists {
 			l.ReadAt, l.ReadAtWall = 1000e9, 1000e9
@@ -48,7 +48,7 @@
 		}
 		c.Turn(2, inputs)
 		var last control.ListedReplica
-		for _, e := range s.events {
+		for _, e := range module.events {
 			for _, entry := range e.(control.ReplicasListed).Entries {
 				last = entry
 			}
@@ -63,17 +63,17 @@
 // so an old ack with the same nonce would complete a step before the proxies have applied it.
 func TestAcksOfAFailedModuleAreNotReported(t *testing.T) {
 	ack := func(n uint64) control.RequestAck { return control.RequestAck{Nonce: n} }
-	c, s := core(commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, ack(2)}, commands{endpoint(0, 1, 2), ack(3)}, panicking,
-		commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, ack(2)})
-	c.Turn(0, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
+	c, module := newTestCore(commands{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, ack(2)}, commands{setEndpoint(0, 1, 2), ack(3)}, panickingTurn,
+		commands{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, ack(2)})
+	c.Turn(0, []Input{replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
 	c.Turn(1, nil)
 	if c.Turn(2, nil); c.Counters.ModuleRestarts != 1 || c.delivery.account.Queued() == 0 {
 		t.Fatalf("%d module restarts, %d cost units charged", c.Counters.ModuleRestarts, c.delivery.account.Queued())
 	}
-	for k, want := range [][]control.Event{nil, nil, {control.Ack{Proxy: 4, Nonce: 2}}} { // the old nonces 2 and 3, then the new 2
-		at := uint64([]int{2, 3, 2}[k])
-		if c.Turn(int64(3+k), []Input{Ack{Stream: 1, Nonce: at}}); !reflect.DeepEqual(s.events, want) {
-			t.Errorf("ack %d of nonce %d: events %+v", k, at, s.events)
+	for step, want := range [][]control.Event{nil, nil, {control.Ack{Proxy: 4, Nonce: 2}}} { // the old nonces 2 and 3, then the new 2
+		nonce := uint64([]int{2, 3, 2}[step])
+		if c.Turn(int64(3+step), []Input{Ack{Stream: 1, Nonce: nonce}}); !reflect.DeepEqual(module.events, want) {
+			t.Errorf("ack %d of nonce %d: events %+v", step, nonce, module.events)
 		}
 	}
 	if c.delivery.account.Queued() != 0 {
@@ -82,21 +82,21 @@
 }
 
 // An ack on a replaced stream releases no charges of the new stream and is not reported to the module.
-func TestAckByAReplacedStreamIsStale(t *testing.T) {
-	bind := commands{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}
+func TestAckOnAReplacedStreamIsStale(t *testing.T) {
+	bind := commands{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}
 	opened := func(stream StreamID) StreamOpened {
 		return StreamOpened{Stream: stream, Proxy: 4, Zone: "a", WithoutTable: true}
 	}
-	c, s := core(bind, commands{control.Bind{Proxy: 4}, control.RequestAck{Nonce: 2}})
-	c.Turn(0, []Input{list(true, "xr"), opened(1)})
-	o := c.Turn(1, []Input{opened(2)})
-	if waits := c.delivery.account.Queued(); len(o.CloseStreams) != 1 || o.CloseStreams[0] != 1 || text(o) != "2: full x=1 #2" || waits == 0 {
-		t.Fatalf("closed %v, %s", o.CloseStreams, text(o))
+	c, module := newTestCore(bind, commands{control.Bind{Proxy: 4}, control.RequestAck{Nonce: 2}})
+	c.Turn(0, []Input{replicaList(true, "xr"), opened(1)})
+	result := c.Turn(1, []Input{opened(2)})
+	if queued := c.delivery.account.Queued(); len(result.CloseStreams) != 1 || result.CloseStreams[0] != 1 || formatUpdates(result) != "2: full x=1 #2" || queued == 0 {
+		t.Fatalf("closed %v, %s", result.CloseStreams, formatUpdates(result))
 	}
-	for _, n := range []Input{Ack{Stream: 1, Nonce: 1}, Ack{Stream: 1, Nonce: 2}, StreamClosed{1}} {
-		waits := c.delivery.account.Queued()
-		if c.Turn(2, []Input{n}); s.events != nil || c.delivery.account.Queued() != waits || c.streams.byProxy[4] == nil || c.streams.byProxy[4].id != 2 {
-			t.Errorf("%+v: events %+v, %d cost units of %d charged", n, s.events, c.delivery.account.Queued(), waits)
+	for _, input := range []Input{Ack{Stream: 1, Nonce: 1}, Ack{Stream: 1, Nonce: 2}, StreamClosed{1}} {
+		queued := c.delivery.account.Queued()
+		if c.Turn(2, []Input{input}); module.events != nil || c.delivery.account.Queued() != queued || c.streams.byProxy[4] == nil || c.streams.byProxy[4].id != 2 {
+			t.Errorf("%+v: events %+v, %d cost units of %d charged", input, module.events, c.delivery.account.Queued(), queued)
 		}
 	}
 	// Streams of one proxy open and close within one turn in various orders. The proxy must always have the latest stream.
@@ -111,23 +111,23 @@
 // Acks arrive later if the channel is larger or slower. A proxy must not be reported as disconnected because of that, since
 // the whole fleet would then be bound again through the slow channel.
 func TestSilenceTimeoutFollowsTheChannel(t *testing.T) {
-	for _, w := range []struct {
+	for _, channel := range []struct {
 		limit       int
 		rate        float64
 		transit     int64
 		longest     int64
 		description string
 	}{{1800, 1200, 250e6, 10e9, "the minimum of 10 s"}, {4000, 1000, 500e6, 23e9, "4 s of messages at a fifth of the rate, two transits and a stall"}} {
-		s := &scriptedModule{turns: []commands{{endpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}}}
+		module := &scriptedModule{turns: []commands{{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}}}
 		names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, HardwareClasses: []string{"m1"}}
-		c := New(func() Module { return s }, NewTopology(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}},
-			ChannelLimit: w.limit, ChannelRate: w.rate, MaxTransit: w.transit}))
-		c.Turn(5, []Input{list(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
-		if c.Turn(5+w.longest, nil); s.events != nil {
-			t.Errorf("%s: events %+v before the timeout, want none", w.description, s.events)
+		c := New(func() Module { return module }, NewTopology(names, control.Settings{Proxies: 9, Classes: []control.TrafficClass{{Timeout: 2e9}},
+			ChannelLimit: channel.limit, ChannelRate: channel.rate, MaxTransit: channel.transit}))
+		c.Turn(5, []Input{replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a"}})
+		if c.Turn(5+channel.longest, nil); module.events != nil {
+			t.Errorf("%s: events %+v before the timeout, want none", channel.description, module.events)
 		}
-		if c.Turn(6+w.longest, nil); !reflect.DeepEqual(s.events, []control.Event{control.StreamClosed{Proxy: 4}}) {
-			t.Errorf("%s: events %+v after the timeout", w.description, s.events)
+		if c.Turn(6+channel.longest, nil); !reflect.DeepEqual(module.events, []control.Event{control.StreamClosed{Proxy: 4}}) {
+			t.Errorf("%s: events %+v after the timeout", channel.description, module.events)
 		}
 	}
 }
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -21,8 +21,8 @@
 	normal  []*stream           // streams with pending changes, longest waiting first; urgent ones are skipped here
 	acks    ackDeadlines
 
-	lastCatchUp    int64  // when unbound streams were last checked
-	ownAckRequests uint64 // number of ack requests by the core, so that successive ones go to different proxies
+	lastCatchUp     int64  // when unbound streams were last checked
+	coreAckRequests uint64 // number of ack requests by the core, so that successive ones go to different proxies
 }
 
 func newDeliveryState(account *sendbudget.Account) deliveryState {
@@ -62,7 +62,7 @@
 // sortByUrgency returns the streams that the changes affect, sorted by proxy. Streams that already have pending changes are
 // left out: the changes are added to their pending ones.
 func (c *Core) sortByUrgency(changes *turnChanges) (urgent, normal []*stream) {
-	for _, proxy := range c.concernedProxies(changes) {
+	for _, proxy := range c.affectedProxies(changes) {
 		s := c.streams.byProxy[proxy]
 		switch {
 		case s == nil:
@@ -77,22 +77,22 @@
 	return urgent, normal
 }
 
-// concernedProxies returns the proxies that the changes affect or that are due, sorted by number. Other proxies are not
+// affectedProxies returns the proxies that the changes affect or that are due, sorted by number. Other proxies are not
 // visited, since there may be ten thousand of them.
-func (c *Core) concernedProxies(changes *turnChanges) []int {
-	concerned := c.delivery.takeDue()
+func (c *Core) affectedProxies(changes *turnChanges) []int {
+	affected := c.delivery.takeDue()
 	for table := range changes.endpoints {
-		maps.Copy(concerned, c.streams.byTable[table])
+		maps.Copy(affected, c.streams.byTable[table])
 	}
 	for replica := range changes.ejections {
 		for _, table := range c.routing.tablesWith(replica) {
-			maps.Copy(concerned, c.streams.byTable[table])
+			maps.Copy(affected, c.streams.byTable[table])
 		}
 	}
 	for table := range changes.admissions {
-		maps.Copy(concerned, c.streams.reachedBy(table))
+		maps.Copy(affected, c.streams.reachedBy(table))
 	}
-	return slices.Sorted(maps.Keys(concerned))
+	return slices.Sorted(maps.Keys(affected))
 }
 
 // isUrgent reports whether a stream's next update stops its proxy from using a replica. Besides new ejections, a full update
@@ -106,7 +106,7 @@
 		return true
 	}
 	for replica := range ejections {
-		if c.routing.ejected[replica] && !s.delivered.ejections[replica] && c.concerns(s, replica) {
+		if c.routing.ejected[replica] && !s.delivered.ejections[replica] && c.ejectionAffects(s, replica) {
 			return true
 		}
 	}
@@ -141,7 +141,7 @@
 		if s.pending == nil || s.pending.urgent != urgent || !c.streams.isCurrent(s) { // sent, in the other queue, or closed
 			continue
 		}
-		if !c.delivery.account.HasRoom(urgent) {
+		if !c.delivery.account.HasCapacity(urgent) {
 			return append(waiting, queue[k:]...)
 		}
 		pending := s.pending.forOneStream(s.binding.table, changes)
@@ -199,7 +199,7 @@
 		s.pending = newPendingChanges()
 		c.delivery.normal = append(c.delivery.normal, s)
 	}
-	s.pending.add(changes, s.binding.table, func(replica uint32) bool { return c.concerns(s, replica) })
+	s.pending.add(changes, s.binding.table, func(replica uint32) bool { return c.ejectionAffects(s, replica) })
 	if !s.pending.urgent && c.isUrgent(s, s.pending.ejections) {
 		s.pending.urgent = true
 		c.delivery.urgent = append(c.delivery.urgent, s)
--- a/internal/controller/handleinput.go
+++ b/internal/controller/handleinput.go
@@ -97,7 +97,7 @@
 		return nil
 	}
 	c.removeStream(s, now)
-	if s.silent.reported {
+	if s.ackWait.reportedDisconnected {
 		return nil
 	}
 	return []control.Event{control.StreamClosed{Proxy: s.opened.Proxy}}
@@ -128,7 +128,7 @@
 	}
 	var events []control.Event
 	if !fromCollector {
-		events = c.streamSpoke(s, now)
+		events = c.recordActivity(s, now)
 	}
 	demand := report.Demand
 	demand.Class = slices.Index(c.names.Classes, report.Class)
@@ -145,7 +145,7 @@
 	applied := c.applyList(list, now)
 	c.Counters.Invalid += int64(applied.unusable)
 	events := []control.Event{applied.event}
-	return append(events, c.restoredReplicas(c.snapshots.restored, applied.started, now)...)
+	return append(events, c.restoredReplicas(c.snapshots.restored, applied.newOrRestarted, now)...)
 }
 
 // handleStreamActive records that a proxy is alive, since something arrived on its stream.
@@ -154,7 +154,7 @@
 	if s == nil {
 		return nil
 	}
-	return c.streamSpoke(s, now)
+	return c.recordActivity(s, now)
 }
 
 // handleUpdatesDropped schedules a resync with the complete state for a stream whose send queue dropped its updates.
--- a/internal/controller/messagecap_test.go
+++ b/internal/controller/messagecap_test.go
@@ -29,42 +29,42 @@
 // must not delay the others.
 func TestCappedProxyDoesNotDelayOthers(t *testing.T) {
 	const grace = 2 * second
-	p := cappedSettings(grace, 6)
-	p.ChannelRate, p.ChannelLimit = 1200, 1800
+	capped := cappedSettings(grace, 6)
+	capped.ChannelRate, capped.ChannelLimit = 1200, 1800
 	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, HardwareClasses: []string{"m1"}}
-	core := controller.New(func() controller.Module { return policy.New(p) }, controller.NewTopology(names, p))
+	core := controller.New(func() controller.Module { return policy.New(capped) }, controller.NewTopology(names, capped))
 	list := func(drains string) controller.ReplicaList {
-		l := controller.ReplicaList{Complete: true, ReadAt: second, ReadAtWall: second}
+		list := controller.ReplicaList{Complete: true, ReadAt: second, ReadAtWall: second}
 		for k := range 6 {
 			m := controller.Member{ID: fmt.Sprint("s-", k), Zone: "a", HardwareClass: "m1", Weight: 1}
 			if m.ID == drains {
 				m.State = control.Draining
 			}
-			l.Members = append(l.Members, m)
+			list.Members = append(list.Members, m)
 		}
-		return l
+		return list
 	}
-	stream, owner, left := controller.StreamID(0), map[controller.StreamID]int{}, map[int]bool{}
+	stream, owner, stopped := controller.StreamID(0), map[controller.StreamID]int{}, map[int]bool{}
 	join := func(proxy int) controller.StreamOpened {
 		stream++
 		owner[stream] = proxy
 		return controller.StreamOpened{Stream: stream, Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true}
 	}
 	inputs := []controller.Input{list("")}
-	for proxy := range p.Proxies {
+	for proxy := range capped.Proxies {
 		inputs = append(inputs, join(proxy))
 	}
 	drainedAt := int64(0)
 	for now := second; now < 12*second; now += second / 10 {
-		o := core.Turn(now, inputs)
+		result := core.Turn(now, inputs)
 		inputs = nil
-		for _, s := range o.Updates {
-			if s.Update.WantsAck && s.Stream > 0 {
-				inputs = append(inputs, controller.MessageSent{Number: s.Number}, controller.Ack{Stream: s.Stream, Nonce: s.Update.Nonce})
+		for _, outgoing := range result.Updates {
+			if outgoing.Update.WantsAck && outgoing.Stream > 0 {
+				inputs = append(inputs, controller.MessageSent{Number: outgoing.Number}, controller.Ack{Stream: outgoing.Stream, Nonce: outgoing.Update.Nonce})
 			}
-			drops := slices.Contains(s.Update.Endpoints, controller.WeightedEndpoint{Replica: "s-0"}) || slices.Contains(s.Update.Ejected, "s-0")
+			drops := slices.Contains(outgoing.Update.Endpoints, controller.WeightedEndpoint{Replica: "s-0"}) || slices.Contains(outgoing.Update.Ejected, "s-0")
 			if drainedAt > 0 && drops && now <= drainedAt+grace {
-				left[owner[s.Stream]] = true
+				stopped[owner[outgoing.Stream]] = true
 			}
 		}
 		switch {
@@ -74,8 +74,8 @@
 			drainedAt, inputs = now, append(inputs, list("s-0"))
 		}
 	}
-	for proxy := 1; proxy < p.Proxies; proxy++ {
-		if !left[proxy] {
+	for proxy := 1; proxy < capped.Proxies; proxy++ {
+		if !stopped[proxy] {
 			t.Errorf("proxy %d was not told within the grace that replica s-0 is draining", proxy)
 		}
 	}
@@ -83,22 +83,22 @@
 
 // A release drains forty replicas one after another, faster than a proxy may get messages. Each proxy must stop using each
 // replica within the grace: the first thirty drains must not use up the message cap.
-func TestDrainGraceHoldsForMoreStepsThanMessages(t *testing.T) {
+func TestDrainGraceHoldsForMoreDrainsThanMessages(t *testing.T) {
 	const (
 		grace    = 2 * second
 		replicas = 60
 		step     = second / 7
 	)
-	p := cappedSettings(grace, 30)
-	p.ChannelRate, p.ChannelLimit = 20000, 6000
+	capped := cappedSettings(grace, 30)
+	capped.ChannelRate, capped.ChannelLimit = 20000, 6000
 	names := settings.Names{Classes: []string{"read"}, Zones: []string{"a"}, HardwareClasses: []string{"m1"}}
-	core := controller.New(func() controller.Module { return policy.New(p) }, controller.NewTopology(names, p))
+	core := controller.New(func() controller.Module { return policy.New(capped) }, controller.NewTopology(names, capped))
 	list := controller.ReplicaList{Complete: true, ReadAt: second, ReadAtWall: second}
 	for k := range replicas {
 		list.Members = append(list.Members, controller.Member{ID: fmt.Sprint("s-", k), Zone: "a", HardwareClass: "m1", Weight: 1})
 	}
 	inputs := []controller.Input{list}
-	for proxy := range p.Proxies {
+	for proxy := range capped.Proxies {
 		inputs = append(inputs, controller.StreamOpened{Stream: controller.StreamID(proxy + 1), Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true})
 	}
 	holds, messages := map[controller.StreamID]map[string]bool{}, map[controller.StreamID]int{}
@@ -110,37 +110,37 @@
 			drained[m.ID] = now
 			inputs = append(inputs, controller.ReplicaList{Revision: 1, ReadAt: now, ReadAtWall: now, Members: []controller.Member{m}})
 		}
-		o := core.Turn(now, inputs)
+		result := core.Turn(now, inputs)
 		inputs = nil
-		for _, s := range o.Updates {
-			held := holds[s.Stream]
-			if held == nil || s.Update.Full {
+		for _, outgoing := range result.Updates {
+			held := holds[outgoing.Stream]
+			if held == nil || outgoing.Update.Full {
 				held = map[string]bool{}
-				holds[s.Stream] = held
+				holds[outgoing.Stream] = held
 			}
-			for _, line := range s.Update.Endpoints {
+			for _, line := range outgoing.Update.Endpoints {
 				held[line.Replica] = line.Weight > 0
 			}
-			for _, id := range s.Update.Ejected {
+			for _, id := range outgoing.Update.Ejected {
 				held[id] = false
 			}
 			if now >= 4*second {
-				messages[s.Stream]++
+				messages[outgoing.Stream]++
 			}
-			inputs = append(inputs, controller.MessageSent{Number: s.Number})
-			if s.Update.WantsAck {
-				inputs = append(inputs, controller.Ack{Stream: s.Stream, Nonce: s.Update.Nonce})
+			inputs = append(inputs, controller.MessageSent{Number: outgoing.Number})
+			if outgoing.Update.WantsAck {
+				inputs = append(inputs, controller.Ack{Stream: outgoing.Stream, Nonce: outgoing.Update.Nonce})
 			}
 		}
 		for id, at := range drained {
 			for stream, held := range holds {
-				if held[id] && now > at+grace-p.MaxTransit {
+				if held[id] && now > at+grace-capped.MaxTransit {
 					t.Fatalf("stream %d, %d messages since the release began: not told by %d ms that %s has been draining since %d ms", stream, messages[stream], now/1e6, id, at/1e6)
 				}
 			}
 		}
 	}
-	if len(holds) != p.Proxies || len(drained) != 40 {
+	if len(holds) != capped.Proxies || len(drained) != 40 {
 		t.Errorf("%d proxies hold a table, %d replicas drained", len(holds), len(drained))
 	}
 }
--- a/internal/controller/module.go
+++ b/internal/controller/module.go
@@ -54,7 +54,7 @@
 	c.module.isNew = false
 	c.sendUpdates(t, c.applyCommands(t, commands))
 	if t.now-c.lastEviction > evictionInterval {
-		c.evict(t.now)
+		c.evictUnused(t.now)
 		c.lastEviction = t.now
 	}
 	return ""
@@ -111,7 +111,7 @@
 		c.bindStream(s, unbound)
 		s.binding.needsFull = false
 		c.forgetDelivered(s)
-		s.unacked.markOwn()
+		s.unacked.hideFromModule()
 		if s.pending != nil {
 			s.pending.wantsAck = false
 		}
--- a/internal/controller/pendingchanges.go
+++ b/internal/controller/pendingchanges.go
@@ -53,10 +53,10 @@
 }
 
 // add adds those changes of a turn that affect a stream.
-func (p *pendingChanges) add(changes *turnChanges, table int, concerns func(replica uint32) bool) {
+func (p *pendingChanges) add(changes *turnChanges, table int, affects func(replica uint32) bool) {
 	maps.Copy(p.endpoints, changes.endpoints[table])
 	for replica := range changes.ejections {
-		if concerns(replica) {
+		if affects(replica) {
 			p.ejections[replica] = true
 		}
 	}
--- a/internal/controller/reconfigure_test.go
+++ b/internal/controller/reconfigure_test.go
@@ -17,35 +17,35 @@
 
 // classNamed returns the traffic class with a name.
 func classNamed(name string) control.TrafficClass {
-	g := control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}
+	class := control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}
 	switch name {
 	case "order":
-		g.PriorityWeight, g.Idempotency = 3, control.NotIdempotent
+		class.PriorityWeight, class.Idempotency = 3, control.NotIdempotent
 	case "browse":
-		g.PriorityWeight = 2
+		class.PriorityWeight = 2
 	}
-	return g
+	return class
 }
 
 // configure adds settings to the inputs of the next turn.
-func (w *simulation) configure(number uint64, p control.Settings, names settings.Names) {
-	p.Zones, p.HardwareClasses, p.Classes = len(names.Zones), len(names.HardwareClasses)+1, nil
+func (w *simulation) configure(number uint64, next control.Settings, names settings.Names) {
+	next.Zones, next.HardwareClasses, next.Classes = len(names.Zones), len(names.HardwareClasses)+1, nil
 	for _, name := range names.Classes {
-		p.Classes = append(p.Classes, classNamed(name))
+		next.Classes = append(next.Classes, classNamed(name))
 	}
-	w.settings = p
-	w.inputs = append(w.inputs, controller.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: p,
-		Start: func() controller.Module { return failingModule{policy.New(p), w} }})
+	w.settings = next
+	w.inputs = append(w.inputs, controller.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: next,
+		Start: func() controller.Module { return failingModule{policy.New(next), w} }})
 }
 
-var worldNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
+var simulationNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 
 // The limits of the channel and the invariants hold for any sequence of settings changes, combined with reconnect storms,
 // releases, faults and occasional module failures. After the last change all proxies are served as before the first one.
 func TestInvariantsHoldThroughChangesOfSettings(t *testing.T) {
 	t.Parallel()
 	zones := [][]string{{"a", "b"}, {"b", "a"}, {"a", "b", "c"}, {"c", "b", "a"}, {"b"}, {"a", "c"}, {}}
-	groups := [][]string{{"read", "order"}, {"order", "read"}, {"browse", "read", "order"}, {"order"}, {"read", "browse"}}
+	classes := [][]string{{"read", "order"}, {"order", "read"}, {"browse", "read", "order"}, {"order"}, {"read", "browse"}}
 	for seed := range int64(60) { // fixed seeds, so that every run is the same
 		draw := rand.New(rand.NewSource(seed))
 		proxies := 2 + draw.Intn(39)
@@ -55,31 +55,31 @@
 		for range 1 + draw.Intn(60) {
 			if draw.Intn(3) == 0 {
 				number++
-				p := original
-				p.Proxies, p.Controllers = p.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
-				p.DrainGrace, p.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
-				p.ChannelLimit, p.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
-				if w.waits > 0 || len(w.stalled) > 0 { // queued messages may exceed limits that shrink
-					p.ChannelLimit, p.MaxMessages = w.settings.ChannelLimit, w.settings.MaxMessages
+				changed := original
+				changed.Proxies, changed.Controllers = changed.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
+				changed.DrainGrace, changed.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
+				changed.ChannelLimit, changed.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
+				if w.queuedUnits > 0 || len(w.unwritten) > 0 { // queued messages may exceed limits that shrink
+					changed.ChannelLimit, changed.MaxMessages = w.settings.ChannelLimit, w.settings.MaxMessages
 				}
-				w.configure(number, p, settings.Names{Classes: groups[draw.Intn(len(groups))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
+				w.configure(number, changed, settings.Names{Classes: classes[draw.Intn(len(classes))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
 			}
 			w.step(draw.Intn(8))
 		}
-		wrong := w.broken
-		w.configure(number+1, original, worldNames)
-		w.pass(second)
+		violation := w.violation
+		w.configure(number+1, original, simulationNames)
+		w.advance(second)
 		for k := range w.proxies { // including those that were refused because of their zone
-			w.join(k)
+			w.connect(k)
 		}
-		if wrong == "" {
-			wrong = w.settle(150 * second)
+		if violation == "" {
+			violation = w.settle(150 * second)
 		}
-		if version := w.core.ConfigurationVersion(); wrong == "" && version.Revision != number+1 {
-			wrong = fmt.Sprintf("settings version %s in force, want revision %d", version, number+1)
+		if version := w.core.ConfigurationVersion(); violation == "" && version.Revision != number+1 {
+			violation = fmt.Sprintf("settings version %s in force, want revision %d", version, number+1)
 		}
-		if wrong != "" {
-			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d: %s", seed, proxies, len(w.names), limit, wrong)
+		if violation != "" {
+			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d: %s", seed, proxies, len(w.replicaNames), limit, violation)
 		}
 	}
 }
@@ -87,15 +87,15 @@
 // Settings with the same names in another order cause no additional update and leave all proxies with the same tables.
 func TestReorderedSettingsChangeNothing(t *testing.T) {
 	for seed := range int64(12) {
-		var worlds []*simulation
+		var simulations []*simulation
 		for k := range 2 {
 			w := newSimulation(seed, 30, 24, 2, 4000, 4000, updateCost)
 			for at := range w.proxies {
-				w.join(at)
+				w.connect(at)
 			}
 			for step := range 40 {
 				if k == 1 && step%8 == 4 {
-					names := settings.Names{Classes: slices.Clone(worldNames.Classes), Zones: slices.Clone(worldNames.Zones), HardwareClasses: worldNames.HardwareClasses}
+					names := settings.Names{Classes: slices.Clone(simulationNames.Classes), Zones: slices.Clone(simulationNames.Zones), HardwareClasses: simulationNames.HardwareClasses}
 					if step%16 == 4 {
 						slices.Reverse(names.Classes)
 						slices.Reverse(names.Zones)
@@ -104,15 +104,15 @@
 				}
 				w.step([]int{3, 5, 5, 5}[step%4])
 			}
-			worlds = append(worlds, w)
+			simulations = append(simulations, w)
 		}
-		a, b := worlds[0], worlds[1]
-		if a.core.Counters.Updates != b.core.Counters.Updates || a.core.Counters.CostSent != b.core.Counters.CostSent || b.core.Counters.ConfigurationsApplied != 5 {
-			t.Fatalf("seed %d: %d updates of %d cost units without the changes, %d of %d with them", seed, a.core.Counters.Updates, a.core.Counters.CostSent, b.core.Counters.Updates, b.core.Counters.CostSent)
+		without, with := simulations[0], simulations[1]
+		if without.core.Counters.Updates != with.core.Counters.Updates || without.core.Counters.CostSent != with.core.Counters.CostSent || with.core.Counters.ConfigurationsApplied != 5 {
+			t.Fatalf("seed %d: %d updates of %d cost units without the changes, %d of %d with them", seed, without.core.Counters.Updates, without.core.Counters.CostSent, with.core.Counters.Updates, with.core.Counters.CostSent)
 		}
-		for k := range a.proxies {
-			if fmt.Sprint(a.proxies[k].endpoints, a.proxies[k].ejected) != fmt.Sprint(b.proxies[k].endpoints, b.proxies[k].ejected) {
-				t.Fatalf("seed %d, proxy %d: endpoints %v without the changes, %v with them", seed, k, a.proxies[k].endpoints, b.proxies[k].endpoints)
+		for k := range without.proxies {
+			if fmt.Sprint(without.proxies[k].endpoints, without.proxies[k].ejected) != fmt.Sprint(with.proxies[k].endpoints, with.proxies[k].ejected) {
+				t.Fatalf("seed %d, proxy %d: endpoints %v without the changes, %v with them", seed, k, without.proxies[k].endpoints, with.proxies[k].endpoints)
 			}
 		}
 	}
@@ -123,25 +123,25 @@
 func settledSimulation(t testing.TB, proxies, replicas int) *simulation {
 	w := newSimulation(1, proxies, replicas, 1, 1<<16, 1<<16, updateCost)
 	for k := range w.proxies {
-		w.join(k)
+		w.connect(k)
 	}
-	if wrong := w.settle(30 * second); wrong != "" {
-		t.Fatal(wrong)
+	if violation := w.settle(30 * second); violation != "" {
+		t.Fatal(violation)
 	}
 	return w
 }
 
 // A change of the settings that affects no assignment of tables sends no tables.
-func TestChangedFiguresSendNoTables(t *testing.T) {
-	w, control := settledSimulation(t, 40, 24), settledSimulation(t, 40, 24)
-	p := w.settings
-	p.DrainGrace, p.ReportInterval, p.ChannelRate, p.ChannelLimit, p.MaxTransit, p.Proxies = 5*second, second/2, p.ChannelRate/2, p.ChannelLimit/2, second/3, p.Proxies+1
-	w.configure(2, p, worldNames)
-	if wrong := w.settle(20 * second); wrong != "" || w.core.ConfigurationVersion().Revision != 2 {
-		t.Error(wrong, w.core.ConfigurationVersion())
+func TestChangedLimitsSendNoTables(t *testing.T) {
+	w, unchanged := settledSimulation(t, 40, 24), settledSimulation(t, 40, 24)
+	changed := w.settings
+	changed.DrainGrace, changed.ReportInterval, changed.ChannelRate, changed.ChannelLimit, changed.MaxTransit, changed.Proxies = 5*second, second/2, changed.ChannelRate/2, changed.ChannelLimit/2, second/3, changed.Proxies+1
+	w.configure(2, changed, simulationNames)
+	if violation := w.settle(20 * second); violation != "" || w.core.ConfigurationVersion().Revision != 2 {
+		t.Error(violation, w.core.ConfigurationVersion())
 	}
-	control.settle(20 * second)
-	if got, want := w.core.Counters, control.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
+	unchanged.settle(20 * second)
+	if got, want := w.core.Counters, unchanged.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
 		t.Errorf("%d full tables and %d cost units with the change, %d and %d without it", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
 	}
 }
@@ -159,29 +159,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := settledSimulation(t, 60, 36)
-			for _, m := range w.states { // replicas of a third zone are listed before the zone is in the settings
+			for _, m := range w.members { // replicas of a third zone are listed before the zone is in the settings
 				if m.ID >= "s-0024" && m.ID < "s-0030" {
 					m.Zone = "c"
-					w.states[m.ID] = m
+					w.members[m.ID] = m
 				}
 			}
-			w.list(w.names, true)
-			if wrong := w.settle(30 * second); wrong != "" {
-				t.Fatal(wrong)
+			w.listReplicas(w.replicaNames, true)
+			if violation := w.settle(30 * second); violation != "" {
+				t.Fatal(violation)
 			}
-			p, names := w.settings, worldNames
-			change(&p, &names)
-			w.configure(2, p, names)
+			changed, names := w.settings, simulationNames
+			change(&changed, &names)
+			w.configure(2, changed, names)
 			for range 200 {
-				w.pass(second / 10)
+				w.advance(second / 10)
 				for k, proxy := range w.proxies {
 					if len(proxy.endpoints) == 0 {
 						t.Fatalf("proxy %d has no endpoint", k)
 					}
 				}
 			}
-			if wrong := w.settle(30 * second); wrong != "" || len(w.core.Turn(w.now, nil).CloseStreams) > 0 {
-				t.Error(wrong)
+			if violation := w.settle(30 * second); violation != "" || len(w.core.Turn(w.now, nil).CloseStreams) > 0 {
+				t.Error(violation)
 			}
 		})
 	}
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -51,9 +51,9 @@
 
 // appliedList is the result of applying a list.
 type appliedList struct {
-	event    control.ReplicasListed
-	started  []control.ListedReplica // replicas that are new, or have restarted or moved since the last list
-	unusable int                     // number of unusable members
+	event          control.ReplicasListed
+	newOrRestarted []control.ListedReplica // replicas that are new, or have restarted or moved since the last list
+	unusable       int                     // number of unusable members
 }
 
 // applyList applies a response of discovery.
@@ -62,7 +62,7 @@
 	c.replicas.revision = list.Revision
 	c.replicas.lists++
 	for _, member := range list.Members {
-		r := c.lookUp(member)
+		r := c.findOrAdd(member)
 		if r == nil {
 			applied.unusable++
 			continue
@@ -71,7 +71,7 @@
 		case member.Unusable:
 			applied.unusable++
 		case c.updateReplica(r, member, list):
-			applied.started = append(applied.started, r.ListedReplica)
+			applied.newOrRestarted = append(applied.newOrRestarted, r.ListedReplica)
 		}
 		r.lastListed = now
 		r.lastList = c.replicas.lists
@@ -83,9 +83,9 @@
 	return applied
 }
 
-// lookUp returns the replica of a member and adds it if it is new. It returns nil if the replica is new and either the
+// findOrAdd returns the replica of a member and adds it if it is new. It returns nil if the replica is new and either the
 // member cannot be used or maxNames is reached.
-func (c *Core) lookUp(member Member) *replica {
+func (c *Core) findOrAdd(member Member) *replica {
 	if number, known := c.replicas.numbers[member.ID]; known {
 		return c.replicas.byNumber[number]
 	}
@@ -93,7 +93,7 @@
 		return nil
 	}
 	if slices.Contains(c.replicas.evictedEjections, member.ID) {
-		c.assumeEjections()
+		c.assumeUnreportedEjected()
 	}
 	return c.replicas.add(member.ID)
 }
@@ -175,7 +175,7 @@
 
 // evictNames drops the names of replicas that have been gone for longer than nameRetention and are no longer needed.
 func (c *Core) evictNames(now int64) {
-	needed := c.neededNames()
+	needed := c.neededReplicas()
 	for number, r := range c.replicas.byNumber {
 		switch {
 		case r.State != control.Gone:
@@ -185,13 +185,13 @@
 		}
 	}
 	if len(c.replicas.evictedEjections) > maxEvictedEjections {
-		c.assumeEjections()
+		c.assumeUnreportedEjected()
 		c.replicas.evictedEjections = nil
 	}
 }
 
-// neededNames returns the replicas that are in a table or in the pending changes of a stream.
-func (c *Core) neededNames() map[uint32]bool {
+// neededReplicas returns the replicas that are in a table or in the pending changes of a stream.
+func (c *Core) neededReplicas() map[uint32]bool {
 	needed := map[uint32]bool{}
 	for _, weights := range c.routing.tables {
 		for replica := range weights {
@@ -223,8 +223,9 @@
 	}
 }
 
-// assumeEjections makes the core assume that every connected proxy ejects all replicas that it has received no report about.
-func (c *Core) assumeEjections() {
+// assumeUnreportedEjected makes the core assume that every connected proxy ejects all replicas that it has received no
+// report about.
+func (c *Core) assumeUnreportedEjected() {
 	for _, s := range c.streams.byProxy {
 		s.delivered.ejectsOnlyReported = false
 	}
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -70,13 +70,13 @@
 // table's own admission.
 func (r *routingState) admission(table, class int) (control.SetAdmission, bool) {
 	own, hasOwn := r.admissions[tableClass{table, class}]
-	general, hasGeneral := r.admissions[tableClass{control.AllTables, class}]
+	allTables, hasAllTables := r.admissions[tableClass{control.AllTables, class}]
 	switch {
-	case hasOwn && hasGeneral:
-		own.Fraction = math.Min(own.Fraction, general.Fraction)
+	case hasOwn && hasAllTables:
+		own.Fraction = math.Min(own.Fraction, allTables.Fraction)
 		return own, true
-	case hasGeneral:
-		return general, true
+	case hasAllTables:
+		return allTables, true
 	}
 	return own, hasOwn
 }
--- a/internal/controller/routing_test.go
+++ b/internal/controller/routing_test.go
@@ -8,7 +8,7 @@
 	"lilacbend/control"
 )
 
-func TestRoutingStateRemovesWhatHasNoWeight(t *testing.T) {
+func TestRoutingStateRemovesReplicasWithoutWeight(t *testing.T) {
 	r := newRoutingState()
 	r.setWeight(0, 1, 2)
 	r.setWeight(0, 2, 1)
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestPendingChangesKeepWhatConcernsAStream(t *testing.T) {
+func TestPendingChangesKeepOnlyThoseOfTheirStream(t *testing.T) {
 	changes := newTurnChanges()
 	changes.markEndpoint(0, 1)
 	changes.markEndpoint(1, 2)
@@ -144,17 +144,17 @@
 	}
 }
 
-func TestSubsetChangesAreThoseOfItsReplicas(t *testing.T) {
+func TestSubsetIntersectReturnsItsReplicas(t *testing.T) {
 	s := newSubset(control.BindSubset{Replicas: []uint32{3, 1}, Unejected: 1})
-	if got := s.changed(map[uint32]bool{1: true, 2: true}); !maps.Equal(got, map[uint32]bool{1: true}) {
+	if got := s.intersect(map[uint32]bool{1: true, 2: true}); !maps.Equal(got, map[uint32]bool{1: true}) {
 		t.Errorf("changed %v", got)
 	}
-	if s.confirmed != 1 || !slices.Equal(s.ordered, []uint32{3, 1}) || s.restDue {
+	if s.confirmedCount != 1 || !slices.Equal(s.ordered, []uint32{3, 1}) || s.restDue {
 		t.Errorf("new subset %+v", s)
 	}
 }
 
-func TestSnapshotStateAsksAtEachInterval(t *testing.T) {
+func TestSnapshotStateIsDueAtEachInterval(t *testing.T) {
 	s := newSnapshotState()
 	s.interval = 5
 	for _, step := range []struct {
@@ -167,18 +167,18 @@
 	}
 }
 
-func TestSnapshotStateLeavesARestoredOneInPlaceAtFirst(t *testing.T) {
+func TestSnapshotStateKeepsTheRestoredSnapshotUntilSettled(t *testing.T) {
 	s := newSnapshotState()
 	s.interval = settleTime / 4
 	s.restored = agedState(1, 0)
-	asked := int64(0)
-	for now := int64(1); asked == 0 && now < 3*settleTime; now += settleTime / 8 {
+	requestedAt := int64(0)
+	for now := int64(1); requestedAt == 0 && now < 3*settleTime; now += settleTime / 8 {
 		if s.due(now) {
-			asked = now
+			requestedAt = now
 		}
 	}
-	if asked != 1+settleTime || s.settledAt != 1+settleTime {
-		t.Errorf("first request at %d, settled at %d, want both at %d", asked, s.settledAt, 1+settleTime)
+	if requestedAt != 1+settleTime || s.settledAt != 1+settleTime {
+		t.Errorf("first request at %d, settled at %d, want both at %d", requestedAt, s.settledAt, 1+settleTime)
 	}
 	if s.lastLearned() != s.restored {
 		t.Error("a new module does not start from the restored snapshot")
@@ -193,7 +193,7 @@
 	}
 }
 
-func TestConfigurationStateEndsWithItsTurn(t *testing.T) {
+func TestConfigurationStateIsResetAtTheEndOfATurn(t *testing.T) {
 	var s configurationState
 	s.previous = &configuration{}
 	s.record(Configure{}, nil)
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -10,23 +10,23 @@
 
 // agedState returns learned state of an age, loaded at a time.
 func agedState(at, age int64, replicas ...learnedstate.Replica) *learnedstate.AgedState {
-	m := learnedstate.State{Tables: 2, AdmissionThreshold: 0.5, Replicas: replicas, BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {HardwareClass: "m9", Times: []float64{9}}},
+	state := learnedstate.State{Tables: 2, AdmissionThreshold: 0.5, Replicas: replicas, BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {HardwareClass: "m9", Times: []float64{9}}},
 		RequestRates: []learnedstate.RequestRate{{Proxy: 4, Class: "order", Rate: 3}}, Bindings: []control.Binding{{Proxy: 4, Table: 1}}}
-	return learnedstate.NewAgedState(m, at, age, defaultHalfLife)
+	return learnedstate.NewAgedState(state, at, age, defaultHalfLife)
 }
 
-// learned returns a module's command with a snapshot. It contains a replica, a baseline and a request rate with unknown
-// numbers.
-func learned(speed float64) commands {
+// learnedSnapshot returns a module's command with a snapshot. It contains a replica, a baseline and a request rate with
+// unknown numbers.
+func learnedSnapshot(speed float64) commands {
 	return commands{control.Snapshot{Replicas: []control.LearnedReplica{{Replica: 1, Speed: speed, SampleCount: 3}, {Replica: 99, Speed: 1}},
 		LearnedFleet: control.LearnedFleet{BaselineResponseTimes: [][]float64{nil, {0.3}, {7}, {0.4}}, RequestRates: []control.ClassRate{{Proxy: 4, Class: 1, Rate: 2}, {Proxy: 4, Class: 7}}, AdmissionThreshold: 1}}}
 }
 
-// restoringCore returns a core whose settings have two hardware classes, and its scripted module.
-func restoringCore(turns ...[]control.Command) (*Core, *scriptedModule) {
-	c, s := core(turns...)
+// newRestoringCore returns a core whose settings have two hardware classes, and its scripted module.
+func newRestoringCore(turns ...[]control.Command) (*Core, *scriptedModule) {
+	c, module := newTestCore(turns...)
 	c.hardwareClasses = 3 // two with names, and one for all others
-	return c, s
+	return c, module
 }
 
 func restoredEvents(events []control.Event) (all []control.ReplicaRestored, fleet []control.FleetRestored) {
@@ -42,65 +42,65 @@
 }
 
 func TestRestoredStateIsReportedOnceAReplicaIsListed(t *testing.T) {
-	c, s := restoringCore()
+	c, module := newRestoringCore()
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9, Table: 1}
-	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, defaultHalfLife, x)}, list(true, "yr")})
-	all, fleet := restoredEvents(s.events)
-	if _, first := s.events[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
+	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, defaultHalfLife, x)}, replicaList(true, "yr")})
+	all, fleet := restoredEvents(module.events)
+	if _, first := module.events[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
 		!reflect.DeepEqual(fleet[0].BaselineResponseTimes, [][]float64{nil, {0.1}, nil, {0.2}}) || !reflect.DeepEqual(fleet[0].RequestRates, []control.ClassRate{{Proxy: 4, Class: 1, Rate: 3}}) {
-		t.Errorf("events %+v", s.events)
+		t.Errorf("events %+v", module.events)
 	}
-	c.Turn(100e9+defaultHalfLife, []Input{list(false, "xr")}) // the state has aged by another half-life
-	all, _ = restoredEvents(s.events)
+	c.Turn(100e9+defaultHalfLife, []Input{replicaList(false, "xr")}) // the state has aged by another half-life
+	all, _ = restoredEvents(module.events)
 	want := []control.ReplicaRestored{{LearnedReplica: control.LearnedReplica{Replica: 2, Speed: 0.5, SampleCount: 9, Table: 1}, Weight: 0.25, Age: 2 * defaultHalfLife}}
 	if !reflect.DeepEqual(all, want) {
-		t.Errorf("events %+v", s.events)
+		t.Errorf("events %+v", module.events)
 	}
-	again := list(false, "xt")
-	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(s.events) != 1 {
-		t.Errorf("learned state was reported again: %+v", s.events)
+	again := replicaList(false, "xt")
+	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(module.events) != 1 {
+		t.Errorf("learned state was reported again: %+v", module.events)
 	}
 	again.Members[0].UpSince = 999e9 // the replica has restarted
-	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(s.events) != 1 || c.Counters.ReplicasRestored != 1 {
-		t.Errorf("learned state of an earlier process was restored: %+v", s.events)
+	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(module.events) != 1 || c.Counters.ReplicasRestored != 1 {
+		t.Errorf("learned state of an earlier process was restored: %+v", module.events)
 	}
 }
 
 func TestNewModuleStartsFromTheLastSnapshot(t *testing.T) {
-	c, s := restoringCore(nil, nil, learned(0.25), panicking)
+	c, module := newRestoringCore(nil, nil, learnedSnapshot(0.25), panickingTurn)
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
 	z := learnedstate.Replica{ID: "z", Zone: "b", HardwareClass: "m2", Speed: 4, SampleCount: 9}
-	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, 0, x, z)}, list(true, "xr", "yr")})
-	if o := c.Turn(100e9+defaultSnapshotInterval, nil); o.Snapshot != nil || c.FinalSnapshot(100e9+settleTime-1) != nil {
+	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, 0, x, z)}, replicaList(true, "xr", "yr")})
+	if result := c.Turn(100e9+defaultSnapshotInterval, nil); result.Snapshot != nil || c.FinalSnapshot(100e9+settleTime-1) != nil {
 		t.Error("a snapshot was taken before the settle time, when it contains less than the restored one")
 	}
-	o := c.Turn(100e9+settleTime, nil)
-	if o.Snapshot == nil || len(o.Snapshot.Replicas) != 2 || o.Snapshot.Replicas[0].Speed != 0.25 || o.Snapshot.Replicas[1].ID != "z" ||
-		o.Snapshot.Replicas[1].SinceLastSample != settleTime || len(o.Snapshot.RequestRates) != 1 || len(o.Snapshot.BaselineResponseTimes) != 2 {
-		t.Fatalf("snapshot %+v", o.Snapshot)
+	result := c.Turn(100e9+settleTime, nil)
+	if result.Snapshot == nil || len(result.Snapshot.Replicas) != 2 || result.Snapshot.Replicas[0].Speed != 0.25 || result.Snapshot.Replicas[1].ID != "z" ||
+		result.Snapshot.Replicas[1].SinceLastSample != settleTime || len(result.Snapshot.RequestRates) != 1 || len(result.Snapshot.BaselineResponseTimes) != 2 {
+		t.Fatalf("snapshot %+v", result.Snapshot)
 	}
-	o = c.Turn(100e9+settleTime+defaultHalfLife, nil)
-	all, fleet := restoredEvents(s.events)
-	if o.Panic == "" || len(all) != 1 || all[0].Speed != 0.25 || all[0].Weight != 0.5 || len(fleet) != 1 {
-		t.Errorf("events %+v after %.20q", s.events, o.Panic)
+	result = c.Turn(100e9+settleTime+defaultHalfLife, nil)
+	all, fleet := restoredEvents(module.events)
+	if result.Panic == "" || len(all) != 1 || all[0].Speed != 0.25 || all[0].Weight != 0.5 || len(fleet) != 1 {
+		t.Errorf("events %+v after %.20q", module.events, result.Panic)
 	}
 }
 
 // The learned state may be the cause of a module's panics. It is discarded before the module is paused.
-func TestModuleThatFailsByItsLearnedStateStartsWithoutIt(t *testing.T) {
-	c, s := restoringCore(nil, panicking, panicking, nil)
+func TestModuleThatPanicsWithLearnedStateStartsWithoutIt(t *testing.T) {
+	c, module := newRestoringCore(nil, panickingTurn, panickingTurn, nil)
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
-	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, 0, x)}, list(true, "xr")})
-	o := c.Turn(101e9, nil)
-	if all, fleet := restoredEvents(s.events); len(all)+len(fleet) != 0 || len(s.events) != 1 || c.Counters.RestartsWithoutState != 1 || o.NextTurn != 0 {
-		t.Errorf("events %+v, %d restarts without state, next turn due at %d", s.events, c.Counters.RestartsWithoutState, o.NextTurn)
+	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, 0, x)}, replicaList(true, "xr")})
+	result := c.Turn(101e9, nil)
+	if all, fleet := restoredEvents(module.events); len(all)+len(fleet) != 0 || len(module.events) != 1 || c.Counters.RestartsWithoutState != 1 || result.NextTurn != 0 {
+		t.Errorf("events %+v, %d restarts without state, next turn due at %d", module.events, c.Counters.RestartsWithoutState, result.NextTurn)
 	}
 }
 
 func TestListFromSnapshotNamesListedReplicas(t *testing.T) {
-	m := learnedstate.State{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, Weight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
+	state := learnedstate.State{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, Weight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
 	want := ReplicaList{Revision: 7, Complete: true, Members: []Member{{ID: "x", Zone: "a", HardwareClass: "m1", State: control.Draining, Weight: 2, UpSince: 5}}}
-	if got := ListFromSnapshot(m); !reflect.DeepEqual(got, want) {
+	if got := ListFromSnapshot(state); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
--- a/internal/controller/streams.go
+++ b/internal/controller/streams.go
@@ -23,7 +23,7 @@
 	delivered deliveredState
 	unacked   unackedMessages
 	pending   *pendingChanges // changes held back for lack of capacity; nil if there are none
-	silent    silence
+	ackWait   ackWait
 
 	unboundSince int64 // when the stream last became unbound
 	caughtUp     bool  // all ejections have been enqueued since unboundSince
@@ -61,17 +61,17 @@
 	return ejected != last || !reported && !d.ejectsOnlyReported
 }
 
-// silence records whether a proxy owes an ack while nothing has arrived from it.
-type silence struct {
-	since    int64 // when the ack was requested; 0 if none is owed or something has arrived since
-	reported bool  // whether the proxy was reported to the module as disconnected
+// ackWait records whether a proxy owes an ack while nothing has arrived from it.
+type ackWait struct {
+	since                int64 // when the ack was requested; 0 if none is owed or something has arrived since
+	reportedDisconnected bool  // whether the proxy was reported to the module as disconnected
 }
 
 // sentMessage is an update that requested an ack.
 type sentMessage struct {
-	nonce  uint64
-	number uint64 // in the channel's account
-	own    bool   // the core or a failed module chose the nonce, so its ack is not reported to the running module
+	nonce            uint64
+	number           uint64 // in the channel's account
+	hiddenFromModule bool   // the core or a failed module chose the nonce, so its ack is not reported to the running module
 }
 
 // unackedMessages are the messages of a stream that were sent but not acknowledged, in the order sent.
@@ -90,22 +90,22 @@
 
 // takeCovered removes the messages covered by an ack of the message at an index. It returns the last nonce among them that
 // the running module chose, or false if there is none.
-func (u *unackedMessages) takeCovered(place int) (nonce uint64, found bool) {
-	covered := (*u)[:place+1]
-	*u = (*u)[place+1:]
+func (u *unackedMessages) takeCovered(index int) (nonce uint64, found bool) {
+	covered := (*u)[:index+1]
+	*u = (*u)[index+1:]
 	for _, m := range slices.Backward(covered) {
-		if !m.own {
+		if !m.hiddenFromModule {
 			return m.nonce, true
 		}
 	}
 	return 0, false
 }
 
-// markOwn excludes the acks of all messages from being reported to the module. A new module counts its nonces from the
-// beginning, and an ack of an earlier module's message must not complete one of its steps.
-func (u unackedMessages) markOwn() {
+// hideFromModule excludes the acks of all messages from being reported to the module. A new module counts its nonces from
+// the beginning, and an ack of an earlier module's message must not complete one of its steps.
+func (u unackedMessages) hideFromModule() {
 	for k := range u {
-		u[k].own = true
+		u[k].hiddenFromModule = true
 	}
 }
 
--- a/internal/controller/streams_test.go
+++ b/internal/controller/streams_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestDeliveredStateResetKeepsWhatIsStillToBeSent(t *testing.T) {
+func TestDeliveredStateResetKeepsCancelledAdmissions(t *testing.T) {
 	d := deliveredState{
 		ejectsOnlyReported:  true,
 		ejections:           map[uint32]bool{1: true},
@@ -85,15 +85,15 @@
 }
 
 func TestUnackedMessagesAckCoversAllBeforeIt(t *testing.T) {
-	u := unackedMessages{{nonce: 1}, {nonce: 2}, {nonce: 9, own: true}, {nonce: 3}}
-	if place := u.find(7); place >= 0 {
-		t.Errorf("a nonce that was not sent was found at index %d", place)
+	u := unackedMessages{{nonce: 1}, {nonce: 2}, {nonce: 9, hiddenFromModule: true}, {nonce: 3}}
+	if index := u.find(7); index >= 0 {
+		t.Errorf("a nonce that was not sent was found at index %d", index)
 	}
 	nonce, found := u.takeCovered(u.find(9))
 	if !found || nonce != 2 || len(u) != 1 || u[0].nonce != 3 {
 		t.Errorf("got nonce %d, found %v; messages left %v", nonce, found, u)
 	}
-	u.markOwn()
+	u.hideFromModule()
 	if _, found := u.takeCovered(0); found || len(u) != 0 {
 		t.Errorf("a failed module's nonce was returned for the new module; messages left %v", u)
 	}
@@ -109,39 +109,39 @@
 	}
 }
 
-func TestOwnNoncesAreFarFromTheModules(t *testing.T) {
+func TestCoreNoncesAreFarFromTheModules(t *testing.T) {
 	for _, c := range []struct {
 		last sentMessage
 		want uint64
 	}{
-		{sentMessage{nonce: 7}, 7 + ownNonceOffset},
-		{sentMessage{nonce: ownNonceOffset + 1}, 1},
-		{sentMessage{nonce: 7 + ownNonceOffset, own: true}, 8 + ownNonceOffset},
-		{sentMessage{nonce: nonceModulus - 1, own: true}, 0},
+		{sentMessage{nonce: 7}, 7 + coreNonceOffset},
+		{sentMessage{nonce: coreNonceOffset + 1}, 1},
+		{sentMessage{nonce: 7 + coreNonceOffset, hiddenFromModule: true}, 8 + coreNonceOffset},
+		{sentMessage{nonce: nonceModulus - 1, hiddenFromModule: true}, 0},
 	} {
-		if got := (unackedMessages{{nonce: 3}, c.last}).nextOwnNonce(); got != c.want {
+		if got := (unackedMessages{{nonce: 3}, c.last}).nextCoreNonce(); got != c.want {
 			t.Errorf("nonce after %+v: got %d, want %d", c.last, got, c.want)
 		}
 	}
 }
 
-func TestAckDeadlinesNameWhoStaysSilent(t *testing.T) {
+func TestAckDeadlinesReturnOverdueStreams(t *testing.T) {
 	var d ackDeadlines
-	quiet, spoke, again := testStream(1, 1), testStream(2, 2), testStream(3, 3)
-	for _, s := range []*stream{quiet, spoke, again} {
+	silent, active, askedAgain := testStream(1, 1), testStream(2, 2), testStream(3, 3)
+	for _, s := range []*stream{silent, active, askedAgain} {
 		d.await(s, 10)
 	}
-	d.await(quiet, 11) // no effect: the stream already owes an ack
-	spoke.silent.since = 0
-	again.silent.since = 0
-	d.await(again, 12)
+	d.await(silent, 11) // no effect: the stream already owes an ack
+	active.ackWait.since = 0
+	askedAgain.ackWait.since = 0
+	d.await(askedAgain, 12)
 	if overdue := d.takeOverdue(15, 5); overdue != nil {
 		t.Errorf("overdue before the timeout: %v", overdue)
 	}
-	if overdue := d.takeOverdue(16, 5); !slices.Equal(overdue, []*stream{quiet}) {
+	if overdue := d.takeOverdue(16, 5); !slices.Equal(overdue, []*stream{silent}) {
 		t.Errorf("overdue: %v", overdue)
 	}
-	if overdue := d.takeOverdue(18, 5); !slices.Equal(overdue, []*stream{again}) || len(d.awaited) != 0 {
+	if overdue := d.takeOverdue(18, 5); !slices.Equal(overdue, []*stream{askedAgain}) || len(d.awaited) != 0 {
 		t.Errorf("overdue later: %v, awaited %v", overdue, d.awaited)
 	}
 }
--- a/internal/controller/subset.go
+++ b/internal/controller/subset.go
@@ -11,22 +11,22 @@
 type subset struct {
 	ordered  []uint32        // in the module's order
 	replicas map[uint32]bool // those of ordered that were sent or are about to be sent
-	// confirmed is the number of replicas at the beginning of the first update for which this update also states that they
-	// are not ejected, if the proxy may hold the opposite.
-	confirmed int
-	restDue   bool // the rest of the table is due
+	// confirmedCount is the number of replicas at the beginning of the first update for which this update also states that
+	// they are not ejected, if the proxy may hold the opposite.
+	confirmedCount int
+	restDue        bool // the rest of the table is due
 }
 
 func newSubset(command control.BindSubset) *subset {
-	s := &subset{ordered: command.Replicas, confirmed: command.Unejected, replicas: map[uint32]bool{}}
+	s := &subset{ordered: command.Replicas, confirmedCount: command.Unejected, replicas: map[uint32]bool{}}
 	for _, replica := range command.Replicas {
 		s.replicas[replica] = true
 	}
 	return s
 }
 
-// changed returns those of the given replicas that are in the subset.
-func (s *subset) changed(replicas map[uint32]bool) map[uint32]bool {
+// intersect returns those of the given replicas that are in the subset.
+func (s *subset) intersect(replicas map[uint32]bool) map[uint32]bool {
 	changed := map[uint32]bool{}
 	for replica := range replicas {
 		if s.replicas[replica] {
@@ -80,11 +80,11 @@
 // restEndpoints returns the endpoints of the table outside the subset, the changed ones of the subset, and those that the
 // proxy may still hold as ejected. It removes the subset: from then on the stream has the whole table.
 func (c *Core) restEndpoints(s *stream, changes *turnChanges) endpointList {
-	part := s.binding.subset
-	due := part.changed(changes.endpoints[s.binding.table])
+	boundSubset := s.binding.subset
+	due := boundSubset.intersect(changes.endpoints[s.binding.table])
 	for replica := range c.routing.tables[s.binding.table] {
 		_, reported := s.delivered.ejections[replica]
-		if !part.replicas[replica] || !reported && !s.delivered.ejectsOnlyReported {
+		if !boundSubset.replicas[replica] || !reported && !s.delivered.ejectsOnlyReported {
 			due[replica] = true
 		}
 	}
@@ -94,6 +94,6 @@
 
 // subsetChanges returns the endpoints of the subset that have changed.
 func (c *Core) subsetChanges(s *stream, changes *turnChanges) endpointList {
-	changed := s.binding.subset.changed(changes.endpoints[s.binding.table])
+	changed := s.binding.subset.intersect(changes.endpoints[s.binding.table])
 	return c.endpointsIn(s.binding.table, slices.Sorted(maps.Keys(changed)))
 }
--- a/internal/controller/topology.go
+++ b/internal/controller/topology.go
@@ -22,9 +22,9 @@
 	maxReportCount = 1 << 24
 	// maxRequestRate is the largest forecast of a proxy's request rate, in requests per second.
 	maxRequestRate = 1e6
-	// maxTimeouts is the longest mean response time as a multiple of the timeout. Successful responses arrive before the
-	// client times out, and the sums of response times carry some noise.
-	maxTimeouts = 4
+	// maxResponseTimeouts is the longest mean response time as a multiple of the timeout. Successful responses arrive before
+	// the client times out, and the sums of response times carry some noise.
+	maxResponseTimeouts = 4
 )
 
 const (
@@ -75,7 +75,7 @@
 		defaultRetries: s.DefaultRetries,
 	}
 	for _, class := range s.Classes {
-		t.maxResponseTime = max(t.maxResponseTime, maxTimeouts*class.Timeout)
+		t.maxResponseTime = max(t.maxResponseTime, maxResponseTimeouts*class.Timeout)
 	}
 	return t
 }
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -10,32 +10,32 @@
 const second = int64(1e9)
 
 // If the settings name no zones, all peers are in one zone, and any zone name is accepted.
-func TestTopologyWithoutZonesTakesAnyZone(t *testing.T) {
-	p := control.Settings{Proxies: 2, Classes: []control.TrafficClass{{Timeout: second}}}
-	none := NewTopology(settings.Names{}, p)
-	some := NewTopology(settings.Names{Zones: []string{"a", "a-1"}}, p)
+func TestTopologyWithoutZonesAcceptsAnyZone(t *testing.T) {
+	base := control.Settings{Proxies: 2, Classes: []control.TrafficClass{{Timeout: second}}}
+	none := NewTopology(settings.Names{}, base)
+	some := NewTopology(settings.Names{Zones: []string{"a", "a-1"}}, base)
 	for _, zone := range []string{"", "a", "a-"} {
 		report := Outcomes{Zone: zone, Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: second}}
 		if none.CheckCollector(zone) != nil || none.CheckProxy(StreamOpened{Proxy: 1, Zone: zone}) != nil || !none.validOutcomes(report) {
 			t.Errorf("zone %q is refused though the settings name no zones", zone)
 		}
 		known := zone == "a"
-		joins := some.CheckProxy(StreamOpened{Proxy: 1, Zone: zone}) == nil
-		if (some.CheckCollector(zone) == nil) != known || joins != known || some.validOutcomes(report) != known {
+		accepted := some.CheckProxy(StreamOpened{Proxy: 1, Zone: zone}) == nil
+		if (some.CheckCollector(zone) == nil) != known || accepted != known || some.validOutcomes(report) != known {
 			t.Errorf("zone %q: accepted must be %v for settings with zones a and a-1", zone, known)
 		}
 	}
 }
 
 // If the report interval is longer than maxReportPeriod, a report may cover several intervals.
-func TestTopologyTakesReportsOfSeveralIntervals(t *testing.T) {
-	const cycle = 900 * second
-	p := control.Settings{Proxies: 2, ReportInterval: cycle, Classes: []control.TrafficClass{{Timeout: second}}}
-	c := NewTopology(settings.Names{}, p)
-	for span, usable := range map[int64]bool{cycle: true, 2 * cycle: true, 5 * cycle: false} {
-		report := Outcomes{Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: span}}
-		if c.validOutcomes(report) != usable || c.validDemand(Demand{Demand: control.Demand{Period: span}}) != usable {
-			t.Errorf("report over %d s: valid must be %v", span/second, usable)
+func TestTopologyAcceptsReportsOverSeveralIntervals(t *testing.T) {
+	const reportInterval = 900 * second
+	base := control.Settings{Proxies: 2, ReportInterval: reportInterval, Classes: []control.TrafficClass{{Timeout: second}}}
+	topology := NewTopology(settings.Names{}, base)
+	for period, valid := range map[int64]bool{reportInterval: true, 2 * reportInterval: true, 5 * reportInterval: false} {
+		report := Outcomes{Replica: "x", Outcomes: control.Outcomes{Attempts: 1, Period: period}}
+		if topology.validOutcomes(report) != valid || topology.validDemand(Demand{Demand: control.Demand{Period: period}}) != valid {
+			t.Errorf("report over %d s: valid must be %v", period/second, valid)
 		}
 	}
 }
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -39,7 +39,7 @@
 	replicas, proxies, classes int
 	reports, demands, changes  int
 	interval                   int64
-	wide                       bool // the channel holds back no updates
+	wideChannel                bool // the channel holds back no updates
 }
 
 // meanService returns the shape of one controller of a mean service.
@@ -47,24 +47,25 @@
 	return turnShape{replicas: 33, proxies: 480, classes: 3, reports: 40, interval: tickInterval}
 }
 
-// sizedWorld simulates a controller with all proxies connected, behind a channel that delivers messages immediately.
-type sizedWorld struct {
+// benchmarkSimulation simulates a controller with all proxies connected, behind a channel that delivers messages
+// immediately.
+type benchmarkSimulation struct {
 	*simulation
-	shape   turnShape
-	classes []string
-	heap    uint64        // heap size in bytes after settling
-	used    time.Duration // processor time of all turns
-	updates int
-	units   int // cost units of all updates, without overhead
+	shape         turnShape
+	classes       []string
+	heapBytes     uint64        // heap size in bytes after settling
+	processorTime time.Duration // processor time of all turns
+	updates       int
+	units         int // cost units of all updates, without overhead
 }
 
-func newSizedWorld(shape turnShape) *sizedWorld {
+func newBenchmarkSimulation(shape turnShape) *benchmarkSimulation {
 	before := heapInUse()
 	limit, rate := channelLimit, channelRate
-	if shape.wide {
+	if shape.wideChannel {
 		limit, rate = wideChannel, wideChannel
 	}
-	w := &sizedWorld{simulation: newSimulation(1, shape.proxies, shape.replicas, 5, limit, rate, updateCost), shape: shape}
+	w := &benchmarkSimulation{simulation: newSimulation(1, shape.proxies, shape.replicas, 5, limit, rate, updateCost), shape: shape}
 	w.settings.Classes = nil
 	for k := range shape.classes {
 		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
@@ -72,40 +73,40 @@
 	}
 	w.core = controller.New(func() controller.Module { return policy.New(w.settings) }, controller.NewTopology(w.settingNames(), w.settings))
 	for k := range w.proxies {
-		w.join(k)
+		w.connect(k)
 	}
 	for range settlingTurns {
 		w.turn(tickInterval)
 	}
-	w.heap = heapInUse() - before
+	w.heapBytes = heapInUse() - before
 	return w
 }
 
-func (w *sizedWorld) settingNames() settings.Names {
+func (w *benchmarkSimulation) settingNames() settings.Names {
 	return settings.Names{Classes: w.classes, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 }
 
 func heapInUse() uint64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
 // turn runs one turn after an interval, delivers its messages, and returns how long the turn took.
-func (w *sizedWorld) turn(interval int64) time.Duration {
+func (w *benchmarkSimulation) turn(interval int64) time.Duration {
 	w.now += interval
 	events := w.inputs
 	w.inputs = nil
 	usedBefore, began := threadTime(), time.Now()
-	outcome := w.core.Turn(w.now, events)
+	result := w.core.Turn(w.now, events)
 	took := time.Since(began)
-	w.used += threadTime() - usedBefore
-	w.updates += len(outcome.Updates)
-	for _, s := range outcome.Updates {
-		w.units += updateCost(s.Update)
-		w.inputs = append(w.inputs, controller.MessageSent{Number: s.Number})
-		w.apply(message{proxy: int(s.Stream) - 1, sent: s}) // streams are numbered from 1 as the proxies join
+	w.processorTime += threadTime() - usedBefore
+	w.updates += len(result.Updates)
+	for _, outgoing := range result.Updates {
+		w.units += updateCost(outgoing.Update)
+		w.inputs = append(w.inputs, controller.MessageSent{Number: outgoing.Number})
+		w.deliver(message{proxy: int(outgoing.Stream) - 1, outgoing: outgoing}) // streams are numbered from 1 as the proxies join
 	}
 	return took
 }
@@ -121,10 +122,10 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// report adds the inputs of one turn.
-func (w *sizedWorld) report() {
+// addReports adds the inputs of one turn.
+func (w *benchmarkSimulation) addReports() {
 	for range w.shape.reports {
-		w.inputs = append(w.inputs, controller.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))], Outcomes: control.Outcomes{
+		w.inputs = append(w.inputs, controller.Outcomes{Zone: "a", Replica: w.replicaNames[w.Intn(len(w.replicaNames))], Outcomes: control.Outcomes{
 			Attempts:     20,
 			Failures:     w.Intn(2),
 			ResponseTime: second/10 + int64(w.Intn(int(second/20))),
@@ -137,17 +138,17 @@
 			Demand: control.Demand{Proxy: proxy, Requests: 5, Period: second}})
 	}
 	if w.shape.changes > 0 {
-		w.list(w.restarted(w.shape.changes), false)
+		w.listReplicas(w.restartReplicas(w.shape.changes), false)
 	}
 }
 
-// restarted restarts random replicas and returns their names.
-func (w *sizedWorld) restarted(count int) []string {
+// restartReplicas restarts random replicas and returns their names.
+func (w *benchmarkSimulation) restartReplicas(count int) []string {
 	var names []string
 	for range count {
-		m := w.states[w.names[w.Intn(len(w.names))]]
+		m := w.members[w.replicaNames[w.Intn(len(w.replicaNames))]]
 		m.UpSince = w.now
-		w.states[m.ID] = m
+		w.members[m.ID] = m
 		names = append(names, m.ID)
 	}
 	return names
@@ -157,25 +158,25 @@
 func benchmarkTurns(b *testing.B, shape turnShape) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	w := newSizedWorld(shape)
-	w.used, w.updates, w.units = 0, 0, 0
-	var spans []time.Duration
+	w := newBenchmarkSimulation(shape)
+	w.processorTime, w.updates, w.units = 0, 0, 0
+	var durations []time.Duration
 	for b.Loop() {
-		w.report()
-		spans = append(spans, w.turn(shape.interval))
+		w.addReports()
+		durations = append(durations, w.turn(shape.interval))
 	}
-	slices.Sort(spans)
-	b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
-	b.ReportMetric(float64(spans[len(spans)*99/100])/1e6, "p99-ms")
-	b.ReportMetric(float64(w.used)/float64(len(spans))/1e6, "cpu-ms")
-	b.ReportMetric(float64(w.updates)/float64(len(spans)), "pushes/turn")
-	b.ReportMetric(float64(w.units)/float64(len(spans)), "lines/turn")
-	b.ReportMetric(float64(w.heap), "heap-B")
+	slices.Sort(durations)
+	b.ReportMetric(float64(durations[len(durations)/2])/1e6, "p50-ms")
+	b.ReportMetric(float64(durations[len(durations)*99/100])/1e6, "p99-ms")
+	b.ReportMetric(float64(w.processorTime)/float64(len(durations))/1e6, "cpu-ms")
+	b.ReportMetric(float64(w.updates)/float64(len(durations)), "pushes/turn")
+	b.ReportMetric(float64(w.units)/float64(len(durations)), "lines/turn")
+	b.ReportMetric(float64(w.heapBytes), "heap-B")
 	runtime.KeepAlive(w)
 }
 
-// varying measures turns of the mean service for several values of one parameter.
-func varying(b *testing.B, input string, values []int, set func(*turnShape, int)) {
+// benchmarkVarying measures turns of the mean service for several values of one parameter.
+func benchmarkVarying(b *testing.B, input string, values []int, set func(*turnShape, int)) {
 	for _, v := range values {
 		b.Run(fmt.Sprintf("%s=%d", input, v), func(b *testing.B) {
 			shape := meanService()
@@ -188,38 +189,38 @@
 var replicasListed = []int{33, 100, 200, 655, 1000, 3000, 9500}
 
 func BenchmarkTurnByReplicas(b *testing.B) {
-	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas = v })
+	benchmarkVarying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas = v })
 }
 
 // BenchmarkTurnByReplicasWideChannel is BenchmarkTurnByReplicas with a channel that holds back no updates.
 func BenchmarkTurnByReplicasWideChannel(b *testing.B) {
-	varying(b, "replicas", []int{200, 1000, 3000, 9500}, func(s *turnShape, v int) { s.replicas, s.wide = v, true })
+	benchmarkVarying(b, "replicas", []int{200, 1000, 3000, 9500}, func(s *turnShape, v int) { s.replicas, s.wideChannel = v, true })
 }
 
 // BenchmarkTurnBetweenTicksByReplicas measures turns between two ticks with one report each, since reports arrive one by
 // one.
 func BenchmarkTurnBetweenTicksByReplicas(b *testing.B) {
-	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas, s.reports, s.interval = v, 1, reportInterval })
+	benchmarkVarying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas, s.reports, s.interval = v, 1, reportInterval })
 }
 
 func BenchmarkTurnByProxies(b *testing.B) {
-	varying(b, "proxies", []int{48, 120, 240, 480, 960, 1920}, func(s *turnShape, v int) { s.proxies = v })
+	benchmarkVarying(b, "proxies", []int{48, 120, 240, 480, 960, 1920}, func(s *turnShape, v int) { s.proxies = v })
 }
 
 func BenchmarkTurnByReports(b *testing.B) {
-	varying(b, "reports", []int{0, 50, 200, 900, 3000}, func(s *turnShape, v int) { s.reports = v })
+	benchmarkVarying(b, "reports", []int{0, 50, 200, 900, 3000}, func(s *turnShape, v int) { s.reports = v })
 }
 
 func BenchmarkTurnByDemands(b *testing.B) {
-	varying(b, "demands", []int{0, 48, 120, 480}, func(s *turnShape, v int) { s.demands = v })
+	benchmarkVarying(b, "demands", []int{0, 48, 120, 480}, func(s *turnShape, v int) { s.demands = v })
 }
 
 func BenchmarkTurnByClasses(b *testing.B) {
-	varying(b, "classes", []int{3, 12, 48, 240, 960}, func(s *turnShape, v int) { s.classes = v })
+	benchmarkVarying(b, "classes", []int{3, 12, 48, 240, 960}, func(s *turnShape, v int) { s.classes = v })
 }
 
 func BenchmarkTurnByChanges(b *testing.B) {
-	varying(b, "changes", []int{0, 1, 10, 100}, func(s *turnShape, v int) { s.changes, s.replicas = v, 655 })
+	benchmarkVarying(b, "changes", []int{0, 1, 10, 100}, func(s *turnShape, v int) { s.changes, s.replicas = v, 655 })
 }
 
 // BenchmarkTurnThatConfiguresByClasses measures turns that put settings in force in which one class has another timeout.
@@ -229,23 +230,23 @@
 			shape := meanService()
 			shape.classes = classes
 			shape.interval = reportInterval // so that a tick is due in few of the turns
-			w := newSizedWorld(shape)
+			w := newBenchmarkSimulation(shape)
 			version := revision.Version{Epoch: 1}
-			var spans []time.Duration
+			var durations []time.Duration
 			for b.Loop() {
 				changed := w.settings
 				changed.Classes = slices.Clone(changed.Classes)
-				changed.Classes[0].Timeout += int64(len(spans)%2) * second
+				changed.Classes[0].Timeout += int64(len(durations)%2) * second
 				version.Revision++
 				w.inputs = append(w.inputs, controller.Configure{Version: version, Names: w.settingNames(), Settings: changed,
 					Start: func() controller.Module { return policy.New(changed) }})
-				spans = append(spans, w.turn(shape.interval))
+				durations = append(durations, w.turn(shape.interval))
 				if w.core.ConfigurationVersion() != version {
 					b.Fatal("changed settings are not in force")
 				}
 			}
-			slices.Sort(spans)
-			b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
+			slices.Sort(durations)
+			b.ReportMetric(float64(durations[len(durations)/2])/1e6, "p50-ms")
 		})
 	}
 }
@@ -255,23 +256,23 @@
 func BenchmarkTurnThatBindsByProxies(b *testing.B) {
 	for _, proxies := range []int{48, 240, 480, 960, 1920} {
 		b.Run(fmt.Sprintf("proxies=%d", proxies), func(b *testing.B) {
-			var spans []time.Duration
+			var durations []time.Duration
 			for b.Loop() {
 				w := newSimulation(1, proxies, 33, 5, channelLimit, channelRate, updateCost)
 				w.Rand = rand.New(rand.NewSource(1))
 				w.core.Turn(w.now, w.inputs)
 				w.inputs = nil
 				for k := range w.proxies {
-					w.join(k)
+					w.connect(k)
 				}
 				began := time.Now()
 				if o := w.core.Turn(w.now+tickInterval, w.inputs); len(o.Updates) == 0 {
 					b.Fatal("no proxy was bound")
 				}
-				spans = append(spans, time.Since(began))
+				durations = append(durations, time.Since(began))
 			}
-			slices.Sort(spans)
-			b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
+			slices.Sort(durations)
+			b.ReportMetric(float64(durations[len(durations)/2])/1e6, "p50-ms")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/sendbudget/account.go
+++ b/internal/sendbudget/account.go
@@ -26,9 +26,9 @@
 // Queued returns how many units may still wait in the channel.
 func (a *Account) Queued() int { return a.queued }
 
-// HasRoom reports whether the channel is to be given more messages now. A few messages keep it busy until acks arrive.
+// HasCapacity reports whether the channel is to be given more messages now. A few messages keep it busy until acks arrive.
 // Others wait outside the channel, where they can still be brought up to date.
-func (a *Account) HasRoom(urgent bool) bool {
+func (a *Account) HasCapacity(urgent bool) bool {
 	busy := a.busyUnits(urgent)
 	return busy <= 0 || float64(a.likelyQueued) < busy
 }
@@ -50,13 +50,13 @@
 // Fits reports whether a message to a proxy with the given units is within all bounds. A message that stops the proxy from
 // using a replica is urgent.
 func (a *Account) Fits(proxy, units int, urgent bool, now int64) bool {
-	if !a.HasRoom(urgent) {
+	if !a.HasCapacity(urgent) {
 		return false
 	}
 	if a.ChannelLimit > 0 && a.queued+units+a.MessageOverhead > a.messageLimit(urgent) {
 		return false
 	}
-	return a.UnderMessageCap(proxy, now) && a.keepsSpacing(proxy, now)
+	return a.UnderMessageCap(proxy, now) && a.spacingElapsed(proxy, now)
 }
 
 // Charge records a message that is about to be written and returns its number.
@@ -82,8 +82,8 @@
 	return number
 }
 
-// lookUp returns the message with a number, or nil if it is no longer in the account.
-func (a *Account) lookUp(number uint64) *message {
+// lookup returns the message with a number, or nil if it is no longer in the account.
+func (a *Account) lookup(number uint64) *message {
 	if number < a.firstNumber || number-a.firstNumber >= uint64(len(a.messages)) {
 		return nil
 	}
@@ -92,7 +92,7 @@
 
 // MarkSent records that all bytes of a message have been written.
 func (a *Account) MarkSent(number uint64, now int64) {
-	m := a.lookUp(number)
+	m := a.lookup(number)
 	if m == nil {
 		return
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// Acknowledge takes back the charges of all messages that have left the channel according to a proxy's ack of a message.
+// Acknowledge releases the charges of all messages that have left the channel according to a proxy's ack of a message.
 // These are the messages to the same proxy up to the acknowledged one. Since messages leave in the order in which they
 // enter, they are also the messages to any proxy that were written so long before the acknowledged one was charged that they
 // must have entered first. A message that has not been written may enter at any time, even if its writer has stalled.
@@ -110,23 +110,23 @@
 	if p := a.proxies[proxy]; p != nil {
 		p.acknowledge(number, now)
 	}
-	if acknowledged := a.lookUp(number); acknowledged != nil {
-		a.takeBackUpTo(number, *acknowledged, proxy, now)
+	if acknowledged := a.lookup(number); acknowledged != nil {
+		a.releaseUpTo(number, *acknowledged, proxy, now)
 	}
 	a.trim()
 }
 
-// takeBackUpTo takes back the charges of those messages up to an acknowledged one that have left according to its ack.
-func (a *Account) takeBackUpTo(last uint64, acknowledged message, proxy int, now int64) {
+// releaseUpTo releases the charges of those messages up to an acknowledged one that have left according to its ack.
+func (a *Account) releaseUpTo(last uint64, acknowledged message, proxy int, now int64) {
 	for number := a.firstNumber; number <= last; number++ {
-		m := a.lookUp(number)
+		m := a.lookup(number)
 		switch {
 		case m.proxy == proxy:
-			m.takeBack(a)
+			m.release(a)
 		case m.writtenAt > 0 && m.writtenAt < acknowledged.chargedAt-reorderWindow:
-			a.markLeft(number, now)
+			a.markLeftChannel(number, now)
 		case m.chargedAt < acknowledged.chargedAt-a.MaxTransit:
-			a.markLikelyLeft(number, now)
+			a.markLikelyLeftChannel(number, now)
 		}
 	}
 }
@@ -148,18 +148,18 @@
 	}
 }
 
-// Expire takes back the charges of unacknowledged messages that were charged so long ago that they must have left the
+// Expire releases the charges of unacknowledged messages that were charged so long ago that they must have left the
 // channel.
 func (a *Account) Expire(now int64) {
 	for k := range a.messages {
 		m := &a.messages[k]
-		if now <= m.chargedAt+a.MaxTransit+usualSlowdown*m.sendTime {
+		if now <= m.chargedAt+a.MaxTransit+likelyLeftSlowdown*m.sendTime {
 			break
 		}
 		number := a.firstNumber + uint64(k)
-		a.markLikelyLeft(number, now)
-		if now > m.chargedAt+a.MaxTransit+maxSlowdown*m.sendTime+lostDelay {
-			a.markLeft(number, now)
+		a.markLikelyLeftChannel(number, now)
+		if now > m.chargedAt+a.MaxTransit+maxSlowdown*m.sendTime+lostAckDelay {
+			a.markLeftChannel(number, now)
 		}
 	}
 	a.trim()
@@ -176,17 +176,17 @@
 	}
 }
 
-// takeBack takes back the charge of a message.
-func (m *message) takeBack(a *Account) {
+// release releases the charge of a message.
+func (m *message) release(a *Account) {
 	a.queued -= m.units
 	a.likelyQueued -= m.likelyUnits
 	m.units = 0
 	m.likelyUnits = 0
 }
 
-// markLikelyLeft records that a message is likely to have left the channel.
-func (a *Account) markLikelyLeft(number uint64, now int64) {
-	m := a.lookUp(number)
+// markLikelyLeftChannel records that a message is likely to have left the channel.
+func (a *Account) markLikelyLeftChannel(number uint64, now int64) {
+	m := a.lookup(number)
 	a.likelyQueued -= m.likelyUnits
 	m.likelyUnits = 0
 	if m.writtenAt > 0 {
@@ -194,16 +194,16 @@
 	}
 }
 
-// markLeft takes back the charge of a message that has left the channel without an ack of its own.
-func (a *Account) markLeft(number uint64, now int64) {
+// markLeftChannel releases the charge of a message that has left the channel without an ack of its own.
+func (a *Account) markLeftChannel(number uint64, now int64) {
 	a.assumeReceived(number, now)
-	a.lookUp(number).takeBack(a)
+	a.lookup(number).release(a)
 }
 
 // assumeReceived counts an unacknowledged message as received after the longest transit from now. Otherwise a proxy whose
 // acks are lost would get no more messages than its cap for as long as the channel might hold the unacknowledged ones.
 func (a *Account) assumeReceived(number uint64, now int64) {
-	if p := a.proxies[a.lookUp(number).proxy]; p != nil {
+	if p := a.proxies[a.lookup(number).proxy]; p != nil {
 		p.assumeReceived(number, now+a.MaxTransit)
 	}
 }
--- a/internal/sendbudget/account_test.go
+++ b/internal/sendbudget/account_test.go
@@ -8,12 +8,12 @@
 
 const second = int64(1e9)
 
-func account() *Account {
+func newTestAccount() *Account {
 	return New(Bounds{ChannelLimit: 160, ChannelRate: 200, MessageOverhead: 4, MaxMessages: 3, MessageWindow: 10 * second, MaxTransit: second / 4})
 }
 
-func TestChannelIsFullUntilAcksShowThatItIsNot(t *testing.T) {
-	a := account()
+func TestChannelStaysFullUntilAcksReleaseCharges(t *testing.T) {
+	a := newTestAccount()
 	first := a.Charge(1, 96, 0)
 	a.MarkSent(first, second/20)
 	if a.Fits(2, 38, false, 0) || !a.Fits(2, 37, false, 0) || !a.Fits(2, 46, true, 0) || a.Fits(2, 47, true, 0) {
@@ -37,7 +37,7 @@
 	fourth := a.Charge(2, 6, 8*second)
 	a.Acknowledge(2, fourth, 9*second)
 	a.MarkSent(stalled, 9*second)     // no longer in the account
-	a.Acknowledge(1, first, 9*second) // late: its charge was already taken back
+	a.Acknowledge(1, first, 9*second) // late: its charge was already released
 	if a.Queued() != 0 || len(a.messages) != 0 {
 		t.Errorf("%d units charged, %d messages, want none", a.Queued(), len(a.messages))
 	}
@@ -45,34 +45,34 @@
 
 // Messages beyond those that keep the channel busy until acks arrive have to wait outside the channel, where they can be
 // brought up to date. Here 100 units per second for four transits of 0.25 s keep it busy.
-func TestBusyChannelHasNoRoom(t *testing.T) {
-	a := account()
+func TestBusyChannelHasNoCapacity(t *testing.T) {
+	a := newTestAccount()
 	a.ChannelLimit, a.ChannelRate = 1<<20, 100
-	if a.Charge(1, 95, 0); !a.HasRoom(false) || !a.Fits(2, 1000, false, 0) {
+	if a.Charge(1, 95, 0); !a.HasCapacity(false) || !a.Fits(2, 1000, false, 0) {
 		t.Error("99 units must leave room for one more message of any size")
 	}
-	if a.Charge(1, 0, 0); a.HasRoom(false) || !a.HasRoom(true) {
+	if a.Charge(1, 0, 0); a.HasCapacity(false) || !a.HasCapacity(true) {
 		t.Error("103 units must leave room for urgent messages only")
 	}
-	if a.Charge(1, 93, 0); a.HasRoom(true) {
+	if a.Charge(1, 93, 0); a.HasCapacity(true) {
 		t.Error("200 units must leave no room for urgent messages")
 	}
 	later := a.Charge(2, 6, second)
-	if a.Acknowledge(2, later, 2*second); a.Queued() != 200 || !a.HasRoom(false) {
+	if a.Acknowledge(2, later, 2*second); a.Queued() != 200 || !a.HasCapacity(false) {
 		t.Errorf("%d units charged, want 200, as messages may change their order within reorderWindow; but the channel must have room, as it is likely to be empty", a.Queued())
 	}
 }
 
 // A proxy may receive unacknowledged messages at any time, and may have received acknowledged ones just before its ack.
 func TestMessageCapCountsWhatAProxyMayReceive(t *testing.T) {
-	a := account()
-	n := a.Charge(1, 1, 0)
+	a := newTestAccount()
+	first := a.Charge(1, 1, 0)
 	a.Charge(1, 1, 0)
 	a.Charge(1, 1, second)
 	if a.Fits(1, 1, true, 9*second) || a.Fits(1, 1, true, 10*second+1) {
 		t.Error("a fourth message fits though the proxy may still receive all three within one window")
 	}
-	a.Acknowledge(1, n, 9*second)
+	a.Acknowledge(1, first, 9*second)
 	if a.Fits(1, 1, true, 19*second) || !a.Fits(1, 1, true, 19*second+1) || !a.Fits(2, 1, false, 9*second) {
 		t.Error("the first message, acknowledged at 9 s, must count until 19 s, and for no other proxy")
 	}
@@ -88,33 +88,33 @@
 // Without spacing, a proxy that is sent many changes in a message each would use up its cap in a few seconds and get no
 // ejection for the rest of the window. With it, no message waits longer than the spacing.
 func TestNoMessageWaitsLongerThanTheSpacing(t *testing.T) {
-	for name, answer := range map[string]int64{"at once": 0, "late": second, "never": -1} {
+	for name, ackDelay := range map[string]int64{"at once": 0, "late": second, "never": -1} {
 		a := New(Bounds{MaxMessages: 30, MessageWindow: 10 * second, MaxTransit: second / 4, DrainGrace: 2 * second})
-		var wrote []int64
-		for now, asked := int64(0), int64(-1); now < 60*second; now += second / 100 {
-			for k := range wrote {
-				if answer >= 0 && now == wrote[k]+answer {
+		var sentAt []int64
+		for now, requestedAt := int64(0), int64(-1); now < 60*second; now += second / 100 {
+			for k := range sentAt {
+				if ackDelay >= 0 && now == sentAt[k]+ackDelay {
 					a.Acknowledge(1, uint64(k), now)
 				}
 			}
 			a.Expire(now)
-			if asked < 0 && (now/(second/10))%(1+now/(20*second)) == 0 { // every 0.1 s, later less often
-				asked = now
+			if requestedAt < 0 && (now/(second/10))%(1+now/(20*second)) == 0 { // every 0.1 s, later less often
+				requestedAt = now
 			}
-			if asked < 0 || !a.Fits(1, 1, true, now) {
+			if requestedAt < 0 || !a.Fits(1, 1, true, now) {
 				continue
 			}
-			if waited := now - asked; waited > a.spacing() {
+			if waited := now - requestedAt; waited > a.spacing() {
 				t.Errorf("acknowledged %s: message sent at %d ms waited %d ms, longer than the spacing", name, now/1e6, waited/1e6)
 			}
 			a.MarkSent(a.Charge(1, 1, now), now)
-			wrote, asked = append(wrote, now), -1
-			if first := len(wrote) - 1 - a.MaxMessages; first >= 0 && now-wrote[first] < a.MessageWindow {
-				t.Fatalf("acknowledged %s: %d messages within %d ms", name, a.MaxMessages+1, (now-wrote[first])/1e6)
+			sentAt, requestedAt = append(sentAt, now), -1
+			if first := len(sentAt) - 1 - a.MaxMessages; first >= 0 && now-sentAt[first] < a.MessageWindow {
+				t.Fatalf("acknowledged %s: %d messages within %d ms", name, a.MaxMessages+1, (now-sentAt[first])/1e6)
 			}
 		}
-		if len(wrote) < 60 {
-			t.Errorf("acknowledged %s: only %d messages in a minute", name, len(wrote))
+		if len(sentAt) < 60 {
+			t.Errorf("acknowledged %s: only %d messages in a minute", name, len(sentAt))
 		}
 	}
 }
@@ -123,9 +123,9 @@
 // immediately.
 func TestSpacingFollowsTheDrainGrace(t *testing.T) {
 	for _, c := range []struct {
-		messages    int
-		grace, most int64
-		spaced      int
+		messages          int
+		grace, maxSpacing int64
+		spaced            int
 	}{
 		{30, 2 * second, 875 * second / 1000, 13},
 		{20, 4 * second, 1875 * second / 1000, 6},
@@ -134,7 +134,7 @@
 		{30, 0, 11 * second / 15, 15},
 	} {
 		a := New(Bounds{MaxMessages: c.messages, MessageWindow: 10 * second, MaxTransit: second / 4, DrainGrace: c.grace})
-		if a.spacedMessages() != c.spaced || a.spacing() > c.most {
+		if a.spacedMessages() != c.spaced || a.spacing() > c.maxSpacing {
 			t.Errorf("cap of %d messages, grace of %d ms: %d messages spaced by %d ms", c.messages, c.grace/1e6, a.spacedMessages(), a.spacing()/1e6)
 		}
 	}
@@ -143,7 +143,7 @@
 // A proxy whose acks are lost gets messages again as soon as the earlier ones are likely to have left the channel, even
 // though the channel might still hold them.
 func TestLostAcksDoNotBlockAProxy(t *testing.T) {
-	a := account()
+	a := newTestAccount()
 	for range 3 {
 		a.MarkSent(a.Charge(1, 16, 0), 1) // 60 units take 1.2 s at a quarter of 200 units per second, and 0.25 s in transit
 	}
@@ -155,10 +155,10 @@
 
 // Charges that no proxy can acknowledge any more expire 30 s after a channel at a 24th of its rate would have sent them.
 func TestChargesWithoutAcksExpireLate(t *testing.T) {
-	a := account()
+	a := newTestAccount()
 	a.Charge(1, 96, 0)
 	a.Disconnect(1, 0)
-	at := 12*second + second/4 + lostDelay
+	at := 12*second + second/4 + lostAckDelay
 	if a.Expire(at); a.Fits(2, 60, true, at) {
 		t.Error("charges expired too early")
 	}
@@ -180,8 +180,8 @@
 			MessageWindow: 10 * second, MaxTransit: second / 4}
 		a := New(b)
 		var queue []message
-		now, units := int64(0), 0
-		written, received := map[int][]int64{}, map[int][]int64{}
+		now, queuedUnits := int64(0), 0
+		sent, received := map[int][]int64{}, map[int][]int64{}
 		within := func(times []int64) (n int) {
 			for _, at := range times {
 				if now-at < b.MessageWindow {
@@ -198,18 +198,18 @@
 				n := rapid.IntRange(1, 60).Draw(t, "units")
 				if a.Fits(proxy, n, rapid.Bool().Draw(t, "urgent"), now) {
 					queue = append(queue, message{proxy, a.Charge(proxy, n, now), n + b.MessageOverhead})
-					units += n + b.MessageOverhead
+					queuedUnits += n + b.MessageOverhead
 					if rapid.Bool().Draw(t, "reported as written") {
 						a.MarkSent(queue[len(queue)-1].number, now)
 					}
-					if written[proxy] = append(written[proxy], now); within(written[proxy]) > b.MaxMessages {
-						t.Fatalf("%d messages sent to proxy %d within a window", within(written[proxy]), proxy)
+					if sent[proxy] = append(sent[proxy], now); within(sent[proxy]) > b.MaxMessages {
+						t.Fatalf("%d messages sent to proxy %d within a window", within(sent[proxy]), proxy)
 					}
 				}
 			case 3: // some messages leave the channel, and their acks may be lost
 				for n := rapid.IntRange(0, len(queue)).Draw(t, "sent"); n > 0; n-- {
 					m := queue[0]
-					queue, units = queue[1:], units-m.units
+					queue, queuedUnits = queue[1:], queuedUnits-m.units
 					if received[m.proxy] = append(received[m.proxy], now); within(received[m.proxy]) > b.MaxMessages {
 						t.Fatalf("%d messages received by proxy %d within a window", within(received[m.proxy]), m.proxy)
 					}
@@ -220,8 +220,8 @@
 			case 4:
 				a.Evict(now)
 			}
-			if units > b.ChannelLimit || a.Queued() < units {
-				t.Fatalf("%d units in the channel, %d charged, limit %d", units, a.Queued(), b.ChannelLimit)
+			if queuedUnits > b.ChannelLimit || a.Queued() < queuedUnits {
+				t.Fatalf("%d units in the channel, %d charged, limit %d", queuedUnits, a.Queued(), b.ChannelLimit)
 			}
 		}
 	})
@@ -240,7 +240,7 @@
 			a.MarkSent(n, second/5)
 		},
 	} {
-		a := account()
+		a := newTestAccount()
 		end(a, a.Charge(1, 16, 0))
 		early := a.Charge(2, 6, reorderWindow)
 		if a.Acknowledge(2, early, reorderWindow+second/4); a.Queued() != 20 {
@@ -254,13 +254,13 @@
 		if a.Acknowledge(1, own, 3*reorderWindow+second/4); a.Queued() != 0 || len(a.messages) != 0 {
 			t.Errorf("%s: %d units charged after an ack of the same proxy", name, a.Queued())
 		}
-		a = account()
+		a = newTestAccount()
 		end(a, a.Charge(1, 16, 0))
-		if a.Expire(lostDelay); a.Queued() != 20 {
+		if a.Expire(lostAckDelay); a.Queued() != 20 {
 			t.Errorf("%s: %d units charged before the expiry, want 20", name, a.Queued())
 		}
-		a.Evict(2 * lostDelay) // unacknowledged messages count as received at this time
-		if a.Evict(4 * lostDelay); a.Queued() != 0 || len(a.messages)+len(a.proxies) != 0 {
+		a.Evict(2 * lostAckDelay) // unacknowledged messages count as received at this time
+		if a.Evict(4 * lostAckDelay); a.Queued() != 0 || len(a.messages)+len(a.proxies) != 0 {
 			t.Errorf("%s: %d units, %d messages and %d proxies left after the expiry", name, a.Queued(), len(a.messages), len(a.proxies))
 		}
 	}
--- a/internal/sendbudget/bounds.go
+++ b/internal/sendbudget/bounds.go
@@ -1,6 +1,6 @@
 // Package sendbudget accounts for every message that a controller sends to its proxies, against the limit of the channel
 // that the proxies share and against the message cap of each proxy. A message is charged before it is sent. The charge is
-// taken back only on evidence that the message has left the channel, so the limits hold no matter how slow the channel, the
+// released only on evidence that the message has left the channel, so the limits hold no matter how slow the channel, the
 // proxies and the controller are and which acks are lost.
 //
 // Package policy/pacing has a second account of the same channel, with which the module plans how many cost units its
@@ -41,15 +41,15 @@
 )
 
 const (
-	// usualSlowdown is the factor by which the channel may be slower than its stated rate before an unacknowledged message
-	// counts as likely to have left. From then on the message does not count as keeping the channel busy, since its ack may
-	// be lost.
-	usualSlowdown = 4
-	// maxSlowdown and lostDelay determine when an unacknowledged message counts as having left: lostDelay after the time at
-	// which a channel slower than its stated rate by the factor maxSlowdown would have sent it and all messages that waited
-	// before it.
-	maxSlowdown = 24
-	lostDelay   = int64(30 * time.Second)
+	// likelyLeftSlowdown is the factor by which the channel may be slower than its stated rate before an unacknowledged
+	// message counts as likely to have left. From then on the message does not count as keeping the channel busy, since its
+	// ack may be lost.
+	likelyLeftSlowdown = 4
+	// maxSlowdown and lostAckDelay determine when an unacknowledged message counts as having left: lostAckDelay after the
+	// time at which a channel slower than its stated rate by the factor maxSlowdown would have sent it and all messages that
+	// waited before it.
+	maxSlowdown  = 24
+	lostAckDelay = int64(30 * time.Second)
 	// reorderWindow is the time, in nanoseconds, within which messages of different streams may change their order. A
 	// message is written in pieces and enters the channel with its last piece, so the longest transit time alone would be
 	// too short.
@@ -68,14 +68,14 @@
 	spacedDivisor = 2
 )
 
-// reserve returns the units of the channel that only ack requests may use.
-func (b *Bounds) reserve() int {
+// ackRequestReserve returns the units of the channel that only ack requests may use.
+func (b *Bounds) ackRequestReserve() int {
 	return min(reservedAckRequests*(b.MessageOverhead+1), b.ChannelLimit/reservedDivisor)
 }
 
 // messageLimit returns the limit of the units in the channel, including a message that is about to be charged.
 func (b *Bounds) messageLimit(urgent bool) int {
-	limit := b.ChannelLimit - b.reserve()
+	limit := b.ChannelLimit - b.ackRequestReserve()
 	if !urgent {
 		limit -= limit / reservedDivisor
 	}
--- a/internal/sendbudget/messagecap.go
+++ b/internal/sendbudget/messagecap.go
@@ -10,8 +10,8 @@
 	chargedAt   []int64  // times at which messages to the proxy were charged, within the window
 }
 
-// used returns how many messages count against the cap.
-func (p *proxyAccount) used() int {
+// countedMessages returns how many messages count against the cap.
+func (p *proxyAccount) countedMessages() int {
 	return max(len(p.chargedAt), len(p.outstanding)+len(p.receivedAt))
 }
 
@@ -61,17 +61,17 @@
 		return true
 	}
 	p.evict(now - a.MessageWindow)
-	return p.used() < a.MaxMessages
+	return p.countedMessages() < a.MaxMessages
 }
 
-// keepsSpacing reports whether the spacing of messages allows a message to a proxy now. The first messages of a window are
+// spacingElapsed reports whether the spacing of messages allows a message to a proxy now. The first messages of a window are
 // not spaced.
-func (a *Account) keepsSpacing(proxy int, now int64) bool {
+func (a *Account) spacingElapsed(proxy int, now int64) bool {
 	p := a.proxies[proxy]
 	if p == nil || a.MaxMessages == 0 || len(p.chargedAt) == 0 {
 		return true
 	}
-	if p.used() < a.MaxMessages-a.spacedMessages() {
+	if p.countedMessages() < a.MaxMessages-a.spacedMessages() {
 		return true
 	}
 	return now-p.chargedAt[len(p.chargedAt)-1] >= a.spacing()
--- a/internal/sendbudget/messagecap_test.go
+++ b/internal/sendbudget/messagecap_test.go
@@ -5,22 +5,22 @@
 	"testing"
 )
 
-func TestProxyAccountCountsWhicheverIsMore(t *testing.T) {
+func TestProxyAccountCountsTheLargerNumber(t *testing.T) {
 	p := &proxyAccount{outstanding: []uint64{1, 2, 3}, chargedAt: []int64{10, 20}}
-	if p.used() != 3 {
-		t.Errorf("%d messages count with three outstanding and two charged, want 3", p.used())
+	if p.countedMessages() != 3 {
+		t.Errorf("%d messages count with three outstanding and two charged, want 3", p.countedMessages())
 	}
 	p.acknowledge(2, 30)
-	if p.used() != 3 || len(p.outstanding) != 1 || len(p.receivedAt) != 2 {
-		t.Errorf("%d messages count after an ack of two, want 3: %+v", p.used(), p)
+	if p.countedMessages() != 3 || len(p.outstanding) != 1 || len(p.receivedAt) != 2 {
+		t.Errorf("%d messages count after an ack of two, want 3: %+v", p.countedMessages(), p)
 	}
 	p.assumeReceived(9, 35) // not outstanding
 	p.assumeReceived(3, 40)
-	if p.used() != 3 || len(p.outstanding) != 0 || p.receivedAt[2] != 40 {
+	if p.countedMessages() != 3 || len(p.outstanding) != 0 || p.receivedAt[2] != 40 {
 		t.Errorf("after all messages are received: %+v", p)
 	}
 	p.evict(40)
-	if p.used() != 1 || len(p.chargedAt) != 0 {
+	if p.countedMessages() != 1 || len(p.chargedAt) != 0 {
 		t.Errorf("after the eviction of times before the last receipt: %+v", p)
 	}
 	p.evict(41)
@@ -29,15 +29,15 @@
 	}
 }
 
-func TestProxyAccountThatDisconnectsMayHaveReceivedAll(t *testing.T) {
+func TestDisconnectedProxyAccountCountsAllAsReceived(t *testing.T) {
 	p := &proxyAccount{outstanding: []uint64{1, 2}}
 	p.disconnect(50)
-	if len(p.outstanding) != 0 || p.used() != 2 || p.isEmpty() {
+	if len(p.outstanding) != 0 || p.countedMessages() != 2 || p.isEmpty() {
 		t.Errorf("after the disconnection: %+v", p)
 	}
 }
 
-func TestBoundsLeaveRoomForUrgentMessagesAndAckRequests(t *testing.T) {
+func TestBoundsReserveCapacityForUrgentMessagesAndAckRequests(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		bounds          Bounds
