--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -11,14 +11,14 @@
 )
 
 // namesOf returns names from comma-separated lists.
-func namesOf(groups, zones, kinds string) settings.Names {
+func namesOf(classes, zones, hardwareClasses string) settings.Names {
 	split := func(text string) []string {
 		if text == "" {
 			return nil
 		}
 		return strings.Split(text, ",")
 	}
-	return settings.Names{Classes: split(groups), Zones: split(zones), HardwareClasses: split(kinds)}
+	return settings.Names{Classes: split(classes), Zones: split(zones), HardwareClasses: split(hardwareClasses)}
 }
 
 // changedNames returns a Configure input that gives the core of a test other names.
@@ -48,14 +48,14 @@
 	turn([]Input{replicaList(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}},
 		setEndpoint(0, 1, 1), setEndpoint(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
 		control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}, control.SetAdmission{Table: 0, Class: 0, Fraction: 0.7})
-	o := turn([]Input{
+	result := turn([]Input{
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // before the change: the old number
 		changedNames(2, namesOf("order,new,read", "b,a", "m0,m2"), module),
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 2}},
 		Outcomes{Zone: "a", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
 	})
-	if len(o.Updates) != 0 || len(o.CloseStreams) != 0 || len(o.Configured) != 1 || o.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 2 {
-		t.Errorf("%s, %+v", formatUpdates(o), o.Configured)
+	if len(result.Updates) != 0 || len(result.CloseStreams) != 0 || len(result.Configured) != 1 || result.Configured[0].Err != nil || c.ConfigurationVersion().Revision != 2 {
+		t.Errorf("updates %s, want none; results %+v", formatUpdates(result), result.Configured)
 	}
 	var event control.SettingsChanged
 	for k, e := range module.events {
@@ -77,10 +77,10 @@
 		t.Errorf("events %+v", event)
 	}
 	if got := formatUpdates(turn(nil, control.SetAdmission{Table: 0, Class: 2, Fraction: 0.6})); got != "1: read~0.6/0; 2: read~0.6/0" {
-		t.Error(got)
+		t.Errorf("updates after the admission of class read was lowered: %q", got)
 	}
 	if got := formatUpdates(turn(nil, control.SetAdmission{Table: control.AllTables, Class: 0, Fraction: 0.5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 1})); got != "1: new~1/0; 2: new~1/0" {
-		t.Error(got) // the admission of class order is 0.5 already
+		t.Errorf("updates %q, want none for class order, whose admission is 0.5 already", got)
 	}
 }
 
@@ -89,13 +89,13 @@
 	c, module := newTestCore([]control.Command{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}})
 	c.Turn(0, []Input{replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "a", WithoutTable: true}})
 	if got := formatUpdates(c.Turn(1, []Input{changedNames(2, namesOf("read", "a,b", "m1,m2"), module)})); got != "1: order~1/1; 2: order~1/1" {
-		t.Error(got)
+		t.Errorf("updates after class order was removed: %q", got)
 	}
 	if got := formatUpdates(c.Turn(2, []Input{Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4}}})); got != "" || c.Counters.Invalid != 1 {
 		t.Errorf("updates %q and %d invalid inputs after demand of a removed class, want none and 1", got, c.Counters.Invalid)
 	}
 	if got := formatUpdates(c.Turn(3, []Input{changedNames(3, namesOf("order,read", "a,b", "m1,m2"), module)})); got != "" {
-		t.Error(got)
+		t.Errorf("updates after class order was added again: %q, want none", got)
 	}
 }
 
@@ -107,9 +107,9 @@
 	result := c.Turn(1, []Input{changedNames(2, namesOf("read,order", "a", "m1,m2"), module), Outcomes{Zone: "b", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
 		StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}, Outcomes{Zone: "c", Replica: "x"}})
 	if len(result.CloseStreams) != 1 || result.CloseStreams[0] != 2 || c.Counters.Invalid != 2 || c.Counters.ConnectedProxies != 1 {
-		t.Errorf("%v closed, %d invalid, %d connected", result.CloseStreams, c.Counters.Invalid, c.Counters.ConnectedProxies)
+		t.Errorf("closed streams %v, %d invalid inputs, %d connected proxies", result.CloseStreams, c.Counters.Invalid, c.Counters.ConnectedProxies)
 	}
-	if report, is := module.events[1].(control.Outcomes); !is || report.Zone != 1 {
+	if report, isOutcomes := module.events[1].(control.Outcomes); !isOutcomes || report.Zone != 1 {
 		t.Errorf("events %+v", module.events)
 	}
 	if err := c.CurrentTopology().CheckCollector("b"); err == nil {
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -240,13 +240,13 @@
 // A step of the wall clock between two lists must not be taken for a restart of every replica.
 func TestStartTimesSurviveStepsOfTheWallClock(t *testing.T) {
 	c, module := newTestCore()
-	at := func(wall, up int64) int64 {
-		c.Turn(wall, []Input{ReplicaList{ReadAt: 500e9, ReadAtWall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: up}}}})
+	listedStart := func(wall, upSince int64) int64 {
+		c.Turn(wall, []Input{ReplicaList{ReadAt: 500e9, ReadAtWall: wall, Members: []Member{{ID: "x", Weight: 1, UpSince: upSince}}}})
 		return module.events[0].(control.ReplicasListed).Entries[0].Start
 	}
 	for k, step := range [][3]int64{{1000e9, 990e9, 490e9}, {5000e9, 990e9, 490e9}, {5000e9, 4999e9, 499e9},
 		{400e9, 4999e9, 499e9}, {400e9, 900e9, 500e9}, {400e9, 1, 100e9 + 1}, {9000e9, 2, 1}, {400e9, 0, 0}} {
-		if got := at(step[0], step[1]); got != step[2] {
+		if got := listedStart(step[0], step[1]); got != step[2] {
 			t.Errorf("step %d: start %d, want %d", k, got, step[2])
 		}
 	}
--- a/internal/controller/crossings_test.go
+++ b/internal/controller/crossings_test.go
@@ -21,8 +21,8 @@
 	} {
 		c, _ := newTestCore()
 		c.Turn(7, lists)
-		if l := c.replicas.currentList(); len(l.Entries) != 1 || c.replicas.byNumber[l.Entries[0].Replica].name != "y" {
-			t.Errorf("%s: a new module gets %+v, want only replica y", name, l.Entries)
+		if list := c.replicas.currentList(); len(list.Entries) != 1 || c.replicas.byNumber[list.Entries[0].Replica].name != "y" {
+			t.Errorf("%s: a new module gets %+v, want only replica y", name, list.Entries)
 		}
 		if c.evictUnused(8 + nameRetention); c.replicas.numbers["x"] != 0 || c.replicas.numbers["y"] == 0 {
 			t.Errorf("%s: names kept %v", name, c.replicas.numbers)
@@ -32,19 +32,19 @@
 
 // If a replica is gone and then ready again within one list, or in two lists of one turn, its last entry applies.
 func TestLastEntryOfATurnApplies(t *testing.T) {
-	up := func(m Member, since int64) Member { m.UpSince = since; return m }
+	startedAt := func(m Member, since int64) Member { m.UpSince = since; return m }
 	x := replicaList(false, "xr").Members[0]
 	gone := replicaList(false, "xg").Members[0]
 	for name, lists := range map[string][]ReplicaList{
-		"one list":  {{Members: []Member{gone, up(x, 900e9)}}},
-		"two lists": {{Members: []Member{gone}}, {Members: []Member{up(x, 900e9)}}},
+		"one list":  {{Members: []Member{gone, startedAt(x, 900e9)}}},
+		"two lists": {{Members: []Member{gone}}, {Members: []Member{startedAt(x, 900e9)}}},
 	} {
 		c, module := newTestCore()
 		c.Turn(1, []Input{replicaList(true, "xr")})
 		var inputs []Input
-		for _, l := range lists {
-			l.ReadAt, l.ReadAtWall = 1000e9, 1000e9
-			inputs = append(inputs, l)
+		for _, list := range lists {
+			list.ReadAt, list.ReadAtWall = 1000e9, 1000e9
+			inputs = append(inputs, list)
 		}
 		c.Turn(2, inputs)
 		var last control.ListedReplica
@@ -62,9 +62,9 @@
 // Acks of a failed module's messages are not reported to the next module. That module counts its nonces from the beginning,
 // so an old ack with the same nonce would complete a step before the proxies have applied it.
 func TestAcksOfAFailedModuleAreNotReported(t *testing.T) {
-	ack := func(n uint64) control.RequestAck { return control.RequestAck{Nonce: n} }
-	c, module := newTestCore(commands{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, ack(2)}, commands{setEndpoint(0, 1, 2), ack(3)}, panickingTurn,
-		commands{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, ack(2)})
+	requestAck := func(n uint64) control.RequestAck { return control.RequestAck{Nonce: n} }
+	c, module := newTestCore(commands{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, requestAck(2)}, commands{setEndpoint(0, 1, 2), requestAck(3)}, panickingTurn,
+		commands{setEndpoint(0, 1, 1), control.Bind{Proxy: 4}, requestAck(2)})
 	c.Turn(0, []Input{replicaList(true, "xr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}})
 	c.Turn(1, nil)
 	if c.Turn(2, nil); c.Counters.ModuleRestarts != 1 || c.delivery.account.Queued() == 0 {
--- a/internal/controller/messagecap_test.go
+++ b/internal/controller/messagecap_test.go
@@ -45,14 +45,14 @@
 		return list
 	}
 	stream, owner, stopped := controller.StreamID(0), map[controller.StreamID]int{}, map[int]bool{}
-	join := func(proxy int) controller.StreamOpened {
+	connect := func(proxy int) controller.StreamOpened {
 		stream++
 		owner[stream] = proxy
 		return controller.StreamOpened{Stream: stream, Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true}
 	}
 	inputs := []controller.Input{list("")}
 	for proxy := range capped.Proxies {
-		inputs = append(inputs, join(proxy))
+		inputs = append(inputs, connect(proxy))
 	}
 	drainedAt := int64(0)
 	for now := second; now < 12*second; now += second / 10 {
@@ -69,7 +69,7 @@
 		}
 		switch {
 		case now < 26*second/10 && (now/(second/10))%4 == 0: // with the first connection, this uses the cap up to one message
-			inputs = append(inputs, join(0))
+			inputs = append(inputs, connect(0))
 		case drainedAt == 0 && now >= 3*second:
 			drainedAt, inputs = now, append(inputs, list("s-0"))
 		}
@@ -101,7 +101,7 @@
 	for proxy := range capped.Proxies {
 		inputs = append(inputs, controller.StreamOpened{Stream: controller.StreamID(proxy + 1), Proxy: proxy, Zone: "a", Rate: 10, WithoutTable: true})
 	}
-	holds, messages := map[controller.StreamID]map[string]bool{}, map[controller.StreamID]int{}
+	tables, messages := map[controller.StreamID]map[string]bool{}, map[controller.StreamID]int{}
 	drained := map[string]int64{}
 	for now := second; now < 15*second; now += second / 100 {
 		if k := (now - 4*second) / step; now >= 4*second && k < 40 && len(drained) <= int(k) {
@@ -113,16 +113,16 @@
 		result := core.Turn(now, inputs)
 		inputs = nil
 		for _, outgoing := range result.Updates {
-			held := holds[outgoing.Stream]
-			if held == nil || outgoing.Update.Full {
-				held = map[string]bool{}
-				holds[outgoing.Stream] = held
+			usable := tables[outgoing.Stream]
+			if usable == nil || outgoing.Update.Full {
+				usable = map[string]bool{}
+				tables[outgoing.Stream] = usable
 			}
-			for _, line := range outgoing.Update.Endpoints {
-				held[line.Replica] = line.Weight > 0
+			for _, endpoint := range outgoing.Update.Endpoints {
+				usable[endpoint.Replica] = endpoint.Weight > 0
 			}
 			for _, id := range outgoing.Update.Ejected {
-				held[id] = false
+				usable[id] = false
 			}
 			if now >= 4*second {
 				messages[outgoing.Stream]++
@@ -133,14 +133,14 @@
 			}
 		}
 		for id, at := range drained {
-			for stream, held := range holds {
-				if held[id] && now > at+grace-capped.MaxTransit {
+			for stream, usable := range tables {
+				if usable[id] && now > at+grace-capped.MaxTransit {
 					t.Fatalf("stream %d, %d messages since the release began: not told by %d ms that %s has been draining since %d ms", stream, messages[stream], now/1e6, id, at/1e6)
 				}
 			}
 		}
 	}
-	if len(holds) != capped.Proxies || len(drained) != 40 {
-		t.Errorf("%d proxies hold a table, %d replicas drained", len(holds), len(drained))
+	if len(tables) != capped.Proxies || len(drained) != 40 {
+		t.Errorf("%d proxies hold a table, %d replicas drained", len(tables), len(drained))
 	}
 }
--- a/internal/controller/reconfigure_test.go
+++ b/internal/controller/reconfigure_test.go
@@ -28,14 +28,14 @@
 }
 
 // configure adds settings to the inputs of the next turn.
-func (w *simulation) configure(number uint64, next control.Settings, names settings.Names) {
+func (sim *simulation) configure(number uint64, next control.Settings, names settings.Names) {
 	next.Zones, next.HardwareClasses, next.Classes = len(names.Zones), len(names.HardwareClasses)+1, nil
 	for _, name := range names.Classes {
 		next.Classes = append(next.Classes, classNamed(name))
 	}
-	w.settings = next
-	w.inputs = append(w.inputs, controller.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: next,
-		Start: func() controller.Module { return failingModule{policy.New(next), w} }})
+	sim.settings = next
+	sim.inputs = append(sim.inputs, controller.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: next,
+		Start: func() controller.Module { return failingModule{policy.New(next), sim} }})
 }
 
 var simulationNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
@@ -50,8 +50,8 @@
 		draw := rand.New(rand.NewSource(seed))
 		proxies := 2 + draw.Intn(39)
 		limit := (20 + draw.Intn(41)) * proxies
-		w := newSimulation(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), updateCost)
-		original, number := w.settings, uint64(1)
+		sim := newSimulation(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), updateCost)
+		original, number := sim.settings, uint64(1)
 		for range 1 + draw.Intn(60) {
 			if draw.Intn(3) == 0 {
 				number++
@@ -59,27 +59,27 @@
 				changed.Proxies, changed.Controllers = changed.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
 				changed.DrainGrace, changed.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
 				changed.ChannelLimit, changed.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
-				if w.queuedUnits > 0 || len(w.unwritten) > 0 { // queued messages may exceed limits that shrink
-					changed.ChannelLimit, changed.MaxMessages = w.settings.ChannelLimit, w.settings.MaxMessages
+				if sim.queuedUnits > 0 || len(sim.unwritten) > 0 { // queued messages may exceed limits that shrink
+					changed.ChannelLimit, changed.MaxMessages = sim.settings.ChannelLimit, sim.settings.MaxMessages
 				}
-				w.configure(number, changed, settings.Names{Classes: classes[draw.Intn(len(classes))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
+				sim.configure(number, changed, settings.Names{Classes: classes[draw.Intn(len(classes))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
 			}
-			w.step(draw.Intn(8))
+			sim.step(draw.Intn(8))
 		}
-		violation := w.violation
-		w.configure(number+1, original, simulationNames)
-		w.advance(second)
-		for k := range w.proxies { // including those that were refused because of their zone
-			w.connect(k)
+		violation := sim.violation
+		sim.configure(number+1, original, simulationNames)
+		sim.advance(second)
+		for k := range sim.proxies { // including those that were refused because of their zone
+			sim.connect(k)
 		}
 		if violation == "" {
-			violation = w.settle(150 * second)
+			violation = sim.settle(150 * second)
 		}
-		if version := w.core.ConfigurationVersion(); violation == "" && version.Revision != number+1 {
+		if version := sim.core.ConfigurationVersion(); violation == "" && version.Revision != number+1 {
 			violation = fmt.Sprintf("settings version %s in force, want revision %d", version, number+1)
 		}
 		if violation != "" {
-			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d: %s", seed, proxies, len(w.replicaNames), limit, violation)
+			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d: %s", seed, proxies, len(sim.replicaNames), limit, violation)
 		}
 	}
 }
@@ -89,9 +89,9 @@
 	for seed := range int64(12) {
 		var simulations []*simulation
 		for k := range 2 {
-			w := newSimulation(seed, 30, 24, 2, 4000, 4000, updateCost)
-			for at := range w.proxies {
-				w.connect(at)
+			sim := newSimulation(seed, 30, 24, 2, 4000, 4000, updateCost)
+			for proxy := range sim.proxies {
+				sim.connect(proxy)
 			}
 			for step := range 40 {
 				if k == 1 && step%8 == 4 {
@@ -100,11 +100,11 @@
 						slices.Reverse(names.Classes)
 						slices.Reverse(names.Zones)
 					}
-					w.configure(uint64(step), w.settings, names)
+					sim.configure(uint64(step), sim.settings, names)
 				}
-				w.step([]int{3, 5, 5, 5}[step%4])
+				sim.step([]int{3, 5, 5, 5}[step%4])
 			}
-			simulations = append(simulations, w)
+			simulations = append(simulations, sim)
 		}
 		without, with := simulations[0], simulations[1]
 		if without.core.Counters.Updates != with.core.Counters.Updates || without.core.Counters.CostSent != with.core.Counters.CostSent || with.core.Counters.ConfigurationsApplied != 5 {
@@ -121,27 +121,27 @@
 // settledSimulation returns a simulation in which all proxies are connected and bound and no inputs other than demand
 // reports follow.
 func settledSimulation(t testing.TB, proxies, replicas int) *simulation {
-	w := newSimulation(1, proxies, replicas, 1, 1<<16, 1<<16, updateCost)
-	for k := range w.proxies {
-		w.connect(k)
+	sim := newSimulation(1, proxies, replicas, 1, 1<<16, 1<<16, updateCost)
+	for k := range sim.proxies {
+		sim.connect(k)
 	}
-	if violation := w.settle(30 * second); violation != "" {
+	if violation := sim.settle(30 * second); violation != "" {
 		t.Fatal(violation)
 	}
-	return w
+	return sim
 }
 
 // A change of the settings that affects no assignment of tables sends no tables.
 func TestChangedLimitsSendNoTables(t *testing.T) {
-	w, unchanged := settledSimulation(t, 40, 24), settledSimulation(t, 40, 24)
-	changed := w.settings
+	sim, unchanged := settledSimulation(t, 40, 24), settledSimulation(t, 40, 24)
+	changed := sim.settings
 	changed.DrainGrace, changed.ReportInterval, changed.ChannelRate, changed.ChannelLimit, changed.MaxTransit, changed.Proxies = 5*second, second/2, changed.ChannelRate/2, changed.ChannelLimit/2, second/3, changed.Proxies+1
-	w.configure(2, changed, simulationNames)
-	if violation := w.settle(20 * second); violation != "" || w.core.ConfigurationVersion().Revision != 2 {
-		t.Error(violation, w.core.ConfigurationVersion())
+	sim.configure(2, changed, simulationNames)
+	if violation := sim.settle(20 * second); violation != "" || sim.core.ConfigurationVersion().Revision != 2 {
+		t.Error(violation, sim.core.ConfigurationVersion())
 	}
 	unchanged.settle(20 * second)
-	if got, want := w.core.Counters, unchanged.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
+	if got, want := sim.core.Counters, unchanged.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
 		t.Errorf("%d full tables and %d cost units with the change, %d and %d without it", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
 	}
 }
@@ -158,29 +158,29 @@
 		"more controllers":      func(p *control.Settings, _ *settings.Names) { p.Controllers = 4 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := settledSimulation(t, 60, 36)
-			for _, m := range w.members { // replicas of a third zone are listed before the zone is in the settings
+			sim := settledSimulation(t, 60, 36)
+			for _, m := range sim.members { // replicas of a third zone are listed before the zone is in the settings
 				if m.ID >= "s-0024" && m.ID < "s-0030" {
 					m.Zone = "c"
-					w.members[m.ID] = m
+					sim.members[m.ID] = m
 				}
 			}
-			w.listReplicas(w.replicaNames, true)
-			if violation := w.settle(30 * second); violation != "" {
+			sim.listReplicas(sim.replicaNames, true)
+			if violation := sim.settle(30 * second); violation != "" {
 				t.Fatal(violation)
 			}
-			changed, names := w.settings, simulationNames
+			changed, names := sim.settings, simulationNames
 			change(&changed, &names)
-			w.configure(2, changed, names)
+			sim.configure(2, changed, names)
 			for range 200 {
-				w.advance(second / 10)
-				for k, proxy := range w.proxies {
+				sim.advance(second / 10)
+				for k, proxy := range sim.proxies {
 					if len(proxy.endpoints) == 0 {
 						t.Fatalf("proxy %d has no endpoint", k)
 					}
 				}
 			}
-			if violation := w.settle(30 * second); violation != "" || len(w.core.Turn(w.now, nil).CloseStreams) > 0 {
+			if violation := sim.settle(30 * second); violation != "" || len(sim.core.Turn(sim.now, nil).CloseStreams) > 0 {
 				t.Error(violation)
 			}
 		})
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -22,13 +22,13 @@
 
 // simulatedProxy is a proxy and the state that it has received.
 type simulatedProxy struct {
-	stream       controller.StreamID // 0 if the proxy is not connected
-	connectedAt  int64
-	zone         string
-	endpoints    map[string]float64
-	ejected      map[string]bool
-	lastEntersAt int64   // when the last message enters the channel
-	receivedAt   []int64 // when messages of the current connection entered the channel, within the message window
+	stream      controller.StreamID // 0 if the proxy is not connected
+	connectedAt int64
+	zone        string
+	endpoints   map[string]float64
+	ejected     map[string]bool
+	lastEntryAt int64   // when the last message enters the channel
+	enteredAt   []int64 // when messages of the current connection entered the channel, within the message window
 }
 
 // message is an update that its writer has not yet written to the channel, or that waits in the channel.
@@ -87,153 +87,153 @@
 }
 
 func newSimulation(seed int64, proxies, replicas, controllers, limit, rate int, cost func(controller.Update) int) *simulation {
-	w := &simulation{Rand: rand.New(rand.NewSource(seed)), cost: cost, members: map[string]controller.Member{}, now: second, rateFactor: 1}
-	w.settings = control.Settings{Seed: uint64(seed), Controllers: controllers, Zones: 2, HardwareClasses: 2, Proxies: proxies * controllers, ChannelRate: float64(rate),
+	sim := &simulation{Rand: rand.New(rand.NewSource(seed)), cost: cost, members: map[string]controller.Member{}, now: second, rateFactor: 1}
+	sim.settings = control.Settings{Seed: uint64(seed), Controllers: controllers, Zones: 2, HardwareClasses: 2, Proxies: proxies * controllers, ChannelRate: float64(rate),
 		ChannelLimit: limit, MessageOverhead: 4, MaxTransit: second / 4, DrainGrace: 8 * second, MaxMessages: 12, MessageWindow: 10 * second, HostQueues: true, ReportInterval: second,
 		SlowStartFraction: 0.2, SlowStartTime: 20 * second, OverloadMultiple: 3, Admission: control.AdmitFraction, AttemptTimeoutFactor: 1, DefaultRetries: control.RetryIfNotExecuted,
 		Classes: []control.TrafficClass{{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent},
 			{PriorityWeight: 3, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.NotIdempotent}}}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
-	w.core = controller.New(func() controller.Module { return failingModule{policy.New(w.settings), w} }, controller.NewTopology(names, w.settings))
+	sim.core = controller.New(func() controller.Module { return failingModule{policy.New(sim.settings), sim} }, controller.NewTopology(names, sim.settings))
 	for k := range replicas {
-		w.replicaNames = append(w.replicaNames, fmt.Sprintf("s-%04d", k))
-		w.members[w.replicaNames[k]] = controller.Member{ID: w.replicaNames[k], Zone: names.Zones[k%2], HardwareClass: "m1", Weight: 1}
+		sim.replicaNames = append(sim.replicaNames, fmt.Sprintf("s-%04d", k))
+		sim.members[sim.replicaNames[k]] = controller.Member{ID: sim.replicaNames[k], Zone: names.Zones[k%2], HardwareClass: "m1", Weight: 1}
 	}
-	w.listReplicas(w.replicaNames, true)
+	sim.listReplicas(sim.replicaNames, true)
 	for k := range proxies {
-		w.proxies = append(w.proxies, &simulatedProxy{zone: names.Zones[k%2], endpoints: map[string]float64{}, ejected: map[string]bool{}})
+		sim.proxies = append(sim.proxies, &simulatedProxy{zone: names.Zones[k%2], endpoints: map[string]float64{}, ejected: map[string]bool{}})
 	}
-	return w
+	return sim
 }
 
 // listReplicas adds a list with some replicas to the inputs of the next turn.
-func (w *simulation) listReplicas(names []string, complete bool) {
-	list := controller.ReplicaList{Complete: complete, ReadAt: w.now, ReadAtWall: w.now}
+func (sim *simulation) listReplicas(names []string, complete bool) {
+	list := controller.ReplicaList{Complete: complete, ReadAt: sim.now, ReadAtWall: sim.now}
 	for _, name := range names {
-		list.Members = append(list.Members, w.members[name])
+		list.Members = append(list.Members, sim.members[name])
 	}
-	w.inputs = append(w.inputs, list)
+	sim.inputs = append(sim.inputs, list)
 }
 
 // connect connects a proxy by a new stream.
-func (w *simulation) connect(proxy int) {
-	p := w.proxies[proxy]
-	w.lastStream++
-	p.stream, p.connectedAt, p.receivedAt = w.lastStream, w.now, nil
-	w.inputs = append(w.inputs, controller.StreamOpened{Stream: p.stream, Proxy: proxy, Zone: p.zone, Rate: 1, WithoutTable: len(p.endpoints)+len(p.ejected) == 0})
+func (sim *simulation) connect(proxy int) {
+	p := sim.proxies[proxy]
+	sim.lastStream++
+	p.stream, p.connectedAt, p.enteredAt = sim.lastStream, sim.now, nil
+	sim.inputs = append(sim.inputs, controller.StreamOpened{Stream: p.stream, Proxy: proxy, Zone: p.zone, Rate: 1, WithoutTable: len(p.endpoints)+len(p.ejected) == 0})
 }
 
 // step simulates one event of the given kind, lets a random period pass and runs a turn.
-func (w *simulation) step(event int) {
-	count := 1 + w.Intn(max(1, len(w.proxies)))
+func (sim *simulation) step(event int) {
+	count := 1 + sim.Intn(max(1, len(sim.proxies)))
 	switch event {
 	case 0, 1: // many proxies connect, some with a new stream while the old one is still open
 		for range count {
-			w.connect(w.Intn(len(w.proxies)))
+			sim.connect(sim.Intn(len(sim.proxies)))
 		}
 	case 2: // many proxies disconnect
 		for range count {
-			if p := w.proxies[w.Intn(len(w.proxies))]; p.stream != 0 {
-				w.inputs = append(w.inputs, controller.StreamClosed{Stream: p.stream})
+			if p := sim.proxies[sim.Intn(len(sim.proxies))]; p.stream != 0 {
+				sim.inputs = append(sim.inputs, controller.StreamClosed{Stream: p.stream})
 				p.stream = 0
 			}
 		}
 	case 3, 4: // a release of some replicas
 		var names []string
-		for range 1 + w.Intn(1+len(w.replicaNames)/4) {
-			m := w.members[w.replicaNames[w.Intn(len(w.replicaNames))]]
-			m.State = control.State(w.Intn(3))
+		for range 1 + sim.Intn(1+len(sim.replicaNames)/4) {
+			m := sim.members[sim.replicaNames[sim.Intn(len(sim.replicaNames))]]
+			m.State = control.State(sim.Intn(3))
 			if m.UpSince = 0; m.State == control.Ready {
-				m.UpSince = w.now
+				m.UpSince = sim.now
 			}
-			w.members[m.ID] = m
+			sim.members[m.ID] = m
 			names = append(names, m.ID)
 		}
-		w.listReplicas(names, false)
+		sim.listReplicas(names, false)
 	case 5: // collectors report outcomes with some failed attempts
 		for range 20 {
-			m := controller.Outcomes{Zone: "a", Replica: w.replicaNames[w.Intn(len(w.replicaNames))]}
-			m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, 20*w.Intn(2), second/10, second
-			w.inputs = append(w.inputs, m)
+			m := controller.Outcomes{Zone: "a", Replica: sim.replicaNames[sim.Intn(len(sim.replicaNames))]}
+			m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, 20*sim.Intn(2), second/10, second
+			sim.inputs = append(sim.inputs, m)
 		}
 	case 6: // send queues drop their updates
 		for range count {
-			if p := w.proxies[w.Intn(len(w.proxies))]; p.stream != 0 {
-				w.inputs = append(w.inputs, controller.UpdatesDropped{Stream: p.stream})
+			if p := sim.proxies[sim.Intn(len(sim.proxies))]; p.stream != 0 {
+				sim.inputs = append(sim.inputs, controller.UpdatesDropped{Stream: p.stream})
 			}
 		}
 	case 7: // the channel's speed, the loss of acks and the module's failures change
-		w.rateFactor, w.ackLossRate, w.modulePanics = []float64{1, 1, 0.3, 0.05}[w.Intn(4)], []float64{0, 0.2, 0.9}[w.Intn(3)], w.Intn(4) == 0
+		sim.rateFactor, sim.ackLossRate, sim.modulePanics = []float64{1, 1, 0.3, 0.05}[sim.Intn(4)], []float64{0, 0.2, 0.9}[sim.Intn(3)], sim.Intn(4) == 0
 	}
-	w.advance([]int64{second / 100, second / 4, second, 4 * second}[w.Intn(4)])
+	sim.advance([]int64{second / 100, second / 4, second, 4 * second}[sim.Intn(4)])
 }
 
 // advance lets the channel send for a period and runs a turn at its end.
-func (w *simulation) advance(span int64) {
-	w.now += span
-	w.sendCredit += float64(span) / float64(second) * w.settings.ChannelRate * w.rateFactor
-	for len(w.channelQueue) > 0 && w.sendCredit >= float64(w.channelQueue[0].units) {
-		m := w.channelQueue[0]
-		w.channelQueue, w.queuedUnits, w.sendCredit = w.channelQueue[1:], w.queuedUnits-m.units, w.sendCredit-float64(m.units)
-		w.deliver(m)
+func (sim *simulation) advance(span int64) {
+	sim.now += span
+	sim.sendCredit += float64(span) / float64(second) * sim.settings.ChannelRate * sim.rateFactor
+	for len(sim.channelQueue) > 0 && sim.sendCredit >= float64(sim.channelQueue[0].units) {
+		m := sim.channelQueue[0]
+		sim.channelQueue, sim.queuedUnits, sim.sendCredit = sim.channelQueue[1:], sim.queuedUnits-m.units, sim.sendCredit-float64(m.units)
+		sim.deliver(m)
 	}
-	if len(w.channelQueue) == 0 {
-		w.sendCredit = 0
+	if len(sim.channelQueue) == 0 {
+		sim.sendCredit = 0
 	}
-	for k, p := range w.proxies { // some proxies report their demand
-		if p.stream != 0 && w.Intn(4) == 0 {
-			w.inputs = append(w.inputs, controller.Demand{Stream: p.stream, Class: "read", Demand: control.Demand{Proxy: k, Requests: 5, Period: second}})
+	for k, p := range sim.proxies { // some proxies report their demand
+		if p.stream != 0 && sim.Intn(4) == 0 {
+			sim.inputs = append(sim.inputs, controller.Demand{Stream: p.stream, Class: "read", Demand: control.Demand{Proxy: k, Requests: 5, Period: second}})
 		}
 	}
-	result := w.core.Turn(w.now, w.inputs)
-	w.inputs = nil
+	result := sim.core.Turn(sim.now, sim.inputs)
+	sim.inputs = nil
 	for _, outgoing := range result.Updates {
-		for k, p := range w.proxies {
+		for k, p := range sim.proxies {
 			if p.stream == outgoing.Stream {
 				stall := int64(0)
-				if !w.writersNeverStall {
-					stall = w.Int63n(2) * w.Int63n(second)
+				if !sim.writersNeverStall {
+					stall = sim.Int63n(2) * sim.Int63n(second)
 				}
-				p.lastEntersAt = max(p.lastEntersAt, w.now+stall) // in order on each stream
-				w.unwritten = append(w.unwritten, message{k, w.cost(outgoing.Update) + w.settings.MessageOverhead, outgoing, p.lastEntersAt})
+				p.lastEntryAt = max(p.lastEntryAt, sim.now+stall) // in order on each stream
+				sim.unwritten = append(sim.unwritten, message{k, sim.cost(outgoing.Update) + sim.settings.MessageOverhead, outgoing, p.lastEntryAt})
 			}
 		}
 	}
 	var unwritten []message
-	for _, m := range w.unwritten { // messages of a stalled writer are lost if their stream has ended
-		if p := w.proxies[m.proxy]; m.entersAt > w.now {
+	for _, m := range sim.unwritten { // messages of a stalled writer are lost if their stream has ended
+		if p := sim.proxies[m.proxy]; m.entersAt > sim.now {
 			unwritten = append(unwritten, m)
 		} else if p.stream == m.outgoing.Stream {
-			w.enterChannel(p, m)
+			sim.enterChannel(p, m)
 		}
 	}
-	w.unwritten = unwritten
+	sim.unwritten = unwritten
 }
 
 // enterChannel puts a message into the channel and checks the limits of the channel and of the proxy's message cap.
-func (w *simulation) enterChannel(p *simulatedProxy, m message) {
-	w.inputs = append(w.inputs, controller.MessageSent{Number: m.outgoing.Number})
-	w.channelQueue, w.queuedUnits = append(w.channelQueue, m), w.queuedUnits+m.units
-	if w.queuedUnits > w.settings.ChannelLimit && w.violation == "" {
-		w.violation = fmt.Sprintf("%d cost units in the channel, limit %d", w.queuedUnits, w.settings.ChannelLimit)
+func (sim *simulation) enterChannel(p *simulatedProxy, m message) {
+	sim.inputs = append(sim.inputs, controller.MessageSent{Number: m.outgoing.Number})
+	sim.channelQueue, sim.queuedUnits = append(sim.channelQueue, m), sim.queuedUnits+m.units
+	if sim.queuedUnits > sim.settings.ChannelLimit && sim.violation == "" {
+		sim.violation = fmt.Sprintf("%d cost units in the channel, limit %d", sim.queuedUnits, sim.settings.ChannelLimit)
 	}
-	p.receivedAt = append(p.receivedAt, w.now)
-	for w.now-p.receivedAt[0] > w.settings.MessageWindow {
-		p.receivedAt = p.receivedAt[1:]
+	p.enteredAt = append(p.enteredAt, sim.now)
+	for sim.now-p.enteredAt[0] > sim.settings.MessageWindow {
+		p.enteredAt = p.enteredAt[1:]
 	}
-	if len(p.receivedAt) > w.settings.MaxMessages && w.violation == "" {
-		w.violation = fmt.Sprintf("%d messages within a message window to proxy %d", len(p.receivedAt), m.proxy)
+	if len(p.enteredAt) > sim.settings.MaxMessages && sim.violation == "" {
+		sim.violation = fmt.Sprintf("%d messages within a message window to proxy %d", len(p.enteredAt), m.proxy)
 	}
 	for _, l := range m.outgoing.Update.Admissions {
 		if l.Class == "order" && l.Retries > control.RetryIfNotExecuted {
-			w.violation = "an admission allows retries of requests that are not idempotent and may have been executed"
+			sim.violation = "an admission allows retries of requests that are not idempotent and may have been executed"
 		}
 	}
 }
 
 // deliver delivers a message to its proxy, which may acknowledge it.
-func (w *simulation) deliver(m message) {
-	p, update := w.proxies[m.proxy], m.outgoing.Update
+func (sim *simulation) deliver(m message) {
+	p, update := sim.proxies[m.proxy], m.outgoing.Update
 	if p.stream != m.outgoing.Stream {
 		return
 	}
@@ -251,29 +251,29 @@
 	for _, id := range update.Unejected {
 		delete(p.ejected, id)
 	}
-	if update.WantsAck && w.Float64() >= w.ackLossRate {
-		w.inputs = append(w.inputs, controller.Ack{Stream: p.stream, Nonce: update.Nonce})
+	if update.WantsAck && sim.Float64() >= sim.ackLossRate {
+		sim.inputs = append(sim.inputs, controller.Ack{Stream: p.stream, Nonce: update.Nonce})
 	}
 }
 
 // settle ends all faults and lets a period pass in which all pending changes are sent. It returns the first violated limit
 // or invariant, or "".
-func (w *simulation) settle(span int64) string {
-	w.rateFactor, w.ackLossRate, w.modulePanics = 1, 0, false
-	for until := w.now + span; w.now < until; {
-		w.advance(second / 4)
+func (sim *simulation) settle(span int64) string {
+	sim.rateFactor, sim.ackLossRate, sim.modulePanics = 1, 0, false
+	for until := sim.now + span; sim.now < until; {
+		sim.advance(second / 4)
 	}
 	warm := false
-	for _, m := range w.members {
-		warm = warm || m.State == control.Ready && w.now-m.UpSince > w.settings.SlowStartTime
+	for _, m := range sim.members {
+		warm = warm || m.State == control.Ready && sim.now-m.UpSince > sim.settings.SlowStartTime
 	}
-	for k, p := range w.proxies {
+	for k, p := range sim.proxies {
 		usable := 0
 		for id := range p.endpoints {
 			if p.ejected[id] {
 				continue
 			}
-			if usable++; w.members[id].State != control.Ready && p.stream != 0 {
+			if usable++; sim.members[id].State != control.Ready && p.stream != 0 {
 				return fmt.Sprintf("proxy %d still sends to %s", k, id)
 			}
 		}
@@ -281,7 +281,7 @@
 			return fmt.Sprintf("proxy %d has no endpoint", k)
 		}
 	}
-	return w.violation
+	return sim.violation
 }
 
 // Core and module keep the limits of the channel and the invariants for any sequence of simulated events.
@@ -291,18 +291,18 @@
 		draw := rand.New(rand.NewSource(seed))
 		proxies := 2 + draw.Intn(39)
 		limit := (20 + draw.Intn(41)) * proxies
-		w := newSimulation(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), updateCost)
+		sim := newSimulation(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), updateCost)
 		var steps []int
 		for range 1 + draw.Intn(60) {
 			steps = append(steps, draw.Intn(8))
-			w.step(steps[len(steps)-1])
+			sim.step(steps[len(steps)-1])
 		}
-		violation := w.violation
+		violation := sim.violation
 		if violation == "" {
-			violation = w.settle(150 * second)
+			violation = sim.settle(150 * second)
 		}
 		if violation != "" {
-			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d, %v cost units per second, steps %v: %s", seed, proxies, len(w.replicaNames), limit, w.settings.ChannelRate,
+			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d, %v cost units per second, steps %v: %s", seed, proxies, len(sim.replicaNames), limit, sim.settings.ChannelRate,
 				steps, violation)
 		}
 	}
@@ -314,16 +314,16 @@
 	for _, c := range []struct{ proxies, replicas, controllers, limit int }{
 		{2, 1024, 1024, 1800}, {7, 300, 350, 1800}, {450, 200, 5, 49200}, {2400, 200, 5, 49200}, {3000, 1024, 5, 60000},
 	} {
-		w := newSimulation(1, c.proxies, c.replicas, c.controllers, c.limit, 1200, updateCost)
-		w.settings.MaxMessages = 30
-		for k := range w.proxies {
-			w.connect(k)
+		sim := newSimulation(1, c.proxies, c.replicas, c.controllers, c.limit, 1200, updateCost)
+		sim.settings.MaxMessages = 30
+		for k := range sim.proxies {
+			sim.connect(k)
 		}
-		for _, what := range []int{7, 3, 0, 3, 2, 6, 3, 0} {
-			w.step(what)
+		for _, event := range []int{7, 3, 0, 3, 2, 6, 3, 0} {
+			sim.step(event)
 		}
-		if w.violation != "" {
-			t.Errorf("%+v: %s", c, w.violation)
+		if sim.violation != "" {
+			t.Errorf("%+v: %s", c, sim.violation)
 		}
 	}
 }
@@ -346,15 +346,15 @@
 	} {
 		violations := 0
 		for seed := range int64(40) {
-			w := newSimulation(seed, 30, 24, 2, 600, 4800, func(p controller.Update) int { return updateCost(p) + extraCost(p) })
-			w.rateFactor, w.ackLossRate = 0.005, 0.9
-			for k := range w.proxies {
-				w.connect(k)
+			sim := newSimulation(seed, 30, 24, 2, 600, 4800, func(p controller.Update) int { return updateCost(p) + extraCost(p) })
+			sim.rateFactor, sim.ackLossRate = 0.005, 0.9
+			for k := range sim.proxies {
+				sim.connect(k)
 			}
 			for range 40 {
-				w.step([]int{0, 3, 3, 5, 6}[w.Intn(5)])
+				sim.step([]int{0, 3, 3, 5, 6}[sim.Intn(5)])
 			}
-			if w.violation != "" {
+			if sim.violation != "" {
 				violations++
 			}
 		}
@@ -371,14 +371,14 @@
 			b.Run(fmt.Sprintf("%dx%d", proxies, replicas), func(b *testing.B) {
 				for range b.N {
 					b.StopTimer()
-					w := newSimulation(1, proxies, replicas, 1, 1<<20, 1<<20, updateCost)
-					w.core.Turn(w.now, w.inputs)
-					w.inputs = nil
-					for k := range w.proxies {
-						w.connect(k)
+					sim := newSimulation(1, proxies, replicas, 1, 1<<20, 1<<20, updateCost)
+					sim.core.Turn(sim.now, sim.inputs)
+					sim.inputs = nil
+					for k := range sim.proxies {
+						sim.connect(k)
 					}
 					b.StartTimer()
-					if o := w.core.Turn(w.now+second/4, w.inputs); len(o.Updates) == 0 {
+					if o := sim.core.Turn(sim.now+second/4, sim.inputs); len(o.Updates) == 0 {
 						b.Fatal("no proxy was bound")
 					}
 				}
@@ -395,12 +395,12 @@
 			var before, connected, start, end runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			w := newSimulation(1, c.proxies, c.replicas, 1, 1<<20, 1<<20, updateCost)
-			for k := range w.proxies {
-				w.connect(k)
+			sim := newSimulation(1, c.proxies, c.replicas, 1, 1<<20, 1<<20, updateCost)
+			for k := range sim.proxies {
+				sim.connect(k)
 			}
 			for range 40 {
-				w.advance(second / 4)
+				sim.advance(second / 4)
 			}
 			runtime.GC()
 			runtime.ReadMemStats(&connected)
@@ -408,16 +408,16 @@
 			allocs := uint64(0)
 			for b.Loop() {
 				for range 40 { // a quarter of a second's share of about 150 reports per second
-					m := controller.Outcomes{Zone: "a", Replica: w.replicaNames[w.Intn(len(w.replicaNames))]}
-					m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, w.Intn(2), second/10+int64(w.Intn(int(second/20))), second
-					w.inputs = append(w.inputs, m)
+					m := controller.Outcomes{Zone: "a", Replica: sim.replicaNames[sim.Intn(len(sim.replicaNames))]}
+					m.Attempts, m.Failures, m.ResponseTime, m.Period = 20, sim.Intn(2), second/10+int64(sim.Intn(int(second/20))), second
+					sim.inputs = append(sim.inputs, m)
 				}
-				w.now += second / 4
-				inputs := w.inputs
-				w.inputs = nil
+				sim.now += second / 4
+				inputs := sim.inputs
+				sim.inputs = nil
 				runtime.ReadMemStats(&start)
 				began := time.Now()
-				w.core.Turn(w.now, inputs)
+				sim.core.Turn(sim.now, inputs)
 				durations = append(durations, time.Since(began))
 				runtime.ReadMemStats(&end)
 				allocs += end.Mallocs - start.Mallocs
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -29,31 +29,31 @@
 	return c, module
 }
 
-func restoredEvents(events []control.Event) (all []control.ReplicaRestored, fleet []control.FleetRestored) {
+func restoredEvents(events []control.Event) (replicas []control.ReplicaRestored, fleet []control.FleetRestored) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case control.ReplicaRestored:
-			all = append(all, e)
+			replicas = append(replicas, e)
 		case control.FleetRestored:
 			fleet = append(fleet, e)
 		}
 	}
-	return all, fleet
+	return replicas, fleet
 }
 
 func TestRestoredStateIsReportedOnceAReplicaIsListed(t *testing.T) {
 	c, module := newRestoringCore()
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9, Table: 1}
 	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, defaultHalfLife, x)}, replicaList(true, "yr")})
-	all, fleet := restoredEvents(module.events)
-	if _, first := module.events[0].(control.FleetRestored); !first || len(all) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
+	replicas, fleet := restoredEvents(module.events)
+	if _, first := module.events[0].(control.FleetRestored); !first || len(replicas) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
 		!reflect.DeepEqual(fleet[0].BaselineResponseTimes, [][]float64{nil, {0.1}, nil, {0.2}}) || !reflect.DeepEqual(fleet[0].RequestRates, []control.ClassRate{{Proxy: 4, Class: 1, Rate: 3}}) {
 		t.Errorf("events %+v", module.events)
 	}
 	c.Turn(100e9+defaultHalfLife, []Input{replicaList(false, "xr")}) // the state has aged by another half-life
-	all, _ = restoredEvents(module.events)
+	replicas, _ = restoredEvents(module.events)
 	want := []control.ReplicaRestored{{LearnedReplica: control.LearnedReplica{Replica: 2, Speed: 0.5, SampleCount: 9, Table: 1}, Weight: 0.25, Age: 2 * defaultHalfLife}}
-	if !reflect.DeepEqual(all, want) {
+	if !reflect.DeepEqual(replicas, want) {
 		t.Errorf("events %+v", module.events)
 	}
 	again := replicaList(false, "xt")
@@ -80,8 +80,8 @@
 		t.Fatalf("snapshot %+v", result.Snapshot)
 	}
 	result = c.Turn(100e9+settleTime+defaultHalfLife, nil)
-	all, fleet := restoredEvents(module.events)
-	if result.Panic == "" || len(all) != 1 || all[0].Speed != 0.25 || all[0].Weight != 0.5 || len(fleet) != 1 {
+	replicas, fleet := restoredEvents(module.events)
+	if result.Panic == "" || len(replicas) != 1 || replicas[0].Speed != 0.25 || replicas[0].Weight != 0.5 || len(fleet) != 1 {
 		t.Errorf("events %+v after %.20q", module.events, result.Panic)
 	}
 }
@@ -92,7 +92,7 @@
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
 	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, 0, x)}, replicaList(true, "xr")})
 	result := c.Turn(101e9, nil)
-	if all, fleet := restoredEvents(module.events); len(all)+len(fleet) != 0 || len(module.events) != 1 || c.Counters.RestartsWithoutState != 1 || result.NextTurn != 0 {
+	if replicas, fleet := restoredEvents(module.events); len(replicas)+len(fleet) != 0 || len(module.events) != 1 || c.Counters.RestartsWithoutState != 1 || result.NextTurn != 0 {
 		t.Errorf("events %+v, %d restarts without state, next turn due at %d", module.events, c.Counters.RestartsWithoutState, result.NextTurn)
 	}
 }
--- a/internal/controller/storm_test.go
+++ b/internal/controller/storm_test.go
@@ -38,64 +38,64 @@
 // newStorm returns a storm whose drain grace is as short as the channel's rate allows, but at least 2 s.
 func newStorm(seed int64, proxies, controllers, replicas, rate int) *storm {
 	limit := (22 + int(seed%4)) * proxies
-	w := newSimulation(seed, proxies, replicas, controllers, limit, rate, updateCost)
-	w.writersNeverStall = true
-	w.settings.Proxies, w.settings.MaxMessages = proxies, 30
-	minGrace := deliveries * float64(proxies) * (float64(w.settings.MessageOverhead) + unavoidableCost) / float64(rate)
-	w.settings.DrainGrace = max(2*second, int64(minGrace*float64(second)))
-	w.settings.MaxTransit = second / 4
-	c := &storm{simulation: w, draining: map[string]int64{}, withoutEndpoint: map[int]int64{}, nextReplica: replicas}
+	sim := newSimulation(seed, proxies, replicas, controllers, limit, rate, updateCost)
+	sim.writersNeverStall = true
+	sim.settings.Proxies, sim.settings.MaxMessages = proxies, 30
+	minGrace := deliveries * float64(proxies) * (float64(sim.settings.MessageOverhead) + unavoidableCost) / float64(rate)
+	sim.settings.DrainGrace = max(2*second, int64(minGrace*float64(second)))
+	sim.settings.MaxTransit = second / 4
+	s := &storm{simulation: sim, draining: map[string]int64{}, withoutEndpoint: map[int]int64{}, nextReplica: replicas}
 	names := settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
-	w.core = controller.New(func() controller.Module { return policy.New(w.settings) }, controller.NewTopology(names, w.settings))
-	return c
+	sim.core = controller.New(func() controller.Module { return policy.New(sim.settings) }, controller.NewTopology(names, sim.settings))
+	return s
 }
 
 // connectAndSettle connects the first proxies and waits until they are bound.
-func (c *storm) connectAndSettle(proxies int) {
+func (s *storm) connectAndSettle(proxies int) {
 	for k := range proxies {
-		c.connect(k)
+		s.connect(k)
 	}
 	for range 120 {
-		c.advance(second / 4)
+		s.advance(second / 4)
 	}
 }
 
 // startWave drains some of the ready replicas and starts as many new ones.
-func (c *storm) startWave(share float64) {
+func (s *storm) startWave(fraction float64) {
 	var names []string
-	for _, name := range c.replicaNames {
-		if m := c.members[name]; m.State == control.Ready && c.Float64() < share {
+	for _, name := range s.replicaNames {
+		if m := s.members[name]; m.State == control.Ready && s.Float64() < fraction {
 			m.State = control.Draining
-			c.members[name], c.draining[name] = m, c.now
+			s.members[name], s.draining[name] = m, s.now
 			names = append(names, name)
 		}
 	}
 	for range len(names) {
-		m := controller.Member{ID: fmt.Sprintf("n-%04d", c.nextReplica), Zone: []string{"a", "b"}[c.nextReplica%2], HardwareClass: "m1", Weight: 1, UpSince: c.now}
-		c.nextReplica++
-		c.replicaNames, c.members[m.ID] = append(c.replicaNames, m.ID), m
+		m := controller.Member{ID: fmt.Sprintf("n-%04d", s.nextReplica), Zone: []string{"a", "b"}[s.nextReplica%2], HardwareClass: "m1", Weight: 1, UpSince: s.now}
+		s.nextReplica++
+		s.replicaNames, s.members[m.ID] = append(s.replicaNames, m.ID), m
 		names = append(names, m.ID)
 	}
-	c.listReplicas(names, false)
+	s.listReplicas(names, false)
 }
 
 // connectWithTable connects a proxy that holds a table from another controller, with some of the replicas and some of these
 // ejected.
-func (c *storm) connectWithTable(k, endpoints int) {
-	p := c.proxies[k]
-	for _, index := range c.Perm(len(c.replicaNames))[:min(endpoints, len(c.replicaNames))] {
-		p.endpoints[c.replicaNames[index]] = 1
-		if c.Intn(20) == 0 {
-			p.ejected[c.replicaNames[index]] = true
+func (s *storm) connectWithTable(k, endpoints int) {
+	p := s.proxies[k]
+	for _, index := range s.Perm(len(s.replicaNames))[:min(endpoints, len(s.replicaNames))] {
+		p.endpoints[s.replicaNames[index]] = 1
+		if s.Intn(20) == 0 {
+			p.ejected[s.replicaNames[index]] = true
 		}
 	}
-	c.connect(k)
+	s.connect(k)
 }
 
 // checkProxies records how long proxies have been sending to draining replicas, and fails the simulation if a proxy has had
 // no usable endpoint for longer than the grace.
-func (c *storm) checkProxies() {
-	for k, p := range c.proxies {
+func (s *storm) checkProxies() {
+	for k, p := range s.proxies {
 		if p.stream == 0 {
 			continue
 		}
@@ -105,19 +105,19 @@
 				continue
 			}
 			usable++
-			if since, drains := c.draining[id]; drains {
-				c.longestHeld = max(c.longestHeld, c.now-max(since, p.connectedAt))
+			if since, drains := s.draining[id]; drains {
+				s.longestHeld = max(s.longestHeld, s.now-max(since, p.connectedAt))
 			}
 		}
 		if usable > 0 {
-			delete(c.withoutEndpoint, k)
+			delete(s.withoutEndpoint, k)
 			continue
 		}
-		if _, since := c.withoutEndpoint[k]; !since {
-			c.withoutEndpoint[k] = c.now
+		if _, since := s.withoutEndpoint[k]; !since {
+			s.withoutEndpoint[k] = s.now
 		}
-		if c.now-max(c.withoutEndpoint[k], p.connectedAt) > c.settings.DrainGrace && c.violation == "" {
-			c.violation = fmt.Sprintf("proxy %d has had no usable endpoint for longer than the grace", k)
+		if s.now-max(s.withoutEndpoint[k], p.connectedAt) > s.settings.DrainGrace && s.violation == "" {
+			s.violation = fmt.Sprintf("proxy %d has had no usable endpoint for longer than the grace", k)
 		}
 	}
 }
@@ -130,26 +130,26 @@
 		draw := rand.New(rand.NewSource(seed))
 		controllers := 2 + draw.Intn(6)
 		proxies := controllers * (4 + draw.Intn(60))
-		c := newStorm(seed, proxies, controllers, 20+draw.Intn(220), []int{600, 1200, 2400}[draw.Intn(3)])
+		s := newStorm(seed, proxies, controllers, 20+draw.Intn(220), []int{600, 1200, 2400}[draw.Intn(3)])
 		initial := proxies / controllers
-		c.connectAndSettle(initial)
-		waveSteps, share, lostControllers := 4+draw.Intn(8), 0.05+0.1*draw.Float64(), 1+draw.Intn(controllers-1)
+		s.connectAndSettle(initial)
+		waveSteps, fraction, lostControllers := 4+draw.Intn(8), 0.05+0.1*draw.Float64(), 1+draw.Intn(controllers-1)
 		reconnectStep := draw.Intn(40)
 		for step := range 160 { // a quarter of a second each
 			if step < 60 && step%waveSteps == 0 {
-				c.startWave(share)
+				s.startWave(fraction)
 			}
 			for k := initial; k < initial*(1+lostControllers); k++ {
-				if at := reconnectStep + draw.Intn(5); c.proxies[k].connectedAt == 0 && step >= at {
-					c.connectWithTable(k, len(c.replicaNames)/3)
+				if at := reconnectStep + draw.Intn(5); s.proxies[k].connectedAt == 0 && step >= at {
+					s.connectWithTable(k, len(s.replicaNames)/3)
 				}
 			}
-			c.advance(second / 4)
-			c.checkProxies()
+			s.advance(second / 4)
+			s.checkProxies()
 		}
-		if limit := c.settings.DrainGrace - c.settings.MaxTransit; c.longestHeld > limit || c.violation != "" {
+		if limit := s.settings.DrainGrace - s.settings.MaxTransit; s.longestHeld > limit || s.violation != "" {
 			t.Errorf("seed %d: %d of %d controllers lost, %d proxies, %d replicas, %v cost units per second, waves of %.2f every %d steps: a proxy held a draining replica for %.2f s, limit %.2f s; %s",
-				seed, lostControllers, controllers, proxies, len(c.replicaNames), c.settings.ChannelRate, share, waveSteps, float64(c.longestHeld)/1e9, float64(limit)/1e9, c.violation)
+				seed, lostControllers, controllers, proxies, len(s.replicaNames), s.settings.ChannelRate, fraction, waveSteps, float64(s.longestHeld)/1e9, float64(limit)/1e9, s.violation)
 		}
 	}
 }
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -65,25 +65,25 @@
 	if shape.wideChannel {
 		limit, rate = wideChannel, wideChannel
 	}
-	w := &benchmarkSimulation{simulation: newSimulation(1, shape.proxies, shape.replicas, 5, limit, rate, updateCost), shape: shape}
-	w.settings.Classes = nil
+	sim := &benchmarkSimulation{simulation: newSimulation(1, shape.proxies, shape.replicas, 5, limit, rate, updateCost), shape: shape}
+	sim.settings.Classes = nil
 	for k := range shape.classes {
-		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
-		w.settings.Classes = append(w.settings.Classes, control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent})
+		sim.classes = append(sim.classes, fmt.Sprintf("class-%05d", k))
+		sim.settings.Classes = append(sim.settings.Classes, control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent})
 	}
-	w.core = controller.New(func() controller.Module { return policy.New(w.settings) }, controller.NewTopology(w.settingNames(), w.settings))
-	for k := range w.proxies {
-		w.connect(k)
+	sim.core = controller.New(func() controller.Module { return policy.New(sim.settings) }, controller.NewTopology(sim.settingNames(), sim.settings))
+	for k := range sim.proxies {
+		sim.connect(k)
 	}
 	for range settlingTurns {
-		w.turn(tickInterval)
+		sim.turn(tickInterval)
 	}
-	w.heapBytes = heapInUse() - before
-	return w
+	sim.heapBytes = heapInUse() - before
+	return sim
 }
 
-func (w *benchmarkSimulation) settingNames() settings.Names {
-	return settings.Names{Classes: w.classes, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
+func (sim *benchmarkSimulation) settingNames() settings.Names {
+	return settings.Names{Classes: sim.classes, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 }
 
 func heapInUse() uint64 {
@@ -94,19 +94,19 @@
 }
 
 // turn runs one turn after an interval, delivers its messages, and returns how long the turn took.
-func (w *benchmarkSimulation) turn(interval int64) time.Duration {
-	w.now += interval
-	events := w.inputs
-	w.inputs = nil
+func (sim *benchmarkSimulation) turn(interval int64) time.Duration {
+	sim.now += interval
+	events := sim.inputs
+	sim.inputs = nil
 	usedBefore, began := threadTime(), time.Now()
-	result := w.core.Turn(w.now, events)
+	result := sim.core.Turn(sim.now, events)
 	took := time.Since(began)
-	w.processorTime += threadTime() - usedBefore
-	w.updates += len(result.Updates)
+	sim.processorTime += threadTime() - usedBefore
+	sim.updates += len(result.Updates)
 	for _, outgoing := range result.Updates {
-		w.units += updateCost(outgoing.Update)
-		w.inputs = append(w.inputs, controller.MessageSent{Number: outgoing.Number})
-		w.deliver(message{proxy: int(outgoing.Stream) - 1, outgoing: outgoing}) // streams are numbered from 1 as the proxies join
+		sim.units += updateCost(outgoing.Update)
+		sim.inputs = append(sim.inputs, controller.MessageSent{Number: outgoing.Number})
+		sim.deliver(message{proxy: int(outgoing.Stream) - 1, outgoing: outgoing}) // streams are numbered from 1 as the proxies join
 	}
 	return took
 }
@@ -123,32 +123,32 @@
 }
 
 // addReports adds the inputs of one turn.
-func (w *benchmarkSimulation) addReports() {
-	for range w.shape.reports {
-		w.inputs = append(w.inputs, controller.Outcomes{Zone: "a", Replica: w.replicaNames[w.Intn(len(w.replicaNames))], Outcomes: control.Outcomes{
+func (sim *benchmarkSimulation) addReports() {
+	for range sim.shape.reports {
+		sim.inputs = append(sim.inputs, controller.Outcomes{Zone: "a", Replica: sim.replicaNames[sim.Intn(len(sim.replicaNames))], Outcomes: control.Outcomes{
 			Attempts:     20,
-			Failures:     w.Intn(2),
-			ResponseTime: second/10 + int64(w.Intn(int(second/20))),
+			Failures:     sim.Intn(2),
+			ResponseTime: second/10 + int64(sim.Intn(int(second/20))),
 			Period:       second,
 		}})
 	}
-	for range w.shape.demands {
-		proxy := w.Intn(len(w.proxies))
-		w.inputs = append(w.inputs, controller.Demand{Stream: w.proxies[proxy].stream, Class: w.classes[w.Intn(len(w.classes))],
+	for range sim.shape.demands {
+		proxy := sim.Intn(len(sim.proxies))
+		sim.inputs = append(sim.inputs, controller.Demand{Stream: sim.proxies[proxy].stream, Class: sim.classes[sim.Intn(len(sim.classes))],
 			Demand: control.Demand{Proxy: proxy, Requests: 5, Period: second}})
 	}
-	if w.shape.changes > 0 {
-		w.listReplicas(w.restartReplicas(w.shape.changes), false)
+	if sim.shape.changes > 0 {
+		sim.listReplicas(sim.restartReplicas(sim.shape.changes), false)
 	}
 }
 
 // restartReplicas restarts random replicas and returns their names.
-func (w *benchmarkSimulation) restartReplicas(count int) []string {
+func (sim *benchmarkSimulation) restartReplicas(count int) []string {
 	var names []string
 	for range count {
-		m := w.members[w.replicaNames[w.Intn(len(w.replicaNames))]]
-		m.UpSince = w.now
-		w.members[m.ID] = m
+		m := sim.members[sim.replicaNames[sim.Intn(len(sim.replicaNames))]]
+		m.UpSince = sim.now
+		sim.members[m.ID] = m
 		names = append(names, m.ID)
 	}
 	return names
@@ -158,21 +158,21 @@
 func benchmarkTurns(b *testing.B, shape turnShape) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	w := newBenchmarkSimulation(shape)
-	w.processorTime, w.updates, w.units = 0, 0, 0
+	sim := newBenchmarkSimulation(shape)
+	sim.processorTime, sim.updates, sim.units = 0, 0, 0
 	var durations []time.Duration
 	for b.Loop() {
-		w.addReports()
-		durations = append(durations, w.turn(shape.interval))
+		sim.addReports()
+		durations = append(durations, sim.turn(shape.interval))
 	}
 	slices.Sort(durations)
 	b.ReportMetric(float64(durations[len(durations)/2])/1e6, "p50-ms")
 	b.ReportMetric(float64(durations[len(durations)*99/100])/1e6, "p99-ms")
-	b.ReportMetric(float64(w.processorTime)/float64(len(durations))/1e6, "cpu-ms")
-	b.ReportMetric(float64(w.updates)/float64(len(durations)), "pushes/turn")
-	b.ReportMetric(float64(w.units)/float64(len(durations)), "lines/turn")
-	b.ReportMetric(float64(w.heapBytes), "heap-B")
-	runtime.KeepAlive(w)
+	b.ReportMetric(float64(sim.processorTime)/float64(len(durations))/1e6, "cpu-ms")
+	b.ReportMetric(float64(sim.updates)/float64(len(durations)), "pushes/turn")
+	b.ReportMetric(float64(sim.units)/float64(len(durations)), "lines/turn")
+	b.ReportMetric(float64(sim.heapBytes), "heap-B")
+	runtime.KeepAlive(sim)
 }
 
 // benchmarkVarying measures turns of the mean service for several values of one parameter.
@@ -230,18 +230,18 @@
 			shape := meanService()
 			shape.classes = classes
 			shape.interval = reportInterval // so that a tick is due in few of the turns
-			w := newBenchmarkSimulation(shape)
+			sim := newBenchmarkSimulation(shape)
 			version := revision.Version{Epoch: 1}
 			var durations []time.Duration
 			for b.Loop() {
-				changed := w.settings
+				changed := sim.settings
 				changed.Classes = slices.Clone(changed.Classes)
 				changed.Classes[0].Timeout += int64(len(durations)%2) * second
 				version.Revision++
-				w.inputs = append(w.inputs, controller.Configure{Version: version, Names: w.settingNames(), Settings: changed,
+				sim.inputs = append(sim.inputs, controller.Configure{Version: version, Names: sim.settingNames(), Settings: changed,
 					Start: func() controller.Module { return policy.New(changed) }})
-				durations = append(durations, w.turn(shape.interval))
-				if w.core.ConfigurationVersion() != version {
+				durations = append(durations, sim.turn(shape.interval))
+				if sim.core.ConfigurationVersion() != version {
 					b.Fatal("changed settings are not in force")
 				}
 			}
@@ -258,15 +258,15 @@
 		b.Run(fmt.Sprintf("proxies=%d", proxies), func(b *testing.B) {
 			var durations []time.Duration
 			for b.Loop() {
-				w := newSimulation(1, proxies, 33, 5, channelLimit, channelRate, updateCost)
-				w.Rand = rand.New(rand.NewSource(1))
-				w.core.Turn(w.now, w.inputs)
-				w.inputs = nil
-				for k := range w.proxies {
-					w.connect(k)
+				sim := newSimulation(1, proxies, 33, 5, channelLimit, channelRate, updateCost)
+				sim.Rand = rand.New(rand.NewSource(1))
+				sim.core.Turn(sim.now, sim.inputs)
+				sim.inputs = nil
+				for k := range sim.proxies {
+					sim.connect(k)
 				}
 				began := time.Now()
-				if o := w.core.Turn(w.now+tickInterval, w.inputs); len(o.Updates) == 0 {
+				if o := sim.core.Turn(sim.now+tickInterval, sim.inputs); len(o.Updates) == 0 {
 					b.Fatal("no proxy was bound")
 				}
 				durations = append(durations, time.Since(began))
