--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -138,7 +138,7 @@
 // panickingModule panics in every turn.
 type panickingModule struct{}
 
-func (panickingModule) Turn(int64, []control.Event) []control.Command { panic("no way") }
+func (panickingModule) Turn(int64, []control.Event) []control.Command { panic("panicking module") }
 
 // Settings with which a new module panics are refused: the former ones stay in force and every stream stays open. If the
 // running module panics on the change but a new module runs with the settings, they are in force.
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -96,8 +96,8 @@
 }
 
 // isUrgent reports whether a stream's next update stops its proxy from using a replica. Besides new ejections, a full update
-// does so, and so does the rest of a table whose subset has no usable replica: both replace the table that the proxy held
-// when it connected, which may contain ejected replicas.
+// does so if there is a drain grace, and so does the rest of a table whose subset has no usable replica. Both replace the
+// table that the proxy held when it connected, which may contain ejected replicas.
 func (c *Core) isUrgent(s *stream, ejections map[uint32]bool) bool {
 	if s.binding.needsFull && s.binding.table >= 0 && c.drainGrace > 0 {
 		return true
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -14,11 +14,11 @@
 
 // replicaSet assigns numbers to replicas. A replica keeps its number for as long as its name is known.
 type replicaSet struct {
-	numbers    map[string]uint32 // by name
-	byNumber   map[uint32]*replica
-	lastNumber uint32
-	revision   int64 // of the last list
-	lists      int   // number of lists applied
+	numbers      map[string]uint32 // by name
+	byNumber     map[uint32]*replica
+	lastNumber   uint32
+	revision     int64 // of the last list
+	appliedLists int   // number of lists applied
 	// evictedEjections are the names of evicted replicas that some proxies may still hold as ejected.
 	evictedEjections []string
 }
@@ -60,7 +60,7 @@
 func (c *Core) applyList(list ReplicaList, now int64) appliedList {
 	applied := appliedList{event: control.ReplicasListed{Full: list.Complete}}
 	c.replicas.revision = list.Revision
-	c.replicas.lists++
+	c.replicas.appliedLists++
 	for _, member := range list.Members {
 		r := c.findOrAdd(member)
 		if r == nil {
@@ -74,7 +74,7 @@
 			applied.newOrRestarted = append(applied.newOrRestarted, r.ListedReplica)
 		}
 		r.lastListed = now
-		r.lastList = c.replicas.lists
+		r.lastList = c.replicas.appliedLists
 		applied.event.Entries = append(applied.event.Entries, r.ListedReplica)
 	}
 	if list.Complete {
@@ -145,7 +145,7 @@
 // markUnlistedGone marks the replicas that the last list did not contain as gone.
 func (set *replicaSet) markUnlistedGone() {
 	for _, r := range set.byNumber {
-		if r.lastList != set.lists {
+		if r.lastList != set.appliedLists {
 			r.State = control.Gone
 		}
 	}
--- a/internal/controller/result.go
+++ b/internal/controller/result.go
@@ -75,7 +75,7 @@
 	DemandReports  int64
 	ReplicaLists   int64
 	Invalid        int64 // inputs and commands that are malformed or refer to unknown names or numbers
-	Stale          int64 // inputs of closed streams, and acks that match no message or come too late
+	Stale          int64 // inputs of closed streams; acks that match no message, come too late or have an impossible delay
 
 	// Streams.
 	ProxiesSilent   int64 // proxies reported to the module as disconnected because their ack was overdue
--- a/internal/controller/topology.go
+++ b/internal/controller/topology.go
@@ -16,7 +16,7 @@
 	// maxReportPeriod is the longest period of a report, in nanoseconds, if maxReportIntervals does not allow a longer one.
 	// Proxies and collectors accumulate reports while no controller is reachable, and they do so for no longer than this.
 	maxReportPeriod = int64(600 * time.Second)
-	// maxReportIntervals is the number of report intervals that a report may cover if they are longer than maxReportPeriod.
+	// maxReportIntervals is the number of report intervals that a report may cover, if that is longer than maxReportPeriod.
 	maxReportIntervals = 4
 	// maxReportCount is the largest count of requests or attempts.
 	maxReportCount = 1 << 24
--- a/internal/sendbudget/account_test.go
+++ b/internal/sendbudget/account_test.go
@@ -78,7 +78,7 @@
 	}
 	a.Disconnect(1, 20*second)
 	if a.Fits(1, 1, true, 20*second) && a.Fits(1, 1, true, 30*second) != true {
-		t.Error("messages of a closed stream must count for one more window")
+		t.Error("after the disconnection at 20 s, a message fits at 20 s but not at 30 s")
 	}
 	if a.Evict(31 * second); len(a.proxies) != 0 {
 		t.Errorf("%d proxies after the eviction, want none", len(a.proxies))
--- a/internal/sendbudget/bounds.go
+++ b/internal/sendbudget/bounds.go
@@ -30,8 +30,8 @@
 	reservedDivisor = 16
 	// reservedAckRequests is the number of ack requests that still fit into a channel that is full otherwise.
 	reservedAckRequests = 4
-	// busyTransits is the time for which normal messages may keep the channel busy, as a multiple of MaxTransit: the
-	// transits of the messages and of the acks to the messages before them, each in both directions.
+	// busyTransits is the time for which normal messages may keep the channel busy, as a multiple of MaxTransit: two round
+	// trips, one of the messages in the channel and one of the acks to the messages before them.
 	busyTransits = 4
 	// busyGraceDivisor limits the same time to the drain grace divided by busyGraceDivisor, since urgent messages wait
 	// behind all messages that are already in the channel.
@@ -60,15 +60,14 @@
 	// countedTransits is the time beyond the window for which a message counts against a proxy's cap, as a multiple of
 	// MaxTransit.
 	countedTransits = 4
-	// spacingGraceDivisor limits the time between spaced messages to the drain grace without the transit, divided by
-	// spacingGraceDivisor.
+	// spacingGraceDivisor divides the drain grace without the transit to give the longest time between spaced messages.
 	spacingGraceDivisor = 2
 	// spacedDivisor is the divisor that gives the part of a proxy's messages that is not spaced if the drain grace is not
 	// known.
 	spacedDivisor = 2
 )
 
-// ackRequestReserve returns the units of the channel that only ack requests may use.
+// ackRequestReserve returns the units of the channel that are reserved for ack requests: no other message may use them.
 func (b *Bounds) ackRequestReserve() int {
 	return min(reservedAckRequests*(b.MessageOverhead+1), b.ChannelLimit/reservedDivisor)
 }
@@ -108,7 +107,7 @@
 func (b *Bounds) countedWindow() int64 { return b.MessageWindow + countedTransits*b.MaxTransit }
 
 // spacedMessages returns how many of the messages that a proxy may get within a window are spaced. These are the last ones,
-// and as few as make the spacing short enough for the drain grace.
+// and as many as are needed to make the spacing short enough for the drain grace.
 func (b *Bounds) spacedMessages() int {
 	if b.DrainGrace == 0 {
 		return b.MaxMessages - b.MaxMessages/spacedDivisor
