--- a/internal/controller/reconfigure_test.go
+++ b/internal/controller/reconfigure_test.go
@@ -13,174 +13,175 @@
 	"lilacbend/settings"
 )
 
-// This file changes the settings of core and module while the simulation runs.
+// This file tests changes of the settings of core and module while the simulation runs.
 
-// group is a traffic group of the world's by its name.
+// classNamed returns the traffic class with a name.
 func classNamed(name string) control.TrafficClass {
-	g := control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}
+	class := control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent}
 	switch name {
 	case "order":
-		g.PriorityWeight, g.Idempotency = 3, control.NotIdempotent
+		class.PriorityWeight, class.Idempotency = 3, control.NotIdempotent
 	case "browse":
-		g.PriorityWeight = 2
+		class.PriorityWeight = 2
 	}
-	return g
+	return class
 }
 
-// configure has the next turn take settings in.
-func (w *simulation) configure(number uint64, p control.Settings, names settings.Names) {
-	p.Zones, p.HardwareClasses, p.Classes = len(names.Zones), len(names.HardwareClasses)+1, nil
+// configure adds settings to the inputs of the next turn.
+func (sim *simulation) configure(number uint64, next control.Settings, names settings.Names) {
+	next.Zones, next.HardwareClasses, next.Classes = len(names.Zones), len(names.HardwareClasses)+1, nil
 	for _, name := range names.Classes {
-		p.Classes = append(p.Classes, classNamed(name))
+		next.Classes = append(next.Classes, classNamed(name))
 	}
-	w.settings = p
-	w.inputs = append(w.inputs, controller.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: p,
-		Start: func() controller.Module { return failingModule{policy.New(p), w} }})
+	sim.settings = next
+	sim.inputs = append(sim.inputs, controller.Configure{Version: revision.Version{Epoch: 1, Revision: number}, Names: names, Settings: next,
+		Start: func() controller.Module { return failingModule{policy.New(next), sim} }})
 }
 
-var worldNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
+var simulationNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 
-// The limits of the channel and the invariants hold for any sequence of changes, among reconnect storms, releases, faults and a
-// module that fails now and then; after the last change everybody is served as from the start.
+// The limits of the channel and the invariants hold for any sequence of settings changes, combined with reconnect storms,
+// releases, faults and occasional module failures. After the last change all proxies are served as before the first one.
 func TestInvariantsHoldThroughChangesOfSettings(t *testing.T) {
 	t.Parallel()
 	zones := [][]string{{"a", "b"}, {"b", "a"}, {"a", "b", "c"}, {"c", "b", "a"}, {"b"}, {"a", "c"}, {}}
-	groups := [][]string{{"read", "order"}, {"order", "read"}, {"browse", "read", "order"}, {"order"}, {"read", "browse"}}
-	for seed := range int64(60) { // drawn, and the same every time
+	classes := [][]string{{"read", "order"}, {"order", "read"}, {"browse", "read", "order"}, {"order"}, {"read", "browse"}}
+	for seed := range int64(60) { // fixed seeds, so that every run is the same
 		draw := rand.New(rand.NewSource(seed))
 		proxies := 2 + draw.Intn(39)
 		limit := (20 + draw.Intn(41)) * proxies
-		w := newSimulation(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), updateCost)
-		original, number := w.settings, uint64(1)
+		sim := newSimulation(seed, proxies, 1+draw.Intn(40), []int{1, 2, 5, 350}[draw.Intn(4)], limit, limit/(1+draw.Intn(4)), updateCost)
+		original, number := sim.settings, uint64(1)
 		for range 1 + draw.Intn(60) {
 			if draw.Intn(3) == 0 {
 				number++
-				p := original
-				p.Proxies, p.Controllers = p.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
-				p.DrainGrace, p.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
-				p.ChannelLimit, p.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
-				if w.waits > 0 || len(w.stalled) > 0 { // what waits may be over a bound that has just shrunk
-					p.ChannelLimit, p.MaxMessages = w.settings.ChannelLimit, w.settings.MaxMessages
+				changed := original
+				changed.Proxies, changed.Controllers = changed.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
+				changed.DrainGrace, changed.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
+				changed.ChannelLimit, changed.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
+				if sim.queuedUnits > 0 || len(sim.unwritten) > 0 { // queued messages may exceed limits that shrink
+					changed.ChannelLimit, changed.MaxMessages = sim.settings.ChannelLimit, sim.settings.MaxMessages
 				}
-				w.configure(number, p, settings.Names{Classes: groups[draw.Intn(len(groups))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
+				sim.configure(number, changed, settings.Names{Classes: classes[draw.Intn(len(classes))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
 			}
-			w.step(draw.Intn(8))
+			sim.step(draw.Intn(8))
 		}
-		wrong := w.broken
-		w.configure(number+1, original, worldNames)
-		w.pass(second)
-		for k := range w.proxies { // those that were refused for their zone among them
-			w.join(k)
+		violation := sim.violation
+		sim.configure(number+1, original, simulationNames)
+		sim.advance(second)
+		for k := range sim.proxies { // including those that were refused because of their zone
+			sim.connect(k)
 		}
-		if wrong == "" {
-			wrong = w.settle(150 * second)
+		if violation == "" {
+			violation = sim.settle(150 * second)
 		}
-		if version := w.core.ConfigurationVersion(); wrong == "" && version.Revision != number+1 {
-			wrong = fmt.Sprintf("%s in force, not %d", version, number+1)
+		if version := sim.core.ConfigurationVersion(); violation == "" && version.Revision != number+1 {
+			violation = fmt.Sprintf("settings version %s in force, want revision %d", version, number+1)
 		}
-		if wrong != "" {
-			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d: %s", seed, proxies, len(w.names), limit, wrong)
+		if violation != "" {
+			t.Fatalf("seed %d, %d proxies, %d replicas, limit %d: %s", seed, proxies, len(sim.replicaNames), limit, violation)
 		}
 	}
 }
 
-// Settings that say the same in another order change nothing: not one update more, and the same tables at every proxy.
+// Settings with the same names in another order cause no additional update and leave all proxies with the same tables.
 func TestReorderedSettingsChangeNothing(t *testing.T) {
 	for seed := range int64(12) {
-		var worlds []*simulation
+		var simulations []*simulation
 		for k := range 2 {
-			w := newSimulation(seed, 30, 24, 2, 4000, 4000, updateCost)
-			for at := range w.proxies {
-				w.join(at)
+			sim := newSimulation(seed, 30, 24, 2, 4000, 4000, updateCost)
+			for proxy := range sim.proxies {
+				sim.connect(proxy)
 			}
 			for step := range 40 {
 				if k == 1 && step%8 == 4 {
-					names := settings.Names{Classes: slices.Clone(worldNames.Classes), Zones: slices.Clone(worldNames.Zones), HardwareClasses: worldNames.HardwareClasses}
+					names := settings.Names{Classes: slices.Clone(simulationNames.Classes), Zones: slices.Clone(simulationNames.Zones), HardwareClasses: simulationNames.HardwareClasses}
 					if step%16 == 4 {
 						slices.Reverse(names.Classes)
 						slices.Reverse(names.Zones)
 					}
-					w.configure(uint64(step), w.settings, names)
+					sim.configure(uint64(step), sim.settings, names)
 				}
-				w.step([]int{3, 5, 5, 5}[step%4])
+				sim.step([]int{3, 5, 5, 5}[step%4])
 			}
-			worlds = append(worlds, w)
+			simulations = append(simulations, sim)
 		}
-		a, b := worlds[0], worlds[1]
-		if a.core.Counters.Updates != b.core.Counters.Updates || a.core.Counters.CostSent != b.core.Counters.CostSent || b.core.Counters.ConfigurationsApplied != 5 {
-			t.Fatalf("seed %d: %d updates of %d cost units, and %d of %d with the changes", seed, a.core.Counters.Updates, a.core.Counters.CostSent, b.core.Counters.Updates, b.core.Counters.CostSent)
+		without, with := simulations[0], simulations[1]
+		if without.core.Counters.Updates != with.core.Counters.Updates || without.core.Counters.CostSent != with.core.Counters.CostSent || with.core.Counters.ConfigurationsApplied != 5 {
+			t.Fatalf("seed %d: %d updates of %d cost units without the changes, %d of %d with them", seed, without.core.Counters.Updates, without.core.Counters.CostSent, with.core.Counters.Updates, with.core.Counters.CostSent)
 		}
-		for k := range a.proxies {
-			if fmt.Sprint(a.proxies[k].endpoints, a.proxies[k].ejected) != fmt.Sprint(b.proxies[k].endpoints, b.proxies[k].ejected) {
-				t.Fatalf("seed %d, proxy %d: %v and %v", seed, k, a.proxies[k].endpoints, b.proxies[k].endpoints)
+		for k := range without.proxies {
+			if fmt.Sprint(without.proxies[k].endpoints, without.proxies[k].ejected) != fmt.Sprint(with.proxies[k].endpoints, with.proxies[k].ejected) {
+				t.Fatalf("seed %d, proxy %d: endpoints %v without the changes, %v with them", seed, k, without.proxies[k].endpoints, with.proxies[k].endpoints)
 			}
 		}
 	}
 }
 
-// settledSimulation returns a simulation in which all proxies are connected and bound, and nothing else happens any more.
+// settledSimulation returns a simulation in which all proxies are connected and bound and no inputs other than demand
+// reports follow.
 func settledSimulation(t testing.TB, proxies, replicas int) *simulation {
-	w := newSimulation(1, proxies, replicas, 1, 1<<16, 1<<16, updateCost)
-	for k := range w.proxies {
-		w.join(k)
+	sim := newSimulation(1, proxies, replicas, 1, 1<<16, 1<<16, updateCost)
+	for k := range sim.proxies {
+		sim.connect(k)
 	}
-	if wrong := w.settle(30 * second); wrong != "" {
-		t.Fatal(wrong)
+	if violation := sim.settle(30 * second); violation != "" {
+		t.Fatal(violation)
 	}
-	return w
+	return sim
 }
 
-// A change that leaves all assignments as they are sends no tables.
-func TestChangedFiguresSendNoTables(t *testing.T) {
-	w, control := settledSimulation(t, 40, 24), settledSimulation(t, 40, 24)
-	p := w.settings
-	p.DrainGrace, p.ReportInterval, p.ChannelRate, p.ChannelLimit, p.MaxTransit, p.Proxies = 5*second, second/2, p.ChannelRate/2, p.ChannelLimit/2, second/3, p.Proxies+1
-	w.configure(2, p, worldNames)
-	if wrong := w.settle(20 * second); wrong != "" || w.core.ConfigurationVersion().Revision != 2 {
-		t.Error(wrong, w.core.ConfigurationVersion())
+// A change of the settings that affects no assignment of tables sends no tables.
+func TestChangedLimitsSendNoTables(t *testing.T) {
+	sim, unchanged := settledSimulation(t, 40, 24), settledSimulation(t, 40, 24)
+	changed := sim.settings
+	changed.DrainGrace, changed.ReportInterval, changed.ChannelRate, changed.ChannelLimit, changed.MaxTransit, changed.Proxies = 5*second, second/2, changed.ChannelRate/2, changed.ChannelLimit/2, second/3, changed.Proxies+1
+	sim.configure(2, changed, simulationNames)
+	if violation := sim.settle(20 * second); violation != "" || sim.core.ConfigurationVersion().Revision != 2 {
+		t.Error(violation, sim.core.ConfigurationVersion())
 	}
-	control.settle(20 * second)
-	if got, want := w.core.Counters, control.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
-		t.Errorf("%d full tables and %d cost units, without the change %d and %d", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
+	unchanged.settle(20 * second)
+	if got, want := sim.core.Counters, unchanged.core.Counters; got.FullTables != want.FullTables || got.CostSent != want.CostSent {
+		t.Errorf("%d full tables and %d cost units with the change, %d and %d without it", got.FullTables, got.CostSent, want.FullTables, want.CostSent)
 	}
 }
 
-// While tables are assigned anew no proxy is without endpoints.
+// While a change of the settings reassigns tables, no proxy is ever without endpoints.
 func TestReassignedTablesLeaveNoProxyEmpty(t *testing.T) {
 	for name, change := range map[string]func(p *control.Settings, names *settings.Names){
-		"a zone more":           func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"a", "b", "c"} },
-		"one in front":          func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"c", "a", "b"} },
-		"a zone less":           func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"b"} },
+		"zone added at the end": func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"a", "b", "c"} },
+		"zone added in front":   func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"c", "a", "b"} },
+		"zone removed":          func(_ *control.Settings, names *settings.Names) { names.Zones = []string{"b"} },
 		"no zones":              func(_ *control.Settings, names *settings.Names) { names.Zones = nil },
 		"more proxies":          func(p *control.Settings, _ *settings.Names) { p.Proxies *= 10 },
-		"fewer":                 func(p *control.Settings, _ *settings.Names) { p.Proxies /= 4 },
-		"shared by controllers": func(p *control.Settings, _ *settings.Names) { p.Controllers = 4 },
+		"fewer proxies":         func(p *control.Settings, _ *settings.Names) { p.Proxies /= 4 },
+		"more controllers":      func(p *control.Settings, _ *settings.Names) { p.Controllers = 4 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := settledSimulation(t, 60, 36)
-			for _, m := range w.states { // a third zone's replicas are there already
+			sim := settledSimulation(t, 60, 36)
+			for _, m := range sim.members { // replicas of a third zone are listed before the zone is in the settings
 				if m.ID >= "s-0024" && m.ID < "s-0030" {
 					m.Zone = "c"
-					w.states[m.ID] = m
+					sim.members[m.ID] = m
 				}
 			}
-			w.list(w.names, true)
-			if wrong := w.settle(30 * second); wrong != "" {
-				t.Fatal(wrong)
+			sim.listReplicas(sim.replicaNames, true)
+			if violation := sim.settle(30 * second); violation != "" {
+				t.Fatal(violation)
 			}
-			p, names := w.settings, worldNames
-			change(&p, &names)
-			w.configure(2, p, names)
+			changed, names := sim.settings, simulationNames
+			change(&changed, &names)
+			sim.configure(2, changed, names)
 			for range 200 {
-				w.pass(second / 10)
-				for k, proxy := range w.proxies {
+				sim.advance(second / 10)
+				for k, proxy := range sim.proxies {
 					if len(proxy.endpoints) == 0 {
-						t.Fatalf("proxy %d has no line", k)
+						t.Fatalf("proxy %d has no endpoint", k)
 					}
 				}
 			}
-			if wrong := w.settle(30 * second); wrong != "" || len(w.core.Turn(w.now, nil).CloseStreams) > 0 {
-				t.Error(wrong)
+			if violation := sim.settle(30 * second); violation != "" || len(sim.core.Turn(sim.now, nil).CloseStreams) > 0 {
+				t.Error(violation)
 			}
 		})
 	}
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -16,102 +16,105 @@
 	"lilacbend/settings"
 )
 
-// The benchmarks of this file give the slopes of docs/CAPACITY.md: each varies one input of a turn and leaves the others at
-// the shape of one controller of a mean service. They measure the core and the module alone, without sockets.
+// The benchmarks of this file measure the slopes in docs/CAPACITY.md: each varies one parameter of a turn and keeps the
+// others at the values of one controller of a mean service. They measure only the core and the module, without sockets.
 
-// The channel of a fleet: cost units that may wait in it, and cost units a second.
+// The channel of a fleet.
 const (
-	channelLimit = 49200
-	channelRate  = 1200
-	// wideChannel holds back nothing, so that every table lists every replica.
+	channelLimit = 49200 // cost units that may wait in the channel
+	channelRate  = 1200  // cost units per second
+	// wideChannel is the limit and the rate of a channel that holds back no updates, so that every table lists every
+	// replica.
 	wideChannel = 1 << 20
 )
 
 const (
 	tickInterval   = second / 4
-	reportInterval = second / 500 // between two turns that no tick is due in
+	reportInterval = second / 500 // between two turns in which no tick is due
 	settlingTurns  = 40
 )
 
-// turnShape is the size of one controller and what each of its turns takes in.
+// turnShape is the size of one controller and the inputs of each of its turns.
 type turnShape struct {
 	replicas, proxies, classes int
 	reports, demands, changes  int
 	interval                   int64
-	wide                       bool
+	wideChannel                bool // the channel holds back no updates
 }
 
+// meanService returns the shape of one controller of a mean service.
 func meanService() turnShape {
 	return turnShape{replicas: 33, proxies: 480, classes: 3, reports: 40, interval: tickInterval}
 }
 
-// sizedWorld is a controller that all of its proxies are connected to, behind a channel that delivers at once.
-type sizedWorld struct {
+// benchmarkSimulation simulates a controller with all proxies connected, behind a channel that delivers messages
+// immediately.
+type benchmarkSimulation struct {
 	*simulation
-	shape   turnShape
-	classes []string
-	heap    uint64        // bytes that it holds once it has settled
-	used    time.Duration // processor time of all turns
-	updates int
-	units   int // cost units of all updates, without overhead
+	shape         turnShape
+	classes       []string
+	heapBytes     uint64        // heap size in bytes after settling
+	processorTime time.Duration // processor time of all turns
+	updates       int
+	units         int // cost units of all updates, without overhead
 }
 
-func newSizedWorld(shape turnShape) *sizedWorld {
+func newBenchmarkSimulation(shape turnShape) *benchmarkSimulation {
 	before := heapInUse()
 	limit, rate := channelLimit, channelRate
-	if shape.wide {
+	if shape.wideChannel {
 		limit, rate = wideChannel, wideChannel
 	}
-	w := &sizedWorld{simulation: newSimulation(1, shape.proxies, shape.replicas, 5, limit, rate, updateCost), shape: shape}
-	w.settings.Classes = nil
+	sim := &benchmarkSimulation{simulation: newSimulation(1, shape.proxies, shape.replicas, 5, limit, rate, updateCost), shape: shape}
+	sim.settings.Classes = nil
 	for k := range shape.classes {
-		w.classes = append(w.classes, fmt.Sprintf("class-%05d", k))
-		w.settings.Classes = append(w.settings.Classes, control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent})
+		sim.classes = append(sim.classes, fmt.Sprintf("class-%05d", k))
+		sim.settings.Classes = append(sim.settings.Classes, control.TrafficClass{PriorityWeight: 1, LatencyObjective: second, Timeout: 3 * second, Idempotency: control.Idempotent})
 	}
-	w.core = controller.New(func() controller.Module { return policy.New(w.settings) }, controller.NewTopology(w.settingNames(), w.settings))
-	for k := range w.proxies {
-		w.join(k)
+	sim.core = controller.New(func() controller.Module { return policy.New(sim.settings) }, controller.NewTopology(sim.settingNames(), sim.settings))
+	for k := range sim.proxies {
+		sim.connect(k)
 	}
 	for range settlingTurns {
-		w.turn(tickInterval)
+		sim.turn(tickInterval)
 	}
-	w.heap = heapInUse() - before
-	return w
+	sim.heapBytes = heapInUse() - before
+	return sim
 }
 
-func (w *sizedWorld) settingNames() settings.Names {
-	return settings.Names{Classes: w.classes, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
+func (sim *benchmarkSimulation) settingNames() settings.Names {
+	return settings.Names{Classes: sim.classes, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 }
 
 func heapInUse() uint64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
-// turn has one turn, says how long it took, and delivers its messages before the next one.
-func (w *sizedWorld) turn(interval int64) time.Duration {
-	w.now += interval
-	events := w.inputs
-	w.inputs = nil
+// turn runs one turn after an interval, delivers its messages, and returns how long the turn took.
+func (sim *benchmarkSimulation) turn(interval int64) time.Duration {
+	sim.now += interval
+	events := sim.inputs
+	sim.inputs = nil
 	usedBefore, began := threadTime(), time.Now()
-	outcome := w.core.Turn(w.now, events)
+	result := sim.core.Turn(sim.now, events)
 	took := time.Since(began)
-	w.used += threadTime() - usedBefore
-	w.updates += len(outcome.Updates)
-	for _, s := range outcome.Updates {
-		w.units += updateCost(s.Update)
-		w.inputs = append(w.inputs, controller.MessageSent{Number: s.Number})
-		w.apply(message{proxy: int(s.Stream) - 1, sent: s}) // streams are numbered from 1 as the proxies join
+	sim.processorTime += threadTime() - usedBefore
+	sim.updates += len(result.Updates)
+	for _, outgoing := range result.Updates {
+		sim.units += updateCost(outgoing.Update)
+		sim.inputs = append(sim.inputs, controller.MessageSent{Number: outgoing.Number})
+		sim.deliver(message{proxy: int(outgoing.Stream) - 1, outgoing: outgoing}) // streams are numbered from 1 as the proxies join
 	}
 	return took
 }
 
-// threadTime is the processor time of the calling thread. Unlike the wall's time it does not grow when others use the
-// machine. What the garbage collector does on threads of its own is not in it.
+// threadTime returns the processor time of the calling thread. Unlike wall time, it does not grow when other processes use
+// the machine. It does not include the work of the garbage collector on other threads.
 func threadTime() time.Duration {
-	const rusageThread = 1 // RUSAGE_THREAD, which package syscall does not name
+	const rusageThread = 1 // RUSAGE_THREAD, which package syscall does not define
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(rusageThread, &usage); err != nil {
 		panic(err)
@@ -119,60 +122,61 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// report adds the inputs of one turn of the shape.
-func (w *sizedWorld) report() {
-	for range w.shape.reports {
-		w.inputs = append(w.inputs, controller.Outcomes{Zone: "a", Replica: w.names[w.Intn(len(w.names))], Outcomes: control.Outcomes{
+// addReports adds the inputs of one turn.
+func (sim *benchmarkSimulation) addReports() {
+	for range sim.shape.reports {
+		sim.inputs = append(sim.inputs, controller.Outcomes{Zone: "a", Replica: sim.replicaNames[sim.Intn(len(sim.replicaNames))], Outcomes: control.Outcomes{
 			Attempts:     20,
-			Failures:     w.Intn(2),
-			ResponseTime: second/10 + int64(w.Intn(int(second/20))),
+			Failures:     sim.Intn(2),
+			ResponseTime: second/10 + int64(sim.Intn(int(second/20))),
 			Period:       second,
 		}})
 	}
-	for range w.shape.demands {
-		proxy := w.Intn(len(w.proxies))
-		w.inputs = append(w.inputs, controller.Demand{Stream: w.proxies[proxy].stream, Class: w.classes[w.Intn(len(w.classes))],
+	for range sim.shape.demands {
+		proxy := sim.Intn(len(sim.proxies))
+		sim.inputs = append(sim.inputs, controller.Demand{Stream: sim.proxies[proxy].stream, Class: sim.classes[sim.Intn(len(sim.classes))],
 			Demand: control.Demand{Proxy: proxy, Requests: 5, Period: second}})
 	}
-	if w.shape.changes > 0 {
-		w.list(w.restarted(w.shape.changes), false)
+	if sim.shape.changes > 0 {
+		sim.listReplicas(sim.restartReplicas(sim.shape.changes), false)
 	}
 }
 
-// restarted has some replicas start anew, and names them.
-func (w *sizedWorld) restarted(count int) []string {
+// restartReplicas restarts random replicas and returns their names.
+func (sim *benchmarkSimulation) restartReplicas(count int) []string {
 	var names []string
 	for range count {
-		m := w.states[w.names[w.Intn(len(w.names))]]
-		m.UpSince = w.now
-		w.states[m.ID] = m
+		m := sim.members[sim.replicaNames[sim.Intn(len(sim.replicaNames))]]
+		m.UpSince = sim.now
+		sim.members[m.ID] = m
 		names = append(names, m.ID)
 	}
 	return names
 }
 
+// benchmarkTurns measures turns of a shape.
 func benchmarkTurns(b *testing.B, shape turnShape) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	w := newSizedWorld(shape)
-	w.used, w.updates, w.units = 0, 0, 0
-	var spans []time.Duration
+	sim := newBenchmarkSimulation(shape)
+	sim.processorTime, sim.updates, sim.units = 0, 0, 0
+	var durations []time.Duration
 	for b.Loop() {
-		w.report()
-		spans = append(spans, w.turn(shape.interval))
+		sim.addReports()
+		durations = append(durations, sim.turn(shape.interval))
 	}
-	slices.Sort(spans)
-	b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
-	b.ReportMetric(float64(spans[len(spans)*99/100])/1e6, "p99-ms")
-	b.ReportMetric(float64(w.used)/float64(len(spans))/1e6, "cpu-ms")
-	b.ReportMetric(float64(w.updates)/float64(len(spans)), "pushes/turn")
-	b.ReportMetric(float64(w.units)/float64(len(spans)), "lines/turn")
-	b.ReportMetric(float64(w.heap), "heap-B")
-	runtime.KeepAlive(w)
+	slices.Sort(durations)
+	b.ReportMetric(float64(durations[len(durations)/2])/1e6, "p50-ms")
+	b.ReportMetric(float64(durations[len(durations)*99/100])/1e6, "p99-ms")
+	b.ReportMetric(float64(sim.processorTime)/float64(len(durations))/1e6, "cpu-ms")
+	b.ReportMetric(float64(sim.updates)/float64(len(durations)), "pushes/turn")
+	b.ReportMetric(float64(sim.units)/float64(len(durations)), "lines/turn")
+	b.ReportMetric(float64(sim.heapBytes), "heap-B")
+	runtime.KeepAlive(sim)
 }
 
-// varying runs the turns of the mean service with one input varied.
-func varying(b *testing.B, input string, values []int, set func(*turnShape, int)) {
+// benchmarkVarying measures turns of the mean service for several values of one parameter.
+func benchmarkVarying(b *testing.B, input string, values []int, set func(*turnShape, int)) {
 	for _, v := range values {
 		b.Run(fmt.Sprintf("%s=%d", input, v), func(b *testing.B) {
 			shape := meanService()
@@ -185,88 +189,90 @@
 var replicasListed = []int{33, 100, 200, 655, 1000, 3000, 9500}
 
 func BenchmarkTurnByReplicas(b *testing.B) {
-	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas = v })
+	benchmarkVarying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas = v })
 }
 
-// The same behind a channel that holds back nothing.
+// BenchmarkTurnByReplicasWideChannel is BenchmarkTurnByReplicas with a channel that holds back no updates.
 func BenchmarkTurnByReplicasWideChannel(b *testing.B) {
-	varying(b, "replicas", []int{200, 1000, 3000, 9500}, func(s *turnShape, v int) { s.replicas, s.wide = v, true })
+	benchmarkVarying(b, "replicas", []int{200, 1000, 3000, 9500}, func(s *turnShape, v int) { s.replicas, s.wideChannel = v, true })
 }
 
-// Turns between two ticks: one report each, as reports come spread over time.
+// BenchmarkTurnBetweenTicksByReplicas measures turns between two ticks with one report each, since reports arrive one by
+// one.
 func BenchmarkTurnBetweenTicksByReplicas(b *testing.B) {
-	varying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas, s.reports, s.interval = v, 1, reportInterval })
+	benchmarkVarying(b, "replicas", replicasListed, func(s *turnShape, v int) { s.replicas, s.reports, s.interval = v, 1, reportInterval })
 }
 
 func BenchmarkTurnByProxies(b *testing.B) {
-	varying(b, "proxies", []int{48, 120, 240, 480, 960, 1920}, func(s *turnShape, v int) { s.proxies = v })
+	benchmarkVarying(b, "proxies", []int{48, 120, 240, 480, 960, 1920}, func(s *turnShape, v int) { s.proxies = v })
 }
 
 func BenchmarkTurnByReports(b *testing.B) {
-	varying(b, "reports", []int{0, 50, 200, 900, 3000}, func(s *turnShape, v int) { s.reports = v })
+	benchmarkVarying(b, "reports", []int{0, 50, 200, 900, 3000}, func(s *turnShape, v int) { s.reports = v })
 }
 
 func BenchmarkTurnByDemands(b *testing.B) {
-	varying(b, "demands", []int{0, 48, 120, 480}, func(s *turnShape, v int) { s.demands = v })
+	benchmarkVarying(b, "demands", []int{0, 48, 120, 480}, func(s *turnShape, v int) { s.demands = v })
 }
 
 func BenchmarkTurnByClasses(b *testing.B) {
-	varying(b, "classes", []int{3, 12, 48, 240, 960}, func(s *turnShape, v int) { s.classes = v })
+	benchmarkVarying(b, "classes", []int{3, 12, 48, 240, 960}, func(s *turnShape, v int) { s.classes = v })
 }
 
 func BenchmarkTurnByChanges(b *testing.B) {
-	varying(b, "changes", []int{0, 1, 10, 100}, func(s *turnShape, v int) { s.changes, s.replicas = v, 655 })
+	benchmarkVarying(b, "changes", []int{0, 1, 10, 100}, func(s *turnShape, v int) { s.changes, s.replicas = v, 655 })
 }
 
-// A turn that puts changed settings in force: one class has another timeout.
+// BenchmarkTurnThatConfiguresByClasses measures turns that put settings in force in which one class has another timeout.
 func BenchmarkTurnThatConfiguresByClasses(b *testing.B) {
 	for _, classes := range []int{3, 48, 240, 960} {
 		b.Run(fmt.Sprintf("classes=%d", classes), func(b *testing.B) {
 			shape := meanService()
 			shape.classes = classes
-			shape.interval = reportInterval // so that few of them have a tick
-			w := newSizedWorld(shape)
+			shape.interval = reportInterval // so that a tick is due in few of the turns
+			sim := newBenchmarkSimulation(shape)
 			version := revision.Version{Epoch: 1}
-			var spans []time.Duration
+			var durations []time.Duration
 			for b.Loop() {
-				changed := w.settings
+				changed := sim.settings
 				changed.Classes = slices.Clone(changed.Classes)
-				changed.Classes[0].Timeout += int64(len(spans)%2) * second
+				changed.Classes[0].Timeout += int64(len(durations)%2) * second
 				version.Revision++
-				w.inputs = append(w.inputs, controller.Configure{Version: version, Names: w.settingNames(), Settings: changed,
+				sim.inputs = append(sim.inputs, controller.Configure{Version: version, Names: sim.settingNames(), Settings: changed,
 					Start: func() controller.Module { return policy.New(changed) }})
-				spans = append(spans, w.turn(shape.interval))
-				if w.core.ConfigurationVersion() != version {
-					b.Fatal("not in force")
+				durations = append(durations, sim.turn(shape.interval))
+				if sim.core.ConfigurationVersion() != version {
+					b.Fatal("changed settings are not in force")
 				}
 			}
-			slices.Sort(spans)
-			b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
+			slices.Sort(durations)
+			b.ReportMetric(float64(durations[len(durations)/2])/1e6, "p50-ms")
 		})
 	}
 }
 
-// All proxies connect within one turn to a controller of a mean service behind the channel of a fleet.
+// BenchmarkTurnThatBindsByProxies measures a turn in which all proxies connect to a controller of a mean service behind the
+// channel of a fleet.
 func BenchmarkTurnThatBindsByProxies(b *testing.B) {
 	for _, proxies := range []int{48, 240, 480, 960, 1920} {
 		b.Run(fmt.Sprintf("proxies=%d", proxies), func(b *testing.B) {
-			var spans []time.Duration
+			var durations []time.Duration
 			for b.Loop() {
-				w := newSimulation(1, proxies, 33, 5, channelLimit, channelRate, updateCost)
-				w.Rand = rand.New(rand.NewSource(1))
-				w.core.Turn(w.now, w.inputs)
-				w.inputs = nil
-				for k := range w.proxies {
-					w.join(k)
+				sim := newSimulation(1, proxies, 33, 5, channelLimit, channelRate, updateCost)
+				sim.Rand = rand.New(rand.NewSource(1))
+				sim.core.Turn(sim.now, sim.inputs)
+				sim.inputs = nil
+				for k := range sim.proxies {
+					sim.connect(k)
 				}
 				began := time.Now()
-				if o := w.core.Turn(w.now+tickInterval, w.inputs); len(o.Updates) == 0 {
-					b.Fatal("nobody is bound")
+				if o := sim.core.Turn(sim.now+tickInterval, sim.inputs); len(o.Updates) == 0 {
+					b.Fatal("no proxy was bound")
 				}
-				spans = append(spans, time.Since(began))
+				durations = append(durations, time.Since(began))
 			}
-			slices.Sort(spans)
-			b.ReportMetric(float64(spans[len(spans)/2])/1e6, "p50-ms")
+			slices.Sort(durations)
+			b.ReportMetric(float64(durations[len(durations)/2])/1e6, "p50-ms")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
