--- a/internal/learnedstate/age.go
+++ b/internal/learnedstate/age.go
@@ -2,10 +2,12 @@
 
 import "math"
 
-// minWeight is the least weight of an entry, that after six half-lives. What weighs less changes no decision and is dropped.
+// minWeight is the lowest weight of an entry, reached after six half-lives. Entries of lower weight do not change any
+// decision and are dropped.
 const minWeight = 1.0 / 64
 
-// Weight returns how much an age leaves of what was learned: half after each half-life, and nothing below minWeight.
+// Weight returns the weight, from 0 to 1, of learned data of the given age: it halves with each half-life and is 0 once it
+// would be below minWeight. A negative age counts as 0.
 func Weight(age, halfLife int64) float64 {
 	weight := math.Exp2(-float64(max(0, age)) / float64(max(1, halfLife)))
 	if weight < minWeight {
@@ -14,38 +16,39 @@
 	return weight
 }
 
-// Timestamp is a time as a machine shows it. The wall clock may step. Up does not, but says nothing across restarts of the
-// machine.
+// Timestamp is a time read from a machine's clocks. The wall clock may step. Up does not step, but it is comparable only
+// between timestamps of the same boot.
 type Timestamp struct {
-	Wall int64  // nanoseconds since 1970
-	Boot string // identifies the machine's start; empty: not known
-	Up   int64  // nanoseconds since that start
+	Wall int64  // Unix time in nanoseconds
+	Boot string // boot ID of the machine; empty: unknown
+	Up   int64  // nanoseconds since boot
 }
 
-// Age returns how long before now a timestamp was taken, never less than either clock says. If the wall clock has stepped
-// back, how much time has passed is not known by it, and the size of the step counts as age: no step makes anything look
-// younger than the other clock says.
+// Age returns how long before now a timestamp was taken: the larger of the ages by the wall clock and, within one boot, by
+// the uptime. If the wall clock shows an earlier time than the timestamp, the elapsed time cannot be derived from it, and
+// the size of the difference counts as the age. So a step of the wall clock never makes the result smaller than the age by
+// the uptime.
 func (t Timestamp) Age(now Timestamp) int64 {
-	wall := now.Wall - t.Wall
-	if wall < 0 {
-		wall = -max(wall, -math.MaxInt64)
+	wallAge := now.Wall - t.Wall
+	if wallAge < 0 {
+		wallAge = -max(wallAge, -math.MaxInt64)
 	}
 	if t.Boot != "" && t.Boot == now.Boot {
-		return max(wall, now.Up-t.Up)
+		return max(wallAge, now.Up-t.Up)
 	}
-	return wall
+	return wallAge
 }
 
-// AgedState is a state in use by a running controller: it goes on ageing by that controller's own clock.
+// AgedState is a state that a running controller has loaded. Its age increases with that controller's own clock.
 type AgedState struct {
 	State
-	loadedAt    int64 // by the controller's clock
+	loadedAt    int64 // on the controller's clock
 	ageAtLoad   int64
 	halfLife    int64
 	replicaByID map[string]*Replica
 }
 
-// NewAgedState returns a state that was of an age at a time of the controller's clock.
+// NewAgedState returns a state whose age was age when the controller's clock showed loadedAt.
 func NewAgedState(state State, loadedAt, age, halfLife int64) *AgedState {
 	aged := &AgedState{
 		State:       state,
@@ -60,24 +63,25 @@
 	return aged
 }
 
-// Age returns how old the state is now.
-func (s *AgedState) Age(now int64) int64 { return addSpans(s.ageAtLoad, now-s.loadedAt) }
+// Age returns the age of the state at now, a time of the controller's clock.
+func (s *AgedState) Age(now int64) int64 { return addDurations(s.ageAtLoad, now-s.loadedAt) }
 
-// Weight returns how much of what was learned of the fleet counts now.
+// Weight returns the weight, from 0 to 1, that data about the fleet as a whole has at now.
 func (s *AgedState) Weight(now int64) float64 { return Weight(s.Age(now), s.halfLife) }
 
-// Lookup returns what was learned of a replica as it is listed now, the age of its last sample and how much of that counts;
-// weight 0: nothing. A process that was started since, or has moved to another zone or hardware class, is another replica.
-func (s *AgedState) Lookup(id, zone, hardwareClass string, upSince, now int64) (r Replica, age int64, weight float64) {
+// Lookup returns the data about a replica as the endpoint list has it now, the age of its last sample and the weight of the
+// data. Weight 0 means that there is no usable data. A process that was started since, or that is now in another zone or
+// hardware class, is a different replica and has no data.
+func (s *AgedState) Lookup(id, zone, hardwareClass string, upSince, now int64) (replica Replica, age int64, weight float64) {
 	if s == nil || s.replicaByID[id] == nil {
 		return Replica{}, 0, 0
 	}
-	r = *s.replicaByID[id]
-	if r.UpSince != upSince || r.Zone != zone || r.HardwareClass != hardwareClass {
+	replica = *s.replicaByID[id]
+	if replica.UpSince != upSince || replica.Zone != zone || replica.HardwareClass != hardwareClass {
 		return Replica{}, 0, 0
 	}
 	elapsed := s.Age(now)
-	r.ageEjection(elapsed)
-	age = addSpans(r.SinceLastSample, elapsed)
-	return r, age, Weight(age, s.halfLife)
+	replica.ageEjection(elapsed)
+	age = addDurations(replica.SinceLastSample, elapsed)
+	return replica, age, Weight(age, s.halfLife)
 }
--- a/internal/learnedstate/fit.go
+++ b/internal/learnedstate/fit.go
@@ -8,55 +8,56 @@
 )
 
 const (
-	// maxResponseTimes is how many response times are kept of a hardware class.
+	// maxResponseTimes is the number of response times kept for a hardware class.
 	maxResponseTimes = 32
-	// maxNameLength is the longest ID of a replica, in bytes.
+	// maxNameLength is the maximum length of a replica's ID, in bytes.
 	maxNameLength = 128
 )
 
-// The decision module's own figures lie far within these bounds; what lies outside was not written by it.
+// Bounds of valid values. Values from the decision module are far within them, so a value outside was not written by it.
 const (
-	minSpeed       = 1.0 / 1024
-	maxSpeed       = 1024.0
-	maxSampleCount = 1e9
-	maxRate        = 1e6   // requests a second
-	minResponse    = 1e-9  // seconds
-	maxResponse    = 600.0 // seconds
-	maxTables      = 1 << 14
-	maxEjections   = 1 << 10
-	maxEjection    = int64(60 * 1e9) // nanoseconds
+	minSpeed        = 1.0 / 1024
+	maxSpeed        = 1024.0
+	maxSampleCount  = 1e9
+	maxRequestRate  = 1e6   // requests per second
+	minResponseTime = 1e-9  // seconds
+	maxResponseTime = 600.0 // seconds
+	maxTables       = 1 << 14
+	maxEjections    = 1 << 10
+	maxEjectionTime = int64(60 * 1e9) // nanoseconds
 )
 
-// Installation is what a state has to fit.
+// Installation is the configuration that a restored state has to match.
 type Installation struct {
-	Classes         []string
+	Classes         []string // traffic classes, in configured order
 	HardwareClasses []string
-	Proxies         int
+	Proxies         int // number of proxies; they are numbered from 0
 }
 
-// Dropped says what of a state does not fit, and why.
+// Dropped counts the entries of a state that Fit has dropped, by reason.
 type Dropped struct {
-	Replicas       int  // whose figures are impossible
-	Expired        int  // replicas whose samples count for nothing any more
-	RequestRates   int  // of unknown traffic classes or proxies, or too old
-	ClassesChanged bool // so that the admission threshold does not apply
+	Replicas       int  // replicas with a value out of bounds
+	Expired        int  // replicas whose samples are so old that their weight is 0
+	RequestRates   int  // those of unknown traffic classes or proxies, out of bounds or too old
+	ClassesChanged bool // the traffic classes or their order differ, so that the admission threshold does not apply
 }
 
-// Fit returns what of a state fits an installation and is not too old, and what was dropped. Zones and hardware classes of
-// replicas are compared with the endpoint list once that names them.
+// Fit returns the state without the entries that are invalid, do not match the installation or are too old, and the counts
+// of dropped entries. age is the age of the state. Zones and hardware classes of replicas are not checked here:
+// AgedState.Lookup compares them with the endpoint list.
 func Fit(state State, installation Installation, age, halfLife int64) (State, Dropped) {
 	var dropped Dropped
 	state.Replicas = fitReplicas(state.Replicas, age, halfLife, &dropped)
 	state.RequestRates = fitRequestRates(state.RequestRates, installation, &dropped)
 	state.Bindings = fitBindings(state.Bindings, state.Tables, installation)
 	state.BaselineResponseTimes = fitResponseTimes(state.BaselineResponseTimes, installation)
-	// The threshold is by the order of the traffic classes.
+	// The threshold refers to the traffic classes in their order.
 	dropped.ClassesChanged = !slices.Equal(state.Classes, installation.Classes)
-	if dropped.ClassesChanged || !within(state.AdmissionThreshold, 0, 1) {
+	if dropped.ClassesChanged || !inRange(state.AdmissionThreshold, 0, 1) {
 		state.AdmissionThreshold = 1
 		state.RetriesStopped = false
 	}
-	if !within(state.MaxSuccessRate, 0, maxRate) {
+	if !inRange(state.MaxSuccessRate, 0, maxRequestRate) {
 		state.MaxSuccessRate = 0
 	}
 	if state.Tables < 0 || state.Tables > maxTables {
@@ -65,13 +66,13 @@
 	}
 	if Weight(age, halfLife) == 0 {
 		dropped.RequestRates += len(state.RequestRates)
-		state.dropFleet()
+		state.clearFleetState()
 	}
 	return state, dropped
 }
 
-// dropFleet drops what was learned of the fleet as a whole.
-func (s *State) dropFleet() {
+// clearFleetState resets the data about the fleet as a whole.
+func (s *State) clearFleetState() {
 	s.RequestRates = nil
 	s.Bindings = nil
 	s.BaselineResponseTimes = nil
@@ -87,7 +88,7 @@
 		switch {
 		case !r.valid():
 			dropped.Replicas++
-		case Weight(addSpans(r.SinceLastSample, age), halfLife) == 0:
+		case Weight(addDurations(r.SinceLastSample, age), halfLife) == 0:
 			dropped.Expired++
 		default:
 			kept = append(kept, r)
@@ -100,7 +101,7 @@
 	kept := rates[:0:0]
 	for _, r := range rates {
 		knownProxy := r.Proxy >= 0 && r.Proxy < installation.Proxies
-		if !knownProxy || !slices.Contains(installation.Classes, r.Class) || !within(r.Rate, 0, maxRate) {
+		if !knownProxy || !slices.Contains(installation.Classes, r.Class) || !inRange(r.Rate, 0, maxRequestRate) {
 			dropped.RequestRates++
 			continue
 		}
@@ -115,14 +116,14 @@
 	})
 }
 
-func fitResponseTimes(all []ResponseTimes, installation Installation) []ResponseTimes {
-	kept := all[:0:0]
-	for _, r := range all {
+func fitResponseTimes(allTimes []ResponseTimes, installation Installation) []ResponseTimes {
+	kept := allTimes[:0:0]
+	for _, r := range allTimes {
 		if r.HardwareClass != "" && !slices.Contains(installation.HardwareClasses, r.HardwareClass) {
 			continue
 		}
 		r.Times = slices.DeleteFunc(slices.Clone(r.Times), func(seconds float64) bool {
-			return !within(seconds, minResponse, maxResponse)
+			return !inRange(seconds, minResponseTime, maxResponseTime)
 		})
 		r.Times = r.Times[max(0, len(r.Times)-maxResponseTimes):]
 		kept = append(kept, r)
@@ -131,14 +132,14 @@
 }
 
 // within reports whether a value lies between two others; false for what is no number.
-func within(v, least, most float64) bool { return v >= least && v <= most }
+func inRange(value, low, high float64) bool { return value >= low && value <= high }
 
-// valid reports whether the figures of a replica are possible.
+// valid reports whether all values of a replica are within their bounds.
 func (r Replica) valid() bool {
-	identified := r.ID != "" && len(r.ID) <= maxNameLength
-	listed := within(r.Weight, 0, math.MaxFloat64) && r.UpSince >= 0 && r.State >= control.Ready && r.State <= control.Gone
-	sampled := within(r.Speed, minSpeed, maxSpeed) && within(r.SampleCount, 0, maxSampleCount) && r.SinceLastSample >= 0
-	placed := within(r.PlacementKey, 0, 1) && r.Table >= 0 && r.Table <= maxTables
-	ejected := r.EjectedFor >= 0 && r.EjectedFor <= maxEjection && r.Ejections >= 0 && r.Ejections <= maxEjections
-	return identified && listed && sampled && placed && ejected
+	validID := r.ID != "" && len(r.ID) <= maxNameLength
+	validListing := inRange(r.Weight, 0, math.MaxFloat64) && r.UpSince >= 0 && r.State >= control.Ready && r.State <= control.Gone
+	validSamples := inRange(r.Speed, minSpeed, maxSpeed) && inRange(r.SampleCount, 0, maxSampleCount) && r.SinceLastSample >= 0
+	validAssignment := inRange(r.PlacementKey, 0, 1) && r.Table >= 0 && r.Table <= maxTables
+	validEjections := r.EjectedFor >= 0 && r.EjectedFor <= maxEjectionTime && r.Ejections >= 0 && r.Ejections <= maxEjections
+	return validID && validListing && validSamples && validAssignment && validEjections
 }
--- a/internal/learnedstate/state.go
+++ b/internal/learnedstate/state.go
@@ -1,7 +1,7 @@
-// Package learnedstate holds what a controller has learned, as a value that outlives it: by the names of replicas, zones,
-// hardware classes and traffic classes, since their numbers are new with each start. Here it is merged, aged and fitted to an
-// installation; how far it is trusted the decision module decides. The package has no I/O and no clock. Spans are
-// nanoseconds.
+// Package learnedstate defines the learned state of a controller, which is kept across restarts. Replicas, zones, hardware
+// classes and traffic classes are identified by name, since their numbers are assigned anew at each start. The package
+// merges states, ages them and restricts them to an installation. The decision module decides how much confidence it places
+// in them. The package has no I/O and reads no clock. Durations are in nanoseconds.
 package learnedstate
 
 import (
@@ -12,105 +12,107 @@
 	"lilacbend/control"
 )
 
-// Bounds of one state: a few times the largest installation that is known.
+// Bounds of one state: a few times the size of the largest known installation.
 const (
-	// MaxReplicas is the most replicas.
+	// MaxReplicas is the maximum number of replicas.
 	MaxReplicas = 1 << 14
-	// MaxRequestRates is the most request rates, of all proxies and traffic classes.
+	// MaxRequestRates is the maximum number of request rates, over all proxies and traffic classes.
 	MaxRequestRates = 1 << 18
-	// MaxNames is the most traffic classes, and the most hardware classes.
+	// MaxNames is the maximum number of traffic classes, and also that of hardware classes.
 	MaxNames = 1 << 10
 )
 
-// State is what one controller had learned at a time.
+// State is the learned state of one controller at one time.
 type State struct {
-	Controller            string // its name
-	Taken                 Timestamp
-	Revision              int64 // of the endpoint list
+	Controller            string    // the controller's name
+	Taken                 Timestamp // when the state was taken
+	Revision              int64     // of the endpoint list
 	Classes               []string
-	Replicas              []Replica // by ID
+	Replicas              []Replica // sorted by ID
 	BaselineResponseTimes []ResponseTimes
 	RequestRates          []RequestRate
 	Bindings              []control.Binding
-	Tables                int
-	AdmissionThreshold    float64
+	Tables                int     // number of tables
+	AdmissionThreshold    float64 // as in control.LearnedFleet, like the fields below
 	MaxSuccessRate        float64
 	RetriesStopped        bool
 }
 
-// Replica is what was learned of one replica, and how discovery listed it.
+// Replica is the learned data about one replica, with its entry in the endpoint list from discovery.
 type Replica struct {
 	ID              string
 	Zone            string
 	HardwareClass   string
-	UpSince         int64 // by the wall clock, as listed: a process started later is another
+	UpSince         int64 // start of its process as listed, Unix time; another value is another process
 	State           control.State
 	Weight          float64 // as listed
-	Speed           float64 // as control.LearnedReplica has it, like the fields below
+	Speed           float64 // as in control.LearnedReplica, like the fields below
 	SampleCount     float64
 	PlacementKey    float64
 	Table           int
 	EjectedFor      int64
 	Probation       bool
 	Ejections       int
-	SinceLastSample int64 // from its last sample to State.Taken
+	SinceLastSample int64 // time from its last sample to State.Taken
 }
 
-// ResponseTimes are the response times of a hardware class at low load, in seconds. The class without a name is all together.
+// ResponseTimes are the response times of a hardware class at low load, in seconds. The empty class name denotes the whole
+// fleet.
 type ResponseTimes struct {
 	HardwareClass string
 	Times         []float64
 }
 
-// RequestRate is the requests a second of a traffic class that arrived at a proxy.
+// RequestRate is the rate, in requests per second, at which requests of a traffic class arrived at a proxy.
 type RequestRate struct {
 	Proxy int
 	Class string
 	Rate  float64
 }
 
-// maxListAge is the age up to which a state's endpoint list may be used, in nanoseconds. An older one is no better than the
-// configured list whatever its revision says: discovery may have begun to count anew since.
+// maxListAge is the age up to which a state's endpoint list may be used, in nanoseconds. The revision of an older list is
+// not comparable with that of the configured list, since discovery may have restarted its revision numbers.
 const maxListAge = int64(15 * 60 * 1e9)
 
-// HasNewerList reports whether the state's endpoint list is to be used until discovery answers, instead of one of a revision.
+// HasNewerList reports whether the state's endpoint list is to be used until discovery answers, in place of a list with the
+// given revision. age is the age of the state.
 func (s State) HasNewerList(revision, age int64) bool {
 	return s.Revision > revision && age <= maxListAge && len(s.Replicas) > 0
 }
 
-// Merge adds to what has been learned now what was learned earlier of replicas that now says nothing about: those that are not
-// listed, or not yet. Earlier ones whose samples count for nothing any more are left out. elapsed is the time from earlier
-// to now.
-func Merge(now, earlier State, elapsed, halfLife int64) State {
-	known := make(map[string]bool, len(now.Replicas))
-	for _, r := range now.Replicas {
+// Merge returns the current state with the replicas added that only the earlier state has: those that are no longer or not
+// yet in the endpoint list. Earlier replicas whose samples are so old that their weight is 0 are left out, and so are those
+// beyond MaxReplicas. elapsed is the time from the earlier to the current state.
+func Merge(current, earlier State, elapsed, halfLife int64) State {
+	known := make(map[string]bool, len(current.Replicas))
+	for _, r := range current.Replicas {
 		known[r.ID] = true
 	}
-	replicas := slices.Clone(now.Replicas)
+	replicas := slices.Clone(current.Replicas)
 	for _, r := range earlier.Replicas {
-		r.SinceLastSample = addSpans(r.SinceLastSample, elapsed)
+		r.SinceLastSample = addDurations(r.SinceLastSample, elapsed)
 		r.ageEjection(elapsed)
 		if !known[r.ID] && len(replicas) < MaxReplicas && Weight(r.SinceLastSample, halfLife) > 0 {
-			r.State = control.Gone // it is not in the list of now
+			r.State = control.Gone // not in the current endpoint list
 			replicas = append(replicas, r)
 		}
 	}
 	slices.SortFunc(replicas, func(a, b Replica) int { return cmp.Compare(a.ID, b.ID) })
-	now.Replicas = replicas
-	return now
+	current.Replicas = replicas
+	return current
 }
 
-// ageEjection takes a span off an ejection. If it ends within the span the replica enters probation, as it would have at the
-// controller that ejected it.
-func (r *Replica) ageEjection(span int64) {
-	if r.EjectedFor > 0 && r.EjectedFor <= span {
+// ageEjection subtracts the elapsed time from the remaining time of an ejection. If the ejection ends within that time, the
+// replica enters probation, as it would have at the controller that ejected it.
+func (r *Replica) ageEjection(elapsed int64) {
+	if r.EjectedFor > 0 && r.EjectedFor <= elapsed {
 		r.Probation = true
 	}
-	r.EjectedFor = max(0, r.EjectedFor-max(0, span))
+	r.EjectedFor = max(0, r.EjectedFor-max(0, elapsed))
 }
 
-// addSpans adds two spans, each of them 0 if it is negative; a sum too large is the largest number.
-func addSpans(a, b int64) int64 {
+// addDurations adds two durations. A negative duration counts as 0, and a sum that overflows is math.MaxInt64.
+func addDurations(a, b int64) int64 {
 	a = max(0, a)
 	b = max(0, b)
 	if a > math.MaxInt64-b {
