--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -120,8 +120,8 @@
 	whole, _ := snapshot.Encode(learnedstate.State{Controller: "n9", Taken: snapshot.Now()}, 1)
 	for name, c := range map[string]struct{ raw, says string }{
 		"state-0000000000000001.lbs": {string(whole), `it was written by controller \"n9\", this is \"n0\"`},
-		"state-0000000000000002.lbs": {string(whole), "it holds generation 1"},
-		"state-0000000000000003.lbs": {"", "does not begin as one"},
+		"state-0000000000000002.lbs": {string(whole), "file name does not match generation 1 in the header"},
+		"state-0000000000000003.lbs": {"", "magic bytes at the start of the file are missing"},
 		"state-0000000000000004.lbs": {string(whole[:60]), "damaged"},
 		"unrelated":                  {"x", "no state to begin with"},
 	} {
@@ -186,7 +186,7 @@
 		{"import " + file + " " + folder, "generation 1, 1 replicas", ""},
 		{"import " + file + " " + folder, "generation 2, 1 replicas", ""},
 		{"import " + folder, "", "no folder: name one"},
-		{"import " + filepath.Join(folder, "lock") + " " + folder, "", "no exported state"},
+		{"import " + filepath.Join(folder, "lock") + " " + folder, "", "invalid exported state"},
 		{"show " + folder, "sick, 3s left", ""},
 		{"show " + filepath.Join(folder, "state-0000000000000001.lbs"), "generation 1, format 2", ""},
 		{"show --json " + folder, string(paper), ""},
--- a/internal/snapshot/clock.go
+++ b/internal/snapshot/clock.go
@@ -9,13 +9,13 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// Where Linux says which start of the machine this is, and how many seconds ago that was.
+// Files of Linux's proc file system with the boot ID and with the seconds since boot.
 const (
 	bootIDFile = "/proc/sys/kernel/random/boot_id"
 	uptimeFile = "/proc/uptime"
 )
 
-// Now returns the time as this machine shows it. If the machine does not say when it started, only the wall clock is set.
+// Now returns the current time of this machine. If the boot ID or the uptime cannot be read, only the wall clock is set.
 func Now() learnedstate.Timestamp {
 	now := learnedstate.Timestamp{Wall: time.Now().UnixNano()}
 	boot, err := os.ReadFile(bootIDFile)
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -13,8 +13,8 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// The header's layout is the same in all formats, numbers big-endian. It has a checksum of its own, so that a flipped byte is
-// never taken for a newer format. The body follows, in CBOR.
+// Layout of a file's header, which is the same in all formats; numbers are big-endian. The header has its own checksum, so
+// that a corrupted format number is never mistaken for a newer format. The body follows the header, in CBOR.
 const (
 	magic                = "LILACST\n" // bytes 0 to 7
 	formatOffset         = 8
@@ -26,31 +26,32 @@
 )
 
 const (
-	// Format is the one that is written. Formats from oldestFormat on are read.
+	// Format is the format that is written. Formats from oldestFormat to Format can be read.
 	Format       = 2
 	oldestFormat = 1
 )
 
-// maxFileSize bounds a generation, in bytes: above that of the largest installation. A larger file is nobody's and would have to
-// be held in memory, several times as large, beside a controller that may have 32 MiB in all.
+// maxFileSize is the maximum size of a generation's file, in bytes. It is above that of the largest known installation, so
+// that a larger file was not written by a controller. Decoding takes several times the file's size in memory, and a
+// controller may have only 32 MiB in total.
 const maxFileSize = 2 << 20
 
-// Reasons why a file is refused.
+// Reasons to refuse a file.
 var (
-	// ErrDamaged is a file that is not as it was written: torn, or a byte of it has changed.
+	// ErrDamaged means that a file is truncated or that its content has changed since it was written.
 	ErrDamaged = errors.New("damaged")
-	// ErrNewer is a file of a newer program.
-	ErrNewer = errors.New("of a newer format")
-	// ErrNotSnapshot is a file that is no generation.
+	// ErrNewer means that a newer version of the program wrote the file, in a format that this one cannot read.
+	ErrNewer = errors.New("unsupported newer format")
+	// ErrNotSnapshot means that a file is not a snapshot, or not the generation that its name says.
 	ErrNotSnapshot = errors.New("not a controller's state")
-	// ErrTooLarge is a file that is larger than any that was written.
+	// ErrTooLarge means that a file exceeds the size limit of its kind.
 	ErrTooLarge = filewriter.ErrTooLarge
 )
 
 var (
-	encoding = must(cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode())
-	// A body may name little more than a state may hold, so that a crafted length allocates nothing.
-	decoding = must(cbor.DecOptions{
+	cborEncoder = must(cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode())
+	// The limits are little above those of a state, so that a crafted length in a body causes no large allocation.
+	cborDecoder = must(cbor.DecOptions{
 		MaxArrayElements: 2 * learnedstate.MaxReplicas,
 		MaxMapPairs:      4 * learnedstate.MaxReplicas,
 		MaxNestedLevels:  8,
@@ -62,50 +63,51 @@
 
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen, since the options are constants
 	}
 	return v
 }
 
-// Encode returns the file of a state as a generation.
+// Encode returns the content of the file that holds the state as the given generation.
 func Encode(state learnedstate.State, generation uint64) ([]byte, error) {
-	return seal(newBody2(state), Format, generation)
+	return encodeFile(newBody2(state), Format, generation)
 }
 
-// seal puts a header before a body.
-func seal(body any, format uint32, generation uint64) ([]byte, error) {
-	raw, err := encoding.Marshal(body)
+// encodeFile returns the encoded body with a header before it.
+func encodeFile(body any, format uint32, generation uint64) ([]byte, error) {
+	encodedBody, err := cborEncoder.Marshal(body)
 	if err != nil {
 		return nil, fmt.Errorf("encoding generation %d: %w", generation, err)
 	}
-	if len(raw)+headerSize > maxFileSize {
-		return nil, fmt.Errorf("generation %d has %d bytes: %w", generation, len(raw), ErrTooLarge)
+	if len(encodedBody)+headerSize > maxFileSize {
+		return nil, fmt.Errorf("encoding generation %d: body of %d bytes exceeds %d bytes: %w",
+			generation, len(encodedBody), maxFileSize-headerSize, ErrTooLarge)
 	}
-	file := make([]byte, 0, headerSize+len(raw))
+	file := make([]byte, 0, headerSize+len(encodedBody))
 	file = append(file, magic...)
 	file = binary.BigEndian.AppendUint32(file, format)
-	file = binary.BigEndian.AppendUint32(file, uint32(len(raw)))
+	file = binary.BigEndian.AppendUint32(file, uint32(len(encodedBody)))
 	file = binary.BigEndian.AppendUint64(file, generation)
-	file = binary.BigEndian.AppendUint64(file, xxhash.Sum64(raw))
+	file = binary.BigEndian.AppendUint64(file, xxhash.Sum64(encodedBody))
 	file = binary.BigEndian.AppendUint64(file, xxhash.Sum64(file))
-	return append(file, raw...), nil
+	return append(file, encodedBody...), nil
 }
 
-// Decode returns the generation of a file, without a name. The error is an ErrNotSnapshot, ErrDamaged, ErrNewer or
-// ErrTooLarge.
-func Decode(raw []byte) (Generation, error) {
-	c, err := open(raw)
+// Decode decodes the content of a generation's file. The result has no Name. The error is an ErrNotSnapshot, ErrDamaged,
+// ErrNewer or ErrTooLarge.
+func Decode(file []byte) (Generation, error) {
+	parsed, err := parseFile(file)
 	if err != nil {
 		return Generation{}, err
 	}
-	state, err := decodeBody(c)
+	state, err := decodeBody(parsed)
 	if err != nil {
 		return Generation{}, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return Generation{Number: c.generation, Format: c.format, Bytes: len(raw), State: state}, nil
+	return Generation{Number: parsed.generation, Format: parsed.format, Bytes: len(file), State: state}, nil
 }
 
-// container is what the header of a file says, and its body.
+// container is a file with its header decoded and its body still encoded.
 type container struct {
 	format       int
 	generation   uint64
@@ -114,78 +116,80 @@
 	body         []byte
 }
 
-// open checks that a file is as it was written, of a format that this program reads. It does not decode the body.
-func open(raw []byte) (container, error) {
-	if err := checkHeader(raw); err != nil {
+// parseFile decodes the header and checks the checksums, the body's length and that the format is supported. It does not
+// decode the body.
+func parseFile(file []byte) (container, error) {
+	if err := checkHeader(file); err != nil {
 		return container{}, err
 	}
-	c := container{
-		format:       int(binary.BigEndian.Uint32(raw[formatOffset:])),
-		length:       int(binary.BigEndian.Uint32(raw[lengthOffset:])),
-		generation:   binary.BigEndian.Uint64(raw[generationOffset:]),
-		bodyChecksum: binary.BigEndian.Uint64(raw[bodyChecksumOffset:]),
-		body:         raw[headerSize:],
+	parsed := container{
+		format:       int(binary.BigEndian.Uint32(file[formatOffset:])),
+		length:       int(binary.BigEndian.Uint32(file[lengthOffset:])),
+		generation:   binary.BigEndian.Uint64(file[generationOffset:]),
+		bodyChecksum: binary.BigEndian.Uint64(file[bodyChecksumOffset:]),
+		body:         file[headerSize:],
 	}
-	return c, c.check()
+	return parsed, parsed.check()
 }
 
-// checkHeader checks that a file begins with a header that is as it was written.
-func checkHeader(raw []byte) error {
+// checkHeader checks the size of the file, its magic bytes and the checksum of its header.
+func checkHeader(file []byte) error {
 	switch {
-	case len(raw) > maxFileSize:
-		return fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, len(raw), maxFileSize)
-	case len(raw) < len(magic) || string(raw[:len(magic)]) != magic:
-		return fmt.Errorf("%w: it does not begin as one", ErrNotSnapshot)
-	case len(raw) < headerSize:
-		return fmt.Errorf("%w: ends after %d of %d bytes of its header", ErrDamaged, len(raw), headerSize)
-	case xxhash.Sum64(raw[:headerChecksumOffset]) != binary.BigEndian.Uint64(raw[headerChecksumOffset:]):
-		return fmt.Errorf("%w: the checksum of its header does not match", ErrDamaged)
+	case len(file) > maxFileSize:
+		return fmt.Errorf("%w: snapshot of %d bytes exceeds %d bytes", ErrTooLarge, len(file), maxFileSize)
+	case len(file) < len(magic) || string(file[:len(magic)]) != magic:
+		return fmt.Errorf("%w: magic bytes at the start of the file are missing", ErrNotSnapshot)
+	case len(file) < headerSize:
+		return fmt.Errorf("%w: file ends after %d of %d header bytes", ErrDamaged, len(file), headerSize)
+	case xxhash.Sum64(file[:headerChecksumOffset]) != binary.BigEndian.Uint64(file[headerChecksumOffset:]):
+		return fmt.Errorf("%w: header checksum mismatch", ErrDamaged)
 	}
 	return nil
 }
 
-// check checks the body against the header, and the format.
+// check checks the body's length and checksum against the header, and that the format is supported.
 func (c container) check() error {
 	switch {
 	case c.length != len(c.body):
-		return fmt.Errorf("%w: %d bytes where the header says %d", ErrDamaged, len(c.body), c.length)
+		return fmt.Errorf("%w: body has %d bytes, header says %d", ErrDamaged, len(c.body), c.length)
 	case xxhash.Sum64(c.body) != c.bodyChecksum:
-		return fmt.Errorf("%w: the checksum of its body does not match", ErrDamaged)
+		return fmt.Errorf("%w: body checksum mismatch", ErrDamaged)
 	case c.format > Format:
-		return fmt.Errorf("%w: %d, this program reads %d to %d", ErrNewer, c.format, oldestFormat, Format)
+		return fmt.Errorf("%w: format %d, this program reads formats %d to %d", ErrNewer, c.format, oldestFormat, Format)
 	case c.format < oldestFormat:
-		return fmt.Errorf("%w: format %d", ErrNotSnapshot, c.format)
+		return fmt.Errorf("%w: invalid format %d", ErrNotSnapshot, c.format)
 	}
 	return nil
 }
 
-// decodeBody decodes the body by its format.
-func decodeBody(c container) (learnedstate.State, error) {
-	if c.format == 1 {
+// decodeBody decodes the body according to the file's format.
+func decodeBody(file container) (learnedstate.State, error) {
+	if file.format == 1 {
 		var body body1
-		if err := decoding.Unmarshal(c.body, &body); err != nil {
+		if err := cborDecoder.Unmarshal(file.body, &body); err != nil {
 			return learnedstate.State{}, err
 		}
 		return checkBounds(body.state())
 	}
 	var body body2
-	if err := decoding.Unmarshal(c.body, &body); err != nil {
+	if err := cborDecoder.Unmarshal(file.body, &body); err != nil {
 		return learnedstate.State{}, err
 	}
 	return checkBounds(body.state())
 }
 
-// checkBounds returns an error instead of a state that is larger than any that was written, or of an impossible time.
+// checkBounds returns the state, or an error if it has more entries than a state may have or a time out of range.
 func checkBounds(state learnedstate.State) (learnedstate.State, error) {
 	tooMany := len(state.Replicas) > learnedstate.MaxReplicas ||
 		len(state.RequestRates) > learnedstate.MaxRequestRates ||
 		len(state.BaselineResponseTimes) > learnedstate.MaxNames ||
 		len(state.Classes) > learnedstate.MaxNames
-	// Half of the range, so that a difference of two times does not overflow.
+	// Half of the range of int64, so that the difference of two times does not overflow.
 	impossibleTime := state.Taken.Wall < math.MinInt64/2 || state.Taken.Wall > math.MaxInt64/2
 	if tooMany || impossibleTime {
-		return learnedstate.State{}, fmt.Errorf("%d replicas, %d request rates, %d traffic classes, taken at %d: more than possible",
-			len(state.Replicas), len(state.RequestRates), len(state.Classes), state.Taken.Wall)
+		return learnedstate.State{}, fmt.Errorf("state out of bounds: %d replicas (at most %d), %d request rates (at most %d), %d traffic classes (at most %d), taken at Unix time %d ns",
+			len(state.Replicas), learnedstate.MaxReplicas, len(state.RequestRates), learnedstate.MaxRequestRates,
+			len(state.Classes), learnedstate.MaxNames, state.Taken.Wall)
 	}
 	return state, nil
 }
--- a/internal/snapshot/export.go
+++ b/internal/snapshot/export.go
@@ -10,58 +10,59 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// maxExportSize bounds an exported state, in bytes: JSON takes up to this many times the size of a generation.
+// maxExportSize is the maximum size of an exported state, in bytes. JSON takes up to four times the size of a generation's
+// file.
 const maxExportSize = 4 * maxFileSize
 
-// exported is a state as JSON: the fields of format 2 by name. Fields are added to it and never changed.
+// exported is a state in JSON: the fields of format 2 by name. Fields may be added, but existing ones are never changed.
 type exported struct {
 	Format int `json:"lilacbend_state"`
 	body2
 }
 
-// Export returns a state as JSON; the same state gives the same bytes.
+// Export returns a state in JSON. Equal states give equal bytes.
 func Export(state learnedstate.State) ([]byte, error) {
-	raw, err := json.MarshalIndent(exported{Format, newBody2(state)}, "", " ")
+	encoded, err := json.MarshalIndent(exported{Format, newBody2(state)}, "", " ")
 	if err != nil {
-		return nil, fmt.Errorf("writing the state as JSON: %w", err)
+		return nil, fmt.Errorf("encoding state as JSON: %w", err)
 	}
-	return append(raw, '\n'), nil
+	return append(encoded, '\n'), nil
 }
 
-// Import reads what Export has written, strictly. A state that cannot be used as a whole is an error; single entries are
-// checked when a controller takes it over.
+// Import reads a state in the format of Export. Unknown fields, data after the state and a state out of bounds are errors.
+// Single entries are not checked here but by learnedstate.Fit, when a controller restores the state.
 func Import(r io.Reader) (learnedstate.State, error) {
-	raw, err := io.ReadAll(io.LimitReader(r, maxExportSize+1))
+	data, err := io.ReadAll(io.LimitReader(r, maxExportSize+1))
 	if err != nil {
-		return learnedstate.State{}, fmt.Errorf("after %d bytes: %w", len(raw), err)
+		return learnedstate.State{}, fmt.Errorf("reading exported state after %d bytes: %w", len(data), err)
 	}
-	if len(raw) > maxExportSize {
-		return learnedstate.State{}, fmt.Errorf("%w: over %d bytes", ErrTooLarge, maxExportSize)
+	if len(data) > maxExportSize {
+		return learnedstate.State{}, fmt.Errorf("%w: exported state exceeds %d bytes", ErrTooLarge, maxExportSize)
 	}
-	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
-	var e exported
-	if err := decoder.Decode(&e); err != nil {
-		return learnedstate.State{}, fmt.Errorf("no exported state (byte %d): %w", decoder.InputOffset(), err)
+	var export exported
+	if err := decoder.Decode(&export); err != nil {
+		return learnedstate.State{}, fmt.Errorf("invalid exported state (byte %d): %w", decoder.InputOffset(), err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return learnedstate.State{}, errors.New("more follows the exported state")
+		return learnedstate.State{}, errors.New("unexpected data after the exported state")
 	}
-	if err := checkExportFormat(e.Format); err != nil {
+	if err := checkExportFormat(export.Format); err != nil {
 		return learnedstate.State{}, err
 	}
-	return checkBounds(e.state())
+	return checkBounds(export.state())
 }
 
-// checkExportFormat returns an error for a format that this program has never exported.
+// checkExportFormat returns an error for a format that Import cannot read.
 func checkExportFormat(format int) error {
 	switch {
 	case format == 0:
-		return fmt.Errorf("%w: lilacbend_state is missing", ErrNotSnapshot)
+		return fmt.Errorf("%w: field lilacbend_state is missing or 0", ErrNotSnapshot)
 	case format > Format:
-		return fmt.Errorf("%w: %d, this program reads up to %d", ErrNewer, format, Format)
+		return fmt.Errorf("%w: format %d, this program reads formats up to %d", ErrNewer, format, Format)
 	case format < Format:
-		return fmt.Errorf("%w: format %d was never exported", ErrNotSnapshot, format)
+		return fmt.Errorf("%w: format %d is not used for exports", ErrNotSnapshot, format)
 	}
 	return nil
 }
--- a/internal/snapshot/format1.go
+++ b/internal/snapshot/format1.go
@@ -8,8 +8,8 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// body1 is the body of format 1, which is read and no longer written. It has one request rate for each proxy, no bindings and no
-// placement keys.
+// body1 is the body of format 1, which can be read but is no longer written. It has one request rate for each proxy, and no
+// bindings and no placement keys.
 type body1 struct {
 	Controller            string             `cbor:"1,keyasint"`
 	Wall                  int64              `cbor:"2,keyasint"`
@@ -41,10 +41,11 @@
 	probation1 = "trial"
 )
 
-// format1Ejection stands for the rest of an ejection, which format 1 does not have: the shortest, in nanoseconds.
-const format1Ejection = int64(3 * 1e9)
+// format1EjectionTime replaces the remaining time of an ejection, which format 1 lacks: the shortest ejection, in
+// nanoseconds.
+const format1EjectionTime = int64(3 * 1e9)
 
-// state returns the state of a body. A proxy's request rate is divided evenly among the traffic classes.
+// state returns the state that the body holds. A proxy's request rate is divided evenly among the traffic classes.
 func (b body1) state() learnedstate.State {
 	state := learnedstate.State{
 		Controller:         b.Controller,
@@ -86,7 +87,7 @@
 		replica.State = control.Draining
 	}
 	if r.Health == ejected1 {
-		replica.EjectedFor = format1Ejection
+		replica.EjectedFor = format1EjectionTime
 	}
 	return replica
 }
--- a/internal/snapshot/format2.go
+++ b/internal/snapshot/format2.go
@@ -8,7 +8,7 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// body2 is the body of format 2, in CBOR in a generation and in JSON when it is exported.
+// body2 is the body of format 2, encoded as CBOR in a generation's file and as JSON in an export.
 type body2 struct {
 	Controller            string            `cbor:"1,keyasint" json:"governor"`
 	Wall                  int64             `cbor:"2,keyasint" json:"taken_ns"`
@@ -19,7 +19,7 @@
 	Replicas              []replica2        `cbor:"7,keyasint" json:"replicas"`
 	BaselineResponseTimes []responseTimes2  `cbor:"8,keyasint" json:"calm"`
 	RequestRates          map[int][]float64 `cbor:"9,keyasint" json:"flows"`  // by proxy, in the order of Classes
-	Bindings              map[int]int       `cbor:"10,keyasint" json:"seats"` // table by proxy
+	Bindings              map[int]int       `cbor:"10,keyasint" json:"seats"` // table number by proxy
 	Tables                int               `cbor:"11,keyasint" json:"tables"`
 	AdmissionThreshold    float64           `cbor:"12,keyasint" json:"line"`
 	MaxSuccessRate        float64           `cbor:"13,keyasint" json:"served"`
@@ -48,7 +48,7 @@
 	Times         []float64 `cbor:"2,keyasint" json:"answers_s"`
 }
 
-// newBody2 returns the body of a state.
+// newBody2 returns the body that holds a state.
 func newBody2(state learnedstate.State) body2 {
 	body := body2{
 		Controller:         state.Controller,
@@ -96,28 +96,28 @@
 	}
 }
 
-// newRequestRates2 returns the request rates by proxy and the order of the traffic classes. They are rounded to what a float32
-// has, as more digits mean nothing in a rate.
+// newRequestRates2 returns the request rates by proxy, in the order of the traffic classes. They are rounded to float32,
+// whose precision is sufficient for a rate.
 func newRequestRates2(state learnedstate.State) map[int][]float64 {
-	numbers := map[string]int{}
-	for number, class := range state.Classes {
-		numbers[class] = number
+	classIndex := map[string]int{}
+	for index, class := range state.Classes {
+		classIndex[class] = index
 	}
 	rates := map[int][]float64{}
 	for _, r := range state.RequestRates {
-		number, known := numbers[r.Class]
+		index, known := classIndex[r.Class]
 		if !known {
 			continue
 		}
 		if rates[r.Proxy] == nil {
 			rates[r.Proxy] = make([]float64, len(state.Classes))
 		}
-		rates[r.Proxy][number] = float64(float32(r.Rate))
+		rates[r.Proxy][index] = float64(float32(r.Rate))
 	}
 	return rates
 }
 
-// state returns the state of a body.
+// state returns the state that the body holds.
 func (b body2) state() learnedstate.State {
 	state := learnedstate.State{
 		Controller:         b.Controller,
@@ -145,9 +145,9 @@
 func (b body2) requestRates() []learnedstate.RequestRate {
 	var rates []learnedstate.RequestRate
 	for _, proxy := range slices.Sorted(maps.Keys(b.RequestRates)) {
-		for number, rate := range b.RequestRates[proxy] {
-			if number < len(b.Classes) && rate != 0 {
-				rates = append(rates, learnedstate.RequestRate{Proxy: proxy, Class: b.Classes[number], Rate: rate})
+		for index, rate := range b.RequestRates[proxy] {
+			if index < len(b.Classes) && rate != 0 {
+				rates = append(rates, learnedstate.RequestRate{Proxy: proxy, Class: b.Classes[index], Rate: rate})
 			}
 		}
 	}
--- a/internal/snapshot/generations.go
+++ b/internal/snapshot/generations.go
@@ -1,5 +1,6 @@
-// Package snapshot keeps the generations of a controller's learned state in a directory: each a file with a format number and
-// checksums, complete or not there. How far a state is trusted is decided elsewhere.
+// Package snapshot stores snapshots of a controller's learned state as numbered generations in a directory. Each generation
+// is a file with a format number and checksums that is written completely or not at all. How much confidence a restored
+// state deserves is not decided here.
 package snapshot
 
 import (
@@ -14,19 +15,20 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// A generation's file is named state-, its number in 16 digits or more, and .lbs.
+// A generation's file name consists of filePrefix, its number in 16 digits or more, and fileSuffix.
 const (
 	filePrefix = "state-"
 	fileSuffix = ".lbs"
-	// temporaryPrefix is how the files of writes begin that are not in place yet.
+	// temporaryPrefix is the prefix of the temporary files of unfinished writes.
 	temporaryPrefix = "." + filePrefix
 )
 
-// maxGeneration is the largest number: one a second for longer than there are machines. What is named with a larger one is no
-// generation.
+// maxGeneration is the largest generation number; with one generation per second it lasts for more than 10^10 years. A file
+// with a larger number in its name is not a generation.
 const maxGeneration = 1 << 60
 
-// Storage is a directory of generations. Replace writes a file completely or not at all, and returns once it is durable.
+// Storage is a directory of generations. Replace writes a file completely or not at all, and returns once the file is
+// durable.
 type Storage interface {
 	List() ([]string, error)
 	Read(name string, maxBytes int64) ([]byte, error)
@@ -34,7 +36,7 @@
 	Remove(name string) error
 }
 
-// FileError is a file that was not used, and why.
+// FileError is the reason why a file was not used, with the file's name.
 type FileError struct {
 	Name string
 	Err  error
@@ -42,30 +44,30 @@
 
 func (e FileError) Error() string { return e.Name + ": " + e.Err.Error() }
 
-// Unwrap returns why the file was not used.
+// Unwrap returns the reason without the file's name.
 func (e FileError) Unwrap() error { return e.Err }
 
-// Generation is a complete file.
+// Generation is a snapshot read from a complete file, or written to one.
 type Generation struct {
 	Name   string
 	Number uint64
 	Format int
-	Bytes  int
+	Bytes  int // size of the file
 	State  learnedstate.State
 }
 
-// Selection is the newest complete generation of a directory.
+// Selection is the newest complete generation of a directory, if there is one.
 type Selection struct {
 	Generation
 	Found   bool
-	Refused []FileError // newer files that are not complete
+	Refused []FileError // newer files that cannot be used, with the reasons
 }
 
 func fileName(generation uint64) string {
 	return fmt.Sprintf("%s%016d%s", filePrefix, generation, fileSuffix)
 }
 
-// generationNumber returns the number in a file's name; false: it is no generation's.
+// generationNumber returns the number in the name of a generation's file; false: the name is not that of a generation.
 func generationNumber(name string) (uint64, bool) {
 	digits, hasPrefix := strings.CutPrefix(name, filePrefix)
 	digits, hasSuffix := strings.CutSuffix(digits, fileSuffix)
@@ -76,7 +78,7 @@
 	return number, err == nil && number <= maxGeneration
 }
 
-// generationNames lists the files of generations, the newest first.
+// generationNames lists the names of the generations' files, the newest first.
 func generationNames(storage Storage) ([]string, error) {
 	names, err := list(storage)
 	if err != nil {
@@ -97,18 +99,18 @@
 func list(storage Storage) ([]string, error) {
 	names, err := storage.List()
 	if err != nil {
-		return nil, fmt.Errorf("listing the folder: %w", err)
+		return nil, fmt.Errorf("listing the snapshot folder: %w", err)
 	}
 	return names, nil
 }
 
-// Read reads one file. The error is a FileError.
+// Read reads and decodes one generation's file. The error is a FileError.
 func Read(storage Storage, name string) (Generation, error) {
-	raw, err := readSealed(storage, name)
+	file, err := readVerified(storage, name)
 	if err != nil {
 		return Generation{}, err
 	}
-	generation, err := Decode(raw)
+	generation, err := Decode(file)
 	if err != nil {
 		return Generation{}, FileError{name, err}
 	}
@@ -116,23 +118,24 @@
 	return generation, nil
 }
 
-// readSealed reads the bytes of a file that is as it was written, under the name that it was written under.
-func readSealed(storage Storage, name string) ([]byte, error) {
-	raw, err := storage.Read(name, maxFileSize)
+// readVerified reads a file and verifies its checksums, its format and that the generation in its header is the one in its
+// name. It does not decode the body.
+func readVerified(storage Storage, name string) ([]byte, error) {
+	file, err := storage.Read(name, maxFileSize)
 	if err != nil {
 		return nil, FileError{name, err}
 	}
-	c, err := open(raw)
+	parsed, err := parseFile(file)
 	if err != nil {
 		return nil, FileError{name, err}
 	}
-	if named, ok := generationNumber(name); ok && named != c.generation {
-		return nil, FileError{name, fmt.Errorf("%w: it holds generation %d", ErrNotSnapshot, c.generation)}
+	if numberInName, ok := generationNumber(name); ok && numberInName != parsed.generation {
+		return nil, FileError{name, fmt.Errorf("%w: file name does not match generation %d in the header", ErrNotSnapshot, parsed.generation)}
 	}
-	return raw, nil
+	return file, nil
 }
 
-// Latest reads the newest complete generation. That there is none is no error.
+// Latest reads the newest complete generation. It returns no error if there is none.
 func Latest(storage Storage) (Selection, error) {
 	names, err := generationNames(storage)
 	if err != nil {
@@ -151,8 +154,8 @@
 	return selection, nil
 }
 
-// ReadAll reads all generations, the newest first, and returns them without their states, as those of many would not fit into
-// memory, and the files that are not complete.
+// ReadAll reads all generations, the newest first. It returns the complete ones without their states, since the states of
+// many generations may not fit into memory, and the files that cannot be used.
 func ReadAll(storage Storage) (complete []Generation, refused []FileError, err error) {
 	names, err := generationNames(storage)
 	if err != nil {
@@ -170,25 +173,25 @@
 	return complete, refused, nil
 }
 
-// asFileError returns the FileError that an error of Read is.
+// asFileError returns the FileError in an error of Read.
 func asFileError(err error) FileError {
 	var fileError FileError
 	errors.As(err, &fileError)
 	return fileError
 }
 
-// Write writes the next generation and then prunes the directory.
+// Write writes the state as the next generation and then prunes the directory.
 func Write(storage Storage, state learnedstate.State, keep int) (Generation, error) {
 	number, err := nextNumber(storage)
 	if err != nil {
 		return Generation{Number: number}, err
 	}
-	raw, err := Encode(state, number)
+	file, err := Encode(state, number)
 	if err != nil {
 		return Generation{Number: number}, err
 	}
-	generation := Generation{Name: fileName(number), Number: number, Format: Format, Bytes: len(raw), State: state}
-	if err := storage.Replace(generation.Name, raw); err != nil {
+	generation := Generation{Name: fileName(number), Number: number, Format: Format, Bytes: len(file), State: state}
+	if err := storage.Replace(generation.Name, file); err != nil {
 		return generation, fmt.Errorf("writing %s: %w", generation.Name, err)
 	}
 	_, err = Prune(storage, keep)
@@ -206,14 +209,15 @@
 	}
 	last, _ := generationNumber(names[0])
 	if last+1 > maxGeneration {
-		return last + 1, fmt.Errorf("no generation can follow %s: remove it", names[0])
+		return last + 1, fmt.Errorf("next generation number after %s exceeds %d: remove that file", names[0], uint64(maxGeneration))
 	}
 	return last + 1, nil
 }
 
-// Prune removes what unfinished writes have left and all generations but the newest complete ones, keep of them and one at
-// least, and returns the names of what it has removed. A damaged file stays for as long as the complete ones of its age, as
-// whoever looks for the cause may want it; what a newer program wrote stays in any case.
+// Prune removes the temporary files of unfinished writes and all but the newest keep complete generations; it keeps at least
+// one. It returns the names of the removed files. A file that is damaged or cannot be read is removed once more than keep
+// newer complete generations exist, so that the cause of the damage can be examined until then. A file of a newer program is
+// never removed.
 func Prune(storage Storage, keep int) (removed []string, err error) {
 	unfinished, err := list(storage)
 	if err != nil {
@@ -232,7 +236,8 @@
 	return append(removed, removedGenerations...), err
 }
 
-// outdatedNames returns the generations to be removed so that so many complete ones stay, the newest first.
+// outdatedNames returns the names of the files to be removed so that the newest keep complete generations remain, newest
+// first.
 func outdatedNames(storage Storage, keep int) ([]string, error) {
 	names, err := generationNames(storage)
 	if err != nil {
@@ -241,7 +246,7 @@
 	var outdated []string
 	complete := 0
 	for _, name := range names {
-		_, err := readSealed(storage, name)
+		_, err := readVerified(storage, name)
 		if errors.Is(err, ErrNewer) {
 			continue
 		}
@@ -255,8 +260,8 @@
 	return outdated, nil
 }
 
-// removeAll removes files in order up to the first that cannot be removed, and returns the names of those it has removed. One
-// that is gone already counts.
+// removeAll removes files in order and stops at the first that cannot be removed. It returns the names of the removed files,
+// including those that did not exist any more.
 func removeAll(storage Storage, names []string) (removed []string, err error) {
 	for _, name := range names {
 		if err := storage.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -15,7 +15,7 @@
 	snapshotGeneration = 12
 )
 
-// goldenSnapshot has a value other than zero in every field, and replicas of each state.
+// goldenSnapshot has a non-zero value in every field, and replicas in each state.
 func goldenSnapshot() learnedstate.State {
 	return learnedstate.State{
 		Controller: "n7", Taken: learnedstate.Timestamp{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
@@ -42,24 +42,24 @@
 }
 
 func TestSnapshotOfTheGoldenFileIsDecodedAndEncodedAgain(t *testing.T) {
-	held := golden.Read(t, snapshotFile)
-	decoded, err := Decode(held)
+	stored := golden.Read(t, snapshotFile)
+	decoded, err := Decode(stored)
 	if err != nil || decoded.Number != snapshotGeneration || decoded.Format != Format {
 		t.Fatalf("generation %d, format %d: %v", decoded.Number, decoded.Format, err)
 	}
 	if want := goldenSnapshot(); !reflect.DeepEqual(decoded.State, want) {
 		t.Errorf("got  %+v\nwant %+v", decoded.State, want)
 	}
-	again, err := Encode(decoded.State, decoded.Number)
+	reencoded, err := Encode(decoded.State, decoded.Number)
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, snapshotFile, again)
-	for at := range held {
-		changed := bytes.Clone(held)
-		changed[at] ^= 1
+	golden.Compare(t, snapshotFile, reencoded)
+	for offset := range stored {
+		changed := bytes.Clone(stored)
+		changed[offset] ^= 1
 		if _, err := Decode(changed); err == nil {
-			t.Errorf("byte %d changed: the snapshot is decoded", at)
+			t.Errorf("byte %d changed: the snapshot was decoded, want an error", offset)
 		}
 	}
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// maxRetryInterval is the longest time between two writes while they fail, unless the usual one is longer: a full disk is not
-	// emptied by trying, and one that is back is used within this time.
+	// maxRetryInterval is the maximum interval between writes while they fail, unless the regular interval is longer.
+	// Frequent retries do not help on a full disk, and a disk that works again is used within this time.
 	maxRetryInterval = time.Minute
-	// maxDoublings is how many times the interval doubles while writes fail.
+	// maxDoublings is how often the interval is doubled at most while writes fail.
 	maxDoublings = 10
 )
 
-// Counters count what a Writer has done.
+// Counters are the counters of a Writer.
 type Counters struct {
-	Offered    atomic.Int64
-	Written    atomic.Int64
-	Bytes      atomic.Int64
-	Failed     atomic.Int64
-	Skipped    atomic.Int64 // replaced by a newer one before they were written
-	Generation atomic.Int64 // the last one
-	Duration   atomic.Int64 // that it took to be written, in nanoseconds
+	Offered    atomic.Int64 // submitted states
+	Written    atomic.Int64 // generations
+	Bytes      atomic.Int64 // of all generations written
+	Failed     atomic.Int64 // failed writes
+	Skipped    atomic.Int64 // submitted states that were replaced by a newer one before they were written
+	Generation atomic.Int64 // number of the last one written
+	Duration   atomic.Int64 // of the last successful write, in nanoseconds
 }
 
-// Writer writes states as generations from a goroutine of its own, so that a disk that is slow, full or gone costs freshness and
-// nothing else.
+// Writer writes states as generations in its own goroutine, so that a slow, full or missing disk only makes the stored state
+// older and delays nothing else.
 type Writer struct {
 	Counters Counters
 	writer   *filewriter.Writer[learnedstate.State]
@@ -42,8 +42,8 @@
 	log      *slog.Logger
 }
 
-// NewWriter returns a writer that leaves keep generations and writes one in each interval at most. reopen is called when the
-// directory has vanished; nil: nothing brings it back.
+// NewWriter returns a Writer that keeps the newest keep generations and writes at most one per interval. reopen is called
+// when the directory no longer exists, to create it again; nil: it is not created again.
 func NewWriter(storage Storage, keep int, interval time.Duration, reopen func() error, log *slog.Logger) *Writer {
 	w := &Writer{storage: storage, keep: keep, reopen: reopen, log: log}
 	w.writer = filewriter.New(filewriter.Config[learnedstate.State]{
@@ -58,7 +58,8 @@
 	return w
 }
 
-// Submit hands over a state, which must not change any more. The newest one is written. It does not wait for the disk.
+// Submit submits a state, which must not be modified afterwards. Of the states that wait for a write, only the newest is
+// written. Submit does not wait for the disk.
 func (w *Writer) Submit(state learnedstate.State) {
 	w.Counters.Offered.Add(1)
 	if w.writer.Submit(state) {
@@ -66,13 +67,13 @@
 	}
 }
 
-// Run writes what is submitted until ctx ends, and then what was submitted last.
+// Run writes submitted states until ctx is done, and then the last submitted one if it has not been written.
 func (w *Writer) Run(ctx context.Context) { w.writer.Run(ctx) }
 
 // Done is closed once Run has returned.
 func (w *Writer) Done() <-chan struct{} { return w.writer.Done() }
 
-// write writes one generation. If the directory has vanished it is opened again and the write tried once more.
+// write writes one generation. If the directory no longer exists, write reopens it and retries once.
 func (w *Writer) write(state learnedstate.State) error {
 	started := time.Now()
 	generation, err := Write(w.storage, state, w.keep)
@@ -95,14 +96,14 @@
 
 func (w *Writer) logFailure(_ learnedstate.State, err error, final bool) {
 	if final {
-		w.log.Warn("last state not written", "error", err)
+		w.log.Warn("final learned state not written", "error", err)
 		return
 	}
-	w.log.Warn("state not written", "error", err)
+	w.log.Warn("learned state not written", "error", err)
 }
 
 func (w *Writer) logRecovery(_ learnedstate.State, final bool) {
 	if !final {
-		w.log.Info("state written again", "generation", w.Counters.Generation.Load())
+		w.log.Info("learned state written again after failures", "generation", w.Counters.Generation.Load())
 	}
 }
