--- a/internal/learnedstate/fit.go
+++ b/internal/learnedstate/fit.go
@@ -34,7 +34,8 @@
 	Proxies         int // number of proxies; they are numbered from 0
 }
 
-// Dropped counts the entries of a state that Fit has dropped, by reason.
+// Dropped counts the entries of a state that Fit has dropped, by reason. Dropped bindings and response times are not
+// counted.
 type Dropped struct {
 	Replicas       int  // replicas with a value out of bounds
 	Expired        int  // replicas whose samples are so old that their weight is 0
