--- a/internal/controlserver/decode.go
+++ b/internal/controlserver/decode.go
@@ -13,15 +13,15 @@
 // inFlightUnknown is the number of requests in flight of a replica whose load report does not contain it.
 const inFlightUnknown = -1
 
-// message is one received message. Its methods read fields and record the first fault in err; a field read after a fault is
-// not to be used.
+// message is one received message. Its methods read fields and record the first fault in err; a value that is read while err
+// is set must not be used.
 type message struct {
 	kind  string
 	words []string
 	err   error
 }
 
-// newMessage returns the message that consists of the words.
+// newMessage returns the message that consists of the words: a type, followed by pairs of name and value.
 func newMessage(words []string) *message {
 	m := &message{words: words}
 	if len(words)%2 == 0 {
@@ -43,7 +43,7 @@
 	m.fail(fmt.Errorf(format, args...))
 }
 
-// lookup returns the value of a field, and whether the message has it.
+// lookup returns the value of a field, and whether the message has the field.
 func (m *message) lookup(name string) (string, bool) {
 	for k := 1; k+1 < len(m.words); k += 2 {
 		if m.words[k] == name {
@@ -62,7 +62,7 @@
 	return value
 }
 
-// number returns the value of a required field: finite and not negative.
+// number returns the value of a required field, which must be finite and not negative.
 func (m *message) number(name string) float64 {
 	value := m.text(name)
 	number, err := strconv.ParseFloat(value, 64)
@@ -81,7 +81,7 @@
 	return m.number(name)
 }
 
-// integer returns the value of a required field, which is an integer of at most 31 bits.
+// integer returns the value of a required field, which must be an integer of at most 31 bits.
 func (m *message) integer(name string) int {
 	number := m.number(name)
 	if number != math.Trunc(number) || number > math.MaxInt32 {
@@ -91,10 +91,10 @@
 	return int(number)
 }
 
-// milliseconds returns the value of a required field of that unit, in nanoseconds.
+// milliseconds reads a required field whose unit is milliseconds, and returns its value in nanoseconds.
 func (m *message) milliseconds(name string) int64 { return control.Nanos(m.number(name)) }
 
-// zone returns the peer's zone. It is optional, as a deployment may have no zones; the topology checks it.
+// zone returns the peer's zone. The field is optional, as a deployment may have no zones; the topology checks the zone.
 func (m *message) zone() string {
 	zone, _ := m.lookup(fieldZone)
 	return zone
@@ -128,8 +128,8 @@
 	return outcomes
 }
 
-// decodeInFlight returns the requests in flight of a load report, which is a list of name:value separated by commas and
-// begins with them. A report that cannot be read is the same as none.
+// decodeInFlight returns the number of requests in flight of a load report, which is a list of name:value pairs separated by
+// commas; the first pair has that number. A report that cannot be decoded is treated as a missing one.
 func decodeInFlight(report string) float64 {
 	first, _, _ := strings.Cut(report, ",")
 	_, value, _ := strings.Cut(first, ":")
--- a/internal/controlserver/encode.go
+++ b/internal/controlserver/encode.go
@@ -10,7 +10,7 @@
 )
 
 // EncodeUpdate returns the parts of an update, each as the words of one message. All parts but the last are marked as
-// continued; the last one has the nonce if the update is to be acknowledged. An update without content has no parts.
+// continued; the last one has the nonce if the proxy must acknowledge the update. An update without content has no parts.
 func EncodeUpdate(update controller.Update) [][]string {
 	parts := encodeTable(update)
 	parts = append(parts, encodeAdmissions(update.Admissions, maxParts-len(parts))...)
@@ -23,8 +23,8 @@
 	return parts
 }
 
-// encodeTable returns the parts for endpoints, ejected and unejected replicas, in this order. The first part of a full update
-// says so.
+// encodeTable returns the parts for endpoints, ejected and unejected replicas, in this order. The first part of a full
+// update is marked as full.
 func encodeTable(update controller.Update) [][]string {
 	var parts [][]string
 	for chunk := range slices.Chunk(update.Endpoints, maxEndpointsPerPart) {
@@ -46,8 +46,8 @@
 	return parts
 }
 
-// encodeAdmissions returns a part for each admission, or, if these were more than limit, one for each group of classes whose
-// admissions are equal.
+// encodeAdmissions returns a part for each admission. If there are more admissions than limit, it returns a part for each
+// group of classes whose admissions are equal.
 func encodeAdmissions(admissions []controller.Admission, limit int) [][]string {
 	if len(admissions) > limit {
 		admissions = mergeAdmissions(admissions)
@@ -65,7 +65,7 @@
 }
 
 // mergeAdmissions joins the names of classes whose admissions are otherwise equal, in the order of their first class. The
-// result fits an update, as fractions and retry policies have few different values.
+// result fits one update, as fractions and retry policies take few distinct values.
 func mergeAdmissions(admissions []controller.Admission) []controller.Admission {
 	var merged []controller.Admission
 	indexes := map[controller.Admission]int{}
@@ -83,7 +83,7 @@
 	return merged
 }
 
-// addNonce adds the nonce to the last part. An update without other content becomes one part with the nonce alone.
+// addNonce adds the nonce to the last part. For an update without other content it returns one part with the nonce alone.
 func addNonce(parts [][]string, nonce uint64) [][]string {
 	if len(parts) == 0 {
 		parts = append(parts, []string{messageUpdate})
@@ -102,8 +102,8 @@
 	return strings.Join(pairs, ",")
 }
 
-// formatWeight formats a weight or a fraction with the precision of a float32, which is what a proxy reads. It never returns
-// infinity.
+// formatWeight formats a weight or a fraction with the precision of a float32, which is what a proxy reads. Larger values
+// are limited to the largest float32, so that the result is never infinity.
 func formatWeight(value float64) string {
 	return strconv.FormatFloat(math.Min(value, math.MaxFloat32), 'f', -1, 32)
 }
--- a/internal/controlserver/eviction.go
+++ b/internal/controlserver/eviction.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// evict closes the connection that has been evictable for longest, and reports whether there was one. The caller holds mu.
+// evict closes the connection that has been evictable for longest, and reports whether there was an evictable one. The
+// caller holds mu.
 func (s *Server) evict() bool {
 	first := s.evictable.Front()
 	if first == nil {
@@ -15,9 +16,9 @@
 	return true
 }
 
-// register records that a peer has joined, which protects it from eviction. A collector replaces the previous one of its zone,
-// which may have vanished without closing its connection: that one is not closed, but becomes evictable. A peer that was
-// evicted while its join was read is not registered, as its connection is closed.
+// register records that a peer has joined, which protects it from eviction. A collector replaces the previous collector of
+// its zone, which may have vanished without closing its connection: the previous one is not closed, but becomes evictable. A
+// peer that was evicted while its join was read is not registered, as its connection is closed.
 func (s *Server) register(p *peer, joined role, zone string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// remove forgets a peer. It has no effect on one that is already removed. The caller holds mu.
+// remove deletes a peer from the server's records. It has no effect if the peer is already removed. The caller holds mu.
 func (s *Server) remove(p *peer) {
 	delete(s.peers, p)
 	if s.collectors[p.zone] == p {
@@ -48,7 +49,7 @@
 	s.protect(p)
 }
 
-// protect takes a peer out of the evictable ones. The caller holds mu.
+// protect removes a peer from the list of evictable peers, if the list has it. The caller holds mu.
 func (s *Server) protect(p *peer) {
 	if p.evictable != nil {
 		s.evictable.Remove(p.evictable)
--- a/internal/controlserver/golden_test.go
+++ b/internal/controlserver/golden_test.go
@@ -22,7 +22,7 @@
 	goldenProxy  = 17
 )
 
-// goldenUpdates are one of each message that an update may become, and of each way in which it is split.
+// goldenUpdates returns updates that together cover each type of part and each way to split an update into parts.
 func goldenUpdates() []struct {
 	name   string
 	update controller.Update
@@ -38,11 +38,11 @@
 	for k := range manyAdmissions {
 		manyAdmissions[k] = controller.Admission{Class: fmt.Sprintf("c%d", k), Fraction: float64(k%3) / 4, Retries: control.RetryPolicy(k % 2)}
 	}
-	many := make([]string, maxEndpointsPerPart+1)
-	table := make([]controller.WeightedEndpoint, len(many))
-	for k := range many {
-		many[k] = fmt.Sprint(k)
-		table[k] = controller.WeightedEndpoint{Replica: many[k], Weight: 1}
+	manyReplicas := make([]string, maxEndpointsPerPart+1)
+	manyEndpoints := make([]controller.WeightedEndpoint, len(manyReplicas))
+	for k := range manyReplicas {
+		manyReplicas[k] = fmt.Sprint(k)
+		manyEndpoints[k] = controller.WeightedEndpoint{Replica: manyReplicas[k], Weight: 1}
 	}
 	return []struct {
 		name   string
@@ -58,16 +58,17 @@
 		{"admissions of more classes than parts", controller.Update{Admissions: manyAdmissions}},
 		{"ack alone", controller.Update{WantsAck: true, Nonce: 1<<64 - 1}},
 		{"ack of admissions", controller.Update{Admissions: admissions[:1], WantsAck: true, Nonce: 906}},
-		{"more endpoints than one part holds", controller.Update{Full: true, Endpoints: table, WantsAck: true, Nonce: 907}},
-		{"more ejected than one part holds", controller.Update{Ejected: many}},
-		{"more restored than one part holds", controller.Update{Unejected: many}},
+		{"more endpoints than one part holds", controller.Update{Full: true, Endpoints: manyEndpoints, WantsAck: true, Nonce: 907}},
+		{"more ejected than one part holds", controller.Update{Ejected: manyReplicas}},
+		{"more restored than one part holds", controller.Update{Unejected: manyReplicas}},
 	}
 }
 
-// bytesWritten returns what is written to a proxy's connection after act. It is for use in a synctest bubble.
+// bytesWritten returns the bytes that are written to a proxy's connection once act has run. It must run in a synctest
+// bubble.
 func bytesWritten(t *testing.T, act func(p *peer)) []byte {
 	t.Helper()
-	s := server(100)
+	s := newTestServer(100)
 	local, remote := net.Pipe()
 	p := &peer{server: s, conn: local, stream: goldenStream, role: proxy, id: goldenProxy, done: make(chan struct{})}
 	p.sendQueue = s.queues.OpenStream(goldenStream, func() {})
@@ -88,23 +89,24 @@
 	return b.Bytes()
 }
 
-// refusal returns what is written to a connection whose first message is not a join.
-func refusal(words string) []byte {
+// rejection returns the bytes that are written to a connection whose first message is not a valid join.
+func rejection(words string) []byte {
 	local, remote := net.Pipe()
-	p := &peer{server: server(100), conn: local}
+	p := &peer{server: newTestServer(100), conn: local}
 	var b bytes.Buffer
 	copied := make(chan struct{})
 	go func() {
 		defer close(copied)
 		io.Copy(&b, remote)
 	}()
-	p.ended(p.handle(strings.Fields(words)))
+	p.handleReadError(p.handle(strings.Fields(words)))
 	local.Close()
 	<-copied
 	return b.Bytes()
 }
 
-// sent returns all that the server writes to peers, as text in Go's quotes, an element of an array to a line.
+// sent returns each kind of message that the server writes to peers, as text quoted by %q, with a line break before each
+// array.
 func sent(t *testing.T) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -117,7 +119,7 @@
 		}))
 	}
 	add("answer to a probe", bytesWritten(t, func(p *peer) { p.sendQueue.AnswerHealthCheck() }))
-	add("refusal", refusal("weather site a"))
+	add("refusal", rejection("weather site a"))
 	return b.Bytes()
 }
 
@@ -139,11 +141,11 @@
 		return fmt.Sprintf("outcomes zone=%q replica=%q attempts=%d failures=%d response_time=%d period=%d in_flight=%g",
 			ev.Zone, ev.Replica, ev.Attempts, ev.Failures, ev.ResponseTime, ev.Period, ev.InFlight)
 	}
-	t.Fatalf("event %T is not described", event)
+	t.Fatalf("describe has no text for an event of type %T", event)
 	return ""
 }
 
-// received returns what the server reads from each message that a peer may send, and from those that it refuses.
+// received returns as text the event that the server decodes from each type of message, and its errors for invalid messages.
 func received(t *testing.T) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -172,7 +174,7 @@
 		{unidentified, "ack id 17 seq 905"},
 	} {
 		conn, _ := net.Pipe()
-		p := &peer{server: server(100), conn: conn, stream: goldenStream, role: m.role, id: goldenProxy}
+		p := &peer{server: newTestServer(100), conn: conn, stream: goldenStream, role: m.role, id: goldenProxy}
 		err := p.handle(strings.Fields(m.words))
 		var event any
 		if events := p.server.queues.Drain(); len(events) > 0 {
@@ -185,7 +187,7 @@
 		{"hello id 17 site b new 0"},
 		{"agent site a", "outcomes site a target s-5 count 1 fail 0 mean 1 over 1000"},
 	} {
-		s := server(100)
+		s := newTestServer(100)
 		dial(t, serve(t, s), words...)
 		fmt.Fprintf(&b, "joins: %s\n  %s\n", strings.Join(words, ", "), describe(t, receive(t, s, 1)[0]))
 	}
--- a/internal/controlserver/join.go
+++ b/internal/controlserver/join.go
@@ -13,30 +13,31 @@
 
 const (
 	// joinTimeout is how long a peer may take to join, counted from the accepted connection; no other message extends it.
-	// By the protocol, peers join at once, may be disconnected after 1 s and are owed an answer within 3 s.
+	// By the protocol, a peer joins at once, and the server may disconnect it after 1 s and has to answer within 3 s.
 	joinTimeout = 2 * time.Second
-	// rejectTimeout bounds writing the reason of a rejection: it fits an empty send buffer, or is not sent at all.
+	// rejectTimeout limits the time to write the reason of a rejection. The reason fits an empty send buffer; if the buffer
+	// has no room for it, it is not sent.
 	rejectTimeout = 50 * time.Millisecond
 	// lingerTimeout is how long a rejected connection is read and its data discarded, unless the peer closes it before.
-	// With joinTimeout it stays well below the 3 s within which an answer is owed.
+	// The sum of joinTimeout and lingerTimeout is well below the 3 s within which the server has to answer.
 	lingerTimeout = 500 * time.Millisecond
-	// maxJoinBytes is the largest message of a peer that has not joined.
+	// maxJoinBytes is the largest size of a message of a peer that has not joined.
 	maxJoinBytes = resp.BufferSize
-	// maxLateBytes is how much may be read after the join deadline of what had arrived before it. It bounds the work for a
+	// maxLateBytes limits how many bytes of already received data are read after the join deadline. It bounds the work for a
 	// peer that never stops sending.
 	maxLateBytes = 4 * resp.BufferSize
 )
 
-// Errors that end the connection of a peer before it has joined. Their texts, but for that of errEvicted, are sent to the
+// Errors that end the connection of a peer before it has joined. Their texts, except that of errEvicted, are sent to the
 // peer.
 var (
-	errUnidentifiedPeer = errors.New("not ours")
-	errJoinTimeout      = errors.New("not joined in time")
-	errEvicted          = errors.New("evicted")
+	errInvalidJoin = errors.New("not ours")
+	errJoinTimeout = errors.New("not joined in time")
+	errEvicted     = errors.New("evicted")
 )
 
-// joinReader reads from a peer that has to join before the read deadline. After the deadline it reads what has already
-// arrived, without waiting: the join may have come in time and the server may have stalled.
+// joinReader reads from a peer that has to join before the read deadline. After the deadline it reads only data that has
+// already arrived, without waiting: the join may have arrived in time while the server was stalled.
 type joinReader struct{ *peer }
 
 // Read implements io.Reader.
@@ -53,7 +54,8 @@
 	return r.readArrived(buffer)
 }
 
-// readArrived reads from the kernel's receive buffer without waiting. It returns errJoinTimeout if that is empty.
+// readArrived reads from the kernel's receive buffer without waiting. It returns errJoinTimeout if the buffer is empty or
+// lateBytes is used up.
 func (r joinReader) readArrived(buffer []byte) (int, error) {
 	socket, ok := r.conn.(syscall.Conn)
 	if !ok {
@@ -82,7 +84,7 @@
 	return n, readErr
 }
 
-// join handles the first message of a peer, which says what it is.
+// join handles the first message of a peer, which has to state the peer's role.
 func (p *peer) join(m *message) error {
 	switch m.kind {
 	case messageCollectorJoin:
@@ -93,7 +95,7 @@
 		m.failf("%.40q before a joining", m.kind)
 	}
 	if m.err != nil {
-		return fmt.Errorf("%w: %w", errUnidentifiedPeer, m.err)
+		return fmt.Errorf("%w: %w", errInvalidJoin, m.err)
 	}
 	return nil
 }
@@ -125,20 +127,21 @@
 	p.server.queues.Enqueue(opened)
 }
 
-// reject sends the reason to a peer that has not joined, if it can be sent at once.
+// reject sends the reason of the rejection to a peer that has not joined, if it can be sent at once.
 func (p *peer) reject(reason error) {
 	p.conn.SetWriteDeadline(time.Now().Add(rejectTimeout))
 	resp.Write(p.conn, p.server.pool, messageError, fieldReason, reason.Error())
 	p.linger()
 }
 
-// linger lets the last answers arrive. A connection closed with unread data is reset, and a reset discards what the peer has
-// not read yet, including answers to health checks.
+// linger closes the connection for writing, then reads and discards data until the peer closes the connection, lingerTimeout
+// has passed or resp.MaxMessageSize bytes are read, so that the last answers arrive. A connection that is closed with unread
+// data is reset, and a reset discards what the peer has not read yet, including answers to health checks.
 func (p *peer) linger() {
-	half, ok := p.conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := p.conn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	p.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
-	io.CopyN(io.Discard, p.conn, resp.Largest)
+	io.CopyN(io.Discard, p.conn, resp.MaxMessageSize)
 }
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -11,7 +11,7 @@
 	"lilacbend/internal/resp"
 )
 
-// role is what a peer has joined as.
+// role is the role in which a peer has joined.
 type role int
 
 const (
@@ -20,10 +20,10 @@
 	proxy
 )
 
-// String returns the role's name in log lines and error texts. An unidentified peer is a stranger there.
+// String returns the role's name in log lines and error texts, which call an unidentified peer a stranger.
 func (r role) String() string { return [...]string{"stranger", "collector", "proxy"}[r] }
 
-// peer is one connection. One goroutine reads from it; a second one writes to a proxy.
+// peer is one connection. One goroutine reads from it; if the peer is a proxy, a second goroutine writes to it.
 type peer struct {
 	server    *Server
 	conn      net.Conn
@@ -33,7 +33,7 @@
 	role      role
 	id        int // of a proxy
 	sendQueue *eventloop.SendQueue
-	lateBytes int           // how much may still be read after the join deadline; 0: the deadline has not passed
+	lateBytes int           // how many bytes may still be read after the join deadline; 0: the deadline has not passed
 	done      chan struct{} // closed when reading has ended
 }
 
@@ -44,26 +44,26 @@
 	defer p.recoverPanic()
 	reader := resp.NewReader(joinReader{p}, p.server.pool)
 	defer reader.Close()
-	reader.Bound(maxJoinBytes)
+	reader.SetMaxMessageSize(maxJoinBytes)
 	for {
 		err := p.readMessage(reader)
 		if err != nil {
-			p.ended(err)
+			p.handleReadError(err)
 			return
 		}
 	}
 }
 
-// recoverPanic confines a panic of a reading or writing goroutine to its connection.
+// recoverPanic counts and logs a panic of a reading or writing goroutine, so that it ends only that connection.
 func (p *peer) recoverPanic() {
 	if v := recover(); v != nil {
 		p.server.queues.Counters.Panics.Add(1)
-		p.server.log.Error("connection failed", "peer", p.role, "panic", v, "stack", string(debug.Stack()))
+		p.server.log.Error("panic while serving a connection", "peer", p.role, "panic", v, "stack", string(debug.Stack()))
 	}
 }
 
-// ended counts and logs why reading has ended. A peer that has not joined is sent the reason.
-func (p *peer) ended(err error) {
+// handleReadError counts and logs the error that ended reading. It sends the reason to a peer that has not joined.
+func (p *peer) handleReadError(err error) {
 	counters := &p.server.queues.Counters
 	var text string
 	switch {
@@ -72,7 +72,7 @@
 	case errors.Is(err, errJoinTimeout):
 		text = "connection closed: join timeout"
 		counters.JoinTimeouts.Add(1)
-	case errors.Is(err, errUnidentifiedPeer), errors.Is(err, resp.ErrNotWords):
+	case errors.Is(err, errInvalidJoin), errors.Is(err, resp.ErrNotWords):
 		text = "connection closed: invalid join"
 		counters.UnidentifiedPeers.Add(1)
 	case errors.Is(err, resp.ErrUnreadable), errors.Is(err, resp.ErrNoBuffer):
@@ -88,7 +88,7 @@
 	}
 }
 
-// leave closes the connection and frees its place.
+// leave closes the connection, reports a proxy's stream as closed, and removes the peer from the server.
 func (p *peer) leave() {
 	close(p.done)
 	p.conn.Close()
--- a/internal/controlserver/peer_test.go
+++ b/internal/controlserver/peer_test.go
@@ -16,19 +16,19 @@
 	"lilacbend/settings"
 )
 
-func server(descriptors int) *Server {
+func newTestServer(descriptors int) *Server {
 	topology := controller.NewTopology(settings.Names{Classes: []string{"lookup"}, Zones: []string{"a", "b"}}, control.Settings{Proxies: 20})
 	return New(eventloop.New(), resp.NewPool(8<<20), slog.New(slog.DiscardHandler), descriptors, topology)
 }
 
-func TestMessageBecomesOneEvent(t *testing.T) {
-	usage := control.Demand{Proxy: 17, Requests: 19, Failures: 2, Period: 1e9}
+func TestHandlePublishesAtMostOneEvent(t *testing.T) {
+	demand := control.Demand{Proxy: 17, Requests: 19, Failures: 2, Period: 1e9}
 	outcomes := control.Outcomes{Attempts: 212, Failures: 3, ResponseTime: 41700000, Period: 1e9, InFlight: 7}
 	var active any = controller.StreamActive{Stream: 5}
 	for _, c := range []struct {
 		role    role
 		message string
-		event   any // published; nil: none
+		event   any // the published event; nil: none is published
 	}{
 		{proxy, "ack id 17 seq 905 ms 310.4", controller.Ack{Stream: 5, Nonce: 905, Delay: 310400000}},
 		{proxy, "ack id 17 seq 905", controller.Ack{Stream: 5, Nonce: 905}},
@@ -36,7 +36,7 @@
 		{proxy, "ack seq 905 ms 310.4", active},
 		{proxy, "ack id 17 seq x ms 310.4", active},
 		{proxy, "ack id 17 seq 905 ms -3", active},
-		{proxy, "demand id 17 lane lookup count 19 fail 2 over 1000.0", controller.Demand{Stream: 5, Class: "lookup", Demand: usage}},
+		{proxy, "demand id 17 lane lookup count 19 fail 2 over 1000.0", controller.Demand{Stream: 5, Class: "lookup", Demand: demand}},
 		{proxy, "demand id 16 lane lookup count 19 fail 2 over 1000.0", active},
 		{proxy, "outcomes site a target s-5 count 212 fail 3 mean 41.7 over 1000.0", active},
 		{proxy, "hello id 17 site a rps 21.5 new 1", active},
@@ -48,7 +48,7 @@
 		{collector, "outcomes site a target s-5 count [1] fail 3 mean 41.7 over 1000.0", nil},
 		{collector, "outcomes site a count 1 fail 0 mean 1 over 1", nil},
 		{collector, "outcomes site a target", nil},
-		{collector, "demand id 17 lane lookup count 19 fail 2 over 1000.0 other 4", controller.Demand{Class: "lookup", Demand: usage}},
+		{collector, "demand id 17 lane lookup count 19 fail 2 over 1000.0 other 4", controller.Demand{Class: "lookup", Demand: demand}},
 		{collector, "ack id 17 seq 905 ms 310.4", nil},
 		{collector, "probe", nil},
 		{collector, "weather site a", nil},
@@ -62,7 +62,7 @@
 		{unidentified, "agent site c", nil},
 		{unidentified, "", nil},
 	} {
-		s := server(100)
+		s := newTestServer(100)
 		conn, _ := net.Pipe()
 		p := &peer{server: s, conn: conn, stream: 5, role: c.role, id: 17}
 		err := p.handle(strings.Fields(c.message))
@@ -70,22 +70,22 @@
 		if events := s.queues.Drain(); len(events) > 0 {
 			received = events[0]
 		}
-		skips := c.role != unidentified && (c.event == nil || c.event == active)
-		if !reflect.DeepEqual(received, c.event) || errors.Is(err, errUnidentifiedPeer) != (c.role == unidentified) ||
-			s.queues.Counters.Skipped.Load() != map[bool]int64{true: 1}[skips] {
-			t.Errorf("%v %q: event %+v, error %v", c.role, c.message, received, err)
+		skipped := c.role != unidentified && (c.event == nil || c.event == active)
+		if !reflect.DeepEqual(received, c.event) || errors.Is(err, errInvalidJoin) != (c.role == unidentified) ||
+			s.queues.Counters.Skipped.Load() != map[bool]int64{true: 1}[skipped] {
+			t.Errorf("%v sends %q: published event %+v, error %v", c.role, c.message, received, err)
 		}
 	}
 }
 
 func TestEncodeUpdateParts(t *testing.T) {
-	many := make([]controller.WeightedEndpoint, maxEndpointsPerPart+1)
-	for k := range many {
-		many[k] = controller.WeightedEndpoint{Replica: strings.Repeat("s", 128), Weight: 0.12345678}
+	manyEndpoints := make([]controller.WeightedEndpoint, maxEndpointsPerPart+1)
+	for k := range manyEndpoints {
+		manyEndpoints[k] = controller.WeightedEndpoint{Replica: strings.Repeat("s", 128), Weight: 0.12345678}
 	}
 	for _, c := range []struct {
-		push controller.Update
-		want string
+		update controller.Update
+		want   string
 	}{
 		{controller.Update{Full: true, Endpoints: []controller.WeightedEndpoint{{Replica: "s-1", Weight: 1.5}, {Replica: "s-2", Weight: 1e-7}},
 			Ejected: []string{"s-2"}, Unejected: []string{"s-1"}, Admissions: []controller.Admission{{Class: "a", Fraction: 0.9, Retries: 1}, {Class: "b"}},
@@ -99,16 +99,16 @@
 		{controller.Update{Full: true}, "push full 1"},
 	} {
 		var got []string
-		for _, words := range EncodeUpdate(c.push) {
+		for _, words := range EncodeUpdate(c.update) {
 			got = append(got, strings.Join(words, " "))
 		}
 		if text := strings.Join(got, "|"); text != c.want {
 			t.Errorf("got  %s\nwant %s", text, c.want)
 		}
 	}
-	got := EncodeUpdate(controller.Update{Full: true, Endpoints: many})
+	got := EncodeUpdate(controller.Update{Full: true, Endpoints: manyEndpoints})
 	size, err := resp.Write(io.Discard, resp.NewPool(0), got[0]...)
-	if err != nil || len(got) != 2 || got[1][1] != "endpoints" || got[0][len(got[0])-2] != "continued" || size > resp.Largest {
-		t.Errorf("%d parts for %d lines, the first of %d bytes", len(got), len(many), size)
+	if err != nil || len(got) != 2 || got[1][1] != "endpoints" || got[0][len(got[0])-2] != "continued" || size > resp.MaxMessageSize {
+		t.Errorf("%d parts for %d endpoints, the first of %d bytes", len(got), len(manyEndpoints), size)
 	}
 }
--- a/internal/controlserver/protocol.go
+++ b/internal/controlserver/protocol.go
@@ -1,6 +1,6 @@
 package controlserver
 
-// Types of messages, the first word of each.
+// Types of messages. The type is the first word of a message.
 const (
 	messageProxyJoin     = "hello"
 	messageCollectorJoin = "agent"
@@ -13,7 +13,7 @@
 	messageError         = "error"
 )
 
-// Names of fields; a message is its type followed by pairs of name and value.
+// Names of fields. A message consists of its type and of pairs of field name and value.
 const (
 	fieldProxy        = "id"
 	fieldZone         = "site"
@@ -40,13 +40,13 @@
 	fieldReason       = "reason"
 )
 
-// flagSet is the value of a field that is a flag and set.
+// flagSet is the value of a flag field that is set.
 const flagSet = "1"
 
 const (
-	// maxEndpointsPerPart is how many replicas one part of an update names. With the longest ids such a part stays below
-	// the largest size of a message.
+	// maxEndpointsPerPart is the maximum number of replicas in one part of an update. With the longest ids such a part stays
+	// below the largest size of a message.
 	maxEndpointsPerPart = 4 << 10
-	// maxParts is how many parts the protocol allows for one update.
+	// maxParts is the maximum number of parts that the protocol allows for one update.
 	maxParts = 64
 )
--- a/internal/controlserver/protocol_test.go
+++ b/internal/controlserver/protocol_test.go
@@ -15,69 +15,70 @@
 	"lilacbend/settings"
 )
 
-// A part for each traffic class would be more than an update may have: equal admissions share one.
+// With a part for each traffic class the update would exceed the maximum number of parts, so classes with equal admissions
+// share a part.
 func TestEncodeUpdateMergesAdmissionsOfManyClasses(t *testing.T) {
-	p := controller.Update{Full: true, Endpoints: []controller.WeightedEndpoint{{Replica: "x", Weight: 1}}, WantsAck: true, Nonce: 7}
+	update := controller.Update{Full: true, Endpoints: []controller.WeightedEndpoint{{Replica: "x", Weight: 1}}, WantsAck: true, Nonce: 7}
 	for k := range 200 {
-		l := controller.Admission{Class: fmt.Sprintf("g-%d", k), Fraction: 1, Retries: control.RetryIfNotExecuted}
-		if l.Fraction = 1; k > 150 {
-			l.Fraction = 0
+		admission := controller.Admission{Class: fmt.Sprintf("g-%d", k), Fraction: 1, Retries: control.RetryIfNotExecuted}
+		if admission.Fraction = 1; k > 150 {
+			admission.Fraction = 0
 		}
 		if k == 150 {
-			l.Fraction = 0.35
+			admission.Fraction = 0.35
 		}
-		p.Admissions = append(p.Admissions, l)
+		update.Admissions = append(update.Admissions, admission)
 	}
-	messages := EncodeUpdate(p)
-	var named []string
+	messages := EncodeUpdate(update)
+	var classes []string
 	for k, words := range messages {
-		f := newMessage(words)
-		if _, goes := f.lookup("continued"); goes != (k < len(messages)-1) {
-			t.Errorf("part %d of %d: %v", k, len(messages), words)
+		part := newMessage(words)
+		if _, continued := part.lookup("continued"); continued != (k < len(messages)-1) {
+			t.Errorf("part %d of %d has the wrong continued field: %v", k, len(messages), words)
 		}
-		if routes, has := f.lookup("routes"); has {
+		if routes, hasClasses := part.lookup("routes"); hasClasses {
 			for _, name := range strings.Split(routes, "+") {
-				share, _ := f.lookup("admit")
-				at := slices.IndexFunc(p.Admissions, func(l controller.Admission) bool { return l.Class == name })
-				if share != formatWeight(p.Admissions[at].Fraction) {
-					t.Errorf("%s gets %s", name, share)
+				fraction, _ := part.lookup("admit")
+				index := slices.IndexFunc(update.Admissions, func(l controller.Admission) bool { return l.Class == name })
+				if fraction != formatWeight(update.Admissions[index].Fraction) {
+					t.Errorf("class %s gets the wrong fraction %s", name, fraction)
 				}
-				named = append(named, name)
+				classes = append(classes, name)
 			}
 		}
 	}
-	slices.Sort(named)
-	if named = slices.Compact(named); len(named) != 200 || len(messages) > maxParts {
-		t.Errorf("%d classes in %d parts", len(named), len(messages))
+	slices.Sort(classes)
+	if classes = slices.Compact(classes); len(classes) != 200 || len(messages) > maxParts {
+		t.Errorf("%d classes in %d parts, want 200 classes in at most maxParts parts", len(classes), len(messages))
 	}
-	if p.Admissions = p.Admissions[:maxParts-1]; len(EncodeUpdate(p)) != maxParts { // as many as fit are not merged
-		t.Errorf("%d parts", len(EncodeUpdate(p)))
+	if update.Admissions = update.Admissions[:maxParts-1]; len(EncodeUpdate(update)) != maxParts { // admissions that fit are not merged
+		t.Errorf("%d parts, want one for the table and one for each admission", len(EncodeUpdate(update)))
 	}
 }
 
 func TestFormatWeightIsFinite(t *testing.T) {
-	for v, want := range map[float64]string{1e300: formatWeight(math.MaxFloat32), 0.35: "0.35", 0: "0"} {
-		if got := formatWeight(v); got != want || strings.Contains(got, "Inf") {
-			t.Errorf("%v is written %s", v, got)
+	for value, want := range map[float64]string{1e300: formatWeight(math.MaxFloat32), 0.35: "0.35", 0: "0"} {
+		if got := formatWeight(value); got != want || strings.Contains(got, "Inf") {
+			t.Errorf("formatWeight(%v) returned %s", value, got)
 		}
 	}
 }
 
-// In a deployment without zones peers may leave out theirs.
+// In a deployment without zones peers may omit the zone.
 func TestPeersWithoutZoneJoin(t *testing.T) {
-	x := eventloop.New()
+	queues := eventloop.New()
 	topology := controller.NewTopology(settings.Names{Classes: []string{"a"}},
 		control.Settings{Proxies: 2, Classes: []control.TrafficClass{{Timeout: 1e9}}})
-	s := New(x, resp.NewPool(1<<20), slog.New(slog.DiscardHandler), 99, topology)
-	at := serve(t, s)
-	dial(t, at, "agent", "outcomes target x count 1 fail 0 mean 1 over 1000")
+	s := New(queues, resp.NewPool(1<<20), slog.New(slog.DiscardHandler), 99, topology)
+	address := serve(t, s)
+	dial(t, address, "agent", "outcomes target x count 1 fail 0 mean 1 over 1000")
 	want := controller.Outcomes{Replica: "x", Outcomes: control.Outcomes{Attempts: 1, ResponseTime: 1e6, Period: 1e9, InFlight: -1}}
 	if events := receive(t, s, 1); events[0] != want {
-		t.Errorf("%+v", events)
+		t.Errorf("collector without zone: received %+v", events)
 	}
-	dial(t, at, "hello id 1 new 1", "probe").expect(t, "alive")
+	dial(t, address, "hello id 1 new 1", "probe").expect(t, "alive")
 	if events := receive(t, s, 1); events[0] != (controller.StreamOpened{Stream: 2, Proxy: 1, WithoutTable: true}) {
-		t.Errorf("%+v", events)
+		t.Errorf("proxy without zone: received %+v", events)
 	}
 }
 
--- a/internal/controlserver/read.go
+++ b/internal/controlserver/read.go
@@ -19,12 +19,12 @@
 	}
 	err = p.handle(words)
 	if p.role != unidentified {
-		reader.Bound(resp.Largest)
+		reader.SetMaxMessageSize(resp.MaxMessageSize)
 	}
 	return err
 }
 
-// handle answers a health check, lets a peer join, or publishes the report of a peer that has joined.
+// handle answers a health check, lets a peer join, or enqueues the message of a peer that has joined as an event.
 func (p *peer) handle(words []string) error {
 	if len(words) > 0 && words[0] == messageHealthCheck && p.role != collector {
 		return p.answerHealthCheck()
@@ -64,14 +64,14 @@
 	return nil
 }
 
-// requireOwnID fails a message that names another proxy than the one on this stream.
+// requireOwnID records a fault if a message names another proxy than the one that has joined on this stream.
 func (p *peer) requireOwnID(m *message, id int) {
 	if id != p.id {
 		m.failf("%s of %d on the stream of %d", m.kind, id, p.id)
 	}
 }
 
-// skip passes over a complete message that cannot be used. It still shows that the stream is active.
+// skip counts and logs a complete message that cannot be used. For a proxy it reports the stream as active all the same.
 func (p *peer) skip(err error) {
 	p.server.queues.Counters.Skipped.Add(1)
 	p.server.warn("message skipped", err, "peer", p.role, "from", p.conn.RemoteAddr())
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -1,6 +1,6 @@
 // Package controlserver is the server side of the control plane. It accepts connections, lets proxies and collectors join,
-// answers health checks, publishes what peers report as events, and writes updates to proxies. It limits the number of
-// connections: those that have not joined are evicted first.
+// answers health checks, publishes the peers' reports as events, and writes updates to proxies. It limits the number of
+// connections: at the limit it evicts those that have not joined and those of replaced collectors.
 package controlserver
 
 import (
@@ -20,12 +20,13 @@
 )
 
 const (
-	// reservedDescriptors is how many descriptors are not for peers: the listener, discovery's connections, the log and the
-	// runtime's own, with some to spare for a second connection to discovery while the first one closes.
+	// reservedDescriptors is the number of file descriptors that are not available to peers: those of the listener, of
+	// discovery's connections, of the log and of the runtime, and some spare ones for a second connection to discovery while
+	// the first one closes.
 	reservedDescriptors = 32
 	// acceptRetryInterval is the pause after a failed accept, such as when no descriptor is left.
 	acceptRetryInterval = 20 * time.Millisecond
-	// warningInterval is the shortest time between two log lines of the same text; the counters count all.
+	// warningInterval is the shortest time between two log lines of the same text; the counters count every event.
 	warningInterval = time.Second
 )
 
@@ -41,12 +42,13 @@
 	mu          sync.Mutex
 	peers       map[*peer]struct{}
 	evictable   *list.List       // of *peer, in the order of eviction: peers that have not joined, and replaced collectors
-	collectors  map[string]*peer // the last one to join, by zone
+	collectors  map[string]*peer // the last collector to join, by zone
 	lastStream  controller.StreamID
 	lastWarning map[string]time.Time // by text
 }
 
-// New returns a server that uses at most so many file descriptors.
+// New returns a server for a process with the given limit of file descriptors, of which reservedDescriptors are not for
+// peers.
 func New(queues *eventloop.Queues, pool *resp.Pool, log *slog.Logger, descriptors int, topology controller.Topology) *Server {
 	s := &Server{
 		queues:         queues,
@@ -62,7 +64,7 @@
 	return s
 }
 
-// Reconfigure replaces the topology against which joins are checked. Peers that have joined stay.
+// Reconfigure replaces the topology against which joins are checked. Peers that have joined stay connected.
 func (s *Server) Reconfigure(topology controller.Topology) { s.topology.Store(&topology) }
 
 // Serve accepts connections until ctx ends, then closes them all and waits for their goroutines.
@@ -80,27 +82,27 @@
 			}
 			return nil
 		case errors.Is(err, net.ErrClosed):
-			return fmt.Errorf("accepting: %w", err)
+			return fmt.Errorf("accepting connections: %w", err)
 		case err != nil:
-			s.acceptFailed(err)
+			s.handleAcceptError(err)
 		default:
-			s.admit(conn)
+			s.addConnection(conn)
 		}
 	}
 }
 
-// acceptFailed frees a descriptor and waits before the next accept.
-func (s *Server) acceptFailed(err error) {
-	s.warn("cannot accept", err)
+// handleAcceptError logs the error, evicts a peer to free a descriptor, and waits before the next accept.
+func (s *Server) handleAcceptError(err error) {
+	s.warn("accepting a connection failed", err)
 	s.mu.Lock()
 	s.evict()
 	s.mu.Unlock()
 	time.Sleep(acceptRetryInterval)
 }
 
-// admit starts to serve a connection. At the connection limit it evicts another one, or closes the new one if none can be
-// evicted.
-func (s *Server) admit(conn net.Conn) {
+// addConnection starts to serve a connection. At the connection limit it evicts another connection, or closes the new one if
+// none can be evicted.
+func (s *Server) addConnection(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.peers) >= s.maxConnections && !s.evict() {
@@ -127,7 +129,7 @@
 	}
 }
 
-// warn logs a line, unless one of the same text was logged less than warningInterval ago.
+// warn logs a warning, unless one of the same text was logged less than warningInterval ago.
 func (s *Server) warn(text string, err error, args ...any) {
 	s.mu.Lock()
 	suppressed := time.Since(s.lastWarning[text]) < warningInterval
--- a/internal/controlserver/write.go
+++ b/internal/controlserver/write.go
@@ -11,7 +11,8 @@
 // so only a peer that does not read takes longer.
 const healthCheckTimeout = time.Second
 
-// answerHealthCheck answers on the reading goroutine, or through the send queue of a proxy, whose other goroutine writes.
+// answerHealthCheck writes the answer on the reading goroutine. For a proxy it uses the send queue instead, as only the
+// writing goroutine writes to a proxy.
 func (p *peer) answerHealthCheck() error {
 	p.server.queues.Counters.HealthChecks.Add(1)
 	if p.sendQueue != nil {
@@ -24,7 +25,7 @@
 	return err
 }
 
-// write writes what is in a proxy's send queue until the connection ends.
+// write writes the items of a proxy's send queue until the connection ends.
 func (p *peer) write() {
 	defer p.server.goroutines.Done()
 	defer p.conn.Close()
@@ -40,8 +41,8 @@
 	}
 }
 
-// writeItem writes one answer to a health check or one update, and reports whether all of it was written.
-// UpdatesSent counts the updates begun, whether or not the connection takes them to their end.
+// writeItem writes one answer to a health check or one update, and reports whether it was written completely.
+// UpdatesSent counts each update whose writing begins, also if the connection fails before its end.
 func (p *peer) writeItem(item eventloop.Item) bool {
 	if item.HealthCheckReply {
 		return p.writeParts([][]string{{messageAlive}})
@@ -62,7 +63,7 @@
 		counters.UpdateBytes.Add(int64(n))
 		if err != nil {
 			counters.WriteErrors.Add(1)
-			p.server.log.Debug("write failed", "proxy", p.id, "part", k, "bytes", n, "error", err)
+			p.server.log.Debug("writing to a proxy failed", "proxy", p.id, "part", k, "bytes", n, "error", err)
 			return false
 		}
 	}
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -1,5 +1,5 @@
-// Package resp reads and writes RESP2 arrays of bulk strings over pooled buffers of one size; a long message
-// spans several of them.
+// Package resp reads and writes messages that are RESP2 arrays of bulk strings. Its buffers are pooled and all of one size;
+// a long message spans several buffers.
 package resp
 
 import (
@@ -8,39 +8,41 @@
 )
 
 const (
-	// BufferSize is in bytes. It holds any usual message completely: an update with a table of a hundred replicas, a load report.
+	// BufferSize is the size of a buffer in bytes. A usual message fits one buffer: an update with a table of a hundred
+	// replicas, a load report.
 	BufferSize = 4 << 10
-	// Largest is the most bytes a message may hold.
-	Largest = 1 << 20
-	// maxFree bounds the free buffers that are kept for the next reader or writer. More were needed by a reconnect storm, and
-	// their memory goes back to the runtime.
-	maxFree = 64
+	// MaxMessageSize is the largest size of a message in bytes.
+	MaxMessageSize = 1 << 20
+	// maxFreeBuffers limits the free buffers that a pool keeps for later readers and writers. A reconnect storm needs more;
+	// the memory of these goes back to the runtime afterwards.
+	maxFreeBuffers = 64
 )
 
-// ErrNoBuffer says that all buffers are in use by long messages.
+// ErrNoBuffer reports that a long message needs another buffer and the pool's limit of buffers for long messages is reached.
 var ErrNoBuffer = errors.New("no buffer is left")
 
 type buffer [BufferSize]byte
 
-// Pool lends buffers. What a short message takes it lends to each reader and writer, always, as connections are bounded
-// elsewhere; for long messages it lends up to a number for all together.
+// Pool hands out buffers. Buffers for short messages are always available to each reader and writer, as the number of
+// connections is limited elsewhere. For long messages a buffer is available only while fewer than maxInUse buffers are in
+// use.
 type Pool struct {
-	mu   sync.Mutex
-	free []*buffer
-	lent int
-	max  int // lent for long messages
+	mu       sync.Mutex
+	free     []*buffer
+	inUse    int
+	maxInUse int // limit of inUse from which on long messages get no buffers
 }
 
-// NewPool returns a pool of so many bytes.
-func NewPool(bytes int) *Pool { return &Pool{max: bytes / BufferSize} }
+// NewPool returns a pool that stops handing out buffers for long messages once the given number of bytes is in use.
+func NewPool(bytes int) *Pool { return &Pool{maxInUse: bytes / BufferSize} }
 
-func (p *Pool) take(short bool) (*buffer, error) {
+func (p *Pool) get(short bool) (*buffer, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !short && p.lent >= p.max {
+	if !short && p.inUse >= p.maxInUse {
 		return nil, ErrNoBuffer
 	}
-	p.lent++
+	p.inUse++
 	if last := len(p.free) - 1; last >= 0 {
 		b := p.free[last]
 		p.free = p.free[:last]
@@ -49,18 +51,18 @@
 	return new(buffer), nil
 }
 
-func (p *Pool) give(b *buffer) {
+func (p *Pool) put(b *buffer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lent--
-	if len(p.free) < maxFree {
+	p.inUse--
+	if len(p.free) < maxFreeBuffers {
 		p.free = append(p.free, b)
 	}
 }
 
-// Lent returns how many buffers are in use.
-func (p *Pool) Lent() int {
+// InUse returns the number of buffers in use.
+func (p *Pool) InUse() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lent
+	return p.inUse
 }
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -8,115 +8,116 @@
 )
 
 const (
-	// maxLengthDigits is more than any length that fits a message has.
+	// maxLengthDigits is larger than the number of digits of any length that fits MaxMessageSize.
 	maxLengthDigits = 8
-	// minElementBytes and minWordBytes are the least that an element and a word take, line ends included.
+	// minElementBytes and minWordBytes are the smallest sizes of an element and of a word, line ends included.
 	minElementBytes = len("+\r\n")
 	minWordBytes    = len("$0\r\n\r\n")
 )
 
-// The first byte of an element, which says its type.
+// Types of elements. The first byte of an element is its type.
 const (
-	arraySign        = '*'
-	bulkStringSign   = '$'
-	simpleStringSign = '+'
-	errorSign        = '-'
-	integerSign      = ':'
+	arrayType        = '*'
+	bulkStringType   = '$'
+	simpleStringType = '+'
+	errorType        = '-'
+	integerType      = ':'
 )
 
-// Broken is the error of a reader that cannot go on. It says how far the reader came.
-type Broken struct {
-	Messages int // read completely before
-	Bytes    int // read of the message that broke
+// ReadError is an error after which the reader cannot read another message. It reports how much was read before.
+type ReadError struct {
+	Messages int // read completely
+	Bytes    int // read of the incomplete or invalid message
 	Err      error
 }
 
-func (b *Broken) Error() string {
-	return fmt.Sprintf("after %d messages and %d bytes of the next: %v", b.Messages, b.Bytes, b.Err)
+func (e *ReadError) Error() string {
+	return fmt.Sprintf("after %d messages and %d bytes of the next: %v", e.Messages, e.Bytes, e.Err)
 }
 
 // Unwrap returns the cause.
-func (b *Broken) Unwrap() error { return b.Err }
+func (e *ReadError) Unwrap() error { return e.Err }
 
-// ErrUnreadable says that the bytes are no message, and that where the next one begins is not known.
+// ErrUnreadable reports that the received bytes are not a valid message, so that the start of the next message is unknown.
 var ErrUnreadable = errors.New("unreadable")
 
-// ErrNotWords says that a complete message is no array of bulk strings. The next message can be read.
+// ErrNotWords reports that a complete message is not an array of bulk strings. The next message can be read.
 var ErrNotWords = errors.New("not an array of bulk strings")
 
-// Reader reads messages from one connection. It holds a buffer or two, more for long messages, and none
-// once closed.
+// Reader reads messages from one connection. It holds one or two buffers, more of them for long messages, and none after
+// Close.
 type Reader struct {
-	source     io.Reader
-	pool       *Pool
-	chain      []*buffer
-	position   int // of the next byte to parse, from the start of the chain
-	end        int // of the bytes received
-	begin      int // of the message
-	maxMessage int // bytes
-	messages   int // read so far
+	source         io.Reader
+	pool           *Pool
+	buffers        []*buffer
+	position       int // of the next byte to parse, from the start of the first buffer
+	end            int // of the received bytes
+	messageStart   int // position of the current message's first byte
+	maxMessageSize int // bytes
+	messages       int // read so far
 }
 
-// NewReader returns a reader of source over the buffers of pool.
+// NewReader returns a reader of source that takes its buffers from pool.
 func NewReader(source io.Reader, pool *Pool) *Reader {
-	return &Reader{source: source, pool: pool, maxMessage: Largest}
+	return &Reader{source: source, pool: pool, maxMessageSize: MaxMessageSize}
 }
 
-// Bound sets how many bytes a message may hold from now on.
-func (r *Reader) Bound(maxBytes int) { r.maxMessage = maxBytes }
+// SetMaxMessageSize limits the size of each message that is read from now on.
+func (r *Reader) SetMaxMessageSize(maxBytes int) { r.maxMessageSize = maxBytes }
 
-// Close gives the buffers back.
+// Close returns the buffers to the pool.
 func (r *Reader) Close() {
-	for _, b := range r.chain {
-		r.pool.give(b)
+	for _, b := range r.buffers {
+		r.pool.put(b)
 	}
-	r.chain = nil
-	r.position, r.end, r.begin = 0, 0, 0
+	r.buffers = nil
+	r.position, r.end, r.messageStart = 0, 0, 0
 }
 
-// Next reads a message, in whatever pieces it arrives. At the end of the connection between messages the error is a Broken of
-// io.EOF with no bytes.
+// Next reads the next message. If the connection ends between two messages, it returns a ReadError that wraps io.EOF and
+// whose Bytes is 0.
 func (r *Reader) Next() ([]string, error) {
-	r.rewind()
-	words, err := r.message()
+	r.releaseRead()
+	words, err := r.readMessage()
 	if err != nil && !errors.Is(err, ErrNotWords) {
-		if errors.Is(err, io.EOF) && r.end > r.begin {
+		if errors.Is(err, io.EOF) && r.end > r.messageStart {
 			err = io.ErrUnexpectedEOF
 		}
-		return nil, &Broken{Messages: r.messages, Bytes: r.end - r.begin, Err: err}
+		return nil, &ReadError{Messages: r.messages, Bytes: r.end - r.messageStart, Err: err}
 	}
 	r.messages++
 	return words, err
 }
 
-// rewind releases what was read; the last buffer is used again from its start if it holds nothing more.
-func (r *Reader) rewind() {
-	for len(r.chain) > 1 && r.position >= BufferSize {
-		r.pool.give(r.chain[0])
-		r.chain = r.chain[1:]
+// releaseRead returns buffers whose content was read to the pool. If no unread bytes are left, the last buffer is filled
+// from its start again.
+func (r *Reader) releaseRead() {
+	for len(r.buffers) > 1 && r.position >= BufferSize {
+		r.pool.put(r.buffers[0])
+		r.buffers = r.buffers[1:]
 		r.position -= BufferSize
 		r.end -= BufferSize
 	}
 	if r.position == r.end {
 		r.position, r.end = 0, 0
 	}
-	r.begin = r.position
+	r.messageStart = r.position
 }
 
-// message reads one message of any type to its end, however it is nested, so that the next one can be read. It returns
-// ErrNotWords for a complete message that is no array of bulk strings.
-func (r *Reader) message() ([]string, error) {
+// readMessage reads one message of any type to its end, including nested arrays, so that the next message can be read. It
+// returns ErrNotWords for a complete message that is not an array of bulk strings.
+func (r *Reader) readMessage() ([]string, error) {
 	m := parsedMessage{elementsLeft: 1}
 	for first := true; m.elementsLeft > 0; first = false {
 		m.elementsLeft--
-		sign, err := r.next()
+		typeByte, err := r.readByte()
 		if err != nil {
 			return nil, err
 		}
-		if (sign == arraySign) != first { // words are the elements of one array at the top
+		if (typeByte == arrayType) != first { // words are elements of the outermost array
 			m.notWords = true
 		}
-		if err := r.element(sign, &m); err != nil {
+		if err := r.readElement(typeByte, &m); err != nil {
 			return nil, err
 		}
 	}
@@ -126,35 +127,35 @@
 	return m.words, nil
 }
 
-// parsedMessage is what has been read of a message.
+// parsedMessage is the content of a message as far as it has been read.
 type parsedMessage struct {
 	words        []string
 	elementsLeft int
-	notWords     bool // it holds something else than bulk strings in one array
+	notWords     bool // it is not an array of bulk strings
 }
 
-// element reads the rest of an element of the type that the sign says.
-func (r *Reader) element(sign byte, m *parsedMessage) error {
-	switch sign {
-	case arraySign:
-		return r.array(m)
-	case bulkStringSign:
-		return r.bulkString(m)
-	case simpleStringSign, errorSign, integerSign:
+// readElement reads the rest of an element after its type byte.
+func (r *Reader) readElement(typeByte byte, m *parsedMessage) error {
+	switch typeByte {
+	case arrayType:
+		return r.readArray(m)
+	case bulkStringType:
+		return r.readBulkString(m)
+	case simpleStringType, errorType, integerType:
 		m.notWords = true
-		return r.line(sign == integerSign)
+		return r.skipLine(typeByte == integerType)
 	default:
-		return fmt.Errorf("%w: %q where a type is due", ErrUnreadable, sign)
+		return fmt.Errorf("%w: %q where a type is due", ErrUnreadable, typeByte)
 	}
 }
 
-func (r *Reader) array(m *parsedMessage) error {
-	length, err := r.length()
+func (r *Reader) readArray(m *parsedMessage) error {
+	length, err := r.readLength()
 	if err != nil {
 		return err
 	}
 	m.elementsLeft += max(0, length)
-	if m.elementsLeft > Largest/minElementBytes {
+	if m.elementsLeft > MaxMessageSize/minElementBytes {
 		return fmt.Errorf("%w: %d elements", ErrUnreadable, m.elementsLeft)
 	}
 	if length < 0 {
@@ -166,8 +167,8 @@
 	return nil
 }
 
-func (r *Reader) bulkString(m *parsedMessage) error {
-	length, err := r.length()
+func (r *Reader) readBulkString(m *parsedMessage) error {
+	length, err := r.readLength()
 	if err != nil {
 		return err
 	}
@@ -175,7 +176,7 @@
 		m.notWords = true
 		return nil
 	}
-	word, err := r.word(length)
+	word, err := r.readWord(length)
 	if err != nil {
 		return err
 	}
@@ -185,11 +186,11 @@
 	return nil
 }
 
-// length reads the rest of a line that holds a length; -1 stands for a null.
-func (r *Reader) length() (int, error) {
+// readLength reads the rest of a line that holds a length; -1 is the length of a null element.
+func (r *Reader) readLength() (int, error) {
 	var digits []byte
 	for {
-		b, err := r.next()
+		b, err := r.readByte()
 		if err != nil {
 			return 0, err
 		}
@@ -205,37 +206,37 @@
 	if err != nil || n < -1 {
 		return 0, fmt.Errorf("%w: %q is no length", ErrUnreadable, digits)
 	}
-	return n, r.expect('\n')
+	return n, r.expectByte('\n')
 }
 
-// line skips the rest of a line, which has to be a number if so asked.
-func (r *Reader) line(number bool) error {
+// skipLine reads and discards the rest of a line. If number is set, it fails unless the line consists of digits and signs.
+func (r *Reader) skipLine(number bool) error {
 	for {
-		b, err := r.next()
+		b, err := r.readByte()
 		switch {
 		case err != nil:
 			return err
 		case b == '\r':
-			return r.expect('\n')
+			return r.expectByte('\n')
 		case b == '\n', number && (b < '0' || b > '9') && b != '-' && b != '+':
 			return fmt.Errorf("%w: %q in a line", ErrUnreadable, b)
 		}
 	}
 }
 
-// expect reads the one byte that may follow.
-func (r *Reader) expect(want byte) error {
-	b, err := r.next()
+// expectByte reads the next byte, which must be want.
+func (r *Reader) expectByte(want byte) error {
+	b, err := r.readByte()
 	if err == nil && b != want {
 		err = fmt.Errorf("%w: %q where %q is due", ErrUnreadable, b, want)
 	}
 	return err
 }
 
-// word reads a bulk string of so many bytes and the line end after it.
-func (r *Reader) word(size int) (string, error) {
-	if r.position-r.begin+size > r.maxMessage {
-		return "", fmt.Errorf("%w: over %d bytes", ErrUnreadable, r.maxMessage)
+// readWord reads a bulk string of size bytes and the line end after it.
+func (r *Reader) readWord(size int) (string, error) {
+	if r.position-r.messageStart+size > r.maxMessageSize {
+		return "", fmt.Errorf("%w: over %d bytes", ErrUnreadable, r.maxMessageSize)
 	}
 	for r.end-r.position < size {
 		if err := r.fill(); err != nil {
@@ -245,42 +246,42 @@
 	word := make([]byte, 0, size)
 	for size > 0 {
 		from := r.position % BufferSize
-		part := r.chain[r.position/BufferSize][from:min(BufferSize, from+size)]
+		part := r.buffers[r.position/BufferSize][from:min(BufferSize, from+size)]
 		word = append(word, part...)
 		r.position += len(part)
 		size -= len(part)
 	}
-	if err := r.expect('\r'); err != nil {
+	if err := r.expectByte('\r'); err != nil {
 		return "", err
 	}
-	return string(word), r.expect('\n')
+	return string(word), r.expectByte('\n')
 }
 
-// next returns the next byte of the message.
-func (r *Reader) next() (byte, error) {
-	if r.position-r.begin >= r.maxMessage {
-		return 0, fmt.Errorf("%w: over %d bytes", ErrUnreadable, r.maxMessage)
+// readByte returns the next byte of the message.
+func (r *Reader) readByte() (byte, error) {
+	if r.position-r.messageStart >= r.maxMessageSize {
+		return 0, fmt.Errorf("%w: over %d bytes", ErrUnreadable, r.maxMessageSize)
 	}
 	if r.position == r.end {
 		if err := r.fill(); err != nil {
 			return 0, err
 		}
 	}
-	b := r.chain[r.position/BufferSize][r.position%BufferSize]
+	b := r.buffers[r.position/BufferSize][r.position%BufferSize]
 	r.position++
 	return b, nil
 }
 
-// fill receives more bytes.
+// fill reads more bytes from the source, into another buffer if the last one is full.
 func (r *Reader) fill() error {
-	if r.end == len(r.chain)*BufferSize {
-		b, err := r.pool.take(len(r.chain) < 2) // a short message may span two
+	if r.end == len(r.buffers)*BufferSize {
+		b, err := r.pool.get(len(r.buffers) < 2) // a short message may span two buffers
 		if err != nil {
 			return err
 		}
-		r.chain = append(r.chain, b)
+		r.buffers = append(r.buffers, b)
 	}
-	n, err := r.source.Read(r.chain[r.end/BufferSize][r.end%BufferSize:])
+	n, err := r.source.Read(r.buffers[r.end/BufferSize][r.end%BufferSize:])
 	r.end += n
 	if n > 0 {
 		return nil
--- a/internal/resp/writer.go
+++ b/internal/resp/writer.go
@@ -5,17 +5,18 @@
 	"strconv"
 )
 
-// Write sends one message through one pooled buffer, filled as often as it takes. It returns how many bytes were sent.
+// Write sends one message through one pooled buffer, which it writes to destination whenever the buffer is full and at the
+// end. It returns the number of bytes sent.
 func Write(destination io.Writer, pool *Pool, words ...string) (sent int, err error) {
-	b, err := pool.take(true)
+	b, err := pool.get(true)
 	if err != nil {
 		return 0, err
 	}
-	defer pool.give(b)
+	defer pool.put(b)
 	w := writer{destination: destination, buffer: b}
-	w.length(arraySign, len(words))
+	w.length(arrayType, len(words))
 	for _, word := range words {
-		w.length(bulkStringSign, len(word))
+		w.length(bulkStringType, len(word))
 		w.text(word)
 		w.text("\r\n")
 	}
@@ -23,7 +24,7 @@
 	return w.sent, w.err
 }
 
-// writer collects bytes in a buffer and remembers the first error.
+// writer collects bytes in a buffer and keeps the first error.
 type writer struct {
 	destination io.Writer
 	buffer      *buffer
@@ -32,9 +33,9 @@
 	err         error
 }
 
-func (w *writer) length(sign byte, n int) {
+func (w *writer) length(typeByte byte, n int) {
 	var line [maxLengthDigits + 4]byte
-	w.text(string(append(strconv.AppendInt(append(line[:0], sign), int64(n), 10), '\r', '\n')))
+	w.text(string(append(strconv.AppendInt(append(line[:0], typeByte), int64(n), 10), '\r', '\n')))
 }
 
 func (w *writer) text(s string) {
