--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -16,15 +16,16 @@
 	"lilacbend/internal/eventloop"
 )
 
-// BenchmarkParseByMembers gives the bytes of a complete list and the time to decode it: discovery's slope in docs/CAPACITY.md.
+// BenchmarkParseByMembers measures the size of a complete list and the time to decode it, which docs/CAPACITY.md needs for
+// the cost of discovery by number of replicas.
 func BenchmarkParseByMembers(b *testing.B) {
 	for _, members := range []int{1, 33, 655, 9500} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
 			raw := completeList(b, members)
 			for b.Loop() {
-				l, err := Parse(raw)
-				if err != nil || len(l.Members) != members {
-					b.Fatal(len(l.Members), err)
+				list, err := Parse(raw)
+				if err != nil || len(list.Members) != members {
+					b.Fatal(len(list.Members), err)
 				}
 			}
 			b.ReportMetric(float64(len(raw)), "B/list")
@@ -32,15 +33,15 @@
 	}
 }
 
-// completeList is a complete list in discovery's format, with names as long as a deployment's.
+// completeList returns a complete list in discovery's format, with names of a length that is usual in deployments.
 func completeList(b *testing.B, members int) []byte {
 	revision, complete, size := int64(8461), true, 1.0
-	all := make([]memberMessage, members)
-	for k := range all {
-		all[k] = memberMessage{ID: fmt.Sprintf("stock-7c9d4f5b8-%05d", k), HostPort: fmt.Sprintf("10.12.%d.%d:8080", k/250, k%250),
+	allMembers := make([]memberMessage, members)
+	for k := range allMembers {
+		allMembers[k] = memberMessage{ID: fmt.Sprintf("stock-7c9d4f5b8-%05d", k), HostPort: fmt.Sprintf("10.12.%d.%d:8080", k/250, k%250),
 			Cell: k % 16, Locality: fmt.Sprintf("zone-%02d", k%54), Flavor: "m1", Phase: "Ready", Size: &size, UpSince: 1_790_000_000_000 + float64(k)}
 	}
-	raw, err := json.Marshal(listMessage{&revision, &complete, &all})
+	raw, err := json.Marshal(listMessage{&revision, &complete, &allMembers})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -65,7 +66,8 @@
 	return n, err
 }
 
-// BenchmarkWatchWithoutChanges gives the bytes of a watch in both directions, headers included, and its time without the wait.
+// BenchmarkWatchWithoutChanges measures the bytes of a watch in both directions, headers included, and its time without the
+// wait for changes.
 func BenchmarkWatchWithoutChanges(b *testing.B) {
 	empty := `{"revision":8461,"complete":false,"members":[]}`
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -13,7 +13,7 @@
 	"lilacbend/internal/backoff"
 )
 
-// Stage is how far a call got before it failed.
+// Stage is the stage at which a call failed.
 type Stage string
 
 // The stages of a call, in order. StagePanic may happen in any of them.
@@ -40,12 +40,12 @@
 
 // callResult is the outcome of a call that did not fail.
 type callResult struct {
-	changed  bool // the answer had a new list or a change
+	changed  bool // the answer contains a new list or a change
 	reusable bool // the connection can carry another call
 }
 
-// followConnection makes calls on one connection until a call fails or, without an error, until the service has closed the
-// connection after an answer. It returns the number of answers.
+// followConnection makes calls on one connection until a call fails or the service closes the connection after an answer,
+// which is not an error. It returns the number of answers.
 func (c *Client) followConnection(ctx context.Context) (answers int, err error) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -68,9 +68,9 @@
 		start := time.Now()
 		result, err := c.call(conn, reader)
 		if err != nil {
-			return answers, c.failedCall(conn, err, answers)
+			return answers, c.handleCallError(conn, err, answers)
 		}
-		c.shortenReadTime(conn)
+		c.resetReadTime(conn)
 		if watch {
 			c.watchAnswered()
 		}
@@ -95,13 +95,13 @@
 	return &pacedConn{Conn: conn}, nil
 }
 
-// failedCall decides what a failed call means for the next one. It returns nil if the service only closed the connection
-// after an earlier answer.
-func (c *Client) failedCall(conn *pacedConn, err error, answers int) error {
+// handleCallError sets, after a failed call, how the next call is made. It returns nil if the service only closed the
+// connection after an earlier answer.
+func (c *Client) handleCallError(conn *pacedConn, err error, answers int) error {
 	switch {
 	case answers > 0 && !conn.received && !isTimeout(err):
 		return nil
-	case isTimeout(err) && conn.exhausted(): // pieces kept arriving: a complete list would take even longer than a change
+	case isTimeout(err) && conn.pastFinalDeadline(): // pieces kept arriving; a complete list would take even longer than a change
 		c.readTime = min(2*c.readTime, readTimeLimit)
 	default: // the service may be unable to answer a watch
 		c.synced = false
@@ -109,9 +109,9 @@
 	return err
 }
 
-// shortenReadTime restores the initial read time after an answer that fitted it.
-func (c *Client) shortenReadTime(conn *pacedConn) {
-	if time.Until(conn.latest) > c.readTime-initialReadTime {
+// resetReadTime restores the initial read time after an answer that took no longer than that.
+func (c *Client) resetReadTime(conn *pacedConn) {
+	if time.Until(conn.finalDeadline) > c.readTime-initialReadTime {
 		c.readTime = initialReadTime
 	}
 }
@@ -128,7 +128,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return callResult{}, &CallError{Stage: StageStatus, Err: fmt.Errorf("answered %s", response.Status)}
+		return callResult{}, &CallError{Stage: StageStatus, Err: fmt.Errorf("service answered %s", response.Status)}
 	}
 	body, err := readBody(response.Body)
 	if err != nil {
@@ -143,7 +143,8 @@
 	return callResult{changed: changed, reusable: !response.Close && reader.Buffered() == 0}, nil
 }
 
-// send writes a request: for changes since the revision in use if the client is synced, otherwise for the complete list.
+// send writes a request: for changes since the revision in use if the client is synced, otherwise for the complete list. It
+// also sets the deadlines for the answer.
 func (c *Client) send(conn *pacedConn) error {
 	query := ""
 	wait := time.Duration(0)
@@ -160,16 +161,16 @@
 func readBody(source io.Reader) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(source, maxBodySize+1))
 	if err != nil {
-		return nil, &CallError{Stage: StageBody, Err: fmt.Errorf("after %d bytes: %w", len(body), err)}
+		return nil, &CallError{Stage: StageBody, Err: fmt.Errorf("reading failed after %d bytes: %w", len(body), err)}
 	}
 	if len(body) > maxBodySize {
-		return nil, &CallError{Stage: StageBody, Err: fmt.Errorf("over %d bytes", maxBodySize)}
+		return nil, &CallError{Stage: StageBody, Err: fmt.Errorf("body exceeds %d bytes", maxBodySize)}
 	}
 	return body, nil
 }
 
 // apply publishes a list that is newer than the one in use, and reports whether it is a change. A complete list of the
-// revision in use is published as well; it is a change only if the complete list was requested.
+// revision in use is published as well; it counts as a change only if the complete list was requested.
 func (c *Client) apply(body []byte) (changed bool, err error) {
 	list, err := Parse(body)
 	if err != nil {
@@ -179,9 +180,9 @@
 	case list.Revision < c.revision && (!list.Complete || c.staleAnswers+1 < staleAnswersLimit):
 		c.staleAnswers++
 		c.synced = false // request the complete list next
-		return false, fmt.Errorf("revision %d is older than ours, %d", list.Revision, c.revision)
+		return false, fmt.Errorf("list has revision %d, older than revision %d in use", list.Revision, c.revision)
 	case !list.Complete && !c.synced:
-		return false, errors.New("changes where the whole list was asked for")
+		return false, errors.New("list has only changes, but the complete list was requested")
 	case list.Revision == c.revision && !list.Complete:
 		return false, nil
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery is the client of service discovery. It requests the complete list of replicas, then watches it by long
-// polls on a persistent connection, and publishes each list and change to the event loop.
+// Package discovery is the client of service discovery. It requests the complete list of replicas, then watches the list by
+// long polls on a persistent connection, and publishes each list and change to the event loop.
 package discovery
 
 import (
@@ -15,33 +15,34 @@
 const (
 	path = "/registry/instances"
 	// watchTimeout is how long a watch waits for changes. By the protocol, a change counts as delivered 2 s after the wait
-	// of a watch, whether it has arrived or not. A short wait bounds what a silently dead connection costs.
+	// of a watch, whether it has arrived or not. A short wait limits the delay that a silently dead connection causes.
 	watchTimeout = 2 * time.Second
-	// answerTimeout is how long nothing may arrive beyond the requested wait: discovery's agent is on the same machine and
-	// answers at once.
+	// answerTimeout is how long the client waits for the first or next piece of an answer, beyond the requested wait:
+	// discovery's agent runs on the same machine and answers at once.
 	answerTimeout = time.Second
 	// dialTimeout bounds one attempt to connect.
 	dialTimeout = time.Second
-	// initialReadTime is how long an answer that arrives in pieces may take beyond the requested wait: a connection that
-	// trickles is closed soon after its change counts as delivered. As all answers may be slow, the next one then gets
-	// twice as long, up to readTimeLimit.
+	// initialReadTime is how long an answer that arrives in pieces may take beyond the requested wait. A connection whose
+	// answer exceeds it is closed, soon after a change in that answer counts as delivered. As all answers may be slow, the
+	// next one may then take twice as long, up to readTimeLimit.
 	initialReadTime = 2500 * time.Millisecond
 	readTimeLimit   = 10 * time.Second
 	// backoffInitial and backoffLimit bound the backoff after failed calls: short enough for a list that counts as
-	// delivered after 6 s, long enough not to load an agent that refuses. After a timeout the backoff begins anew.
+	// delivered after 6 s, long enough not to overload an agent that refuses calls. A timeout resets the backoff.
 	backoffInitial = 50 * time.Millisecond
 	backoffLimit   = time.Second
 	// idlePause separates calls that are answered at once without a change, so that they do not become a busy loop. By the
 	// protocol, a watch continues if the next call arrives within 200 ms.
 	idlePause = 100 * time.Millisecond
-	// maxBodySize, in bytes, is enough for some ten thousand members. Several copies of a body exist while it is decoded.
+	// maxBodySize, in bytes, is enough for some ten thousand members. Decoding holds several copies of a body in memory.
 	maxBodySize = 4 << 20
-	// staleAnswersLimit is how many answers in a row may be older than the list in use. They are stale copies and change
-	// nothing; at the limit, after about fifteen seconds, discovery has restarted its count of revisions.
+	// staleAnswersLimit is the number of consecutive answers older than the list in use at which a complete list is
+	// accepted. Fewer are taken for stale copies and ignored; at the limit, after about fifteen seconds, the client
+	// concludes that discovery has restarted its revision count.
 	staleAnswersLimit = 20
-	// staleAnswersLimitAfterMove replaces staleAnswersLimit at a new address, where the count may be a different one. It
-	// is reached in under 1 s, well within the drain grace, which runs from the first of these answers. A lower limit would
-	// let an agent that only lags bring back draining replicas.
+	// staleAnswersLimitAfterMove replaces staleAnswersLimit at a new address, where the service may count revisions
+	// differently. It is reached in under 1 s, well within the drain grace, which runs from the first of these answers. With
+	// a lower limit, an agent that only lags could bring back draining replicas.
 	staleAnswersLimitAfterMove = 5
 )
 
@@ -60,9 +61,9 @@
 
 	revision     int64         // of the list in use
 	synced       bool          // the list came from this service, so it can be watched
-	staleAnswers int           // consecutive
+	staleAnswers int           // consecutive answers older than the list in use
 	failing      bool          // a failure was logged, and no watch has been answered since
-	readTime     time.Duration // how long an answer in pieces may take beyond the requested wait
+	readTime     time.Duration // how long an answer that arrives in pieces may take beyond the requested wait
 }
 
 // New returns a client that starts from a list of the given revision. The clock returns nanoseconds; the seed is for the
@@ -146,17 +147,17 @@
 		c.retry.Reset()
 	}
 	if !c.failing {
-		c.log.Warn("discovery fails", "error", err, "answers", answers, "revision", c.revision)
+		c.log.Warn("discovery failed", "error", err, "answers", answers, "revision", c.revision)
 	}
 	c.failing = true
 }
 
-// watchAnswered ends a series of failures. A service that answers requests for the complete list but no watch is still
-// failing.
+// watchAnswered ends a series of failures. A service that answers requests for the complete list but does not answer watches
+// is still failing.
 func (c *Client) watchAnswered() {
 	c.retry.Reset()
 	if c.failing {
 		c.failing = false
-		c.log.Info("discovery answers", "revision", c.revision)
+		c.log.Info("discovery recovered", "revision", c.revision)
 	}
 }
--- a/internal/discovery/conn.go
+++ b/internal/discovery/conn.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// pacedConn is a connection whose read deadline is extended by each piece of an answer that arrives, up to a last
-// deadline.
+// pacedConn is a connection whose read deadline is extended whenever a piece of an answer arrives, up to a final deadline.
 type pacedConn struct {
 	net.Conn
-	deadline time.Time // for the next piece
-	latest   time.Time // for the complete answer; never before deadline
-	received bool      // a piece of the expected answer has arrived
+	deadline      time.Time // for the next piece
+	finalDeadline time.Time // for the complete answer; never before deadline
+	received      bool      // a piece of the expected answer has arrived
 }
 
-// expect sets the deadlines for an answer that the service may delay for wait, and that may then take readTime if it arrives
-// in pieces.
+// expect sets the deadlines for an answer that the service may delay for wait. If the answer arrives in pieces, it may take
+// readTime longer.
 func (c *pacedConn) expect(wait, readTime time.Duration) {
 	now := time.Now()
 	c.deadline = now.Add(wait + answerTimeout)
-	c.latest = now.Add(wait + readTime)
+	c.finalDeadline = now.Add(wait + readTime)
 	c.received = false
 	c.SetDeadline(c.deadline)
 }
 
-// Read reads, and extends the deadline if something arrived. It never shortens it: a service that sends the header of an
-// answer at once may delay the body as long as it may delay the whole answer.
+// Read reads from the connection, and extends the deadline if it has read something. It never shortens the deadline: a
+// service that sends the header of an answer at once may delay the body as long as it may delay the whole answer.
 func (c *pacedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if n > 0 {
@@ -36,11 +35,11 @@
 	return n, err
 }
 
-// extendDeadline allows answerTimeout for the next piece, but not past latest.
+// extendDeadline moves the deadline to answerTimeout from now, but not past finalDeadline and not back.
 func (c *pacedConn) extendDeadline() {
 	extended := time.Now().Add(answerTimeout)
-	if extended.After(c.latest) {
-		extended = c.latest
+	if extended.After(c.finalDeadline) {
+		extended = c.finalDeadline
 	}
 	if extended.After(c.deadline) {
 		c.deadline = extended
@@ -48,8 +47,8 @@
 	}
 }
 
-// exhausted reports whether the answer has used up its time.
-func (c *pacedConn) exhausted() bool { return !time.Now().Before(c.latest) }
+// pastFinalDeadline reports whether the time for the complete answer has passed.
+func (c *pacedConn) pastFinalDeadline() bool { return !time.Now().Before(c.finalDeadline) }
 
 // isTimeout reports whether a call failed because nothing arrived in time.
 func isTimeout(err error) bool {
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -19,30 +19,30 @@
 	"lilacbend/internal/eventloop"
 )
 
-// The client's request lines; watchLine has a place for the revision.
+// The client's request lines. watchLine is a format string with the revision as its argument.
 const (
 	watchLine        = "GET " + path + "?since=%d&timeout_ms=2000 HTTP/1.1"
 	completeListLine = "GET " + path + " HTTP/1.1"
 )
 
-// list is an answer of discovery with one member, on a persistent connection.
-func list(revision int64, complete bool, phase string) string {
+// listAnswer returns an answer of discovery that has one member and keeps the connection open.
+func listAnswer(revision int64, complete bool, phase string) string {
 	body := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[{"id":"s-1","phase":%q}]}`, revision, complete, phase)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// unchanged is an answer to a watch without changes.
-func unchanged(revision int64) string {
+// unchangedAnswer returns an answer to a watch that has no changes.
+func unchangedAnswer(revision int64) string {
 	body := fmt.Sprintf(`{"revision":%d,"complete":false,"members":[]}`, revision)
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// withClose adds the header that announces the end of the connection to an answer.
+// withClose adds a "Connection: close" header to an answer.
 func withClose(answer string) string {
 	return strings.Replace(answer, "\r\n", "\r\nConnection: close\r\n", 1)
 }
 
-// logBuffer is a log that can be read while it is written.
+// logBuffer is a log that can be read while other goroutines write to it.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -60,30 +60,30 @@
 	return strings.Count(l.text.String(), text)
 }
 
-// startClient runs a client that starts from a list of the revision known, until the end of the test.
-func startClient(t *testing.T, address string, known int64) (*Client, *eventloop.Queues, *logBuffer) {
-	x, log := eventloop.New(), &logBuffer{}
-	c := New(address, known, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, 1)
+// startClient runs a client that starts from a list of the given revision, until the end of the test.
+func startClient(t *testing.T, address string, revision int64) (*Client, *eventloop.Queues, *logBuffer) {
+	queues, log := eventloop.New(), &logBuffer{}
+	client := New(address, revision, queues, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); c.Run(ctx) }()
+	go func() { defer close(ended); client.Run(ctx) }()
 	t.Cleanup(func() { stop(); <-ended })
-	return c, x, log
+	return client, queues, log
 }
 
 // nextList waits for the next list.
-func nextList(t *testing.T, x *eventloop.Queues) controller.ReplicaList {
+func nextList(t *testing.T, queues *eventloop.Queues) controller.ReplicaList {
 	t.Helper()
 	select {
-	case <-x.Ready():
+	case <-queues.Ready():
 	case <-time.After(scriptedpeer.WaitTimeout):
-		t.Fatal("no list is published")
+		t.Fatal("timed out waiting for a list to be published")
 	}
-	events := x.Drain()
+	events := queues.Drain()
 	return events[len(events)-1].(controller.ReplicaList)
 }
 
-// expectRequest reads a request, which must begin with this line.
+// expectRequest reads the head of a request, which must begin with the line want.
 func expectRequest(t *testing.T, conn *scriptedpeer.Conn, want string) {
 	t.Helper()
 	if got := conn.ReadRequestHead(); got != want {
@@ -91,17 +91,18 @@
 	}
 }
 
-// script is how a scripted agent serves one connection.
+// script is the behaviour of a scripted agent on one connection.
 type script func(agent net.Conn, r *bufio.Reader)
 
-// dialScripts returns a dialer whose connections run the next of the scripts, and the last from then on; nil: the dial hangs.
+// dialScripts returns a dial function whose connections run the scripts in order, and the last script from then on. For a
+// nil script the dial hangs.
 func dialScripts(t *testing.T, scripts ...script) dialFunc {
 	var open sync.WaitGroup
 	t.Cleanup(open.Wait)
-	k := 0
+	dials := 0
 	return func(ctx context.Context, _, _ string) (net.Conn, error) {
-		run := scripts[min(k, len(scripts)-1)]
-		k++
+		run := scripts[min(dials, len(scripts)-1)]
+		dials++
 		if run == nil {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -115,16 +116,16 @@
 // startClientWithDialer runs a client in a synctest bubble until its test ends.
 func startClientWithDialer(t *testing.T, seed uint64, dial dialFunc) (
 	*Client, *eventloop.Queues, *logBuffer) {
-	x, log := eventloop.New(), &logBuffer{}
-	c := New("agent:1", 40, x, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, seed)
-	c.dial = dial
+	queues, log := eventloop.New(), &logBuffer{}
+	client := New("agent:1", 40, queues, slog.New(slog.NewTextHandler(log, nil)), func() int64 { return 7 }, seed)
+	client.dial = dial
 	ended := make(chan struct{})
-	go func() { defer close(ended); c.Run(t.Context()) }()
+	go func() { defer close(ended); client.Run(t.Context()) }()
 	t.Cleanup(func() { <-ended })
-	return c, x, log
+	return client, queues, log
 }
 
-// answerCalls answers one call with each text.
+// answerCalls answers one call with each of the texts, and reports whether it could.
 func answerCalls(r *bufio.Reader, agent net.Conn, texts ...string) bool {
 	for _, text := range texts {
 		if _, err := http.ReadRequest(r); err != nil {
@@ -137,7 +138,7 @@
 	return true
 }
 
-// writePieces writes text in pieces of length bytes, one each pause, until it or the connection ends.
+// writePieces writes text in pieces of length bytes, with a pause after each, until all is written or the connection ends.
 func writePieces(agent net.Conn, text string, length int, pause time.Duration) {
 	for ; len(text) > 0; text = text[min(length, len(text)):] {
 		if _, err := io.WriteString(agent, text[:min(length, len(text))]); err != nil {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,14 +13,14 @@
 // maxIDLength is the longest id of a replica, in bytes. Longer ids could make a message to a proxy exceed its limit.
 const maxIDLength = 128
 
-// listMessage is an answer of discovery. A nil pointer is a missing field, as opposed to a zero one.
+// listMessage is an answer of discovery. A nil pointer is a missing field, as opposed to a field that is zero.
 type listMessage struct {
 	Revision *int64           `json:"revision"`
 	Complete *bool            `json:"complete"`
 	Members  *[]memberMessage `json:"members"`
 }
 
-// memberMessage is one replica of an answer.
+// memberMessage is one replica in an answer.
 type memberMessage struct {
 	ID       string   `json:"id"`
 	HostPort string   `json:"host_port"`
@@ -32,8 +32,8 @@
 	UpSince  float64  `json:"up_since_ms"`
 }
 
-// states maps discovery's phases to replica states.
-var states = map[string]control.State{
+// stateByPhase maps discovery's phases to replica states.
+var stateByPhase = map[string]control.State{
 	"Ready":       control.Ready,
 	"Terminating": control.Draining,
 	"Gone":        control.Gone,
@@ -49,7 +49,7 @@
 		return controller.ReplicaList{}, fmt.Errorf("not a list: %w", err)
 	}
 	if message.Revision == nil || message.Complete == nil || message.Members == nil {
-		return controller.ReplicaList{}, errors.New("not a list: no revision, no members, or not said whether they are all")
+		return controller.ReplicaList{}, errors.New("not a list: revision, complete or members is missing")
 	}
 	list := controller.ReplicaList{Revision: *message.Revision, Complete: *message.Complete}
 	for _, member := range *message.Members {
@@ -60,7 +60,7 @@
 
 // decode returns the member as the controller's type.
 func (m memberMessage) decode() controller.Member {
-	state, known := states[m.Phase]
+	state, known := stateByPhase[m.Phase]
 	weight := defaultWeight
 	if m.Size != nil {
 		weight = *m.Size
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -14,132 +14,135 @@
 	"time"
 )
 
-// By the protocol, a change counts as delivered 2 s after the wait of a watch; the drain grace and its slack run from then.
+// By the protocol, a change counts as delivered 2 s after the wait of a watch. The drain grace and its tolerance run from
+// then.
 const (
-	deliveredAfter = watchTimeout + 2*time.Second
-	usualGrace     = 2*time.Second + 300*time.Millisecond
-	channelTransit = 100 * time.Millisecond // of a message to a proxy
+	deliveredAfter    = watchTimeout + 2*time.Second
+	typicalDrainGrace = 2*time.Second + 300*time.Millisecond
+	channelTransit    = 100 * time.Millisecond // time of a message to a proxy
 )
 
-// In virtual time: a change exists from the start of the watch. Whatever happens to the connection and to the next dials,
-// the change is published within the protocol's time; the worst cases follow from the constants.
+// A change exists from the start of the watch, and then the connection becomes silent or slow and later dials may hang. The
+// change must be published within the time that the protocol allows. The largest delay of each case follows from the
+// constants. The test runs in virtual time.
 func TestSilenceIsDetectedWithinDrainGrace(t *testing.T) {
-	first := func(then func(agent net.Conn, r *bufio.Reader)) script {
+	afterFirstList := func(onWatch func(agent net.Conn, r *bufio.Reader)) script {
 		return func(agent net.Conn, r *bufio.Reader) {
-			if answerCalls(r, agent, list(41, true, "Ready")) {
+			if answerCalls(r, agent, listAnswer(41, true, "Ready")) {
 				http.ReadRequest(r)
-				then(agent, r)
+				onWatch(agent, r)
 			}
 		}
 	}
 	silent := func(_ net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }
-	after := func(text string) func(net.Conn, *bufio.Reader) {
+	sendThenSilence := func(text string) func(net.Conn, *bufio.Reader) {
 		return func(agent net.Conn, r *bufio.Reader) { io.WriteString(agent, text); silent(agent, r) }
 	}
-	news := list(42, false, "Terminating")
-	serving := func(agent net.Conn, r *bufio.Reader) {
-		answerCalls(r, agent, list(42, true, "Terminating"))
+	change := listAnswer(42, false, "Terminating")
+	recovered := func(agent net.Conn, r *bufio.Reader) {
+		answerCalls(r, agent, listAnswer(42, true, "Terminating"))
 		io.Copy(io.Discard, r)
 	}
-	mute := func(_ net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }
-	drips := func(agent net.Conn, _ *bufio.Reader) { writePieces(agent, news, 1, answerTimeout*9/10) }
-	const silence, hung = watchTimeout + answerTimeout + backoffInitial, dialTimeout + backoffInitial
+	unresponsive := func(_ net.Conn, r *bufio.Reader) { io.Copy(io.Discard, r) }
+	trickle := func(agent net.Conn, _ *bufio.Reader) { writePieces(agent, change, 1, answerTimeout*9/10) }
+	const silenceTime, hungDialTime = watchTimeout + answerTimeout + backoffInitial, dialTimeout + backoffInitial
 	for name, c := range map[string]struct {
-		most    time.Duration
-		scripts []script
+		maxDelay time.Duration
+		scripts  []script
 	}{
-		"in a watch":                 {silence, []script{first(silent), serving}},
-		"in the first line":          {silence, []script{first(after(news[:9])), serving}},
-		"after the head":             {silence, []script{first(after(news[:strings.Index(news, "{")])), serving}},
-		"in the body":                {silence, []script{first(after(news[:len(news)-1])), serving}},
-		"then a dial that hangs":     {silence + hung, []script{first(silent), nil, serving}},
-		"then two dials that hang":   {silence + 2*hung, []script{first(silent), nil, nil, serving}},
-		"then three dials that hang": {silence + 3*hung, []script{first(silent), nil, nil, nil, serving}},
-		"then a connection as mute":  {silence + answerTimeout + backoffInitial, []script{first(silent), mute, serving}},
-		"then two, and a dial that hangs": {silence + 2*answerTimeout + 2*backoffInitial + hung,
-			[]script{first(silent), mute, mute, nil, serving}},
-		"bytes that drip":                  {watchTimeout + initialReadTime + backoffInitial, []script{first(drips), serving}},
-		"bytes that drip, and a hung dial": {watchTimeout + initialReadTime + backoffInitial + hung, []script{first(drips), nil, serving}},
-		"head at once, body after the wait": {watchTimeout, []script{first(func(agent net.Conn, r *bufio.Reader) {
-			head := strings.Index(news, "{")
-			io.WriteString(agent, news[:head])
+		"silent in a watch":             {silenceTime, []script{afterFirstList(silent), recovered}},
+		"silent in the status line":     {silenceTime, []script{afterFirstList(sendThenSilence(change[:9])), recovered}},
+		"silent after the header":       {silenceTime, []script{afterFirstList(sendThenSilence(change[:strings.Index(change, "{")])), recovered}},
+		"silent in the body":            {silenceTime, []script{afterFirstList(sendThenSilence(change[:len(change)-1])), recovered}},
+		"silent, then one dial hangs":   {silenceTime + hungDialTime, []script{afterFirstList(silent), nil, recovered}},
+		"silent, then two dials hang":   {silenceTime + 2*hungDialTime, []script{afterFirstList(silent), nil, nil, recovered}},
+		"silent, then three dials hang": {silenceTime + 3*hungDialTime, []script{afterFirstList(silent), nil, nil, nil, recovered}},
+		"two silent connections":        {silenceTime + answerTimeout + backoffInitial, []script{afterFirstList(silent), unresponsive, recovered}},
+		"three silent connections, then one dial hangs": {silenceTime + 2*answerTimeout + 2*backoffInitial + hungDialTime,
+			[]script{afterFirstList(silent), unresponsive, unresponsive, nil, recovered}},
+		"slow single bytes":                      {watchTimeout + initialReadTime + backoffInitial, []script{afterFirstList(trickle), recovered}},
+		"slow single bytes, then one dial hangs": {watchTimeout + initialReadTime + backoffInitial + hungDialTime, []script{afterFirstList(trickle), nil, recovered}},
+		"header at once, body after the wait": {watchTimeout, []script{afterFirstList(func(agent net.Conn, r *bufio.Reader) {
+			head := strings.Index(change, "{")
+			io.WriteString(agent, change[:head])
 			time.Sleep(watchTimeout)
-			io.WriteString(agent, news[head:])
+			io.WriteString(agent, change[head:])
 			silent(agent, r)
 		})}},
-		"an answer in slow pieces": {2 * time.Second, []script{first(func(agent net.Conn, r *bufio.Reader) {
-			writePieces(agent, news, len(news)/4, answerTimeout/2)
+		"answer in slow pieces": {2 * time.Second, []script{afterFirstList(func(agent net.Conn, r *bufio.Reader) {
+			writePieces(agent, change, len(change)/4, answerTimeout/2)
 			silent(agent, r)
 		})}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				_, x, _ := startClientWithDialer(t, 1, dialScripts(t, c.scripts...))
-				nextList(t, x)
-				since := time.Now()
-				for l := nextList(t, x); l.Revision < 42 && time.Since(since) <= c.most; {
-					l = nextList(t, x)
+				_, queues, _ := startClientWithDialer(t, 1, dialScripts(t, c.scripts...))
+				nextList(t, queues)
+				start := time.Now()
+				for published := nextList(t, queues); published.Revision < 42 && time.Since(start) <= c.maxDelay; {
+					published = nextList(t, queues)
 				}
-				if took := time.Since(since); took > c.most {
-					t.Errorf("it took %v, at most %v by the constants", took, c.most)
+				if took := time.Since(start); took > c.maxDelay {
+					t.Errorf("the change was published after %v, want at most %v", took, c.maxDelay)
 				}
-				if c.most+channelTransit > deliveredAfter+usualGrace {
-					t.Errorf("%v by the constants is more than a drain's grace allows", c.most)
+				if c.maxDelay+channelTransit > deliveredAfter+typicalDrainGrace {
+					t.Errorf("the largest delay by the constants, %v, exceeds the time that the drain grace allows", c.maxDelay)
 				}
 			})
 		})
 	}
 }
 
-// An agent whose answers are all slow is read in the end: after an answer that ran out of time the next one gets twice as long.
+// The client eventually reads the list of an agent whose answers are all slow: after an answer that has exceeded the read
+// time, the next answer may take twice as long.
 func TestSlowAnswersGetMoreReadTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, x, _ := startClientWithDialer(t, 1, dialScripts(t, func(agent net.Conn, r *bufio.Reader) {
+		_, queues, _ := startClientWithDialer(t, 1, dialScripts(t, func(agent net.Conn, r *bufio.Reader) {
 			http.ReadRequest(r)
-			text := list(41, true, "Ready")
+			text := listAnswer(41, true, "Ready")
 			writePieces(agent, text, len(text)/16+1, answerTimeout/2) // eight seconds in all
 		}))
 		start := time.Now()
-		nextList(t, x)
+		nextList(t, queues)
 		if took := time.Since(start); took > 2*readTimeLimit {
-			t.Errorf("it took %v", took)
+			t.Errorf("the list was published after %v, want at most twice the read time limit", took)
 		}
 	})
 }
 
-// Agents that answer every watch at once, that have no watches, or that refuse everything: the number of calls is bounded,
-// the list stays fresh where there is one, and the log has one line for each series of failures.
+// For agents that answer every watch at once, do not support watches, or refuse all calls, the number of calls is bounded,
+// the list stays current if the agent answers it, and the log has one line for each series of failures.
 func TestCallRateIsBounded(t *testing.T) {
-	refused := "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-	same := list(41, true, "Ready")
-	either := func(whole, watch string) func(bool) string {
+	notFound := "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
+	sameList := listAnswer(41, true, "Ready")
+	byRequest := func(completeList, watch string) func(bool) string {
 		return func(watches bool) string {
 			if watches {
 				return watch
 			}
-			return whole
+			return completeList
 		}
 	}
-	const span, many = 20 * time.Second, 2000
+	const span, callLimit = 20 * time.Second, 2000
 	for name, c := range map[string]struct {
-		answer func(watch bool) string
-		most   time.Duration // calls
-		lists  time.Duration // published at least
-		fails  bool
+		answer      func(watch bool) string
+		maxCalls    time.Duration // largest number of calls
+		minLists    time.Duration // smallest number of published lists
+		wantFailure bool
 	}{
-		"the same list at once":         {either(same, same), span/idlePause + 2, span/idlePause - 2, false},
-		"the same list, and it closes":  {either(withClose(same), withClose(same)), span/idlePause + 2, span/idlePause - 2, false},
-		"nothing new at once":           {either(same, unchanged(41)), span/idlePause + 2, 1, false},
-		"changes, whatever is asked":    {either(unchanged(40), unchanged(40)), 2*span/backoffLimit + 8, 0, true},
-		"no watches":                    {either(same, refused), 4*span/backoffLimit + 16, span/backoffLimit - 2, true},
-		"resets watches without a word": {either(same, ""), 6*span/backoffLimit + 24, span/backoffLimit - 2, true},
-		"refuses everything":            {either(refused, refused), 2*span/backoffLimit + 8, 0, true},
+		"same list at once":              {byRequest(sameList, sameList), span/idlePause + 2, span/idlePause - 2, false},
+		"same list, then close":          {byRequest(withClose(sameList), withClose(sameList)), span/idlePause + 2, span/idlePause - 2, false},
+		"no changes at once":             {byRequest(sameList, unchangedAnswer(41)), span/idlePause + 2, 1, false},
+		"changes only, for each request": {byRequest(unchangedAnswer(40), unchangedAnswer(40)), 2*span/backoffLimit + 8, 0, true},
+		"watches not found":              {byRequest(sameList, notFound), 4*span/backoffLimit + 16, span/backoffLimit - 2, true},
+		"watches closed without answer":  {byRequest(sameList, ""), 6*span/backoffLimit + 24, span/backoffLimit - 2, true},
+		"all requests not found":         {byRequest(notFound, notFound), 2*span/backoffLimit + 8, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var calls atomic.Int64
-				_, x, log := startClientWithDialer(t, 1, dialScripts(t, func(agent net.Conn, r *bufio.Reader) {
-					for calls.Add(1) < many { // a test that fails ends
+				_, queues, log := startClientWithDialer(t, 1, dialScripts(t, func(agent net.Conn, r *bufio.Reader) {
+					for calls.Add(1) < callLimit { // so that a failing test ends
 						req, err := http.ReadRequest(r)
 						if err != nil {
 							return
@@ -151,45 +154,45 @@
 					}
 				}))
 				time.Sleep(span)
-				if calls := time.Duration(x.Counters.DiscoveryCalls.Load()); calls > c.most {
-					t.Errorf("%d calls in %v, want %d at most", calls, span, c.most)
+				if calls := time.Duration(queues.Counters.DiscoveryCalls.Load()); calls > c.maxCalls {
+					t.Errorf("%d calls in %v, want at most %d", calls, span, c.maxCalls)
 				}
-				if fails := log.count("discovery fails"); fails > 1 || (fails == 1) != c.fails || log.count("discovery answers") > 0 {
+				if failures := log.count("discovery failed"); failures > 1 || (failures == 1) != c.wantFailure || log.count("discovery recovered") > 0 {
 					t.Errorf("log: %.400s", log.text.String())
 				}
-				if (x.Counters.DiscoveryErrors.Load() > 0) != c.fails {
-					t.Errorf("%d errors", x.Counters.DiscoveryErrors.Load())
+				if (queues.Counters.DiscoveryErrors.Load() > 0) != c.wantFailure {
+					t.Errorf("%d discovery errors counted", queues.Counters.DiscoveryErrors.Load())
 				}
-				if lists := time.Duration(len(x.Drain())); lists < c.lists {
-					t.Errorf("%d lists published, want %d", lists, c.lists)
+				if lists := time.Duration(len(queues.Drain())); lists < c.minLists {
+					t.Errorf("%d lists published, want at least %d", lists, c.minLists)
 				}
 			})
 		})
 	}
 }
 
-// A service at a new address that counts from a lower revision is accepted within the drain grace of its first answer, which is
-// when its list counts as delivered.
+// The lists of a service at a new address that counts from a lower revision are accepted within the drain grace. The grace
+// runs from the first answer, which is when the list counts as delivered.
 func TestNewAddressIsAcceptedWithinDrainGrace(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			answered := make(chan time.Time, 2*staleAnswersLimitAfterMove)
-			c, x, _ := startClientWithDialer(t, seed, dialScripts(t, func(agent net.Conn, r *bufio.Reader) {
-				answerCalls(r, agent, list(41, true, "Ready"))
+			client, queues, _ := startClientWithDialer(t, seed, dialScripts(t, func(agent net.Conn, r *bufio.Reader) {
+				answerCalls(r, agent, listAnswer(41, true, "Ready"))
 				io.Copy(io.Discard, r)
 			}, func(agent net.Conn, r *bufio.Reader) {
-				answerCalls(r, agent, list(3, true, "Terminating"))
+				answerCalls(r, agent, listAnswer(3, true, "Terminating"))
 				answered <- time.Now()
 				io.Copy(io.Discard, r)
 			}))
-			nextList(t, x)
-			c.SetAddress("agent:2")
-			if l := nextList(t, x); l.Revision != 3 {
-				t.Errorf("published %+v", l)
+			nextList(t, queues)
+			client.SetAddress("agent:2")
+			if published := nextList(t, queues); published.Revision != 3 {
+				t.Errorf("published %+v", published)
 			}
-			const most = (1 + 2 + 4 + 8) * backoffInitial // with the largest draws
-			if took := time.Since(<-answered); took > most || took < most/2 || most+channelTransit > usualGrace {
-				t.Errorf("accepted after %v, %v to %v by the constants", took, most/2, most)
+			const maxDelay = (1 + 2 + 4 + 8) * backoffInitial // with the largest jitter
+			if took := time.Since(<-answered); took > maxDelay || took < maxDelay/2 || maxDelay+channelTransit > typicalDrainGrace {
+				t.Errorf("the list was accepted after %v, want %v to %v", took, maxDelay/2, maxDelay)
 			}
 		})
 	}
@@ -200,7 +203,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		dialed := make(chan time.Duration, 200)
 		start := time.Now()
-		_, x, _ := startClientWithDialer(t, 1, func(ctx context.Context, _, _ string) (net.Conn, error) {
+		_, queues, _ := startClientWithDialer(t, 1, func(ctx context.Context, _, _ string) (net.Conn, error) {
 			if dialed <- time.Since(start); len(dialed) < 20 {
 				return nil, errors.New("connection refused")
 			}
@@ -214,16 +217,16 @@
 			if dials[k] = <-dialed; k == 0 {
 				continue
 			}
-			most := min(backoffInitial<<min(k-1, 10), backoffLimit)
-			if k >= 20 { // they hang
-				most = dialTimeout + backoffInitial
+			maxGap := min(backoffInitial<<min(k-1, 10), backoffLimit)
+			if k >= 20 { // these dials hang
+				maxGap = dialTimeout + backoffInitial
 			}
-			if gap := dials[k] - dials[k-1]; gap > most {
-				t.Errorf("dial %d came %v after the one before it, want %v", k, gap, most)
+			if gap := dials[k] - dials[k-1]; gap > maxGap {
+				t.Errorf("dial %d was made %v after the previous one, want at most %v", k, gap, maxGap)
 			}
 		}
-		if len(dials) < 30 || x.Counters.Timeouts.Load() < 10 {
-			t.Errorf("%d dials, %d timed out", len(dials), x.Counters.Timeouts.Load())
+		if len(dials) < 30 || queues.Counters.Timeouts.Load() < 10 {
+			t.Errorf("%d dials, want at least 30; %d timed out, want at least 10", len(dials), queues.Counters.Timeouts.Load())
 		}
 	})
 }
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -2,27 +2,27 @@
 
 import "sync/atomic"
 
-// Counters count what passes a controller's connections.
+// Counters holds a controller's counters of peers, messages, discovery calls, dropped inputs and reloads.
 type Counters struct {
 	// Connections of peers.
 	Accepted          atomic.Int64
 	Refused           atomic.Int64
-	Evicted           atomic.Int64 // to make room for others
+	Evicted           atomic.Int64 // closed to accept another connection
 	Ended             atomic.Int64
-	UnidentifiedPeers atomic.Int64 // closed, as their first message was no valid join
-	JoinTimeouts      atomic.Int64 // closed, as they have not said in time who they are
+	UnidentifiedPeers atomic.Int64 // closed, as the first message was not a valid join
+	JoinTimeouts      atomic.Int64 // closed, as no join arrived in time
 
 	// Messages of peers.
 	Skipped   atomic.Int64 // complete messages that cannot be used
-	Malformed atomic.Int64 // connections closed, as it is not known where the next message begins
-	Panics    atomic.Int64
+	Malformed atomic.Int64 // connections closed, as the start of the next message is unknown
+	Panics    atomic.Int64 // recovered in the goroutine of a connection
 
 	// Messages to peers.
 	UpdatesSent   atomic.Int64 // updates whose writing has begun
 	UpdateBytes   atomic.Int64
-	QueuesDropped atomic.Int64 // times that a send queue was full and has dropped its updates
+	QueuesDropped atomic.Int64 // how often a full send queue has dropped its updates
 	WriteErrors   atomic.Int64
-	HealthChecks  atomic.Int64 // replied to
+	HealthChecks  atomic.Int64 // answered
 
 	// Discovery.
 	DiscoveryCalls   atomic.Int64
@@ -32,9 +32,9 @@
 	InvalidLists     atomic.Int64
 	Timeouts         atomic.Int64
 
-	InputsDropped atomic.Int64 // as the queue of inputs was full
+	InputsDropped atomic.Int64 // because the queue of inputs was full
 
 	// The configuration file.
-	Reloads       atomic.Int64 // put in force
-	ReloadsFailed atomic.Int64 // not usable
+	Reloads       atomic.Int64 // applied
+	ReloadsFailed atomic.Int64 // rejected, as the file could not be used
 }
--- a/internal/eventloop/queues.go
+++ b/internal/eventloop/queues.go
@@ -1,6 +1,6 @@
-// Package eventloop holds the queues between a controller's connections and its core: one of inputs for the core, and one of
-// updates for each stream. It has queues only: the loop that runs the core's turns is runCore in cmd/lilacbend. Nothing here
-// waits for a peer, so that no connection can hold up the core or another one.
+// Package eventloop has the queues between a controller's connections and its core: one queue of inputs for the core, and
+// one send queue of updates for each stream. The loop that runs the core's turns is not here; it is runCore in
+// cmd/lilacbend. Nothing in this package waits for a peer, so that no connection can delay the core or another connection.
 package eventloop
 
 import (
@@ -10,24 +10,25 @@
 )
 
 const (
-	// maxInputs bounds the inputs that may wait, beside those of the proxies: half a minute of what a collector reports at most.
-	// The core drains the queue some hundred times a second.
+	// maxInputs limits the queued inputs, in addition to those of the proxies: it holds what one collector reports in half a
+	// minute at most. The core drains the queue some hundred times a second.
 	maxInputs = 4 << 10
-	// maxInputsPerProxy is how many inputs more may wait for each proxy: what it sends while the controller stands still for a few
-	// seconds, at one report a second for each of a few traffic classes and an ack a second.
+	// maxInputsPerProxy is how many more inputs may be queued for each proxy: those that the proxy sends while the
+	// controller is stalled for a few seconds, at one report a second for each of a few traffic classes and one ack a
+	// second.
 	maxInputsPerProxy = 16
 )
 
 // Queues holds the queue of inputs and the send queue of each stream.
 type Queues struct {
-	// Counters are counted by all who use the queues.
+	// Counters are updated by the users of the queues.
 	Counters Counters
 
-	mu          sync.Mutex // guards what follows, and the send queues
+	mu          sync.Mutex // guards the fields below and the send queues
 	inputs      []controller.Input
 	maxInputs   int
 	sendQueues  map[controller.StreamID]*SendQueue
-	inputsReady chan struct{} // signals Ready
+	inputsReady chan struct{} // the channel that Ready returns
 }
 
 // New returns empty queues.
@@ -39,15 +40,15 @@
 	}
 }
 
-// SetProxies sizes the queue of inputs for what so many proxies may send.
+// SetProxies sets the limit of the queue of inputs for the given number of proxies.
 func (q *Queues) SetProxies(proxies int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.maxInputs = maxInputs + maxInputsPerProxy*proxies
 }
 
-// Enqueue appends an input for the core. If the queue is full, inputs that later ones make up for are dropped; what a connection
-// or call reports once or twice is not.
+// Enqueue appends an input for the core. If the queue is full, it drops an input that a later one of the same kind replaces.
+// Inputs that a connection or call reports only once or twice are never dropped.
 func (q *Queues) Enqueue(input controller.Input) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -59,7 +60,7 @@
 	signal(q.inputsReady)
 }
 
-// isReplaceable reports whether later inputs of its kind make up for an input.
+// isReplaceable reports whether later inputs of the same kind replace an input, so that it may be dropped.
 func isReplaceable(input controller.Input) bool {
 	switch input.(type) {
 	case controller.Outcomes, controller.Demand, controller.Ack, controller.StreamActive:
@@ -68,15 +69,15 @@
 	return false
 }
 
-// MessageSent appends the input that an update has been written. It does not signal Ready: there is one for each update, and
-// the core needs it only once acks arrive.
+// MessageSent appends the input that the update of this number has been written. It does not signal Ready: there is one such
+// input for each update, and the core needs it only when acks arrive.
 func (q *Queues) MessageSent(number uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.inputs = append(q.inputs, controller.MessageSent{Number: number})
 }
 
-// Ready is signalled when inputs have arrived.
+// Ready returns a channel that receives a value after Enqueue has appended an input.
 func (q *Queues) Ready() <-chan struct{} { return q.inputsReady }
 
 // Drain returns all inputs and empties the queue.
@@ -88,7 +89,8 @@
 	return inputs
 }
 
-// OpenStream returns the send queue of a new stream. closeConnection closes the stream's connection whatever it is doing.
+// OpenStream returns the send queue of a new stream. closeConnection closes the stream's connection at any time, also during
+// a read or a write.
 func (q *Queues) OpenStream(stream controller.StreamID, closeConnection func()) *SendQueue {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -107,7 +109,7 @@
 	}
 }
 
-// CloseStream ends a stream and its connection.
+// CloseStream closes a stream and its connection, if the stream is still open.
 func (q *Queues) CloseStream(stream controller.StreamID) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -120,7 +122,7 @@
 	s.closeConnection()
 }
 
-// signal wakes who waits for a channel of capacity 1, or who will.
+// signal wakes the receiver of a channel of capacity 1, or lets its next receive return at once.
 func signal(ready chan struct{}) {
 	select {
 	case ready <- struct{}{}:
--- a/internal/eventloop/sendqueue.go
+++ b/internal/eventloop/sendqueue.go
@@ -3,35 +3,37 @@
 import "lilacbend/internal/controller"
 
 const (
-	// maxItems bounds the updates that may wait on one stream. A proxy gets a few a second and reads at once, so this many wait
-	// only if it has stopped reading, and then its complete state is shorter than they are.
+	// maxItems limits the updates that may wait on one stream. A proxy gets a few updates a second and reads them at once,
+	// so the limit is reached only if the proxy has stopped reading. Its complete state is then shorter than the waiting
+	// updates.
 	maxItems = 64
-	// maxHealthChecks bounds the health checks of one stream whose replies may wait: a peer that sends more reads none.
+	// maxHealthChecks limits the waiting replies to health checks on one stream. A peer that sends more health checks does
+	// not read the replies.
 	maxHealthChecks = maxItems / 2
 )
 
-// Item is what is sent on a stream: an update, or the reply to a health check.
+// Item is an item of a send queue: an update, or the reply to a health check.
 type Item struct {
 	controller.Update
-	Number           uint64 // of the update, in the channel's account
+	Number           uint64 // of the update, as in controller.OutgoingUpdate
 	HealthCheckReply bool
 }
 
-// SendQueue holds what is to be sent on one stream. When it is full it drops all updates, asks the core for a resync, and takes
-// no other update before that.
+// SendQueue is the queue of items to be sent on one stream. When it is full it drops all updates, asks the core for a
+// resync, and drops each further update until the resync is enqueued.
 type SendQueue struct {
 	stream          controller.StreamID
 	closeConnection func()
-	queues          *Queues // whose mutex guards what follows
+	queues          *Queues // its mutex guards the fields below
 	items           []Item
-	healthChecks    int  // to be replied to, whatever becomes of the items
-	overflowed      bool // items were dropped, and no resync has come since
-	resyncRequested bool // since then
+	healthChecks    int  // still to be replied to, also if the items are dropped
+	overflowed      bool // items were dropped, and no resync was enqueued since
+	resyncRequested bool // a resync was requested after items were dropped
 	closing         bool
 	ready           chan struct{}
 }
 
-// enqueue appends an item. The caller holds the mutex.
+// enqueue appends an item, or drops it as described at SendQueue. The caller holds the mutex.
 func (s *SendQueue) enqueue(item Item) {
 	switch {
 	case s.overflowed && !item.Resync:
@@ -48,7 +50,8 @@
 	signal(s.ready)
 }
 
-// AnswerHealthCheck replies to a health check that came on the stream, before all updates that wait.
+// AnswerHealthCheck enqueues the reply to a health check that was received on the stream. It is sent before all waiting
+// updates.
 func (s *SendQueue) AnswerHealthCheck() {
 	s.queues.mu.Lock()
 	defer s.queues.mu.Unlock()
@@ -56,11 +59,11 @@
 	signal(s.ready)
 }
 
-// Next waits for the next item and removes it; false: the stream has ended, or done is closed.
+// Next waits for the next item and removes it. It returns false if the stream is closing or done is closed.
 func (s *SendQueue) Next(done <-chan struct{}) (Item, bool) {
 	for {
-		item, state := s.take()
-		switch state {
+		item, result := s.take()
+		switch result {
 		case taken:
 			return item, true
 		case ended:
@@ -76,18 +79,18 @@
 	}
 }
 
-// takeState is what take has found.
-type takeState int
+// takeResult is the kind of result that take returns.
+type takeResult int
 
 const (
-	empty       takeState = iota
-	taken                 // an item
-	needsResync           // nothing, and the core is to be asked for the complete state
-	ended                 // the stream is closing
+	empty       takeResult = iota // no item is waiting
+	taken                         // an item was removed
+	needsResync                   // no item is waiting, and the caller has to request a resync from the core
+	ended                         // the stream is closing
 )
 
 // take removes the next item, if there is one.
-func (s *SendQueue) take() (Item, takeState) {
+func (s *SendQueue) take() (Item, takeResult) {
 	s.queues.mu.Lock()
 	defer s.queues.mu.Unlock()
 	switch {
@@ -107,7 +110,7 @@
 	return Item{}, empty
 }
 
-// Close drops the send queue.
+// Close removes the send queue from its Queues, after which no update is appended to it.
 func (s *SendQueue) Close() {
 	s.queues.mu.Lock()
 	defer s.queues.mu.Unlock()
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -22,7 +22,7 @@
 		"1a0417000000050000001100" + "74776f2073657276657273206b6e6f776e"
 )
 
-func frame(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	b, err := hex.DecodeString(text)
 	if err != nil {
 		t.Fatal(err)
@@ -31,39 +31,39 @@
 }
 
 func TestReadBatchOfProtocolExample(t *testing.T) {
-	b, err := ReadBatch(bytes.NewReader(frame(t, eventsHex)))
-	if err != nil || len(b.Records) != 3 || b.Now != 8412250000 {
-		t.Fatalf("%v %+v", err, b)
+	batch, err := ReadBatch(bytes.NewReader(decodeHex(t, eventsHex)))
+	if err != nil || len(batch.Records) != 3 || batch.Now != 8412250000 {
+		t.Fatalf("%v %+v", err, batch)
 	}
-	wanted := []Record{
+	want := []Record{
 		{3, Input{control.Outcomes{Replica: 0x03124a07, Attempts: 14, Failures: 1, ResponseTime: 48250000, Period: 1e9, InFlight: -1}}},
 		{3, Input{control.TimerFired{Timer: 77}}},
 		{5, Input{control.StreamClosed{Proxy: 41}}},
 	}
-	for k, w := range wanted {
-		if b.Records[k] != w {
-			t.Errorf("record %d: got %+v, want %+v", k, b.Records[k], w)
+	for k, record := range want {
+		if batch.Records[k] != record {
+			t.Errorf("record %d: got %+v, want %+v", k, batch.Records[k], record)
 		}
 	}
 }
 
 func TestReplyOfProtocolExample(t *testing.T) {
-	var r Reply
-	r.Add(3, control.SetEndpoint{Table: 117, Replica: 0x2c9011f2, Weight: 0.75})
-	r.Add(3, control.SetTimer{Timer: 77, After: 500e6})
-	r.Add(5, control.Log{Text: "two servers known"})
-	if got := r.Frame(); !bytes.Equal(got, frame(t, commandsHex)) {
+	var reply Reply
+	reply.Add(3, control.SetEndpoint{Table: 117, Replica: 0x2c9011f2, Weight: 0.75})
+	reply.Add(3, control.SetTimer{Timer: 77, After: 500e6})
+	reply.Add(5, control.Log{Text: "two servers known"})
+	if got := reply.Frame(); !bytes.Equal(got, decodeHex(t, commandsHex)) {
 		t.Errorf("got  %x\nwant %s", got, commandsHex)
 	}
-	if got := r.Frame(); !bytes.Equal(got, []byte{4, 0, 0, 0}) {
+	if got := reply.Frame(); !bytes.Equal(got, []byte{4, 0, 0, 0}) {
 		t.Errorf("empty reply %x", got)
 	}
 }
 
 func TestReadBatchNamesFaultOfFrame(t *testing.T) {
 	for _, c := range []struct {
-		name, says string
-		change     func(b []byte) []byte
+		name, errorText string
+		change          func(b []byte) []byte
 	}{
 		{"cut header", "header cut off after 9 of 16", func(b []byte) []byte { return b[:9] }},
 		{"cut body", "cut off after 80 of 86", func(b []byte) []byte { return b[:80] }},
@@ -74,12 +74,12 @@
 		{"left over", "12 bytes are left over", func(b []byte) []byte { b[12] = 2; return b }},
 		{"load report", "load report of 9 values", func(b []byte) []byte { b[55] = 9; return b }},
 	} {
-		_, err := ReadBatch(bytes.NewReader(c.change(frame(t, eventsHex))))
-		if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: got %v, want %q", c.name, err, c.says)
+		_, err := ReadBatch(bytes.NewReader(c.change(decodeHex(t, eventsHex))))
+		if err == nil || errors.Is(err, io.EOF) || !strings.Contains(err.Error(), c.errorText) {
+			t.Errorf("%s: got %v, want %q", c.name, err, c.errorText)
 		}
 	}
-	complete := frame(t, eventsHex)
+	complete := decodeHex(t, eventsHex)
 	for cut := 1; cut < len(complete); cut++ {
 		if _, err := ReadBatch(bytes.NewReader(complete[:cut])); err == nil {
 			t.Errorf("cut after %d bytes, no error", cut)
@@ -91,15 +91,15 @@
 }
 
 func TestReadBatchSkipsUnknownRecords(t *testing.T) {
-	b := frame(t, eventsHex)
-	binary.LittleEndian.PutUint16(b[16:], 4711)
-	if got, err := ReadBatch(bytes.NewReader(b)); err != nil || len(got.Records) != 2 {
+	raw := decodeHex(t, eventsHex)
+	binary.LittleEndian.PutUint16(raw[16:], 4711)
+	if got, err := ReadBatch(bytes.NewReader(raw)); err != nil || len(got.Records) != 2 {
 		t.Errorf("%v %+v", err, got)
 	}
 }
 
 func FuzzReadBatch(f *testing.F) {
-	complete := frame(f, eventsHex)
+	complete := decodeHex(f, eventsHex)
 	for cut := range len(complete) {
 		f.Add(complete[:cut])
 	}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -37,11 +37,11 @@
 }
 
 // batch encodes a frame of one record.
-func batch(clockMillis float64, one []byte) []byte {
+func batch(clockMillis float64, encoded []byte) []byte {
 	b := binary.LittleEndian.AppendUint64(nil, math.Float64bits(clockMillis))
-	b = binary.LittleEndian.AppendUint32(b, uint32(batchHeaderSize+len(one)))
+	b = binary.LittleEndian.AppendUint32(b, uint32(batchHeaderSize+len(encoded)))
 	b = binary.LittleEndian.AppendUint32(b, 1)
-	return append(b, one...)
+	return append(b, encoded...)
 }
 
 // receivedRecords are one of each code that the simulator sends, and each form that a code has.
@@ -50,7 +50,7 @@
 	raw  []byte
 } {
 	const instance = uint32(3)
-	backends := func(mode uint8, entries ...any) []byte {
+	replicaList := func(mode uint8, entries ...any) []byte {
 		fields := append([]any{instance, uint64(9), mode, uint32(len(entries) / 7)}, entries...)
 		return record(t, 1120, fields...)
 	}
@@ -74,10 +74,10 @@
 		{"timer", record(t, 1100, instance, uint64(77))},
 		{"configure", record(t, 1110, instance, uint64(5), uint32(8), "zones=2\n", uint8(0xff))},
 		{"configure cut off", record(t, 1110, instance, uint64(5), uint32(9), "zones=2\n")},
-		{"endpoint list failed", backends(0)},
-		{"endpoint list complete", backends(1, uint32(7), uint8(1), uint8(0), uint16(4), uint8(0), float32(1.5), float64(0),
+		{"endpoint list failed", replicaList(0)},
+		{"endpoint list complete", replicaList(1, uint32(7), uint8(1), uint8(0), uint16(4), uint8(0), float32(1.5), float64(0),
 			uint32(8), uint8(0), uint8(2), uint16(4), uint8(2), float32(1), float64(12.5), uint32(9), uint8(1), uint8(1), uint16(4), uint8(1), float32(2), float64(7))},
-		{"endpoint list changes", backends(3, uint32(7), uint8(1), uint8(0), uint16(4), uint8(3), float32(1), float64(2))},
+		{"endpoint list changes", replicaList(3, uint32(7), uint8(1), uint8(0), uint16(4), uint8(3), float32(1), float64(2))},
 		{"endpoint list cut off", record(t, 1120, instance, uint64(9), uint8(1), uint32(1), uint32(7))},
 		{"skipped: 1130", record(t, 1130, instance, make([]byte, 3))},
 		{"skipped: unknown code", record(t, 4711, instance)},
