--- a/cmd/simadapter/instances.go
+++ b/cmd/simadapter/instances.go
@@ -11,7 +11,7 @@
 	"lilacbend/settings"
 )
 
-// instances are the running controllers. They share nothing but the reply.
+// instances are the running controllers, by instance number. They share nothing but the reply.
 type instances struct {
 	running map[uint32]*policy.Policy
 	reply   simwire.Reply
@@ -19,8 +19,8 @@
 
 func newInstances() *instances { return &instances{running: map[uint32]*policy.Policy{}} }
 
-// handle gives each instance its events of a batch, in the order of their numbers, so that the reply does not depend on the
-// order of a map.
+// handle passes its events of a batch to each instance, in the order of the instances' numbers, so that the reply does not
+// depend on the iteration order of a map.
 func (s *instances) handle(batch simwire.Batch) {
 	events := map[uint32][]simwire.Event{}
 	for _, record := range batch.Records {
@@ -31,7 +31,8 @@
 	}
 }
 
-// handleInstance gives an instance its events and adds its commands to the reply. A panic ends the instance with a fault.
+// handleInstance passes an instance its events and adds its commands to the reply. If the instance panics, it is ended and a
+// fault is added to the reply.
 func (s *instances) handleInstance(id uint32, now int64, events []simwire.Event) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -67,7 +68,8 @@
 	}
 }
 
-// start starts an instance, in place of one that is running. It is not running after an error.
+// start starts an instance and replaces one of the same number that is running. After an error no instance of that number
+// runs.
 func (s *instances) start(id uint32, configure simwire.Configure) error {
 	delete(s.running, id)
 	decoded, err := settings.ParseLines(configure.Text).Decode(configure.Seed)
--- a/cmd/simadapter/instances_test.go
+++ b/cmd/simadapter/instances_test.go
@@ -10,10 +10,10 @@
 	"lilacbend/policy"
 )
 
-// emptyReply is the frame without commands.
+// emptyReply is the frame of a reply without records.
 var emptyReply = []byte{4, 0, 0, 0}
 
-func TestInstanceThatCannotStartIsAFault(t *testing.T) {
+func TestStartErrorIsReportedAsFault(t *testing.T) {
 	s := newInstances()
 	s.handle(simwire.Batch{Records: []simwire.Record{{Instance: 4, Event: simwire.Configure{Text: "balancers=x"}}}})
 	if got := string(s.reply.Frame()); !strings.Contains(got, `setting balancers="x" is not a number`) {
@@ -21,12 +21,12 @@
 	}
 }
 
-func TestPanicIsAFault(t *testing.T) {
+func TestPanicIsReportedAsFault(t *testing.T) {
 	s := newInstances()
 	s.running[4] = nil
 	s.handleInstance(4, 0, nil)
 	if got := s.reply.Frame(); !bytes.Equal(got, emptyReply) {
-		t.Errorf("an instance that is not running replies %x", got)
+		t.Errorf("reply of an instance that is not running: %x", got)
 	}
 	s.running[4] = new(policy.Policy)
 	s.handleInstance(4, 0, []simwire.Event{simwire.Input{Event: control.StreamClosed{}}})
@@ -34,11 +34,11 @@
 		t.Errorf("reply %q", got)
 	}
 	if _, ok := s.running[4]; ok {
-		t.Error("the failed instance still runs")
+		t.Error("the instance is still running after a panic")
 	}
 }
 
-func TestUnknownEventIsAFault(t *testing.T) {
+func TestUnknownEventIsReportedAsFault(t *testing.T) {
 	s := newInstances()
 	s.handleInstance(4, 0, []simwire.Event{nil})
 	if got := string(s.reply.Frame()); !strings.Contains(got, "unknown event") {
@@ -59,12 +59,12 @@
 	}
 }
 
-func TestServeNamesIncompleteInput(t *testing.T) {
+func TestServeReportsIncompleteInput(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(strings.NewReader("short"), &out); err == nil || !strings.Contains(err.Error(), "5 of 16") {
-		t.Errorf("got %v", err)
+		t.Errorf("incomplete input: got error %v", err)
 	}
 	if err := serve(strings.NewReader(""), &out); err != nil {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("end of input between batches: got error %v", err)
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs any number of controllers for the simulator: batches of events on standard input, a reply to each on
-// standard output.
+// Command simadapter runs any number of controllers for the simulator. It reads batches of events from standard input and
+// writes a reply to each batch to standard output.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"lilacbend/internal/simwire"
 )
 
-// inputBufferSize, in bytes, holds most batches.
+// inputBufferSize, in bytes, is larger than most batches.
 const inputBufferSize = 1 << 16
 
 func main() {
@@ -22,7 +22,7 @@
 	}
 }
 
-// serve replies to all batches of the input.
+// serve replies to all batches of the input, until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, inputBufferSize)
 	output := bufio.NewWriter(out)
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -12,7 +12,7 @@
 // Configure starts an instance.
 type Configure struct {
 	Seed uint64
-	Text string // the settings
+	Text string // the settings, in the form that settings.ParseLines reads
 }
 
 // Killed ends an instance.
@@ -43,13 +43,13 @@
 	codeGiven               = 1130
 )
 
-// recordFormat is how the fields of a code are decoded.
+// recordFormat is the format of a record's fields.
 type recordFormat struct {
 	minSize int // in bytes, with the instance
 	decode  func(*fieldReader) (Event, error)
 }
 
-// recordFormats are the formats of the known codes. A code without decode has a known size and no use.
+// recordFormats are the formats of the known codes. Records of a code without decode are only checked for their size.
 var recordFormats = map[uint16]recordFormat{
 	codeStreamClosed:        {minSize: 6, decode: decodeStreamClosed},
 	codeStreamOpened:        {minSize: 12, decode: decodeStreamOpened},
@@ -67,7 +67,7 @@
 	codeGiven:               {minSize: 7},
 }
 
-// decodeRecord returns the record of a code. Its event is nil if the record is to be skipped.
+// decodeRecord decodes a record of the given code. The record's event is nil if the record must be skipped.
 func decodeRecord(code uint16, raw []byte) (Record, error) {
 	format, known := recordFormats[code]
 	if !known {
@@ -150,7 +150,7 @@
 	return Input{control.TimerFired{Timer: fields.uint64()}}, nil
 }
 
-// healthCheckOK is the result of a health check that succeeded.
+// healthCheckOK is the result code of a health check that succeeded.
 const healthCheckOK = 1
 
 func decodeHealthCheckFinished(fields *fieldReader) (Event, error) {
@@ -165,7 +165,7 @@
 	return Input{finished}, nil
 }
 
-// inFlightUnknown is the number of requests in flight without a load report.
+// inFlightUnknown is the number of requests in flight if there is no load report.
 const inFlightUnknown = -1
 
 // decodeLoadReport returns the first value of a load report, which is the number of requests in flight.
@@ -181,7 +181,7 @@
 	return fields.float32(), nil
 }
 
-// Modes of a list of replicas, of which all others are complete lists, too.
+// Modes of a list of replicas. Every mode but listChanges is a complete list; that of listFailed is marked as failed.
 const (
 	listFailed  = 0
 	listChanges = 3
@@ -189,7 +189,7 @@
 
 func decodeReplicasListed(fields *fieldReader) (Event, error) {
 	const entrySize = 21
-	fields.uint64() // the list's version: events arrive in order and none is missing
+	fields.uint64() // the list's version, which is not needed: events arrive in order and none is missing
 	mode := fields.uint8()
 	count := uint64(fields.uint32())
 	if count*entrySize > uint64(len(fields.rest)) {
@@ -207,14 +207,14 @@
 	replica.Replica = fields.uint32()
 	replica.Zone = int(fields.uint8())
 	replica.HardwareClass = int(fields.uint8())
-	fields.uint16() // its cell
+	fields.uint16() // the replica's cell, which is not needed
 	replica.State = replicaState(fields.uint8())
 	replica.Weight = fields.float32()
 	replica.Start = fields.milliseconds()
 	return replica
 }
 
-// Phases of a replica, of which all others mean that it is gone.
+// Phases of a replica. In every other phase the replica is gone.
 const (
 	phaseReady    = 0
 	phaseDraining = 2
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -7,7 +7,7 @@
 	"lilacbend/control"
 )
 
-// fieldReader reads fields one after another. Callers check that there are enough bytes before.
+// fieldReader reads fields one after another. Callers must check that enough bytes are left before they read a field.
 type fieldReader struct{ rest []byte }
 
 func (r *fieldReader) next(size int) []byte {
@@ -21,7 +21,7 @@
 func (r *fieldReader) uint32() uint32 { return binary.LittleEndian.Uint32(r.next(4)) }
 func (r *fieldReader) uint64() uint64 { return binary.LittleEndian.Uint64(r.next(8)) }
 
-// float32 reads a number of that precision, which is finite in any case.
+// float32 reads a number of that precision. The result is always finite.
 func (r *fieldReader) float32() float64 {
 	return control.Finite(float64(math.Float32frombits(r.uint32())))
 }
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -1,5 +1,5 @@
 // Package simwire reads and writes the simulator's frames: little-endian records without padding. It decodes events of the
-// simulator and encodes commands of the decision module. It decides nothing.
+// simulator and encodes commands of the decision module. It makes no decisions itself.
 package simwire
 
 import (
@@ -18,28 +18,29 @@
 	replyHeaderSize  = 4
 	recordHeaderSize = 6
 	maxFrameSize     = 1 << 30
-	// instanceSize is the size of the first field of each record, the instance that it is for.
+	// instanceSize is the size of the first field of each record, which is the number of the instance that the record is
+	// for.
 	instanceSize = 4
 )
 
-// Positions in the header of a batch. The clock is at its start.
+// Positions in the header of a batch. The header begins with the clock.
 const (
 	batchSizeOffset  = 8
 	batchCountOffset = 12
 )
 
-// recordSizeOffset is the position of the fields' size in the header of a record. The code is at its start.
+// recordSizeOffset is the position of the fields' size in the header of a record. The header begins with the code.
 const recordSizeOffset = 2
 
-var errClock = errors.New("clock is not a number")
+var errClock = errors.New("frame's clock is not a finite number")
 
-// Batch is all that happens at one clock time.
+// Batch is all events of one clock time.
 type Batch struct {
 	Now     int64 // nanoseconds
 	Records []Record
 }
 
-// Record is one event and the instance that it is for.
+// Record is one event and the number of the instance that it is for.
 type Record struct {
 	Instance uint32
 	Event    Event
@@ -58,14 +59,14 @@
 	size := binary.LittleEndian.Uint32(header[batchSizeOffset:])
 	count := binary.LittleEndian.Uint32(header[batchCountOffset:])
 	if size < batchHeaderSize || size > maxFrameSize {
-		return Batch{}, fmt.Errorf("frame length %d is impossible", size)
+		return Batch{}, fmt.Errorf("frame length %d is not between 16 bytes and 1 GiB", size)
 	}
 	if uint64(count)*recordHeaderSize > uint64(size-batchHeaderSize) {
 		return Batch{}, fmt.Errorf("record count %d does not fit a frame of %d bytes", count, size)
 	}
 	body, err := io.ReadAll(io.LimitReader(input, int64(size-batchHeaderSize)))
 	if err != nil {
-		return Batch{}, fmt.Errorf("frame of %d bytes: %w", size, err)
+		return Batch{}, fmt.Errorf("reading a frame of %d bytes: %w", size, err)
 	}
 	if len(body) != int(size-batchHeaderSize) {
 		return Batch{}, fmt.Errorf("frame cut off after %d of %d bytes", len(body)+batchHeaderSize, size)
@@ -77,14 +78,14 @@
 	return decodeBatch(control.Nanos(clock), body, int(count))
 }
 
-// decodeBatch decodes the records of a frame. Records of unknown codes, and those that no instance needs, are skipped.
+// decodeBatch decodes the records of a frame. It skips records of unknown codes and records that no instance needs.
 func decodeBatch(now int64, body []byte, count int) (Batch, error) {
 	batch := Batch{Now: now}
 	offset := 0
 	for k := range count {
 		position := offset + batchHeaderSize
 		if len(body)-offset < recordHeaderSize {
-			return batch, fmt.Errorf("record %d at byte %d: head cut off", k, position)
+			return batch, fmt.Errorf("record %d at byte %d: header cut off", k, position)
 		}
 		code := binary.LittleEndian.Uint16(body[offset:])
 		size := int(binary.LittleEndian.Uint32(body[offset+recordSizeOffset:]))
@@ -108,7 +109,8 @@
 	return batch, nil
 }
 
-// describeInstance returns which instance a record is for, for the text of an error, as far as the fields have it.
+// describeInstance returns the instance that a record is for as part of an error text, or nothing if the fields are cut off
+// before it.
 func describeInstance(fields []byte) string {
 	if len(fields) < instanceSize {
 		return ""
--- a/internal/simwire/frame_test.go
+++ b/internal/simwire/frame_test.go
@@ -33,7 +33,7 @@
 func TestReadBatchOfProtocolExample(t *testing.T) {
 	batch, err := ReadBatch(bytes.NewReader(decodeHex(t, eventsHex)))
 	if err != nil || len(batch.Records) != 3 || batch.Now != 8412250000 {
-		t.Fatalf("%v %+v", err, batch)
+		t.Fatalf("got error %v, batch %+v", err, batch)
 	}
 	want := []Record{
 		{3, Input{control.Outcomes{Replica: 0x03124a07, Attempts: 14, Failures: 1, ResponseTime: 48250000, Period: 1e9, InFlight: -1}}},
@@ -56,22 +56,22 @@
 		t.Errorf("got  %x\nwant %s", got, commandsHex)
 	}
 	if got := reply.Frame(); !bytes.Equal(got, []byte{4, 0, 0, 0}) {
-		t.Errorf("empty reply %x", got)
+		t.Errorf("frame of an empty reply: got %x", got)
 	}
 }
 
-func TestReadBatchNamesFaultOfFrame(t *testing.T) {
+func TestReadBatchReportsInvalidFrame(t *testing.T) {
 	for _, c := range []struct {
 		name, errorText string
 		change          func(b []byte) []byte
 	}{
-		{"cut header", "header cut off after 9 of 16", func(b []byte) []byte { return b[:9] }},
-		{"cut body", "cut off after 80 of 86", func(b []byte) []byte { return b[:80] }},
-		{"length", "length 3 is impossible", func(b []byte) []byte { b[8] = 3; return b }},
-		{"count", "record count 4278190083", func(b []byte) []byte { b[15] = 255; return b }},
+		{"header cut off", "header cut off after 9 of 16", func(b []byte) []byte { return b[:9] }},
+		{"body cut off", "cut off after 80 of 86", func(b []byte) []byte { return b[:80] }},
+		{"frame length", "frame length 3 is not between 16 bytes", func(b []byte) []byte { b[8] = 3; return b }},
+		{"record count", "record count 4278190083", func(b []byte) []byte { b[15] = 255; return b }},
 		{"record length", "for instance", func(b []byte) []byte { b[18] = 30; return b }},
-		{"past the end", "passes the frame's end", func(b []byte) []byte { b[76] = 7; return b }},
-		{"left over", "12 bytes are left over", func(b []byte) []byte { b[12] = 2; return b }},
+		{"record past the end of the frame", "passes the frame's end", func(b []byte) []byte { b[76] = 7; return b }},
+		{"bytes after the last record", "12 bytes are left over", func(b []byte) []byte { b[12] = 2; return b }},
 		{"load report", "load report of 9 values", func(b []byte) []byte { b[55] = 9; return b }},
 	} {
 		_, err := ReadBatch(bytes.NewReader(c.change(decodeHex(t, eventsHex))))
@@ -82,11 +82,11 @@
 	complete := decodeHex(t, eventsHex)
 	for cut := 1; cut < len(complete); cut++ {
 		if _, err := ReadBatch(bytes.NewReader(complete[:cut])); err == nil {
-			t.Errorf("cut after %d bytes, no error", cut)
+			t.Errorf("no error for a frame that is cut off after %d bytes", cut)
 		}
 	}
 	if _, err := ReadBatch(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
-		t.Errorf("end of input: %v", err)
+		t.Errorf("at the end of the input: got %v, want io.EOF", err)
 	}
 }
 
@@ -94,7 +94,7 @@
 	raw := decodeHex(t, eventsHex)
 	binary.LittleEndian.PutUint16(raw[16:], 4711)
 	if got, err := ReadBatch(bytes.NewReader(raw)); err != nil || len(got.Records) != 2 {
-		t.Errorf("%v %+v", err, got)
+		t.Errorf("got error %v, batch %+v", err, got)
 	}
 }
 
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -17,7 +17,7 @@
 	sentFile     = "sent.golden"
 )
 
-// record encodes a record that the simulator sends: code, length of the fields, fields.
+// record encodes a record as the simulator sends it: code, size of the fields, fields.
 func record(t *testing.T, code uint16, fields ...any) []byte {
 	t.Helper()
 	var body []byte
@@ -36,7 +36,7 @@
 	return append(b, body...)
 }
 
-// batch encodes a frame of one record.
+// batch encodes a frame that has one record.
 func batch(clockMillis float64, encoded []byte) []byte {
 	b := binary.LittleEndian.AppendUint64(nil, math.Float64bits(clockMillis))
 	b = binary.LittleEndian.AppendUint32(b, uint32(batchHeaderSize+len(encoded)))
@@ -44,7 +44,7 @@
 	return append(b, encoded...)
 }
 
-// receivedRecords are one of each code that the simulator sends, and each form that a code has.
+// receivedRecords returns records of each code that the simulator sends and of each form of its fields, and invalid records.
 func receivedRecords(t *testing.T) []struct {
 	name string
 	raw  []byte
@@ -97,7 +97,7 @@
 	case Input:
 		return describeInput(t, ev.Event)
 	}
-	t.Fatalf("event %T is not described", event)
+	t.Fatalf("no text for an event of type %T", event)
 	return ""
 }
 
@@ -126,11 +126,11 @@
 		}
 		return text
 	}
-	t.Fatalf("event %T is not described", event)
+	t.Fatalf("no text for an event of type %T", event)
 	return ""
 }
 
-// received returns for each record its bytes and what is read from them.
+// received returns as text, for each record, the bytes of its frame and the batch or error that ReadBatch returns.
 func received(t *testing.T) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -148,7 +148,7 @@
 	return b.Bytes()
 }
 
-// sent returns the frame of each command that has a record, of a fault, of several together and of none.
+// sent returns as text the frames of each command, of a fault, of records of several instances, and of an empty reply.
 func sent() []byte {
 	var b bytes.Buffer
 	var r Reply
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -21,10 +21,10 @@
 	codeFault        = 1110 // Fault
 )
 
-// Reply collects the commands of all instances of a batch.
+// Reply collects the commands of all instances for one batch.
 type Reply struct{ raw []byte }
 
-// begin appends the header of a record and the instance, and returns the record's position. The size is set by end.
+// begin appends the header of a record and its instance, and returns the record's position. The header's size is set by end.
 func (r *Reply) begin(code uint16, instance uint32) int {
 	position := len(r.raw)
 	r.raw = binary.LittleEndian.AppendUint16(r.raw, code)
@@ -33,7 +33,7 @@
 	return position
 }
 
-// end sets the size of the record at a position.
+// end sets the size in the header of the record at position, which must be the last record.
 func (r *Reply) end(position int) {
 	size := len(r.raw) - position - recordHeaderSize
 	binary.LittleEndian.PutUint32(r.raw[position+recordSizeOffset:], uint32(size))
@@ -57,7 +57,7 @@
 	}
 }
 
-// text appends the size of a text and the text, of which the largest size is kept.
+// text appends the size of a text and the text, which is cut off at the largest size.
 func (r *Reply) text(text string) {
 	if len(text) > math.MaxUint16 {
 		text = text[:math.MaxUint16]
@@ -66,8 +66,8 @@
 	r.raw = append(r.raw, text...)
 }
 
-// Add appends one command of an instance. It panics for a command that the simulator does not know, which is a fault of the
-// decision module.
+// Add appends one command of an instance. It panics if the simulator's protocol has no record for the command, which is an
+// error of the decision module.
 func (r *Reply) Add(instance uint32, command control.Command) {
 	code := commandCode(command)
 	position := r.begin(code, instance)
@@ -129,14 +129,14 @@
 	}
 }
 
-// Fault appends that an instance has failed, and why.
+// Fault appends a record that reports that an instance has failed, and the reason.
 func (r *Reply) Fault(instance uint32, reason string) {
 	position := r.begin(codeFault, instance)
 	r.text(reason)
 	r.end(position)
 }
 
-// Frame returns the frame of the collected commands, and empties the reply.
+// Frame returns the frame of the collected records, and empties the reply.
 func (r *Reply) Frame() []byte {
 	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(r.raw)+replyHeaderSize))
 	frame = append(frame, r.raw...)
