--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -95,7 +95,7 @@
 	if err := <-ended; err != nil || time.Since(start) > 2*shutdownTimeout {
 		t.Errorf("ended after %v: %v", time.Since(start), err)
 	}
-	for _, says := range []string{"msg=serving", "discovery failed", "in.joins=1", "answered.alive=1", "sent.whole=1"} {
+	for _, says := range []string{"msg=serving", "discovery call failed", "in.joins=1", "answered.alive=1", "sent.whole=1"} {
 		if !out.has(says) {
 			t.Errorf("no %q in the log", says)
 		}
--- a/cmd/simadapter/instances.go
+++ b/cmd/simadapter/instances.go
@@ -19,7 +19,7 @@
 
 func newInstances() *instances { return &instances{running: map[uint32]*policy.Policy{}} }
 
-// handle passes its events of a batch to each instance, in the order of the instances' numbers, so that the reply does not
+// handle passes each instance its events of a batch, in the order of the instances' numbers, so that the reply does not
 // depend on the iteration order of a map.
 func (s *instances) handle(batch simwire.Batch) {
 	events := map[uint32][]simwire.Event{}
--- a/cmd/simadapter/instances_test.go
+++ b/cmd/simadapter/instances_test.go
@@ -17,7 +17,7 @@
 	s := newInstances()
 	s.handle(simwire.Batch{Records: []simwire.Record{{Instance: 4, Event: simwire.Configure{Text: "balancers=x"}}}})
 	if got := string(s.reply.Frame()); !strings.Contains(got, `setting balancers="x" is not a number`) {
-		t.Errorf("reply %q", got)
+		t.Errorf("reply %q does not report the invalid setting", got)
 	}
 }
 
@@ -31,7 +31,7 @@
 	s.running[4] = new(policy.Policy)
 	s.handleInstance(4, 0, []simwire.Event{simwire.Input{Event: control.StreamClosed{}}})
 	if got := string(s.reply.Frame()); !strings.Contains(got, "the module failed") {
-		t.Errorf("reply %q", got)
+		t.Errorf("reply %q does not report the panic", got)
 	}
 	if _, ok := s.running[4]; ok {
 		t.Error("the instance is still running after a panic")
@@ -42,7 +42,7 @@
 	s := newInstances()
 	s.handleInstance(4, 0, []simwire.Event{nil})
 	if got := string(s.reply.Frame()); !strings.Contains(got, "unknown event") {
-		t.Errorf("reply %q", got)
+		t.Errorf("reply %q does not report the unknown event", got)
 	}
 }
 
@@ -55,7 +55,7 @@
 		{Instance: 4, Event: closed},
 	}})
 	if got := s.reply.Frame(); !bytes.Equal(got, emptyReply) {
-		t.Errorf("reply %x", got)
+		t.Errorf("reply %x, want one without records", got)
 	}
 }
 
--- a/internal/controlserver/join.go
+++ b/internal/controlserver/join.go
@@ -21,7 +21,7 @@
 	// lingerTimeout is how long a rejected connection is read and its data discarded, unless the peer closes it before.
 	// The sum of joinTimeout and lingerTimeout is well below the 3 s within which the server has to answer.
 	lingerTimeout = 500 * time.Millisecond
-	// maxJoinBytes is the largest size of a message of a peer that has not joined.
+	// maxJoinBytes is the maximum size of a message from a peer that has not joined.
 	maxJoinBytes = resp.BufferSize
 	// maxLateBytes limits how many bytes of already received data are read after the join deadline. It bounds the work for a
 	// peer that never stops sending.
--- a/internal/controlserver/protocol_test.go
+++ b/internal/controlserver/protocol_test.go
@@ -39,7 +39,7 @@
 		if routes, hasClasses := part.lookup("routes"); hasClasses {
 			for _, name := range strings.Split(routes, "+") {
 				fraction, _ := part.lookup("admit")
-				index := slices.IndexFunc(update.Admissions, func(l controller.Admission) bool { return l.Class == name })
+				index := slices.IndexFunc(update.Admissions, func(a controller.Admission) bool { return a.Class == name })
 				if fraction != formatWeight(update.Admissions[index].Fraction) {
 					t.Errorf("class %s gets the wrong fraction %s", name, fraction)
 				}
--- a/internal/controlserver/read.go
+++ b/internal/controlserver/read.go
@@ -24,7 +24,7 @@
 	return err
 }
 
-// handle answers a health check, lets a peer join, or enqueues the message of a peer that has joined as an event.
+// handle answers a health check, lets a peer join, or enqueues the event for a message of a peer that has joined.
 func (p *peer) handle(words []string) error {
 	if len(words) > 0 && words[0] == messageHealthCheck && p.role != collector {
 		return p.answerHealthCheck()
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// requireOwnID records a fault if a message names another proxy than the one that has joined on this stream.
+// requireOwnID records a fault if a message names a proxy other than the one that has joined on this stream.
 func (p *peer) requireOwnID(m *message, id int) {
 	if id != p.id {
 		m.failf("%s of %d on the stream of %d", m.kind, id, p.id)
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -87,8 +87,8 @@
 	for timeout := time.After(10 * time.Second); len(events) < n; {
 		select {
 		case <-s.queues.Ready():
-			events = append(events, slices.DeleteFunc(s.queues.Drain(), func(n controller.Input) bool {
-				_, isMessageSent := n.(controller.MessageSent)
+			events = append(events, slices.DeleteFunc(s.queues.Drain(), func(input controller.Input) bool {
+				_, isMessageSent := input.(controller.MessageSent)
 				return isMessageSent
 			})...)
 		case <-timeout:
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -95,8 +95,8 @@
 	return &pacedConn{Conn: conn}, nil
 }
 
-// handleCallError sets, after a failed call, how the next call is made. It returns nil if the service only closed the
-// connection after an earlier answer.
+// handleCallError decides how the next call is made after a failed one: with more read time, or for the complete list. It
+// returns nil if the service only closed the connection after an earlier answer.
 func (c *Client) handleCallError(conn *pacedConn, err error, answers int) error {
 	switch {
 	case answers > 0 && !conn.received && !isTimeout(err):
@@ -109,7 +109,7 @@
 	return err
 }
 
-// resetReadTime restores the initial read time after an answer that took no longer than that.
+// resetReadTime restores the initial read time after an answer that arrived within it.
 func (c *Client) resetReadTime(conn *pacedConn) {
 	if time.Until(conn.finalDeadline) > c.readTime-initialReadTime {
 		c.readTime = initialReadTime
@@ -153,7 +153,7 @@
 		query = fmt.Sprintf("?since=%d&timeout_ms=%d", c.revision, wait.Milliseconds())
 	}
 	conn.expect(wait, c.readTime)
-	_, err := fmt.Fprintf(conn, "GET %s%s HTTP/1.1\r\nHost: %s\r\n\r\n", path, query, c.address)
+	_, err := fmt.Fprintf(conn, "GET %s%s HTTP/1.1\r\nHost: %s\r\n\r\n", instancesPath, query, c.address)
 	return err
 }
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	path = "/registry/instances"
+	instancesPath = "/registry/instances"
 	// watchTimeout is how long a watch waits for changes. By the protocol, a change counts as delivered 2 s after the wait
 	// of a watch, whether it has arrived or not. A short wait limits the delay that a silently dead connection causes.
 	watchTimeout = 2 * time.Second
@@ -56,7 +56,7 @@
 	addresses chan string // requested by SetAddress; holds only the latest
 	queues    *eventloop.Queues
 	log       *slog.Logger
-	clock     func() int64 // nanoseconds; the receive time of a list
+	clock     func() int64 // returns the receive time of a list, in nanoseconds
 	retry     *backoff.Backoff
 
 	revision     int64         // of the list in use
@@ -147,7 +147,7 @@
 		c.retry.Reset()
 	}
 	if !c.failing {
-		c.log.Warn("discovery failed", "error", err, "answers", answers, "revision", c.revision)
+		c.log.Warn("discovery call failed", "error", err, "answers", answers, "revision", c.revision)
 	}
 	c.failing = true
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -142,7 +142,7 @@
 		"over the limit": {"HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat(" ", maxBodySize+1), StageBody, "exceeds ", false, 0},
 	} {
 		client, queues := newTestClient(41)
-		conn := answerOnce(t, path, c.text)
+		conn := answerOnce(t, instancesPath, c.text)
 		got, err := client.call(conn, bufio.NewReader(iotest.HalfReader(conn)))
 		var callError *CallError
 		if errors.As(err, &callError) != (c.stage != "") {
@@ -157,12 +157,12 @@
 		conn.Close()
 	}
 	client, queues := newTestClient(41)
-	conn := answerOnce(t, path, sized[:9], sized[9:40], sized[40:99], sized[99:]) // takes longer than answerTimeout
+	conn := answerOnce(t, instancesPath, sized[:9], sized[9:40], sized[40:99], sized[99:]) // takes longer than answerTimeout
 	if _, err := client.call(conn, bufio.NewReader(conn)); err != nil || len(queues.Drain()) != 1 {
 		t.Errorf("answer in slow pieces: %v", err)
 	}
 	client.synced = true
-	conn = answerOnce(t, fmt.Sprintf("%s?since=41&timeout_ms=%d", path, watchTimeout.Milliseconds()), sized)
+	conn = answerOnce(t, fmt.Sprintf("%s?since=41&timeout_ms=%d", instancesPath, watchTimeout.Milliseconds()), sized)
 	if _, err := client.call(conn, bufio.NewReader(conn)); err != nil { // the watch
 		t.Error(err)
 	}
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -21,8 +21,8 @@
 
 // The client's request lines. watchLine is a format string with the revision as its argument.
 const (
-	watchLine        = "GET " + path + "?since=%d&timeout_ms=2000 HTTP/1.1"
-	completeListLine = "GET " + path + " HTTP/1.1"
+	watchLine        = "GET " + instancesPath + "?since=%d&timeout_ms=2000 HTTP/1.1"
+	completeListLine = "GET " + instancesPath + " HTTP/1.1"
 )
 
 // listAnswer returns an answer of discovery that has one member and keeps the connection open.
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -46,7 +46,7 @@
 			}
 			agent.Close()
 			conn.Reset() // the agent is gone
-			scriptedpeer.WaitFor(t, "no failure is logged after the agent has gone", func() bool { return log.count("discovery failed") == 1 })
+			scriptedpeer.WaitFor(t, "no failure is logged after the agent has gone", func() bool { return log.count("discovery call failed") == 1 })
 		})
 	}
 }
@@ -80,7 +80,7 @@
 			if published := nextList(t, queues); published.Revision != 45 || !published.Complete {
 				t.Errorf("published %+v", published)
 			}
-			if log.count("discovery failed") != 1 || log.count("discovery recovered") != 0 {
+			if log.count("discovery call failed") != 1 || log.count("discovery recovered") != 0 {
 				t.Errorf("log: %s", log.text.String())
 			}
 			conn.SendRaw(unchangedAnswer(45))
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -157,7 +157,7 @@
 				if calls := time.Duration(queues.Counters.DiscoveryCalls.Load()); calls > c.maxCalls {
 					t.Errorf("%d calls in %v, want at most %d", calls, span, c.maxCalls)
 				}
-				if failures := log.count("discovery failed"); failures > 1 || (failures == 1) != c.wantFailure || log.count("discovery recovered") > 0 {
+				if failures := log.count("discovery call failed"); failures > 1 || (failures == 1) != c.wantFailure || log.count("discovery recovered") > 0 {
 					t.Errorf("log: %.400s", log.text.String())
 				}
 				if (queues.Counters.DiscoveryErrors.Load() > 0) != c.wantFailure {
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -32,7 +32,7 @@
 // recordSizeOffset is the position of the fields' size in the header of a record. The header begins with the code.
 const recordSizeOffset = 2
 
-var errClock = errors.New("frame's clock is not a finite number")
+var errInvalidClock = errors.New("frame's clock is not a finite number")
 
 // Batch is all events of one clock time.
 type Batch struct {
@@ -73,7 +73,7 @@
 	}
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(header[:]))
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
-		return Batch{}, errClock
+		return Batch{}, errInvalidClock
 	}
 	return decodeBatch(control.Nanos(clock), body, int(count))
 }
