--- a/internal/controlclient/outcome_report.go
+++ b/internal/controlclient/outcome_report.go
@@ -88,7 +88,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := monotonicNow()
-	from := max(p.outcomes.Began(), now-2*int64(p.interval))
+	from := max(p.outcomes.RoundStartedAt(), now-2*int64(p.interval))
 	p.outcomes.Add(report.replica, report.sum(), from, now)
 }
 
@@ -103,7 +103,7 @@
 func (p *pendingOutcomes) begin() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.outcomes.Begin(monotonicNow())
+	p.outcomes.BeginRound(monotonicNow())
 }
 
 // next gives the next report of the round; false: there is none, or no more is allowed.
@@ -117,7 +117,7 @@
 func (p *pendingOutcomes) spent(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.outcomes.Spent(bytes)
+	p.outcomes.RecordSent(bytes)
 }
 
 var processStart = time.Now()
--- a/internal/controlclient/reporter.go
+++ b/internal/controlclient/reporter.go
@@ -82,7 +82,7 @@
 		return
 	}
 	if r.current.confirmed() {
-		r.selector.Confirmed(r.current.address)
+		r.selector.RecordSuccess(r.current.address)
 	}
 	now := time.Now()
 	switch {
@@ -96,7 +96,7 @@
 // giveUp closes the current connection and leaves its collector alone for a while.
 func (r *Reporter) giveUp(now time.Time) {
 	r.Failovers.Add(1)
-	r.selector.Failed(r.current.address, now.UnixNano())
+	r.selector.RecordFailure(r.current.address, now.UnixNano())
 	r.disconnect()
 }
 
@@ -109,7 +109,7 @@
 			r.current = conn
 			return
 		}
-		r.selector.Failed(address, time.Now().UnixNano())
+		r.selector.RecordFailure(address, time.Now().UnixNano())
 		if ctx.Err() != nil {
 			return
 		}
@@ -126,12 +126,12 @@
 	case r.candidate == nil:
 		r.dialCandidate(ctx, now)
 	case r.candidate.confirmed():
-		r.selector.Confirmed(r.candidate.address)
+		r.selector.RecordSuccess(r.candidate.address)
 		r.Unconfirmed.Add(int64(r.current.close()))
 		r.current = r.candidate
 		r.candidate = nil
 	case r.candidate.silent(now) || r.candidate.ended():
-		r.selector.Failed(r.candidate.address, now.UnixNano())
+		r.selector.RecordFailure(r.candidate.address, now.UnixNano())
 		r.dropCandidate()
 	}
 }
@@ -144,12 +144,12 @@
 	}
 	conn, err := dialCollector(ctx, address, min(r.Interval, dialTimeout), r.pool)
 	if err != nil {
-		r.selector.Failed(address, now.UnixNano())
+		r.selector.RecordFailure(address, now.UnixNano())
 		return
 	}
 	r.candidate = conn
 	if conn.probe(0) != nil {
-		r.selector.Failed(address, now.UnixNano())
+		r.selector.RecordFailure(address, now.UnixNano())
 		r.dropCandidate()
 	}
 }
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// admitsFraction admits a fraction of the requests by chance. It draws only where the fraction leaves a choice.
+// admitsFraction admits a fraction of the requests at random. It draws a random number only for a fraction between 0 and 1.
 func (d *Dispatcher) admitsFraction(fraction float64) bool {
 	if fraction >= 1 {
 		return true
@@ -31,8 +31,8 @@
 	return fraction > 0 && d.random(&d.admissions) <= fraction
 }
 
-// enqueue lets a request wait for capacity, unless too many wait or its time is over. The reason is that of its
-// rejection where it may not even begin to wait.
+// enqueue lets a request wait for capacity. If the queue is full, the request is rejected for the given reason; once it has
+// waited for the maximum queue time, or its deadline has passed, for ErrQueueTimeout.
 func (d *Dispatcher) enqueue(now int64, r *Request, reason Reason) Step {
 	if !r.queued {
 		if d.queued >= d.config.MaxQueued {
@@ -49,7 +49,7 @@
 	return Step{Wait: true, Deadline: deadline}
 }
 
-// dequeue takes a request out of those that wait, if it does.
+// dequeue removes a request from the queue, if it is queued.
 func (d *Dispatcher) dequeue(r *Request) {
 	if r.queued {
 		r.queued = false
@@ -57,7 +57,7 @@
 	}
 }
 
-// tokenBucket admits a rate of requests. It holds the tokens of at most one second.
+// tokenBucket limits the rate of requests. It holds the tokens of at most one second, or one token if that is more.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt int64 // 0: never
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,9 +1,10 @@
 // Package dispatch decides what a sidecar does with a request: whether it is admitted, which replica it is sent to,
-// whether a failed attempt is retried, and when the request is given up. It holds the tables that a controller has
-// sent and ejects replicas by the failures that this sidecar sees. Each request gets exactly one final step.
+// whether a failed attempt is retried, and when the sidecar gives up on the request. It holds the tables that a
+// controller has sent, and ejects replicas by the failures that this sidecar observes. Each request gets exactly one
+// final step.
 //
-// The package does no I/O, reads no clock and starts no goroutine. Times are nanoseconds of any one clock, random
-// choices are drawn from a seed. A Dispatcher is not safe for concurrent use.
+// The package does no I/O, reads no clock and starts no goroutine. Callers pass times in nanoseconds of one clock of their
+// choice, and random choices derive from a seed. A Dispatcher is not safe for concurrent use.
 package dispatch
 
 import (
@@ -21,16 +22,17 @@
 	control.TrafficClass
 }
 
-// Config is what a Dispatcher is given before its first request.
+// Config is the configuration of a Dispatcher.
 type Config struct {
 	Seed      uint64
 	Classes   []Class
 	Pick      control.PickPolicy
 	Admission control.AdmissionMode
 
-	// AttemptTimeoutFactor is the timeout of an attempt that may be retried, in latency objectives of its class.
+	// AttemptTimeoutFactor is the timeout of an attempt that may be retried, as a multiple of the latency objective of its
+	// class.
 	AttemptTimeoutFactor float64
-	// DefaultRetry is the retry policy of classes for which no controller has sent one.
+	// DefaultRetry is the retry policy of the classes for which no controller has sent one.
 	DefaultRetry control.RetryPolicy
 
 	// MaxConsecutiveFailures is the number of failures in a row after which a replica is ejected; 0: never.
@@ -40,31 +42,31 @@
 
 	// RetryBudgetRatio is the fraction of the requests that may be retries.
 	RetryBudgetRatio float64
-	// RetryBudgetBurst is the number of retries that may be saved up.
+	// RetryBudgetBurst is the largest number of unused retries that the budget keeps for later.
 	RetryBudgetBurst float64
 
 	MaxRequests           int // in flight
 	MaxRequestsPerReplica int // in flight; 0: no limit
-	MaxQueued             int // requests that wait for capacity
+	MaxQueued             int // waiting for capacity
 	MaxQueueTime          time.Duration
 }
 
-// Dispatcher is the state of one sidecar.
+// Dispatcher holds the dispatch state of one sidecar.
 type Dispatcher struct {
 	config     Config
 	admissions randomSequence
 	picks      randomSequence
 	tables     []table // by class
 
-	// ejectedByController holds the replicas that a controller has ejected: they are never picked. The sidecar's own ejections
-	// are in replicaState.locallyEjectedUntil and only make other replicas preferred.
+	// ejectedByController holds the replicas that a controller has ejected: they are never picked. The sidecar's own
+	// ejections are in replicaState.locallyEjectedUntil: other replicas are preferred to those.
 	ejectedByController map[string]bool
 
 	endpoints map[string]Endpoint
 	replicas  map[string]*replicaState
 
 	retryTokens float64 // each allows one retry
-	hasTables   bool    // a controller has sent one
+	hasTables   bool    // a controller has sent a table
 	draining    bool
 	inFlight    int
 	queued      int
@@ -73,20 +75,20 @@
 	outcomes map[string]*Outcomes // by replica
 	demand   []Demand             // by class
 
-	// Counters are what was counted since the start.
+	// Counters count the events since the Dispatcher was created.
 	Counters Counters
 }
 
-// Counters are what a Dispatcher has counted.
+// Counters count the requests, attempts and ejections of a Dispatcher.
 type Counters struct {
 	Requests      int64
 	Succeeded     int64
-	SucceededLate int64 // of those that succeeded, beyond the latency objective
+	SucceededLate int64 // of Succeeded: took longer than the latency objective
 	Attempts      int64
 	Retries       int64
 	Ejections     int64
-	Rejected      map[Reason]int64 // before any attempt
-	Failed        map[Reason]int64 // after one or more attempts
+	Rejected      map[Reason]int64 // ended before the first attempt
+	Failed        map[Reason]int64 // ended after one or more attempts
 }
 
 // Clone returns a copy that later requests do not change.
@@ -102,7 +104,7 @@
 // New returns a Dispatcher without tables and endpoints.
 func New(config Config) (*Dispatcher, error) {
 	if len(config.Classes) == 0 || config.MaxRequests < 1 {
-		return nil, fmt.Errorf("%d traffic classes and at most %d requests in flight serve nobody",
+		return nil, fmt.Errorf("dispatcher config has %d traffic classes and a limit of %d requests in flight, want at least 1 of each",
 			len(config.Classes), config.MaxRequests)
 	}
 	return &Dispatcher{
@@ -119,12 +121,12 @@
 	}, nil
 }
 
-// Class returns the index of a traffic class, or -1 if there is none of that name.
+// Class returns the index of the traffic class with a name, or -1 if there is none.
 func (d *Dispatcher) Class(name string) int {
 	return slices.IndexFunc(d.config.Classes, func(class Class) bool { return class.Name == name })
 }
 
-// Drain rejects all requests that come from now on.
+// Drain makes the Dispatcher reject all new requests.
 func (d *Dispatcher) Drain() { d.draining = true }
 
 // InFlight returns the number of requests that have no final step yet.
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -19,7 +19,8 @@
 			{"payout", control.TrafficClass{LatencyObjective: second, Timeout: 4 * second, Idempotency: control.NotIdempotent}}}}
 }
 
-// newDispatcher has four replicas, a1 and a2 in zone a, b1 and b2 in zone b, all in the table of each class.
+// newDispatcher returns a Dispatcher with four replicas, a1 and a2 in zone a, b1 and b2 in zone b, all with weight 1 in the
+// table of each class.
 func newDispatcher(t testing.TB, change func(*Config), updates ...Update) *Dispatcher {
 	t.Helper()
 	config := testConfig()
@@ -30,11 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	listed := map[string]Endpoint{}
+	endpoints := map[string]Endpoint{}
 	for _, id := range []string{"a1", "a2", "b1", "b2"} {
-		listed[id] = Endpoint{Zone: id[:1], Cell: id, Address: id + ":80"}
+		endpoints[id] = Endpoint{Zone: id[:1], Cell: id, Address: id + ":80"}
 	}
-	d.UpdateEndpoints(true, listed)
+	d.UpdateEndpoints(true, endpoints)
 	for _, update := range append([]Update{{Full: true, Weights: map[string]float64{"a1": 1, "a2": 1, "b1": 1, "b2": 1}}}, updates...) {
 		if err := d.Apply(0, update); err != nil {
 			t.Fatal(err)
@@ -43,73 +44,74 @@
 	return d
 }
 
+// retryPolicy returns an update that sets the retry policy of all classes.
 func retryPolicy(policy control.RetryPolicy) Update {
 	return Update{Settings: []ClassSettings{{1, policy}}}
 }
 
-// In any order of events each request gets one final step, none is executed twice that must not be, and no capacity stays
-// occupied.
-func TestEachRequestEndsOnceAndIsExecutedAtMostOnce(t *testing.T) {
+// For any order of events, each request gets exactly one final step, no request is executed twice that must not be, and all
+// capacity is free in the end.
+func TestEachRequestEndsOnceAndUnsafeDuplicatesAreNotExecuted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDispatcher(&testing.T{}, nil)
-		type running struct {
-			request *Request
-			step    Step
-			finals  int
+		type trackedRequest struct {
+			request    *Request
+			step       Step
+			finalSteps int
 		}
-		var requests []*running
+		var requests []*trackedRequest
 		now := int64(0)
-		check := func(g *running, s Step) {
-			if one := btoi(s.Replica != "") + btoi(s.Wait) + btoi(s.Final); one != 1 {
-				t.Fatalf("%+v has %d kinds", s, one)
+		checkStep := func(tracked *trackedRequest, step Step) {
+			if kinds := boolToInt(step.Replica != "") + boolToInt(step.Wait) + boolToInt(step.Final); kinds != 1 {
+				t.Fatalf("step %+v is of %d kinds, want exactly one", step, kinds)
 			}
-			g.step = s
-			if s.Final {
-				g.finals++
+			tracked.step = step
+			if step.Final {
+				tracked.finalSteps++
 			}
-			if s.Replica != "" && (s.Deadline <= now || d.ejectedByController[s.Replica]) {
-				t.Fatalf("%+v at %d, ejected: %v", s, now, d.ejectedByController[s.Replica])
+			if step.Replica != "" && (step.Deadline <= now || d.ejectedByController[step.Replica]) {
+				t.Fatalf("step %+v at %d ns, replica ejected: %v; want a later deadline and a replica that is not ejected", step, now, d.ejectedByController[step.Replica])
 			}
-			class := d.config.Classes[g.request.class]
+			class := d.config.Classes[tracked.request.class]
 			var executed []attempt
-			for _, a := range g.request.attempts {
+			for _, a := range tracked.request.attempts {
 				if !a.notExecuted {
 					executed = append(executed, a)
 				}
 			}
 			if class.Idempotency == control.NotIdempotent && len(executed) > 1 {
-				t.Fatalf("a payout may have been executed at %v", executed)
+				t.Fatalf("non-idempotent request may have been executed more than once: %v", executed)
 			}
 			for _, a := range executed[min(1, len(executed)):] {
-				if class.Idempotency == control.IdempotentByKey && (a.zone != executed[0].zone || a.began-executed[0].began >= class.DeduplicationWindow) {
-					t.Fatalf("an order may have been executed at %v", executed)
+				if class.Idempotency == control.IdempotentByKey && (a.zone != executed[0].zone || a.startedAt-executed[0].startedAt >= class.DeduplicationWindow) {
+					t.Fatalf("request with an idempotency key may have been executed beyond its deduplication scope or window: %v", executed)
 				}
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"begin": func(t *rapid.T) {
-				request, s := d.Begin(now, rapid.IntRange(0, 2).Draw(t, "class"), rapid.Bool().Draw(t, "replayable"))
-				g := &running{request: request}
-				requests = append(requests, g)
-				check(g, s)
+				request, step := d.Begin(now, rapid.IntRange(0, 2).Draw(t, "class"), rapid.Bool().Draw(t, "replayable"))
+				tracked := &trackedRequest{request: request}
+				requests = append(requests, tracked)
+				checkStep(tracked, step)
 			},
-			"go on": func(t *rapid.T) {
+			"continue": func(t *rapid.T) {
 				if len(requests) == 0 {
 					return
 				}
-				g := requests[rapid.IntRange(0, len(requests)-1).Draw(t, "request")]
+				tracked := requests[rapid.IntRange(0, len(requests)-1).Draw(t, "request")]
 				switch {
-				case g.step.Replica != "" && rapid.IntRange(0, 9).Draw(t, "canceled") == 0:
-					d.Cancel(g.request)
-					g.step = Step{Final: true}
-					g.finals++
-				case g.step.Replica != "":
-					check(g, d.AttemptEnded(now, g.request, Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))))
-				case g.step.Wait:
-					check(g, d.Resume(now, g.request))
+				case tracked.step.Replica != "" && rapid.IntRange(0, 9).Draw(t, "canceled") == 0:
+					d.Cancel(tracked.request)
+					tracked.step = Step{Final: true}
+					tracked.finalSteps++
+				case tracked.step.Replica != "":
+					checkStep(tracked, d.AttemptEnded(now, tracked.request, Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))))
+				case tracked.step.Wait:
+					checkStep(tracked, d.Resume(now, tracked.request))
 				}
 			},
-			"time": func(t *rapid.T) { now += rapid.Int64Range(1, 2*second).Draw(t, "span") },
+			"time passes": func(t *rapid.T) { now += rapid.Int64Range(1, 2*second).Draw(t, "span") },
 			"update": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"a1", "a2", "b1", "b2"}).Draw(t, "id")
 				d.Apply(now, Update{Weights: map[string]float64{id: rapid.Float64Range(0, 2).Draw(t, "weight")}, Settings: []ClassSettings{{rapid.Float64Range(0, 1).Draw(t, "admission"), control.RetryPolicy(rapid.IntRange(0, 3).Draw(t, "retry"))}}})
@@ -121,40 +123,41 @@
 			},
 		})
 		now += 10 * second
-		for _, g := range requests {
-			for g.step.Wait || g.step.Replica != "" {
-				if g.step.Wait {
-					check(g, d.Resume(now, g.request))
+		for _, tracked := range requests {
+			for tracked.step.Wait || tracked.step.Replica != "" {
+				if tracked.step.Wait {
+					checkStep(tracked, d.Resume(now, tracked.request))
 				} else {
-					check(g, d.AttemptEnded(now, g.request, TimedOut))
+					checkStep(tracked, d.AttemptEnded(now, tracked.request, TimedOut))
 				}
 			}
-			if g.finals != 1 {
-				t.Fatalf("%d final steps", g.finals)
+			if tracked.finalSteps != 1 {
+				t.Fatalf("request got %d final steps, want 1", tracked.finalSteps)
 			}
 		}
 		if d.InFlight() != 0 || d.queued != 0 {
-			t.Fatalf("%d in flight, %d wait", d.InFlight(), d.queued)
+			t.Fatalf("%d requests in flight and %d queued after all have ended, want 0", d.InFlight(), d.queued)
 		}
 		for id, r := range d.replicas {
 			if r.inFlight != 0 {
-				t.Fatalf("%s holds %d", id, r.inFlight)
+				t.Fatalf("replica %s has %d requests in flight after all have ended, want 0", id, r.inFlight)
 			}
 		}
 	})
 }
 
-func btoi(b bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func TestConfigThatServesNobodyIsRefused(t *testing.T) {
+func TestNewRejectsConfigWithoutClassesOrCapacity(t *testing.T) {
 	for _, config := range []Config{{}, {Classes: testConfig().Classes}} {
 		if _, err := New(config); err == nil {
-			t.Errorf("%d requests in flight are accepted", config.MaxRequests)
+			t.Errorf("New accepts %d classes and a limit of %d requests in flight, want an error", len(config.Classes), config.MaxRequests)
 		}
 	}
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -7,7 +7,7 @@
 	"lilacbend/control"
 )
 
-// Endpoint is what discovery lists of a replica.
+// Endpoint is a replica as service discovery lists it.
 type Endpoint struct {
 	Zone    string
 	Cell    string
@@ -15,7 +15,7 @@
 	State   control.State
 }
 
-// UpdateEndpoints takes over a complete endpoint list, or changes to it. Endpoints whose state is Gone are removed.
+// UpdateEndpoints applies a complete endpoint list, or changes to the current one. Endpoints in state Gone are removed.
 func (d *Dispatcher) UpdateEndpoints(complete bool, endpoints map[string]Endpoint) {
 	if complete {
 		clear(d.endpoints)
@@ -30,7 +30,7 @@
 }
 
 // UseEqualWeights gives all listed endpoints the same weight in every table, unless a controller has sent a table.
-// Settings stay: a controller may have sent them ahead of its table.
+// Settings are kept: a controller may have sent them before its table.
 func (d *Dispatcher) UseEqualWeights(now int64) {
 	if d.hasTables {
 		return
@@ -42,24 +42,24 @@
 			t.setWeight(id, 1)
 		}
 	}
-	d.evictUnlisted(now)
+	d.evictUnreferenced(now)
 }
 
-// evictUnlisted drops the state of replicas that no table names and that have no request in flight, so that a sidecar
-// that runs for weeks holds no more than its tables need.
-func (d *Dispatcher) evictUnlisted(now int64) {
-	listed := map[string]bool{}
+// evictUnreferenced drops the state of replicas that are in no table, have no request in flight and are not ejected by this
+// sidecar, so that a sidecar that runs for weeks holds no more state than its tables need.
+func (d *Dispatcher) evictUnreferenced(now int64) {
+	referenced := map[string]bool{}
 	for class := range d.tables {
 		for _, endpoint := range d.tables[class].endpoints {
-			listed[endpoint.replica] = true
+			referenced[endpoint.replica] = true
 		}
 	}
 	for id, replica := range d.replicas {
-		if !listed[id] && replica.inFlight == 0 && replica.locallyEjectedUntil <= now {
+		if !referenced[id] && replica.inFlight == 0 && replica.locallyEjectedUntil <= now {
 			delete(d.replicas, id)
 		}
 	}
-	if len(d.ejectedByController) > maxUnlistedEjections { // a controller unejects only replicas that its table names
-		maps.DeleteFunc(d.ejectedByController, func(id string, _ bool) bool { return !listed[id] })
+	if len(d.ejectedByController) > maxUnreferencedEjections { // a controller unejects only replicas in its table
+		maps.DeleteFunc(d.ejectedByController, func(id string, _ bool) bool { return !referenced[id] })
 	}
 }
--- a/internal/dispatch/endpoints_bench_test.go
+++ b/internal/dispatch/endpoints_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkListByReplicas measures the memory of a Dispatcher by the endpoints that are listed, and the time to take over a
-// complete list.
+// BenchmarkListByReplicas measures the memory of a Dispatcher and the time to apply a complete endpoint list, by the number
+// of endpoints in the list.
 func BenchmarkListByReplicas(b *testing.B) {
 	for _, replicas := range []int{33, 655, 9500} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
@@ -15,7 +15,7 @@
 			for k := range replicas {
 				endpoints[fmt.Sprintf("stock-7c9d4f5b8-%05d", k)] = Endpoint{Zone: "zone-17", Cell: "3", Address: fmt.Sprintf("10.12.%d.%d:8080", k/250, k%250)}
 			}
-			var held uint64
+			var heapBytes uint64
 			for b.Loop() {
 				before := heapInUse()
 				dispatcher, err := New(Config{MaxRequests: 1000, Classes: []Class{{Name: "read"}}})
@@ -24,18 +24,19 @@
 				}
 				dispatcher.UpdateEndpoints(true, endpoints)
 				dispatcher.UseEqualWeights(1)
-				held = heapInUse() - before
+				heapBytes = heapInUse() - before
 				runtime.KeepAlive(dispatcher)
 			}
-			b.ReportMetric(float64(held), "heap-B")
+			b.ReportMetric(float64(heapBytes), "heap-B")
 			runtime.KeepAlive(endpoints)
 		})
 	}
 }
 
+// heapInUse returns the bytes of live heap objects after a garbage collection.
 func heapInUse() uint64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -6,7 +6,7 @@
 	"lilacbend/control"
 )
 
-// An endpoint list comes between a controller's settings and its first table: the settings hold, as do the ejections.
+// An endpoint list that arrives between a controller's settings and its first table leaves settings and ejections in force.
 func TestEndpointListBetweenSettingsAndTable(t *testing.T) {
 	d, err := New(testConfig())
 	if err != nil {
@@ -20,27 +20,28 @@
 	d.UpdateEndpoints(false, map[string]Endpoint{"a2": {State: control.Gone}, "b1": {Zone: "b", Address: "z"}})
 	d.UseEqualWeights(2)
 	if n := d.TableSizes(); n["read"] != 2 || d.HasTables() {
-		t.Errorf("%v, has tables: %v", n, d.HasTables())
+		t.Errorf("table sizes %v, has tables: %v; want 2 endpoints for class read, and no tables", n, d.HasTables())
 	}
 	if _, step := d.Begin(2, 0, true); step.Reason != ErrLoadShed {
-		t.Errorf("an admission of 0: %+v", step)
+		t.Errorf("class with admission 0: step %+v, want reason %q", step, ErrLoadShed)
 	}
 	if _, step := d.Begin(2, 1, true); step.Replica != "b1" || step.Address != "z" {
-		t.Errorf("another class: %+v", step)
+		t.Errorf("class without settings: step %+v, want replica b1 at address z", step)
 	}
 }
 
-// A replica leaves the list, or its address changes, after it was picked: the request goes to the address of the pick.
+// If a replica leaves the endpoint list, or its address changes, after it was picked, the request goes to the address that
+// it had when it was picked.
 func TestEndpointListBetweenPickAndSend(t *testing.T) {
-	for _, now := range []Endpoint{{State: control.Gone}, {Zone: "a", Address: "elsewhere:80"}} {
+	for _, changed := range []Endpoint{{State: control.Gone}, {Zone: "a", Address: "elsewhere:80"}} {
 		d := newDispatcher(t, nil, Update{Full: true, Weights: map[string]float64{"a1": 1}})
 		request, step := d.Begin(0, 2, true)
-		d.UpdateEndpoints(false, map[string]Endpoint{"a1": now})
+		d.UpdateEndpoints(false, map[string]Endpoint{"a1": changed})
 		if step.Replica != "a1" || step.Address != "a1:80" {
-			t.Errorf("%+v", step)
+			t.Errorf("step %+v, want replica a1 at its earlier address a1:80", step)
 		}
 		if step = d.AttemptEnded(1, request, Succeeded); !step.Succeeded || d.InFlight() != 0 {
-			t.Errorf("%+v, %d in flight", step, d.InFlight())
+			t.Errorf("after a successful attempt: step %+v, %d in flight, want success and 0 in flight", step, d.InFlight())
 		}
 	}
 }
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -3,16 +3,16 @@
 // maxEjectionDoublings bounds how often the ejection time doubles over consecutive ejections.
 const maxEjectionDoublings = 3
 
-// replicaState is what a sidecar knows of a replica by its own requests.
+// replicaState is what this sidecar has observed of a replica by its own requests.
 type replicaState struct {
 	inFlight             int
 	consecutiveFailures  int
-	locallyEjectedUntil  int64 // by the failures that this sidecar saw; compare Dispatcher.ejectedByController
-	consecutiveEjections int   // without an answer since
-	unansweredSince      int64 // since when it has had requests in flight and answered none
+	locallyEjectedUntil  int64 // because of failures that this sidecar observed; see also Dispatcher.ejectedByController
+	consecutiveEjections int   // without a successful attempt since
+	unansweredSince      int64 // since when requests have been in flight without a successful response
 }
 
-// replica returns the state of a replica, a new one if there is none.
+// replica returns the state of a replica, and creates it if there is none.
 func (d *Dispatcher) replica(id string) *replicaState {
 	replica := d.replicas[id]
 	if replica == nil {
@@ -22,8 +22,8 @@
 	return replica
 }
 
-// avoids reports whether other replicas of a class are preferred to one: while it is ejected, while one request finds out
-// whether it has recovered, and while it seems silent.
+// avoids reports whether other replicas of a class are preferred to this one: while this sidecar has ejected it, while one
+// request tests whether it has recovered, and while it seems unresponsive.
 func (d *Dispatcher) avoids(now int64, class int, replica *replicaState) bool {
 	if replica.locallyEjectedUntil > now {
 		return true
@@ -31,40 +31,40 @@
 	if d.config.MaxConsecutiveFailures <= 0 {
 		return false
 	}
-	return replica.onProbation() || d.seemsSilent(now, class, replica)
+	return replica.onProbation() || d.seemsUnresponsive(now, class, replica)
 }
 
-// onProbation reports whether a replica has been ejected, has not answered since, and has a request in flight.
-func (s *replicaState) onProbation() bool {
-	return s.consecutiveEjections > 0 && s.inFlight > 0
+// onProbation reports whether a replica has been ejected, has had no successful attempt since, and has a request in flight.
+func (r *replicaState) onProbation() bool {
+	return r.consecutiveEjections > 0 && r.inFlight > 0
 }
 
-// seemsSilent reports whether a replica has as many requests in flight as would eject it, and has answered none for a
-// latency objective. It is a guess ahead of their failures.
-func (d *Dispatcher) seemsSilent(now int64, class int, replica *replicaState) bool {
+// seemsUnresponsive reports whether a replica has at least as many requests in flight as would eject it if they failed, and
+// has answered none for longer than the latency objective. It anticipates their failures.
+func (d *Dispatcher) seemsUnresponsive(now int64, class int, replica *replicaState) bool {
 	if replica.inFlight < d.config.MaxConsecutiveFailures {
 		return false
 	}
 	return now-replica.unansweredSince > d.config.Classes[class].LatencyObjective
 }
 
-// startRequest notes that a request is sent to the replica.
-func (s *replicaState) startRequest(now int64) {
-	if s.inFlight == 0 {
-		s.unansweredSince = now
+// startRequest records that a request is sent to the replica.
+func (r *replicaState) startRequest(now int64) {
+	if r.inFlight == 0 {
+		r.unansweredSince = now
 	}
-	s.inFlight++
+	r.inFlight++
 }
 
-// succeeded notes an answer, which ends the replica's probation.
-func (s *replicaState) succeeded(now int64) {
-	s.consecutiveFailures = 0
-	s.consecutiveEjections = 0
-	s.unansweredSince = now
+// succeeded records a successful attempt, which ends the replica's probation.
+func (r *replicaState) succeeded(now int64) {
+	r.consecutiveFailures = 0
+	r.consecutiveEjections = 0
+	r.unansweredSince = now
 }
 
-// recordFailure counts a failed attempt, and ejects the replica if it has failed too often in a row, or on probation.
-// Attempts that fail while it is ejected began before, and do not eject it again.
+// recordFailure counts a failed attempt, and ejects the replica after too many consecutive failures, or after one failure
+// on probation. Attempts that fail during an ejection do not prolong it: they began before, or there was no other replica.
 func (d *Dispatcher) recordFailure(now int64, replica *replicaState) {
 	replica.consecutiveFailures++
 	if d.config.MaxConsecutiveFailures == 0 || replica.locallyEjectedUntil > now {
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -8,9 +8,9 @@
 	replica  *replicaState
 }
 
-// choose picks a replica for the next attempt, by the weights of the class's table. Replicas that this sidecar avoids
-// are picked only where there is no other: its guess is worth less than the controller's table. Replicas that a
-// controller has ejected, and those that drain or are not listed, are never picked.
+// choose picks a replica for the next attempt, by the weights of the class's table. Replicas that this sidecar avoids are
+// picked only if there is no other: its observations are less reliable than the controller's table. Replicas that a
+// controller has ejected, and those that are draining or not listed by service discovery, are never picked.
 func (d *Dispatcher) choose(now int64, r *Request, scope retryScope) (replica string, reason Reason) {
 	reason = ErrNoReplica
 	for _, avoided := range [...]bool{false, true} {
@@ -25,8 +25,8 @@
 	return "", reason
 }
 
-// findCandidates returns the endpoints that may be picked, either those that are avoided or those that are not, and
-// whether any was left out because it is at capacity. The result is valid until the next call.
+// findCandidates returns the endpoints that may be picked, either the avoided ones or the others, and whether any of these
+// was left out because it is at capacity. The result is valid until the next call.
 func (d *Dispatcher) findCandidates(now int64, r *Request, scope retryScope, avoided bool) (candidates []candidate, atCapacity bool) {
 	candidates = d.candidates[:0]
 	endpoints := d.tables[r.class].endpoints
@@ -49,16 +49,16 @@
 	return candidates, atCapacity
 }
 
-// mayPick reports whether a replica may get this request at all, whatever its load.
+// mayPick reports whether a replica may get this request, regardless of its load.
 func (d *Dispatcher) mayPick(r *Request, replica string, scope retryScope) bool {
-	listed, found := d.endpoints[replica]
-	if !found || listed.State != control.Ready {
+	endpoint, found := d.endpoints[replica]
+	if !found || endpoint.State != control.Ready {
 		return false
 	}
-	return !d.ejectedByController[replica] && !r.attempted(replica) && scope.contains(listed)
+	return !d.ejectedByController[replica] && !r.attempted(replica) && scope.contains(endpoint)
 }
 
-// pick picks one of the candidates by the policy of the sidecar.
+// pick picks one of the candidates by the configured pick policy.
 func (d *Dispatcher) pick(candidates []candidate) candidate {
 	switch d.config.Pick {
 	case control.PickRoundRobin:
@@ -93,11 +93,11 @@
 			return c
 		}
 	}
-	return candidates[len(candidates)-1] // rounding has left a rest
+	return candidates[len(candidates)-1] // reached only by a rounding error
 }
 
-// pickRoundRobin is smooth weighted round robin: each candidate earns its weight as credit, and the one with the most
-// credit pays for all.
+// pickRoundRobin picks by smooth weighted round robin: the credit of each candidate grows by its weight, and the one with
+// the most credit is picked and pays the sum of all weights.
 func pickRoundRobin(candidates []candidate) candidate {
 	best := 0
 	total := 0.0
--- a/internal/dispatch/pick_test.go
+++ b/internal/dispatch/pick_test.go
@@ -18,14 +18,14 @@
 		d.Apply(0, Update{Full: true, Weights: map[string]float64{"a1": 1}})
 		request, step := d.Begin(0, 0, true)
 		if step.Replica != "a1" {
-			t.Fatalf("%s: %+v", name, step)
+			t.Fatalf("%s: step %+v before the change, want replica a1", name, step)
 		}
 		change(d)
 		if _, step = d.Begin(0, 0, true); step.Reason != ErrNoReplica {
-			t.Errorf("%s: %+v", name, step)
+			t.Errorf("%s: step %+v after the change, want reason %q", name, step, ErrNoReplica)
 		}
-		if step = d.AttemptEnded(1, request, Succeeded); !step.Succeeded { // a request in flight goes on
-			t.Errorf("%s: the request in flight: %+v", name, step)
+		if step = d.AttemptEnded(1, request, Succeeded); !step.Succeeded { // a request in flight may still succeed
+			t.Errorf("%s: request in flight ended with step %+v, want success", name, step)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 			d.AttemptEnded(0, request, Succeeded)
 		}
 		if a, b, c := got["a1"], got["a2"], got["b1"]; a < 550 || a > 650 || b < 250 || b > 350 || c < 70 || c > 130 {
-			t.Errorf("pick %d: %v", pick, got)
+			t.Errorf("pick policy %d: requests by replica %v, want about 600, 300 and 100", pick, got)
 		}
 	}
 }
--- a/internal/dispatch/reason.go
+++ b/internal/dispatch/reason.go
@@ -1,35 +1,35 @@
 package dispatch
 
-// Reason says why a request was rejected or given up. It is an error, to be tested with errors.Is. Its text is part of
-// the protocol: clients read it in the answer, and counters are kept by it.
+// Reason is why a request was rejected or has failed. It is an error, to be tested with errors.Is. Its text is part of the
+// protocol: clients read it in the response, and counters use it as a key.
 type Reason string
 
 // Error returns the text that clients read.
 func (r Reason) Error() string { return string(r) }
 
-// None is the reason of a request that was not given up.
+// None is the absence of a reason: the request was neither rejected nor has it failed.
 const None Reason = ""
 
 // Reasons for rejecting a request before its first attempt.
 const (
-	// ErrLoadShed: the admission rate of the class does not allow it.
+	// ErrLoadShed: the admission setting of the class does not allow the request.
 	ErrLoadShed Reason = "level"
-	// ErrTooManyRequests: too many requests are in flight, and too many wait.
+	// ErrTooManyRequests: the limit of requests in flight is reached, and the queue is full.
 	ErrTooManyRequests Reason = "too-many"
-	// ErrQueueTimeout: it has waited too long for capacity.
+	// ErrQueueTimeout: the request has waited too long for capacity.
 	ErrQueueTimeout Reason = "waiting"
 	// ErrNoReplica: the table has no replica that may be picked.
 	ErrNoReplica Reason = "no-replica"
-	// ErrReplicasAtCapacity: each replica that may be picked has as many requests in flight as it may have.
+	// ErrReplicasAtCapacity: each replica that may be picked has reached its limit of requests in flight.
 	ErrReplicasAtCapacity Reason = "full"
-	// ErrDraining: the sidecar shuts down.
+	// ErrDraining: the sidecar is shutting down.
 	ErrDraining Reason = "draining"
 )
 
-// Reasons for giving a request up after one or more attempts. ErrNoReplica, ErrReplicasAtCapacity and ErrTimeout occur
-// before and after.
+// Reasons for giving up on a request after one or more attempts. ErrNoReplica, ErrReplicasAtCapacity and ErrTimeout occur
+// both before and after the first attempt.
 const (
-	// ErrTimeout: the timeout of its class is over.
+	// ErrTimeout: the timeout of the request's class has expired.
 	ErrTimeout Reason = "expired"
 	// ErrAttemptsFailed: all attempts that the retry policy allows have failed.
 	ErrAttemptsFailed Reason = "failed"
@@ -37,8 +37,8 @@
 	ErrNoTimeToRetry Reason = "too-late"
 	// ErrRetryBudgetExhausted: the retry budget of the sidecar is spent.
 	ErrRetryBudgetExhausted Reason = "repeats-out"
-	// ErrMayHaveExecuted: it may have been executed, and must not be executed twice.
+	// ErrMayHaveExecuted: the request may have been executed, and must not be executed twice.
 	ErrMayHaveExecuted Reason = "unclear"
-	// ErrClientGone: the client waits no longer.
+	// ErrClientGone: the client no longer waits for the response.
 	ErrClientGone Reason = "client-gone"
 )
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -6,44 +6,44 @@
 type Outcomes struct {
 	Attempts     int
 	Failures     int
-	ResponseTime time.Duration // to the heads of the successful answers, summed
+	ResponseTime time.Duration // from the start of each successful attempt to its response head, summed
 }
 
 // Demand counts the requests of one traffic class since the last report.
 type Demand struct {
-	Requests int // that arrived, rejected ones included
-	Failures int // of those attempted; neither rejected ones nor those whose client has gone
+	Requests int // all that arrived, including rejected ones
+	Failures int // attempted requests that failed; excludes rejected ones and those whose client no longer waited
 }
 
 // recordOutcome adds the current attempt to the outcomes of its replica.
 func (d *Dispatcher) recordOutcome(now int64, r *Request, outcome Outcome) {
-	sum := d.outcomes[r.replica]
-	if sum == nil {
-		sum = &Outcomes{}
-		d.outcomes[r.replica] = sum
+	outcomes := d.outcomes[r.replica]
+	if outcomes == nil {
+		outcomes = &Outcomes{}
+		d.outcomes[r.replica] = outcomes
 	}
-	sum.Attempts++
+	outcomes.Attempts++
 	if outcome != Succeeded {
-		sum.Failures++
+		outcomes.Failures++
 		return
 	}
-	answered := now
-	if r.respondedAt > 0 {
-		answered = r.respondedAt
+	respondedAt := now
+	if r.responseStartedAt > 0 {
+		respondedAt = r.responseStartedAt
 	}
-	sum.ResponseTime += time.Duration(answered - r.attempts[len(r.attempts)-1].began)
+	outcomes.ResponseTime += time.Duration(respondedAt - r.attempts[len(r.attempts)-1].startedAt)
 }
 
 // TakeOutcomes returns the outcomes by replica, and resets them.
 func (d *Dispatcher) TakeOutcomes() map[string]*Outcomes {
-	taken := d.outcomes
-	d.outcomes = make(map[string]*Outcomes, len(taken))
-	return taken
+	outcomes := d.outcomes
+	d.outcomes = make(map[string]*Outcomes, len(outcomes))
+	return outcomes
 }
 
 // TakeDemand returns the demand by traffic class, and resets it.
 func (d *Dispatcher) TakeDemand() []Demand {
-	taken := d.demand
-	d.demand = make([]Demand, len(taken))
-	return taken
+	demand := d.demand
+	d.demand = make([]Demand, len(demand))
+	return demand
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -7,69 +7,71 @@
 
 // Outcomes of an attempt.
 const (
-	Succeeded   Outcome = iota // there is an answer, whatever its content
-	NotExecuted                // it is certain that no replica executed it
-	Broken                     // it may have been executed; there is no complete answer
-	TimedOut                   // it may have been executed; there was no answer in time
+	Succeeded   Outcome = iota // the replica responded, whatever the content of its response
+	NotExecuted                // certainly not executed by any replica
+	Broken                     // possibly executed; no complete response arrived
+	TimedOut                   // possibly executed; no response arrived in time
 )
 
-// Step is what to do next with a request: exactly one of an attempt (Replica is set), Wait and Final.
+// Step tells the caller what to do next with a request. It is exactly one of an attempt (Replica is set), Wait and Final.
 type Step struct {
-	Replica string // the replica to send it to
-	Address string // of the replica when it was picked; later endpoint lists may not have it any more
+	Replica string // the replica to send the request to
+	Address string // of the replica when it was picked; later endpoint lists may no longer contain it
 
-	// Wait asks for a call of Resume when there may be capacity, and at Deadline at the latest.
+	// Wait tells the caller to call Resume when there may be capacity, and at Deadline at the latest.
 	Wait bool
 
-	// Deadline of the attempt or the wait.
+	// Deadline is when the attempt or the wait has to end.
 	Deadline int64
 
-	Final     bool // the request is over
-	Succeeded bool // with the answer of the attempt that has just ended
-	Reason    Reason
+	Final     bool   // the request has ended
+	Succeeded bool   // with the response of the attempt that has just ended
+	Reason    Reason // why the request was rejected or failed
 }
 
-// Request is the state of one request. Its steps follow one another; they are never concurrent.
+// Request is the state of one request. Its methods and steps are sequential, never concurrent.
 type Request struct {
-	class       int
-	arrived     int64
-	queuedSince int64
-	respondedAt int64 // when the head of the answer came; 0: not yet
-	replica     string
-	attempts    []attempt
-	// The first attempts, so that most requests need no second allocation.
+	class             int
+	arrivedAt         int64
+	queuedSince       int64
+	responseStartedAt int64 // when the response head arrived; 0: not yet
+	replica           string
+	attempts          []attempt
+	// firstAttempts is the initial storage of attempts, so that most requests need no second allocation.
 	firstAttempts [2]attempt
 
 	queued       bool
-	inFlight     bool // counted as such
+	inFlight     bool // counted in Dispatcher.inFlight
 	replayable   bool // its body can be sent again
-	bodyConsumed bool // a part of a body that cannot be sent again has been read
-	over         bool
+	bodyConsumed bool // a part of a body that is not replayable has been read
+	ended        bool
 }
 
-// attempt is one attempt at a request, with the place of its replica at that time.
+// attempt is one attempt at a request, with the zone and cell that its replica had when it was picked.
 type attempt struct {
 	replica     string
 	zone        string
 	cell        string
-	began       int64
-	notExecuted bool // this is certain
+	startedAt   int64
+	notExecuted bool // certainly not executed by the replica
 }
 
-// attempted reports whether the request was sent to a replica before.
+// attempted reports whether the request has already been sent to a replica.
 func (r *Request) attempted(replica string) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.replica == replica })
 }
 
-// deadline is when the client gives the request up.
-func (d *Dispatcher) deadline(r *Request) int64 { return r.arrived + d.config.Classes[r.class].Timeout }
+// deadline returns when the client gives up on the request.
+func (d *Dispatcher) deadline(r *Request) int64 {
+	return r.arrivedAt + d.config.Classes[r.class].Timeout
+}
 
-// Begin takes a request in. A request is replayable if its body can be sent more than once; a body that is streamed
-// cannot.
+// Begin starts the handling of a request and returns its first step. A request is replayable if its body can be sent more
+// than once; a streamed body cannot.
 func (d *Dispatcher) Begin(now int64, class int, replayable bool) (*Request, Step) {
 	d.Counters.Requests++
 	d.demand[class].Requests++
-	r := &Request{class: class, arrived: now, replayable: replayable}
+	r := &Request{class: class, arrivedAt: now, replayable: replayable}
 	r.attempts = r.firstAttempts[:0]
 	if d.draining {
 		return r, d.reject(r, ErrDraining)
@@ -81,15 +83,15 @@
 	return r, d.firstAttempt(now, r)
 }
 
-// Resume continues a request that waits: there may be capacity, or its deadline has come.
+// Resume continues a waiting request when there may be capacity, or when the deadline of the wait has been reached.
 func (d *Dispatcher) Resume(now int64, r *Request) Step {
-	if r.over {
+	if r.ended {
 		return Step{Final: true, Reason: ErrClientGone}
 	}
 	return d.firstAttempt(now, r)
 }
 
-// firstAttempt starts the first attempt if there is capacity, or lets the request wait for it.
+// firstAttempt starts the first attempt if there is capacity, or lets the request wait for capacity.
 func (d *Dispatcher) firstAttempt(now int64, r *Request) Step {
 	if now >= d.deadline(r) {
 		return d.reject(r, ErrTimeout)
@@ -108,8 +110,8 @@
 	}
 }
 
-// startAttempt sends a request to a replica. An attempt that may be retried gets less than the rest of the request's
-// time, so that some is left for the retry.
+// startAttempt starts an attempt at a replica. An attempt that may be retried gets at most the attempt timeout rather than
+// all of the request's remaining time, so that some time is left for the retry.
 func (d *Dispatcher) startAttempt(now int64, r *Request, replica string) Step {
 	d.dequeue(r)
 	if !r.inFlight {
@@ -119,7 +121,7 @@
 	endpoint := d.endpoints[replica]
 	d.replica(replica).startRequest(now)
 	d.Counters.Attempts++
-	r.attempts = append(r.attempts, attempt{replica: replica, zone: endpoint.Zone, cell: endpoint.Cell, began: now})
+	r.attempts = append(r.attempts, attempt{replica: replica, zone: endpoint.Zone, cell: endpoint.Cell, startedAt: now})
 	r.replica = replica
 	deadline := d.deadline(r)
 	if d.mayRetry(r, TimedOut) {
@@ -128,9 +130,9 @@
 	return Step{Replica: replica, Address: endpoint.Address, Deadline: deadline}
 }
 
-// AttemptEnded notes how the current attempt ended, and returns what to do next.
+// AttemptEnded records how the current attempt ended, and returns the next step.
 func (d *Dispatcher) AttemptEnded(now int64, r *Request, outcome Outcome) Step {
-	if r.over {
+	if r.ended {
 		return Step{Final: true, Reason: ErrClientGone}
 	}
 	d.endAttempt(now, r, outcome)
@@ -159,20 +161,20 @@
 	d.recordFailure(now, replica)
 }
 
-// BodyConsumed notes that a part of a body that cannot be sent again has been read.
+// BodyConsumed records that a part of a body that is not replayable has been read.
 func (d *Dispatcher) BodyConsumed(r *Request) { r.bodyConsumed = true }
 
-// ResponseStarted notes that the head of an answer has come and goes to the client: no retry can follow.
+// ResponseStarted records that a response head has arrived and is forwarded to the client: no retry is possible any more.
 func (d *Dispatcher) ResponseStarted(now int64, r *Request) {
-	r.respondedAt = now
+	r.responseStartedAt = now
 	r.replayable = false
 	r.bodyConsumed = true
 }
 
-// Cancel ends a request whose client waits no longer. It does not count as a failure of the replica. A request that is
-// over stays as it is.
+// Cancel ends a request whose client no longer waits for the response. This does not count as a failure of the replica. A
+// request that has already ended is left unchanged.
 func (d *Dispatcher) Cancel(r *Request) {
-	if r.over {
+	if r.ended {
 		return
 	}
 	if r.replica != "" {
@@ -182,17 +184,17 @@
 	d.fail(r, ErrClientGone)
 }
 
-// succeed ends a request with the answer of its last attempt.
+// succeed ends a request with the response of its last attempt.
 func (d *Dispatcher) succeed(now int64, r *Request) Step {
 	d.finish(r)
 	d.Counters.Succeeded++
-	if now-r.arrived > d.config.Classes[r.class].LatencyObjective {
+	if now-r.arrivedAt > d.config.Classes[r.class].LatencyObjective {
 		d.Counters.SucceededLate++
 	}
 	return Step{Final: true, Succeeded: true}
 }
 
-// fail gives a request up that was attempted.
+// fail ends a request that was attempted without success.
 func (d *Dispatcher) fail(r *Request, reason Reason) Step {
 	d.finish(r)
 	if reason != ErrClientGone {
@@ -209,9 +211,9 @@
 	return Step{Final: true, Reason: reason}
 }
 
-// finish frees what a request has occupied.
+// finish releases the capacity that a request occupies.
 func (d *Dispatcher) finish(r *Request) {
-	r.over = true
+	r.ended = true
 	if r.inFlight {
 		r.inFlight = false
 		d.inFlight--
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -26,7 +26,7 @@
 	return endpoint.Zone == s.zone && endpoint.Cell == s.cell
 }
 
-// retry starts another attempt after one that failed, or gives the request up.
+// retry starts another attempt after a failed one, or gives up on the request.
 func (d *Dispatcher) retry(now int64, r *Request, outcome Outcome) Step {
 	if now >= d.deadline(r) {
 		return d.fail(r, ErrTimeout)
@@ -49,7 +49,7 @@
 	return d.startAttempt(now, r, replica)
 }
 
-// mayRetry reports whether retry policy, idempotency and body allow a retry where the last of the attempts ends with an
+// mayRetry reports whether retry policy, idempotency and body allow a retry if the last attempt ends with the given
 // outcome. Deduplication window, retry budget and timeout are checked when the retry starts.
 func (d *Dispatcher) mayRetry(r *Request, outcome Outcome) bool {
 	return d.policyAllowsRetry(r, outcome) && d.isSafeToRetry(r, outcome) && canResend(r, outcome)
@@ -69,8 +69,8 @@
 	}
 }
 
-// isSafeToRetry reports whether a second execution does no harm, or there was no first one. A request that is not
-// idempotent is retried only where it was certainly not executed, whatever the policy says.
+// isSafeToRetry reports whether a second execution does no harm, or the request was not executed at all. A request that is
+// not idempotent is retried only if it was certainly not executed, whatever the retry policy.
 func (d *Dispatcher) isSafeToRetry(r *Request, outcome Outcome) bool {
 	return outcome == NotExecuted || d.config.Classes[r.class].Idempotency != control.NotIdempotent
 }
@@ -80,7 +80,7 @@
 	return r.replayable || outcome == NotExecuted && !r.bodyConsumed
 }
 
-// retryPolicy is that of the controller, or the default.
+// retryPolicy returns the retry policy that a controller has set for a class, or the default.
 func (d *Dispatcher) retryPolicy(class int) control.RetryPolicy {
 	t := &d.tables[class]
 	if t.hasSettings {
@@ -89,7 +89,7 @@
 	return d.config.DefaultRetry
 }
 
-// reasonNotToRetry is the reason by which a request is given up that may not be retried.
+// reasonNotToRetry returns the reason with which a request fails that may not be retried.
 func (d *Dispatcher) reasonNotToRetry(r *Request, outcome Outcome) Reason {
 	if outcome != NotExecuted && d.config.Classes[r.class].Idempotency != control.Idempotent {
 		return ErrMayHaveExecuted
@@ -97,34 +97,34 @@
 	return ErrAttemptsFailed
 }
 
-// retryScope returns where a retry may go, and whether it would end in time. A request with an idempotency key stays with
-// the replicas that know the key since the first attempt that may have been executed, and all of the retry has to fit
-// into the deduplication window, counted from the start of that attempt.
+// retryScope returns which replicas a retry may go to, and whether it would end in time. A request with an idempotency key
+// is retried only at replicas that recognize the key from the first attempt that may have been executed, and the whole
+// retry has to fit into the deduplication window, counted from the start of that attempt.
 func (d *Dispatcher) retryScope(now int64, r *Request) (scope retryScope, inTime bool) {
 	class := d.config.Classes[r.class]
 	k := slices.IndexFunc(r.attempts, func(a attempt) bool { return !a.notExecuted })
 	if class.Idempotency != control.IdempotentByKey || k < 0 {
 		return retryScope{}, true
 	}
-	first := r.attempts[k]
+	firstExecuted := r.attempts[k]
 	latestEnd := min(d.deadline(r), now+d.attemptTimeout(r.class))
-	if latestEnd-first.began >= class.DeduplicationWindow {
+	if latestEnd-firstExecuted.startedAt >= class.DeduplicationWindow {
 		return retryScope{}, false
 	}
-	return retryScope{restricted: true, scope: class.DeduplicationScope, zone: first.zone, cell: first.cell}, true
+	return retryScope{restricted: true, scope: class.DeduplicationScope, zone: firstExecuted.zone, cell: firstExecuted.cell}, true
 }
 
-// attemptTimeout is the timeout, in nanoseconds, of an attempt that may be retried.
+// attemptTimeout returns the timeout, in nanoseconds, of an attempt that may be retried.
 func (d *Dispatcher) attemptTimeout(class int) int64 {
 	return int64(d.config.AttemptTimeoutFactor * float64(d.config.Classes[class].LatencyObjective))
 }
 
-// earnRetryTokens adds to the retry budget what one admitted request earns.
+// earnRetryTokens adds the share of a retry that one admitted request earns to the retry budget.
 func (d *Dispatcher) earnRetryTokens() {
 	d.retryTokens = min(d.config.RetryBudgetBurst, d.retryTokens+d.config.RetryBudgetRatio)
 }
 
-// spendRetryToken takes a retry from the budget, and reports whether there was one.
+// spendRetryToken takes one retry from the retry budget, and reports whether there was one.
 func (d *Dispatcher) spendRetryToken() bool {
 	if d.retryTokens < 1 {
 		return false
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -14,16 +14,16 @@
 		class    int
 		policy   control.RetryPolicy
 		outcomes []Outcome
-		at       []int64 // of each outcome
+		times    []int64 // time of each outcome
 		attempts int
-		reason   Reason // of the last step; None: it succeeded, or is retried
+		reason   Reason // of the last step; None: success, or another attempt
 	}{
-		{"success at once", payout, 3, []Outcome{Succeeded}, []int64{1}, 1, None},
+		{"success of the first attempt", payout, 3, []Outcome{Succeeded}, []int64{1}, 1, None},
 		{"no retry", read, 0, []Outcome{NotExecuted}, []int64{1}, 1, ErrAttemptsFailed},
 		{"certainly not executed", read, 1, []Outcome{NotExecuted, Succeeded}, []int64{1, 2}, 2, None},
 		{"one retry, not two", read, 1, []Outcome{NotExecuted, NotExecuted}, []int64{1, 2}, 2, ErrAttemptsFailed},
 		{"may have been executed", read, 1, []Outcome{Broken}, []int64{1}, 1, ErrAttemptsFailed},
-		{"after any failure", read, 2, []Outcome{TimedOut, Succeeded}, []int64{second, second + 1}, 2, None},
+		{"retry after any failure", read, 2, []Outcome{TimedOut, Succeeded}, []int64{second, second + 1}, 2, None},
 		{"two retries", read, 3, []Outcome{Broken, TimedOut, Succeeded}, []int64{1, 2, 3}, 3, None},
 		{"two retries, not three", read, 3, []Outcome{Broken, TimedOut, Broken}, []int64{1, 2, 3}, 3, ErrAttemptsFailed},
 		{"timeout", read, 3, []Outcome{TimedOut}, []int64{4 * second}, 1, ErrTimeout},
@@ -33,40 +33,40 @@
 		{"a payout was not executed, then may have been", payout, 3, []Outcome{NotExecuted, Broken}, []int64{1, 2}, 2, ErrMayHaveExecuted},
 		{"an order within its window", order, 2, []Outcome{TimedOut, Succeeded}, []int64{second, second + 1}, 2, None},
 		{"an order at the edge of its window", order, 2, []Outcome{TimedOut}, []int64{3 * second / 2}, 1, ErrNoTimeToRetry},
-		{"just within", order, 2, []Outcome{TimedOut}, []int64{3*second/2 - 1}, 2, None},
-		{"an order that was not executed has no window", order, 1, []Outcome{NotExecuted, Succeeded}, []int64{3 * second, 3*second + 1}, 2, None},
-		{"the window is that of the first that may have been executed", order, 3, []Outcome{NotExecuted, Broken, Succeeded}, []int64{second, 2 * second, 2*second + 1}, 3, None},
+		{"an order just within its window", order, 2, []Outcome{TimedOut}, []int64{3*second/2 - 1}, 2, None},
+		{"the window does not apply to an order that was not executed", order, 1, []Outcome{NotExecuted, Succeeded}, []int64{3 * second, 3*second + 1}, 2, None},
+		{"the window begins with the first attempt that may have been executed", order, 3, []Outcome{NotExecuted, Broken, Succeeded}, []int64{second, 2 * second, 2*second + 1}, 3, None},
 		{"an order without another replica in its zone", order, 3, []Outcome{Broken, Broken}, []int64{1, 2}, 2, ErrNoReplica},
 	} {
 		d := newDispatcher(t, nil, retryPolicy(c.policy))
 		request, step := d.Begin(0, c.class, true)
-		for k, e := range c.outcomes {
+		for k, outcome := range c.outcomes {
 			if step.Replica == "" {
-				t.Fatalf("%s: step %d is %+v", c.name, k, step)
+				t.Fatalf("%s: step %d is %+v, want an attempt", c.name, k, step)
 			}
-			step = d.AttemptEnded(c.at[k], request, e)
+			step = d.AttemptEnded(c.times[k], request, outcome)
 		}
 		last := c.outcomes[len(c.outcomes)-1]
 		if step.Reason != c.reason || len(request.attempts) != c.attempts || (last == Succeeded) != step.Succeeded || step.Final == (step.Replica != "") {
-			t.Errorf("%s: %+v after %d attempts, want %q after %d", c.name, step, len(request.attempts), c.reason, c.attempts)
+			t.Errorf("%s: last step %+v after %d attempts, want reason %q after %d", c.name, step, len(request.attempts), c.reason, c.attempts)
 		}
 		for k, a := range request.attempts {
 			for _, b := range request.attempts[:k] {
 				if a.replica == b.replica {
-					t.Errorf("%s: %s is used twice", c.name, a.replica)
+					t.Errorf("%s: replica %s is attempted twice", c.name, a.replica)
 				}
 				if c.class == order && last != NotExecuted && !b.notExecuted && a.zone != b.zone {
-					t.Errorf("%s: attempted in zones %s and %s", c.name, b.zone, a.zone)
+					t.Errorf("%s: attempted in zones %s and %s, want one zone", c.name, b.zone, a.zone)
 				}
 			}
 		}
 		if step.Final && d.InFlight() != 0 {
-			t.Errorf("%s: %d in flight", c.name, d.InFlight())
+			t.Errorf("%s: %d requests in flight after the final step, want 0", c.name, d.InFlight())
 		}
 	}
 }
 
-func TestAttemptIsShorterWhereARetryMayFollow(t *testing.T) {
+func TestAttemptDeadlineLeavesTimeForARetry(t *testing.T) {
 	for _, c := range []struct {
 		class      int
 		policy     control.RetryPolicy
@@ -75,12 +75,12 @@
 	}{{0, 0, true, 4}, {0, 1, true, 4}, {0, 2, true, 1}, {0, 2, false, 4}, {2, 3, true, 4}, {1, 3, true, 1}} {
 		d := newDispatcher(t, nil, retryPolicy(c.policy))
 		if _, step := d.Begin(0, c.class, c.replayable); step.Deadline != c.deadline*second {
-			t.Errorf("%+v: deadline %d", c, step.Deadline)
+			t.Errorf("%+v: deadline of the first attempt is %d ns", c, step.Deadline)
 		}
 	}
 }
 
-func TestRetriesAreAFractionOfTheRequests(t *testing.T) {
+func TestRetryBudgetLimitsRetriesToAFractionOfRequests(t *testing.T) {
 	d := newDispatcher(t, func(c *Config) { c.MaxConsecutiveFailures, c.RetryBudgetRatio = 0, 0.1 }, retryPolicy(2))
 	for range 1000 {
 		request, step := d.Begin(0, 0, true)
@@ -89,7 +89,7 @@
 		}
 	}
 	if n := d.Counters.Retries; n < 100 || n > 111 || d.Counters.Failed[ErrRetryBudgetExhausted]+d.Counters.Failed[ErrAttemptsFailed] != 1000 {
-		t.Errorf("%d retries of 1000 requests that all fail: %v", n, d.Counters.Failed)
+		t.Errorf("%d retries for 1000 failing requests, want 100 to 111; failures by reason: %v", n, d.Counters.Failed)
 	}
 }
 
@@ -97,7 +97,7 @@
 	for _, c := range []struct {
 		name     string
 		scope    retryScope
-		contains string // endpoints, by zone and cell
+		contains string // endpoints in scope, each named by zone and cell
 	}{
 		{"unrestricted", retryScope{}, "a1 a2 b1"},
 		{"all", retryScope{restricted: true, scope: control.ScopeAll, zone: "a", cell: "1"}, "a1 a2 b1"},
@@ -108,7 +108,7 @@
 			for _, id := range []string{"a1", "a2", "b1"} {
 				endpoint := Endpoint{Zone: id[:1], Cell: id[1:]}
 				if got := c.scope.contains(endpoint); got != strings.Contains(c.contains, id) {
-					t.Errorf("%s is allowed: %v", id, got)
+					t.Errorf("endpoint %s in scope: %v, want %v", id, got, !got)
 				}
 			}
 		})
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// weightedEndpoint is one replica of a table.
+// weightedEndpoint is one replica in a table.
 type weightedEndpoint struct {
 	replica string
 	weight  float64
-	credit  float64 // of smooth weighted round robin
+	credit  float64 // in smooth weighted round robin
 }
 
-// table is what a sidecar follows for one traffic class.
+// table holds the weighted endpoints, settings and token bucket of one traffic class.
 type table struct {
 	endpoints   []weightedEndpoint // ordered by replica
 	settings    ClassSettings
@@ -37,7 +37,7 @@
 	}
 }
 
-// clear removes all endpoints and settings. The token bucket stays: a new table is no new burst.
+// clear removes all endpoints and settings. The token bucket is kept, so that a new table does not allow a new burst.
 func (t *table) clear() {
 	t.endpoints = nil
 	t.hasSettings = false
--- a/internal/dispatch/update.go
+++ b/internal/dispatch/update.go
@@ -12,31 +12,32 @@
 
 // Update is one part of a controller's update.
 type Update struct {
-	Classes  []string           // the traffic classes that it is for; none: all
-	Full     bool               // it replaces the tables and settings of its classes
-	Weights  map[string]float64 // by replica; 0 removes it
-	Settings []ClassSettings    // the last one holds; none: unchanged
+	Classes  []string           // the traffic classes that it applies to; none: all
+	Full     bool               // replaces the tables and settings of its classes
+	Weights  map[string]float64 // by replica; 0 removes the replica
+	Settings []ClassSettings    // the last one applies; none: unchanged
 	Eject    []string           // replicas that must not be picked
 	Uneject  []string           // replicas that may be picked again
 }
 
 // ClassSettings are a controller's settings of a traffic class.
 type ClassSettings struct {
-	Admission float64 // by the admission mode: a fraction of the requests, or requests a second
+	Admission float64 // depends on the admission mode: a fraction of the requests, or requests per second
 	Retry     control.RetryPolicy
 }
 
-// ErrInvalidUpdate is returned for an update that cannot be applied. Nothing of it has been applied, so its stream has
-// to be reset.
-var ErrInvalidUpdate = errors.New("update cannot be applied")
+// ErrInvalidUpdate is returned for an update that cannot be applied. No part of it has been applied, so its stream has to
+// be reset.
+var ErrInvalidUpdate = errors.New("invalid update")
 
 const (
-	// maxUpdateEndpoints is more than any installation lists: a controller that sends more is broken.
+	// maxUpdateEndpoints bounds the endpoints of one part. No installation has as many, so a controller that sends more is
+	// faulty.
 	maxUpdateEndpoints = 1 << 14
-	// maxAdmission bounds the admission setting, in requests a second.
+	// maxAdmission bounds the admission setting, in requests per second.
 	maxAdmission = 1e6
-	// maxUnlistedEjections bounds how many ejections are kept for replicas that no table names.
-	maxUnlistedEjections = 1024
+	// maxUnreferencedEjections is the number of controller ejections above which those of replicas in no table are dropped.
+	maxUnreferencedEjections = 1024
 )
 
 // Apply applies the parts of one update in their order: all of them, or nothing.
@@ -58,17 +59,18 @@
 		return err
 	}
 	if len(part.Weights) > maxUpdateEndpoints {
-		return fmt.Errorf("%w: %d endpoints", ErrInvalidUpdate, len(part.Weights))
+		return fmt.Errorf("%w: %d endpoints exceed the limit of %d", ErrInvalidUpdate, len(part.Weights), maxUpdateEndpoints)
 	}
 	for _, replica := range slices.Sorted(maps.Keys(part.Weights)) {
 		weight := part.Weights[replica]
 		if replica == "" || !isValidWeight(weight) {
-			return fmt.Errorf("%w: endpoint %.40q of weight %v", ErrInvalidUpdate, replica, weight)
+			return fmt.Errorf("%w: endpoint %.40q has weight %v, want an id and a finite weight of at least 0", ErrInvalidUpdate, replica, weight)
 		}
 	}
 	for _, settings := range part.Settings {
 		if !settings.valid() {
-			return fmt.Errorf("%w: admission %v, retry policy %d", ErrInvalidUpdate, settings.Admission, settings.Retry)
+			return fmt.Errorf("%w: admission %v or retry policy %d is out of range, want 0 to %v and %d to %d",
+				ErrInvalidUpdate, settings.Admission, settings.Retry, maxAdmission, control.NoRetry, control.RetryTwice)
 		}
 	}
 	return nil
@@ -79,7 +81,7 @@
 	return weight >= 0 && !math.IsInf(weight, 0) // a NaN is not >= 0
 }
 
-// valid reports whether both settings are in their range.
+// valid reports whether both settings are within their limits.
 func (s ClassSettings) valid() bool {
 	admissionValid := s.Admission >= 0 && s.Admission <= maxAdmission // false for a NaN
 	return admissionValid && s.Retry >= control.NoRetry && s.Retry <= control.RetryTwice
@@ -99,7 +101,7 @@
 	}
 	if part.Full || len(part.Weights) > 0 {
 		d.hasTables = true
-		d.evictUnlisted(now)
+		d.evictUnreferenced(now)
 	}
 }
 
@@ -117,7 +119,7 @@
 	}
 }
 
-// classIndexes returns the indexes of traffic classes by their names; all of them if there are no names.
+// classIndexes returns the indexes of the traffic classes with the given names, or all indexes if there are no names.
 func (d *Dispatcher) classIndexes(names []string) ([]int, error) {
 	var classes []int
 	if len(names) == 0 {
@@ -129,7 +131,7 @@
 	for _, name := range names {
 		class := d.Class(name)
 		if class < 0 {
-			return nil, fmt.Errorf("%w: no traffic class %.40q", ErrInvalidUpdate, name)
+			return nil, fmt.Errorf("%w: unknown traffic class %.40q", ErrInvalidUpdate, name)
 		}
 		classes = append(classes, class)
 	}
--- a/internal/dispatch/update_test.go
+++ b/internal/dispatch/update_test.go
@@ -10,26 +10,26 @@
 
 func TestUpdateIsAppliedCompletelyOrNotAtAll(t *testing.T) {
 	for name, update := range map[string]Update{
-		"class":  {Classes: []string{"reads"}, Full: true, Weights: map[string]float64{"z": 1}},
-		"weight": {Full: true, Weights: map[string]float64{"z": -1}}, "number": {Full: true, Weights: map[string]float64{"z": math.NaN()}},
-		"admission": {Full: true, Settings: []ClassSettings{{-0.5, 1}}, Eject: []string{"a1"}}, "retry policy": {Full: true, Settings: []ClassSettings{{1, 4}}}, "name": {Weights: map[string]float64{"": 1}},
+		"traffic class": {Classes: []string{"reads"}, Full: true, Weights: map[string]float64{"z": 1}},
+		"weight":        {Full: true, Weights: map[string]float64{"z": -1}}, "weight NaN": {Full: true, Weights: map[string]float64{"z": math.NaN()}},
+		"admission": {Full: true, Settings: []ClassSettings{{-0.5, 1}}, Eject: []string{"a1"}}, "retry policy": {Full: true, Settings: []ClassSettings{{1, 4}}}, "replica id": {Weights: map[string]float64{"": 1}},
 	} {
 		d := newDispatcher(t, nil)
 		if err := d.Apply(0, update); !errors.Is(err, ErrInvalidUpdate) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("invalid %s: error %v, want ErrInvalidUpdate in one line", name, err)
 		}
 		if n := d.TableSizes(); n["read"] != 4 || n["payout"] != 4 || len(d.ejectedByController) != 0 || d.tables[0].hasSettings {
-			t.Errorf("%s: left %v", name, n)
+			t.Errorf("invalid %s: table sizes %v after the update, want no change to tables, ejections and settings", name, n)
 		}
 	}
 	d := newDispatcher(t, nil, retryPolicy(2), Update{Eject: []string{"a1"}})
 	d.Apply(0, Update{Classes: []string{"order"}, Full: true, Weights: map[string]float64{"b1": 2}})
 	if n := d.TableSizes(); n["order"] != 1 || n["read"] != 4 || d.tables[1].hasSettings || !d.tables[0].hasSettings || !d.ejectedByController["a1"] {
-		t.Errorf("a full table of one class: %v", n)
+		t.Errorf("full update of class order: table sizes %v, want other tables, settings and the ejection unchanged", n)
 	}
 }
 
-func TestSetWeightKeepsTheOrder(t *testing.T) {
+func TestSetWeightKeepsEndpointsSorted(t *testing.T) {
 	var table table
 	for _, step := range []struct {
 		replica string
@@ -44,7 +44,7 @@
 	} {
 		table.setWeight(step.replica, step.weight)
 		if !slices.Equal(table.endpoints, step.want) {
-			t.Errorf("after %s of weight %v: %v, want %v", step.replica, step.weight, table.endpoints, step.want)
+			t.Errorf("after setting %s to weight %v: endpoints %v, want %v", step.replica, step.weight, table.endpoints, step.want)
 		}
 	}
 }
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,7 +1,7 @@
-// Package failover selects which of several equal peers a client uses. The peers are in the order of preference; one that has
-// failed is not used for a cool-down, and preferred again after that. The package does no I/O, reads no clock and starts no
-// goroutine; times are nanoseconds of any one clock. Cool-downs have jitter from a seed, so that clients that failed over
-// together do not return together.
+// Package failover selects which of several equivalent peers a client uses. Peers are listed in order of preference. A peer
+// that has failed is not used during its cool-down, and is preferred again after that. The package does no I/O, reads no
+// clock and starts no goroutine; callers pass times in nanoseconds of one clock of their choice. Cool-downs have jitter from
+// a seed, so that clients that failed over together do not return together.
 package failover
 
 import (
@@ -10,28 +10,29 @@
 	"lilacbend/internal/backoff"
 )
 
-// A peer that has failed is not used for CooldownInitial, and for twice as long each time, up to CooldownLimit, while there is
-// another one.
+// The cool-down of a peer that has failed lasts for CooldownInitial, and for twice as long after each further failure, up to
+// CooldownLimit; jitter shortens it by up to half. During its cool-down a peer is used only if no other one can be.
 const (
 	CooldownInitial = 5 * time.Second
 	CooldownLimit   = time.Minute
 )
 
-// Selector is the state of one client. It is not safe for concurrent use.
+// Selector selects the peer that one client uses. It is not safe for concurrent use.
 type Selector struct {
-	peers    []*peer // in the order of preference
-	failures uint64  // that were recorded
+	peers    []*peer // in order of preference
+	failures uint64  // number of recorded failures of all peers
 }
 
+// peer is one peer and its failures.
 type peer struct {
-	address  string
-	failed   bool
-	failure  uint64 // the number of its last failure
-	returnAt int64  // it is not selected before, while there is another one
-	cooldown *backoff.Backoff
+	address     string
+	failed      bool
+	lastFailure uint64 // value of Selector.failures at its last failure
+	cooldownEnd int64  // end of its cool-down
+	cooldown    *backoff.Backoff
 }
 
-// New returns a Selector of peers, none of which has failed.
+// New returns a Selector for the peers with the given addresses, in order of preference. None of them has failed.
 func New(addresses []string, seed uint64) *Selector {
 	s := &Selector{}
 	for k, address := range addresses {
@@ -43,15 +44,16 @@
 	return s
 }
 
-// Next returns the peer to use: the first that has not failed, or whose cool-down is over; if there is none, the one that failed
-// first, so that each has its turn. It returns an empty address if there are no peers.
+// Next returns the address of the peer to use: the first one that has not failed or whose cool-down has ended. If there is
+// none, it returns the peer whose last failure is the oldest, so that all peers are tried in turn. Without peers it returns
+// an empty address.
 func (s *Selector) Next(now int64) string {
 	var oldest *peer
 	for _, p := range s.peers {
-		if !p.failed || p.returnAt <= now {
+		if !p.failed || p.cooldownEnd <= now {
 			return p.address
 		}
-		if oldest == nil || p.failure < oldest.failure {
+		if oldest == nil || p.lastFailure < oldest.lastFailure {
 			oldest = p
 		}
 	}
@@ -61,20 +63,20 @@
 	return oldest.address
 }
 
-// Failed records that a peer could not be used. Its cool-down begins now.
-func (s *Selector) Failed(address string, now int64) {
+// RecordFailure records that a peer could not be used, and begins its cool-down.
+func (s *Selector) RecordFailure(address string, now int64) {
 	s.failures++
 	for _, p := range s.peers {
 		if p.address == address {
 			p.failed = true
-			p.failure = s.failures
-			p.returnAt = now + int64(p.cooldown.Next())
+			p.lastFailure = s.failures
+			p.cooldownEnd = now + int64(p.cooldown.Next())
 		}
 	}
 }
 
-// Confirmed records that a peer has answered.
-func (s *Selector) Confirmed(address string) {
+// RecordSuccess records that a peer has responded, which ends its cool-down and resets the length of the next one.
+func (s *Selector) RecordSuccess(address string) {
 	for _, p := range s.peers {
 		if p.address == address {
 			p.failed = false
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -11,101 +11,102 @@
 
 func TestPreferredPeerIsUsedUntilItFailsAndAgainAfterItsCooldown(t *testing.T) {
 	s := New([]string{"a", "b", "c"}, 7)
-	expect := func(now int64, want string) {
+	expectNext := func(now int64, want string) {
 		t.Helper()
 		if got := s.Next(now); got != want {
-			t.Errorf("at %d ms %q, want %q", now/1e6, got, want)
+			t.Errorf("selected at %d ms: %q, want %q", now/1e6, got, want)
 		}
 	}
-	expect(0, "a")
-	s.Failed("a", 0)
-	expect(0, "b")
-	s.Failed("b", second)
-	expect(second, "c")
-	s.Failed("c", second+1)
-	expect(second+1, "a") // all have failed: the one that did first
-	s.Failed("a", second+2)
-	expect(second+2, "b")
-	s.Confirmed("b")
-	expect(2*second, "b")
-	expect(second+2+2*int64(CooldownInitial), "a") // its second cool-down is over
-	s.Confirmed("a")
-	s.Failed("a", 100*second)
-	expect(100*second+int64(CooldownInitial), "a") // an answer has made its next cool-down short again
+	expectNext(0, "a")
+	s.RecordFailure("a", 0)
+	expectNext(0, "b")
+	s.RecordFailure("b", second)
+	expectNext(second, "c")
+	s.RecordFailure("c", second+1)
+	expectNext(second+1, "a") // all have failed: the one with the oldest failure
+	s.RecordFailure("a", second+2)
+	expectNext(second+2, "b")
+	s.RecordSuccess("b")
+	expectNext(2*second, "b")
+	expectNext(second+2+2*int64(CooldownInitial), "a") // its second cool-down has ended
+	s.RecordSuccess("a")
+	s.RecordFailure("a", 100*second)
+	expectNext(100*second+int64(CooldownInitial), "a") // a success has reset its cool-down to the initial one
 }
 
-func TestNoPeers(t *testing.T) {
+func TestNextWithoutPeersIsEmpty(t *testing.T) {
 	if got := New(nil, 1).Next(0); got != "" {
-		t.Errorf("%q of none", got)
+		t.Errorf("selected %q without peers, want an empty address", got)
 	}
 }
 
-// Clients that lost the same peer in one moment return to it spread over half of the cool-down.
+// Clients whose peer failed at the same moment return to it at times spread over the second half of the cool-down.
 func TestClientsReturnSpreadOverTime(t *testing.T) {
-	const clients, slices = 200, 10
-	var back [slices]int
+	const clients, buckets = 200, 10
+	var returned [buckets]int
 	for seed := range uint64(clients) {
 		s := New([]string{"a", "b"}, seed*1000)
-		s.Failed("a", 0)
-		for k := range back {
+		s.RecordFailure("a", 0)
+		for k := range returned {
 			from := int64(CooldownInitial) / 2
-			if s.Next(from+int64(k+1)*from/slices) == "a" {
-				back[k]++
+			if s.Next(from+int64(k+1)*from/buckets) == "a" {
+				returned[k]++
 				break
 			}
 		}
 	}
-	for k, count := range back {
-		if count < clients/slices/4 || count > clients/slices*3 {
-			t.Errorf("tenth %d: %d of %d come back", k, count, clients)
+	for k, count := range returned {
+		if count < clients/buckets/4 || count > clients/buckets*3 {
+			t.Errorf("bucket %d of the return period: %d of %d clients return, want about as many in each bucket", k, count, clients)
 		}
 	}
 }
 
-// Whatever fails and answers: a peer that works is selected, and stays so once nothing fails any more; no peer that
-// has failed is selected before its cool-down is over while there is one that has not.
-func TestWorkingPeerIsFound(t *testing.T) {
+// After any sequence of failures and successes, the only working peer is found within a few attempts, and is found again
+// each time the cool-downs of the others have ended. No peer that has failed is selected during its cool-down while there is
+// one that has not failed.
+func TestOnlyWorkingPeerIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := []string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "peers")]
-		s := New(all, rapid.Uint64().Draw(t, "seed"))
+		peers := []string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "peers")]
+		s := New(peers, rapid.Uint64().Draw(t, "seed"))
 		now, down, failedAt := int64(0), map[string]bool{}, map[string]int64{}
-		try := func() string {
+		attempt := func() string {
 			peer := s.Next(now)
 			for other, at := range failedAt {
-				if other == peer && now < at+int64(CooldownInitial)/2 && len(failedAt) < len(all) {
-					t.Fatalf("%s is chosen %d ms after it failed", peer, (now-at)/1e6)
+				if other == peer && now < at+int64(CooldownInitial)/2 && len(failedAt) < len(peers) {
+					t.Fatalf("peer %s is selected %d ms after its failure, before its cool-down can have ended", peer, (now-at)/1e6)
 				}
 			}
 			if down[peer] {
-				s.Failed(peer, now)
+				s.RecordFailure(peer, now)
 				failedAt[peer] = now
 			} else {
-				s.Confirmed(peer)
+				s.RecordSuccess(peer)
 				delete(failedAt, peer)
 			}
 			return peer
 		}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 20*second).Draw(t, "pause")
-			peer := rapid.SampledFrom(all).Draw(t, "peer")
+			peer := rapid.SampledFrom(peers).Draw(t, "peer")
 			down[peer] = rapid.Bool().Draw(t, "down")
-			try()
+			attempt()
 		}
-		works := rapid.SampledFrom(all).Draw(t, "works")
+		working := rapid.SampledFrom(peers).Draw(t, "works")
 		clear(down)
-		for _, peer := range all {
-			down[peer] = peer != works
+		for _, peer := range peers {
+			down[peer] = peer != working
 		}
-		tries := 0
-		for try() != works {
-			if tries++; tries > len(all) {
-				t.Fatalf("%s works and is not found in %d tries of one moment", works, tries)
+		attempts := 0
+		for attempt() != working {
+			if attempts++; attempts > len(peers) {
+				t.Fatalf("working peer %s is not selected in %d attempts at one time", working, attempts)
 			}
 		}
 		for range 5 {
 			now += 2 * int64(CooldownLimit)
-			if !slices.ContainsFunc(all, func(string) bool { return try() == works }) {
-				t.Fatalf("%s works and is lost again", works)
+			if !slices.ContainsFunc(peers, func(string) bool { return attempt() == working }) {
+				t.Fatalf("working peer %s is not selected again after all cool-downs have ended", working)
 			}
 		}
 	})
--- a/internal/loadreport/aggregator.go
+++ b/internal/loadreport/aggregator.go
@@ -1,6 +1,7 @@
-// Package loadreport sums outcomes by key, and chooses which sums are reported first where a budget of bytes does not allow all
-// of them. Nothing is lost by the choice: what is not reported yet is added to later outcomes. The package does no I/O, reads no
-// clock and starts no goroutine; times are nanoseconds of any one clock.
+// Package loadreport sums the outcomes of attempts by key, and selects which sums are reported first if a budget of bytes
+// does not allow all of them. The selection loses nothing: a sum that is not reported yet is added to later outcomes. The
+// package does no I/O, reads no clock and starts no goroutine; callers pass times in nanoseconds of one clock of their
+// choice.
 package loadreport
 
 import (
@@ -11,30 +12,31 @@
 
 // Limits bound an Aggregator.
 type Limits struct {
-	BytesPerSecond int           // of reports; 0: every sum is reported in every round
-	Interval       time.Duration // between two rounds; the budget of one more may be saved
-	MaxAge         time.Duration // of outcomes that are reported
-	MaxKeys        int           // for which sums are held
+	BytesPerSecond int           // bytes of reports; 0: each sum is reported in each round
+	Interval       time.Duration // between two rounds; the unused budget of one interval is kept for the next
+	MaxAge         time.Duration // outcomes older than this are not reported
+	MaxKeys        int           // number of keys whose sums are held
 }
 
 // Report is a sum that is to be reported now.
 type Report struct {
 	Key    string
 	Sum    Sum
-	Period time.Duration // in which the outcomes came
+	Period time.Duration // in which the outcomes occurred
 }
 
-// Aggregator holds the outcomes that were not reported to one receiver yet. It is not safe for concurrent use.
+// Aggregator holds the outcomes that have not been reported to one receiver yet. It is not safe for concurrent use.
 //
-// A round begins with Begin. Next returns its reports one by one, and Spent takes the size of each from the budget.
+// BeginRound begins a round of reports. Next returns the reports of the round one by one, and RecordSent subtracts the size
+// of each from the budget.
 type Aggregator struct {
-	limits  Limits
-	entries map[string]*entry
-	budget  float64 // bytes; negative by part of one message at the most
-	began   int64   // when the last round did
+	limits         Limits
+	entries        map[string]*entry
+	budget         float64 // bytes; negative by less than one message
+	roundStartedAt int64   // when the last round began
 
-	// The rest of the round: entries that differ from what the receiver knows, and all entries by the age of their last
-	// report. An entry may be in both.
+	// The queues of the rest of the round: changed holds the entries that differ from what the receiver knows, and oldest
+	// holds all pending entries by the age of their last report. An entry may be in both.
 	changed       []*entry
 	oldest        []*entry
 	changedIsNext bool
@@ -42,14 +44,14 @@
 
 // New returns an Aggregator without outcomes.
 func New(limits Limits, now int64) *Aggregator {
-	return &Aggregator{limits: limits, entries: map[string]*entry{}, began: now}
+	return &Aggregator{limits: limits, entries: map[string]*entry{}, roundStartedAt: now}
 }
 
-// Began returns when the last round began.
-func (a *Aggregator) Began() int64 { return a.began }
+// RoundStartedAt returns when the last round began.
+func (a *Aggregator) RoundStartedAt() int64 { return a.roundStartedAt }
 
-// Add adds outcomes that came between from and now. Those of more keys than the limit allows are dropped.
-func (a *Aggregator) Add(key string, sum Sum, from, now int64) {
+// Add adds outcomes that occurred between since and now. Outcomes of a new key are dropped if the limit of keys is reached.
+func (a *Aggregator) Add(key string, sum Sum, since, now int64) {
 	e := a.entries[key]
 	if e == nil {
 		if len(a.entries) >= a.limits.MaxKeys {
@@ -59,20 +61,21 @@
 		a.entries[key] = e
 	}
 	e.expire(now, a.limits.MaxAge)
-	e.add(sum, from)
+	e.add(sum, since)
 }
 
-// ReceiverRestarted records that the receiver may have lost what was reported to it: all that is pending is a change to it.
+// ReceiverRestarted records that the receiver may have lost all earlier reports, so that every pending sum is a change to
+// it.
 func (a *Aggregator) ReceiverRestarted() {
 	for _, e := range a.entries {
 		e.known = receiverState{}
 	}
 }
 
-// Begin begins a round: the budget grows, and what is pending is ordered.
-func (a *Aggregator) Begin(now int64) {
+// BeginRound begins a round: it refills the budget and orders the pending entries.
+func (a *Aggregator) BeginRound(now int64) {
 	a.refill(now)
-	a.began = now
+	a.roundStartedAt = now
 	a.changed = a.changed[:0]
 	a.oldest = a.oldest[:0]
 	for key, e := range a.entries {
@@ -80,7 +83,7 @@
 		switch {
 		case e.pending():
 			a.enqueue(e)
-		case now-e.reportedAt > int64(a.limits.MaxAge): // what was reported says nothing about now
+		case now-e.reportedAt > int64(a.limits.MaxAge): // the last report is too old to describe the current state
 			delete(a.entries, key)
 		}
 	}
@@ -89,11 +92,11 @@
 	a.changedIsNext = true
 }
 
-// refill lets the budget grow with time. What one interval allows may be saved for the next.
+// refill adds the budget of the time since the last round. At most the budget of two intervals accumulates.
 func (a *Aggregator) refill(now int64) {
 	perSecond := float64(a.limits.BytesPerSecond)
-	grown := a.budget + perSecond*time.Duration(now-a.began).Seconds()
-	a.budget = min(grown, 2*perSecond*a.limits.Interval.Seconds())
+	budget := a.budget + perSecond*time.Duration(now-a.roundStartedAt).Seconds()
+	a.budget = min(budget, 2*perSecond*a.limits.Interval.Seconds())
 }
 
 // enqueue puts an entry into the queues of the round.
@@ -105,33 +108,33 @@
 	a.oldest = append(a.oldest, e)
 }
 
-// Next returns the next report of the round; false: there is none, or the budget is spent. Changed entries and the oldest ones come
-// by turns: during a failure all entries may have changed in every round, and yet none may wait forever.
+// Next returns the next report of the round, or false if there is none or the budget is spent. It alternates between changed
+// entries and the oldest ones: during an outage all entries may change in each round, and still no entry must wait forever.
 func (a *Aggregator) Next(now int64) (Report, bool) {
 	if a.limits.BytesPerSecond > 0 && a.budget <= 0 {
 		return Report{}, false
 	}
-	e := a.take()
+	e := a.takeNext()
 	if e == nil {
 		return Report{}, false
 	}
 	return e.report(now), true
 }
 
-// take takes an entry from the queues by turns; nil: both are empty.
-func (a *Aggregator) take() *entry {
-	first, second := &a.oldest, &a.changed
+// takeNext takes an entry from the two queues alternately; nil: both are empty.
+func (a *Aggregator) takeNext() *entry {
+	preferred, other := &a.oldest, &a.changed
 	if a.changedIsNext {
-		first, second = second, first
+		preferred, other = other, preferred
 	}
 	a.changedIsNext = !a.changedIsNext
-	if e := takePending(first); e != nil {
+	if e := takePending(preferred); e != nil {
 		return e
 	}
-	return takePending(second)
+	return takePending(other)
 }
 
-// takePending takes the first entry from a queue that was not reported from the other one.
+// takePending takes the first entry of a queue that has not been reported already by way of the other queue.
 func takePending(queue *[]*entry) *entry {
 	for len(*queue) > 0 {
 		e := (*queue)[0]
@@ -143,15 +146,15 @@
 	return nil
 }
 
-// Spent takes the bytes of a report from the budget.
-func (a *Aggregator) Spent(bytes int) { a.budget -= float64(bytes) }
+// RecordSent subtracts the bytes of a sent report from the budget.
+func (a *Aggregator) RecordSent(bytes int) { a.budget -= float64(bytes) }
 
-// byDeviation orders by the number of attempts that went otherwise than the receiver expects, the largest first.
+// byDeviation orders entries by deviation, the largest first.
 func byDeviation(a, b *entry) int {
 	return cmp.Or(cmp.Compare(b.deviation, a.deviation), cmp.Compare(a.key, b.key))
 }
 
-// byReportTime orders by the last report, the oldest first.
+// byReportTime orders entries by the time of their last report, the oldest first.
 func byReportTime(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.reportedAt, b.reportedAt), cmp.Compare(a.key, b.key))
 }
--- a/internal/loadreport/entry.go
+++ b/internal/loadreport/entry.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// entry holds the outcomes of one key. They are added to the newer of two sums. The older one is dropped as a whole, so a report
-// covers at least the last half of the longest age, and at most all of it.
+// entry holds the pending outcomes of one key in two sums. Outcomes are added to the newer sum, and the older sum is dropped
+// as a whole, so that a report covers at least the last half of the maximum age, and at most all of it.
 type entry struct {
 	key        string
 	newer      Sum
-	newerFrom  int64
+	newerSince int64
 	older      Sum
-	olderFrom  int64
+	olderSince int64
 	known      receiverState
 	reportedAt int64   // 0: never
-	deviation  float64 // in this round
+	deviation  float64 // see receiverState.deviation; as of the current round
 }
 
-// pending reports whether there is something to report.
+// pending reports whether there are outcomes to report.
 func (e *entry) pending() bool { return !e.newer.empty() || !e.older.empty() }
 
-// sum returns all that is pending.
+// sum returns the sum of all pending outcomes.
 func (e *entry) sum() Sum { return e.older.plus(e.newer) }
 
-// from returns since when the pending outcomes came.
-func (e *entry) from() int64 {
+// since returns the start of the period of the pending outcomes.
+func (e *entry) since() int64 {
 	if e.older.empty() {
-		return e.newerFrom
+		return e.newerSince
 	}
-	return e.olderFrom
+	return e.olderSince
 }
 
-// add adds outcomes that came from a time on.
-func (e *entry) add(sum Sum, from int64) {
+// add adds outcomes whose period starts at since.
+func (e *entry) add(sum Sum, since int64) {
 	if e.newer.empty() {
-		e.newerFrom = from
+		e.newerSince = since
 	}
 	e.newer = e.newer.plus(sum)
 }
 
-// expire drops what is older than the longest age.
+// expire drops outcomes that are older than the maximum age.
 func (e *entry) expire(now int64, maxAge time.Duration) {
-	if !e.older.empty() && now-e.olderFrom > int64(maxAge) {
+	if !e.older.empty() && now-e.olderSince > int64(maxAge) {
 		e.older = Sum{}
 	}
-	if e.newer.empty() || now-e.newerFrom <= int64(maxAge)/2 {
+	if e.newer.empty() || now-e.newerSince <= int64(maxAge)/2 {
 		return
 	}
-	e.older, e.olderFrom = e.newer, e.newerFrom
+	e.older, e.olderSince = e.newer, e.newerSince
 	e.newer = Sum{}
-	if now-e.olderFrom > int64(maxAge) {
+	if now-e.olderSince > int64(maxAge) {
 		e.older = Sum{}
 	}
 }
 
-// report empties the sums and records what the receiver knows then.
+// report returns the pending outcomes as a report, clears them, and records what the receiver will know.
 func (e *entry) report(now int64) Report {
-	report := Report{Key: e.key, Sum: e.sum(), Period: time.Duration(now - e.from())}
+	report := Report{Key: e.key, Sum: e.sum(), Period: time.Duration(now - e.since())}
 	e.older, e.newer = Sum{}, Sum{}
 	e.known.add(report.Sum)
 	e.reportedAt = now
--- a/internal/loadreport/sum.go
+++ b/internal/loadreport/sum.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	// failureDeviations is the number of standard deviations beyond which failures differ from the known rate.
+	// failureDeviations is the number of standard deviations beyond which failures count as different from the known rate.
 	failureDeviations = 2
-	// responseFactor is the factor from which on a response time differs from the known one.
+	// responseFactor is the ratio from which a response time counts as different from the known one, up or down.
 	responseFactor = 2
-	// retainedFraction is the weight of earlier reports beside a new one.
+	// retainedFraction is the weight of earlier reports relative to a new one.
 	retainedFraction = 0.5
 )
 
@@ -15,10 +15,10 @@
 type Sum struct {
 	Attempts       int
 	Failures       int
-	ResponseMillis float64 // of all attempts that succeeded, together
+	ResponseMillis float64 // response times of all successful attempts, summed
 }
 
-// MeanMillis returns the mean response time of the attempts that succeeded; 0 if none did.
+// MeanMillis returns the mean response time of the successful attempts; 0 if there are none.
 func (s Sum) MeanMillis() float64 {
 	succeeded := s.succeeded()
 	if succeeded <= 0 {
@@ -31,22 +31,22 @@
 
 func (s Sum) empty() bool { return s == Sum{} }
 
-func (s Sum) plus(o Sum) Sum {
+func (s Sum) plus(other Sum) Sum {
 	return Sum{
-		Attempts:       s.Attempts + o.Attempts,
-		Failures:       s.Failures + o.Failures,
-		ResponseMillis: s.ResponseMillis + o.ResponseMillis,
+		Attempts:       s.Attempts + other.Attempts,
+		Failures:       s.Failures + other.Failures,
+		ResponseMillis: s.ResponseMillis + other.ResponseMillis,
 	}
 }
 
-// receiverState is what a receiver knows of a key by the reports it was sent, the latest of which count most.
+// receiverState is what a receiver knows about a key from the reports sent to it, of which later ones weigh more.
 type receiverState struct {
 	attempts   float64
 	failures   float64
-	meanMillis float64 // of the last report with a success; 0: there was none
+	meanMillis float64 // of the last report with a successful attempt; 0: none yet
 }
 
-// add adds a report.
+// add adds the sum of a report.
 func (r *receiverState) add(s Sum) {
 	r.attempts = r.attempts*retainedFraction + float64(s.Attempts)
 	r.failures = r.failures*retainedFraction + float64(s.Failures)
@@ -55,8 +55,8 @@
 	}
 }
 
-// deviation returns the number of attempts that went otherwise than the receiver expects; 0: no more than chance explains. To a
-// receiver that knows nothing all attempts are unexpected.
+// deviation returns the number of attempts whose outcome deviates from what the receiver expects; 0: the difference can be
+// chance. For a receiver that knows nothing, all attempts deviate.
 func (r *receiverState) deviation(s Sum) float64 {
 	if r.attempts == 0 {
 		return float64(max(s.Attempts, s.Failures))
@@ -64,13 +64,13 @@
 	return r.failureDeviation(s) + r.responseDeviation(s)
 }
 
-// failureRate returns the known rate of failures. Half a failure and half a success are added, since few attempts without a
-// failure do not prove that there is none.
+// failureRate returns the known rate of failures. Half a failure and half a success are added, since a few attempts without
+// a failure do not prove a rate of 0.
 func (r *receiverState) failureRate() float64 {
 	return (r.failures + 0.5) / (max(r.attempts, r.failures) + 1)
 }
 
-// failureDeviation compares failures with the known rate.
+// failureDeviation returns by how much the failures differ from those expected at the known rate; 0: it can be chance.
 func (r *receiverState) failureDeviation(s Sum) float64 {
 	rate := r.failureRate()
 	attempts := float64(s.Attempts)
@@ -81,7 +81,8 @@
 	return difference
 }
 
-// responseDeviation returns the number of attempts that succeeded, if they took much longer, or shorter, than is known.
+// responseDeviation returns the number of successful attempts if their mean response time is much longer or shorter than the
+// known one, and 0 otherwise.
 func (r *receiverState) responseDeviation(s Sum) float64 {
 	mean := s.MeanMillis()
 	if mean == 0 || r.meanMillis == 0 {
