--- a/internal/controlclient/budget_test.go
+++ b/internal/controlclient/budget_test.go
@@ -11,18 +11,18 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// reported is what a controller has received from a collector.
-type reported struct {
+// receivedReports sums the outcomes that a controller has received from a collector.
+type receivedReports struct {
 	bytes    int
 	attempts map[string]int // by replica
 }
 
-// add adds a message.
-func (r *reported) add(t *testing.T, text string) {
+// add adds an outcomes message.
+func (r *receivedReports) add(t *testing.T, text string) {
 	t.Helper()
 	words := strings.Fields(text)
 	if len(words) < 7 || words[0] != "outcomes" || words[3] != "target" || words[5] != "count" {
-		t.Fatalf("%q, want outcomes of a replica", text)
+		t.Fatalf("received %q, want an outcomes message of a replica", text)
 	}
 	attempts, err := strconv.Atoi(words[6])
 	if err != nil {
@@ -32,74 +32,74 @@
 	r.attempts[words[4]] += attempts
 }
 
-// The reports to a controller keep to their budget, though sidecars report many more replicas. Each attempt is reported once in the
-// end, and a replica that fails before most others with as many attempts.
+// The reports to a controller keep to their budget, although sidecars report more replicas than it allows at once. Each
+// attempt is reported exactly once in the end, and a failing replica is reported before most others with as many attempts.
 func TestReportsKeepToTheBudget(t *testing.T) {
 	const (
-		every    = 50 * time.Millisecond
+		interval = 50 * time.Millisecond
 		budget   = 8000
 		replicas = 60
 		failing  = "replica-41"
 	)
 	l := scriptedpeer.Listen(t)
-	_, at, _ := collectsWithin(t, every, budget, l)
+	_, address, _ := startCollectorWithBudget(t, interval, budget, l)
 	controller := l.AcceptConn()
 	controller.WaitForMessage("agent site a")
-	sidecar := scriptedpeer.Dial(t, at)
+	sidecar := scriptedpeer.Dial(t, address)
 	began := time.Now()
-	told := map[string]int{}
-	tell := func(failures int) {
+	sentAttempts := map[string]int{}
+	sendReports := func(failures int) {
 		var messages []string
 		for k := range replicas {
 			name := fmt.Sprintf("replica-%02d", k)
-			told[name] += 10
-			missed := 0
+			sentAttempts[name] += 10
+			failed := 0
 			if name == failing {
-				missed = failures
+				failed = failures
 			}
-			messages = append(messages, fmt.Sprintf("met target %s count 10 fail %d mean 20", name, missed))
+			messages = append(messages, fmt.Sprintf("met target %s count 10 fail %d mean 20", name, failed))
 		}
 		sidecar.Send(messages...)
 	}
-	heard := reported{attempts: map[string]int{}}
-	tell(0)
-	for len(heard.attempts) < replicas { // a first report of each
-		heard.add(t, controller.WaitForMessage("outcomes"))
+	received := receivedReports{attempts: map[string]int{}}
+	sendReports(0)
+	for len(received.attempts) < replicas { // wait for a first report of each replica
+		received.add(t, controller.WaitForMessage("outcomes"))
 	}
-	tell(10)
+	sendReports(10)
 	before := 0
 	for text := ""; !strings.Contains(text, failing+" count 10 fail 10 "); before++ {
 		if before == replicas/2 {
-			t.Fatalf("%d others come before the one that fails", before)
+			t.Fatalf("%d other replicas are reported before the failing one, want fewer", before)
 		}
 		text = controller.WaitForMessage("outcomes")
-		heard.add(t, text)
+		received.add(t, text)
 	}
 	for sum := 0; sum < 20*replicas; {
-		heard.add(t, controller.WaitForMessage("outcomes"))
+		received.add(t, controller.WaitForMessage("outcomes"))
 		sum = 0
-		for _, attempts := range heard.attempts {
+		for _, attempts := range received.attempts {
 			sum += attempts
 		}
 	}
-	for name, attempts := range told {
-		if heard.attempts[name] != attempts {
-			t.Errorf("%s: %d attempts reported, want %d", name, heard.attempts[name], attempts)
+	for name, attempts := range sentAttempts {
+		if received.attempts[name] != attempts {
+			t.Errorf("replica %s: %d attempts reported, want %d", name, received.attempts[name], attempts)
 		}
 	}
-	const message = 200 // is more than one takes
-	if most := int(budget*(time.Since(began)+2*every).Seconds()) + message; heard.bytes > most {
-		t.Errorf("%d bytes in %v, want %d at the most", heard.bytes, time.Since(began), most)
+	const message = 200 // bytes; more than one message takes
+	if limit := int(budget*(time.Since(began)+2*interval).Seconds()) + message; received.bytes > limit {
+		t.Errorf("%d bytes reported in %v, want at most %d", received.bytes, time.Since(began), limit)
 	}
-	if least := 2 * replicas * 100; heard.bytes < least {
-		t.Errorf("%d bytes, too few to show that the budget holds them back", heard.bytes)
+	if minimum := 2 * replicas * 100; received.bytes < minimum {
+		t.Errorf("%d bytes reported, want at least %d for the budget to have an effect", received.bytes, minimum)
 	}
 }
 
-// first returns the replica of the next outcomes that a controller receives.
-func first(t *testing.T, controller *scriptedpeer.Conn) string {
+// nextReplica returns the replica of the next outcomes message that a controller receives.
+func nextReplica(t *testing.T, controller *scriptedpeer.Conn) string {
 	t.Helper()
-	r := reported{attempts: map[string]int{}}
+	r := receivedReports{attempts: map[string]int{}}
 	r.add(t, controller.WaitForMessage("outcomes"))
 	for replica := range r.attempts {
 		return replica
@@ -107,48 +107,48 @@
 	return ""
 }
 
-// A controller that knows of a failing replica gets reports in the order of their age. One that is restarted gets the failures first,
-// though the one before knew of them.
+// A controller that already knows of a failing replica receives reports in the order of their age. After a
+// restart it receives the failures first, although it knew of them before.
 func TestRestartedControllerGetsFailuresFirst(t *testing.T) {
 	const (
-		every   = 50 * time.Millisecond
-		failing = "met target failing count 12 fail 12 mean 0"
-		healthy = "met target healthy count 10 fail 0 mean 20"
+		interval = 50 * time.Millisecond
+		failing  = "met target failing count 12 fail 12 mean 0"
+		healthy  = "met target healthy count 10 fail 0 mean 20"
 	)
 	l := scriptedpeer.Listen(t)
-	_, at, _ := collectsWithin(t, every, 0, l)
+	_, address, _ := startCollectorWithBudget(t, interval, 0, l)
 	controller := l.AcceptConn()
 	controller.WaitForMessage("agent site a")
-	sidecar := scriptedpeer.Dial(t, at)
+	sidecar := scriptedpeer.Dial(t, address)
 	known := false
-	for round := 0; round < 10 && !known; round++ { // a round may begin between two messages, so that one is reported alone
-		sidecar.Send(healthy) // reported before the other, so it is the older one
+	for round := 0; round < 10 && !known; round++ { // a round may begin between the two messages and report one of them alone
+		sidecar.Send(healthy) // the first of the two to be reported, so it has the older report
 		controller.WaitForMessage("outcomes site a target healthy count 10 fail 0 ")
 		sidecar.Send(failing)
 		controller.WaitForMessage("outcomes site a target failing count 12 fail 12 ")
 		sidecar.Send(failing, healthy)
-		known = first(t, controller) == "healthy"
+		known = nextReplica(t, controller) == "healthy"
 		controller.WaitForMessage("outcomes")
 	}
 	if !known {
-		t.Error("the failing replica always comes first, though the controller knows of it")
+		t.Error("the failing replica is always reported first, although the controller knows of it")
 	}
 	controller.Reset()
 	restarted := l.AcceptConn()
 	restarted.WaitForMessage("agent site a")
 	sidecar.Send(failing, healthy)
-	if replica := first(t, restarted); replica != "failing" {
-		t.Errorf("a restarted controller gets %s first", replica)
+	if replica := nextReplica(t, restarted); replica != "failing" {
+		t.Errorf("a restarted controller receives replica %s first, want the failing one", replica)
 	}
 }
 
-func TestPendingOutcomesAreNewsToANewConnection(t *testing.T) {
+func TestPendingOutcomesAreChangesForANewConnection(t *testing.T) {
 	pending := newPendingOutcomes(time.Second, 0)
 	round := func(reports ...outcomeReport) []string {
 		for _, report := range reports {
 			pending.add(report)
 		}
-		pending.begin()
+		pending.beginRound()
 		var order []string
 		for {
 			report, ok := pending.next()
@@ -163,10 +163,10 @@
 	round(healthy)
 	round(failing)
 	if order := round(failing, healthy); !slices.Equal(order, []string{"healthy", "failing"}) {
-		t.Errorf("a controller that knows both gets %v", order)
+		t.Errorf("connected controller: order of reports %v, want healthy, failing", order)
 	}
-	pending.connected()
+	pending.recordConnection()
 	if order := round(failing, healthy); !slices.Equal(order, []string{"failing", "healthy"}) {
-		t.Errorf("a new one gets %v", order)
+		t.Errorf("after a new connection: order of reports %v, want failing, healthy", order)
 	}
 }
--- a/internal/controlclient/capacity_bench_test.go
+++ b/internal/controlclient/capacity_bench_test.go
@@ -14,14 +14,16 @@
 	"lilacbend/internal/resp"
 )
 
-// The benchmarks of this file give the costs of a collector, and of a sidecar's control streams, for docs/CAPACITY.md.
+// The benchmarks of this file measure the costs of a collector and of a sidecar's control streams for docs/CAPACITY.md.
+// internal/capacity/table/measurements.yaml refers to them by name.
 
-// One report of a sidecar at a collector, by the controllers that it reports to.
+// BenchmarkReportHeardByGovernors measures how a collector receives one report of a sidecar, by the number of controllers
+// that it reports to.
 func BenchmarkReportHeardByGovernors(b *testing.B) {
-	for _, governors := range []int{1, 6, 110, 400, 1600} {
-		b.Run(fmt.Sprintf("governors=%d", governors), func(b *testing.B) {
+	for _, controllers := range []int{1, 6, 110, 400, 1600} {
+		b.Run(fmt.Sprintf("governors=%d", controllers), func(b *testing.B) {
 			c := &Collector{}
-			for range governors {
+			for range controllers {
 				c.pending = append(c.pending, newPendingOutcomes(time.Hour, 0))
 			}
 			var reports [][]string
@@ -39,34 +41,36 @@
 	}
 }
 
-// The memory of a collector for the outcomes of replicas that it holds for one controller.
+// BenchmarkCollectorMemoryByReplicas measures the memory of the pending outcomes for one controller, by the number of
+// replicas.
 func BenchmarkCollectorMemoryByReplicas(b *testing.B) {
 	for _, replicas := range []int{33, 655, 9500} {
 		b.Run(fmt.Sprintf("replicas=%d", replicas), func(b *testing.B) {
-			var held uint64
+			var heapBytes uint64
 			for b.Loop() {
-				l := newPendingOutcomes(time.Hour, 0)
+				pending := newPendingOutcomes(time.Hour, 0)
 				before := heapInUse()
 				for k := range replicas {
-					l.add(outcomeReport{"stock-7c9d4f5b8-" + strconv.Itoa(10000+k), 12, 0, 47.3})
+					pending.add(outcomeReport{"stock-7c9d4f5b8-" + strconv.Itoa(10000+k), 12, 0, 47.3})
 				}
-				held = heapInUse() - before
-				runtime.KeepAlive(l)
+				heapBytes = heapInUse() - before
+				runtime.KeepAlive(pending)
 			}
-			b.ReportMetric(float64(held), "heap-B")
+			b.ReportMetric(float64(heapBytes), "heap-B")
 		})
 	}
 }
 
+// heapInUse returns the bytes of live heap objects after a garbage collection.
 func heapInUse() uint64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
 
-// One message written to a socket of loopback that is read at once: the writer's side alone is timed by the processor,
-// both share the wall's time.
+// BenchmarkMessageSent measures the write of one message to a loopback socket whose other end reads at once. Only the writer
+// is timed; the reader runs at the same time and shares the wall-clock time.
 func BenchmarkMessageSent(b *testing.B) {
 	for _, m := range []struct{ name, text string }{
 		{"outcomes", "outcomes site zone-17 target stock-7c9d4f5b8-x2v9q count 118 fail 2 mean 47.318 over 500.112"},
@@ -75,7 +79,7 @@
 		{"probe", "probe"},
 	} {
 		b.Run(m.name, func(b *testing.B) {
-			conn := drained(b)
+			conn := drainedConn(b)
 			w := &messageWriter{conn: conn, pool: resp.NewPool(1 << 20)}
 			words := strings.Fields(m.text)
 			for b.Loop() {
@@ -92,8 +96,8 @@
 	}
 }
 
-// drained is a connection whose other end reads all that comes.
-func drained(b *testing.B) net.Conn {
+// drainedConn returns a connection whose other end reads and discards everything.
+func drainedConn(b *testing.B) net.Conn {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -113,7 +117,8 @@
 	return conn
 }
 
-// An update that replaces a sidecar's table, from its words to the dispatcher, by its endpoints.
+// BenchmarkPushAppliedByEndpoints measures parsing and applying an update that replaces a sidecar's table, by the number of
+// endpoints.
 func BenchmarkPushAppliedByEndpoints(b *testing.B) {
 	for _, endpoints := range []int{1, 10, 51, 655} {
 		b.Run(fmt.Sprintf("endpoints=%d", endpoints), func(b *testing.B) {
@@ -128,12 +133,12 @@
 			}
 			now := int64(0)
 			for b.Loop() {
-				var p updateMessage
-				if err := p.addPart(words); err != nil {
+				var message updateMessage
+				if err := message.addPart(words); err != nil {
 					b.Fatal(err)
 				}
 				now++
-				if err := dispatcher.Apply(now, p.parts...); err != nil {
+				if err := dispatcher.Apply(now, message.parts...); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -19,136 +19,139 @@
 const (
 	// dialTimeout bounds the opening of a connection.
 	dialTimeout = time.Second
-	// backoffInitial and backoffLimit bound the waits after failed streams. They have jitter: all sidecars of a controller
-	// that dies connect to the others, and not at once.
+	// backoffInitial and backoffLimit bound the waits after failed streams. The waits have jitter, so that all sidecars of a
+	// controller that fails do not connect to the others at once.
 	backoffInitial = 50 * time.Millisecond
 	backoffLimit   = 2 * time.Second
-	// goodStreamAge is the age of a stream after which the next wait is the initial one again.
-	goodStreamAge = 5 * time.Second
-	// reportInterval is the time between two reports of demand, each with a probe of the controller.
+	// stableStreamAge is the age from which on a stream resets the backoff when it ends.
+	stableStreamAge = 5 * time.Second
+	// reportInterval is the time between two demand reports, each of which is followed by a probe of the controller.
 	reportInterval = time.Second
-	// silenceTimeout is how long a controller, or a collector, may leave probes without an answer before it is given up.
-	silenceTimeout = 4 * time.Second
+	// responseTimeout is how long a controller may send nothing, or a collector may leave a probe unanswered, before the
+	// client gives up on it. Both are probed, so that one that works always has something to send.
+	responseTimeout = 4 * time.Second
 	// clientPoolSize bounds the buffers for long messages of one client, in bytes.
 	clientPoolSize = 2 << 20
 )
 
-// Dispatcher is what updates are applied to, and what counts the requests that came.
+// Dispatcher applies updates and counts the requests that arrive.
 type Dispatcher interface {
 	// Apply applies the parts of an update, all of them or none.
 	Apply(parts []dispatch.Update) error
-	// HasTables reports whether an update with tables was applied.
+	// HasTables reports whether an update with a table has been applied.
 	HasTables() bool
 	// TakeDemand returns the demand by traffic class since the last call.
 	TakeDemand() []dispatch.Demand
 }
 
-// errRefused is the cause of a stream that a controller has refused.
-var errRefused = errors.New("refused by the controller")
+// errRefused is returned for a stream that the controller has refused.
+var errRefused = errors.New("controller refused the proxy")
 
-// Counters are what a Client has counted.
+// Counters count the events of a Client.
 type Counters struct {
 	Dials          atomic.Int64
 	Streams        atomic.Int64
-	Failures       atomic.Int64 // dials that failed, and streams that ended
+	Failures       atomic.Int64 // failed dials and ended streams
 	Updates        atomic.Int64 // applied
 	Acks           atomic.Int64
 	InvalidUpdates atomic.Int64
 	DemandReports  atomic.Int64
 }
 
-// Client holds a stream to one of several controllers. While none answers, the dispatcher goes on with what it has.
+// Client maintains a stream to one of several controllers. While no controller is reachable, the dispatcher keeps its tables
+// and settings.
 type Client struct {
 	Counters    Counters
 	Controllers []string
-	ID          int // of the proxy
+	ID          int // proxy id
 	Zone        string
 	Classes     []string
-	Rate        float64 // an estimate of the requests a second
+	Rate        float64 // estimated requests per second of the proxy
 	Dispatcher  Dispatcher
 	Seed        uint64
 	Log         *slog.Logger
 
-	pool        *resp.Pool
-	demandSince time.Time // when the requests that came were last taken from the dispatcher
-	connected   atomic.Bool
-	current     atomic.Pointer[string]
+	pool              *resp.Pool
+	demandSince       time.Time              // start of the period of the next demand report
+	updated           atomic.Bool            // an update has been applied on the current stream
+	currentController atomic.Pointer[string] // address of the current controller; nil or empty: none
 }
 
-// Controller returns the address of the controller that the stream is to; empty: there is none.
+// Controller returns the address of the controller whose updates are applied; empty: there is none.
 func (c *Client) Controller() string {
-	if address := c.current.Load(); address != nil {
+	if address := c.currentController.Load(); address != nil {
 		return *address
 	}
 	return ""
 }
 
-// Run holds a stream until ctx ends, to one controller after another. Clients begin at different ones, by their id.
+// Run maintains a stream until ctx ends, trying one controller after another. Clients begin with different controllers, by
+// proxy id.
 func (c *Client) Run(ctx context.Context) {
 	c.pool = resp.NewPool(clientPoolSize)
 	c.demandSince = time.Now()
 	retry := backoff.NewJittered(backoffInitial, backoffLimit, c.Seed)
-	at := c.ID % max(1, len(c.Controllers))
+	next := c.ID % max(1, len(c.Controllers))
 	for ctx.Err() == nil && len(c.Controllers) > 0 {
 		began := time.Now()
-		err := c.followController(ctx, c.Controllers[at])
+		err := c.followUpdates(ctx, c.Controllers[next])
 		if ctx.Err() != nil {
 			return
 		}
-		c.streamLost(c.Controllers[at], err)
-		at = (at + 1) % len(c.Controllers)
-		if time.Since(began) > goodStreamAge {
+		c.recordStreamEnd(c.Controllers[next], err)
+		next = (next + 1) % len(c.Controllers)
+		if time.Since(began) > stableStreamAge {
 			retry.Reset()
 		}
 		backoff.Sleep(ctx, retry.Next())
 	}
 }
 
-// streamLost counts a stream that has ended, and logs it if updates came by it.
-func (c *Client) streamLost(address string, err error) {
-	if c.connected.Swap(false) {
-		c.Log.Warn("no controller, the tables stay", "lost", address, "error", err)
+// recordStreamEnd counts a failed dial or an ended stream, and logs it if an update was applied on the stream.
+func (c *Client) recordStreamEnd(address string, err error) {
+	if c.updated.Swap(false) {
+		c.Log.Warn("controller stream lost, keeping the current tables", "lost", address, "error", err)
 	}
 	none := ""
-	c.current.Store(&none)
+	c.currentController.Store(&none)
 	c.Counters.Failures.Add(1)
 }
 
-// followController opens a stream to one controller and applies its updates until the stream ends.
-func (c *Client) followController(ctx context.Context, address string) (err error) {
+// followUpdates opens a stream to one controller and applies its updates until the stream ends.
+func (c *Client) followUpdates(ctx context.Context, address string) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
-			err = fmt.Errorf("panic: %v at %s", v, debug.Stack())
+			err = fmt.Errorf("panic on the controller stream: %v at %s", v, debug.Stack())
 		}
 	}()
 	c.Counters.Dials.Add(1)
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return fmt.Errorf("dial: %w", err)
+		return fmt.Errorf("dial controller: %w", err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var reporting sync.WaitGroup
+	defer reporting.Wait()
 	defer conn.Close()
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	w := &messageWriter{conn: conn, pool: c.pool}
 	if err := c.sendHello(w); err != nil {
-		return fmt.Errorf("hello: %w", err)
+		return fmt.Errorf("send hello to controller: %w", err)
 	}
 	c.Counters.Streams.Add(1)
-	all.Go(func() { c.reportDemand(ctx, w) })
+	reporting.Go(func() { c.reportDemand(ctx, w) })
 	return c.readUpdates(w, address)
 }
 
-// sendHello joins the controller.
+// sendHello introduces the proxy to the controller.
 func (c *Client) sendHello(w *messageWriter) error {
 	return w.send(c.helloMessage()...)
 }
 
-// readUpdates applies the updates of a stream, and returns why it has ended.
+// readUpdates applies the updates of a stream until it ends, and returns why it has ended.
 func (c *Client) readUpdates(w *messageWriter, address string) error {
 	reader := resp.NewReader(w.conn, c.pool)
 	for message := (updateMessage{}); ; {
@@ -169,20 +172,21 @@
 		if err := c.apply(w, message); err != nil {
 			return err
 		}
-		if !c.connected.Swap(true) {
-			c.Log.Info("following a controller", "controller", address)
+		if !c.updated.Swap(true) {
+			c.Log.Info("applying updates of controller", "controller", address)
 		}
-		c.current.Store(&address)
+		c.currentController.Store(&address)
 		message = updateMessage{}
 	}
 }
 
-// readMessage reads one message of a controller. It fails if none comes in time, or if the controller refuses the proxy.
+// readMessage reads one message of a controller. It fails if none arrives within responseTimeout, or if the controller
+// refuses the proxy.
 func readMessage(conn net.Conn, reader *resp.Reader) ([]string, error) {
-	conn.SetReadDeadline(time.Now().Add(silenceTimeout))
+	conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	words, err := reader.Next()
 	if err != nil {
-		return nil, fmt.Errorf("reading: %w", err)
+		return nil, fmt.Errorf("read from controller: %w", err)
 	}
 	if len(words) > 0 && words[0] == wordError {
 		return nil, fmt.Errorf("%w: %q", errRefused, words[1:])
@@ -190,7 +194,7 @@
 	return words, nil
 }
 
-// apply applies an update and acks it.
+// apply applies an update, and sends an ack if the update asks for one.
 func (c *Client) apply(w *messageWriter, message updateMessage) error {
 	began := time.Now()
 	if err := c.Dispatcher.Apply(message.parts); err != nil {
@@ -207,12 +211,12 @@
 	return w.send(c.ackMessage(message.nonce, time.Since(began))...)
 }
 
-// reportDemand reports the requests that came, and probes the controller, until ctx ends or a write fails; then it closes the
-// connection.
+// reportDemand sends demand reports and probes to the controller until ctx ends or a write fails. After a failed write it
+// closes the connection.
 func (c *Client) reportDemand(ctx context.Context, w *messageWriter) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
-	if time.Since(c.demandSince) > maxReportAge { // what came while there was no controller says nothing about now
+	if time.Since(c.demandSince) > maxReportAge { // too old to describe the current demand
 		c.Dispatcher.TakeDemand()
 		c.demandSince = time.Now()
 	}
@@ -229,8 +233,9 @@
 	}
 }
 
-// sendDemand reports the requests since the last report. That may have gone to another controller: requests also came between
-// the last stream's end and this one, and reported as those of a second they would be many times what comes.
+// sendDemand reports the requests since the last report with the actual length of that period. The last report may have gone
+// to another controller: requests that arrived between that stream and this one, reported as those of one second, would
+// amount to many times the actual rate.
 func (c *Client) sendDemand(w *messageWriter) error {
 	period := time.Since(c.demandSince)
 	c.demandSince = c.demandSince.Add(period)
--- a/internal/controlclient/collector.go
+++ b/internal/controlclient/collector.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	// sidecarTimeout is how long a sidecar may say nothing before it counts as gone.
+	// sidecarTimeout is how long a sidecar may send nothing before its connection is closed.
 	sidecarTimeout = 30 * time.Second
-	// acceptRetry is the wait of a listener that cannot accept.
+	// acceptRetry is the wait after an error of Accept.
 	acceptRetry = 20 * time.Millisecond
 	// collectorPoolSize bounds the buffers for long messages of a collector, in bytes.
 	collectorPoolSize = 4 << 20
 )
 
-// errControllerClosed is the cause of a connection that its controller has ended.
-var errControllerClosed = errors.New("the controller ended the connection")
+// errControllerClosed is returned for a connection that the controller has closed, or on which it has refused the collector.
+var errControllerClosed = errors.New("controller closed the connection or refused the collector")
 
-// Collector sums the outcomes that a zone's sidecars report, and reports them to controllers.
+// Collector sums the outcomes that the sidecars of a zone report, and reports the sums to controllers.
 type Collector struct {
 	Zone        string
 	Controllers []string
 	Interval    time.Duration // between two reports
-	Budget      int           // bytes a second that the reports to one controller may take; 0: no limit
+	Budget      int           // bytes per second of the reports to one controller; 0: no limit
 	Log         *slog.Logger
 	MaxSidecars int
-	Received    atomic.Int64 // reports of sidecars
-	Skipped     atomic.Int64 // messages that could not be used
-	Reported    atomic.Int64 // messages to controllers
+	Received    atomic.Int64 // reports received from sidecars
+	Skipped     atomic.Int64 // messages of sidecars that could not be used
+	Reported    atomic.Int64 // messages sent to controllers
 
 	pool        *resp.Pool
 	pending     []*pendingOutcomes // by controller
 	connections atomic.Int64
 }
 
-// Serve takes sidecars in until ctx ends, and reports what they report.
+// Serve accepts sidecars until ctx ends, and reports the sums of their outcomes to the controllers.
 func (c *Collector) Serve(ctx context.Context, l net.Listener) {
 	c.pool = resp.NewPool(collectorPoolSize)
-	var all sync.WaitGroup
-	defer all.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	for k, address := range c.Controllers {
 		pending := newPendingOutcomes(c.Interval, c.Budget)
 		c.pending = append(c.pending, pending)
-		all.Go(func() { c.followController(ctx, address, pending, uint64(k)) })
+		goroutines.Go(func() { c.reportContinuously(ctx, address, pending, uint64(k)) })
 	}
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -59,7 +59,7 @@
 		conn, err := l.Accept()
 		switch {
 		case err == nil:
-			c.admit(ctx, conn, &all)
+			c.acceptSidecar(ctx, conn, &goroutines)
 		case ctx.Err() != nil || errors.Is(err, net.ErrClosed):
 			return
 		default:
@@ -68,14 +68,14 @@
 	}
 }
 
-// admit serves a connection in a goroutine of its own, or closes it if there are too many.
-func (c *Collector) admit(ctx context.Context, conn net.Conn, all *sync.WaitGroup) {
+// acceptSidecar serves a sidecar's connection in a goroutine of its own, or closes it if MaxSidecars are connected.
+func (c *Collector) acceptSidecar(ctx context.Context, conn net.Conn, goroutines *sync.WaitGroup) {
 	if c.connections.Add(1) > int64(c.MaxSidecars) {
 		c.connections.Add(-1)
 		conn.Close()
 		return
 	}
-	all.Go(func() {
+	goroutines.Go(func() {
 		defer c.connections.Add(-1)
 		defer conn.Close()
 		stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -85,10 +85,10 @@
 	})
 }
 
-// readSidecar reads the reports of one sidecar until its connection ends, and returns why. A message that cannot be used is
-// skipped.
+// readSidecar reads the reports of one sidecar until its connection ends, and returns why it has ended. Messages that cannot
+// be used are skipped.
 func (c *Collector) readSidecar(conn net.Conn) error {
-	answers := &messageWriter{conn: conn, pool: c.pool}
+	writer := &messageWriter{conn: conn, pool: c.pool}
 	for reader := resp.NewReader(conn, c.pool); ; {
 		conn.SetReadDeadline(time.Now().Add(sidecarTimeout))
 		words, err := reader.Next()
@@ -99,20 +99,20 @@
 		if err != nil {
 			return err
 		}
-		if len(words) == 1 && words[0] == wordProbe { // all messages before it have been read
-			if err := answers.send(wordAlive); err != nil {
+		if len(words) == 1 && words[0] == wordProbe { // all earlier messages have been read
+			if err := writer.send(wordAlive); err != nil {
 				return err
 			}
 			continue
 		}
 		if err := c.receive(words); err != nil {
 			c.Skipped.Add(1)
-			c.Log.Debug("message skipped", "from", conn.RemoteAddr(), "error", err)
+			c.Log.Debug("sidecar message skipped", "from", conn.RemoteAddr(), "error", err)
 		}
 	}
 }
 
-// receive adds a report to what is pending for each controller.
+// receive adds a report to the pending outcomes of each controller.
 func (c *Collector) receive(words []string) error {
 	report, err := parseOutcomeReport(words)
 	if err != nil {
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// followController reports to one controller until ctx ends, on one connection after another.
-func (c *Collector) followController(ctx context.Context, address string, pending *pendingOutcomes, seed uint64) {
+// reportContinuously reports to one controller until ctx ends, and reconnects whenever the connection ends.
+func (c *Collector) reportContinuously(ctx context.Context, address string, pending *pendingOutcomes, seed uint64) {
 	retry := backoff.NewJittered(backoffInitial, backoffLimit, seed)
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -134,34 +134,34 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if time.Since(began) > goodStreamAge {
-			c.Log.Warn("controller lost", "controller", address, "error", err)
+		if time.Since(began) > stableStreamAge {
+			c.Log.Warn("connection to controller lost", "controller", address, "error", err)
 			retry.Reset()
 		}
 		backoff.Sleep(ctx, retry.Next())
 	}
 }
 
-// reportTo reports to a controller on one connection until that ends. The end of ctx does not wait for a controller that
-// reads nothing.
+// reportTo reports to a controller on one connection until the connection or ctx ends. When ctx ends, a write to a
+// controller that reads nothing is interrupted.
 func (c *Collector) reportTo(ctx context.Context, address string, pending *pendingOutcomes) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return fmt.Errorf("dial: %w", err)
+		return fmt.Errorf("dial controller: %w", err)
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	w := &messageWriter{conn: conn, pool: c.pool}
 	if err := w.send(c.collectorMessage()...); err != nil {
-		return fmt.Errorf("joining: %w", err)
+		return fmt.Errorf("join controller: %w", err)
 	}
-	pending.connected()
+	pending.recordConnection()
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
-		c.awaitEnd(conn)
+		c.waitForClose(conn)
 	}()
 	defer func() {
 		conn.Close()
@@ -178,14 +178,14 @@
 		case <-tick.C:
 		}
 		if err := c.sendOutcomes(w, pending); err != nil {
-			return fmt.Errorf("reporting: %w", err)
+			return fmt.Errorf("report outcomes to controller: %w", err)
 		}
 	}
 }
 
-// awaitEnd reads until a controller ends the connection or refuses the collector. Controllers send collectors nothing else
-// but answers to probes.
-func (c *Collector) awaitEnd(conn net.Conn) {
+// waitForClose reads until the controller closes the connection or refuses the collector. The only other messages of
+// controllers to collectors are answers to probes.
+func (c *Collector) waitForClose(conn net.Conn) {
 	for reader := resp.NewReader(conn, c.pool); ; {
 		words, err := reader.Next()
 		if err != nil || len(words) > 0 && words[0] == wordError {
@@ -194,9 +194,9 @@
 	}
 }
 
-// sendOutcomes sends what is pending for a controller, a message for each replica, as far as the budget allows.
+// sendOutcomes sends the pending outcomes of a controller, one message for each replica, as far as the budget allows.
 func (c *Collector) sendOutcomes(w *messageWriter, pending *pendingOutcomes) error {
-	pending.begin()
+	pending.beginRound()
 	for {
 		report, ok := pending.next()
 		if !ok {
@@ -206,7 +206,7 @@
 		if err != nil {
 			return err
 		}
-		pending.spent(sent)
+		pending.recordSent(sent)
 		c.Reported.Add(1)
 	}
 }
--- a/internal/controlclient/collector_conn.go
+++ b/internal/controlclient/collector_conn.go
@@ -11,20 +11,20 @@
 	"lilacbend/internal/resp"
 )
 
-// collectorConn is a connection of a reporter to a collector. Each report ends with a probe, whose answer shows that the
-// collector has read all before it.
+// collectorConn is a reporter's connection to a collector. Each report ends with a probe, whose answer confirms that the
+// collector has read all earlier messages.
 type collectorConn struct {
-	address string
-	writer  *messageWriter
-	unwatch func() bool // ends the watch of the reporter's context
+	address          string
+	writer           *messageWriter
+	stopContextWatch func() bool // stops closing the connection at the end of the reporter's context
 
-	mu          sync.Mutex
-	probes      uint64    // that were sent
-	answers     uint64    // that have come
-	waitsSince  time.Time // when the oldest probe without an answer was sent, or its predecessor answered
-	unconfirmed int       // sums that were sent since all probes were last answered
+	mu           sync.Mutex
+	probes       uint64    // sent
+	answers      uint64    // received
+	waitingSince time.Time // when the oldest unanswered probe was sent or the probe before it was answered, whichever is later
+	unconfirmed  int       // sums sent since all probes were last answered
 
-	done chan struct{} // closed once the collector has ended the connection
+	done chan struct{} // closed when the connection has ended
 }
 
 // dialCollector connects to a collector, and closes the connection when ctx ends.
@@ -35,7 +35,7 @@
 		return nil, fmt.Errorf("dial collector: %w", err)
 	}
 	c := &collectorConn{address: address, writer: &messageWriter{conn: conn, pool: pool}, done: make(chan struct{})}
-	c.unwatch = context.AfterFunc(ctx, func() { conn.Close() })
+	c.stopContextWatch = context.AfterFunc(ctx, func() { conn.Close() })
 	go c.readAnswers(resp.NewReader(conn, pool))
 	return c, nil
 }
@@ -49,30 +49,30 @@
 			return
 		}
 		if err == nil && len(words) > 0 && words[0] == wordAlive {
-			c.confirm(time.Now())
+			c.recordAnswer(time.Now())
 		}
 	}
 }
 
-// confirm records an answer.
-func (c *collectorConn) confirm(now time.Time) {
+// recordAnswer records the answer to a probe.
+func (c *collectorConn) recordAnswer(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.answers == c.probes { // no probe is open
+	if c.answers == c.probes { // no probe is unanswered
 		return
 	}
 	c.answers++
-	c.waitsSince = now
+	c.waitingSince = now
 	if c.answers == c.probes {
 		c.unconfirmed = 0
 	}
 }
 
-// probe asks for an answer that confirms a number of sums.
+// probe sends a probe, whose answer will confirm the number of sums sent since the last one.
 func (c *collectorConn) probe(sums int) error {
 	c.mu.Lock()
 	if c.answers == c.probes {
-		c.waitsSince = time.Now()
+		c.waitingSince = time.Now()
 	}
 	c.probes++
 	c.unconfirmed += sums
@@ -80,23 +80,23 @@
 	return c.writer.send(wordProbe)
 }
 
-// confirmed reports whether the collector has answered yet.
-func (c *collectorConn) confirmed() bool {
+// hasAnswered reports whether the collector has answered a probe on this connection.
+func (c *collectorConn) hasAnswered() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.answers > 0
 }
 
-// silent reports whether an answer has been missing for the timeout.
-func (c *collectorConn) silent(now time.Time) bool {
+// unresponsive reports whether the answer to a probe has been missing for longer than responseTimeout.
+func (c *collectorConn) unresponsive(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.answers < c.probes && now.Sub(c.waitsSince) > silenceTimeout
+	return c.answers < c.probes && now.Sub(c.waitingSince) > responseTimeout
 }
 
-// ended reports whether the collector has ended the connection: the first message after that would be written without an
-// error, and nobody would read it. An end that has come is seen within closedCheckTime.
-func (c *collectorConn) ended() bool {
+// closedByCollector reports whether the collector has closed the connection. The first write after that would succeed,
+// although the message is never read. A close that has already arrived is noticed within closedCheckTime.
+func (c *collectorConn) closedByCollector() bool {
 	timer := time.NewTimer(closedCheckTime)
 	defer timer.Stop()
 	select {
@@ -107,9 +107,9 @@
 	}
 }
 
-// close closes the connection and returns how many sums were sent that no answer has confirmed.
+// close closes the connection, and returns the number of sent sums that no answer has confirmed.
 func (c *collectorConn) close() (unconfirmed int) {
-	c.unwatch()
+	c.stopContextWatch()
 	c.writer.conn.Close()
 	<-c.done
 	c.mu.Lock()
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -26,19 +26,19 @@
 	receivedFile = "received.golden"
 )
 
-// goldenDispatcher is a sidecar's dispatcher with fixed figures.
-type goldenDispatcher struct{ blank bool }
+// goldenDispatcher is a sidecar's dispatcher with fixed demand.
+type goldenDispatcher struct{ noTables bool }
 
-func (c *goldenDispatcher) Apply([]dispatch.Update) error {
+func (d *goldenDispatcher) Apply([]dispatch.Update) error {
 	time.Sleep(1500 * time.Microsecond)
 	return nil
 }
-func (c *goldenDispatcher) HasTables() bool { return !c.blank }
-func (c *goldenDispatcher) TakeDemand() []dispatch.Demand {
+func (d *goldenDispatcher) HasTables() bool { return !d.noTables }
+func (d *goldenDispatcher) TakeDemand() []dispatch.Demand {
 	return []dispatch.Demand{{Requests: 19, Failures: 2}, {}, {Failures: 1}}
 }
 
-// bytesWritten returns what act writes to a connection. It is for use in a synctest bubble.
+// bytesWritten returns the bytes that act writes to a connection. It is to be called in a synctest bubble.
 func bytesWritten(t *testing.T, act func(w *messageWriter) error) []byte {
 	t.Helper()
 	local, remote := net.Pipe()
@@ -57,18 +57,19 @@
 	return b.Bytes()
 }
 
-// sent returns all that sidecars and collectors write to controllers and to each other, as text in Go's quotes.
-func sent(t *testing.T) []byte {
+// sentMessages returns the messages of sidecars and collectors to controllers and to each other, as quoted Go strings. The
+// names of the messages are part of the golden file.
+func sentMessages(t *testing.T) []byte {
 	t.Helper()
-	client := func(c goldenDispatcher) *Client {
-		return &Client{ID: 17, Zone: "a", Rate: 21.5, Classes: []string{"lookup", "order", "scan"}, Dispatcher: &c, Log: slog.New(slog.DiscardHandler), demandSince: time.Now()}
+	client := func(dispatcher goldenDispatcher) *Client {
+		return &Client{ID: 17, Zone: "a", Rate: 21.5, Classes: []string{"lookup", "order", "scan"}, Dispatcher: &dispatcher, Log: slog.New(slog.DiscardHandler), demandSince: time.Now()}
 	}
 	var b bytes.Buffer
 	for _, m := range []struct {
 		name string
 		act  func(w *messageWriter) error
 	}{
-		{"hello of a proxy without tables", func(w *messageWriter) error { return client(goldenDispatcher{blank: true}).sendHello(w) }},
+		{"hello of a proxy without tables", func(w *messageWriter) error { return client(goldenDispatcher{noTables: true}).sendHello(w) }},
 		{"hello of a proxy with tables", func(w *messageWriter) error { return client(goldenDispatcher{}).sendHello(w) }},
 		{"ack", func(w *messageWriter) error {
 			return client(goldenDispatcher{}).apply(w, updateMessage{wantsAck: true, nonce: 1<<64 - 1})
@@ -89,7 +90,7 @@
 		{"outcomes of a collector", func(w *messageWriter) error {
 			c := &Collector{Zone: "a"}
 			pending := newPendingOutcomes(time.Second, 0)
-			pending.begin()
+			pending.beginRound()
 			time.Sleep(time.Second)
 			pending.add(outcomeReport{replica: "s-5", attempts: 200, failures: 2, meanMillis: 40})
 			pending.add(outcomeReport{replica: "s-5", attempts: 12, failures: 1, meanMillis: 72.5})
@@ -101,22 +102,22 @@
 	return b.Bytes()
 }
 
-// describe writes an update field by field.
+// describe formats an update field by field. The words of the format are part of the golden file.
 func describe(m updateMessage) string {
 	text := fmt.Sprintf("wants ack %t, nonce %d, unfinished %t", m.wantsAck, m.nonce, m.unfinished)
-	for _, p := range m.parts {
-		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", p.Classes, p.Full, p.Eject, p.Uneject)
-		for _, replica := range slices.Sorted(maps.Keys(p.Weights)) {
-			text += fmt.Sprintf(" endpoint=%q:%g", replica, p.Weights[replica])
+	for _, part := range m.parts {
+		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", part.Classes, part.Full, part.Eject, part.Uneject)
+		for _, replica := range slices.Sorted(maps.Keys(part.Weights)) {
+			text += fmt.Sprintf(" endpoint=%q:%g", replica, part.Weights[replica])
 		}
-		for _, level := range p.Settings {
-			text += fmt.Sprintf(" share=%g retries=%d", level.Admission, level.Retry)
+		for _, settings := range part.Settings {
+			text += fmt.Sprintf(" share=%g retries=%d", settings.Admission, settings.Retry)
 		}
 	}
 	return text
 }
 
-// parsedUpdates returns what is read from the parts of updates.
+// parsedUpdates returns descriptions of the updates parsed from valid and invalid parts.
 func parsedUpdates() []byte {
 	var b bytes.Buffer
 	for _, parts := range [][]string{
@@ -147,10 +148,10 @@
 	return b.Bytes()
 }
 
-// outcomeReports returns what a collector reads from sidecars.
+// outcomeReports returns descriptions of the reports that a collector parses from valid and invalid messages of sidecars.
 func outcomeReports() []byte {
 	var b bytes.Buffer
-	for _, words := range []string{
+	for _, text := range []string{
 		"met target s-5 count 212 fail 3 mean 41.700",
 		"met target s-5 count 0 fail 0 mean 0.000",
 		"met target s-5 count 16777216 fail 16777216 mean 10000000",
@@ -161,15 +162,15 @@
 		"met target s-5 count 1 fail 0",
 		"outcomes target s-5 count 1 fail 0 mean 1",
 	} {
-		report, err := parseOutcomeReport(strings.Fields(words))
-		fmt.Fprintf(&b, "%s\n  replica=%q attempts=%d failures=%d mean_ms=%g; error %v\n", words, report.replica, report.attempts, report.failures, report.meanMillis, err)
+		report, err := parseOutcomeReport(strings.Fields(text))
+		fmt.Fprintf(&b, "%s\n  replica=%q attempts=%d failures=%d mean_ms=%g; error %v\n", text, report.replica, report.attempts, report.failures, report.meanMillis, err)
 	}
 	return b.Bytes()
 }
 
 func TestSentMessagesMatchTheGoldenFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		output := sent(t)
+		output := sentMessages(t)
 		golden.Compare(t, sentFile, output)
 		golden.CheckDetectsChange(t, sentFile, output)
 	})
@@ -181,26 +182,27 @@
 	golden.CheckDetectsChange(t, receivedFile, output)
 }
 
-// The messages of whole connections, beside those above: how a collector joins, and what a sidecar asks and a collector answers.
-func TestCollectorJoinsAndAnswersInBytes(t *testing.T) {
-	controller, inlet := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
+// Messages that need a whole connection, in addition to those of the golden files: how a collector joins a controller, and
+// how it answers a sidecar's probe.
+func TestCollectorJoinAndProbeAnswerBytes(t *testing.T) {
+	controller, sidecarListener := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	c := &Collector{Zone: "a", Controllers: []string{controller.Address()}, Interval: time.Hour, MaxSidecars: 1, Log: slog.New(slog.DiscardHandler)}
 	ended := make(chan struct{})
-	go func() { defer close(ended); c.Serve(ctx, inlet) }()
+	go func() { defer close(ended); c.Serve(ctx, sidecarListener) }()
 	t.Cleanup(func() { stop(); <-ended })
 	for _, m := range []struct {
 		name, sends, want string
 		conn              *scriptedpeer.Conn
 	}{
 		{"joining", "", "*3\r\n$5\r\nagent\r\n$4\r\nsite\r\n$1\r\na\r\n", controller.AcceptConn()},
-		{"answer to a probe", "*1\r\n$5\r\nprobe\r\n", "*1\r\n$5\r\nalive\r\n", scriptedpeer.Dial(t, inlet.Address())},
+		{"answer to a probe", "*1\r\n$5\r\nprobe\r\n", "*1\r\n$5\r\nalive\r\n", scriptedpeer.Dial(t, sidecarListener.Address())},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			m.conn.SendRaw(m.sends)
 			got := make([]byte, len(m.want))
 			if _, err := io.ReadFull(m.conn.Reader, got); err != nil || string(got) != m.want {
-				t.Errorf("%q %v, want %q", got, err, m.want)
+				t.Errorf("received %q, error %v, want %q", got, err, m.want)
 			}
 		})
 	}
--- a/internal/controlclient/words.go
+++ b/internal/controlclient/messages.go
@@ -8,21 +8,21 @@
 	"lilacbend/internal/loadreport"
 )
 
-// The protocol's messages: the first word of each. Keys and values follow in pairs.
+// First words of the protocol's messages. Pairs of keys and values follow.
 const (
-	wordHello            = "hello"    // a sidecar joins a controller
-	wordUpdate           = "push"     // a part of a controller's update
-	wordAck              = "ack"      // a sidecar has applied an update
-	wordDemand           = "demand"   // a sidecar reports the requests of a traffic class
-	wordProbe            = "probe"    // asks for wordAlive
-	wordAlive            = "alive"    // all before the probe has been read
-	wordError            = "error"    // a controller refuses its peer
-	wordSidecarOutcomes  = "met"      // a sidecar reports outcomes to a collector
-	wordCollector        = "agent"    // a collector joins a controller
-	wordCollectorOutcome = "outcomes" // a collector reports outcomes to a controller
+	wordHello             = "hello"    // a sidecar joins a controller
+	wordUpdate            = "push"     // one part of a controller's update
+	wordAck               = "ack"      // a sidecar has applied an update
+	wordDemand            = "demand"   // a sidecar reports the requests of a traffic class
+	wordProbe             = "probe"    // requests wordAlive as an answer
+	wordAlive             = "alive"    // answers a probe: all earlier messages have been read
+	wordError             = "error"    // a controller refuses its peer
+	wordSidecarOutcomes   = "met"      // a sidecar reports outcomes to a collector
+	wordCollector         = "agent"    // a collector joins a controller
+	wordCollectorOutcomes = "outcomes" // a collector reports outcomes to a controller
 )
 
-// The keys of messages.
+// Keys of all messages except updates.
 const (
 	keyProxyID    = "id"
 	keyZone       = "site"
@@ -38,7 +38,7 @@
 	keyMeanMillis = "mean"
 )
 
-// The keys of an update.
+// Keys of updates.
 const (
 	keyClasses     = "routes"
 	keyFull        = "full"
@@ -51,25 +51,25 @@
 	keyContinued   = "continued"
 )
 
-// helloMessage says who a proxy is.
+// helloMessage introduces a proxy to a controller.
 func (c *Client) helloMessage() []string {
 	return []string{wordHello, keyProxyID, strconv.Itoa(c.ID), keyZone, c.Zone, keyRate, formatNumber(c.Rate),
 		keyNoTables, formatFlag(!c.Dispatcher.HasTables())}
 }
 
-// ackMessage acknowledges an update, with the time that it took to apply.
+// ackMessage acknowledges an update, with the time that the dispatcher took to apply it.
 func (c *Client) ackMessage(nonce uint64, took time.Duration) []string {
 	return []string{wordAck, keyProxyID, strconv.Itoa(c.ID), keyNonce, strconv.FormatUint(nonce, 10),
-		keyMillis, formatNumber(millis(took))}
+		keyMillis, formatNumber(milliseconds(took))}
 }
 
 // demandMessage reports the demand of a traffic class over a period.
 func (c *Client) demandMessage(class string, demand dispatch.Demand, period time.Duration) []string {
 	return []string{wordDemand, keyProxyID, strconv.Itoa(c.ID), keyClass, class, keyCount, strconv.Itoa(demand.Requests),
-		keyFailures, strconv.Itoa(demand.Failures), keyPeriod, formatNumber(millis(period))}
+		keyFailures, strconv.Itoa(demand.Failures), keyPeriod, formatNumber(milliseconds(period))}
 }
 
-// sidecarOutcomesMessage reports a sidecar's outcomes at one replica.
+// sidecarOutcomesMessage reports the outcomes of a sidecar's attempts at one replica.
 func sidecarOutcomesMessage(replica string, outcomes *dispatch.Outcomes) []string {
 	mean := 0.0
 	if succeeded := outcomes.Attempts - outcomes.Failures; succeeded > 0 {
@@ -79,17 +79,17 @@
 		keyFailures, strconv.Itoa(outcomes.Failures), keyMeanMillis, formatNumber(mean)}
 }
 
-// collectorMessage says which zone a collector reports for.
+// collectorMessage introduces a collector and its zone to a controller.
 func (c *Collector) collectorMessage() []string { return []string{wordCollector, keyZone, c.Zone} }
 
-// outcomesMessage reports a zone's outcomes at one replica.
+// outcomesMessage reports the outcomes of a zone's attempts at one replica.
 func (c *Collector) outcomesMessage(report loadreport.Report) []string {
-	return []string{wordCollectorOutcome, keyZone, c.Zone, keyReplica, report.Key, keyCount, strconv.Itoa(report.Sum.Attempts),
+	return []string{wordCollectorOutcomes, keyZone, c.Zone, keyReplica, report.Key, keyCount, strconv.Itoa(report.Sum.Attempts),
 		keyFailures, strconv.Itoa(report.Sum.Failures), keyMeanMillis, formatNumber(report.Sum.MeanMillis()),
-		keyPeriod, formatNumber(millis(report.Period))}
+		keyPeriod, formatNumber(milliseconds(report.Period))}
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', 3, 64) }
 
--- a/internal/controlclient/outcome_report.go
+++ b/internal/controlclient/outcome_report.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// maxReplicas bounds the replicas whose outcomes are held for one controller. No installation has as many.
+	// maxReplicas bounds the number of replicas whose outcomes are held for one controller. No installation has as many.
 	maxReplicas = 1 << 14
-	// maxReportAge is for how long outcomes are held for a controller that is not connected, or two reports if that is
-	// longer: older ones say nothing about now.
+	// maxReportAge is how long outcomes are held for a controller that is not connected, unless two report intervals are
+	// longer. Older outcomes do not describe the current state.
 	maxReportAge = 10 * time.Second
-	// Bounds of what a report can say: the length of a replica's id, attempts, and a response time in milliseconds.
+	// maxIDLength, maxAttempts and maxResponseMillis bound the values of a report: the length of a replica's id in bytes,
+	// the number of attempts, and the mean response time in milliseconds.
 	maxIDLength       = 128
 	maxAttempts       = 1 << 24
 	maxResponseMillis = 1e7
 )
 
-// outcomeReport is what a sidecar reports of its attempts at one replica.
+// outcomeReport is a sidecar's report of its attempts at one replica.
 type outcomeReport struct {
 	replica    string
 	attempts   int
 	failures   int
-	meanMillis float64 // response time of the attempts that succeeded
+	meanMillis float64 // mean response time of the successful attempts
 }
 
-// parseOutcomeReport reads a report of a sidecar.
+// parseOutcomeReport parses a report of a sidecar.
 func parseOutcomeReport(words []string) (outcomeReport, error) {
 	if len(words) != 9 || words[0] != wordSidecarOutcomes || words[1] != keyReplica || words[3] != keyCount || words[5] != keyFailures || words[7] != keyMeanMillis {
 		return outcomeReport{}, fmt.Errorf("%d words, want met target T count N fail N mean MS", len(words))
@@ -48,7 +49,7 @@
 	return report, nil
 }
 
-// valid reports whether the values of a report are possible.
+// valid reports whether the values of a report are within their bounds.
 func (r outcomeReport) valid() bool {
 	return r.replica != "" && len(r.replica) <= maxIDLength &&
 		r.attempts >= 0 && r.attempts <= maxAttempts &&
@@ -56,7 +57,7 @@
 		r.meanMillis >= 0 && r.meanMillis <= maxResponseMillis
 }
 
-// sum is the report as a sum.
+// sum converts the report to a sum.
 func (r outcomeReport) sum() loadreport.Sum {
 	return loadreport.Sum{
 		Attempts:       r.attempts,
@@ -65,14 +66,15 @@
 	}
 }
 
-// pendingOutcomes holds the outcomes that were not reported to one controller yet. It is safe for concurrent use.
+// pendingOutcomes holds the outcomes that have not been reported to one controller yet. It is safe for concurrent use.
 type pendingOutcomes struct {
 	mu       sync.Mutex
 	interval time.Duration
 	outcomes *loadreport.Aggregator
 }
 
-// newPendingOutcomes returns one that is reported each interval, within a number of bytes a second; 0: no limit.
+// newPendingOutcomes returns empty pendingOutcomes that are reported in each interval, with at most bytesPerSecond; 0: no
+// limit.
 func newPendingOutcomes(interval time.Duration, bytesPerSecond int) *pendingOutcomes {
 	limits := loadreport.Limits{
 		BytesPerSecond: bytesPerSecond,
@@ -83,44 +85,46 @@
 	return &pendingOutcomes{interval: interval, outcomes: loadreport.New(limits, monotonicNow())}
 }
 
-// add adds a report. It came since the last round, or if there was none for a while, since no longer than a round takes.
+// add adds a report. Its outcomes are taken to have occurred since the last round began, but no earlier than two intervals
+// ago.
 func (p *pendingOutcomes) add(report outcomeReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := monotonicNow()
-	from := max(p.outcomes.RoundStartedAt(), now-2*int64(p.interval))
-	p.outcomes.Add(report.replica, report.sum(), from, now)
+	since := max(p.outcomes.RoundStartedAt(), now-2*int64(p.interval))
+	p.outcomes.Add(report.replica, report.sum(), since, now)
 }
 
-// connected records a new connection to the controller, which may have been restarted.
-func (p *pendingOutcomes) connected() {
+// recordConnection records a new connection to the controller, which may have been restarted in the meantime.
+func (p *pendingOutcomes) recordConnection() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes.ReceiverRestarted()
 }
 
-// begin begins a round of reports.
-func (p *pendingOutcomes) begin() {
+// beginRound begins a round of reports.
+func (p *pendingOutcomes) beginRound() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes.BeginRound(monotonicNow())
 }
 
-// next gives the next report of the round; false: there is none, or no more is allowed.
+// next returns the next report of the round, or false if there is none or the budget is spent.
 func (p *pendingOutcomes) next() (loadreport.Report, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.outcomes.Next(monotonicNow())
 }
 
-// spent records the bytes of a report that was sent.
-func (p *pendingOutcomes) spent(bytes int) {
+// recordSent subtracts the bytes of a sent report from the budget.
+func (p *pendingOutcomes) recordSent(bytes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes.RecordSent(bytes)
 }
 
+// processStart is the origin of monotonicNow.
 var processStart = time.Now()
 
-// monotonicNow is a time in nanoseconds that no change of the clock moves.
+// monotonicNow returns the time since processStart in nanoseconds. Changes of the wall clock do not affect it.
 func monotonicNow() int64 { return int64(time.Since(processStart)) }
--- a/internal/controlclient/races_test.go
+++ b/internal/controlclient/races_test.go
@@ -15,60 +15,60 @@
 	"lilacbend/internal/dispatch"
 )
 
-// startClient runs a client of listeners until the test ends.
-func startClient(t *testing.T, c Dispatcher, to ...*scriptedpeer.Listener) *Client {
-	cl := &Client{Zone: "a", Classes: []string{"x"}, Dispatcher: c, Log: slog.New(slog.DiscardHandler)}
-	for _, l := range to {
-		cl.Controllers = append(cl.Controllers, l.Address())
+// startClient runs a Client of the controllers at the listeners until the test ends.
+func startClient(t *testing.T, dispatcher Dispatcher, controllers ...*scriptedpeer.Listener) *Client {
+	client := &Client{Zone: "a", Classes: []string{"x"}, Dispatcher: dispatcher, Log: slog.New(slog.DiscardHandler)}
+	for _, l := range controllers {
+		client.Controllers = append(client.Controllers, l.Address())
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { cl.Run(ctx); close(ended) }()
+	go func() { client.Run(ctx); close(ended) }()
 	t.Cleanup(func() { stop(); <-ended })
-	return cl
+	return client
 }
 
-// A controller is lost between two parts of an update, in the middle of a part, or as an ack is being sent. The next one,
-// another or the same again, begins an update of its own: no half is taken for a complete one, none is put together from
-// two streams, and no nonce of the earlier stream is acknowledged on the new one.
+// A controller is lost between two parts of an update, in the middle of a part, or while an ack is being sent. The next
+// stream, to another controller or to the same one, begins with an update of its own: no incomplete update is applied, none
+// is assembled from parts of two streams, and no nonce of the earlier stream is acknowledged on the new one.
 func TestControllerIsLostDuringAnUpdate(t *testing.T) {
-	whole := scriptedpeer.EncodeMessage("push full 1 endpoints a:1,b:1 nonce_out 5")
+	complete := scriptedpeer.EncodeMessage("push full 1 endpoints a:1,b:1 nonce_out 5")
 	for name, c := range map[string]struct {
-		first   string
-		applied int // of the first stream
+		firstStream string
+		applied     int // number of updates applied from the first stream
 	}{
-		"between two parts":         {scriptedpeer.EncodeMessage("push full 1 endpoints a:1 continued 1"), 0},
-		"in the middle of a part":   {whole[:len(whole)-4], 0},
-		"with a part and a half":    {scriptedpeer.EncodeMessage("push full 1 endpoints a:1 continued 1") + whole[:20], 0},
-		"as its ack is sent":        {whole, 1},
-		"behind a message, in half": {whole + whole[:30], 1},
+		"between two parts":                {scriptedpeer.EncodeMessage("push full 1 endpoints a:1 continued 1"), 0},
+		"in the middle of a part":          {complete[:len(complete)-4], 0},
+		"in the middle of the second part": {scriptedpeer.EncodeMessage("push full 1 endpoints a:1 continued 1") + complete[:20], 0},
+		"while its ack is sent":            {complete, 1},
+		"in the middle of the next update": {complete + complete[:30], 1},
 	} {
 		for _, same := range []bool{true, false} {
-			t.Run(fmt.Sprint(name, ", same ", same), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, ", same controller ", same), func(t *testing.T) {
 				t.Parallel()
-				dispatcher := &dispatcher{}
-				one := scriptedpeer.Listen(t)
-				next := one
+				dispatcher := &recordingDispatcher{}
+				firstController := scriptedpeer.Listen(t)
+				nextController := firstController
 				if !same {
-					next = scriptedpeer.Listen(t)
+					nextController = scriptedpeer.Listen(t)
 				}
-				startClient(t, dispatcher, one, next)
-				stream := one.AcceptConn()
+				startClient(t, dispatcher, firstController, nextController)
+				stream := firstController.AcceptConn()
 				stream.WaitForMessage("hello id 0 site a rps 0.000 new 1")
-				stream.SendRaw(c.first)
-				scriptedpeer.WaitFor(t, "not applied", func() bool { return dispatcher.updates() == c.applied })
-				stream.Reset() // with an answer under way, or unread
-				stream = next.AcceptConn()
+				stream.SendRaw(c.firstStream)
+				scriptedpeer.WaitFor(t, "the first stream does not lead to the expected number of applied updates", func() bool { return dispatcher.updates() == c.applied })
+				stream.Reset() // an ack may be under way or unread
+				stream = nextController.AcceptConn()
 				stream.WaitForMessage(fmt.Sprint("hello id 0 site a rps 0.000 new ", 1-c.applied))
-				stream.Send("push eject b nonce_out 6") // were it a last part, it would be one with the first
+				stream.Send("push eject b nonce_out 6") // must not be taken for the last part of the earlier update
 				for {
 					text, ok := stream.ReadMessage()
 					if !ok {
-						t.Fatal("the new stream has ended")
+						t.Fatal("the new stream has ended before its ack")
 					}
 					if strings.HasPrefix(text, "ack ") {
 						if !strings.HasPrefix(text, "ack id 0 seq 6 ") {
-							t.Errorf("%q on a stream with the nonce 6", text)
+							t.Errorf("received %q on the new stream, want an ack of nonce 6", text)
 						}
 						break
 					}
@@ -76,46 +76,46 @@
 				dispatcher.mu.Lock()
 				defer dispatcher.mu.Unlock()
 				if last := dispatcher.applied[len(dispatcher.applied)-1]; len(dispatcher.applied) != c.applied+1 || len(last) != 1 || len(last[0].Weights) != 0 || len(last[0].Eject) != 1 {
-					t.Errorf("%+v", dispatcher.applied)
+					t.Errorf("applied updates %+v, want %d, the last of which ejects b only", dispatcher.applied, c.applied+1)
 				}
 			})
 		}
 	}
 }
 
-// Requests come while controllers end one stream after the other. The demand that the next one gets is that of all of the
-// time since the last report, not of the second since that stream began.
+// Requests arrive while controllers close one stream after the other. The next demand report states the whole period since
+// the last report, not only the second since its stream began: a shorter period would overstate the demand.
 func TestDemandBetweenStreamsIsReportedOverItsPeriod(t *testing.T) {
-	g := scriptedpeer.Listen(t)
-	dispatcher := &dispatcher{usage: []dispatch.Demand{{Requests: 7}}}
+	controller := scriptedpeer.Listen(t)
+	dispatcher := &recordingDispatcher{demand: []dispatch.Demand{{Requests: 7}}}
 	began := time.Now()
-	startClient(t, dispatcher, g)
+	startClient(t, dispatcher, controller)
 	for range 4 {
-		stream := g.AcceptConn()
+		stream := controller.AcceptConn()
 		stream.WaitForMessage("hello")
 		stream.Reset()
 	}
-	stream := g.AcceptConn()
+	stream := controller.AcceptConn()
 	stream.WaitForMessage("hello")
 	gap := time.Since(began)
 	text := stream.WaitForMessage("demand id 0 lane x count 7 fail 0 over ")
-	over, err := strconv.ParseFloat(text[strings.LastIndex(text, " ")+1:], 64)
-	if least := millis(gap + reportInterval - 100*time.Millisecond); err != nil || over < least {
-		t.Errorf("%q, though the first request came %v before the hello", text, gap)
+	periodMillis, err := strconv.ParseFloat(text[strings.LastIndex(text, " ")+1:], 64)
+	if minimum := milliseconds(gap + reportInterval - 100*time.Millisecond); err != nil || periodMillis < minimum {
+		t.Errorf("received %q, want a period that includes the %v before the hello", text, gap)
 	}
 }
 
-// collects runs a collector until the test ends or stops it, which must not take long.
-func collects(t *testing.T, every time.Duration, to ...*scriptedpeer.Listener) (c *Collector, at string, stop func()) {
-	return collectsWithin(t, every, 0, to...)
+// startCollector runs a Collector without a budget until the test ends or stops it, which must not take longer than 700 ms.
+func startCollector(t *testing.T, interval time.Duration, controllers ...*scriptedpeer.Listener) (c *Collector, address string, stop func()) {
+	return startCollectorWithBudget(t, interval, 0, controllers...)
 }
 
-// collectsWithin runs a collector that keeps to a budget of bytes a second for each controller; 0: no limit.
-func collectsWithin(t *testing.T, every time.Duration, budget int, to ...*scriptedpeer.Listener) (c *Collector, at string, stop func()) {
+// startCollectorWithBudget runs a Collector with a budget in bytes per second for each controller; 0: no limit.
+func startCollectorWithBudget(t *testing.T, interval time.Duration, budget int, controllers ...*scriptedpeer.Listener) (c *Collector, address string, stop func()) {
 	l := scriptedpeer.Listen(t)
-	c = &Collector{Zone: "a", Interval: every, Budget: budget, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
-	for _, g := range to {
-		c.Controllers = append(c.Controllers, g.Address())
+	c = &Collector{Zone: "a", Interval: interval, Budget: budget, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
+	for _, controller := range controllers {
+		c.Controllers = append(c.Controllers, controller.Address())
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -125,99 +125,100 @@
 		cancel()
 		<-ended
 		if took := time.Since(began); took > 700*time.Millisecond {
-			t.Errorf("it took %v to end", took)
+			t.Errorf("stopping the collector took %v, want at most 700 ms", took)
 		}
 	})
 	t.Cleanup(stop)
 	return c, l.Address(), stop
 }
 
-// A controller ends a collector's connection between two reports: the next outcomes go over the next connection, and once.
-func TestControllerEndsAConnectionBetweenReports(t *testing.T) {
-	there := scriptedpeer.Listen(t)
-	_, at, _ := collects(t, 50*time.Millisecond, there)
-	controller := there.AcceptConn()
+// A controller closes a collector's connection between two reports: the next outcomes are sent once, on the next connection.
+func TestControllerClosesConnectionBetweenReports(t *testing.T) {
+	listener := scriptedpeer.Listen(t)
+	_, address, _ := startCollector(t, 50*time.Millisecond, listener)
+	controller := listener.AcceptConn()
 	controller.WaitForMessage("agent site a")
-	sidecar := scriptedpeer.Dial(t, at)
+	sidecar := scriptedpeer.Dial(t, address)
 	sidecar.Send("met target b count 3 fail 1 mean 10")
 	controller.WaitForMessage("outcomes site a target b count 3 fail 1 mean 10.000 over ")
 	controller.Reset() // between two reports
-	next := there.AcceptConn()
-	next.WaitForMessage("agent site a") // it has been noticed
+	next := listener.AcceptConn()
+	next.WaitForMessage("agent site a") // the collector has noticed the close
 	sidecar.Send("met target b count 5 fail 0 mean 20")
 	next.WaitForMessage("outcomes site a target b count 5 fail 0 mean 20.000 over ")
 }
 
-// Two controllers, one of which is not there when sidecars report: it gets the outcomes once it is, over their period.
-func TestOutcomesWaitForAnAbsentController(t *testing.T) {
-	there, away := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+// One of two controllers is not running while sidecars report: it receives the outcomes with their period once it is
+// running.
+func TestOutcomesAreHeldForADisconnectedController(t *testing.T) {
+	reachable, unreachable := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	l := scriptedpeer.Listen(t)
-	c := &Collector{Zone: "a", Controllers: []string{there.Address(), away}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
+	c := &Collector{Zone: "a", Controllers: []string{reachable.Address(), unreachable}, Interval: 50 * time.Millisecond, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Serve(ctx, l.Listener); close(ended) }()
 	defer func() { stop(); <-ended }()
 	sidecar := scriptedpeer.Dial(t, l.Address())
-	controller := there.AcceptConn()
+	controller := reachable.AcceptConn()
 	for _, count := range []int{3, 4} {
 		sidecar.Send(fmt.Sprint("met target b count ", count, " fail 1 mean 10"))
 		controller.WaitForMessage(fmt.Sprint("outcomes site a target b count ", count, " fail 1 mean 10.000 over "))
 	}
-	back := scriptedpeer.ListenOn(t, away).AcceptConn()
-	back.WaitForMessage("outcomes site a target b count 7 fail 2 mean 10.000 over ")
+	reconnected := scriptedpeer.ListenOn(t, unreachable).AcceptConn()
+	reconnected.WaitForMessage("outcomes site a target b count 7 fail 2 mean 10.000 over ")
 }
 
-// Outcomes are held for an absent controller up to their longest age, and never reported as if they were of now.
+// Outcomes are held for a disconnected controller up to the maximum age. Older ones are dropped, not reported as current.
 func TestOldOutcomesExpire(t *testing.T) {
 	second := int64(time.Second)
-	l, now := newPendingOutcomes(time.Second, 0), monotonicNow()
-	l.outcomes.Add("b", outcomeReport{"b", 3, 0, 1}.sum(), now-12*second, now-11*second)
-	l.begin()
-	if report, ok := l.next(); ok {
-		t.Errorf("%+v is reported", report)
+	pending, now := newPendingOutcomes(time.Second, 0), monotonicNow()
+	pending.outcomes.Add("b", outcomeReport{"b", 3, 0, 1}.sum(), now-12*second, now-11*second)
+	pending.beginRound()
+	if report, ok := pending.next(); ok {
+		t.Errorf("expired outcomes are reported: %+v", report)
 	}
-	l.outcomes.Add("b", outcomeReport{"b", 3, 0, 1}.sum(), now-2*second, now-second)
-	l.add(outcomeReport{"b", 4, 0, 1})
-	l.begin()
-	report, ok := l.next()
+	pending.outcomes.Add("b", outcomeReport{"b", 3, 0, 1}.sum(), now-2*second, now-second)
+	pending.add(outcomeReport{"b", 4, 0, 1})
+	pending.beginRound()
+	report, ok := pending.next()
 	if !ok || report.Sum.Attempts != 7 || report.Period < 2*time.Second || report.Period > 3*time.Second {
-		t.Errorf("%+v, %v, want 7 attempts of 2 s", report, ok)
+		t.Errorf("report %+v, found %v, want 7 attempts in a period of 2 s to 3 s", report, ok)
 	}
 }
 
-// A controller reads nothing, so a report is written in half when the collector is to end: it ends at once.
-func TestCollectorEndsDuringAWrite(t *testing.T) {
-	g := scriptedpeer.Listen(t)
-	c, _, stop := collects(t, 50*time.Millisecond, g)
-	controller := g.AcceptConn()
+// A controller reads nothing, so that the write of a report blocks when the collector is stopped: it stops at once.
+func TestCollectorStopsDuringABlockedWrite(t *testing.T) {
+	listener := scriptedpeer.Listen(t)
+	c, _, stop := startCollector(t, 50*time.Millisecond, listener)
+	controller := listener.AcceptConn()
 	controller.ShrinkBuffers()
 	controller.WaitForMessage("agent site a")
 	long := strings.Repeat("x", 100)
-	feed, fed := make(chan struct{}), make(chan struct{})
+	stopReports, reportsStopped := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(fed)
+		defer close(reportsStopped)
 		for k := 0; ; k++ {
 			select {
-			case <-feed:
+			case <-stopReports:
 				return
 			default:
 				c.receive([]string{"met", "target", long + strconv.Itoa(k%maxReplicas), "count", "1", "fail", "0", "mean", "1"})
 			}
 		}
 	}()
-	told, since := int64(0), time.Now()
-	scriptedpeer.WaitFor(t, "writes never wait", func() bool {
-		if now := c.Reported.Load(); now != told || now == 0 {
-			told, since = now, time.Now()
+	lastCount, since := int64(0), time.Now()
+	scriptedpeer.WaitFor(t, "writes never block", func() bool {
+		if now := c.Reported.Load(); now != lastCount || now == 0 {
+			lastCount, since = now, time.Now()
 		}
-		return time.Since(since) > 300*time.Millisecond // six reports are due, and none goes on
+		return time.Since(since) > 300*time.Millisecond // six reports are due, and no message is sent
 	})
-	close(feed)
-	<-fed
+	close(stopReports)
+	<-reportsStopped
 	stop()
 }
 
-// A collector is restarted between two reports of a sidecar: each sum that is reported arrives or is counted as lost.
+// A collector is restarted between reports of a sidecar: all sums arrive, and none is counted as lost.
 func TestCollectorRestartsBetweenReports(t *testing.T) {
 	l := scriptedpeer.Listen(t)
 	due, taken := make(chan int), atomic.Int64{}
@@ -238,33 +239,33 @@
 		for _, target := range []string{"b", "c"} {
 			collector.WaitForMessage(fmt.Sprintf("met target %s count %d ", target, n))
 		}
-		collector.Close() // before the next sums are due
+		collector.Close() // before the next report is due
 	}
 	close(due)
 	stop()
 	<-ended
 	if reporter.Lost.Load() != 0 {
-		t.Errorf("%d lost", reporter.Lost.Load())
+		t.Errorf("%d sums counted as lost, want 0", reporter.Lost.Load())
 	}
 }
 
-// A collector that reads nothing does not delay the end of a sidecar.
-func TestReporterEndsThoughItsCollectorReadsNothing(t *testing.T) {
+// A collector that reads nothing does not delay the stop of a reporter.
+func TestReporterStopsWhileItsCollectorReadsNothing(t *testing.T) {
 	l := scriptedpeer.Listen(t)
-	sums := map[string]*dispatch.Outcomes{}
+	outcomes := map[string]*dispatch.Outcomes{}
 	for k := range maxReplicas {
-		sums[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Outcomes{Attempts: 1}
+		outcomes[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Outcomes{Attempts: 1}
 	}
 	calls := atomic.Int64{}
-	reporter := &Reporter{Collectors: []string{l.Address()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes { calls.Add(1); return sums }}
+	reporter := &Reporter{Collectors: []string{l.Address()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes { calls.Add(1); return outcomes }}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { reporter.Run(ctx); close(ended) }()
 	l.AcceptConn().ShrinkBuffers()
-	told, since := int64(0), time.Now()
-	scriptedpeer.WaitFor(t, "writes never wait", func() bool {
-		if now := calls.Load(); now != told {
-			told, since = now, time.Now()
+	lastCount, since := int64(0), time.Now()
+	scriptedpeer.WaitFor(t, "writes never block", func() bool {
+		if now := calls.Load(); now != lastCount {
+			lastCount, since = now, time.Now()
 		}
 		return time.Since(since) > 300*time.Millisecond
 	})
@@ -272,6 +273,6 @@
 	select {
 	case <-ended:
 	case <-time.After(time.Second):
-		t.Error("it does not end")
+		t.Error("the reporter has not stopped after 1 s")
 	}
 }
--- a/internal/controlclient/reporter.go
+++ b/internal/controlclient/reporter.go
@@ -15,26 +15,27 @@
 // reporterPoolSize bounds the buffers for long messages of a reporter, in bytes.
 const reporterPoolSize = 1 << 20
 
-// Reporter reports the outcomes of a sidecar's attempts to a collector of its zone: to the first that works, so that controllers
-// get the reports of a zone from as few collectors as possible.
+// Reporter reports the outcomes of a sidecar's attempts to a collector of its zone. All reporters use the first collector
+// that works, so that controllers receive the reports of a zone from as few collectors as possible.
 type Reporter struct {
-	Collectors []string // in the order in which they are preferred
+	Collectors []string // in order of preference
 	Interval   time.Duration
 	// TakeOutcomes returns the outcomes by replica since the last call.
 	TakeOutcomes func() map[string]*dispatch.Outcomes
 	Seed         uint64
-	Lost         atomic.Int64 // outcomes of a replica in one interval that no collector took
-	Unconfirmed  atomic.Int64 // the same that were sent on a connection that has ended since, and may have been lost with it
-	Failovers    atomic.Int64 // collectors given up
+	Lost         atomic.Int64 // sums, each of one replica and interval, that could not be sent to a collector
+	Unconfirmed  atomic.Int64 // sums sent on a connection that ended before a collector had confirmed them; they may be lost
+	Failovers    atomic.Int64 // times that the reporter gave up on its current collector
 
 	pool     *resp.Pool
 	selector *failover.Selector
-	current  *collectorConn // nil: there is no connection
-	// candidate is a connection to a collector that is preferred to the current one. It takes over once it has answered.
+	current  *collectorConn // nil: not connected
+	// candidate is a connection to a collector that is preferred to the current one. It replaces the current connection once
+	// the collector has answered a probe on it.
 	candidate *collectorConn
 }
 
-// Run reports until ctx ends. The end does not wait for a collector that reads nothing.
+// Run reports until ctx ends. When ctx ends, a write to a collector that reads nothing is interrupted.
 func (r *Reporter) Run(ctx context.Context) {
 	r.pool = resp.NewPool(reporterPoolSize)
 	r.selector = failover.New(r.Collectors, r.Seed)
@@ -51,11 +52,12 @@
 	}
 }
 
-// report sends the outcomes of one interval. Collectors are dialed in one round for each: the next outcomes are due soon.
+// report sends the outcomes of one interval. Without a connection it dials each collector at most once, since the next
+// report is due soon.
 func (r *Reporter) report(ctx context.Context) {
 	outcomes := r.TakeOutcomes()
-	r.dropUnusable()
-	r.considerCandidate(ctx)
+	r.closeIfUnusable()
+	r.updateCandidate(ctx)
 	if r.current == nil {
 		r.connect(ctx)
 	}
@@ -66,41 +68,42 @@
 	for sent, replica := range slices.Sorted(maps.Keys(outcomes)) {
 		if r.current.sendOutcomes(replica, outcomes[replica]) != nil {
 			r.Lost.Add(int64(len(outcomes) - sent))
-			r.giveUp(time.Now())
+			r.failOver(time.Now())
 			return
 		}
 	}
 	if r.current.probe(len(outcomes)) != nil {
-		r.giveUp(time.Now())
+		r.failOver(time.Now())
 	}
 }
 
-// dropUnusable closes the current connection if its collector has ended it, or has not answered in time. A collector that had
-// answered and ended the connection has been restarted in all likelihood, and is the first to be dialed again.
-func (r *Reporter) dropUnusable() {
+// closeIfUnusable closes the current connection if its collector has closed it or has not answered a probe in time. A
+// collector that had answered probes and closed the connection has probably been restarted, so it is dialed again first. An
+// unresponsive collector is kept if it is the only one and has answered no probe on this connection.
+func (r *Reporter) closeIfUnusable() {
 	if r.current == nil {
 		return
 	}
-	if r.current.confirmed() {
+	if r.current.hasAnswered() {
 		r.selector.RecordSuccess(r.current.address)
 	}
 	now := time.Now()
 	switch {
-	case r.current.ended() && r.current.confirmed():
+	case r.current.closedByCollector() && r.current.hasAnswered():
 		r.disconnect()
-	case r.current.ended(), r.current.silent(now) && (r.current.confirmed() || len(r.Collectors) > 1):
-		r.giveUp(now)
+	case r.current.closedByCollector(), r.current.unresponsive(now) && (r.current.hasAnswered() || len(r.Collectors) > 1):
+		r.failOver(now)
 	}
 }
 
-// giveUp closes the current connection and leaves its collector alone for a while.
-func (r *Reporter) giveUp(now time.Time) {
+// failOver closes the current connection, and begins a cool-down of its collector.
+func (r *Reporter) failOver(now time.Time) {
 	r.Failovers.Add(1)
 	r.selector.RecordFailure(r.current.address, now.UnixNano())
 	r.disconnect()
 }
 
-// connect dials collectors, each once at the most, until one takes the connection; without success there is none.
+// connect dials the collectors, each at most once, until one accepts the connection. If none does, current stays nil.
 func (r *Reporter) connect(ctx context.Context) {
 	for range r.Collectors {
 		address := r.selector.Next(time.Now().UnixNano())
@@ -116,27 +119,27 @@
 	}
 }
 
-// considerCandidate connects to a preferred collector, and uses it once it has answered: until then the reports go on to the
-// current one.
-func (r *Reporter) considerCandidate(ctx context.Context) {
+// updateCandidate connects to a collector that is preferred to the current one, and switches to it once it has answered a
+// probe. Until then, reports are sent to the current collector.
+func (r *Reporter) updateCandidate(ctx context.Context) {
 	now := time.Now()
 	switch {
 	case r.current == nil:
-		r.dropCandidate()
+		r.closeCandidate()
 	case r.candidate == nil:
 		r.dialCandidate(ctx, now)
-	case r.candidate.confirmed():
+	case r.candidate.hasAnswered():
 		r.selector.RecordSuccess(r.candidate.address)
 		r.Unconfirmed.Add(int64(r.current.close()))
 		r.current = r.candidate
 		r.candidate = nil
-	case r.candidate.silent(now) || r.candidate.ended():
+	case r.candidate.unresponsive(now) || r.candidate.closedByCollector():
 		r.selector.RecordFailure(r.candidate.address, now.UnixNano())
-		r.dropCandidate()
+		r.closeCandidate()
 	}
 }
 
-// dialCandidate connects to the preferred collector if that is not the current one, and asks it for an answer.
+// dialCandidate connects to the preferred collector if that is not the current one, and sends it a probe.
 func (r *Reporter) dialCandidate(ctx context.Context, now time.Time) {
 	address := r.selector.Next(now.UnixNano())
 	if address == r.current.address {
@@ -150,11 +153,12 @@
 	r.candidate = conn
 	if conn.probe(0) != nil {
 		r.selector.RecordFailure(address, now.UnixNano())
-		r.dropCandidate()
+		r.closeCandidate()
 	}
 }
 
-func (r *Reporter) dropCandidate() {
+// closeCandidate closes the connection to the candidate, if there is one.
+func (r *Reporter) closeCandidate() {
 	if r.candidate != nil {
 		r.candidate.close()
 		r.candidate = nil
@@ -163,14 +167,14 @@
 
 // disconnect closes all connections.
 func (r *Reporter) disconnect() {
-	r.dropCandidate()
+	r.closeCandidate()
 	if r.current != nil {
 		r.Unconfirmed.Add(int64(r.current.close()))
 		r.current = nil
 	}
 }
 
-// sendOutcomes sends the outcomes at one replica.
+// sendOutcomes sends the outcomes of the attempts at one replica.
 func (c *collectorConn) sendOutcomes(replica string, outcomes *dispatch.Outcomes) error {
 	return c.writer.send(sidecarOutcomesMessage(replica, outcomes)...)
 }
--- a/internal/controlclient/reporter_test.go
+++ b/internal/controlclient/reporter_test.go
@@ -15,11 +15,12 @@
 	"lilacbend/internal/resp"
 )
 
-// reports runs a reporter, of one attempt at one replica in each interval, until the test ends or stops it.
-func reports(t *testing.T, interval time.Duration, collectors ...string) (r *Reporter, told *atomic.Int64, stop func()) {
-	told = &atomic.Int64{}
+// startReporter runs a Reporter until the test ends or stops it. Each interval has one attempt at one replica; taken counts
+// the intervals.
+func startReporter(t *testing.T, interval time.Duration, collectors ...string) (r *Reporter, taken *atomic.Int64, stop func()) {
+	taken = &atomic.Int64{}
 	r = &Reporter{Collectors: collectors, Interval: interval, TakeOutcomes: func() map[string]*dispatch.Outcomes {
-		told.Add(1)
+		taken.Add(1)
 		return map[string]*dispatch.Outcomes{"b": {Attempts: 1}}
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -27,26 +28,28 @@
 	go func() { r.Run(ctx); close(ended) }()
 	stop = func() { cancel(); <-ended }
 	t.Cleanup(stop)
-	return r, told, stop
+	return r, taken, stop
 }
 
-// scripted serves a collector's connections: it counts attempts, and answers probes while the test says so.
-type scripted struct {
+// scriptedCollector is a collector that counts reported attempts and connections, and answers probes while answersProbes is
+// true.
+type scriptedCollector struct {
 	*scriptedpeer.Listener
-	tries   atomic.Int64
-	open    atomic.Int64
-	dials   atomic.Int64
-	answers atomic.Bool
+	attempts      atomic.Int64
+	connections   atomic.Int64
+	dials         atomic.Int64
+	answersProbes atomic.Bool
 }
 
-func script(t *testing.T, l *scriptedpeer.Listener, answers bool) *scripted {
-	s := &scripted{Listener: l}
-	s.answers.Store(answers)
+// serveCollector serves the connections of a listener as a scriptedCollector.
+func serveCollector(t *testing.T, l *scriptedpeer.Listener, answersProbes bool) *scriptedCollector {
+	s := &scriptedCollector{Listener: l}
+	s.answersProbes.Store(answersProbes)
 	pool := resp.NewPool(1 << 20)
 	l.Serve(func(conn net.Conn) {
 		s.dials.Add(1)
-		s.open.Add(1)
-		defer s.open.Add(-1)
+		s.connections.Add(1)
+		defer s.connections.Add(-1)
 		w, done := &messageWriter{conn: conn, pool: pool}, make(chan struct{})
 		defer close(done)
 		for reader := resp.NewReader(conn, pool); ; {
@@ -56,7 +59,7 @@
 				return
 			case words[0] == "met":
 				n, _ := strconv.Atoi(words[4])
-				s.tries.Add(int64(n))
+				s.attempts.Add(int64(n))
 			case words[0] == "probe":
 				go s.answer(w, done)
 			}
@@ -65,11 +68,11 @@
 	return s
 }
 
-// answer answers a probe once probes are to be answered, unless the connection ends before.
-func (s *scripted) answer(w *messageWriter, done <-chan struct{}) {
+// answer answers a probe as soon as answersProbes is true, unless the connection ends first.
+func (s *scriptedCollector) answer(w *messageWriter, done <-chan struct{}) {
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	for !s.answers.Load() {
+	for !s.answersProbes.Load() {
 		select {
 		case <-done:
 			return
@@ -79,133 +82,137 @@
 	w.send("alive")
 }
 
-// A zone's collector ends: the next one gets the reports with the next interval, and a controller gets those of the zone again
-// within a few intervals. Without a second collector it never would.
+// After a zone's collector has stopped, its reporter sends the reports to the next collector from the next interval on, so
+// that the controller receives reports of the zone again within a few intervals. Without a second collector it would receive
+// none.
 func TestNextCollectorTakesOver(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	controller := scriptedpeer.Listen(t)
-	_, first, stop := collects(t, interval, controller)
-	one := controller.AcceptConn()
-	_, second, _ := collects(t, interval, controller)
-	two := controller.AcceptConn()
-	r, _, _ := reports(t, interval, first, second)
-	one.WaitForMessage("agent site a")
-	two.WaitForMessage("agent site a")
-	one.WaitForMessage("outcomes site a target b count ")
+	_, first, stop := startCollector(t, interval, controller)
+	firstConn := controller.AcceptConn()
+	_, second, _ := startCollector(t, interval, controller)
+	secondConn := controller.AcceptConn()
+	r, _, _ := startReporter(t, interval, first, second)
+	firstConn.WaitForMessage("agent site a")
+	secondConn.WaitForMessage("agent site a")
+	firstConn.WaitForMessage("outcomes site a target b count ")
 	began := time.Now()
 	stop()
-	two.WaitForMessage("outcomes site a target b count ")
+	secondConn.WaitForMessage("outcomes site a target b count ")
 	gap := time.Since(began)
-	t.Logf("%v after the end of the first a controller gets reports of the second, reports each %v", gap, interval)
+	t.Logf("the controller receives reports of the second collector %v after the stop of the first, at a report interval of %v", gap, interval)
 	if gap > 20*interval {
-		t.Errorf("%v without a report", gap)
+		t.Errorf("%v without a report, want at most %v", gap, 20*interval)
 	}
 	if lost, unconfirmed := r.Lost.Load(), r.Unconfirmed.Load(); lost+unconfirmed > 3 {
-		t.Errorf("%d sums lost, %d not confirmed", lost, unconfirmed)
+		t.Errorf("%d sums lost and %d unconfirmed, want at most 3", lost, unconfirmed)
 	}
 }
 
-// A collector's machine vanishes, or its process stops, without closing connections: the kernel takes all that is written. It is
-// given up once an answer has been missing for the timeout, and what it was sent meanwhile is counted.
-func TestSilentCollectorIsGivenUp(t *testing.T) {
+// A collector's machine fails, or its process hangs, without closing connections, and the kernel still accepts all writes.
+// The reporter fails over once an answer has been missing for the timeout, and counts the sums sent until then as
+// unconfirmed.
+func TestReporterFailsOverFromUnresponsiveCollector(t *testing.T) {
 	const interval = 50 * time.Millisecond
-	first, second := script(t, scriptedpeer.Listen(t), true), script(t, scriptedpeer.Listen(t), true)
-	r, _, _ := reports(t, interval, first.Address(), second.Address())
-	scriptedpeer.WaitFor(t, "the first is not used", func() bool { return first.tries.Load() > 3 })
-	first.answers.Store(false)
+	first, second := serveCollector(t, scriptedpeer.Listen(t), true), serveCollector(t, scriptedpeer.Listen(t), true)
+	r, _, _ := startReporter(t, interval, first.Address(), second.Address())
+	scriptedpeer.WaitFor(t, "the first collector receives no reports", func() bool { return first.attempts.Load() > 3 })
+	first.answersProbes.Store(false)
 	began := time.Now()
-	scriptedpeer.WaitFor(t, "the second is not used", func() bool { return second.tries.Load() > 0 })
-	if took := time.Since(began); took < silenceTimeout || took > silenceTimeout+20*interval {
-		t.Errorf("given up after %v", took)
+	scriptedpeer.WaitFor(t, "the second collector receives no reports", func() bool { return second.attempts.Load() > 0 })
+	if took := time.Since(began); took < responseTimeout || took > responseTimeout+20*interval {
+		t.Errorf("failed over after %v, want %v to %v", took, responseTimeout, responseTimeout+20*interval)
 	}
-	sent := int64(silenceTimeout / interval)
+	sent := int64(responseTimeout / interval)
 	if unconfirmed := r.Unconfirmed.Load(); unconfirmed < sent/2 || unconfirmed > sent+5 {
-		t.Errorf("%d sums not confirmed, some %d were sent meanwhile", unconfirmed, sent)
+		t.Errorf("%d sums unconfirmed, want about the %d sent before the failover", unconfirmed, sent)
 	}
 }
 
-// The preferred collector is back: once its cool-down is over and it has answered, it gets the reports again, and until then
-// the other one gets them all. One that takes connections and answers nothing does not get them.
+// The preferred collector runs again: once its cool-down has ended and it has answered a probe, it receives the reports
+// again. Until then the other collector receives all of them. A collector that accepts connections and answers no probe
+// receives none.
 func TestReportsReturnToThePreferredCollector(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	l := scriptedpeer.Listen(t)
 	address := l.Address()
 	l.Close()
-	second := script(t, scriptedpeer.Listen(t), true)
-	r, told, stop := reports(t, interval, address, second.Address())
-	scriptedpeer.WaitFor(t, "the second is not used", func() bool { return second.tries.Load() > 3 })
-	first := script(t, scriptedpeer.ListenOn(t, address), false)
-	scriptedpeer.WaitFor(t, "the first is not tried again", func() bool { return first.dials.Load() > 0 })
-	before := second.tries.Load()
-	scriptedpeer.WaitFor(t, "the second has no more", func() bool { return second.tries.Load() > before+10 })
-	if first.tries.Load() > 0 {
-		t.Error("the first has reports though it has answered nothing")
+	second := serveCollector(t, scriptedpeer.Listen(t), true)
+	r, taken, stop := startReporter(t, interval, address, second.Address())
+	scriptedpeer.WaitFor(t, "the second collector receives no reports", func() bool { return second.attempts.Load() > 3 })
+	first := serveCollector(t, scriptedpeer.ListenOn(t, address), false)
+	scriptedpeer.WaitFor(t, "the first collector is not dialed again", func() bool { return first.dials.Load() > 0 })
+	before := second.attempts.Load()
+	scriptedpeer.WaitFor(t, "the second collector receives no further reports", func() bool { return second.attempts.Load() > before+10 })
+	if first.attempts.Load() > 0 {
+		t.Error("the first collector receives reports although it has answered no probe")
 	}
-	first.answers.Store(true)
-	scriptedpeer.WaitFor(t, "the first has no reports", func() bool { return first.tries.Load() > 3 })
-	scriptedpeer.WaitFor(t, "the connection to the second stays", func() bool { return second.open.Load() == 0 })
+	first.answersProbes.Store(true)
+	scriptedpeer.WaitFor(t, "the first collector receives no reports after answering", func() bool { return first.attempts.Load() > 3 })
+	scriptedpeer.WaitFor(t, "the connection to the second collector is not closed", func() bool { return second.connections.Load() == 0 })
 	stop()
-	scriptedpeer.WaitFor(t, "an outcome is nowhere", func() bool {
-		return first.tries.Load()+second.tries.Load()+r.Lost.Load() == told.Load()
+	scriptedpeer.WaitFor(t, "an outcome is neither reported nor counted as lost", func() bool {
+		return first.attempts.Load()+second.attempts.Load()+r.Lost.Load() == taken.Load()
 	})
 	if r.Lost.Load() > 1 {
-		t.Errorf("%d lost, one at the most as nobody was there at first", r.Lost.Load())
+		t.Errorf("%d sums lost, want at most 1 although the first collector is unreachable at the start", r.Lost.Load())
 	}
 }
 
-// A collector that takes no more connections closes them at once: its sidecars go to the next one, and do not dial it at each
-// interval.
-func TestFullCollectorIsLeft(t *testing.T) {
+// A collector at its limit of connections closes new ones at once: its sidecars use the next collector, and do not dial the
+// full one in each interval.
+func TestFullCollectorIsNotDialedInEachInterval(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	full := scriptedpeer.Listen(t)
 	var dials atomic.Int64
 	full.Serve(func(net.Conn) { dials.Add(1) })
-	second := script(t, scriptedpeer.Listen(t), true)
-	reports(t, interval, full.Address(), second.Address())
-	scriptedpeer.WaitFor(t, "the second is not used", func() bool { return second.tries.Load() > 50 })
+	second := serveCollector(t, scriptedpeer.Listen(t), true)
+	startReporter(t, interval, full.Address(), second.Address())
+	scriptedpeer.WaitFor(t, "the second collector receives no reports", func() bool { return second.attempts.Load() > 50 })
 	if n := dials.Load(); n > 3 {
-		t.Errorf("dialed %d times in %v", n, 50*interval)
+		t.Errorf("the full collector was dialed %d times in %v, want at most 3", n, 50*interval)
 	}
 }
 
-// A collector of an earlier version answers no probe. Where it is the only one it is used on.
-func TestOnlyCollectorIsKeptWithoutAnswers(t *testing.T) {
+// A collector of an earlier version answers no probes. If it is the only one, the reporter keeps using it.
+func TestOnlyCollectorIsKeptWithoutProbeAnswers(t *testing.T) {
 	const interval = 50 * time.Millisecond
-	only := script(t, scriptedpeer.Listen(t), false)
-	r, told, stop := reports(t, interval, only.Address())
-	scriptedpeer.WaitFor(t, "it is not used", func() bool { return told.Load() > int64((silenceTimeout+time.Second)/interval) })
+	only := serveCollector(t, scriptedpeer.Listen(t), false)
+	r, taken, stop := startReporter(t, interval, only.Address())
+	scriptedpeer.WaitFor(t, "the reporter stops taking outcomes before the timeout of the collector", func() bool { return taken.Load() > int64((responseTimeout+time.Second)/interval) })
 	stop()
-	if n := only.dials.Load(); n != 1 || r.Lost.Load() > 1 { // one as it is stopped
-		t.Errorf("%d connections, %d sums lost", n, r.Lost.Load())
+	if n := only.dials.Load(); n != 1 || r.Lost.Load() > 1 { // one sum may be lost by the stop
+		t.Errorf("%d connections and %d sums lost, want 1 connection and at most 1 sum", n, r.Lost.Load())
 	}
-	scriptedpeer.WaitFor(t, "an outcome is nowhere", func() bool { return only.tries.Load()+r.Lost.Load() == told.Load() })
+	scriptedpeer.WaitFor(t, "an outcome is neither reported nor counted as lost", func() bool { return only.attempts.Load()+r.Lost.Load() == taken.Load() })
 }
 
-// All collectors of a zone are unreachable: each is dialed once in an interval, and the first that is back gets the reports.
-func TestAllCollectorsAreUnreachable(t *testing.T) {
+// While all collectors of a zone are unreachable, each is dialed once in each interval, so that the first one that is
+// reachable again soon receives the reports.
+func TestFirstReachableCollectorReceivesReportsAfterAnOutage(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	one, two := scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t)
-	r, _, _ := reports(t, interval, one, two)
-	scriptedpeer.WaitFor(t, "nothing is lost", func() bool { return r.Lost.Load() > 5 })
-	back := script(t, scriptedpeer.ListenOn(t, two), true)
+	r, _, _ := startReporter(t, interval, one, two)
+	scriptedpeer.WaitFor(t, "no sums are counted as lost while no collector is reachable", func() bool { return r.Lost.Load() > 5 })
+	reachable := serveCollector(t, scriptedpeer.ListenOn(t, two), true)
 	began := time.Now()
-	scriptedpeer.WaitFor(t, "it is not found", func() bool { return back.tries.Load() > 0 })
+	scriptedpeer.WaitFor(t, "the collector that is reachable again receives no reports", func() bool { return reachable.attempts.Load() > 0 })
 	if took := time.Since(began); took > failover.CooldownInitial/2 {
-		t.Errorf("found after %v", took)
+		t.Errorf("first report after %v, want at most %v", took, failover.CooldownInitial/2)
 	}
 }
 
-// A collector answers a probe once it has read all before it, and nothing else.
+// A collector answers a probe once it has read all earlier messages, and sends nothing else.
 func TestCollectorAnswersProbes(t *testing.T) {
-	c, at, _ := collects(t, time.Hour)
-	sidecar := scriptedpeer.Dial(t, at)
+	collector, address, _ := startCollector(t, time.Hour)
+	sidecar := scriptedpeer.Dial(t, address)
 	sidecar.Send("met target b count 1 fail 0 mean 1", "met target b", "probe")
 	sidecar.WaitForMessage("alive")
-	if c.Received.Load() != 1 || c.Skipped.Load() != 1 {
-		t.Errorf("%d received, %d skipped", c.Received.Load(), c.Skipped.Load())
+	if collector.Received.Load() != 1 || collector.Skipped.Load() != 1 {
+		t.Errorf("%d reports received and %d messages skipped, want 1 of each", collector.Received.Load(), collector.Skipped.Load())
 	}
 	sidecar.Send("probe")
 	if text, _ := sidecar.ReadMessage(); strings.TrimSpace(text) != "alive" {
-		t.Errorf("%q", text)
+		t.Errorf("received %q, want only the answer to the second probe", text)
 	}
 }
--- a/internal/controlclient/update.go
+++ b/internal/controlclient/update.go
@@ -1,6 +1,6 @@
-// Package controlclient is the client side of the control protocol: a sidecar's stream to a controller, a collector that sums the
-// reports of a zone's sidecars, and a sidecar's reports to it. It reads and writes messages; what an update does is up to the
-// sidecar's dispatcher.
+// Package controlclient is the client side of the control protocol: a sidecar's stream to a controller, the collector that
+// sums the reports of a zone's sidecars, and a sidecar's reports to a collector. The package reads and writes messages; the
+// sidecar's dispatcher applies the updates.
 package controlclient
 
 import (
@@ -16,10 +16,10 @@
 // maxParts bounds the parts of one update.
 const maxParts = 64
 
-// errMalformed is the cause of a part that cannot be read. What follows it on the stream cannot be used.
+// errMalformed is returned for a part that cannot be parsed. Later messages of its stream cannot be used.
 var errMalformed = errors.New("malformed update")
 
-// updateMessage is one update of a controller, put together from its parts.
+// updateMessage is one update of a controller, assembled from its parts.
 type updateMessage struct {
 	parts      []dispatch.Update
 	wantsAck   bool
@@ -27,7 +27,7 @@
 	unfinished bool // more parts follow
 }
 
-// addPart reads one more part.
+// addPart parses the next part of the update.
 func (m *updateMessage) addPart(words []string) error {
 	if len(m.parts) >= maxParts {
 		return fmt.Errorf("%w: more than %d parts", errMalformed, maxParts)
@@ -55,11 +55,11 @@
 // partFields are the fields of one part. Admission and retry policy may come in either order.
 type partFields struct {
 	dispatch.Update
-	admit  string
-	policy string
+	admission   string
+	retryPolicy string
 }
 
-// setField takes over one field of a part. Fields of later versions of the protocol are ignored.
+// setField parses one field of a part. Unknown fields are ignored, since later versions of the protocol may add fields.
 func (m *updateMessage) setField(part *partFields, key, value string) (err error) {
 	switch key {
 	case keyClasses:
@@ -69,9 +69,9 @@
 	case keyEndpoints:
 		part.Weights, err = parseEndpoints(value)
 	case keyAdmission:
-		part.admit = value
+		part.admission = value
 	case keyRetryPolicy:
-		part.policy = value
+		part.retryPolicy = value
 	case keyEject:
 		part.Eject = strings.Split(value, ",")
 	case keyUneject:
@@ -85,23 +85,23 @@
 	return err
 }
 
-// settings reads the admission of a part and its retry policy, which come together; nil if neither is there.
+// settings parses the admission and the retry policy of a part, which are sent together; nil if the part has neither.
 func (p partFields) settings() ([]dispatch.ClassSettings, error) {
-	if (p.admit == "") != (p.policy == "") {
+	if (p.admission == "") != (p.retryPolicy == "") {
 		return nil, fmt.Errorf("%w: admit and policy come together", errMalformed)
 	}
-	if p.admit == "" {
+	if p.admission == "" {
 		return nil, nil
 	}
-	admission, admissionErr := strconv.ParseFloat(p.admit, 64)
-	policy, policyErr := strconv.Atoi(p.policy)
+	admission, admissionErr := strconv.ParseFloat(p.admission, 64)
+	policy, policyErr := strconv.Atoi(p.retryPolicy)
 	if errors.Join(admissionErr, policyErr) != nil {
-		return nil, fmt.Errorf("%w: admit=%.40q policy=%.40q", errMalformed, p.admit, p.policy)
+		return nil, fmt.Errorf("%w: admit=%.40q policy=%.40q", errMalformed, p.admission, p.retryPolicy)
 	}
 	return []dispatch.ClassSettings{{Admission: admission, Retry: control.RetryPolicy(policy)}}, nil
 }
 
-// parseFlag reads 0 or 1.
+// parseFlag parses a flag, which is 0 or 1.
 func parseFlag(value string) (bool, error) {
 	if value != "0" && value != "1" {
 		return false, errors.New("neither 0 nor 1")
@@ -109,15 +109,15 @@
 	return value == "1", nil
 }
 
-// parseEndpoints reads id:weight pairs, joined by commas. There may be none.
+// parseEndpoints parses id:weight pairs, separated by commas. The list may be empty.
 func parseEndpoints(value string) (map[string]float64, error) {
 	endpoints := map[string]float64{}
 	if value == "" {
 		return endpoints, nil
 	}
 	for pair := range strings.SplitSeq(value, ",") {
-		id, text, found := strings.Cut(pair, ":")
-		weight, err := strconv.ParseFloat(text, 64)
+		id, weightText, found := strings.Cut(pair, ":")
+		weight, err := strconv.ParseFloat(weightText, 64)
 		if !found || err != nil || id == "" {
 			return nil, fmt.Errorf("endpoint %.40q", pair)
 		}
--- a/internal/controlclient/writer.go
+++ b/internal/controlclient/writer.go
@@ -11,7 +11,8 @@
 const (
 	// writeTimeout bounds the writing of one message.
 	writeTimeout = 2 * time.Second
-	// closedCheckTime is more than a look at a connection takes; an end that has come is seen at once.
+	// closedCheckTime is how long to wait for the reader of a connection to notice a close that has already arrived, which
+	// takes less.
 	closedCheckTime = time.Millisecond
 )
 
@@ -22,12 +23,13 @@
 	pool *resp.Pool
 }
 
+// send writes one message.
 func (w *messageWriter) send(words ...string) error {
 	_, err := w.sendSized(words...)
 	return err
 }
 
-// sendSized returns the bytes that were sent as well.
+// sendSized writes one message, and returns the number of bytes written.
 func (w *messageWriter) sendSized(words ...string) (sent int, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -6,8 +6,8 @@
 	"lilacbend/control"
 )
 
-// admits reports whether the admission rate of a class admits one more request. Without settings of a controller all
-// requests are admitted.
+// admits reports whether the admission setting of a class admits one more request. All requests are admitted as long as no
+// controller has sent settings.
 func (d *Dispatcher) admits(now int64, class int) bool {
 	t := &d.tables[class]
 	if !t.hasSettings {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -88,7 +88,7 @@
 	Retries       int64
 	Ejections     int64
 	Rejected      map[Reason]int64 // ended before the first attempt
-	Failed        map[Reason]int64 // ended after one or more attempts
+	Failed        map[Reason]int64 // ended after one or more attempts, or canceled by the client
 }
 
 // Clone returns a copy that later requests do not change.
@@ -121,7 +121,7 @@
 	}, nil
 }
 
-// Class returns the index of the traffic class with a name, or -1 if there is none.
+// Class returns the index of the traffic class with the given name, or -1 if there is none.
 func (d *Dispatcher) Class(name string) int {
 	return slices.IndexFunc(d.config.Classes, func(class Class) bool { return class.Name == name })
 }
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// UseEqualWeights gives all listed endpoints the same weight in every table, unless a controller has sent a table.
+// UseEqualWeights gives all endpoints of the endpoint list the same weight in each table, unless a controller has sent a
+// table.
 // Settings are kept: a controller may have sent them before its table.
 func (d *Dispatcher) UseEqualWeights(now int64) {
 	if d.hasTables {
--- a/internal/dispatch/reason.go
+++ b/internal/dispatch/reason.go
@@ -26,8 +26,8 @@
 	ErrDraining Reason = "draining"
 )
 
-// Reasons for giving up on a request after one or more attempts. ErrNoReplica, ErrReplicasAtCapacity and ErrTimeout occur
-// both before and after the first attempt.
+// Reasons for giving up on a request after one or more attempts. ErrNoReplica, ErrReplicasAtCapacity, ErrTimeout
+// and ErrClientGone occur both before and after the first attempt.
 const (
 	// ErrTimeout: the timeout of the request's class has expired.
 	ErrTimeout Reason = "expired"
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -29,7 +29,7 @@
 	Reason    Reason // why the request was rejected or failed
 }
 
-// Request is the state of one request. Its methods and steps are sequential, never concurrent.
+// Request is the state of one request. Its steps follow one another: calls for the same request are never concurrent.
 type Request struct {
 	class             int
 	arrivedAt         int64
@@ -194,7 +194,7 @@
 	return Step{Final: true, Succeeded: true}
 }
 
-// fail ends a request that was attempted without success.
+// fail ends a request that was attempted without success, or whose client no longer waits for the response.
 func (d *Dispatcher) fail(r *Request, reason Reason) Step {
 	d.finish(r)
 	if reason != ErrClientGone {
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -119,7 +119,7 @@
 	return int64(d.config.AttemptTimeoutFactor * float64(d.config.Classes[class].LatencyObjective))
 }
 
-// earnRetryTokens adds the share of a retry that one admitted request earns to the retry budget.
+// earnRetryTokens adds RetryBudgetRatio to the retry budget, which one admitted request earns.
 func (d *Dispatcher) earnRetryTokens() {
 	d.retryTokens = min(d.config.RetryBudgetBurst, d.retryTokens+d.config.RetryBudgetRatio)
 }
