--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -23,12 +23,12 @@
 	// controller that fails do not connect to the others at once.
 	backoffInitial = 50 * time.Millisecond
 	backoffLimit   = 2 * time.Second
-	// stableStreamAge is the age from which on a stream resets the backoff when it ends.
+	// stableStreamAge is the age of a stream above which its end resets the backoff.
 	stableStreamAge = 5 * time.Second
 	// reportInterval is the time between two demand reports, each of which is followed by a probe of the controller.
 	reportInterval = time.Second
-	// responseTimeout is how long a controller may send nothing, or a collector may leave a probe unanswered, before the
-	// client gives up on it. Both are probed, so that one that works always has something to send.
+	// responseTimeout is how long a controller may send nothing, or a collector may leave a probe unanswered, before
+	// a Client or a Reporter gives up on it. Both are probed, so that one that works always has something to send.
 	responseTimeout = 4 * time.Second
 	// clientPoolSize bounds the buffers for long messages of one client, in bytes.
 	clientPoolSize = 2 << 20
@@ -91,15 +91,15 @@
 	c.pool = resp.NewPool(clientPoolSize)
 	c.demandSince = time.Now()
 	retry := backoff.NewJittered(backoffInitial, backoffLimit, c.Seed)
-	next := c.ID % max(1, len(c.Controllers))
+	index := c.ID % max(1, len(c.Controllers))
 	for ctx.Err() == nil && len(c.Controllers) > 0 {
 		began := time.Now()
-		err := c.followUpdates(ctx, c.Controllers[next])
+		err := c.followUpdates(ctx, c.Controllers[index])
 		if ctx.Err() != nil {
 			return
 		}
-		c.recordStreamEnd(c.Controllers[next], err)
-		next = (next + 1) % len(c.Controllers)
+		c.recordStreamEnd(c.Controllers[index], err)
+		index = (index + 1) % len(c.Controllers)
 		if time.Since(began) > stableStreamAge {
 			retry.Reset()
 		}
@@ -173,7 +173,7 @@
 			return err
 		}
 		if !c.updated.Swap(true) {
-			c.Log.Info("applying updates of controller", "controller", address)
+			c.Log.Info("applying updates from controller", "controller", address)
 		}
 		c.currentController.Store(&address)
 		message = updateMessage{}
@@ -216,7 +216,7 @@
 func (c *Client) reportDemand(ctx context.Context, w *messageWriter) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
-	if time.Since(c.demandSince) > maxReportAge { // too old to describe the current demand
+	if time.Since(c.demandSince) > maxReportAge { // counted without a controller, and out of date
 		c.Dispatcher.TakeDemand()
 		c.demandSince = time.Now()
 	}
--- a/internal/controlclient/collector_conn.go
+++ b/internal/controlclient/collector_conn.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// recordAnswer records the answer to a probe.
+// recordAnswer records an answer to a probe. It ignores an answer if no probe is unanswered.
 func (c *collectorConn) recordAnswer(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// probe sends a probe, whose answer will confirm the number of sums sent since the last one.
+// probe sends a probe, whose answer confirms the sums that were sent since the last probe; sums is their number.
 func (c *collectorConn) probe(sums int) error {
 	c.mu.Lock()
 	if c.answers == c.probes {
