--- a/internal/ingress/deadline.go
+++ b/internal/ingress/deadline.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// expired is a deadline that is over.
+// expired is a deadline in the past: setting it ends pending reads at once.
 var expired = time.Unix(1, 0)
 
-// deadlineReader gives each read a timeout, or all of them one deadline.
+// deadlineReader limits reads from a connection, either by a timeout for each read or by one deadline for all of them.
 type deadlineReader struct {
 	conn     net.Conn
 	timeout  time.Duration
-	deadline time.Time   // zero: each read has its timeout
-	stopped  atomic.Bool // reads return at once
+	deadline time.Time   // zero: the timeout applies to each read
+	stopped  atomic.Bool // reads fail at once
 
-	// The first byte of a request was read while the connection held no buffer.
+	// The first byte of a request, which was read before the connection had a buffer; Read returns it first.
 	firstByte    byte
 	hasFirstByte bool
 }
 
-// Read reads within the timeout or deadline.
+// Read returns the first byte of the request if there is one, and else reads within the timeout or the deadline.
 func (r *deadlineReader) Read(p []byte) (int, error) {
 	if r.hasFirstByte && len(p) > 0 {
 		p[0] = r.firstByte
@@ -36,41 +36,42 @@
 	}
 	for {
 		r.conn.SetReadDeadline(deadline)
-		if r.stopped.Load() { // whichever was set first, the deadline is over now
+		if r.stopped.Load() { // stop may have set its deadline before SetReadDeadline replaced it
 			r.conn.SetReadDeadline(expired)
 		}
 		n, err := r.conn.Read(p)
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || r.stopped.Load() || !time.Now().Before(deadline) {
 			return n, err
 		}
-		// The deadline was that of an idle connection, which a drain has set as this request came.
+		// The read ended early because a concurrent drain set the shorter deadline of an idle connection just as this
+		// request arrived: read again with the deadline of the request.
 	}
 }
 
-// stop makes reads return at once, also one that is waiting.
+// stop makes all reads fail at once, including one that is waiting.
 func (r *deadlineReader) stop() {
 	r.stopped.Store(true)
 	r.conn.SetReadDeadline(expired)
 }
 
-// deadlineWriter gives each write a timeout.
+// deadlineWriter limits writes to a connection by a timeout for each write, and optionally by one deadline for all.
 type deadlineWriter struct {
 	conn     net.Conn
 	timeout  time.Duration
-	deadline atomic.Pointer[time.Time] // of all writes, once set
+	deadline atomic.Pointer[time.Time] // for all further writes; nil: none
 }
 
 // Write writes within the timeout and the deadline.
 func (w *deadlineWriter) Write(p []byte) (int, error) {
 	w.conn.SetWriteDeadline(time.Now().Add(w.timeout))
-	if deadline := w.deadline.Load(); deadline != nil { // whichever was set first, it holds now
+	if deadline := w.deadline.Load(); deadline != nil { // setOverallTimeout may have set it before SetWriteDeadline replaced it
 		w.conn.SetWriteDeadline(*deadline)
 	}
 	return w.conn.Write(p)
 }
 
-// limitAll gives all writes from now on, also one that is waiting, a time together.
-func (w *deadlineWriter) limitAll(timeout time.Duration) {
+// setOverallTimeout gives all further writes, including one that is waiting, one common timeout.
+func (w *deadlineWriter) setOverallTimeout(timeout time.Duration) {
 	deadline := time.Now().Add(timeout)
 	w.deadline.Store(&deadline)
 	w.conn.SetWriteDeadline(deadline)
--- a/internal/ingress/http1_conn.go
+++ b/internal/ingress/http1_conn.go
@@ -16,53 +16,53 @@
 	"lilacbend/internal/upstream"
 )
 
-// writeBufferSize is the size of the buffer of what goes to a client, in bytes.
+// writeBufferSize is the size of the write buffer of a client connection, in bytes.
 const writeBufferSize = 4 << 10
 
-// A connection without a request holds no buffer, so that thousands of idle ones cost little.
+// Buffers are pooled: an idle connection holds none, so that thousands of idle connections need little memory.
 var (
 	headReaders  = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHead) }}
 	http1Writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferSize) }}
 )
 
-// errHeadTooLarge is the cause of a request whose head is over the bound.
-var errHeadTooLarge = errors.New("head too large")
+// errHeadTooLarge is returned for a request whose head exceeds maxHead.
+var errHeadTooLarge = errors.New("request head exceeds 16 KiB")
 
-// http1Conn is an HTTP/1 connection. It serves one request at a time.
+// http1Conn is an HTTP/1 connection of a client. It serves one request at a time.
 type http1Conn struct {
-	server    *Server
-	conn      net.Conn
-	busy      atomic.Bool // a request is being read or answered
-	ended     atomic.Bool // by abort
-	unread    bool        // the last answer has gone out, and the client has sent what was not read
-	firstByte [1]byte     // of a request, read while the connection holds no buffer
+	server      *Server
+	conn        net.Conn
+	busy        atomic.Bool // a request is being read or served
+	ended       atomic.Bool // abort was called
+	unreadInput bool        // the last response was sent, but bytes from the client were not read
+	firstByte   [1]byte     // of a request, read before the connection has a buffer
 
-	// Values that each request uses anew.
-	in       deadlineReader
-	out      deadlineWriter
-	cancel   upstream.Cancellation
-	request  proxy.Request
-	response http1Response
+	// Values that are reset and reused for each request.
+	connReader deadlineReader
+	connWriter deadlineWriter
+	cancel     upstream.Cancellation
+	request    proxy.Request
+	response   http1Response
 
-	requestRead bool      // completely
-	watching    bool      // a goroutine watches for the end of the connection
-	watchEnded  chan bool // false: the client is gone
+	requestRead bool      // the request was read completely
+	watching    bool      // a goroutine watches whether the client closes the connection
+	watchResult chan bool // sent when watch ends; false: the connection has ended
 }
 
 func newHTTP1Conn(s *Server, conn net.Conn) *http1Conn {
-	return &http1Conn{server: s, conn: conn, watchEnded: make(chan bool, 1)}
+	return &http1Conn{server: s, conn: conn, watchResult: make(chan bool, 1)}
 }
 
-// abort implements clientConn. The request is canceled by itself, since nobody may be watching: that is so while its
-// body is read, and if another request has come behind it.
+// abort implements clientConn. It cancels the request explicitly, because the connection may not be watched: it is not
+// while the request body is being read, nor after bytes of a pipelined request were buffered.
 func (c *http1Conn) abort() {
 	c.ended.Store(true)
 	c.conn.Close()
 	c.cancel.Cancel()
 }
 
-// drain implements clientConn. A request that is on its way is still read; its answer says that it was the last, as does
-// that of a request in flight.
+// drain implements clientConn. An idle connection stays open for drainPause, so that a request that was already sent is
+// still read. The response to that request, or to a request in flight, carries "Connection: close".
 func (c *http1Conn) drain() {
 	if !c.busy.Load() {
 		c.conn.SetReadDeadline(time.Now().Add(drainPause))
@@ -75,7 +75,7 @@
 	defer func() {
 		if v := recover(); v != nil {
 			c.server.Counters.Panics.Add(1)
-			c.server.log.Error("panic on a connection", "panic", fmt.Sprint(v))
+			c.server.log.Error("panic while serving an HTTP/1 connection", "panic", fmt.Sprint(v))
 		}
 	}()
 	for {
@@ -89,12 +89,12 @@
 		}
 		c.busy.Store(false)
 	}
-	if c.unread && !c.ended.Load() {
+	if c.unreadInput && !c.ended.Load() {
 		c.linger()
 	}
 }
 
-// awaitRequest waits for the first byte of a request.
+// awaitRequest waits for the first byte of a request, and returns it.
 func (c *http1Conn) awaitRequest() (byte, error) {
 	c.conn.SetReadDeadline(time.Now().Add(c.server.limits.IdleTimeout))
 	if c.server.Draining() {
@@ -107,29 +107,30 @@
 	return c.firstByte[0], err
 }
 
-// linger lets the client read its last answer though it has sent what nobody reads: a connection that is closed over
-// unread bytes is reset, which destroys what of the answer has not been read yet.
+// linger closes the sending side and discards what the client still sends, until the client closes the connection or
+// stalls. Closing a connection with unread bytes would reset it, and the client could lose a part of its last response
+// that it has not read yet.
 func (c *http1Conn) linger() {
-	half, ok := c.conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	halfCloser, ok := c.conn.(interface{ CloseWrite() error })
+	if !ok || halfCloser.CloseWrite() != nil {
 		return
 	}
 	c.conn.SetReadDeadline(time.Now().Add(c.server.limits.StallTimeout))
 	io.Copy(io.Discard, c.conn)
 }
 
-// serveBuffered serves requests until no more are buffered; false: the connection is over.
+// serveBuffered serves requests until the read buffer is empty. It returns false if the connection must be closed.
 func (c *http1Conn) serveBuffered(firstByte byte) bool {
-	c.in.conn = c.conn
-	c.in.timeout = c.server.limits.StallTimeout
-	c.in.firstByte = firstByte
-	c.in.hasFirstByte = true
-	c.out.conn = c.conn
-	c.out.timeout = c.server.limits.StallTimeout
+	c.connReader.conn = c.conn
+	c.connReader.timeout = c.server.limits.StallTimeout
+	c.connReader.firstByte = firstByte
+	c.connReader.hasFirstByte = true
+	c.connWriter.conn = c.conn
+	c.connWriter.timeout = c.server.limits.StallTimeout
 	r := headReaders.Get().(*bufio.Reader)
-	r.Reset(&c.in)
+	r.Reset(&c.connReader)
 	w := http1Writers.Get().(*bufio.Writer)
-	w.Reset(&c.out)
+	w.Reset(&c.connWriter)
 	defer func() {
 		r.Reset(nil)
 		headReaders.Put(r)
@@ -146,11 +147,11 @@
 	}
 }
 
-// serveRequest reads and answers one request; false: the connection is over.
+// serveRequest reads one request and responds to it. It returns false if the connection must be closed.
 func (c *http1Conn) serveRequest(r *bufio.Reader, w *bufio.Writer) bool {
 	head, err := c.readHead(r)
 	if err != nil {
-		c.refuse(w, err)
+		c.rejectRequest(w, err)
 		return false
 	}
 	c.prepare(head, r, w)
@@ -161,15 +162,15 @@
 	c.requestRead = false
 	c.watching = false
 	if c.request.Body == nil {
-		c.noteRequestRead(r)
+		c.onRequestRead(r)
 	}
 	c.server.serveRequest(&c.cancel, "h1", &c.request, &c.response)
 	return c.finishRequest(head, r, w)
 }
 
-// readHead reads and checks the head of a request.
+// readHead reads, checks and parses the head of a request.
 func (c *http1Conn) readHead(r *bufio.Reader) (*http.Request, error) {
-	c.in.deadline = time.Now().Add(c.server.limits.HeadTimeout)
+	c.connReader.deadline = time.Now().Add(c.server.limits.HeadTimeout)
 	head, err := peekHead(r)
 	if err != nil {
 		return nil, err
@@ -177,7 +178,7 @@
 	if err := checkHead(head); err != nil {
 		return nil, err
 	}
-	c.in.deadline = time.Time{}
+	c.connReader.deadline = time.Time{}
 	parsed, err := http.ReadRequest(r)
 	if err != nil {
 		return nil, badRequest("%v", err)
@@ -185,7 +186,7 @@
 	return parsed, nil
 }
 
-// peekHead waits for a complete head and leaves it to be read.
+// peekHead waits for a complete head, and returns it without consuming it.
 func peekHead(r *bufio.Reader) ([]byte, error) {
 	for n := 1; ; n = r.Buffered() + 1 {
 		if n > maxHead {
@@ -202,7 +203,7 @@
 	}
 }
 
-// prepare sets up request and response for a head.
+// prepare sets up the request and its response from a parsed head.
 func (c *http1Conn) prepare(head *http.Request, r *bufio.Reader, w *bufio.Writer) {
 	c.request = proxy.Request{
 		Method: head.Method,
@@ -212,7 +213,7 @@
 		Length: head.ContentLength,
 	}
 	c.response = http1Response{
-		w:         w,
+		writer:    w,
 		conn:      c,
 		method:    head.Method,
 		http10:    head.ProtoMinor == 0,
@@ -221,24 +222,24 @@
 	if head.Body != http.NoBody {
 		c.request.Body = &http1Body{Reader: head.Body, conn: c, buffer: r}
 		c.request.Trailer = func() http.Header { return head.Trailer }
-		c.request.StopBody = c.in.stop
+		c.request.StopBody = c.connReader.stop
 		c.request.ExpectContinue = expectsContinue(head.Header)
-		c.request.Continue = c.response.askForBody
+		c.request.Continue = c.response.sendContinue
 	}
 	proxy.RemoveHopByHop(c.request.Header)
 }
 
-// finishRequest ends a request after its answer; false: the connection is over.
+// finishRequest ends a request after its response. It returns false if the connection must be closed.
 func (c *http1Conn) finishRequest(head *http.Request, r *bufio.Reader, w *bufio.Writer) bool {
 	clientGone := c.watching && !c.stopWatching()
-	c.in.stopped.Store(false) // nobody reads a body now
+	c.connReader.stopped.Store(false) // no goroutine reads the connection now
 	if clientGone || c.response.aborted || c.ended.Load() {
 		return false
 	}
 	if w.Flush() != nil {
 		return false
 	}
-	c.unread = !c.requestRead || r.Buffered() > 0
+	c.unreadInput = !c.requestRead || r.Buffered() > 0
 	if c.response.closeConn {
 		return false
 	}
@@ -248,8 +249,9 @@
 	return c.discardBody(head.Body)
 }
 
-// discardBody reads what was not read of a body, which is in front of the next request; false: it is too much, or will
-// not come.
+// discardBody reads the unread rest of a request body, which precedes the next request on the connection. It returns
+// false if the rest has maxDiscard bytes or more, cannot be read, or will not be sent because the client was not asked
+// for it.
 func (c *http1Conn) discardBody(body io.Reader) bool {
 	if c.request.ExpectContinue && !c.response.continued {
 		return false
@@ -258,18 +260,19 @@
 	if n == maxDiscard || !errors.Is(err, io.EOF) {
 		return false
 	}
-	c.unread = false
+	c.unreadInput = false
 	return true
 }
 
-// expectsContinue reports whether a client waits to be asked for its body.
+// expectsContinue reports whether the client waits for a 100 Continue before it sends the body.
 func expectsContinue(header http.Header) bool {
 	values := header["Expect"]
 	return len(values) == 1 && (values[0] == "100-continue" || values[0] == "100-Continue")
 }
 
-// refuse answers a request that cannot be served, if there is one. The connection is over.
-func (c *http1Conn) refuse(w *bufio.Writer, err error) {
+// rejectRequest responds to a request whose head is malformed, too large or too slow. After any other error there is no
+// request to respond to, and it sends nothing. The caller closes the connection.
+func (c *http1Conn) rejectRequest(w *bufio.Writer, err error) {
 	status := http.StatusBadRequest
 	reason := reasonBadRequest
 	switch {
@@ -284,8 +287,8 @@
 		return
 	}
 	c.server.Counters.BadRequests.Add(1)
-	out := &http1Response{w: w, conn: c, closeConn: true}
-	if writeAnswer(out, status, reason) == nil {
-		c.unread = w.Flush() == nil
+	out := &http1Response{writer: w, conn: c, closeConn: true}
+	if writeErrorResponse(out, status, reason) == nil {
+		c.unreadInput = w.Flush() == nil
 	}
 }
--- a/internal/ingress/http1_head_test.go
+++ b/internal/ingress/http1_head_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// What checkHead accepts, net/http reads as one request with at most one idea of where it ends.
+// Each head that checkHead accepts defines the end of its request at most once, as net/http parses it.
 func FuzzCheckHead(f *testing.F) {
 	for _, text := range []string{"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\n",
 		"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n", "GET / HTTP/1.0\r\n\r\n", "OPTIONS * HTTP/1.1\r\nHost: x\r\nX: \tfolded\r\n\r\n"} {
@@ -21,10 +21,10 @@
 		}
 		req, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(raw)))
 		if err != nil {
-			return // answered as a bad request
+			return // the connection responds with 400 Bad Request
 		}
 		if len(req.Header["Content-Length"]) > 1 || len(req.TransferEncoding) > 0 && req.Header.Get("Content-Length") != "" {
-			t.Errorf("%q passes as %+v", raw[:end], req)
+			t.Errorf("checkHead accepted %q with ambiguous framing, parsed as %+v", raw[:end], req)
 		}
 	})
 }
@@ -35,15 +35,15 @@
 		head string
 		ok   bool
 	}{
-		{"plain", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", true},
+		{"GET with a host", "GET / HTTP/1.1\r\nHost: x\r\n\r\n", true},
 		{"HTTP/1.0 without a host", "GET / HTTP/1.0\r\n\r\n", true},
 		{"no host", "GET / HTTP/1.1\r\n\r\n", false},
 		{"two hosts", "GET / HTTP/1.1\r\nHost: x\r\nHost: x\r\n\r\n", false},
 		{"two lengths", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", false},
-		{"a length beside a coding", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", false},
-		{"two codings", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", false},
-		{"another coding", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", false},
-		{"a coding in HTTP/1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", false},
+		{"a length and a transfer coding", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", false},
+		{"two transfer codings", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", false},
+		{"an unsupported transfer coding", "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", false},
+		{"a transfer coding in HTTP/1.0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", false},
 		{"a signed length", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: +1\r\n\r\n", false},
 		{"a length beyond an int64", "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 9999999999999999999\r\n\r\n", false},
 		{"a space before the colon", "GET / HTTP/1.1\r\nHost : x\r\n\r\n", false},
@@ -53,12 +53,12 @@
 		{"CONNECT", "CONNECT x:80 HTTP/1.1\r\nHost: x\r\n\r\n", false},
 		{"an absolute target", "GET http://x/ HTTP/1.1\r\nHost: x\r\n\r\n", false},
 		{"a fragment", "GET /#a HTTP/1.1\r\nHost: x\r\n\r\n", false},
-		{"all of a server", "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n", true},
+		{"OPTIONS with target *", "OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := checkHead([]byte(c.head))
 			if (err == nil) != c.ok || err != nil && !errors.Is(err, errBadRequest) {
-				t.Errorf("%v", err)
+				t.Errorf("checkHead returned %v, want success %v", err, c.ok)
 			}
 		})
 	}
--- a/internal/ingress/http1_response.go
+++ b/internal/ingress/http1_response.go
@@ -14,71 +14,73 @@
 )
 
 var (
-	errAnswerTooLong  = errors.New("the answer is longer than its length")
-	errAnswerTooShort = errors.New("the answer is shorter than its length")
+	errResponseTooLong  = errors.New("response body is longer than its content-length")
+	errResponseTooShort = errors.New("response body is shorter than its content-length")
 )
 
-// http1Response writes the answer to one request.
+// http1Response writes the response to one HTTP/1 request.
 type http1Response struct {
-	w         *bufio.Writer
+	writer    *bufio.Writer
 	conn      *http1Conn
 	method    string
 	http10    bool
-	closeConn bool // the connection ends with it
+	closeConn bool // the connection is closed after the response
 	aborted   bool
 
-	mu        sync.Mutex // guards begun and continued: the body may be asked for while the answer begins
-	begun     bool
-	continued bool // the client was asked for its body
+	mu        sync.Mutex // guards started and continued, as sendContinue may run concurrently with WriteHeader
+	started   bool
+	continued bool // 100 Continue was sent
 
 	noBody    bool
-	remaining int64          // of the length; negative: the length is unknown
+	remaining int64          // bytes of the body still to be written; negative: the length is unknown
 	chunks    io.WriteCloser // nil: the body is not chunked
 }
 
-// askForBody asks the client for its body, unless the answer has begun.
-func (r *http1Response) askForBody() error {
+// sendContinue asks the client for its body by a 100 Continue. It returns upstream.ErrBodyStopped if the response has
+// started.
+func (r *http1Response) sendContinue() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.begun {
+	if r.started {
 		return upstream.ErrBodyStopped
 	}
 	r.continued = true
-	if _, err := r.w.WriteString("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+	if _, err := r.writer.WriteString("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 		return err
 	}
-	return r.w.Flush()
+	return r.writer.Flush()
 }
 
-// WriteInformational implements proxy.ResponseWriter. HTTP/1.0 knows no informational responses.
+// WriteInformational implements proxy.ResponseWriter. HTTP/1.0 clients get none, as that version does not define
+// informational responses.
 func (r *http1Response) WriteInformational(status int, header http.Header) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.http10 || r.begun {
+	if r.http10 || r.started {
 		return
 	}
 	r.writeStatusLine(status)
-	proxy.RemoveHopByHop(header).Write(r.w)
-	r.w.WriteString("\r\n")
-	r.w.Flush()
+	proxy.RemoveHopByHop(header).Write(r.writer)
+	r.writer.WriteString("\r\n")
+	r.writer.Flush()
 }
 
 func (r *http1Response) writeStatusLine(status int) {
-	r.w.WriteString("HTTP/1.1 ")
-	r.w.WriteString(strconv.Itoa(status))
-	r.w.WriteByte(' ')
-	r.w.WriteString(http.StatusText(status))
-	r.w.WriteString("\r\n")
+	r.writer.WriteString("HTTP/1.1 ")
+	r.writer.WriteString(strconv.Itoa(status))
+	r.writer.WriteByte(' ')
+	r.writer.WriteString(http.StatusText(status))
+	r.writer.WriteString("\r\n")
 }
 
 // WriteHeader implements proxy.ResponseWriter.
 func (r *http1Response) WriteHeader(status int, header http.Header, length int64) error {
 	r.mu.Lock()
-	r.begun = true
+	r.started = true
 	r.remaining = length
 	r.mu.Unlock()
 	r.writeStatusLine(status)
-	if err := header.Write(r.w); err != nil {
+	if err := header.Write(r.writer); err != nil {
 		return err
 	}
 	r.noBody = r.method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
@@ -88,32 +90,32 @@
 	}
 	switch {
 	case r.closeConn:
-		r.w.WriteString("Connection: close\r\n")
+		r.writer.WriteString("Connection: close\r\n")
 	case r.http10:
-		r.w.WriteString("Connection: keep-alive\r\n")
+		r.writer.WriteString("Connection: keep-alive\r\n")
 	}
-	_, err := r.w.WriteString("\r\n")
+	_, err := r.writer.WriteString("\r\n")
 	return err
 }
 
-// writeFraming says where the body ends.
+// writeFraming writes the header field that determines where the body ends.
 func (r *http1Response) writeFraming(length int64) {
 	switch {
 	case length >= 0:
-		r.w.WriteString("Content-Length: ")
-		r.w.WriteString(strconv.FormatInt(length, 10))
-		r.w.WriteString("\r\n")
+		r.writer.WriteString("Content-Length: ")
+		r.writer.WriteString(strconv.FormatInt(length, 10))
+		r.writer.WriteString("\r\n")
 	case r.noBody:
-	case r.http10: // the end of the connection is that of the body
+	case r.http10: // the body ends where the connection is closed
 		r.closeConn = true
 	default:
-		r.w.WriteString("Transfer-Encoding: chunked\r\n")
-		r.chunks = httputil.NewChunkedWriter(r.w)
+		r.writer.WriteString("Transfer-Encoding: chunked\r\n")
+		r.chunks = httputil.NewChunkedWriter(r.writer)
 	}
 }
 
-// Write implements proxy.ResponseWriter. A body of unknown length is flushed after each part, as the client may wait for
-// it.
+// Write implements proxy.ResponseWriter. Each part of a body of unknown length is flushed, because the client may wait
+// for it.
 func (r *http1Response) Write(p []byte) (int, error) {
 	if r.noBody {
 		return len(p), nil
@@ -121,17 +123,17 @@
 	if r.chunks != nil {
 		n, err := r.chunks.Write(p)
 		if err == nil {
-			err = r.w.Flush()
+			err = r.writer.Flush()
 		}
 		return n, err
 	}
 	if r.remaining >= 0 {
 		r.remaining -= int64(len(p))
 		if r.remaining < 0 {
-			return 0, errAnswerTooLong
+			return 0, errResponseTooLong
 		}
 	}
-	return r.w.Write(p)
+	return r.writer.Write(p)
 }
 
 // Finish implements proxy.ResponseWriter.
@@ -140,19 +142,20 @@
 		if err := r.chunks.Close(); err != nil {
 			return err
 		}
-		trailer.Write(r.w)
-		r.w.WriteString("\r\n")
+		trailer.Write(r.writer)
+		r.writer.WriteString("\r\n")
 	} else if r.remaining > 0 && !r.noBody {
 		r.Abort()
-		return errAnswerTooShort
+		return errResponseTooShort
 	}
-	return r.w.Flush()
+	return r.writer.Flush()
 }
 
-// Abort implements proxy.ResponseWriter. It ends the connection, which is how HTTP/1 says that an answer is incomplete.
+// Abort implements proxy.ResponseWriter. It closes the connection, which shows an HTTP/1 client that the response is
+// incomplete.
 func (r *http1Response) Abort() {
 	r.aborted = true
 	r.closeConn = true
-	r.w.Flush()
+	r.writer.Flush()
 	r.conn.conn.Close()
 }
--- a/internal/ingress/http2_body.go
+++ b/internal/ingress/http2_body.go
@@ -9,9 +9,9 @@
 	"lilacbend/internal/upstream"
 )
 
-// handleData takes in a part of a body.
+// handleData handles a DATA frame, which is a part of a request body.
 func (c *http2Conn) handleData(f *http2.DataFrame) error {
-	size := int64(f.Length) // with padding, which counts against the windows
+	size := int64(f.Length) // including padding, which counts against the windows
 	if size < tinyFrame && !f.StreamEnded() {
 		if err := c.budget.spend(frameCost); err != nil {
 			return err
@@ -21,7 +21,7 @@
 	s := c.streams[f.StreamID]
 	if s == nil {
 		unopened := f.StreamID > c.lastStream
-		c.noteRead(size)
+		c.addWindowToReturn(size)
 		c.mu.Unlock()
 		if unopened {
 			return errProtocol
@@ -30,13 +30,13 @@
 		return nil
 	}
 	if code := s.receive(f, size); code != http2.ErrCodeNo {
-		c.noteRead(size) // what is thrown away returns to the window of the connection all the same
+		c.addWindowToReturn(size) // discarded bytes are returned to the window of the connection as well
 		c.mu.Unlock()
 		c.resetStream(f.StreamID, code)
 		return nil
 	}
 	padding := size - int64(len(f.Data()))
-	c.noteRead(padding)
+	c.addWindowToReturn(padding)
 	s.signalReceived()
 	c.mu.Unlock()
 	if padding > 0 {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// receive keeps a part of the body until it is read. It returns the code by which the stream is to be reset if the
-// client may not send that. The connection is locked.
+// receive buffers a part of the body until it is read. If the client was not allowed to send that part, it returns the
+// error code with which the stream must be reset. The connection is locked.
 func (s *stream) receive(f *http2.DataFrame, size int64) http2.ErrCode {
 	data := f.Data()
 	s.receivedLength += int64(len(data))
@@ -56,7 +56,7 @@
 	case int64(s.received.Len())+size > streamWindow:
 		return http2.ErrCodeFlowControl
 	case s.hasWrongLength(f.StreamEnded()):
-		s.err = errBodyLength // known at once, as the request ends with it
+		s.err = errBodyLength // set before the stream is reset, so that the request fails with this error
 		s.reset = true
 		return http2.ErrCodeProtocol
 	}
@@ -65,7 +65,8 @@
 	return http2.ErrCodeNo
 }
 
-// hasWrongLength reports whether what has come differs from the length that the head gave.
+// hasWrongLength reports whether the body received so far contradicts the content-length: it is longer, or it is
+// complete and shorter.
 func (s *stream) hasWrongLength(complete bool) bool {
 	if s.length < 0 {
 		return false
@@ -76,7 +77,7 @@
 // http2Body reads the body of a stream.
 type http2Body stream
 
-// Read reads what has come, or waits for it.
+// Read reads bytes that were received, or waits until there are some.
 func (b *http2Body) Read(p []byte) (int, error) {
 	s := (*stream)(b)
 	c := s.conn
@@ -99,7 +100,8 @@
 	}
 }
 
-// readReceived reads what has come; 0 and no error: it has to wait. The connection is locked.
+// readReceived reads bytes that were received. It returns 0 and no error if the reader has to wait for more. The
+// connection is locked.
 func (s *stream) readReceived(p []byte) (int, error) {
 	switch {
 	case s.err != nil:
@@ -108,7 +110,7 @@
 		return 0, upstream.ErrBodyStopped
 	case s.received.Len() > 0:
 		n, _ := s.received.Read(p)
-		s.conn.noteRead(int64(n))
+		s.conn.addWindowToReturn(int64(n))
 		return n, nil
 	case s.bodyComplete:
 		return 0, io.EOF
@@ -116,7 +118,7 @@
 	return 0, nil
 }
 
-// stopBody makes reads of the body fail, also one that is waiting.
+// stopBody makes all reads of the body fail, including one that is waiting.
 func (s *stream) stopBody() {
 	s.conn.mu.Lock()
 	defer s.conn.mu.Unlock()
--- a/internal/ingress/http2_conn.go
+++ b/internal/ingress/http2_conn.go
@@ -16,66 +16,68 @@
 )
 
 const (
-	// streamWindow and connWindow are what one stream, and one connection, may have sent that was not read yet, in bytes.
+	// streamWindow and connWindow bound the bytes that a client may have sent on one stream, and on one connection, and that
+	// were not read yet.
 	streamWindow = 64 << 10
 	connWindow   = 256 << 10
-	// defaultWindow is the window of new connections and streams before any setting (RFC 9113, 6.9.2), in bytes.
+	// defaultWindow is the initial window of connections and streams without any setting (RFC 9113, 6.9.2), in bytes.
 	defaultWindow = 65535
 	// maxWindow is the largest window (RFC 9113, 6.9.1), in bytes.
 	maxWindow = 1<<31 - 1
-	// maxStreamID is the largest number of a stream.
+	// maxStreamID is the largest stream ID.
 	maxStreamID = 1<<31 - 1
-	// maxFrame bounds the frames of both sides, in bytes.
+	// maxFrame bounds the payload of frames in both directions, in bytes.
 	maxFrame = 16 << 10
-	// maxHeaderTable bounds the table of header compression of both sides, in bytes.
+	// maxHeaderTable bounds the dynamic table of header compression (HPACK) in both directions, in bytes.
 	maxHeaderTable = 4 << 10
-	// lingerTimeout is how long a connection whose last answer has gone out may stay silent. Its client closes it; if it
-	// were closed here earlier, whatever the client still sends would be answered by a reset.
+	// lingerTimeout is how long a client may send nothing on a connection whose last response was sent. The client is
+	// expected to close the connection; if the sidecar closed it first, bytes that the client still sends would cause a TCP
+	// reset.
 	lingerTimeout = time.Second
-	// faultTimeout is the time for telling a client what it did wrong.
-	faultTimeout = time.Second
+	// goAwayTimeout is the time for sending a GOAWAY to a client that has made an error.
+	goAwayTimeout = time.Second
 )
 
 var (
 	errFlood        = errors.New("too many control frames")
-	errStreamReset  = errors.New("the stream was reset")
-	errConnEnded    = errors.New("the connection has ended")
-	errClientStalls = errors.New("the client neither sends nor accepts data")
-	errBodyLength   = errors.New("the body differs from its content-length")
+	errStreamReset  = errors.New("stream was reset")
+	errConnEnded    = errors.New("client connection has ended")
+	errClientStalls = errors.New("client neither sent nor accepted data within the stall timeout")
+	errBodyLength   = errors.New("request body differs from its content-length")
 	errProtocol     = http2.ConnectionError(http2.ErrCodeProtocol)
 	errFlowControl  = http2.ConnectionError(http2.ErrCodeFlowControl)
 )
 
-// http2Conn is an HTTP/2 connection. One goroutine reads it, and one for each stream answers. A writer holds writeMu; it
-// is never taken while mu is held.
+// http2Conn is an HTTP/2 connection of a client. One goroutine reads it, and one for each stream serves the request. Frames
+// are written while holding writeMu, which is never acquired while mu is held.
 type http2Conn struct {
-	server *Server
-	conn   net.Conn
-	framer *http2.Framer
-	budget frameBudget   // of the reading goroutine
-	served chan struct{} // closed when the connection has ended
-	// streams that answer; the reading goroutine waits for them.
+	server    *Server
+	conn      net.Conn
+	framer    *http2.Framer
+	budget    frameBudget   // used by the reading goroutine alone
+	serveDone chan struct{} // closed when serve returns
+	// The goroutines of the streams; the reading goroutine waits for them.
 	handlers sync.WaitGroup
 
 	writeMu     sync.Mutex
-	writeClosed bool // nothing more is written
-	out         *deadlineWriter
-	w           *bufio.Writer
+	writeClosed bool // no further frames are written
+	connWriter  *deadlineWriter
+	writer      *bufio.Writer
 	headerBlock bytes.Buffer
 	encoder     *hpack.Encoder
 
 	mu                sync.Mutex
 	streams           map[uint32]*stream
-	inFlight          int    // requests, those of streams that were reset among them
-	lastStream        uint32 // the largest number of a client's stream
+	inFlight          int    // requests, including those of reset streams that are still being served
+	lastStream        uint32 // the largest stream ID that the client has used
 	sendWindow        int64
 	initialSendWindow int64 // of a new stream
 	maxSendFrame      int
-	windowToReturn    int64         // bytes that were read, and for which the client has got no window yet
+	windowToReturn    int64         // bytes that were read, but not returned to the client by a window update yet
 	changed           chan struct{} // closed when a window, or the state of the connection, changes
-	refusing          bool          // no new stream is taken
-	goAwaySent        bool          // the client knows the last stream
-	lingering         bool          // the last answer has gone out
+	refusing          bool          // new streams are refused
+	goAwaySent        bool          // the GOAWAY that names the last stream was sent
+	lingering         bool          // the last response was sent, and the sending side is closed
 	ended             bool
 }
 
@@ -84,16 +86,16 @@
 		server:            s,
 		conn:              conn,
 		budget:            newFrameBudget(),
-		served:            make(chan struct{}),
+		serveDone:         make(chan struct{}),
 		streams:           map[uint32]*stream{},
 		sendWindow:        defaultWindow,
 		initialSendWindow: defaultWindow,
 		maxSendFrame:      maxFrame,
 		changed:           make(chan struct{}),
 	}
-	c.out = &deadlineWriter{conn: conn, timeout: s.limits.StallTimeout}
-	c.w = bufio.NewWriterSize(c.out, writeBufferSize)
-	c.framer = http2.NewFramer(c.w, (*http2Reader)(c))
+	c.connWriter = &deadlineWriter{conn: conn, timeout: s.limits.StallTimeout}
+	c.writer = bufio.NewWriterSize(c.connWriter, writeBufferSize)
+	c.framer = http2.NewFramer(c.writer, (*http2Reader)(c))
 	c.framer.ReadMetaHeaders = hpack.NewDecoder(maxHeaderTable, nil)
 	c.framer.MaxHeaderListSize = maxHead
 	c.framer.SetMaxReadFrameSize(maxFrame)
@@ -102,8 +104,8 @@
 	return c
 }
 
-// http2Reader ends an idle connection after its timeout. A client with requests in flight has nothing to say while it
-// waits for the answers.
+// http2Reader reads a connection and fails when an idle one exceeds its timeout. While requests are in flight a timeout
+// does not end the connection, because the client may have nothing to send while it waits for the responses.
 type http2Reader http2Conn
 
 // Read reads what the client sends.
@@ -135,8 +137,9 @@
 	c.conn.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// write calls a function that writes frames, and sends them. After a write that failed in part no frame can follow, so
-// the connection is closed: requests that still came over it would be executed and not answered.
+// write calls a function that writes frames, and flushes them. If that fails, a part of a frame may have been sent and no
+// further frame can follow, so the connection is closed: otherwise further requests on it would be executed, but their
+// responses could not be sent.
 func (c *http2Conn) write(frames func() error) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -144,14 +147,14 @@
 		return nil
 	}
 	err := frames()
-	if flushErr := c.w.Flush(); flushErr != nil {
+	if flushErr := c.writer.Flush(); flushErr != nil {
 		c.conn.Close()
 		return flushErr
 	}
 	return err
 }
 
-// abort implements clientConn. Each open stream is reset, so that its client learns of its end.
+// abort implements clientConn. It resets each open stream, so that the client learns that the request has ended.
 func (c *http2Conn) abort() {
 	c.mu.Lock()
 	open := make([]uint32, 0, len(c.streams))
@@ -159,7 +162,7 @@
 		open = append(open, id)
 	}
 	c.mu.Unlock()
-	c.out.limitAll(drainPause)
+	c.connWriter.setOverallTimeout(drainPause)
 	c.write(func() error {
 		for _, id := range open {
 			if err := c.framer.WriteRSTStream(id, http2.ErrCodeCancel); err != nil {
@@ -171,12 +174,12 @@
 	c.conn.Close() // the goroutine that reads then cancels all requests
 }
 
-// drain implements clientConn. The client is told in two steps: first that the connection goes away, then which stream
-// was the last. What it has sent between them is served.
+// drain implements clientConn by two GOAWAY frames: the first announces the shutdown, and the second names the last stream
+// that is served. Streams that the client opens between the two are served.
 func (c *http2Conn) drain() {
 	c.write(func() error { return c.framer.WriteGoAway(maxStreamID, http2.ErrCodeNo, nil) })
 	select {
-	case <-c.served:
+	case <-c.serveDone:
 		return
 	case <-time.After(drainPause):
 	}
@@ -194,12 +197,13 @@
 	}
 }
 
-// closeWrite ends this side of a connection whose last answer has gone out. What was written arrives before the end does.
+// closeWrite closes the sending side of a connection whose last response was sent. Frames that were written before still
+// reach the client.
 func (c *http2Conn) closeWrite() {
 	c.writeMu.Lock()
 	c.writeClosed = true
-	if half, ok := c.conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite()
+	if halfCloser, ok := c.conn.(interface{ CloseWrite() error }); ok {
+		halfCloser.CloseWrite()
 	}
 	c.writeMu.Unlock()
 	c.mu.Lock()
@@ -210,7 +214,7 @@
 
 // serve implements clientConn.
 func (c *http2Conn) serve() {
-	defer close(c.served)
+	defer close(c.serveDone)
 	err := c.readFrames()
 	c.writeGoAway(err)
 	c.cancelStreams()
@@ -218,28 +222,30 @@
 	c.handlers.Wait()
 }
 
-// writeGoAway tells the client why its connection ends, if it is for something that the client did or did not do.
+// writeGoAway sends a GOAWAY with the reason if the connection ends because of a client error or because it was idle for
+// too long.
 func (c *http2Conn) writeGoAway(err error) {
 	c.mu.Lock()
 	lingering := c.lingering
 	last := c.lastStream
 	c.mu.Unlock()
-	code, fault := c.faultCode(err)
+	code, clientError := c.clientErrorCode(err)
 	switch {
-	case fault:
+	case clientError:
 		c.server.Counters.BadRequests.Add(1)
-		c.server.log.Debug("connection ended", "from", c.conn.RemoteAddr(), "error", err)
-		c.out.limitAll(faultTimeout)
-	case errors.Is(err, os.ErrDeadlineExceeded) && !lingering: // idle for too long, which is no fault
-		c.out.limitAll(drainPause)
+		c.server.log.Debug("HTTP/2 connection closed after a client error", "from", c.conn.RemoteAddr(), "error", err)
+		c.connWriter.setOverallTimeout(goAwayTimeout)
+	case errors.Is(err, os.ErrDeadlineExceeded) && !lingering: // idle for too long, which is not a client error
+		c.connWriter.setOverallTimeout(drainPause)
 	default:
 		return
 	}
 	c.write(func() error { return c.framer.WriteGoAway(last, code, nil) })
 }
 
-// faultCode returns the code of what a client did wrong.
-func (c *http2Conn) faultCode(err error) (code http2.ErrCode, fault bool) {
+// clientErrorCode returns the HTTP/2 error code for an error that the client has made; clientError is false if the
+// connection ended for another reason.
+func (c *http2Conn) clientErrorCode(err error) (code http2.ErrCode, clientError bool) {
 	var connError http2.ConnectionError
 	switch {
 	case errors.As(err, &connError):
@@ -253,7 +259,7 @@
 	return http2.ErrCodeNo, false
 }
 
-// cancelStreams cancels the requests of a connection that has ended.
+// cancelStreams cancels all requests of a connection that has ended.
 func (c *http2Conn) cancelStreams() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,13 +270,13 @@
 	c.signalChange()
 }
 
-// signalChange wakes the streams that wait for a window. The connection is locked.
+// signalChange wakes the streams that wait for a send window. The connection is locked.
 func (c *http2Conn) signalChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// readFrames reads the connection to its end, and returns why it ended.
+// readFrames reads and handles frames until the connection ends, and returns the reason.
 func (c *http2Conn) readFrames() (err error) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -291,7 +297,7 @@
 	}
 }
 
-// readPreface reads what each HTTP/2 connection begins with.
+// readPreface reads and checks the client preface, with which each HTTP/2 connection begins.
 func (c *http2Conn) readPreface() error {
 	preface := make([]byte, len(http2.ClientPreface))
 	c.conn.SetReadDeadline(time.Now().Add(c.server.limits.HeadTimeout))
@@ -304,7 +310,7 @@
 	return nil
 }
 
-// writeSettings tells the client the bounds of the connection.
+// writeSettings sends the sidecar's settings and raises the window of the connection to connWindow.
 func (c *http2Conn) writeSettings() error {
 	return c.write(func() error {
 		err := c.framer.WriteSettings(
@@ -320,7 +326,7 @@
 	})
 }
 
-// readFrame reads and handles one frame. The first has to be settings.
+// readFrame reads and handles one frame. The first frame of a connection must be SETTINGS.
 func (c *http2Conn) readFrame(first bool) error {
 	frame, err := c.framer.ReadFrame()
 	var streamError http2.StreamError
--- a/internal/ingress/http2_frames.go
+++ b/internal/ingress/http2_frames.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// budgetPerSecond and maxBudget bound the control frames of a client (settings, pings, priorities, resets, window
-	// updates, empty or tiny data frames). A busy honest client sends a window update for some KiB.
+	// budgetPerSecond and maxBudget are the refill rate and the size of the token bucket that bounds the control frames of
+	// a client (settings, pings, priorities, resets, window updates, empty or tiny data frames). A busy well-behaved client
+	// sends one window update for every few KiB.
 	budgetPerSecond = 200.0
 	maxBudget       = 2000.0
 	// frameCost is the cost of a control frame.
 	frameCost = 1.0
-	// resetCost is the cost of a stream that is reset or malformed: it has begun work that nobody wants.
+	// resetCost is the cost of a stream that is reset or malformed: it has caused work whose result is discarded.
 	resetCost = 10.0
-	// tinyFrame is the size in bytes below which data and window updates count as control frames.
+	// tinyFrame is the number of bytes below which a data frame or a window update counts as a control frame.
 	tinyFrame = 64
 )
 
-// frameBudget bounds the work of a client's control frames.
+// frameBudget is a token bucket that bounds the work caused by a client's control frames.
 type frameBudget struct {
 	remaining  float64
 	refilledAt time.Time
@@ -30,7 +31,7 @@
 	return frameBudget{remaining: maxBudget, refilledAt: time.Now()}
 }
 
-// spend takes a cost from the budget. It returns errFlood when that is spent.
+// spend takes a cost from the budget. It returns errFlood if the budget does not cover the cost.
 func (b *frameBudget) spend(cost float64) error {
 	now := time.Now()
 	refilled := b.remaining + budgetPerSecond*now.Sub(b.refilledAt).Seconds()
@@ -42,7 +43,7 @@
 	return nil
 }
 
-// handleFrame handles one frame of the client.
+// handleFrame handles one frame from the client.
 func (c *http2Conn) handleFrame(frame http2.Frame) error {
 	switch f := frame.(type) {
 	case *http2.MetaHeadersFrame:
@@ -65,12 +66,12 @@
 		return c.handleReset(f)
 	case *http2.PushPromiseFrame, *http2.ContinuationFrame:
 		return errProtocol
-	default: // priorities, a client's own GOAWAY, unknown frames
+	default: // PRIORITY, GOAWAY from the client, unknown frames
 		return c.budget.spend(frameCost)
 	}
 }
 
-// handleReset ends a stream that its client does not want any more.
+// handleReset ends a stream that the client has reset.
 func (c *http2Conn) handleReset(f *http2.RSTStreamFrame) error {
 	c.mu.Lock()
 	s := c.streams[f.StreamID]
@@ -86,7 +87,7 @@
 	return c.budget.spend(resetCost)
 }
 
-// handleSettings takes over the client's settings and acknowledges them.
+// handleSettings applies the client's settings and acknowledges them.
 func (c *http2Conn) handleSettings(f *http2.SettingsFrame) error {
 	if err := f.ForeachSetting(c.handleSetting); err != nil {
 		return err
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// setInitialWindow changes the windows of all streams, also of those that are open.
+// setInitialWindow sets the initial send window of new streams, and adjusts the windows of open streams by the difference.
 func (c *http2Conn) setInitialWindow(window int64) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// handleWindowUpdate lets more be sent, on a stream or on the connection.
+// handleWindowUpdate grows the send window of a stream or of the connection.
 func (c *http2Conn) handleWindowUpdate(f *http2.WindowUpdateFrame) error {
 	if f.Increment < tinyFrame {
 		if err := c.budget.spend(frameCost); err != nil {
@@ -143,8 +144,8 @@
 	return err
 }
 
-// growWindow grows the window of a stream, or of the connection (stream 0). The stream has to be reset if its window
-// would be too large; for the connection that is an error.
+// growWindow grows the send window of a stream, or of the connection (stream 0). If the window exceeds maxWindow, a stream
+// must be reset (overflow); for the connection, growWindow returns errFlowControl.
 func (c *http2Conn) growWindow(id uint32, increment int64) (overflow bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,7 +168,7 @@
 	return s.sendWindow > maxWindow, nil
 }
 
-// resetStream resets a stream for what its client did.
+// resetStream resets a stream because of an error that the client has made on it.
 func (c *http2Conn) resetStream(id uint32, code http2.ErrCode) {
 	c.mu.Lock()
 	s := c.streams[id]
@@ -180,11 +181,12 @@
 	c.returnWindow(nil, 0)
 }
 
-// noteRead adds to the window that the connection returns to its client. The connection is locked; returnWindow sends it.
-func (c *http2Conn) noteRead(n int64) { c.windowToReturn += n }
+// addWindowToReturn adds to the window that the connection returns to the client; returnWindow sends it. The connection is
+// locked.
+func (c *http2Conn) addWindowToReturn(n int64) { c.windowToReturn += n }
 
-// returnWindow lets the client send as much as was read: n bytes on a stream at once, and on the connection once there is
-// enough of it. The stream may be nil.
+// returnWindow sends window updates for bytes that were read: n bytes for the stream, and the bytes of the connection once
+// they amount to a quarter of its window. The stream may be nil.
 func (c *http2Conn) returnWindow(s *stream, n int64) {
 	c.mu.Lock()
 	connIncrement := int64(0)
--- a/internal/ingress/http2_frames_test.go
+++ b/internal/ingress/http2_frames_test.go
@@ -8,34 +8,34 @@
 	"golang.org/x/net/http2"
 )
 
-func TestFrameBudgetEndsFloodsAndRefills(t *testing.T) {
+func TestFrameBudgetLimitsFloodsAndRefills(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		cost  float64
-		spent int // frames before the budget is spent
+		name   string
+		cost   float64
+		frames int // that a full budget covers
 	}{{"control frames", frameCost, maxBudget}, {"resets", resetCost, maxBudget / resetCost}} {
 		t.Run(c.name, func(t *testing.T) {
 			budget := newFrameBudget()
-			for k := range c.spent {
+			for k := range c.frames {
 				if err := budget.spend(c.cost); err != nil {
-					t.Fatalf("frame %d: %v", k, err)
+					t.Fatalf("spending for frame %d of %d: %v", k+1, c.frames, err)
 				}
 			}
 			budget.remaining = 0
 			budget.refilledAt = time.Now()
 			if err := budget.spend(c.cost); !errors.Is(err, errFlood) {
-				t.Errorf("beyond the budget: %v", err)
+				t.Errorf("spending from an empty budget: %v, want %v", err, errFlood)
 			}
 		})
 	}
 	budget := frameBudget{refilledAt: time.Now().Add(-time.Hour)}
 	if err := budget.spend(frameCost); err != nil || budget.remaining != maxBudget-frameCost {
-		t.Errorf("after an hour: %v, %v left", err, budget.remaining)
+		t.Errorf("spending after an hour of refill: %v, %v tokens remain, want %v", err, budget.remaining, maxBudget-frameCost)
 	}
 }
 
 func TestGrowWindow(t *testing.T) {
-	const open, over, unopened = 1, 3, 5
+	const open, closed, unopened = 1, 3, 5
 	for _, c := range []struct {
 		name      string
 		stream    uint32
@@ -44,25 +44,25 @@
 		err       error
 	}{
 		{"connection", 0, 1, false, nil},
-		{"connection, too large", 0, maxWindow, false, errFlowControl},
+		{"connection beyond the maximum", 0, maxWindow, false, errFlowControl},
 		{"stream", open, 1, false, nil},
-		{"stream, too large", open, maxWindow, true, nil},
-		{"stream that is over", over, maxWindow, false, nil},
+		{"stream beyond the maximum", open, maxWindow, true, nil},
+		{"closed stream", closed, maxWindow, false, nil},
 		{"stream that was never opened", unopened, 1, false, errProtocol},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			conn := newHTTP2Conn(New(Config{}), nil)
-			conn.lastStream = over
+			conn.lastStream = closed
 			conn.streams[open] = &stream{id: open, conn: conn, sendWindow: defaultWindow}
 			overflow, err := conn.growWindow(c.stream, c.increment)
 			if overflow != c.overflow || !errors.Is(err, c.err) {
-				t.Errorf("overflow %v, %v", overflow, err)
+				t.Errorf("growWindow: overflow %v, error %v, want %v, %v", overflow, err, c.overflow, c.err)
 			}
 		})
 	}
 }
 
-func TestBodyLength(t *testing.T) {
+func TestHasWrongLength(t *testing.T) {
 	for _, c := range []struct {
 		length, received int64
 		complete, wrong  bool
@@ -76,16 +76,16 @@
 	} {
 		s := &stream{length: c.length, receivedLength: c.received}
 		if got := s.hasWrongLength(c.complete); got != c.wrong {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: hasWrongLength returned %v", c, got)
 		}
 	}
 }
 
-func TestFaultCode(t *testing.T) {
+func TestClientErrorCode(t *testing.T) {
 	for _, c := range []struct {
-		err   error
-		code  http2.ErrCode
-		fault bool
+		err         error
+		code        http2.ErrCode
+		clientError bool
 	}{
 		{errProtocol, http2.ErrCodeProtocol, true},
 		{errFlowControl, http2.ErrCodeFlowControl, true},
@@ -94,8 +94,8 @@
 		{errConnEnded, http2.ErrCodeNo, false},
 	} {
 		conn := newHTTP2Conn(New(Config{}), nil)
-		if code, fault := conn.faultCode(c.err); code != c.code || fault != c.fault {
-			t.Errorf("%v: %v, fault %v", c.err, code, fault)
+		if code, clientError := conn.clientErrorCode(c.err); code != c.code || clientError != c.clientError {
+			t.Errorf("%v: code %v, client error %v, want %v, %v", c.err, code, clientError, c.code, c.clientError)
 		}
 	}
 }
--- a/internal/ingress/http2_head.go
+++ b/internal/ingress/http2_head.go
@@ -12,7 +12,8 @@
 	"lilacbend/internal/proxy"
 )
 
-// parseHTTP2Request reads the head of a request. It refuses what HTTP/1.1, as replicas speak it, would read differently.
+// parseHTTP2Request parses the head of a request. It rejects heads that a replica would interpret differently when they
+// are sent to it over HTTP/1.1.
 func parseHTTP2Request(f *http2.MetaHeadersFrame) (*proxy.Request, error) {
 	request := &proxy.Request{
 		Method: f.PseudoValue("method"),
@@ -22,7 +23,7 @@
 		Length: -1,
 	}
 	if f.PseudoValue("scheme") == "" || !httpguts.ValidHeaderFieldName(request.Method) {
-		return nil, badRequest("scheme or method")
+		return nil, badRequest("missing scheme or invalid method")
 	}
 	if err := checkTarget(request.Method, request.Target); err != nil {
 		return nil, err
@@ -37,39 +38,39 @@
 			return nil, err
 		}
 	}
-	if len(cookies) > 0 { // HTTP/2 may split the field, HTTP/1.1 may not
+	if len(cookies) > 0 { // HTTP/2 allows several Cookie fields, HTTP/1.1 allows one
 		request.Header.Set("Cookie", strings.Join(cookies, "; "))
 	}
 	if request.Host == "" || !httpguts.ValidHostHeader(request.Host) {
-		return nil, badRequest("host")
+		return nil, badRequest("missing or invalid host")
 	}
 	return request, nil
 }
 
-// addField adds a field to a request, or what it says of the request.
+// addField adds a header field to a request, or sets the property of the request that the field defines.
 func addField(request *proxy.Request, field hpack.HeaderField) error {
 	switch field.Name {
 	case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade":
-		return badRequest("%s in HTTP/2", field.Name)
+		return badRequest("field %s is not allowed in HTTP/2", field.Name)
 	case "te":
 		if field.Value != "trailers" {
-			return badRequest("te")
+			return badRequest("field te has a value other than trailers")
 		}
 	case "host":
 		if request.Host != "" && request.Host != field.Value {
-			return badRequest("two hosts")
+			return badRequest("conflicting hosts")
 		}
 		request.Host = field.Value
 	case "content-length":
 		if request.Length >= 0 || !isLength(field.Value) {
-			return badRequest("length %.40q", field.Value)
+			return badRequest("repeated or invalid content-length %.40q", field.Value)
 		}
 		request.Length, _ = strconv.ParseInt(field.Value, 10, 64)
 	case "expect":
 		request.ExpectContinue = strings.EqualFold(field.Value, "100-continue")
 	default:
 		if !httpguts.ValidHeaderFieldValue(field.Value) {
-			return badRequest("value of %s", field.Name)
+			return badRequest("invalid value of field %s", field.Name)
 		}
 		request.Header.Add(field.Name, field.Value)
 	}
--- a/internal/ingress/http2_response.go
+++ b/internal/ingress/http2_response.go
@@ -14,28 +14,29 @@
 	"lilacbend/internal/upstream"
 )
 
-// http2Response writes the answer to a stream. The head waits for the first part of the body, so that an answer without
-// one is a single frame.
+// http2Response writes the response on a stream. The head is sent with the first part of the body, so that a response
+// without a body is a single frame.
 type http2Response struct {
-	stream *stream
-	head   bool       // the answer is to a HEAD request
-	mu     sync.Mutex // guards the head: the body may be asked for while the answer begins
-	status int        // 0: no answer yet
-	header http.Header
-	length int64 // negative: unknown
-	sent   int64 // of the body
-	begun  bool  // the head has been sent
+	stream   *stream
+	isHead   bool       // the response is to a HEAD request
+	mu       sync.Mutex // guards status, header and length, as sendContinue may run concurrently with WriteHeader
+	status   int        // 0: WriteHeader was not called yet
+	header   http.Header
+	length   int64 // negative: unknown
+	sent     int64 // bytes of the body
+	headSent bool  // the head was sent
 }
 
 // WriteInformational implements proxy.ResponseWriter.
 func (r *http2Response) WriteInformational(status int, header http.Header) {
-	r.informational(status, proxy.RemoveHopByHop(header))
+	r.writeInformational(status, proxy.RemoveHopByHop(header))
 }
 
-// askForBody asks the client for its body, unless the answer has begun.
-func (r *http2Response) askForBody() error { return r.informational(http.StatusContinue, nil) }
+// sendContinue asks the client for its body by a 100 Continue. It returns upstream.ErrBodyStopped if the response has
+// started.
+func (r *http2Response) sendContinue() error { return r.writeInformational(http.StatusContinue, nil) }
 
-func (r *http2Response) informational(status int, header http.Header) error {
+func (r *http2Response) writeInformational(status int, header http.Header) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.status != 0 {
@@ -54,17 +55,17 @@
 	return nil
 }
 
-// fieldBlock is a head or a trailer.
+// fieldBlock is the head or the trailer of a response.
 type fieldBlock struct {
 	status    int // 0: a trailer
 	header    http.Header
-	length    int64 // negative: none is given
+	length    int64 // negative: no Content-Length is sent
 	endStream bool
 }
 
-// writeHead sends the head of the answer.
+// writeHead sends the head of the response.
 func (r *http2Response) writeHead(endStream bool) error {
-	r.begun = true
+	r.headSent = true
 	return r.writeFields(fieldBlock{status: r.status, header: r.header, length: r.length, endStream: endStream})
 }
 
@@ -73,7 +74,7 @@
 	s := r.stream
 	c := s.conn
 	return c.write(func() error {
-		if s.isOver() {
+		if s.isClosed() {
 			return errStreamReset
 		}
 		c.encode(block)
@@ -81,7 +82,7 @@
 	})
 }
 
-// encode compresses fields into the header block. The caller holds writeMu.
+// encode compresses the fields into headerBlock. The caller holds writeMu.
 func (c *http2Conn) encode(block fieldBlock) {
 	c.headerBlock.Reset()
 	if block.status > 0 {
@@ -98,7 +99,8 @@
 	}
 }
 
-// writeHeaderBlock writes the header block in as many frames as it needs. The caller holds writeMu.
+// writeHeaderBlock writes headerBlock as a HEADERS frame and as many CONTINUATION frames as it needs. The caller holds
+// writeMu.
 func (c *http2Conn) writeHeaderBlock(id uint32, endStream bool) error {
 	block := c.headerBlock.Bytes()
 	n := min(len(block), maxFrame)
@@ -120,32 +122,32 @@
 	return nil
 }
 
-// isOver reports whether nobody waits for the answer any more.
-func (s *stream) isOver() bool {
+// isClosed reports whether the stream was reset or its connection has ended, so that the response is no longer needed.
+func (s *stream) isClosed() bool {
 	c := s.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return s.reset || c.ended
 }
 
-// noBody reports whether the answer has no body, whatever its length says.
+// noBody reports whether the response has no body, regardless of its Content-Length.
 func (r *http2Response) noBody() bool {
-	return r.head || r.status == http.StatusNoContent || r.status == http.StatusNotModified
+	return r.isHead || r.status == http.StatusNoContent || r.status == http.StatusNotModified
 }
 
-// Write implements proxy.ResponseWriter. It waits until the windows of the client allow all of it.
+// Write implements proxy.ResponseWriter. It waits until the client's windows have allowed all of p.
 func (r *http2Response) Write(p []byte) (written int, err error) {
 	if r.noBody() {
 		return len(p), nil
 	}
-	if !r.begun {
+	if !r.headSent {
 		if err := r.writeHead(false); err != nil {
 			return 0, err
 		}
 	}
 	r.sent += int64(len(p))
 	if r.length >= 0 && r.sent > r.length {
-		return 0, errAnswerTooLong
+		return 0, errResponseTooLong
 	}
 	for written < len(p) {
 		n, err := r.stream.reserveWindow(len(p) - written)
@@ -160,14 +162,14 @@
 	return written, nil
 }
 
-// writeData sends a data frame.
+// writeData sends a DATA frame.
 func (r *http2Response) writeData(p []byte) error {
 	c := r.stream.conn
 	return c.write(func() error { return c.framer.WriteData(r.stream.id, false, p) })
 }
 
-// reserveWindow waits until the windows of the stream and the connection allow something to be sent, and takes up to the
-// wanted size of them. The client has the stall timeout to open them.
+// reserveWindow waits until the windows of the stream and the connection allow sending, and takes up to want bytes from
+// them. It fails if the client does not open the windows within the stall timeout.
 func (s *stream) reserveWindow(want int) (int, error) {
 	c := s.conn
 	var timer *time.Timer
@@ -186,8 +188,8 @@
 	}
 }
 
-// waitForClient waits until something has changed on the stream. It fails once the client has stalled for the time of the timer, and
-// where its request is cancelled.
+// waitForClient waits until the channel reports a change by the client. It fails if the timer, which runs for the stall
+// timeout, expires first or the request is canceled.
 func (s *stream) waitForClient(changed <-chan struct{}, timer *time.Timer) error {
 	select {
 	case <-changed:
@@ -200,7 +202,8 @@
 	}
 }
 
-// takeWindow takes what both windows allow; 0: nothing, and the channel is closed when that may have changed.
+// takeWindow takes up to want bytes from the windows of the stream and the connection. If they allow none, it returns 0 and
+// a channel that is closed when a window may have changed.
 func (s *stream) takeWindow(want int) (n int, changed <-chan struct{}, err error) {
 	c := s.conn
 	c.mu.Lock()
@@ -220,14 +223,14 @@
 // Finish implements proxy.ResponseWriter.
 func (r *http2Response) Finish(trailer http.Header) error {
 	if r.length >= 0 && r.sent < r.length && !r.noBody() {
-		return errAnswerTooShort
+		return errResponseTooShort
 	}
 	s := r.stream
 	s.conn.mu.Lock()
 	s.conn.finishResponse(s)
 	s.conn.mu.Unlock()
 	hasTrailer := len(trailer) > 0
-	if !r.begun {
+	if !r.headSent {
 		if err := r.writeHead(!hasTrailer); err != nil || !hasTrailer {
 			return err
 		}
@@ -238,17 +241,17 @@
 	return r.endData()
 }
 
-// endData ends a body without a trailer.
+// endData ends a body that has no trailer.
 func (r *http2Response) endData() error {
 	s := r.stream
 	c := s.conn
 	return c.write(func() error {
-		if s.isOver() {
+		if s.isClosed() {
 			return errStreamReset
 		}
 		return c.framer.WriteData(s.id, true, nil)
 	})
 }
 
-// Abort implements proxy.ResponseWriter. It leaves the stream to finishStream, which resets it.
+// Abort implements proxy.ResponseWriter. It does nothing, because finishStream resets a stream with an incomplete response.
 func (r *http2Response) Abort() {}
--- a/internal/ingress/http2_stream.go
+++ b/internal/ingress/http2_stream.go
@@ -12,28 +12,28 @@
 	"lilacbend/internal/upstream"
 )
 
-// stream is one request of an HTTP/2 connection, whose mutex guards it.
+// stream is one request on an HTTP/2 connection. The mutex mu of the connection guards it.
 type stream struct {
 	id     uint32
 	conn   *http2Conn
 	cancel upstream.Cancellation
 
 	sendWindow   int64
-	reset        bool  // by either side
-	responseDone bool  // the answer has ended
-	err          error // why its body cannot be read
-
-	length         int64 // of the body; negative: unknown
-	receivedLength int64
-	received       bytes.Buffer  // and not read yet
-	receivedMore   chan struct{} // closed when there is more, or the body has ended
-	bodyComplete   bool          // all of it has come
-	bodyStopped    bool          // it is not read any more
+	reset        bool  // the client or the sidecar has reset it
+	responseDone bool  // the response was written completely
+	err          error // why the body cannot be read; nil: it can
+
+	length         int64         // of the request body; negative: unknown
+	receivedLength int64         // bytes of the body received so far
+	received       bytes.Buffer  // bytes that were received and not read yet
+	receivedMore   chan struct{} // closed when more was received, or the body was completed or stopped
+	bodyComplete   bool          // all of the body was received
+	bodyStopped    bool          // the body is no longer read
 	trailer        http.Header
 }
 
-// endStream ends a stream without telling the client. Its answer, if one is being written, ends soon after, and is in
-// flight until then.
+// endStream ends a stream without notifying the client. A response that is being written ends soon after, and its request
+// counts as in flight until then.
 func (c *http2Conn) endStream(s *stream, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,21 +46,21 @@
 	c.signalChange()
 }
 
-// removeStream frees what a stream occupies. The connection is locked.
+// removeStream removes a stream and frees its buffer. The connection is locked.
 func (c *http2Conn) removeStream(s *stream) {
-	c.noteRead(int64(s.received.Len()))
+	c.addWindowToReturn(int64(s.received.Len()))
 	s.received = bytes.Buffer{}
 	delete(c.streams, s.id)
 }
 
-// finishResponse notes the end of an answer. The stream is removed before its end goes out, as the client may open
-// another one at once. The connection is locked.
+// finishResponse records that a response is complete. The stream is removed before the frame that ends it is sent, because
+// the client may open another stream as soon as it receives that frame. The connection is locked.
 func (c *http2Conn) finishResponse(s *stream) {
 	s.responseDone = true
 	c.removeStream(s)
 }
 
-// handleHeaders opens a stream, or takes in a trailer.
+// handleHeaders handles a HEADERS frame, which opens a stream or is the trailer of an open one.
 func (c *http2Conn) handleHeaders(f *http2.MetaHeadersFrame) error {
 	c.mu.Lock()
 	s := c.streams[f.StreamID]
@@ -72,7 +72,7 @@
 		return nil
 	case f.StreamID%2 == 0:
 		return errProtocol
-	case opened: // the trailer of a stream that is over
+	case opened: // the trailer of a closed stream
 		c.resetStream(f.StreamID, http2.ErrCodeStreamClosed)
 		return nil
 	case c.admitStream(f.StreamID):
@@ -84,8 +84,9 @@
 	return c.write(func() error { return c.framer.WriteRSTStream(f.StreamID, http2.ErrCodeRefusedStream) })
 }
 
-// admitStream counts a new stream, unless there are too many or none is taken. It is in flight from the moment that it is
-// the last one: a stream that a GOAWAY has named is waited for. A client may send one that was refused again.
+// admitStream counts a new stream, unless there are too many streams or new ones are refused. The stream becomes the last
+// one and in flight at the same time, so that a drain waits for each stream that its GOAWAY covers. A client may repeat
+// a request that was refused.
 func (c *http2Conn) admitStream(id uint32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +99,7 @@
 	return true
 }
 
-// openStream serves a new stream. A head that is too large is answered; one that is malformed is reset.
+// openStream serves a new stream. It responds to a head that exceeds maxHead, and resets a stream whose head is malformed.
 func (c *http2Conn) openStream(f *http2.MetaHeadersFrame) error {
 	s := &stream{id: f.StreamID, conn: c, length: -1, receivedMore: make(chan struct{}), bodyComplete: f.StreamEnded()}
 	out := &http2Response{stream: s}
@@ -107,7 +108,7 @@
 		if err := c.budget.spend(resetCost); err != nil {
 			return err
 		}
-		c.startStream(s, func() { writeAnswer(out, http.StatusRequestHeaderFieldsTooLarge, reasonHeadTooLarge) })
+		c.startStream(s, func() { writeErrorResponse(out, http.StatusRequestHeaderFieldsTooLarge, reasonHeadTooLarge) })
 		return nil
 	}
 	request, err := parseHTTP2Request(f)
@@ -125,13 +126,13 @@
 		c.resetStream(s.id, http2.ErrCodeProtocol)
 		return nil
 	}
-	out.head = request.Method == http.MethodHead
+	out.isHead = request.Method == http.MethodHead
 	s.setBody(request, out)
 	c.startStream(s, func() { c.server.serveRequest(&s.cancel, "h2", request, out) })
 	return nil
 }
 
-// setBody lets a request read the body of its stream.
+// setBody connects a request to the body of its stream.
 func (s *stream) setBody(request *proxy.Request, out *http2Response) {
 	s.length = request.Length
 	if s.bodyComplete {
@@ -141,22 +142,22 @@
 	request.Body = (*http2Body)(s)
 	request.Trailer = func() http.Header { return s.trailer }
 	request.StopBody = s.stopBody
-	request.Continue = out.askForBody
+	request.Continue = out.sendContinue
 }
 
-// startStream answers a stream in a goroutine, which the end of the connection waits for.
-func (c *http2Conn) startStream(s *stream, answer func()) {
+// startStream serves a stream in a goroutine. serve waits for that goroutine before it returns.
+func (c *http2Conn) startStream(s *stream, handle func()) {
 	c.mu.Lock()
 	s.sendWindow = c.initialSendWindow
 	c.streams[s.id] = s
 	c.mu.Unlock()
 	c.handlers.Go(func() {
 		defer c.finishStream(s)
-		answer()
+		handle()
 	})
 }
 
-// finishStream ends a stream after its answer. The rest of a body that has not come completely is not waited for.
+// finishStream ends a stream after its response. It does not wait for the rest of a request body that is incomplete.
 func (c *http2Conn) finishStream(s *stream) {
 	c.mu.Lock()
 	reset := s.reset
@@ -166,7 +167,7 @@
 	c.mu.Unlock()
 	switch {
 	case reset:
-	case !responseDone: // the answer is incomplete
+	case !responseDone: // the response is incomplete
 		c.write(func() error { return c.framer.WriteRSTStream(s.id, http2.ErrCodeInternal) })
 	case !bodyComplete:
 		c.write(func() error { return c.framer.WriteRSTStream(s.id, http2.ErrCodeNo) })
@@ -175,7 +176,8 @@
 	c.requestDone()
 }
 
-// requestDone notes the end of a request after the last frame for it. A connection that drains ends with the last one.
+// requestDone records the end of a request after its last frame was written. A draining connection ends with its last
+// request.
 func (c *http2Conn) requestDone() {
 	c.mu.Lock()
 	c.inFlight--
@@ -186,7 +188,7 @@
 	}
 }
 
-// handleTrailer takes in the fields after a body.
+// handleTrailer handles the trailer of a request body.
 func (c *http2Conn) handleTrailer(s *stream, f *http2.MetaHeadersFrame) {
 	trailer, valid := parseTrailer(f)
 	c.mu.Lock()
@@ -202,7 +204,7 @@
 	}
 }
 
-// parseTrailer reads the fields of a trailer.
+// parseTrailer returns the fields of a trailer, and whether the trailer is valid.
 func parseTrailer(f *http2.MetaHeadersFrame) (trailer http.Header, valid bool) {
 	trailer = http.Header{}
 	valid = f.StreamEnded() && !f.Truncated
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -1,6 +1,7 @@
 // Package ingress serves the clients of a sidecar: HTTP/1.1 on one port, and HTTP/2 without TLS, by prior knowledge, on
-// another. It reads requests, hands each to a handler and writes its one answer. What a client can make the sidecar hold
-// is bounded. The package decides nothing but whether a message can be used.
+// another. It reads requests, passes each to a handler and writes its single response. Limits bound the connections,
+// memory and time that a client can occupy. The package decides only whether a message is valid; it neither routes nor
+// retries requests.
 package ingress
 
 import (
@@ -22,16 +23,17 @@
 const (
 	// maxHead bounds the head of a request, and the sum of the header fields of an HTTP/2 stream, in bytes.
 	maxHead = 16 << 10
-	// maxDiscard bounds how much of a body is read for nothing, in bytes, so that its connection can be kept.
+	// maxDiscard bounds how much of an unused request body is read and discarded to keep its connection open, in bytes.
 	maxDiscard = 64 << 10
-	// acceptRetry is the wait of a listener that cannot accept.
-	acceptRetry = 20 * time.Millisecond
-	// drainPause is the time between the first and the second GOAWAY: what a client has sent by then still counts.
-	// HTTP/1 has no such message, so there it is the time for a request that is on its way.
+	// acceptRetryDelay is the wait after a failed accept before the next one.
+	acceptRetryDelay = 20 * time.Millisecond
+	// drainPause is the time between the first and the second GOAWAY of a drain: streams that a client has opened by then
+	// are still served. HTTP/1 has no such message; there, an idle connection stays open for this time to receive a request
+	// that was already sent.
 	drainPause = 50 * time.Millisecond
 )
 
-// Reasons of answers that the ingress gives itself. They are part of the protocol: clients read them.
+// Reasons of the responses that the ingress itself generates. They are part of the protocol, because clients read them.
 const (
 	reasonNoClass      dispatch.Reason = "no-group"
 	reasonHeadTooLarge dispatch.Reason = "head-too-large"
@@ -39,23 +41,23 @@
 	reasonBadRequest   dispatch.Reason = "bad-request"
 )
 
-// Limits bound what clients can do.
+// Limits bound the resources that clients can occupy.
 type Limits struct {
 	MaxConnections int           // on both ports together
 	IdleTimeout    time.Duration // of a connection without a request
 	HeadTimeout    time.Duration // for a head to arrive completely
-	StallTimeout   time.Duration // for one byte of a body to come, or one byte of an answer to be taken
-	MaxStreams     int           // at once on one HTTP/2 connection
+	StallTimeout   time.Duration // for the client to send the next byte of a body, or to accept the next byte of a response
+	MaxStreams     int           // concurrent streams on one HTTP/2 connection
 	DrainTimeout   time.Duration // for requests in flight at shutdown
 }
 
-// Handler carries a request to its answer.
+// Handler serves a request and writes its response.
 type Handler func(cancel *upstream.Cancellation, r *proxy.Request, out proxy.ResponseWriter) proxy.Result
 
-// Classifier returns the index of a request's traffic class; negative: there is none.
+// Classifier returns the index of a request's traffic class, or a negative number if the request belongs to none.
 type Classifier func(method, host, path string, header http.Header) int
 
-// Record is what is known of a request that has ended.
+// Record describes a request that has ended.
 type Record struct {
 	Protocol string // h1 or h2
 	Method   string
@@ -65,30 +67,30 @@
 	Result   proxy.Result
 }
 
-// Config is what a Server is given.
+// Config configures a Server.
 type Config struct {
 	Limits   Limits
 	Handler  Handler
 	Classify Classifier
 	Log      *slog.Logger
-	// OnRequestEnd is called for each request that has ended. It must not wait.
+	// OnRequestEnd is called for each request that has ended. It must not block.
 	OnRequestEnd func(Record)
 }
 
-// Counters are what a Server has counted, and what it has now.
+// Counters are the cumulative counts of a Server, and its current numbers of connections and requests.
 type Counters struct {
 	Accepted     atomic.Int64 // connections
 	Refused      atomic.Int64 // connections over the limit, or during shutdown
 	Requests     atomic.Int64
 	BadRequests  atomic.Int64
-	Unclassified atomic.Int64 // requests of no traffic class
+	Unclassified atomic.Int64 // requests that belong to no traffic class
 	Resets       atomic.Int64 // streams that clients have reset
-	Floods       atomic.Int64 // connections with too many control frames
-	Stalls       atomic.Int64 // streams whose client has sent or taken nothing for too long
-	Lost         atomic.Int64 // requests that shutdown has cut off
+	Floods       atomic.Int64 // connections closed for too many control frames
+	Stalls       atomic.Int64 // streams whose client neither sent nor accepted data for too long
+	Lost         atomic.Int64 // requests that were cut off by a shutdown
 	Panics       atomic.Int64
-	Open         atomic.Int64 // connections now
-	InFlight     atomic.Int64 // requests now
+	Open         atomic.Int64 // connections, currently
+	InFlight     atomic.Int64 // requests, currently
 }
 
 // Server serves any number of listeners.
@@ -101,23 +103,23 @@
 	log          *slog.Logger
 	onRequestEnd func(Record)
 
-	mu          sync.Mutex
-	conns       map[clientConn]struct{}
-	draining    chan struct{} // closed by Shutdown
-	connections sync.WaitGroup
+	mu             sync.Mutex
+	conns          map[clientConn]struct{}
+	draining       chan struct{} // closed by Shutdown
+	connGoroutines sync.WaitGroup
 }
 
 // clientConn is a connection of either protocol.
 type clientConn interface {
-	// serve serves requests until the connection is over.
+	// serve serves requests until the connection ends.
 	serve()
-	// drain makes it take no new request, and end once it has none.
+	// drain makes the connection accept no further requests, and end once none is in flight.
 	drain()
-	// abort ends it at once.
+	// abort ends the connection at once.
 	abort()
 }
 
-// New returns a Server.
+// New returns a Server, which accepts connections once ServeHTTP1 or ServeHTTP2 is called.
 func New(config Config) *Server {
 	s := &Server{
 		limits:       config.Limits,
@@ -131,7 +133,7 @@
 	return s
 }
 
-// SetClassifier changes how requests that come from now on are classified.
+// SetClassifier replaces the classifier for all further requests.
 func (s *Server) SetClassifier(classify Classifier) { s.classifier.Store(&classify) }
 
 // ServeHTTP1 accepts HTTP/1 connections until the listener is closed or the server shuts down.
@@ -154,16 +156,16 @@
 			s.admit(conn, newConn)
 			continue
 		}
-		s.log.Warn("cannot accept", "error", err)
+		s.log.Warn("accepting a client connection failed", "error", err)
 		select {
 		case <-s.draining:
 			return
-		case <-time.After(acceptRetry):
+		case <-time.After(acceptRetryDelay):
 		}
 	}
 }
 
-// admit serves a connection in a goroutine, which Shutdown waits for, or refuses it.
+// admit serves a connection in a goroutine that Shutdown waits for, or closes the connection if it may not be served.
 func (s *Server) admit(conn net.Conn, newConn func(net.Conn) clientConn) {
 	c := newConn(conn)
 	if !s.register(c) {
@@ -174,7 +176,7 @@
 	s.Counters.Accepted.Add(1)
 	s.Counters.Open.Add(1)
 	go func() {
-		defer s.connections.Done()
+		defer s.connGoroutines.Done()
 		defer s.Counters.Open.Add(-1)
 		defer s.unregister(c)
 		c.serve()
@@ -189,7 +191,7 @@
 		return false
 	}
 	s.conns[c] = struct{}{}
-	s.connections.Add(1)
+	s.connGoroutines.Add(1)
 	return true
 }
 
@@ -199,20 +201,20 @@
 	delete(s.conns, c)
 }
 
-// Shutdown lets requests in flight end, within the drain timeout, and then ends what is left. It returns when all
+// Shutdown drains all connections, and aborts those that have not ended within the drain timeout. It returns when all
 // connections have ended, with the number of requests that were cut off.
 func (s *Server) Shutdown() (lost int64) {
-	var told sync.WaitGroup
-	defer told.Wait()
+	var notifications sync.WaitGroup
+	defer notifications.Wait()
 	s.mu.Lock()
 	close(s.draining)
 	for c := range s.conns {
-		told.Go(c.drain)
+		notifications.Go(c.drain)
 	}
 	s.mu.Unlock()
 	ended := make(chan struct{})
 	go func() {
-		s.connections.Wait()
+		s.connGoroutines.Wait()
 		close(ended)
 	}()
 	select {
@@ -224,7 +226,7 @@
 	s.Counters.Lost.Add(lost)
 	s.mu.Lock()
 	for c := range s.conns {
-		told.Go(c.abort)
+		notifications.Go(c.abort)
 	}
 	s.mu.Unlock()
 	<-ended
@@ -241,7 +243,8 @@
 	}
 }
 
-// serveRequest carries a request that was read to its answer.
+// serveRequest classifies a request and passes it to the handler. It responds itself if the request belongs to no traffic
+// class.
 func (s *Server) serveRequest(cancel *upstream.Cancellation, protocol string, r *proxy.Request, out proxy.ResponseWriter) {
 	path, _, _ := strings.Cut(r.Target, "?")
 	r.Class = (*s.classifier.Load())(r.Method, r.Host, path, r.Header)
@@ -251,7 +254,7 @@
 	var result proxy.Result
 	if r.Class < 0 {
 		s.Counters.Unclassified.Add(1)
-		err := writeAnswer(out, http.StatusNotFound, reasonNoClass)
+		err := writeErrorResponse(out, http.StatusNotFound, reasonNoClass)
 		result = proxy.Result{Status: http.StatusNotFound, Reason: reasonNoClass, Incomplete: err != nil}
 	} else {
 		result = s.handler(cancel, r, out)
@@ -259,8 +262,8 @@
 	s.onRequestEnd(Record{Protocol: protocol, Method: r.Method, Host: r.Host, Path: path, Class: r.Class, Result: result})
 }
 
-// writeAnswer writes an answer of the ingress itself.
-func writeAnswer(out proxy.ResponseWriter, status int, reason dispatch.Reason) error {
+// writeErrorResponse writes a response that the ingress itself generates.
+func writeErrorResponse(out proxy.ResponseWriter, status int, reason dispatch.Reason) error {
 	text := string(reason) + "\n"
 	header := http.Header{proxy.ReasonHeader: {string(reason)}, "Content-Type": {"text/plain; charset=utf-8"}}
 	if err := out.WriteHeader(status, header, int64(len(text))); err != nil {
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -14,35 +14,35 @@
 	"lilacbend/internal/upstream"
 )
 
-// held is a listener whose connections hold back the deadline by which an idle one is ended at a drain, and tell of
-// each read that begins.
-type held struct {
+// deadlineDelayingListener is a listener whose connections delay the read deadline that a drain sets on an idle connection,
+// and report each read that begins.
+type deadlineDelayingListener struct {
 	net.Listener
-	drains  chan struct{} // closed before the drain: from then on the deadline is held
-	holds   chan struct{} // told when it is
-	release chan struct{}
-	idles   chan struct{} // told of each read that begins before the drain
-	reads   chan struct{} // told of each read that begins after it
+	draining   chan struct{} // closed by the test before the drain: from then on the deadline is delayed
+	delayed    chan struct{} // receives a value when the deadline is being delayed
+	release    chan struct{} // closed by the test to let the deadline take effect
+	idleReads  chan struct{} // receives a value for each read that begins before the drain
+	drainReads chan struct{} // receives a value for each read that begins during the drain
 }
 
-func (h *held) Accept() (net.Conn, error) {
-	conn, err := h.Listener.Accept()
-	return &heldConn{Conn: conn, held: h}, err
+func (l *deadlineDelayingListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	return &deadlineDelayingConn{Conn: conn, listener: l}, err
 }
 
-type heldConn struct {
+type deadlineDelayingConn struct {
 	net.Conn
-	held *held
-	once sync.Once
+	listener *deadlineDelayingListener
+	once     sync.Once
 }
 
-func (c *heldConn) SetReadDeadline(t time.Time) error {
+func (c *deadlineDelayingConn) SetReadDeadline(t time.Time) error {
 	select {
-	case <-c.held.drains:
-		if time.Until(t) < time.Second { // the deadlines of a request are later
+	case <-c.listener.draining:
+		if time.Until(t) < time.Second { // the deadlines of a request are a minute away
 			c.once.Do(func() {
-				c.held.holds <- struct{}{}
-				<-c.held.release
+				c.listener.delayed <- struct{}{}
+				<-c.listener.release
 			})
 		}
 	default:
@@ -50,38 +50,39 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *deadlineDelayingConn) Read(p []byte) (int, error) {
 	select {
-	case <-c.held.drains:
-		c.held.reads <- struct{}{}
+	case <-c.listener.draining:
+		c.listener.drainReads <- struct{}{}
 	default:
-		c.held.idles <- struct{}{}
+		c.listener.idleReads <- struct{}{}
 	}
 	return c.Conn.Read(p)
 }
 
-// await fails the test where an event does not come.
-func await(t *testing.T, event <-chan struct{}, missing string) {
+// waitForEvent fails the test with the given message if the event does not occur in time.
+func waitForEvent(t *testing.T, event <-chan struct{}, failure string) {
 	t.Helper()
 	select {
 	case <-event:
 	case <-time.After(scriptedpeer.WaitTimeout):
-		t.Fatal(missing)
+		t.Fatal(failure)
 	}
 }
 
-// A drain finds a connection idle, and before it can end it a request arrives: the deadline falls into the reading of its
-// head. The request is read on and answered, and the answer says that it was the last.
-func TestRequestThatArrivesAsItsConnectionIsDrained(t *testing.T) {
-	h := &held{
-		Listener: scriptedpeer.Listen(t).Listener,
-		drains:   make(chan struct{}),
-		holds:    make(chan struct{}),
-		release:  make(chan struct{}),
-		idles:    make(chan struct{}, 100),
-		reads:    make(chan struct{}, 100),
+// A drain finds a connection idle, and a request arrives before the drain has set its read deadline. The deadline then
+// expires while the head of the request is being read. The request must still be read and served, and its response must
+// announce the close of the connection.
+func TestRequestArrivingDuringDrainIsServed(t *testing.T) {
+	listener := &deadlineDelayingListener{
+		Listener:   scriptedpeer.Listen(t).Listener,
+		draining:   make(chan struct{}),
+		delayed:    make(chan struct{}),
+		release:    make(chan struct{}),
+		idleReads:  make(chan struct{}, 100),
+		drainReads: make(chan struct{}, 100),
 	}
-	s := New(Config{
+	server := New(Config{
 		Limits: Limits{MaxConnections: 1, IdleTimeout: time.Minute, HeadTimeout: time.Minute, StallTimeout: time.Minute, MaxStreams: 1, DrainTimeout: time.Minute},
 		Handler: func(_ *upstream.Cancellation, _ *proxy.Request, out proxy.ResponseWriter) proxy.Result {
 			out.WriteHeader(http.StatusOK, http.Header{}, 2)
@@ -94,26 +95,27 @@
 		OnRequestEnd: func(Record) {},
 	})
 	served := make(chan struct{})
-	go func() { s.ServeHTTP1(h); close(served) }()
-	client := scriptedpeer.Dial(t, h.Addr().String())
-	// Before its first read it would be the connection itself that finds the drain and sets the deadline.
-	await(t, h.idles, "the connection is not read")
-	close(h.drains)
+	go func() { server.ServeHTTP1(listener); close(served) }()
+	client := scriptedpeer.Dial(t, listener.Addr().String())
+	// Wait for the first read of the connection: before it, the connection itself would notice the drain and set the
+	// deadline.
+	waitForEvent(t, listener.idleReads, "the idle connection was not read")
+	close(listener.draining)
 	shutdown := make(chan int64)
-	go func() { shutdown <- s.Shutdown() }()
-	await(t, h.holds, "the connection is not found idle")
+	go func() { shutdown <- server.Shutdown() }()
+	waitForEvent(t, listener.delayed, "the drain did not set a deadline on the idle connection")
 	client.SendRaw("G")
-	await(t, h.reads, "the rest of the head is not read")
-	close(h.release)
-	await(t, h.reads, "the head is read no further behind the deadline that ended the read before")
+	waitForEvent(t, listener.drainReads, "the rest of the request head was not read")
+	close(listener.release)
+	waitForEvent(t, listener.drainReads, "the request head was not read further after the deadline of the drain ended a read")
 	client.SendRaw("ET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	resp, err := http.ReadResponse(client.Reader, nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("response %+v, error %v; want status 200 with Connection: close", resp, err)
 	}
-	if lost := <-shutdown; lost != 0 || s.Counters.BadRequests.Load() != 0 {
-		t.Errorf("%d lost, %d refused", lost, s.Counters.BadRequests.Load())
+	if lost := <-shutdown; lost != 0 || server.Counters.BadRequests.Load() != 0 {
+		t.Errorf("%d requests lost, %d bad requests, want none", lost, server.Counters.BadRequests.Load())
 	}
-	h.Close()
+	listener.Close()
 	<-served
 }
