--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -10,11 +10,11 @@
 	"lilacbend/internal/upstream"
 )
 
-// canceledStep ends a request whose client is gone. The dispatcher learns of it when the request is released: that does
-// not count against the replica.
+// canceledStep ends a request whose client has gone or has not sent the body. It is not reported as the outcome of an
+// attempt, so that it does not count against the replica; the dispatcher is notified when the request is released.
 var canceledStep = dispatch.Step{Final: true, Reason: dispatch.ErrClientGone}
 
-// attempt makes one attempt, and returns what to do next. After an answer has begun there is no next step.
+// attempt makes one attempt and returns the next step. The step is not used once a response to the client has started.
 func (t *transaction) attempt(step dispatch.Step) dispatch.Step {
 	t.result.Replica = step.Replica
 	t.result.Attempts++
@@ -24,17 +24,17 @@
 		if t.cancel.Canceled() || errors.As(err, &body) {
 			return canceledStep
 		}
-		return t.attemptEnded(outcomeOf(err))
+		return t.reportAttemptEnd(outcomeOf(err))
 	}
 	defer response.Close()
 	if response.StatusCode < http.StatusInternalServerError {
 		err := t.forwardResponse(response)
-		next := t.responseEnded(err)
+		next := t.reportResponseEnd(err)
 		t.result.Reason = next.Reason
 		return next
 	}
-	next := t.failedResponse(response.StatusCode)
-	if next.Final { // the replica's own answer is the best there is
+	next := t.reportFailedResponse(response.StatusCode)
+	if next.Final { // no attempt follows, so the client gets the replica's own error response
 		t.result.Reason = next.Reason
 		t.forwardResponse(response)
 	}
@@ -67,8 +67,8 @@
 	return p.pool.Do(t.cancel, time.Now().Add(remaining), step.Address, &t.upstream)
 }
 
-// attemptEnded tells the dispatcher how an attempt ended.
-func (t *transaction) attemptEnded(outcome dispatch.Outcome) dispatch.Step {
+// reportAttemptEnd reports the outcome of an attempt to the dispatcher and returns the next step.
+func (t *transaction) reportAttemptEnd(outcome dispatch.Outcome) dispatch.Step {
 	p := t.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,35 +76,35 @@
 		p.dispatcher.BodyConsumed(t.state)
 	}
 	step := p.dispatcher.AttemptEnded(p.config.Now(), t.state, outcome)
-	p.wakeWaiting() // the replica has capacity again, even if the request goes on elsewhere
+	p.wakeWaiting() // the replica has free capacity again, even if another attempt follows
 	return step
 }
 
-// failedResponse tells the dispatcher of a response with a status of a server's failure. The body of the request may be
-// read at this moment, and whether it was decides what is next, so it is stopped before.
-func (t *transaction) failedResponse(status int) dispatch.Step {
+// reportFailedResponse reports a response with a 5xx status to the dispatcher and returns the next step. The next step
+// depends on whether the request body was read. The body may still be being read at this point, so it is stopped first.
+func (t *transaction) reportFailedResponse(status int) dispatch.Step {
 	if t.upstream.StopBody != nil {
 		t.upstream.StopBody()
 	}
 	if t.proxy.notExecutedStatuses[status] {
-		return t.attemptEnded(dispatch.NotExecuted)
+		return t.reportAttemptEnd(dispatch.NotExecuted)
 	}
-	return t.attemptEnded(dispatch.Broken)
+	return t.reportAttemptEnd(dispatch.Broken)
 }
 
-// responseEnded tells the dispatcher how the forwarding of a response ended.
-func (t *transaction) responseEnded(err error) dispatch.Step {
+// reportResponseEnd reports to the dispatcher how the forwarding of a response ended, unless the client was the cause.
+func (t *transaction) reportResponseEnd(err error) dispatch.Step {
 	if err == nil {
-		return t.attemptEnded(dispatch.Succeeded)
+		return t.reportAttemptEnd(dispatch.Succeeded)
 	}
 	var failed *upstream.AttemptError
 	if errors.As(err, &failed) && !t.cancel.Canceled() {
-		return t.attemptEnded(dispatch.Broken)
+		return t.reportAttemptEnd(dispatch.Broken)
 	}
 	return canceledStep
 }
 
-// outcomeOf is the outcome of an attempt that failed without a response.
+// outcomeOf returns the outcome of an attempt that failed before a response.
 func outcomeOf(err error) dispatch.Outcome {
 	var failed *upstream.AttemptError
 	if errors.As(err, &failed) && failed.Progress == upstream.NotSent {
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// maxReplay is the longest body, in bytes, that is read completely before it is sent. A slow client then occupies no
-	// replica, and the body can be sent again. Longer ones are streamed.
+	// maxReplay is the maximum size, in bytes, of a request body that is buffered before the first attempt. A slow client
+	// then does not occupy a replica, and the body can be sent again. Longer bodies are streamed.
 	maxReplay = 16 << 10
-	// bufferSize is the size of a buffer that holds such a body, or a part of an answer, in bytes.
+	// bufferSize is the size of a buffer for such a request body, or for a part of a response body, in bytes.
 	bufferSize = maxReplay
 )
 
@@ -22,7 +22,8 @@
 	return &buffer
 }}
 
-// readBody reads a short body completely. One that is longer, of unknown length, or has to be asked for, is streamed.
+// readBody buffers a short body. A body that is longer or of unknown length, or for which the client expects a 100
+// Continue, is streamed.
 func (t *transaction) readBody() error {
 	if t.Body == nil || t.Length == 0 {
 		t.Body = nil
@@ -38,10 +39,10 @@
 	return err
 }
 
-// replayReader reads a body that is held.
+// replayReader reads a buffered body.
 type replayReader struct{ remaining []byte }
 
-// Read reads the next part.
+// Read reads the next part of the body.
 func (r *replayReader) Read(p []byte) (int, error) {
 	if len(r.remaining) == 0 {
 		return 0, io.EOF
@@ -51,9 +52,9 @@
 	return n, nil
 }
 
-// streamedBody reads a body that is not held. It is read while the response is awaited, so a decision about the request
-// could be made at the moment of a read. Therefore the body is stopped before any decision: from then on it is either
-// untouched, and can still be sent, or consumed.
+// streamedBody reads a body that is not buffered. It is read concurrently with waiting for the response, so the next step
+// of the request could be chosen during a read. Therefore the body is stopped before any such decision: from then on it is
+// either unread, and can still be sent, or consumed.
 type streamedBody struct {
 	request *Request
 
@@ -62,7 +63,7 @@
 	stopped  bool // until the next attempt
 }
 
-// Read reads the next part, after asking the client for its body if it waits for that.
+// Read reads the next part of the body. Before the first part it sends a 100 Continue if the client expects one.
 func (b *streamedBody) Read(p []byte) (int, error) {
 	first, err := b.beginRead()
 	if err != nil {
@@ -70,7 +71,7 @@
 	}
 	if first && b.request.ExpectContinue {
 		if err := b.request.Continue(); err != nil {
-			return 0, fmt.Errorf("asking for the body: %w", err)
+			return 0, fmt.Errorf("requesting the body with 100 Continue: %w", err)
 		}
 	}
 	n, err := b.request.Body.Read(p)
@@ -92,7 +93,7 @@
 	return first, nil
 }
 
-// Stop makes all reads fail, also one that is waiting. It may be called while the body is read.
+// Stop makes all reads fail, including one that is waiting. It may be called concurrently with Read.
 func (b *streamedBody) Stop() {
 	b.mu.Lock()
 	mayBeReading := b.consumed && !b.stopped
@@ -103,14 +104,14 @@
 	}
 }
 
-// resume lets the next attempt read a body. Nobody reads it now.
+// resume lets the next attempt read the body. It must not be called while the body is being read.
 func (b *streamedBody) resume() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stopped = false
 }
 
-// isConsumed reports whether a part of the body has been read. After Stop the answer does not change.
+// isConsumed reports whether the first read of the body has begun. After Stop the result does not change until resume.
 func (b *streamedBody) isConsumed() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -6,8 +6,9 @@
 	"strings"
 )
 
-// hopByHop are the fields that concern one connection alone (RFC 9110, 7.6.1), and those that each side works out anew.
-var hopByHop = map[string]bool{
+// hopByHopFields are the header fields that apply to a single connection (RFC 9110, 7.6.1), and those that the sidecar
+// determines anew for each side.
+var hopByHopFields = map[string]bool{
 	"Connection":          true,
 	"Content-Length":      true,
 	"Expect":              true,
@@ -22,8 +23,8 @@
 	"Upgrade":             true,
 }
 
-// RemoveHopByHop removes, in place, the fields that concern one connection alone, and those that a Connection field
-// names. It returns the header.
+// RemoveHopByHop removes hop-by-hop fields from a header in place, including those that a Connection field names. It
+// returns the header.
 func RemoveHopByHop(header http.Header) http.Header {
 	for _, names := range header["Connection"] {
 		for name := range strings.SplitSeq(names, ",") {
@@ -34,7 +35,7 @@
 		}
 	}
 	for name := range header {
-		if hopByHop[name] {
+		if hopByHopFields[name] {
 			delete(header, name)
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy carries a request through its attempts to its one answer. The ingress hands a request over as it has
-// read it, and takes the answer; the dispatcher says what to do next; upstream does the attempts. The package decides
-// nothing itself.
+// Package proxy serves a request by one or more attempts, and writes its single response. Package ingress reads the request
+// and sends the response to the client, package dispatch chooses each next step, and package upstream makes the attempts.
+// The package makes no decisions itself.
 package proxy
 
 import (
@@ -13,7 +13,7 @@
 	"lilacbend/internal/upstream"
 )
 
-// Request is a request as the ingress has read it, without hop-by-hop fields.
+// Request is a request as the ingress has parsed it, without hop-by-hop fields.
 type Request struct {
 	Class  int // index of its traffic class
 	Method string
@@ -24,70 +24,71 @@
 	Length int64     // of the body; -1: unknown
 	// Trailer is called after the end of Body.
 	Trailer func() http.Header
-	// StopBody makes a read of Body that waits for the client return at once. It is set where Body is.
+	// StopBody makes a read of Body that waits for the client return at once. It is set if Body is.
 	StopBody func()
-	// ExpectContinue says that the client waits to be asked for its body.
+	// ExpectContinue reports that the client waits for a 100 Continue before it sends the body.
 	ExpectContinue bool
-	// Continue asks the client for its body. It returns upstream.ErrBodyStopped if the answer has begun.
+	// Continue sends a 100 Continue. It returns upstream.ErrBodyStopped if the response has started.
 	Continue func() error
 }
 
-// ResponseWriter takes the one answer to a request: WriteHeader, any number of writes, then either Finish or Abort.
+// ResponseWriter writes the response to a request. Its user calls WriteHeader, then Write any number of times, and then
+// either Finish or Abort.
 type ResponseWriter interface {
-	// WriteInformational passes an informational response (status 1xx) on.
+	// WriteInformational forwards an informational response (status 1xx).
 	WriteInformational(status int, header http.Header)
-	// WriteHeader begins the answer. The length is that of the body; -1: unknown.
+	// WriteHeader starts the response. The length is that of the body; -1: unknown.
 	WriteHeader(status int, header http.Header, length int64) error
 	// Write writes a part of the body.
 	Write(p []byte) (int, error)
-	// Finish ends a complete answer.
+	// Finish ends a complete response.
 	Finish(trailer http.Header) error
-	// Abort ends an answer that is not complete, in a way that shows the client that it is not.
+	// Abort ends an incomplete response in a way that lets the client detect that it is incomplete.
 	Abort()
 }
 
-// Result is what became of a request.
+// Result describes how a request ended.
 type Result struct {
-	Status     int // of the answer; 0: none has begun
+	Status     int // of the response; 0: no response was started
 	Reason     dispatch.Reason
-	Replica    string // of the last attempt
+	Replica    string // replica of the last attempt
 	Attempts   int
-	Incomplete bool // the client got no complete answer
+	Incomplete bool // the client did not get a complete response
 	Duration   time.Duration
 }
 
-// Config is what a Proxy is given about its requests.
+// Config configures a Proxy.
 type Config struct {
-	// NotExecutedStatuses are those by which replicas say that they have not executed a request.
+	// NotExecutedStatuses are the statuses with which replicas report that they have not executed a request.
 	NotExecutedStatuses []int
-	// NonIdempotent says for each traffic class whether its requests must not be executed twice.
+	// NonIdempotent specifies for each traffic class, by its index, whether its requests must not be executed twice.
 	NonIdempotent []bool
-	// Now returns the time of the dispatcher's clock, in nanoseconds.
+	// Now returns the time of the dispatcher's clock in nanoseconds.
 	Now func() int64
-	// OnPanic gets the text of a panic, which ends one request alone.
+	// OnPanic is called with the text of a panic; a panic ends only the request in which it occurs.
 	OnPanic func(text string)
 }
 
-// Proxy serves requests. All requests share one dispatcher, which is called under one lock.
+// Proxy serves requests. All requests share one dispatcher, which is called with mu held.
 type Proxy struct {
 	config              Config
 	notExecutedStatuses map[int]bool
 	pool                *upstream.Pool
 
-	mu         sync.Mutex
-	dispatcher *dispatch.Dispatcher
-	waiting    int           // requests that wait for capacity
-	capacity   chan struct{} // closed when there may be capacity while a request waits
+	mu            sync.Mutex
+	dispatcher    *dispatch.Dispatcher
+	waiting       int           // requests that wait for capacity
+	capacityFreed chan struct{} // closed when there may be capacity while a request waits
 }
 
-// New returns a Proxy.
+// New returns a Proxy that makes its attempts over the pool and gets their steps from the dispatcher.
 func New(dispatcher *dispatch.Dispatcher, pool *upstream.Pool, config Config) *Proxy {
 	p := &Proxy{
 		config:              config,
 		notExecutedStatuses: map[int]bool{},
 		pool:                pool,
 		dispatcher:          dispatcher,
-		capacity:            make(chan struct{}),
+		capacityFreed:       make(chan struct{}),
 	}
 	for _, status := range config.NotExecutedStatuses {
 		p.notExecutedStatuses[status] = true
@@ -95,7 +96,8 @@
 	return p
 }
 
-// WithDispatcher calls a function with the dispatcher, between the steps of requests.
+// WithDispatcher calls a function with the current time and the dispatcher while the proxy is locked, and then wakes the
+// requests that wait for capacity.
 func (p *Proxy) WithDispatcher(call func(now int64, d *dispatch.Dispatcher)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +108,7 @@
 // wakeWaiting wakes the requests that wait for capacity. The proxy is locked.
 func (p *Proxy) wakeWaiting() {
 	if p.waiting > 0 {
-		close(p.capacity)
-		p.capacity = make(chan struct{})
+		close(p.capacityFreed)
+		p.capacityFreed = make(chan struct{})
 	}
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -14,7 +14,7 @@
 	"lilacbend/internal/upstream"
 )
 
-func TestFailedAttemptIsNotExecutedOnlyIfItWasNotSent(t *testing.T) {
+func TestOutcomeIsNotExecutedOnlyForUnsentAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		err  error
@@ -28,7 +28,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := outcomeOf(c.err); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+				t.Errorf("outcome %d, want %d", got, c.want)
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 		"Te": {"trailers"}, "Transfer-Encoding": {"chunked"}, "Content-Length": {"1"}, "Expect": {"100-continue"}, "Upgrade": {"h2c"}}
 	kept := slices.Sorted(maps.Keys(RemoveHopByHop(header)))
 	if want := []string{"Accept", "X-Three"}; !slices.Equal(kept, want) {
-		t.Errorf("%v are kept, want %v", kept, want)
+		t.Errorf("remaining fields %v, want %v", kept, want)
 	}
 }
 
@@ -50,55 +50,55 @@
 		want   bool
 	}{{"GET", 200, true}, {"HEAD", 200, false}, {"GET", 204, false}, {"GET", 304, false}, {"POST", 500, true}} {
 		if got := mayHaveBody(c.method, c.status); got != c.want {
-			t.Errorf("%s, %d: %v", c.method, c.status, got)
+			t.Errorf("mayHaveBody(%s, %d) returned %v, want %v", c.method, c.status, got, c.want)
 		}
 	}
 }
 
-func TestStreamedBodyIsAskedForAndStoppedOnce(t *testing.T) {
-	stops, asks := 0, 0
+func TestStreamedBodyCallsContinueAndStopBodyOnce(t *testing.T) {
+	stopCalls, continueCalls := 0, 0
 	body := &streamedBody{request: &Request{
 		Body:           strings.NewReader("text"),
 		ExpectContinue: true,
-		StopBody:       func() { stops++ },
-		Continue:       func() error { asks++; return nil },
+		StopBody:       func() { stopCalls++ },
+		Continue:       func() error { continueCalls++; return nil },
 	}}
 	body.Stop()
-	if _, err := body.Read(make([]byte, 1)); !errors.Is(err, upstream.ErrBodyStopped) || body.isConsumed() || stops != 0 || asks != 0 {
-		t.Errorf("stopped before the first read: %v, consumed %v, %d stops, %d asks", err, body.isConsumed(), stops, asks)
+	if _, err := body.Read(make([]byte, 1)); !errors.Is(err, upstream.ErrBodyStopped) || body.isConsumed() || stopCalls != 0 || continueCalls != 0 {
+		t.Errorf("read after a stop before the first read: %v, consumed %v, %d calls of StopBody, %d of Continue", err, body.isConsumed(), stopCalls, continueCalls)
 	}
 	body.resume()
 	for range 2 {
-		if n, err := body.Read(make([]byte, 1)); n != 1 || err != nil || !body.isConsumed() || asks != 1 {
-			t.Errorf("%d bytes, %v, consumed %v, asked for %d times", n, err, body.isConsumed(), asks)
+		if n, err := body.Read(make([]byte, 1)); n != 1 || err != nil || !body.isConsumed() || continueCalls != 1 {
+			t.Errorf("read after resume: %d bytes, %v, consumed %v, %d calls of Continue", n, err, body.isConsumed(), continueCalls)
 		}
 	}
 	body.Stop()
 	body.Stop()
-	if _, err := body.Read(make([]byte, 1)); !errors.Is(err, upstream.ErrBodyStopped) || stops != 1 {
-		t.Errorf("stopped after a read: %v, %d stops", err, stops)
+	if _, err := body.Read(make([]byte, 1)); !errors.Is(err, upstream.ErrBodyStopped) || stopCalls != 1 {
+		t.Errorf("read after a stop that followed a read: %v, %d calls of StopBody", err, stopCalls)
 	}
 }
 
-func TestReadBodyHoldsShortBodiesOfKnownLength(t *testing.T) {
+func TestReadBodyBuffersShortBodiesOfKnownLength(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		request Request
-		held    bool
-		none    bool
+		name     string
+		request  Request
+		buffered bool
+		noBody   bool
 	}{
-		{"none", Request{Length: -1}, false, true},
+		{"no body", Request{Length: -1}, false, true},
 		{"empty", Request{Body: strings.NewReader("")}, false, true},
 		{"short", Request{Body: strings.NewReader("text"), Length: 4}, true, false},
-		{"longest that is held", Request{Body: strings.NewReader(strings.Repeat("x", maxReplay)), Length: maxReplay}, true, false},
-		{"longer", Request{Body: strings.NewReader(strings.Repeat("x", maxReplay+1)), Length: maxReplay + 1}, false, false},
+		{"longest that is buffered", Request{Body: strings.NewReader(strings.Repeat("x", maxReplay)), Length: maxReplay}, true, false},
+		{"longer than maxReplay", Request{Body: strings.NewReader(strings.Repeat("x", maxReplay+1)), Length: maxReplay + 1}, false, false},
 		{"unknown length", Request{Body: strings.NewReader("text"), Length: -1}, false, false},
-		{"to be asked for", Request{Body: strings.NewReader("text"), Length: 4, ExpectContinue: true}, false, false},
+		{"client expects 100 Continue", Request{Body: strings.NewReader("text"), Length: 4, ExpectContinue: true}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			transaction := &transaction{Request: &c.request}
-			if err := transaction.readBody(); err != nil || (transaction.buffer != nil) != c.held || (c.request.Body == nil) != c.none {
-				t.Errorf("%v, held: %v, none: %v", err, transaction.buffer != nil, c.request.Body == nil)
+			if err := transaction.readBody(); err != nil || (transaction.buffer != nil) != c.buffered || (c.request.Body == nil) != c.noBody {
+				t.Errorf("readBody: %v, buffered: %v, no body: %v", err, transaction.buffer != nil, c.request.Body == nil)
 			}
 			if transaction.buffer != nil {
 				buffers.Put(transaction.buffer)
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// ReasonHeader tells a client why it got no answer of a replica.
+	// ReasonHeader is the header field that tells a client why it got no response from a replica.
 	ReasonHeader = "Lilacbend-Reason"
-	// retryAfterSeconds is how long clients that were rejected are asked to wait.
+	// retryAfterSeconds is the wait, in seconds, that rejected clients are asked for (Retry-After).
 	retryAfterSeconds = "1"
 )
 
-// forwardResponse copies a response to the client. No attempt can follow. The error is an upstream.AttemptError if the
-// replica has failed, else the client has.
+// forwardResponse copies a response to the client. No further attempt can follow. The error is an upstream.AttemptError if
+// the replica failed; any other error is a failure of the client.
 func (t *transaction) forwardResponse(response *upstream.Response) error {
-	t.proxy.noteResponse(t.state)
+	t.proxy.reportResponseStart(t.state)
 	response.StreamBody()
-	t.answering = true
+	t.responseStarted = true
 	t.result.Status = response.StatusCode
 	err := copyResponse(t.out, response, t.Method)
 	if err != nil {
@@ -31,14 +31,14 @@
 	return err
 }
 
-// noteResponse tells the dispatcher that the answer of a request begins.
-func (p *Proxy) noteResponse(state *dispatch.Request) {
+// reportResponseStart reports to the dispatcher that the response to a request starts.
+func (p *Proxy) reportResponseStart(state *dispatch.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dispatcher.ResponseStarted(p.config.Now(), state)
 }
 
-// copyResponse copies a response, no faster than the client takes it.
+// copyResponse copies a response, no faster than the client accepts it.
 func copyResponse(out ResponseWriter, response *upstream.Response, method string) error {
 	if err := out.WriteHeader(response.StatusCode, RemoveHopByHop(response.Header), response.ContentLength); err != nil {
 		return err
@@ -62,12 +62,12 @@
 	}
 }
 
-// mayHaveBody reports whether a response to a method may have a body.
+// mayHaveBody reports whether a response with the given status to a request with the given method may have a body.
 func mayHaveBody(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// writeRejection writes the answer to a request that has got none from a replica.
+// writeRejection writes the 503 response to a request for which no replica's response is forwarded.
 func writeRejection(out ResponseWriter, reason dispatch.Reason) error {
 	text := string(reason) + "\n"
 	header := http.Header{
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -11,41 +11,42 @@
 	"lilacbend/internal/upstream"
 )
 
-// transaction is one request on its way to its answer. It has three forms of it: Request, as the ingress has read it; state, as
-// the dispatcher knows it, which decides what comes next; upstream, as it is sent to a replica, set anew for each attempt.
+// transaction is a request that is being served. It holds three representations of the request: Request, as the ingress has
+// parsed it; state, as the dispatcher tracks it to choose the next step; upstream, as it is sent to a replica, which is set
+// anew for each attempt.
 type transaction struct {
 	*Request
 	proxy    *Proxy
 	cancel   *upstream.Cancellation
 	out      ResponseWriter
-	state    *dispatch.Request // nil: the dispatcher does not know it yet
+	state    *dispatch.Request // nil: the request was not passed to the dispatcher yet
 	upstream upstream.Request
 
-	buffer   *[]byte      // holds a body that can be sent any number of times
-	replay   replayReader // of the buffer
-	streamed streamedBody // of a body that is not held
+	buffer   *[]byte      // body that can be sent any number of times; nil: not buffered
+	replay   replayReader // reads buffer
+	streamed streamedBody // reads a body that is not buffered
 
-	answering bool          // the head of an answer has gone to the client
-	capacity  chan struct{} // closed when there may be capacity, while the request waits
-	result    Result
+	responseStarted bool          // the response to the client has started
+	capacityFreed   chan struct{} // closed when there may be capacity; valid while the request waits
+	result          Result
 }
 
 var transactions = sync.Pool{New: func() any { return &transaction{} }}
 
-// Serve carries a request to its one answer. It returns when the answer has ended, or the request was canceled.
+// Serve serves a request and writes its response. It returns when the response has ended or the request was canceled.
 func (p *Proxy) Serve(cancel *upstream.Cancellation, r *Request, out ResponseWriter) (result Result) {
-	began := time.Now()
+	start := time.Now()
 	t := transactions.Get().(*transaction)
 	*t = transaction{Request: r, proxy: p, cancel: cancel, out: out}
 	defer func() {
-		if v := recover(); v != nil { // ends this request alone
+		if v := recover(); v != nil { // a panic ends only this request
 			p.config.OnPanic(fmt.Sprintf("%v at %s", v, debug.Stack()))
 			t.result.Incomplete = true
 			out.Abort()
 		}
 		t.release()
 		result = t.result
-		result.Duration = time.Since(began)
+		result.Duration = time.Since(start)
 		*t = transaction{}
 		transactions.Put(t)
 	}()
@@ -53,7 +54,7 @@
 	return result
 }
 
-// release gives back what the request has occupied. Canceling a request that has its final step changes nothing.
+// release frees the resources of the request. Canceling a request that has received its final step has no effect.
 func (t *transaction) release() {
 	if t.state != nil {
 		t.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { d.Cancel(t.state) })
@@ -63,10 +64,10 @@
 	}
 }
 
-// run takes the request through the dispatcher's steps until an answer has begun or there is none.
+// run executes the dispatcher's steps until a response has started or the dispatcher gives no further attempt.
 func (t *transaction) run() {
 	if err := t.readBody(); err != nil {
-		t.clientGone()
+		t.abort()
 		return
 	}
 	replayable := t.Body == nil || t.buffer != nil
@@ -75,26 +76,26 @@
 		t.state, first = d.Begin(now, t.Class, replayable)
 		return first
 	})
-	for !t.answering && !step.Final {
+	for !t.responseStarted && !step.Final {
 		if !step.Wait {
 			step = t.attempt(step)
 			continue
 		}
 		if !t.awaitCapacity(step.Deadline) {
-			t.clientGone()
+			t.abort()
 			return
 		}
 		step = t.askDispatcher(func(now int64, d *dispatch.Dispatcher) dispatch.Step { return d.Resume(now, t.state) })
 	}
-	if !t.answering {
-		t.answerFinal(step)
+	if !t.responseStarted {
+		t.finishWithoutResponse(step)
 	}
 }
 
-// answerFinal ends a request that has got no answer from a replica.
-func (t *transaction) answerFinal(step dispatch.Step) {
+// finishWithoutResponse ends a request for which no replica's response is forwarded.
+func (t *transaction) finishWithoutResponse(step dispatch.Step) {
 	if step.Reason == dispatch.ErrClientGone {
-		t.clientGone()
+		t.abort()
 		return
 	}
 	t.result.Reason = step.Reason
@@ -102,15 +103,15 @@
 	t.result.Incomplete = writeRejection(t.out, step.Reason) != nil
 }
 
-// clientGone ends a request that nobody waits for.
-func (t *transaction) clientGone() {
+// abort ends a request whose client has gone, or whose body could not be read.
+func (t *transaction) abort() {
 	t.result.Reason = dispatch.ErrClientGone
 	t.result.Incomplete = true
 	t.out.Abort()
 }
 
-// askDispatcher asks the dispatcher for a step. If the request is to wait, it is among those that are woken before the
-// dispatcher is asked anything else, so it does not miss capacity that is freed right then.
+// askDispatcher asks the dispatcher for the next step. If the request has to wait, it is registered as waiting before the
+// lock is released, so that it cannot miss capacity that is freed immediately afterwards.
 func (t *transaction) askDispatcher(ask func(now int64, d *dispatch.Dispatcher) dispatch.Step) dispatch.Step {
 	p := t.proxy
 	p.mu.Lock()
@@ -118,12 +119,12 @@
 	step := ask(p.config.Now(), p.dispatcher)
 	if step.Wait {
 		p.waiting++
-		t.capacity = p.capacity
+		t.capacityFreed = p.capacityFreed
 	}
 	return step
 }
 
-// awaitCapacity waits until there may be capacity, or a deadline; false: the request was canceled.
+// awaitCapacity waits until there may be capacity or the deadline has passed. It returns false if the request was canceled.
 func (t *transaction) awaitCapacity(deadline int64) bool {
 	p := t.proxy
 	defer func() {
@@ -134,7 +135,7 @@
 	timer := time.NewTimer(time.Duration(deadline - p.config.Now()))
 	defer timer.Stop()
 	select {
-	case <-t.capacity:
+	case <-t.capacityFreed:
 	case <-timer.C:
 	case <-t.cancel.Done():
 		return false
