--- a/internal/upstream/cancellation.go
+++ b/internal/upstream/cancellation.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Cancellation ends whatever a request waits for, once its client waits no longer. It takes the place of a context
-// because it can be reused: a request allocates nothing for it. The zero value is ready for use, by several goroutines
-// at once.
+// Cancellation cancels a request whose client no longer waits for it: it ends dials, waits, reads and writes of the request.
+// It is used in place of a context because it can be reused, so that a request allocates nothing for it. The zero value is
+// ready for use, also by several goroutines at once.
 type Cancellation struct {
 	mu       sync.Mutex
 	canceled bool
-	conn     net.Conn      // that the request uses now
-	done     chan struct{} // made when it is first asked for
+	conn     net.Conn      // the connection to a replica that the request uses; nil: none
+	done     chan struct{} // created by the first call of Done
 }
 
-// expired is a deadline that is over.
+// expired is a deadline in the past: setting it ends pending reads and writes at once.
 var expired = time.Unix(1, 0)
 
-// Cancel ends what the request waits for, now and from now on.
+// Cancel cancels the request: all of its current and further operations that wait end at once.
 func (c *Cancellation) Cancel() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,7 @@
 	return c.done
 }
 
-// Reset makes it ready for another request.
+// Reset makes the Cancellation ready for another request.
 func (c *Cancellation) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +64,8 @@
 	c.done = nil
 }
 
-// attach gives the connection that the request uses a deadline, and ends its use on Cancel.
+// attach sets the deadline of a connection that the request is about to use. From then on Cancel ends its reads and
+// writes.
 func (c *Cancellation) attach(conn net.Conn, deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,15 +76,15 @@
 	conn.SetDeadline(deadline)
 }
 
-// detach ends the use of the connection.
+// detach ends the request's use of the connection: Cancel no longer affects it.
 func (c *Cancellation) detach() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conn = nil
 }
 
-// allowRead gives the next read of the connection a timeout.
-func (c *Cancellation) allowRead(timeout time.Duration) {
+// setReadTimeout sets the timeout of the next read of the connection.
+func (c *Cancellation) setReadTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != nil && !c.canceled {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -19,10 +19,10 @@
 	bufferSize = 4 << 10
 	// maxHead bounds the head of a response together with the informational responses before it, in bytes.
 	maxHead = 64 << 10
-	// maxInformational bounds the informational responses before the final one: more come from a replica that never
-	// ends.
+	// maxInformational bounds the informational responses to a request: a replica that sends so many may never send the
+	// final response.
 	maxInformational = 8
-	// unlimited is the bound of a body.
+	// unlimited is the read limit for a response body, in bytes.
 	unlimited = 1 << 62
 )
 
@@ -33,18 +33,18 @@
 	address   string
 	reader    *bufio.Reader
 	readLimit int64 // bytes that may still be read; bodies are unlimited
-	written   int   // bytes of the current request
+	written   int   // bytes of the current request that were sent
 	idleSince time.Time
 	reused    bool // an earlier request used it
 	stopBody  func()
 
-	// Values that each request uses anew instead of allocating them.
-	httpRequest http.Request // tells the reader of responses what was asked
+	// Values that are reused for each request instead of being allocated.
+	httpRequest http.Request // tells http.ReadResponse the method of the request
 	response    Response
 
-	rawConn  syscall.RawConn // nil: cannot be looked at
+	rawConn  syscall.RawConn // nil: the connection cannot be peeked at
 	peek     func(fd uintptr) bool
-	peekIdle bool // the result of peek
+	peekIdle bool // set by peek: the connection is open and has received nothing
 }
 
 var (
@@ -52,12 +52,13 @@
 	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, bufferSize) }}
 )
 
+// putWriter returns a writer to the pool of writers.
 func putWriter(w *bufio.Writer) {
 	w.Reset(nil)
 	writers.Put(w)
 }
 
-// newConn wraps a new connection of a pool.
+// newConn wraps a new connection that belongs to a pool.
 func newConn(p *Pool, address string, netConn net.Conn) *conn {
 	c := &conn{Conn: netConn, pool: p, address: address, reader: readers.Get().(*bufio.Reader)}
 	c.reader.Reset(c)
@@ -73,7 +74,8 @@
 	return c
 }
 
-// usable reports whether an idle connection has neither ended nor received anything, which nobody asked for.
+// usable reports whether an idle connection is still open and has received nothing; bytes that arrive without a request
+// make it unusable.
 func (c *conn) usable() bool {
 	if c.rawConn == nil {
 		return true
@@ -82,7 +84,7 @@
 	return c.rawConn.Read(c.peek) == nil && c.peekIdle
 }
 
-// Read reads up to the limit for the current part of a response.
+// Read reads from the connection. It fails with errHeadTooLarge once readLimit bytes were read.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.readLimit <= 0 {
 		return 0, errHeadTooLarge
@@ -92,15 +94,15 @@
 	return n, err
 }
 
-// Write counts the bytes of the current request that have gone out.
+// Write writes to the connection and counts the bytes of the current request that were sent.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written += n
 	return n, err
 }
 
-// roundTrip sends a request and waits for the head of its response. An error is an AttemptError, and has ended the
-// connection.
+// roundTrip sends a request and waits for the head of its response. An error is an AttemptError, and the connection was
+// closed.
 func (c *conn) roundTrip(cancel *Cancellation, deadline time.Time, r *Request) (*Response, error) {
 	cancel.attach(c.Conn, deadline)
 	c.written = 0
@@ -112,8 +114,8 @@
 	return c.readResponse(cancel, r, bodySent)
 }
 
-// send sends the head of a request, with its body if both fit into one buffer. A longer body is sent by a goroutine, as
-// the replica may answer before it has read all; the result of that comes by the channel.
+// send sends the head of a request, together with the body if both fit into one buffer. A longer body is sent by a
+// goroutine, because the replica may respond before it has read all of it; that goroutine sends its result to the channel.
 func (c *conn) send(cancel *Cancellation, r *Request) (bodySent <-chan error, err error) {
 	w := writers.Get().(*bufio.Writer)
 	w.Reset(c)
@@ -122,12 +124,12 @@
 	if fits && r.Body != nil {
 		if _, err := io.CopyN(w, bodyReader{r.Body}, r.Length); err != nil {
 			putWriter(w)
-			return nil, c.fail(cancel, nil, NotSent, "request body", err)
+			return nil, c.fail(cancel, nil, NotSent, "send request", err)
 		}
 	}
 	if err := w.Flush(); err != nil {
 		putWriter(w)
-		return nil, c.fail(cancel, nil, c.sendProgress(headSize), "send, after "+strconv.Itoa(c.written)+" bytes", err)
+		return nil, c.fail(cancel, nil, c.sendProgress(headSize), "send request, after "+strconv.Itoa(c.written)+" bytes", err)
 	}
 	if fits {
 		putWriter(w)
@@ -136,7 +138,8 @@
 	return c.startBody(w, r), nil
 }
 
-// sendProgress is how far an attempt came whose sending failed: no server acts on a part of a head.
+// sendProgress returns the progress of an attempt whose request could not be sent completely. A replica cannot act on an
+// incomplete head.
 func (c *conn) sendProgress(headSize int) Progress {
 	if c.written < headSize {
 		return NotSent
@@ -144,14 +147,14 @@
 	return Sent
 }
 
-// startBody sends a body in a goroutine, which ends with the result in the channel. Whoever closes the connection waits
-// for that.
+// startBody sends a body in a goroutine, which sends its result to the channel and ends. The code that closes the
+// connection must wait for that result.
 func (c *conn) startBody(w *bufio.Writer, r *Request) <-chan error {
 	bodySent := make(chan error, 1)
 	go func() {
 		err := sendBody(w, r)
 		var body *BodyError
-		if errors.As(err, &body) { // nobody waits for a response to a part of a body
+		if errors.As(err, &body) { // the body is incomplete, so no response is expected
 			c.Conn.Close()
 		}
 		bodySent <- err
@@ -159,7 +162,7 @@
 	return bodySent
 }
 
-// readResponse waits for the head of the final response, and passes the informational ones on.
+// readResponse waits for the head of the final response, and forwards informational responses other than 100 Continue.
 func (c *conn) readResponse(cancel *Cancellation, r *Request, bodySent <-chan error) (*Response, error) {
 	const stage = "response head"
 	c.readLimit = maxHead
@@ -184,7 +187,8 @@
 	return nil, c.fail(cancel, bodySent, Sent, stage, errTooManyInformational)
 }
 
-// fail ends the connection, and waits until the request's body is no longer being sent: its reader belongs to the caller.
+// fail closes the connection and returns an AttemptError. It waits until the request body is no longer being sent, because
+// the reader of that body belongs to the caller.
 func (c *conn) fail(cancel *Cancellation, bodySent <-chan error, progress Progress, stage string, err error) error {
 	cancel.detach()
 	switch {
@@ -201,8 +205,8 @@
 	return &AttemptError{progress, stage, err}
 }
 
-// abort ends the connection and the sending of the request's body, and returns how that ended. The sender may wait for a
-// client that says nothing for long, so the body is stopped.
+// abort closes the connection, ends the sending of the request body and returns the result of the sending. It stops the
+// body, because the sending goroutine may otherwise wait long for a client that sends nothing.
 func (c *conn) abort(bodySent <-chan error) error {
 	c.Conn.Close()
 	if bodySent == nil {
--- a/internal/upstream/errors_test.go
+++ b/internal/upstream/errors_test.go
@@ -21,20 +21,20 @@
 	}{
 		{"success", &Cancellation{}, Request{}, nil, false},
 		{"nothing was sent", &Cancellation{}, Request{}, notSent, true},
-		{"it may have been executed", &Cancellation{}, Request{}, &AttemptError{Sent, "send", io.EOF}, false},
-		{"its body may have been read", &Cancellation{}, Request{Body: body}, notSent, false},
+		{"may have been executed", &Cancellation{}, Request{}, &AttemptError{Sent, "send", io.EOF}, false},
+		{"body may have been read", &Cancellation{}, Request{Body: body}, notSent, false},
 		{"canceled", canceled, Request{}, notSent, false},
-		{"not an attempt's error", &Cancellation{}, Request{}, io.EOF, false},
+		{"not an AttemptError", &Cancellation{}, Request{}, io.EOF, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := canReconnect(c.cancel, &c.request, c.err); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("canReconnect returned %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-func TestBodyReaderMarksErrors(t *testing.T) {
+func TestBodyReaderWrapsErrors(t *testing.T) {
 	for _, c := range []struct {
 		err    error
 		marked bool
@@ -42,7 +42,7 @@
 		_, err := bodyReader{failingReader{c.err}}.Read(nil)
 		var marked *BodyError
 		if errors.As(err, &marked) != c.marked || !errors.Is(err, c.err) {
-			t.Errorf("%v becomes %v", c.err, err)
+			t.Errorf("bodyReader returned %v for %v; want it wrapped in a BodyError: %v", err, c.err, c.marked)
 		}
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to replicas. It keeps connections for further requests, sends one request over one
-// connection and reads its response. Its errors say how far an attempt came, above all whether the replica can have
-// executed the request. It neither picks replicas nor retries.
+// Package upstream sends requests to replicas over a pool of connections, one request at a time on each connection, and
+// reads their responses. Its errors report the progress of a failed attempt, in particular whether the replica can have
+// executed the request. The package neither picks replicas nor retries requests.
 package upstream
 
 import (
@@ -13,21 +13,21 @@
 
 const (
 	dialTimeout = time.Second
-	// maxFreshIdle is how long a connection may have been idle for a request that must not be executed twice. The
-	// longer it has been, the more likely its replica closes it at this moment, and then it is unknown whether the
-	// request was executed.
+	// maxFreshIdle is the longest time that a connection may have been idle before it is used for a request that must not
+	// be executed twice. The longer a connection was idle, the more likely the replica closes it just as the request is
+	// sent, and then it is unknown whether the request was executed.
 	maxFreshIdle = time.Second
 )
 
 // Config bounds the connections of a Pool.
 type Config struct {
-	MaxConnections int           // to one replica
-	MaxIdle        int           // of them, while no request uses them
-	IdleTimeout    time.Duration // after which an idle connection is closed
+	MaxConnections int           // connections to one replica
+	MaxIdle        int           // idle connections to one replica
+	IdleTimeout    time.Duration // idle connections are closed after this time
 	StallTimeout   time.Duration // for each read of a streamed response
 }
 
-// Pool holds the connections of one sidecar.
+// Pool holds the connections of a sidecar to its replicas.
 type Pool struct {
 	config Config
 	dial   func(ctx context.Context, address string) (net.Conn, error)
@@ -37,21 +37,21 @@
 	closed   bool
 	counters Counters
 	waiting  int           // requests that wait for a connection
-	released chan struct{} // closed when a connection is released while a request waits
+	released chan struct{} // closed when a connection is released or closed while a request waits
 }
 
 // replica holds the connections to one address.
 type replica struct {
 	open int     // in use and idle
-	idle []*conn // the last one was used last
+	idle []*conn // ordered by last use; the last one was used most recently
 }
 
-// Counters are what a Pool has counted, and how many connections it has now.
+// Counters are the cumulative counts of a Pool, and its current numbers of connections (Open, Idle).
 type Counters struct {
 	Dials      int64
 	DialErrors int64
 	Reused     int64
-	Dead       int64 // idle connections that were found closed when a request was to use them
+	Dead       int64 // idle connections that were found unusable when a request was about to use them
 	Open       int64
 	Idle       int64
 }
@@ -69,8 +69,8 @@
 	}
 }
 
-// Do sends a request to an address and waits for the head of the response until a deadline. An error is an
-// AttemptError. The body of the request is read as fast as the replica takes it.
+// Do sends a request to an address and waits for the head of the response until the deadline. An error is an
+// AttemptError. The body of the request is read no faster than the replica accepts it.
 func (p *Pool) Do(cancel *Cancellation, deadline time.Time, address string, r *Request) (*Response, error) {
 	for {
 		c, err := p.acquire(cancel, deadline, address, r.FreshConnection)
@@ -85,8 +85,8 @@
 	}
 }
 
-// canReconnect reports whether a kept connection ended before anything went out, so that another one can be used in the
-// same attempt.
+// canReconnect reports whether an attempt over a reused connection failed before the request was sent, so that the request
+// can be sent over another connection in the same attempt.
 func canReconnect(cancel *Cancellation, r *Request, err error) bool {
 	if err == nil {
 		return false
@@ -98,11 +98,11 @@
 	return r.Body == nil && !cancel.Canceled()
 }
 
-// acquire returns the idle connection that was used last, or a new one. Where a replica has as many as it may, all in
-// use, it waits until one is released: the dispatcher frees a request's capacity a moment before its connection, so the
-// request that takes it has met no failure of the replica.
-func (p *Pool) acquire(cancel *Cancellation, deadline time.Time, address string, fresh bool) (*conn, error) {
-	c, r, err := p.reserve(cancel, deadline, address, fresh)
+// acquire returns the most recently used idle connection, or a new one. If all of a replica's MaxConnections connections
+// are in use, it waits until one is released. That is not a failure of the replica: the dispatcher frees the capacity of a
+// request shortly before the request releases its connection, so the next request may arrive in between.
+func (p *Pool) acquire(cancel *Cancellation, deadline time.Time, address string, requireFresh bool) (*conn, error) {
+	c, r, err := p.reserve(cancel, deadline, address, requireFresh)
 	if c != nil || err != nil {
 		return c, err
 	}
@@ -111,14 +111,14 @@
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.counters.DialErrors++
-		p.forget(address, r)
+		p.decrementOpen(address, r)
 		return nil, err
 	}
 	return newConn(p, address, netConn), nil
 }
 
-// reserve takes an idle connection, or counts a new one to a replica, which is to be dialed.
-func (p *Pool) reserve(cancel *Cancellation, deadline time.Time, address string, fresh bool) (*conn, *replica, error) {
+// reserve takes an idle connection. If there is none, it counts a new connection to the replica, which the caller dials.
+func (p *Pool) reserve(cancel *Cancellation, deadline time.Time, address string, requireFresh bool) (*conn, *replica, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for p.exhausted(address) {
@@ -131,30 +131,30 @@
 		r = &replica{}
 		p.replicas[address] = r
 	}
-	if c := p.takeIdle(r, fresh); c != nil {
+	if c := p.takeIdle(r, requireFresh); c != nil {
 		return c, nil, nil
 	}
-	if r.open >= p.config.MaxConnections && len(r.idle) > 0 { // one that is not fresh enough makes way
+	if r.open >= p.config.MaxConnections && len(r.idle) > 0 { // no idle connection is fresh enough: close the oldest
 		oldest := r.idle[0]
 		r.idle = r.idle[1:]
 		p.closeConn(oldest, r)
 	}
-	if r.open >= p.config.MaxConnections || p.closed { // a closed pool reports it too, as the sidecar ends then
+	if r.open >= p.config.MaxConnections || p.closed { // a closed pool returns the same error, as the sidecar is shutting down
 		return nil, nil, ErrConnectionLimit
 	}
-	p.replicas[address] = r // closing the last of its connections may just have removed it
+	p.replicas[address] = r // closeConn may have removed it with its last connection
 	r.open++
 	p.counters.Dials++
 	return nil, r, nil
 }
 
-// exhausted reports whether a replica has as many connections as it may, all in use. The pool is locked.
+// exhausted reports whether all of the MaxConnections connections to a replica are in use. The pool is locked.
 func (p *Pool) exhausted(address string) bool {
 	r := p.replicas[address]
 	return r != nil && len(r.idle) == 0 && r.open >= p.config.MaxConnections && !p.closed
 }
 
-// awaitRelease waits until any connection is released. The pool is locked, but not while it waits.
+// awaitRelease waits until any connection is released or closed. The pool is locked, but unlocked during the wait.
 func (p *Pool) awaitRelease(cancel *Cancellation, deadline time.Time) error {
 	p.waiting++
 	released := p.released
@@ -174,13 +174,13 @@
 	return err
 }
 
-// takeIdle returns the idle connection of a replica that was used last; nil: there is none. Connections that have ended
-// are closed on the way. The pool is locked.
-func (p *Pool) takeIdle(r *replica, fresh bool) *conn {
+// takeIdle returns the most recently used idle connection to a replica, or nil if there is none or requireFresh is set and
+// it was idle for longer than maxFreshIdle. Connections that are found unusable are closed. The pool is locked.
+func (p *Pool) takeIdle(r *replica, requireFresh bool) *conn {
 	for len(r.idle) > 0 {
 		last := len(r.idle) - 1
 		c := r.idle[last]
-		if fresh && time.Since(c.idleSince) > maxFreshIdle {
+		if requireFresh && time.Since(c.idleSince) > maxFreshIdle {
 			return nil
 		}
 		r.idle = r.idle[:last]
@@ -195,21 +195,22 @@
 	return nil
 }
 
-// connect dials an address. The goroutine that watches for a cancellation ends with it.
+// connect dials an address until the deadline or the cancellation. Its goroutine that watches for the cancellation ends
+// before it returns.
 func (p *Pool) connect(cancel *Cancellation, deadline time.Time, address string) (net.Conn, error) {
-	ctx, stop := context.WithDeadline(context.Background(), deadline)
-	watched := make(chan struct{})
+	ctx, cancelDial := context.WithDeadline(context.Background(), deadline)
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(watched)
+		defer close(watcherDone)
 		select {
 		case <-cancel.Done():
-			stop()
+			cancelDial()
 		case <-ctx.Done():
 		}
 	}()
 	defer func() {
-		stop()
-		<-watched
+		cancelDial()
+		<-watcherDone
 	}()
 	return p.dial(ctx, address)
 }
@@ -222,11 +223,11 @@
 		readers.Put(c.reader)
 		c.reader = nil
 	}
-	p.forget(c.address, r)
+	p.decrementOpen(c.address, r)
 }
 
-// forget takes a connection out of the count. The pool is locked.
-func (p *Pool) forget(address string, r *replica) {
+// decrementOpen removes a connection from the count of a replica. The pool is locked.
+func (p *Pool) decrementOpen(address string, r *replica) {
 	p.wakeWaiting()
 	r.open--
 	if r.open == 0 {
@@ -242,7 +243,7 @@
 	}
 }
 
-// release gives a connection back, and closes it unless it can be kept.
+// release returns a connection to the pool, which closes it unless it is reusable and there is room for an idle one.
 func (p *Pool) release(c *conn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -256,7 +257,7 @@
 	p.wakeWaiting()
 }
 
-// CloseIdle closes connections that were idle for too long, or that their replica has ended.
+// CloseIdle closes connections that were idle for longer than IdleTimeout or are no longer usable.
 func (p *Pool) CloseIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,71 +13,71 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// A replica may have one connection, and it is in use: the next request waits for it, within its deadline, and takes
-// it as it is released. That is no failure of the replica.
+// The only connection allowed to a replica is in use. The next request waits for it within its deadline and takes it when
+// it is released, which is not a failure of the replica.
 func TestRequestWaitsForAConnectionInUse(t *testing.T) {
-	at := scriptedpeer.Listen(t)
+	listener := scriptedpeer.Listen(t)
 	go func() {
-		replica := at.AcceptConn()
+		replica := listener.AcceptConn()
 		for range 2 {
 			replica.ReadRequestHead()
 			replica.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	}()
-	p := NewPool(Config{MaxConnections: 1, MaxIdle: 1, IdleTimeout: time.Minute, StallTimeout: time.Minute})
-	defer p.Close()
-	do := func(l *Cancellation, until time.Time) (*Response, error) {
-		return p.Do(l, until, at.Address(), &Request{Method: "GET", Target: "/", Host: "x"})
+	pool := NewPool(Config{MaxConnections: 1, MaxIdle: 1, IdleTimeout: time.Minute, StallTimeout: time.Minute})
+	defer pool.Close()
+	do := func(cancellation *Cancellation, deadline time.Time) (*Response, error) {
+		return pool.Do(cancellation, deadline, listener.Address(), &Request{Method: "GET", Target: "/", Host: "x"})
 	}
-	waiting := func(n int) {
-		scriptedpeer.WaitFor(t, "nobody waits for a connection", func() bool {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			return p.waiting == n
+	waitForWaitingRequests := func(n int) {
+		scriptedpeer.WaitFor(t, "number of requests that wait for a connection is not the expected one", func() bool {
+			pool.mu.Lock()
+			defer pool.mu.Unlock()
+			return pool.waiting == n
 		})
 	}
-	far := time.Now().Add(scriptedpeer.WaitTimeout)
-	first, err := do(&Cancellation{}, far)
+	distantDeadline := time.Now().Add(scriptedpeer.WaitTimeout)
+	first, err := do(&Cancellation{}, distantDeadline)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var attempt *AttemptError
 	if _, err := do(&Cancellation{}, time.Now().Add(time.Millisecond)); !errors.Is(err, ErrConnectionLimit) || !errors.As(err, &attempt) || attempt.Progress != NotSent {
-		t.Errorf("after its deadline: %v", err)
+		t.Errorf("request that waits beyond its deadline: %v, want an AttemptError with progress NotSent and %v", err, ErrConnectionLimit)
 	}
 	cancel, canceled := &Cancellation{}, make(chan error)
-	go func() { _, err := do(cancel, far); canceled <- err }()
-	waiting(1)
+	go func() { _, err := do(cancel, distantDeadline); canceled <- err }()
+	waitForWaitingRequests(1)
 	cancel.Cancel()
 	if err := <-canceled; !errors.Is(err, ErrCanceled) {
-		t.Errorf("canceled: %v", err)
+		t.Errorf("waiting request that is canceled: %v, want %v", err, ErrCanceled)
 	}
-	waiting(0)
+	waitForWaitingRequests(0)
 	second := make(chan error)
 	go func() {
-		a, err := do(&Cancellation{}, far)
+		response, err := do(&Cancellation{}, distantDeadline)
 		if err == nil {
-			io.Copy(io.Discard, a)
-			a.Close()
+			io.Copy(io.Discard, response)
+			response.Close()
 		}
 		second <- err
 	}()
-	waiting(1)
+	waitForWaitingRequests(1)
 	io.Copy(io.Discard, first)
 	first.Close()
 	if err := <-second; err != nil {
-		t.Errorf("as the connection is released: %v", err)
+		t.Errorf("waiting request after the connection is released: %v", err)
 	}
-	if f := p.Counters(); f.Dials != 1 || f.Open != 1 || f.Idle != 1 {
-		t.Errorf("%+v", f)
+	if counters := pool.Counters(); counters.Dials != 1 || counters.Open != 1 || counters.Idle != 1 {
+		t.Errorf("counters %+v, want one dial, and one connection that is open and idle", counters)
 	}
 }
 
-// Idle connections are closed as requests take them: one that is taken is not closed, one that is closed is not
-// taken, and no request fails because of it.
-func TestIdleConnectionsAreClosedAsTheyAreTaken(t *testing.T) {
-	at := scriptedpeer.Listen(t)
-	at.Serve(func(conn net.Conn) {
+// Idle connections are closed while requests concurrently take connections. A connection that was taken must not be closed,
+// one that was closed must not be taken, and no request may fail because of a close.
+func TestCloseIdleConcurrentWithRequests(t *testing.T) {
+	listener := scriptedpeer.Listen(t)
+	listener.Serve(func(conn net.Conn) {
 		for r := bufio.NewReader(conn); ; {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
@@ -85,40 +85,40 @@
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
 	})
-	p := NewPool(Config{MaxConnections: 4, MaxIdle: 4, IdleTimeout: time.Minute, StallTimeout: time.Minute})
-	defer p.Close()
-	end, closed := make(chan struct{}), make(chan struct{})
+	pool := NewPool(Config{MaxConnections: 4, MaxIdle: 4, IdleTimeout: time.Minute, StallTimeout: time.Minute})
+	defer pool.Close()
+	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(closed)
+		defer close(stopped)
 		for {
 			select {
-			case <-end:
+			case <-stop:
 				return
 			default:
-				p.CloseIdle(time.Now().Add(time.Hour)) // each idle one is over its timeout
+				pool.CloseIdle(time.Now().Add(time.Hour)) // all idle connections have exceeded their timeout
 			}
 		}
 	}()
-	var all sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		clients.Go(func() {
 			for range 50 {
-				a, err := p.Do(&Cancellation{}, time.Now().Add(scriptedpeer.WaitTimeout), at.Address(), &Request{Method: "POST", Target: "/", Host: "x", FreshConnection: true})
+				response, err := pool.Do(&Cancellation{}, time.Now().Add(scriptedpeer.WaitTimeout), listener.Address(), &Request{Method: "POST", Target: "/", Host: "x", FreshConnection: true})
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				if text, err := io.ReadAll(a); string(text) != "ok" || err != nil {
-					t.Errorf("%q, %v", text, err)
+				if text, err := io.ReadAll(response); string(text) != "ok" || err != nil {
+					t.Errorf("response body %q, error %v, want \"ok\"", text, err)
 				}
-				a.Close()
+				response.Close()
 			}
 		})
 	}
-	all.Wait()
-	close(end)
-	<-closed
-	if f := p.Counters(); f.Open != f.Idle {
-		t.Errorf("%+v", f)
+	clients.Wait()
+	close(stop)
+	<-stopped
+	if counters := pool.Counters(); counters.Open != counters.Idle {
+		t.Errorf("counters %+v, want all open connections idle", counters)
 	}
 }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,7 +10,7 @@
 	"strconv"
 )
 
-// Request is what is sent to a replica.
+// Request is a request as it is sent to a replica.
 type Request struct {
 	Method string
 	Target string
@@ -18,25 +18,25 @@
 	Header http.Header // without hop-by-hop fields
 	Body   io.Reader   // nil: none
 	Length int64       // of the body; -1: unknown
-	// StopBody makes a read of Body that waits return, and later ones fail with ErrBodyStopped; nil: reads never wait.
+	// StopBody makes a waiting read of Body return, and all further reads fail with ErrBodyStopped; nil: reads never wait.
 	StopBody func()
 	// Trailer is called after the end of Body; nil: there is no trailer.
 	Trailer func() http.Header
-	// FreshConnection refuses connections that have been idle for longer than maxFreshIdle.
+	// FreshConnection excludes connections that have been idle for longer than maxFreshIdle.
 	FreshConnection bool
-	// Informational gets the informational responses; nil: nobody does.
+	// Informational receives the informational responses other than 100 Continue; nil: they are discarded.
 	Informational InformationalWriter
 }
 
-// InformationalWriter is told of informational responses (status 1xx).
+// InformationalWriter receives informational responses (status 1xx).
 type InformationalWriter interface {
 	WriteInformational(status int, header http.Header)
 }
 
-// bodyReader marks errors of a request's body, to tell them from those of the replica's connection.
+// bodyReader marks read errors of a request body, to distinguish them from errors of the connection to the replica.
 type bodyReader struct{ io.Reader }
 
-// Read wraps errors other than the body's end and its stop in a BodyError.
+// Read reads from the body. It wraps errors in a BodyError, except io.EOF and ErrBodyStopped.
 func (r bodyReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, ErrBodyStopped) {
@@ -64,7 +64,7 @@
 	return n + writeStrings(w, "\r\n")
 }
 
-// writeStrings writes strings one after the other and returns their length. Errors show up at the next Flush.
+// writeStrings writes strings one after the other and returns their total length. The next Flush returns any error.
 func writeStrings(w *bufio.Writer, parts ...string) int {
 	n := 0
 	for _, part := range parts {
@@ -74,7 +74,7 @@
 	return n
 }
 
-// sendBody sends a body that does not fit into the writer's buffer, and puts the writer back.
+// sendBody sends a body that does not fit into the writer's buffer, and returns the writer to its pool.
 func sendBody(w *bufio.Writer, r *Request) error {
 	defer putWriter(w)
 	if r.Length < 0 {
@@ -82,7 +82,7 @@
 	}
 	n, err := io.CopyN(w, bodyReader{r.Body}, r.Length)
 	if err != nil {
-		return fmt.Errorf("after %d of %d bytes: %w", n, r.Length, err)
+		return fmt.Errorf("sending the body failed after %d of %d bytes: %w", n, r.Length, err)
 	}
 	return w.Flush()
 }
@@ -105,10 +105,10 @@
 	return w.Flush()
 }
 
-// flushWriter flushes after each write: whoever streams a body may wait for the response to its first part.
+// flushWriter flushes after each write, because a client that streams a body may wait for the response to its first part.
 type flushWriter struct{ w *bufio.Writer }
 
-// Write writes and flushes.
+// Write writes p and flushes the writer.
 func (f flushWriter) Write(p []byte) (int, error) {
 	n, err := f.w.Write(p)
 	if err == nil {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// Response is a response whose head has come. Its owner must call Close, which keeps the connection if the response
-// was read to its end and all of the request was sent. It must not be used after Close.
+// Response is a response whose head was received. The caller must call Close, which keeps the connection for further
+// requests if the response was read to its end without further bytes behind it, all of the request was sent, the replica
+// keeps the connection open and the request was not canceled. A Response must not be used after Close.
 type Response struct {
 	*http.Response
 	conn     *conn
 	cancel   *Cancellation
-	bodySent <-chan error // the result of sending the request's body; nil: it went out with the head
-	complete bool         // read to its end
-	streamed bool
+	bodySent <-chan error // the result of sending the request body; nil: it was sent with the head
+	complete bool         // the body was read to its end
+	streamed bool         // StreamBody was called
 }
 
-// StreamBody lets the body outlive the deadline of the attempt: from now on each read has the pool's stall timeout.
+// StreamBody replaces the deadline of the attempt for all further reads: each has the pool's stall timeout instead.
 func (r *Response) StreamBody() { r.streamed = true }
 
 // Read reads the body of the response.
 func (r *Response) Read(p []byte) (int, error) {
 	if r.streamed {
-		r.cancel.allowRead(r.conn.pool.config.StallTimeout)
+		r.cancel.setReadTimeout(r.conn.pool.config.StallTimeout)
 	}
 	n, err := r.Response.Body.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -37,7 +38,7 @@
 	return n, nil
 }
 
-// Close ends the attempt.
+// Close ends the attempt and releases the connection.
 func (r *Response) Close() {
 	c := r.conn
 	sent := r.finishSending()
@@ -51,7 +52,7 @@
 	c.pool.release(c, reusable)
 }
 
-// finishSending reports whether all of the request was sent. If it is still being sent, the replica has answered
+// finishSending reports whether all of the request was sent. If its body is still being sent, the replica has responded
 // without reading all of it, and the connection is closed.
 func (r *Response) finishSending() bool {
 	if r.bodySent == nil {
