--- a/internal/ingress/http2_conn.go
+++ b/internal/ingress/http2_conn.go
@@ -137,7 +137,7 @@
 	c.conn.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// write calls a function that writes frames, and flushes them. If that fails, a part of a frame may have been sent and no
+// write calls a function that writes frames, and flushes them. If the flush fails, a part of a frame may have been sent and no
 // further frame can follow, so the connection is closed: otherwise further requests on it would be executed, but their
 // responses could not be sent.
 func (c *http2Conn) write(frames func() error) error {
@@ -233,7 +233,7 @@
 	switch {
 	case clientError:
 		c.server.Counters.BadRequests.Add(1)
-		c.server.log.Debug("HTTP/2 connection closed after a client error", "from", c.conn.RemoteAddr(), "error", err)
+		c.server.log.Debug("closing HTTP/2 connection after a client error", "from", c.conn.RemoteAddr(), "error", err)
 		c.connWriter.setOverallTimeout(goAwayTimeout)
 	case errors.Is(err, os.ErrDeadlineExceeded) && !lingering: // idle for too long, which is not a client error
 		c.connWriter.setOverallTimeout(drainPause)
@@ -244,7 +244,7 @@
 }
 
 // clientErrorCode returns the HTTP/2 error code for an error that the client has made; clientError is false if the
-// connection ended for another reason.
+// connection ended for another reason. It counts floods of control frames.
 func (c *http2Conn) clientErrorCode(err error) (code http2.ErrCode, clientError bool) {
 	var connError http2.ConnectionError
 	switch {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -164,7 +164,7 @@
 
 // readResponse waits for the head of the final response, and forwards informational responses other than 100 Continue.
 func (c *conn) readResponse(cancel *Cancellation, r *Request, bodySent <-chan error) (*Response, error) {
-	const stage = "response head"
+	const stage = "read response head"
 	c.readLimit = maxHead
 	c.httpRequest.Method = r.Method
 	for range maxInformational {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -33,7 +33,7 @@
 		return n, err
 	}
 	if err != nil {
-		return n, &AttemptError{ResponseStarted, "response body", err}
+		return n, &AttemptError{ResponseStarted, "read response body", err}
 	}
 	return n, nil
 }
