--- a/internal/ingress/http2_conn.go
+++ b/internal/ingress/http2_conn.go
@@ -137,8 +137,8 @@
 	c.conn.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// write calls a function that writes frames, and flushes them. If the flush fails, a part of a frame may have been sent and no
-// further frame can follow, so the connection is closed: otherwise further requests on it would be executed, but their
+// write calls a function that writes frames, and flushes them. If the flush fails, a part of a frame may have been sent and
+// no further frame can follow, so the connection is closed: otherwise further requests on it would be executed, but their
 // responses could not be sent.
 func (c *http2Conn) write(frames func() error) error {
 	c.writeMu.Lock()
