--- a/cmd/experiment/seeds.go
+++ b/cmd/experiment/seeds.go
@@ -105,11 +105,11 @@
 	for _, fault := range result.Script {
 		fmt.Println(" ", fault)
 	}
-	for _, breach := range result.Breaches {
+	for _, breach := range result.Violations {
 		fmt.Println("  broken:", breach)
 	}
-	fmt.Printf("seed %d, %d faults, %d broken, trace digest %016x\n", result.Seed, len(result.Script), len(result.Breaches), result.Digest)
-	if len(result.Breaches) > 0 {
+	fmt.Printf("seed %d, %d faults, %d broken, trace digest %016x\n", result.Seed, len(result.Script), len(result.Violations), result.Digest)
+	if len(result.Violations) > 0 {
 		return errBroken
 	}
 	return nil
@@ -127,10 +127,10 @@
 	start := time.Now()
 	profile.Run(cmd.Int64("first"), count, cmd.Int("workers"), func(result seeds.Result) {
 		digest.Write(binary.BigEndian.AppendUint64(nil, result.Digest))
-		if len(result.Breaches) > 0 {
+		if len(result.Violations) > 0 {
 			broken++
 			if broken <= maxPrintedSeeds {
-				fmt.Printf("seed %d: %v\n", result.Seed, result.Breaches[0])
+				fmt.Printf("seed %d: %v\n", result.Seed, result.Violations[0])
 			}
 		}
 		finished++
@@ -153,7 +153,7 @@
 	}
 	file := cmd.String("trace")
 	if file == "" {
-		return printResult(profile.Play(seed, profile.Draw(seed), nil))
+		return printResult(profile.Play(seed, profile.RandomFaults(seed), nil))
 	}
 	trace, err := os.Create(file)
 	if err != nil {
@@ -162,7 +162,7 @@
 	defer trace.Close()
 	buffered := bufio.NewWriter(trace)
 	defer buffered.Flush()
-	return printResult(profile.Play(seed, profile.Draw(seed), func(line string) { fmt.Fprintln(buffered, line) }))
+	return printResult(profile.Play(seed, profile.RandomFaults(seed), func(line string) { fmt.Fprintln(buffered, line) }))
 }
 
 func (c *seedCommands) printScript(_ context.Context, cmd *cli.Command) error {
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Print(seeds.Script{Profile: c.profile, Seed: seed, Faults: profile.Draw(seed)})
+	fmt.Print(seeds.Script{Profile: c.profile, Seed: seed, Faults: profile.RandomFaults(seed)})
 	return nil
 }
 
@@ -195,5 +195,5 @@
 	if err != nil {
 		return err
 	}
-	return printResult(profile.Shrink(profile.Play(seed, profile.Draw(seed), nil)))
+	return printResult(profile.Shrink(profile.Play(seed, profile.RandomFaults(seed), nil)))
 }
--- a/experiment/seeds/script.go
+++ b/experiment/seeds/script.go
@@ -12,20 +12,20 @@
 	"lilacbend/internal/strictyaml"
 )
 
-// Script is what a file tells to play: faults of its own, at a profile's size, with a seed's chance.
+// Script is the content of a script file: faults, the profile whose installation they affect, and the seed of the run.
 type Script struct {
 	Profile string
 	Seed    int64
 	Faults  []emulator.Fault
 }
 
-// ReadScript reads a script. The error names file, line and key of all that is wrong.
+// ReadScript parses a script file. The error names the file, line and key of each invalid value.
 func ReadScript(file string, raw []byte) (Script, error) {
 	f, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
 		return Script{}, err
 	}
-	s, seed := Script{Profile: "rules"}, 1
+	script, seed := Script{Profile: "rules"}, 1
 	profiles, kinds := map[string]string{}, map[string]string{}
 	for name := range Profiles {
 		profiles[name] = name
@@ -33,31 +33,31 @@
 	for _, kind := range slices.Concat(emulator.FaultKinds, emulator.CorrelatedFaultKinds) {
 		kinds[kind] = kind
 	}
-	strictyaml.Choice(top, "profile", &s.Profile, profiles)
+	strictyaml.Choice(top, "profile", &script.Profile, profiles)
 	top.Whole("seed", &seed, 0, math.MaxInt32)
-	for _, one := range top.Sections("faults") {
-		var at, span time.Duration
+	for _, section := range top.Sections("faults") {
+		var start, duration time.Duration
 		var fault emulator.Fault
-		if !one.Has("kind") {
-			one.Fault("", "lacks kind: one of %s", strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+		if !section.Has("kind") {
+			section.Fault("", "lacks kind: one of %s", strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 		}
-		strictyaml.Choice(one, "kind", &fault.Kind, kinds)
-		one.Duration("at", &at, 0, time.Hour)
-		one.Duration("span", &span, 0, time.Hour)
-		one.Whole("who", &fault.Target, 0, math.MaxInt32)
-		if zones := len(Profiles[s.Profile].Site().Names.Zones); (fault.Kind == "cut" || fault.Kind == "zone") && fault.Target >= zones {
-			one.Fault("who", "is zone %d of %d", fault.Target, zones)
+		strictyaml.Choice(section, "kind", &fault.Kind, kinds)
+		section.Duration("at", &start, 0, time.Hour)
+		section.Duration("span", &duration, 0, time.Hour)
+		section.Whole("who", &fault.Target, 0, math.MaxInt32)
+		if zones := len(Profiles[script.Profile].Site().Names.Zones); (fault.Kind == "cut" || fault.Kind == "zone") && fault.Target >= zones {
+			section.Fault("who", "must be below the number of zones: zone %d of %d", fault.Target, zones)
 		}
-		one.Done()
-		fault.Start, fault.Duration = at.Nanoseconds(), span.Nanoseconds()
-		s.Faults = append(s.Faults, fault)
+		section.Done()
+		fault.Start, fault.Duration = start.Nanoseconds(), duration.Nanoseconds()
+		script.Faults = append(script.Faults, fault)
 	}
 	top.Done()
-	s.Seed = int64(seed)
-	return s, f.Err()
+	script.Seed = int64(seed)
+	return script, f.Err()
 }
 
-// String writes a script as ReadScript reads it, to the nanosecond.
+// String returns the script in the format that ReadScript parses, with times in nanosecond precision.
 func (s Script) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "profile: %s\nseed: %d\nfaults:\n", s.Profile, s.Seed)
--- a/experiment/seeds/script_test.go
+++ b/experiment/seeds/script_test.go
@@ -5,21 +5,21 @@
 	"testing"
 )
 
-// What a seed draws, written and read again, is the same run.
-func TestAScriptIsReadAsItIsWritten(t *testing.T) {
+// A random script that is written to a file and read again must give the same run.
+func TestScriptRoundTrip(t *testing.T) {
 	p := Profiles["smoke"]
-	drawn := p.Draw(7)
-	written := Script{"smoke", 7, drawn}.String()
-	s, err := ReadScript("7.yaml", []byte(written))
+	faults := p.RandomFaults(7)
+	written := Script{"smoke", 7, faults}.String()
+	read, err := ReadScript("7.yaml", []byte(written))
 	if err != nil {
-		t.Fatalf("%v in\n%s", err, written)
+		t.Fatalf("%v in script\n%s", err, written)
 	}
-	if a, b := p.Play(7, drawn, nil), Profiles[s.Profile].Play(s.Seed, s.Faults, nil); a.Digest != b.Digest {
-		t.Errorf("%016x as drawn, %016x as read", a.Digest, b.Digest)
+	if drawn, replayed := p.Play(7, faults, nil), Profiles[read.Profile].Play(read.Seed, read.Faults, nil); drawn.Digest != replayed.Digest {
+		t.Errorf("digest %016x of the random script, %016x of the one read from the file", drawn.Digest, replayed.Digest)
 	}
 }
 
-func TestAFaultOfAScriptNamesFileLineAndKey(t *testing.T) {
+func TestScriptErrorsNameFileLineAndKey(t *testing.T) {
 	for raw, want := range map[string]string{
 		"profile: smok\n": "smoke",
 		"profile: smoke\nfaults:\n  - kind: silnt\n":                   "s.yaml:3",
@@ -31,7 +31,7 @@
 		"profile: smoke\nfaults:\n  - kind: silent\n    span: a day\n": "span",
 	} {
 		if _, err := ReadScript("s.yaml", []byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q named", raw, err, want)
+			t.Errorf("%q: error %v, want one that contains %q", raw, err, want)
 		}
 	}
 }
--- a/experiment/seeds/seeds.go
+++ b/experiment/seeds/seeds.go
@@ -1,6 +1,6 @@
-// Package seeds simulates scripts of faults that are drawn from seeds, in virtual time, with the rules checked after each step.
-// The same seed gives the same run, step by step, on any machine: one event happens at a time, and the wall clock is not read.
-// All results are simulated.
+// Package seeds simulates scripts of random faults, generated from seeds, in virtual time, and checks the rules after each
+// step. The same seed gives the same run, step by step, on any machine, as events are processed one at a time and the wall
+// clock is not read. All results are simulated.
 package seeds
 
 import (
@@ -17,41 +17,43 @@
 
 const (
 	second = int64(1e9)
-	// Faults begin between faultsFrom and faultsUntil, and end some ten seconds later at most. Service has recoveryTime from
-	// faultsUntil on to recover.
+	// Faults start between faultsFrom and faultsUntil, and end about ten seconds later at most. The service must have
+	// recovered recoveryTime after faultsUntil.
 	faultsFrom   = 8 * second
 	faultsUntil  = 24 * second
 	recoveryTime = 40 * second
-	// finalWindow is the end of the run, in which minGood of the requests must be answered within their latency budget.
-	finalWindow = 5 * second
-	minGood     = 0.97
-	// settleTime is how long the last requests may take.
+	// finalWindow is the last part of the recovery time. Of the requests in it, minGoodFraction must be answered within
+	// their latency budget.
+	finalWindow     = 5 * second
+	minGoodFraction = 0.97
+	// settleTime is the time after finalWindow in which its last requests can finish.
 	settleTime = 4 * second
 )
 
-// Profile is the size of an installation, and which faults are drawn.
+// Profile is the installation that is simulated, and the kinds of faults that affect it.
 type Profile struct {
 	Site  func() emulator.Site
-	Kinds []string // empty: all
-	// Crowds are kinds of faults of many replicas at once, one in each script.
-	Crowds []string
-	// RulesOnly is set if more requests arrive than can be served, so that service need not recover.
+	Kinds []string // of random faults; empty: all
+	// CorrelatedKinds are kinds of faults that affect many replicas at once. Each random script has one of them; empty: none.
+	CorrelatedKinds []string
+	// RulesOnly is set if more requests arrive than can be served, so that the service need not recover.
 	RulesOnly bool
-	// WrapModule replaces the decision module, to show that the checks can fail; nil: unchanged.
+	// WrapModule replaces the decision module in tests that show that the checks can fail; nil: unchanged.
 	WrapModule func(controller.Module) controller.Module
 }
 
-// Profiles by name.
+// Profiles are the profiles by name.
 var Profiles = map[string]Profile{
 	"smoke":    {Site: func() emulator.Site { return emulator.NewSite(8, 10, 0.3) }},
 	"rules":    {Site: func() emulator.Site { return emulator.NewSite(12, 24, 0.4) }},
 	"restart":  {Site: func() emulator.Site { return emulator.NewSite(12, 24, 0.4) }, Kinds: []string{"governor", "governor-kept", "restart", "silent", "stream"}},
 	"zones":    {Site: func() emulator.Site { return emulator.NewSite(12, 24, 0.3) }, Kinds: []string{"cut", "restart", "governor", "stall"}},
-	"overload": {Site: overload, Kinds: []string{"silent", "failing", "replace"}, Crowds: []string{"release"}, RulesOnly: true},
-	"fleet":    {Site: fleet, Kinds: []string{"governor", "cut", "silent", "failing", "replace"}, Crowds: emulator.CorrelatedFaultKinds},
+	"overload": {Site: overload, Kinds: []string{"silent", "failing", "replace"}, CorrelatedKinds: []string{"release"}, RulesOnly: true},
+	"fleet":    {Site: fleet, Kinds: []string{"governor", "cut", "silent", "failing", "replace"}, CorrelatedKinds: emulator.CorrelatedFaultKinds},
 }
 
-// fleet is five independent controllers whose intake is too narrow for all reports, which add up for seconds.
+// fleet returns an installation with five independent controllers, whose limit of reports is so low that reports queue up
+// for seconds.
 func fleet() emulator.Site {
 	s := emulator.NewSite(60, 150, 0.5)
 	s.Settings.Controllers = 5
@@ -60,8 +62,8 @@
 	return s
 }
 
-// overload is a fleet with as many requests as it can serve without faults, limited queues, proxies that avoid failing replicas,
-// clients that send failed requests again, and controllers with proxies of one zone each.
+// overload returns an installation with as many requests as it can serve without faults, limited queues, proxies that avoid
+// failing replicas, clients that retry failed requests, and controllers that each serve the proxies of one zone.
 func overload() emulator.Site {
 	s := emulator.NewSite(60, 150, 1)
 	s.Names.Zones = []string{"a", "b", "c"}
@@ -78,25 +80,25 @@
 
 // Result is the result of one run.
 type Result struct {
-	Seed     int64
-	Script   []emulator.Fault
-	Breaches []emulator.Violation
-	Digest   uint64 // of all messages and breaches, with their times
+	Seed       int64
+	Script     []emulator.Fault
+	Violations []emulator.Violation
+	Digest     uint64 // of all messages and violations, with their times
 }
 
-// Draw returns the script of a seed.
-func (p Profile) Draw(seed int64) []emulator.Fault {
+// RandomFaults returns the random script of a seed.
+func (p Profile) RandomFaults(seed int64) []emulator.Fault {
 	script := emulator.RandomFaults(p.Site(), seed, faultsFrom, faultsUntil, emulator.FaultKinds)
 	if len(p.Kinds) > 0 {
 		script = slices.DeleteFunc(script, func(f emulator.Fault) bool { return !slices.Contains(p.Kinds, f.Kind) })
 	}
-	if len(p.Crowds) > 0 {
-		script = append(script, emulator.RandomFaults(p.Site(), seed, faultsFrom, faultsUntil, p.Crowds)[0])
+	if len(p.CorrelatedKinds) > 0 {
+		script = append(script, emulator.RandomFaults(p.Site(), seed, faultsFrom, faultsUntil, p.CorrelatedKinds)[0])
 	}
 	return script
 }
 
-// Play simulates a script. A trace that is not nil receives each step.
+// Play simulates a script. If trace is not nil, it is called with the text of each step.
 func (p Profile) Play(seed int64, script []emulator.Fault, trace func(text string)) Result {
 	simulation := emulator.New(p.Site(), seed)
 	simulation.WrapModule = p.WrapModule
@@ -115,19 +117,20 @@
 	end := faultsUntil + recoveryTime
 	outcome := simulation.CountOutcomes(end-finalWindow, end)
 	simulation.Run(end + settleTime)
-	good := 1 - outcome.BadFraction()
-	if !p.RulesOnly && outcome.Arrived > 0 && good < minGood {
-		what := fmt.Sprintf("service %.3f of the last flows: %s", good, outcome)
-		simulation.Violations = append(simulation.Violations, emulator.Violation{Time: simulation.Now(), Description: what})
+	goodFraction := 1 - outcome.BadFraction()
+	if !p.RulesOnly && outcome.Arrived > 0 && goodFraction < minGoodFraction {
+		description := fmt.Sprintf("good fraction %.3f of the last requests: %s", goodFraction, outcome)
+		simulation.Violations = append(simulation.Violations, emulator.Violation{Time: simulation.Now(), Description: description})
 	}
-	for _, b := range simulation.Violations {
-		digest.WriteString(b.String())
+	for _, violation := range simulation.Violations {
+		digest.WriteString(violation.String())
 	}
 	digest.Write(binary.BigEndian.AppendUint64(nil, uint64(outcome.Good)))
-	return Result{Seed: seed, Script: script, Breaches: simulation.Violations, Digest: digest.Sum64()}
+	return Result{Seed: seed, Script: script, Violations: simulation.Violations, Digest: digest.Sum64()}
 }
 
-// Run simulates count seeds from first on, workers at once, and passes the results to handle in the order of the seeds.
+// Run simulates count consecutive seeds from first on, at most workers at once. It calls handle with the results in seed
+// order.
 func (p Profile) Run(first int64, count, workers int, handle func(Result)) {
 	results := make([]chan Result, count)
 	for k := range results {
@@ -141,7 +144,7 @@
 			runs.Go(func() {
 				defer func() { <-slots }()
 				seed := first + int64(k)
-				results[k] <- p.Play(seed, p.Draw(seed), nil)
+				results[k] <- p.Play(seed, p.RandomFaults(seed), nil)
 			})
 		}
 	})
@@ -151,21 +154,22 @@
 	runs.Wait()
 }
 
-// Shrink removes faults from a script, and shortens the others, for as long as the same rule is broken.
+// Shrink removes faults from the script of a result, and shortens the others, as long as the script still violates the
+// same rule.
 func (p Profile) Shrink(r Result) Result {
-	if len(r.Breaches) == 0 {
+	if len(r.Violations) == 0 {
 		return r
 	}
-	rule := r.Breaches[0].Rule
-	breaks := func(script []emulator.Fault) (Result, bool) {
+	rule := r.Violations[0].Rule
+	breaksRule := func(script []emulator.Fault) (Result, bool) {
 		next := p.Play(r.Seed, script, nil)
-		return next, slices.ContainsFunc(next.Breaches, func(b emulator.Violation) bool { return b.Rule == rule })
+		return next, slices.ContainsFunc(next.Violations, func(violation emulator.Violation) bool { return violation.Rule == rule })
 	}
-	for again := true; again; {
-		again = false
+	for removed := true; removed; {
+		removed = false
 		for k := range r.Script {
-			if next, still := breaks(slices.Delete(slices.Clone(r.Script), k, k+1)); still {
-				r, again = next, true
+			if next, broken := breaksRule(slices.Delete(slices.Clone(r.Script), k, k+1)); broken {
+				r, removed = next, true
 				break
 			}
 		}
@@ -174,8 +178,8 @@
 		for r.Script[k].Duration > second/10 {
 			script := slices.Clone(r.Script)
 			script[k].Duration /= 2
-			next, still := breaks(script)
-			if !still {
+			next, broken := breaksRule(script)
+			if !broken {
 				break
 			}
 			r = next
