--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -40,7 +40,7 @@
 		return &cli.DurationFlag{Name: name, Usage: usage, Value: value, Destination: destination}
 	}
 	flags := []cli.Flag{
-		count("governors", "hollow ones", 100, &p.Governors),
+		count("governors", "hollow ones", 100, &p.Controllers),
 		count("services", "0: in proportion to 290 for 1,600 governors", 0, &p.Services),
 		count("replicas", "0: in proportion to 9,500", 0, &p.Replicas),
 		count("routes", "of all services; 0: in proportion to 14,000", 0, &p.Routes),
@@ -50,20 +50,20 @@
 		count("servers", "of configuration", 8, &p.Servers),
 		count("proxies", "of each hollow governor", 2, &p.Proxies),
 		count("skew", "times the size of the others that the first service has; 0: the same", 0, &p.Skew),
-		count("host-size", "hollow governors of one process, at most", 400, &p.HostSize),
+		count("host-size", "hollow governors of one process, at most", 400, &p.ControllersPerHost),
 		&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &p.Seed},
-		span("phase", "how long each fault lasts", time.Minute, &p.Phase),
+		span("phase", "how long each fault lasts", time.Minute, &p.PhaseDuration),
 		&cli.StringSliceFlag{Name: "fault", Usage: "played one after the other", Value: names, Destination: &names},
-		perDay("factor", "by which a day is compressed", 60, &p.Factor),
-		perDay("changes", "of configuration, a day; below 0: in proportion to 8,400", -1, &p.Changes),
-		perDay("failures", "of machines, a day; below 0: in proportion to 39", -1, &p.Failures),
-		perDay("restarts", "of machines, a day; below 0: in proportion to 1,200", -1, &p.Restarts),
-		perDay("invalid", "share of changes that are not valid", 0.05, &p.Invalid),
-		count("at-once", "changes in a burst", 100, &p.AtOnce),
-		count("crowd", "restarts within a minute; 0: in proportion to 1,200", 0, &p.Crowd),
-		span("repair", "until what failed is replaced", 5*time.Second, &p.Repair),
-		span("bound", "in which a change has to be in force at all that are reachable", 18*time.Second, &p.InForce),
-		span("silence", "without a sign of life, at most", 5*time.Second, &p.Silence),
+		perDay("factor", "by which a day is compressed", 60, &p.TimeCompression),
+		perDay("changes", "of configuration, a day; below 0: in proportion to 8,400", -1, &p.ChangesPerDay),
+		perDay("failures", "of machines, a day; below 0: in proportion to 39", -1, &p.FailuresPerDay),
+		perDay("restarts", "of machines, a day; below 0: in proportion to 1,200", -1, &p.RestartsPerDay),
+		perDay("invalid", "share of changes that are not valid", 0.05, &p.InvalidFraction),
+		count("at-once", "changes in a burst", 100, &p.BurstChanges),
+		count("crowd", "restarts within a minute; 0: in proportion to 1,200", 0, &p.BurstRestarts),
+		span("repair", "until what failed is replaced", 5*time.Second, &p.RepairTime),
+		span("bound", "in which a change has to be in force at all that are reachable", 18*time.Second, &p.MaxPropagationDelay),
+		span("silence", "without a sign of life, at most", 5*time.Second, &p.HeartbeatTimeout),
 		&cli.BoolFlag{Name: "real", Usage: "run real governors, collectors and sidecars of one service beside the hollow ones", Value: true, Destination: &withReal},
 		&cli.StringFlag{Name: "program", Usage: "the product's program, for real processes", Value: programBeside(), Destination: &program},
 		&cli.StringFlag{Name: "out", Usage: "file for the report as JSON", Destination: &out},
@@ -82,7 +82,7 @@
 		slopesCommand(),
 		{Name: hostCommand, Hidden: true, Action: func(ctx context.Context, _ *cli.Command) error {
 			signal.Ignore(syscall.SIGINT) // the run ends it by closing its input
-			return scale.Host(ctx, os.Stdin, os.Stdout, scale.Watch)
+			return scale.Host(ctx, os.Stdin, os.Stdout, scale.NewWatchSource)
 		}},
 	}
 }
@@ -109,10 +109,10 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	options := scale.Options{Launch: scale.LaunchChild(hostCommand), Serve: scale.ServeAs(program, io.Discard), Dir: dir,
+	options := scale.Options{Launch: scale.LaunchProcess(hostCommand), Serve: scale.ServeProcesses(program, io.Discard), Dir: dir,
 		Log: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "lab: "+format+"\n", args...) }}
 	if withReal {
-		options.Real = newRealService(program, dir)
+		options.RealService = newRealService(program, dir)
 	}
 	r, err := scale.Run(ctx, p, options)
 	if err != nil {
--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -68,8 +68,8 @@
 // ActiveSince counts the governors at which a configuration has gone in force since a time.
 func (r *realService) ActiveSince(at time.Time) int { return r.log.since(at) }
 
-// Governors is how many there are.
-func (r *realService) Governors() int { return realGovernors }
+// Controllers is how many there are.
+func (r *realService) Controllers() int { return realGovernors }
 
 // load sends requests until the service stops.
 func (r *realService) load(ctx context.Context) {
--- a/experiment/scale/checks/checks.go
+++ b/experiment/scale/checks/checks.go
@@ -1,5 +1,6 @@
-// Package checks checks the rules of a scale run against the true state: what was published when, which controllers were
-// running and reachable, and what each of them served. It has no I/O and no clock.
+// Package checks verifies the rules of a scale run against the recorded events of the run: what was published and when,
+// which controllers were running and reachable, and which revisions each of them served. It does no I/O and reads no
+// clock.
 package checks
 
 import (
@@ -9,10 +10,11 @@
 	"time"
 )
 
-// Marker numbers what was published for one service and subject, from 1 and without gaps; refused publications count too.
+// Marker is the number of a publication for one service and subject. Numbers start at 1 and have no gaps, as refused
+// publications are counted too.
 type Marker uint64
 
-// Subject is what is published.
+// Subject is the kind of data that is published to controllers.
 type Subject int
 
 // The subjects of a run.
@@ -26,298 +28,307 @@
 // Kind is the kind of an event.
 type Kind string
 
-// The kinds of events. Published and Cut to Healed come from the run itself, the others from controllers.
+// The kinds of events, with the fields that each of them sets. The run itself records Published, Partitioned and Healed;
+// controllers report the others.
 const (
-	Published Kind = "published" // Service, Subject, Marker, Valid
-	Cut       Kind = "cut"       // Governor: nothing new can reach it
-	Healed    Kind = "healed"    // Governor
-	Started   Kind = "started"   // Governor, Service, Resumes
-	Stopped   Kind = "stopped"   // Governor
-	Serving   Kind = "serving"   // Governor, Subject, Parts; also a sign of life
-	Refused   Kind = "refused"   // Governor, Subject, Marker
+	Published   Kind = "published" // Service, Subject, Marker, Valid
+	Partitioned Kind = "cut"       // Controller: no new configuration can reach it
+	Healed      Kind = "healed"    // Controller
+	Started     Kind = "started"   // Controller, Service, Resumes
+	Stopped     Kind = "stopped"   // Controller
+	Serving     Kind = "serving"   // Controller, Subject, Markers; also serves as a heartbeat
+	Refused     Kind = "refused"   // Controller, Subject, Marker
 )
 
-// Event is a part of the true state. At is the time since the start of the run.
+// Event is one event of a run. At is the time since the start of the run.
 type Event struct {
-	Kind     Kind          `json:"kind"`
-	At       time.Duration `json:"at"`
-	Governor int           `json:"governor"`
-	Service  int           `json:"service"`
-	Subject  Subject       `json:"subject"`
-	Marker   Marker        `json:"marker,omitempty"`
-	Parts    []Marker      `json:"parts,omitempty"` // the different markers found in what is in force
-	Valid    bool          `json:"valid,omitempty"`
-	Resumes  bool          `json:"resumes,omitempty"` // it keeps its configuration over a restart
+	Kind       Kind          `json:"kind"`
+	At         time.Duration `json:"at"`
+	Controller int           `json:"governor"`
+	Service    int           `json:"service"`
+	Subject    Subject       `json:"subject"`
+	Marker     Marker        `json:"marker,omitempty"`
+	Markers    []Marker      `json:"parts,omitempty"` // the distinct markers in the data that is in force
+	Valid      bool          `json:"valid,omitempty"`
+	Resumes    bool          `json:"resumes,omitempty"` // the controller keeps its configuration over a restart
 }
 
-// Rule is what must hold.
+// Rule is an invariant that every run must satisfy.
 type Rule string
 
 // The rules of a run.
 const (
-	NoMix            Rule = "no governor serves a mix of two revisions"
-	NoOlder          Rule = "no governor serves an older revision after a newer one"
-	NoRefused        Rule = "no governor serves what was refused"
-	GoesOn           Rule = "a governor goes on with what it has, cut off or not"
-	NewestEverywhere Rule = "after the last fault all hold the newest within the bound"
-	InForceInTime    Rule = "a change is in force at all that are reachable within the bound"
+	NoMixedRevisions   Rule = "no controller serves a mix of two revisions"
+	NoOlderRevision    Rule = "no controller serves an older revision after a newer one"
+	NoRefusedRevision  Rule = "no controller serves a refused revision"
+	KeepsServing       Rule = "a controller keeps serving its last revision, partitioned or not"
+	NewestAfterFaults  Rule = "after the last fault all controllers serve the newest revision within the bound"
+	InForceWithinBound Rule = "a change is in force at all reachable controllers within the bound"
 )
 
-// Failure is one broken rule.
-type Failure struct {
-	Rule     Rule          `json:"rule"`
-	At       time.Duration `json:"at"`
-	Governor int           `json:"governor"`
-	Detail   string        `json:"detail"`
+// Violation is one violation of a rule.
+type Violation struct {
+	Rule       Rule          `json:"rule"`
+	At         time.Duration `json:"at"`
+	Controller int           `json:"governor"`
+	Detail     string        `json:"detail"`
 }
 
-func (f Failure) String() string {
-	return fmt.Sprintf("%.3f s, governor %d: %s: %s", f.At.Seconds(), f.Governor, f.Rule, f.Detail)
+func (v Violation) String() string {
+	return fmt.Sprintf("%.3f s, controller %d: %s: %s", v.At.Seconds(), v.Controller, v.Rule, v.Detail)
 }
 
-// Bounds are the limits that the rules name.
+// Bounds are the time limits of the rules.
 type Bounds struct {
-	InForce time.Duration // from a publication, or from being reachable again, until it is in force
-	Silence time.Duration // the longest time without a sign of life
+	MaxPropagationDelay time.Duration // from a publication, or from when the controller is reachable, until in force
+	HeartbeatTimeout    time.Duration // longest time without a heartbeat
 }
 
-// Change is a valid publication and how long it took to the controllers.
+// Change is a valid publication and the delays until controllers put it in force.
 type Change struct {
 	Service   int
 	Subject   Subject
 	Marker    Marker
 	Published time.Duration
-	// Delays has one entry for each governor that put the change, or a newer one, in force while it was reachable: the
-	// time since the publication, or since the governor was up and reachable if that was later.
+	// Delays has one entry for each controller that put the change, or a newer one, in force while it was reachable: the
+	// time since the publication, or since the controller was running and reachable if that was later.
 	Delays []time.Duration
 }
 
-// AtAll returns the time until the change was active at all reachable controllers.
-func (c Change) AtAll() time.Duration {
+// MaxDelay returns the delay until the change was in force at all reachable controllers.
+func (c Change) MaxDelay() time.Duration {
 	if len(c.Delays) == 0 {
 		return 0
 	}
 	return slices.Max(c.Delays)
 }
 
-// Verdict is the outcome of a run.
-type Verdict struct {
-	Failures []Failure
-	Changes  []Change
+// Result has the violations and the changes of a run.
+type Result struct {
+	Violations []Violation
+	Changes    []Change
 }
 
-// Judge checks the events of a run that ended at a time. They may be in any order.
-func Judge(events []Event, end time.Duration, bounds Bounds) Verdict {
+// Check checks the events of a run that ended at the given time. The events may be in any order.
+func Check(events []Event, end time.Duration, bounds Bounds) Result {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
-	j := &judge{bounds: bounds, governors: map[int]*governor{}, topics: map[topic][]publication{}}
+	c := &checker{bounds: bounds, controllers: map[int]*controllerState{}, topics: map[topic][]publication{}}
 	for _, e := range sorted {
-		if e.Kind == Published { // all of them first: a governor may serve one in the instant in which it is published
-			j.publish(e)
+		if e.Kind == Published { // all of them first, as a controller may serve a revision at the time at which it is published
+			c.recordPublication(e)
 		}
 	}
 	for _, e := range sorted {
-		j.take(e)
+		c.apply(e)
 	}
-	j.finish(end)
-	return j.verdict
+	c.finish(end)
+	return c.result
 }
 
+// topic identifies a sequence of publications.
 type topic struct {
 	service int
 	subject Subject
 }
 
+// publication is a Published event.
 type publication struct {
 	Event
-	change int // index in the verdict; below 0: it was refused
+	changeIndex int // index in Result.Changes; below 0: the publication is not valid
 }
 
-// holding is what one controller serves of one subject.
-type holding struct {
+// subjectState is what one controller serves and has refused of one subject.
+type subjectState struct {
 	served  Marker
 	refused map[Marker]bool
 }
 
-type governor struct {
-	service  int
-	up       bool
-	cut      bool
-	started  time.Duration
-	healed   time.Duration // 0: it was never cut off
-	sign     time.Duration // of life, the last one
-	cutSince time.Duration
-	holdings map[Subject]*holding
+// controllerState is the state of one controller since its last start.
+type controllerState struct {
+	service       int
+	running       bool
+	partitioned   bool
+	startedAt     time.Duration
+	healedAt      time.Duration // 0: the controller was never partitioned
+	lastHeartbeat time.Duration
+	partitionedAt time.Duration
+	subjects      map[Subject]*subjectState
 }
 
-type judge struct {
-	bounds    Bounds
-	governors map[int]*governor
-	topics    map[topic][]publication
-	verdict   Verdict
+// checker applies events in the order of their times and collects the violations.
+type checker struct {
+	bounds      Bounds
+	controllers map[int]*controllerState
+	topics      map[topic][]publication
+	result      Result
 }
 
-func (j *judge) fail(rule Rule, e Event, format string, args ...any) {
-	j.verdict.Failures = append(j.verdict.Failures,
-		Failure{Rule: rule, At: e.At, Governor: e.Governor, Detail: fmt.Sprintf(format, args...)})
+func (c *checker) addViolation(rule Rule, e Event, format string, args ...any) {
+	c.result.Violations = append(c.result.Violations,
+		Violation{Rule: rule, At: e.At, Controller: e.Controller, Detail: fmt.Sprintf(format, args...)})
 }
 
-func (j *judge) publish(e Event) {
-	p := publication{Event: e, change: -1}
+func (c *checker) recordPublication(e Event) {
+	p := publication{Event: e, changeIndex: -1}
 	if e.Valid {
-		p.change = len(j.verdict.Changes)
-		j.verdict.Changes = append(j.verdict.Changes,
+		p.changeIndex = len(c.result.Changes)
+		c.result.Changes = append(c.result.Changes,
 			Change{Service: e.Service, Subject: e.Subject, Marker: e.Marker, Published: e.At})
 	}
-	at := topic{e.Service, e.Subject}
-	j.topics[at] = append(j.topics[at], p)
+	key := topic{e.Service, e.Subject}
+	c.topics[key] = append(c.topics[key], p)
 }
 
-func (j *judge) take(e Event) {
+func (c *checker) apply(e Event) {
 	if e.Kind == Published {
 		return
 	}
 	if e.Kind == Started {
-		j.start(e)
+		c.recordStart(e)
 		return
 	}
-	g := j.governors[e.Governor]
-	if g == nil {
+	controller := c.controllers[e.Controller]
+	if controller == nil {
 		return
 	}
 	switch e.Kind {
 	case Stopped:
-		j.signDue(g, e)
-		g.up = false
-	case Cut:
-		g.cut = true
-		g.cutSince = e.At
+		c.checkHeartbeat(controller, e)
+		controller.running = false
+	case Partitioned:
+		controller.partitioned = true
+		controller.partitionedAt = e.At
 	case Healed:
-		if g.up && g.sign < g.cutSince {
-			j.fail(GoesOn, e, "no sign of life in %.1f s of being cut off", (e.At - g.cutSince).Seconds())
+		if controller.running && controller.lastHeartbeat < controller.partitionedAt {
+			c.addViolation(KeepsServing, e, "no heartbeat during a partition of %.1f s", (e.At - controller.partitionedAt).Seconds())
 		}
-		g.cut = false
-		g.healed = e.At
+		controller.partitioned = false
+		controller.healedAt = e.At
 	case Refused:
-		g.holding(e.Subject).refused[e.Marker] = true
+		controller.stateOf(e.Subject).refused[e.Marker] = true
 	case Serving:
-		j.serve(g, e)
+		c.recordServing(controller, e)
 	}
 }
 
-// start begins a new life of a governor, which is due what was published before. It may begin with an old revision, of its
-// configuration only where it keeps none over a restart.
-func (j *judge) start(e Event) {
-	before := j.governors[e.Governor]
-	g := &governor{service: e.Service, up: true, started: e.At, sign: e.At, holdings: map[Subject]*holding{}}
-	if before != nil {
-		g.cut = before.cut
-		g.cutSince = before.cutSince
-		g.healed = before.healed
+// recordStart resets the state of a controller that has started. The delays of earlier publications count from the start.
+// The controller may start with an old replica list, and with an old configuration unless it keeps its configuration over
+// restarts.
+func (c *checker) recordStart(e Event) {
+	previous := c.controllers[e.Controller]
+	controller := &controllerState{service: e.Service, running: true, startedAt: e.At, lastHeartbeat: e.At, subjects: map[Subject]*subjectState{}}
+	if previous != nil {
+		controller.partitioned = previous.partitioned
+		controller.partitionedAt = previous.partitionedAt
+		controller.healedAt = previous.healedAt
 	}
-	if before != nil && e.Resumes {
-		g.holding(Configuration).served = before.holding(Configuration).served
+	if previous != nil && e.Resumes {
+		controller.stateOf(Configuration).served = previous.stateOf(Configuration).served
 	}
-	j.governors[e.Governor] = g
+	c.controllers[e.Controller] = controller
 }
 
-func (g *governor) holding(s Subject) *holding {
-	h := g.holdings[s]
-	if h == nil {
-		h = &holding{refused: map[Marker]bool{}}
-		g.holdings[s] = h
+func (s *controllerState) stateOf(subject Subject) *subjectState {
+	state := s.subjects[subject]
+	if state == nil {
+		state = &subjectState{refused: map[Marker]bool{}}
+		s.subjects[subject] = state
 	}
-	return h
+	return state
 }
 
-// signDue reports whether the last sign of life is too old.
-func (j *judge) signDue(g *governor, e Event) {
-	if silent := e.At - g.sign; g.up && silent > j.bounds.Silence {
-		j.fail(GoesOn, e, "no sign of life for %.1f s", silent.Seconds())
+// checkHeartbeat adds a violation if the last heartbeat of a running controller is too old.
+func (c *checker) checkHeartbeat(controller *controllerState, e Event) {
+	if sinceHeartbeat := e.At - controller.lastHeartbeat; controller.running && sinceHeartbeat > c.bounds.HeartbeatTimeout {
+		c.addViolation(KeepsServing, e, "no heartbeat for %.1f s", sinceHeartbeat.Seconds())
 	}
 }
 
-func (j *judge) serve(g *governor, e Event) {
-	j.signDue(g, e)
-	g.sign = e.At
-	h := g.holding(e.Subject)
-	if len(e.Parts) != 1 {
-		j.fail(NoMix, e, "%v holds parts of %v", e.Subject, e.Parts)
+func (c *checker) recordServing(controller *controllerState, e Event) {
+	c.checkHeartbeat(controller, e)
+	controller.lastHeartbeat = e.At
+	state := controller.stateOf(e.Subject)
+	if len(e.Markers) != 1 {
+		c.addViolation(NoMixedRevisions, e, "%v has the markers %v, want exactly one", e.Subject, e.Markers)
 		return
 	}
-	marker := e.Parts[0]
-	if marker < h.served {
-		j.fail(NoOlder, e, "%v %d after %d", e.Subject, marker, h.served)
+	marker := e.Markers[0]
+	if marker < state.served {
+		c.addViolation(NoOlderRevision, e, "%v %d served after %d", e.Subject, marker, state.served)
 	}
-	if marker == h.served {
+	if marker == state.served {
 		return
 	}
-	if h.refused[marker] {
-		j.fail(NoRefused, e, "%v %d, which it refused", e.Subject, marker)
+	if state.refused[marker] {
+		c.addViolation(NoRefusedRevision, e, "%v %d served after the controller refused it", e.Subject, marker)
 	}
-	for _, p := range j.topics[topic{g.service, e.Subject}] {
+	for _, p := range c.topics[topic{controller.service, e.Subject}] {
 		if p.Marker == marker && !p.Valid {
-			j.fail(NoRefused, e, "%v %d is not valid", e.Subject, marker)
+			c.addViolation(NoRefusedRevision, e, "%v %d served, which is not valid", e.Subject, marker)
 		}
-		if p.Valid && p.Marker > h.served && p.Marker <= marker {
-			j.inForce(g, e, p)
+		if p.Valid && p.Marker > state.served && p.Marker <= marker {
+			c.recordInForce(controller, e, p)
 		}
 	}
-	h.served = max(h.served, marker)
+	state.served = max(state.served, marker)
 }
 
-// reachable is since when a governor could be told of a subject; lists of replicas come from its own machine's agent.
-func (g *governor) reachable(s Subject) time.Duration {
-	if s == Configuration {
-		return max(g.started, g.healed)
+// reachableSince returns the time since which a controller could receive a subject. Partitions do not delay replica lists,
+// as these come from the agent on the controller's own machine.
+func (s *controllerState) reachableSince(subject Subject) time.Duration {
+	if subject == Configuration {
+		return max(s.startedAt, s.healedAt)
 	}
-	return g.started
+	return s.startedAt
 }
 
-// inForce notes how long a change took to a governor. Who is cut off is due no configuration.
-func (j *judge) inForce(g *governor, e Event, p publication) {
-	if g.cut && e.Subject == Configuration {
+// recordInForce records the delay of a change at a controller. Configuration that comes into force during a partition is not
+// counted, as a partitioned controller need not receive any.
+func (c *checker) recordInForce(controller *controllerState, e Event, p publication) {
+	if controller.partitioned && e.Subject == Configuration {
 		return
 	}
-	delay := max(0, e.At-max(p.At, g.reachable(e.Subject)))
-	c := &j.verdict.Changes[p.change]
-	c.Delays = append(c.Delays, delay)
-	if delay > j.bounds.InForce {
-		j.fail(InForceInTime, e, "%v %d of service %d took %.3f s", e.Subject, p.Marker, p.Service, delay.Seconds())
+	delay := max(0, e.At-max(p.At, controller.reachableSince(e.Subject)))
+	change := &c.result.Changes[p.changeIndex]
+	change.Delays = append(change.Delays, delay)
+	if delay > c.bounds.MaxPropagationDelay {
+		c.addViolation(InForceWithinBound, e, "%v %d of service %d was in force after %.3f s", e.Subject, p.Marker, p.Service, delay.Seconds())
 	}
 }
 
-func (j *judge) finish(end time.Duration) {
+func (c *checker) finish(end time.Duration) {
 	var numbers []int
-	for number := range j.governors {
+	for number := range c.controllers {
 		numbers = append(numbers, number)
 	}
 	slices.Sort(numbers)
 	for _, number := range numbers {
-		g := j.governors[number]
-		e := Event{At: end, Governor: number}
-		if !g.up {
+		controller := c.controllers[number]
+		e := Event{At: end, Controller: number}
+		if !controller.running {
 			continue
 		}
-		j.signDue(g, e)
+		c.checkHeartbeat(controller, e)
 		for _, subject := range []Subject{Configuration, ReplicaList} {
-			j.newest(g, e, subject)
+			c.checkNewest(controller, e, subject)
 		}
 	}
 }
 
-// newest checks that a controller serves the newest valid publication, if it has had the time for it.
-func (j *judge) newest(g *governor, e Event, subject Subject) {
-	if g.cut && subject == Configuration {
+// checkNewest checks that a controller serves the newest valid publication, if that was published, and the controller was
+// reachable, at least MaxPropagationDelay before the end.
+func (c *checker) checkNewest(controller *controllerState, e Event, subject Subject) {
+	if controller.partitioned && subject == Configuration {
 		return
 	}
-	for _, p := range slices.Backward(j.topics[topic{g.service, subject}]) {
+	for _, p := range slices.Backward(c.topics[topic{controller.service, subject}]) {
 		if !p.Valid {
 			continue
 		}
-		served := g.holding(subject).served
-		if due := max(p.At, g.reachable(subject)) + j.bounds.InForce; served < p.Marker && e.At >= due {
-			j.fail(NewestEverywhere, e, "it holds %v %d, not %d", subject, served, p.Marker)
+		served := controller.stateOf(subject).served
+		if due := max(p.At, controller.reachableSince(subject)) + c.bounds.MaxPropagationDelay; served < p.Marker && e.At >= due {
+			c.addViolation(NewestAfterFaults, e, "%v %d is in force, not %d", subject, served, p.Marker)
 		}
 		return
 	}
--- a/experiment/scale/discovery.go
+++ b/experiment/scale/discovery.go
@@ -13,7 +13,7 @@
 	"lilacbend/experiment/scale/checks"
 )
 
-// member is one replica as discovery lists it.
+// member is one replica in the format of discovery's replica list.
 type member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -25,21 +25,21 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// agent replaces discovery's agents of one service: its list of replicas, which its controllers watch.
-type agent struct {
-	listener net.Listener
-	answers  atomic.Int64
-	bytes    atomic.Int64 // both ways, at the sockets
-
-	mu       sync.Mutex
-	members  []member
-	changed  []checks.Marker // by member: the revision that changed it last
-	revision checks.Marker
-	news     chan struct{}
+// discoveryAgent replaces the discovery agents of one service. It serves the replica list, which the controllers watch.
+type discoveryAgent struct {
+	listener  net.Listener
+	responses atomic.Int64
+	bytes     atomic.Int64 // read and written at the sockets
+
+	mu         sync.Mutex
+	members    []member
+	changedIn  []checks.Marker // by member: the revision of its last change
+	revision   checks.Marker
+	nextChange chan struct{} // closed at the next change
 }
 
-func newAgent(shape ServiceShape, service int) (*agent, error) {
-	a := &agent{revision: 1, news: make(chan struct{}), changed: make([]checks.Marker, shape.Replicas)}
+func newDiscoveryAgent(shape ServiceShape, service int) (*discoveryAgent, error) {
+	a := &discoveryAgent{revision: 1, nextChange: make(chan struct{}), changedIn: make([]checks.Marker, shape.Replicas)}
 	for k := range shape.Replicas {
 		a.members = append(a.members, member{ID: fmt.Sprintf("s%d-%d", service, k), HostPort: "127.0.0.1:9",
 			Zone: zoneName(k % max(1, shape.Zones)), Kind: fmt.Sprint("m", 1+k%2), Cell: k / 4, Phase: "Ready", Size: 1})
@@ -53,10 +53,10 @@
 	return a, nil
 }
 
-func (a *agent) address() string { return a.listener.Addr().String() }
+func (a *discoveryAgent) address() string { return a.listener.Addr().String() }
 
-// change changes one replica, and returns the revision in which it does.
-func (a *agent) change(k int, phase string) checks.Marker {
+// change sets the phase of one replica, and returns the new revision of the list.
+func (a *discoveryAgent) change(k int, phase string) checks.Marker {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	m := &a.members[k]
@@ -65,51 +65,52 @@
 	}
 	m.Phase = phase
 	a.revision++
-	a.changed[k] = a.revision
-	close(a.news)
-	a.news = make(chan struct{})
+	a.changedIn[k] = a.revision
+	close(a.nextChange)
+	a.nextChange = make(chan struct{})
 	return a.revision
 }
 
-// list returns the changes since a revision, or all replicas.
-func (a *agent) list(since checks.Marker, whole bool) []byte {
+// list returns the replicas that have changed since a revision, or the complete list.
+func (a *discoveryAgent) list(since checks.Marker, complete bool) []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	members := []member{}
 	for k, m := range a.members {
-		if whole || a.changed[k] > since {
+		if complete || a.changedIn[k] > since {
 			members = append(members, m)
 		}
 	}
-	raw, _ := json.Marshal(map[string]any{"revision": a.revision, "complete": whole, "members": members})
+	raw, _ := json.Marshal(map[string]any{"revision": a.revision, "complete": complete, "members": members})
 	return raw
 }
 
-func (a *agent) state() (revision checks.Marker, news <-chan struct{}) {
+func (a *discoveryAgent) revisionAndNextChange() (revision checks.Marker, nextChange <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.revision, a.news
+	return a.revision, a.nextChange
 }
 
-// ServeHTTP answers with the list, or waits for changes since a revision.
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP responds with the complete list, or with the changes since the revision that the request names. In the latter
+// case it waits for a change, at most for the requested time.
+func (a *discoveryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	if revision, news := a.state(); err == nil && checks.Marker(since) >= revision {
+	if revision, nextChange := a.revisionAndNextChange(); err == nil && checks.Marker(since) >= revision {
 		select {
-		case <-news:
+		case <-nextChange:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		case <-r.Context().Done():
 			return
 		}
 	}
-	a.answers.Add(1)
+	a.responses.Add(1)
 	raw := a.list(checks.Marker(since), err != nil)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	w.Write(raw)
 }
 
-// countingListener counts the bytes of all its connections.
+// countingListener counts the bytes read and written on all its connections.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
--- a/experiment/scale/host.go
+++ b/experiment/scale/host.go
@@ -13,67 +13,68 @@
 	"lilacbend/experiment/scale/checks"
 )
 
-// HostPlan is the first line that a host reads: the hollow controllers of its process.
+// HostPlan is the first line that a host process reads: its simulated controllers.
 type HostPlan struct {
-	Governors []ControllerPlan `json:"governors"`
+	Controllers []ControllerPlan `json:"governors"`
 }
 
-// command is each further line: controllers to stop or to start.
+// command is each further line: the controllers to stop and to start, and whether to report the counters.
 type command struct {
-	Stop  []int `json:"stop,omitempty"`
-	Start []int `json:"start,omitempty"`
-	Tally bool  `json:"tally,omitempty"` // asks for the counters
+	Stop     []int `json:"stop,omitempty"`
+	Start    []int `json:"start,omitempty"`
+	Counters bool  `json:"tally,omitempty"`
 }
 
-// report is each line that a host writes.
+// report is a line that a host process writes.
 type report struct {
-	Event *checks.Event `json:"event,omitempty"`
-	Tally *hostTally    `json:"tally,omitempty"`
-	Fault string        `json:"fault,omitempty"`
+	Event    *checks.Event `json:"event,omitempty"`
+	Counters *hostCounters `json:"tally,omitempty"`
+	Error    string        `json:"fault,omitempty"`
 }
 
-// hostTally are the counters of a host since its start.
-type hostTally struct {
-	Messages int64  `json:"messages"` // taken in and sent by all its governors
+// hostCounters are the counters of a host process since its start.
+type hostCounters struct {
+	Messages int64  `json:"messages"` // received and sent by all its controllers
 	Turns    int64  `json:"turns"`
-	Heap     uint64 `json:"heap"`
+	Heap     uint64 `json:"heap"` // bytes in use
 }
 
-// host runs hollow controllers until its input ends.
+// host runs simulated controllers until its input ends.
 type host struct {
-	plans  map[int]ControllerPlan
-	disks  map[int]*memoryDisk // of the governors' machines
-	source SourceOf
-	count  messageCount
+	plans     map[int]ControllerPlan
+	storages  map[int]*memoryStorage // the disks of the controllers' machines
+	newSource NewSource
+	counters  messageCounters
 
-	mu    sync.Mutex
-	out   *json.Encoder
-	lives map[int]life
-	all   sync.WaitGroup
+	mu         sync.Mutex
+	out        *json.Encoder
+	running    map[int]runningController
+	goroutines sync.WaitGroup
 }
 
-type life struct {
-	stop  context.CancelFunc
-	ended chan struct{}
+// runningController is an incarnation of a controller that runs.
+type runningController struct {
+	stop context.CancelFunc
+	done chan struct{}
 }
 
 // Host reads a plan and commands from in, runs the controllers and writes reports to out, until in or ctx ends.
-func Host(ctx context.Context, in io.Reader, out io.Writer, source SourceOf) error {
+func Host(ctx context.Context, in io.Reader, out io.Writer, newSource NewSource) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	decoder := json.NewDecoder(bufio.NewReader(in))
 	var plan HostPlan
 	if err := decoder.Decode(&plan); err != nil {
-		return fmt.Errorf("no plan: %w", err)
+		return fmt.Errorf("reading host plan: %w", err)
 	}
-	h := &host{plans: map[int]ControllerPlan{}, disks: map[int]*memoryDisk{}, source: source, out: json.NewEncoder(out), lives: map[int]life{}}
+	h := &host{plans: map[int]ControllerPlan{}, storages: map[int]*memoryStorage{}, newSource: newSource, out: json.NewEncoder(out), running: map[int]runningController{}}
 	var numbers []int
-	for _, g := range plan.Governors {
-		h.plans[g.Number] = g
-		h.disks[g.Number] = newMemoryDisk()
-		numbers = append(numbers, g.Number)
+	for _, controller := range plan.Controllers {
+		h.plans[controller.Number] = controller
+		h.storages[controller.Number] = newMemoryStorage()
+		numbers = append(numbers, controller.Number)
 	}
-	defer h.all.Wait()
+	defer h.goroutines.Wait()
 	defer stop()
 	h.start(ctx, numbers)
 	for {
@@ -85,8 +86,8 @@
 		}
 		h.stop(c.Stop)
 		h.start(ctx, c.Start)
-		if c.Tally {
-			h.tally()
+		if c.Counters {
+			h.writeCounters()
 		}
 	}
 }
@@ -94,23 +95,23 @@
 func (h *host) write(r report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.out.Encode(r) // who does not read any more has ended, and so will this
+	h.out.Encode(r) // a write fails only if the reader has ended; the input then ends too, and so does this host
 }
 
 func (h *host) start(ctx context.Context, numbers []int) {
 	for _, number := range numbers {
 		plan, known := h.plans[number]
-		if _, runs := h.lives[number]; runs || !known {
+		if _, running := h.running[number]; running || !known {
 			continue
 		}
 		ctx, stop := context.WithCancel(ctx)
-		l := life{stop, make(chan struct{})}
-		h.lives[number] = l
-		g := &hollow{plan: plan, emit: func(e checks.Event) { h.write(report{Event: &e}) }, count: &h.count, source: h.source(plan, h.disks[number])}
-		h.all.Go(func() {
-			defer close(l.ended)
-			if err := g.run(ctx); err != nil {
-				h.write(report{Fault: err.Error()})
+		current := runningController{stop, make(chan struct{})}
+		h.running[number] = current
+		simulated := &simulatedController{plan: plan, emit: func(e checks.Event) { h.write(report{Event: &e}) }, counters: &h.counters, source: h.newSource(plan, h.storages[number])}
+		h.goroutines.Go(func() {
+			defer close(current.done)
+			if err := simulated.run(ctx); err != nil {
+				h.write(report{Error: err.Error()})
 			}
 		})
 	}
@@ -119,18 +120,18 @@
 // stop stops controllers and waits for them, so that the last event of an incarnation precedes the first of the next one.
 func (h *host) stop(numbers []int) {
 	for _, number := range numbers {
-		l, runs := h.lives[number]
-		if !runs {
+		stopped, running := h.running[number]
+		if !running {
 			continue
 		}
-		delete(h.lives, number)
-		l.stop()
-		<-l.ended
+		delete(h.running, number)
+		stopped.stop()
+		<-stopped.done
 	}
 }
 
-func (h *host) tally() {
+func (h *host) writeCounters() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	h.write(report{Tally: &hostTally{Messages: h.count.inputs.Load() + h.count.pushes.Load(), Turns: h.count.turns.Load(), Heap: memory.HeapAlloc}})
+	h.write(report{Counters: &hostCounters{Messages: h.counters.inputs.Load() + h.counters.pushes.Load(), Turns: h.counters.turns.Load(), Heap: memory.HeapAlloc}})
 }
--- a/experiment/scale/link.go
+++ b/experiment/scale/link.go
@@ -7,20 +7,20 @@
 	"sync/atomic"
 )
 
-// copyBuffer is small, as there are thousands of connections.
-const copyBuffer = 4 << 10
+// copyBufferSize is small, as there are thousands of connections.
+const copyBufferSize = 4 << 10
 
-// link forwards connections from one place to a server, and can be cut: open connections stay open and silent, new ones fail at
-// once.
+// link forwards connections from a region or a follower to a server, and can be partitioned. During a partition open
+// connections stay open without forwarding any bytes, and new connections are reset at once.
 type link struct {
-	listener net.Listener
-	target   string
-	up       atomic.Int64 // bytes to the server
-	down     atomic.Int64 // bytes from it
-
-	mu   sync.Mutex
-	open chan struct{} // closed while the link forwards
-	ends map[net.Conn]struct{}
+	listener   net.Listener
+	target     string
+	toServer   atomic.Int64 // bytes forwarded to the server
+	fromServer atomic.Int64 // bytes forwarded from the server
+
+	mu          sync.Mutex
+	open        chan struct{} // closed while the link forwards
+	connections map[net.Conn]struct{}
 }
 
 func newLink(target string) (*link, error) {
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &link{listener: listener, target: target, open: make(chan struct{}), ends: map[net.Conn]struct{}{}}
+	l := &link{listener: listener, target: target, open: make(chan struct{}), connections: map[net.Conn]struct{}{}}
 	close(l.open)
 	go l.accept()
 	return l, nil
@@ -36,24 +36,26 @@
 
 func (l *link) address() string { return l.listener.Addr().String() }
 
-func (l *link) cut() {
+// partition stops forwarding until heal is called.
+func (l *link) partition() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.isOpen() {
+	if l.isForwarding() {
 		l.open = make(chan struct{})
 	}
 }
 
+// heal resumes forwarding.
 func (l *link) heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.isOpen() {
+	if !l.isForwarding() {
 		close(l.open)
 	}
 }
 
-// isOpen reports whether the link forwards. The caller holds mu.
-func (l *link) isOpen() bool {
+// isForwarding reports whether the link forwards. The caller holds mu.
+func (l *link) isForwarding() bool {
 	select {
 	case <-l.open:
 		return true
@@ -62,7 +64,8 @@
 	}
 }
 
-func (l *link) gate() <-chan struct{} {
+// forwarding returns a channel that is closed while the link forwards.
+func (l *link) forwarding() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
@@ -78,54 +81,55 @@
 	}
 }
 
-func (l *link) forward(near net.Conn) {
-	defer near.Close()
+func (l *link) forward(client net.Conn) {
+	defer client.Close()
 	l.mu.Lock()
-	open := l.isOpen()
+	forwarding := l.isForwarding()
 	l.mu.Unlock()
-	if !open {
-		near.(*net.TCPConn).SetLinger(0)
+	if !forwarding {
+		client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	far, err := net.Dial("tcp", l.target)
+	server, err := net.Dial("tcp", l.target)
 	if err != nil {
-		near.(*net.TCPConn).SetLinger(0)
+		client.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	defer far.Close()
-	l.keep(near, far)
-	defer l.forget(near, far)
+	defer server.Close()
+	l.track(client, server)
+	defer l.untrack(client, server)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		l.copy(far, near, &l.up)
+		l.copy(server, client, &l.toServer)
 	}()
-	l.copy(near, far, &l.down)
+	l.copy(client, server, &l.fromServer)
 	<-done
 }
 
-// copy forwards one direction until it ends, and then ends the other one.
+// copy forwards one direction until it ends, and then closes both connections, which ends the other direction. During a
+// partition it keeps them open until the link is healed.
 func (l *link) copy(to, from net.Conn, bytes *atomic.Int64) {
 	defer to.Close()
 	defer from.Close()
-	gated := gatedWriter{to, l, bytes}
-	io.CopyBuffer(gated, struct{ io.Reader }{from}, make([]byte, copyBuffer))
-	<-l.gate() // the end of a connection does not pass a cut either
+	writer := gatedWriter{to, l, bytes}
+	io.CopyBuffer(writer, struct{ io.Reader }{from}, make([]byte, copyBufferSize))
+	<-l.forwarding() // the end of a connection is not forwarded during a partition either
 }
 
-func (l *link) keep(conns ...net.Conn) {
+func (l *link) track(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
-		l.ends[c] = struct{}{}
+		l.connections[c] = struct{}{}
 	}
 }
 
-func (l *link) forget(conns ...net.Conn) {
+func (l *link) untrack(conns ...net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range conns {
-		delete(l.ends, c)
+		delete(l.connections, c)
 	}
 }
 
@@ -134,12 +138,12 @@
 	l.heal()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.ends {
+	for c := range l.connections {
 		c.Close()
 	}
 }
 
-// gatedWriter writes while its link forwards.
+// gatedWriter delays writes until its link forwards, and counts the written bytes.
 type gatedWriter struct {
 	net.Conn
 	link  *link
@@ -147,7 +151,7 @@
 }
 
 func (w gatedWriter) Write(b []byte) (int, error) {
-	<-w.link.gate()
+	<-w.link.forwarding()
 	n, err := w.Conn.Write(b)
 	w.bytes.Add(int64(n))
 	return n, err
--- a/experiment/scale/link_test.go
+++ b/experiment/scale/link_test.go
@@ -12,8 +12,8 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// echo answers each line with itself until the test ends.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that returns all received bytes, and returns its address.
+func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -34,8 +34,8 @@
 	return l.Addr().String()
 }
 
-// through opens a connection by a link.
-func through(t *testing.T, l *link) (net.Conn, *bufio.Reader) {
+// dialLink opens a connection through a link.
+func dialLink(t *testing.T, l *link) (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp", l.address())
 	if err != nil {
 		t.Fatal(err)
@@ -44,62 +44,64 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// hears waits for one line.
-func hears(conn net.Conn, r *bufio.Reader, most time.Duration) (string, error) {
-	conn.SetReadDeadline(time.Now().Add(most))
+// readLine reads one line, and fails after the timeout.
+func readLine(conn net.Conn, r *bufio.Reader, timeout time.Duration) (string, error) {
+	conn.SetReadDeadline(time.Now().Add(timeout))
 	return r.ReadString('\n')
 }
 
-// A cut link says nothing on what is open and takes in nothing new; healed, what was under way arrives.
-func TestALinkIsCutAndHealed(t *testing.T) {
-	const patience, silence = 20 * time.Second, 100 * time.Millisecond
-	l, err := newLink(echo(t))
+// A partitioned link forwards no bytes on open connections and refuses new connections. Bytes that were sent during the
+// partition arrive after the link is healed.
+func TestLinkPartitionAndHeal(t *testing.T) {
+	const responseTimeout, blockedTimeout = 20 * time.Second, 100 * time.Millisecond
+	l, err := newLink(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.close()
-	conn, r := through(t, l)
+	conn, r := dialLink(t, l)
 	io.WriteString(conn, "one\n")
-	if line, err := hears(conn, r, patience); line != "one\n" {
-		t.Fatalf("heard %q, %v", line, err)
+	if line, err := readLine(conn, r, responseTimeout); line != "one\n" {
+		t.Fatalf("before the partition: read %q, %v", line, err)
 	}
-	l.cut()
+	l.partition()
 	io.WriteString(conn, "two\n")
-	if line, err := hears(conn, r, silence); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("through a cut: %q, %v", line, err)
+	if line, err := readLine(conn, r, blockedTimeout); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("during the partition: read %q, %v", line, err)
 	}
-	if late, err := net.Dial("tcp", l.address()); err == nil { // else it was reset already
-		defer late.Close()
-		if _, err := hears(late, bufio.NewReader(late), patience); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("a new connection through a cut: %v", err)
+	if newConn, err := net.Dial("tcp", l.address()); err == nil { // otherwise the connection was reset already
+		defer newConn.Close()
+		if _, err := readLine(newConn, bufio.NewReader(newConn), responseTimeout); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("new connection during the partition: %v", err)
 		}
 	}
 	l.heal()
-	if line, err := hears(conn, r, patience); line != "two\n" {
-		t.Errorf("healed: %q, %v", line, err)
+	if line, err := readLine(conn, r, responseTimeout); line != "two\n" {
+		t.Errorf("after the partition: read %q, %v", line, err)
 	}
-	scriptedpeer.WaitFor(t, "8 bytes are not counted both ways", func() bool { return l.up.Load() == 8 && l.down.Load() == 8 })
+	scriptedpeer.WaitFor(t, "link did not count 8 bytes in each direction", func() bool { return l.toServer.Load() == 8 && l.fromServer.Load() == 8 })
 }
 
-// A cut concerns the links between inside and outside, both ways, and no other.
-func TestACutConcernsALinkIfOneEndIsInside(t *testing.T) {
-	plan := small()
+// A partition must affect the links from the partitioned region to other regions and from other regions to it, and no other
+// links.
+func TestPartitionAffectsLinksWithOneEndInside(t *testing.T) {
+	plan := smallPlan()
 	n, err := newNetwork(plan, make([]string, plan.Servers))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.close()
-	for _, region := range plan.cutRegions() {
-		servers := 0
+	for _, region := range plan.partitionedRegions() {
+		inside := 0
 		for k := range plan.Servers {
 			if plan.serverRegion(k) == region {
-				servers++
+				inside++
 			}
 		}
-		outside, followers := plan.Servers-servers, plan.Servers-servers
-		want := outside + (plan.Regions-1)*servers + 2*servers*followers
-		if got := len(n.across(region)); got != want {
-			t.Errorf("region %d with %d servers: %d links, want %d", region, servers, got, want)
+		serversOutside, followersOutside := plan.Servers-inside, plan.Servers-inside
+		want := serversOutside + (plan.Regions-1)*inside + 2*inside*followersOutside
+		if got := len(n.linksAcross(region)); got != want {
+			t.Errorf("region %d with %d servers: %d links, want %d", region, inside, got, want)
 		}
 	}
 }
--- a/experiment/scale/network.go
+++ b/experiment/scale/network.go
@@ -2,11 +2,11 @@
 
 import "lilacbend/internal/configclient"
 
-// network has a link for each region and server, and for each two servers.
+// network has a link from each region to each server, and from each server to each server.
 type network struct {
-	plan      Plan
-	governors [][]*link // by region and server
-	servers   [][]*link // by follower and server
+	plan            Plan
+	controllerLinks [][]*link // by region and server
+	serverLinks     [][]*link // by follower and server
 }
 
 func newNetwork(p Plan, addresses []string) (n *network, err error) {
@@ -16,7 +16,7 @@
 			n.close()
 		}
 	}()
-	row := func() (links []*link, err error) {
+	newRow := func() (links []*link, err error) {
 		for server := range p.Servers {
 			l, err := newLink(addresses[server])
 			if err != nil {
@@ -27,15 +27,15 @@
 		return links, nil
 	}
 	for range p.Regions {
-		links, err := row()
-		n.governors = append(n.governors, links)
+		links, err := newRow()
+		n.controllerLinks = append(n.controllerLinks, links)
 		if err != nil {
 			return n, err
 		}
 	}
 	for range p.Servers {
-		links, err := row()
-		n.servers = append(n.servers, links)
+		links, err := newRow()
+		n.serverLinks = append(n.serverLinks, links)
 		if err != nil {
 			return n, err
 		}
@@ -43,16 +43,16 @@
 	return n, nil
 }
 
-// across returns the links between a region and all others.
-func (n *network) across(region int) (links []*link) {
-	for from, row := range n.governors {
+// linksAcross returns the links between a region and all other regions.
+func (n *network) linksAcross(region int) (links []*link) {
+	for from, row := range n.controllerLinks {
 		for server, l := range row {
 			if (from == region) != (n.plan.serverRegion(server) == region) {
 				links = append(links, l)
 			}
 		}
 	}
-	for from, row := range n.servers {
+	for from, row := range n.serverLinks {
 		for server, l := range row {
 			if (n.plan.serverRegion(from) == region) != (n.plan.serverRegion(server) == region) {
 				links = append(links, l)
@@ -62,35 +62,36 @@
 	return links
 }
 
-// addresses returns the addresses at which controllers of a region reach the servers.
-func (n *network) addresses(region int) (all []configclient.Server) {
-	for server, l := range n.governors[region] {
+// serverAddresses returns the addresses at which the controllers of a region reach the servers.
+func (n *network) serverAddresses(region int) (all []configclient.Server) {
+	for server, l := range n.controllerLinks[region] {
 		all = append(all, configclient.Server{Address: l.address(), Region: regionName(n.plan.serverRegion(server))})
 	}
 	return all
 }
 
-// served returns the bytes that a server received and sent, of controllers and of other servers.
-func (n *network) served(server int) (bytes int64) {
-	for _, rows := range [][][]*link{n.governors, n.servers} {
+// serverBytes returns the bytes that a server received from and sent to controllers and other servers.
+func (n *network) serverBytes(server int) (bytes int64) {
+	for _, rows := range [][][]*link{n.controllerLinks, n.serverLinks} {
 		for _, row := range rows {
-			bytes += row[server].up.Load() + row[server].down.Load()
+			bytes += row[server].toServer.Load() + row[server].fromServer.Load()
 		}
 	}
 	return bytes
 }
 
-func carried(rows [][]*link) (bytes int64) {
+// linkBytes returns the bytes that links forwarded in both directions.
+func linkBytes(rows [][]*link) (bytes int64) {
 	for _, row := range rows {
 		for _, l := range row {
-			bytes += l.up.Load() + l.down.Load()
+			bytes += l.toServer.Load() + l.fromServer.Load()
 		}
 	}
 	return bytes
 }
 
 func (n *network) close() {
-	for _, rows := range [][][]*link{n.governors, n.servers} {
+	for _, rows := range [][][]*link{n.controllerLinks, n.serverLinks} {
 		for _, row := range rows {
 			for _, l := range row {
 				l.close()
--- a/experiment/scale/phase.go
+++ b/experiment/scale/phase.go
@@ -14,202 +14,207 @@
 	"lilacbend/experiment/scale/checks"
 )
 
-// phaseSpan is a phase's time, and what had been spent at its start and its end.
+// phaseSpan has the times of a phase, and the resource usage of each role at its start and at its end.
 type phaseSpan struct {
-	fault          Fault
-	from, to       time.Duration
-	settled        time.Duration
-	cut, restarted int
-	before, after  map[string]usage
-	real           *hdrhistogram.Histogram // delays of changes to all real governors
+	fault                   Fault
+	from, to                time.Duration
+	settleTime              time.Duration
+	partitioned, restarted  int
+	usageBefore, usageAfter map[string]usage
+	realDelays              *hdrhistogram.Histogram // until each change was in force at all controllers of the real service
 }
 
-// The roles of a run beside the real ones.
+// The roles of a run, besides those of the real service. Reports contain these values, and Measurements finds roles in saved
+// reports by them.
 const (
-	roleHollow  = "hollow governor"
-	roleServer  = "configuration server"
-	roleRig     = "rig: links and discovery's stand-in"
-	discoveryOf = roleHollow + ", of which discovery"
+	roleSimulated = "hollow governor"
+	roleServer    = "configuration server"
+	roleHarness   = "rig: links and discovery's stand-in"
+	roleDiscovery = roleSimulated + ", of which discovery"
 )
 
-// readings reads what each role has spent since its start.
-func (r *scaleRun) readings() (map[string]usage, error) {
-	if err := allRun(r.pids()); err != nil {
+// usageByRole returns the resource usage of each role since its start.
+func (r *scaleRun) usageByRole() (map[string]usage, error) {
+	if err := checkRunning(r.pids()); err != nil {
 		return nil, err
 	}
-	all := map[string]usage{}
-	var pids []int
-	hollow := usage{}
+	byRole := map[string]usage{}
+	var hostPIDs []int
+	simulated := usage{}
 	for _, h := range r.hosts {
-		pids = append(pids, h.pid)
-		t, err := h.tally()
+		hostPIDs = append(hostPIDs, h.pid)
+		counters, err := h.readCounters()
 		if err != nil {
 			return nil, err
 		}
-		hollow.messages += t.Messages
-		hollow.heap += int64(t.Heap)
+		simulated.messages += counters.Messages
+		simulated.heap += int64(counters.Heap)
 	}
-	of := map[string][]int{roleRig: {os.Getpid()}}
-	if r.real != nil {
-		maps.Copy(of, r.real.Processes())
+	pidsByRole := map[string][]int{roleHarness: {os.Getpid()}}
+	if r.realService != nil {
+		maps.Copy(pidsByRole, r.realService.Processes())
 	}
-	for role, pids := range of {
-		sum, err := processesUsage(pids)
+	for role, pids := range pidsByRole {
+		sum, err := totalUsage(pids)
 		if err != nil {
 			return nil, err
 		}
-		all[role] = sum
+		byRole[role] = sum
 	}
-	processes, err := processesUsage(pids)
+	processes, err := totalUsage(hostPIDs)
 	if err != nil {
 		return nil, err
 	}
 	discovery := usage{}
 	for _, a := range r.agents {
 		discovery.bytes += a.bytes.Load()
-		discovery.messages += a.answers.Load()
+		discovery.messages += a.responses.Load()
 	}
-	hollow.processor, hollow.resident = processes.processor, processes.resident
-	hollow.bytes = discovery.bytes + carried(r.network.governors)
-	all[roleHollow], all[discoveryOf] = hollow, discovery
+	simulated.cpuTime, simulated.resident = processes.cpuTime, processes.resident
+	simulated.bytes = discovery.bytes + linkBytes(r.network.controllerLinks)
+	byRole[roleSimulated], byRole[roleDiscovery] = simulated, discovery
 	for k := range r.plan.Servers {
 		server, err := r.servers.usage(k)
 		if err != nil {
 			return nil, err
 		}
-		server.bytes = r.network.served(k)
-		all[oneServer(k)] = server
-		all[roleServer] = all[roleServer].plus(server)
+		server.bytes = r.network.serverBytes(k)
+		byRole[serverRole(k)] = server
+		byRole[roleServer] = byRole[roleServer].add(server)
 	}
-	return all, nil
+	return byRole, nil
 }
 
-func oneServer(k int) string { return fmt.Sprintf("%s %d", roleServer, k) }
+// serverRole returns the role of a single server.
+func serverRole(k int) string { return fmt.Sprintf("%s %d", roleServer, k) }
 
-// counts returns how many of a role there are.
-func (r *scaleRun) count(role string) int {
+// countOfRole returns the number of controllers or processes of a role.
+func (r *scaleRun) countOfRole(role string) int {
 	switch role {
-	case roleHollow, discoveryOf:
-		return r.plan.Governors
+	case roleSimulated, roleDiscovery:
+		return r.plan.Controllers
 	case roleServer:
 		return r.plan.Servers
-	case roleRig:
+	case roleHarness:
 		return 1
 	}
-	if r.real == nil {
+	if r.realService == nil {
 		return 0
 	}
-	return len(r.real.Processes()[role])
+	return len(r.realService.Processes()[role])
 }
 
-// endPhase ends a phase.
+// endPhase records the end of a phase and the resource usage at that time. A faultEnd of 0 means that no settle
+// time is recorded.
 func (r *scaleRun) endPhase(span phaseSpan, faultEnd time.Duration) (phaseSpan, error) {
-	span.to = r.tracker.since()
+	span.to = r.tracker.elapsed()
 	if faultEnd > 0 {
-		span.settled = span.to - faultEnd
+		span.settleTime = span.to - faultEnd
 	}
 	var err error
-	span.after, err = r.readings()
+	span.usageAfter, err = r.usageByRole()
 	return span, err
 }
 
-// phase injects one fault beside the background, ends it, and waits until all serve the newest versions.
-func (r *scaleRun) phase(ctx context.Context, fault Fault) (span phaseSpan, err error) {
-	span = phaseSpan{fault: fault, real: newDelays()}
-	if span.before, err = r.readings(); err != nil {
+// runPhase injects one fault while background actions run, ends it, and waits until all controllers serve the newest
+// revisions.
+func (r *scaleRun) runPhase(ctx context.Context, fault Fault) (span phaseSpan, err error) {
+	span = phaseSpan{fault: fault, realDelays: newDelayHistogram()}
+	if span.usageBefore, err = r.usageByRole(); err != nil {
 		return span, err
 	}
-	span.from = r.tracker.since()
-	actions := r.plan.background(r.random)
-	end, err := r.injectFault(ctx, fault, &span)
+	span.from = r.tracker.elapsed()
+	actions := r.plan.backgroundActions(r.random)
+	endFault, err := r.injectFault(ctx, fault, &span)
 	if err != nil {
-		return span, fmt.Errorf("%s: %w", fault, err)
+		return span, fmt.Errorf("injecting fault %s: %w", fault, err)
 	}
-	realEnded := make(chan error, 1)
-	go func() { realEnded <- r.changeReal(ctx, span.from+r.plan.Phase, span.real) }()
-	for _, a := range actions {
-		if !r.until(ctx, span.from+a.at) {
+	realChangesDone := make(chan error, 1)
+	go func() { realChangesDone <- r.changeRealSettings(ctx, span.from+r.plan.PhaseDuration, span.realDelays) }()
+	for _, background := range actions {
+		if !r.waitUntil(ctx, span.from+background.at) {
 			return span, ctx.Err()
 		}
-		if err := r.perform(ctx, a, &span); err != nil {
-			return span, fmt.Errorf("%s: %w", fault, err)
+		if err := r.perform(ctx, background, &span); err != nil {
+			return span, fmt.Errorf("background action during fault %s: %w", fault, err)
 		}
 	}
-	if !r.until(ctx, span.from+r.plan.Phase) {
+	if !r.waitUntil(ctx, span.from+r.plan.PhaseDuration) {
 		return span, ctx.Err()
 	}
-	if err := <-realEnded; err != nil {
-		return span, fmt.Errorf("the real service: %w", err)
+	if err := <-realChangesDone; err != nil {
+		return span, fmt.Errorf("changing settings of the real service: %w", err)
 	}
-	if err := end(); err != nil {
-		return span, fmt.Errorf("the end of %s: %w", fault, err)
+	if err := endFault(); err != nil {
+		return span, fmt.Errorf("ending fault %s: %w", fault, err)
 	}
-	faultEnd := r.tracker.since()
+	faultEnd := r.tracker.elapsed()
 	r.repairs.Wait()
-	r.settle(ctx, r.plan.InForce+time.Second) // who holds an older one then fails the checks
+	// A controller that still serves an older revision after this time fails the checks.
+	r.waitSettled(ctx, r.plan.MaxPropagationDelay+time.Second)
 	if ctx.Err() != nil {
 		return span, ctx.Err()
 	}
 	return r.endPhase(span, faultEnd)
 }
 
-// until waits until a time of the run.
-func (r *scaleRun) until(ctx context.Context, at time.Duration) bool {
+// waitUntil waits until a time since the start of the run, and reports false if ctx ends before.
+func (r *scaleRun) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(at - r.tracker.since()):
+	case <-time.After(at - r.tracker.elapsed()):
 		return true
 	}
 }
 
-// injectFault begins a fault, and returns a function that ends it.
-func (r *scaleRun) injectFault(ctx context.Context, fault Fault, span *phaseSpan) (end func() error, err error) {
-	none := func() error { return nil }
+// injectFault starts a fault, and returns a function that ends it.
+func (r *scaleRun) injectFault(ctx context.Context, fault Fault, span *phaseSpan) (endFault func() error, err error) {
+	noAction := func() error { return nil }
 	victim := r.plan.Servers - 1 // never the writer
 	switch fault {
 	case ServerKilled:
-		return func() error { return r.servers.revive(ctx, victim) }, r.servers.kill(victim)
-	case WriterKilled: // nothing can be published until it is back
+		return func() error { return r.servers.startServer(ctx, victim) }, r.servers.kill(victim)
+	case WriterKilled: // nothing can be published until the writer is restarted
 		r.writerDown.Store(true)
-		revive := func() error {
-			err := r.servers.revive(ctx, 0)
+		restartWriter := func() error {
+			err := r.servers.startServer(ctx, 0)
 			r.writerDown.Store(false)
 			return err
 		}
-		return revive, r.servers.kill(0)
-	case RegionCut:
-		return r.cut(r.plan.cutRegions(), span), nil
-	case ManyRestarts:
-		return none, r.restartMany(ctx, span)
-	case ManyChanges:
-		return none, r.burst()
-	}
-	return none, nil
+		return restartWriter, r.servers.kill(0)
+	case RegionPartitioned:
+		return r.partition(r.plan.partitionedRegions(), span), nil
+	case RestartBurst:
+		return noAction, r.restartMany(ctx, span)
+	case ChangeBurst:
+		return noAction, r.publishBurst()
+	}
+	return noAction, nil
 }
 
-// cut cuts regions off from all others, and returns a function that connects them again.
-func (r *scaleRun) cut(regions []int, span *phaseSpan) (heal func() error) {
+// partition disconnects regions from all others, and returns a function that connects them again.
+func (r *scaleRun) partition(regions []int, span *phaseSpan) (heal func() error) {
 	var links []*link
 	for _, region := range regions {
-		links = append(links, r.network.across(region)...)
+		links = append(links, r.network.linksAcross(region)...)
 	}
-	var inside []int
-	for _, g := range r.governors {
-		if slices.Contains(regions, g.Region) {
-			inside = append(inside, g.Number)
+	var partitioned []int
+	for _, controller := range r.controllers {
+		if slices.Contains(regions, controller.Region) {
+			partitioned = append(partitioned, controller.Number)
 		}
 	}
-	span.cut = len(inside)
+	span.partitioned = len(partitioned)
 	for _, l := range links {
-		l.cut()
+		l.partition()
 	}
-	for _, number := range inside {
-		r.tracker.recordOwn(checks.Event{Kind: checks.Cut, Governor: number})
+	for _, number := range partitioned {
+		r.tracker.recordNow(checks.Event{Kind: checks.Partitioned, Controller: number})
 	}
 	return func() error {
-		for _, number := range inside {
-			r.tracker.recordOwn(checks.Event{Kind: checks.Healed, Governor: number})
+		for _, number := range partitioned {
+			r.tracker.recordNow(checks.Event{Kind: checks.Healed, Controller: number})
 		}
 		for _, l := range links {
 			l.heal()
@@ -218,18 +223,19 @@
 	}
 }
 
-// restartMany restarts many controllers, evenly over a minute or over the phase.
+// restartMany restarts random controllers at regular intervals, over restartBurstDuration or over the phase if that is
+// shorter.
 func (r *scaleRun) restartMany(ctx context.Context, span *phaseSpan) error {
-	each := min(restartsSpan, r.plan.Phase) / time.Duration(r.plan.Crowd)
-	drawn := make([]int, r.plan.Crowd)
-	for k := range drawn {
-		drawn[k] = r.random.IntN(r.plan.Governors)
+	interval := min(restartBurstDuration, r.plan.PhaseDuration) / time.Duration(r.plan.BurstRestarts)
+	numbers := make([]int, r.plan.BurstRestarts)
+	for k := range numbers {
+		numbers[k] = r.random.IntN(r.plan.Controllers)
 	}
-	span.restarted += len(drawn)
-	from := r.tracker.since()
+	span.restarted += len(numbers)
+	from := r.tracker.elapsed()
 	r.repairs.Go(func() {
-		for k, number := range drawn {
-			if !r.until(ctx, from+time.Duration(k)*each) {
+		for k, number := range numbers {
+			if !r.waitUntil(ctx, from+time.Duration(k)*interval) {
 				return
 			}
 			r.restart(number)
@@ -238,10 +244,10 @@
 	return nil
 }
 
-// burst publishes many changes at once, each for another service while there are enough.
-func (r *scaleRun) burst() error {
+// publishBurst publishes many changes at once. They are for different services, unless there are more changes than services.
+func (r *scaleRun) publishBurst() error {
 	order := r.random.Perm(r.plan.Services)
-	for k := range r.plan.AtOnce {
+	for k := range r.plan.BurstChanges {
 		if err := r.publish(order[k%len(order)], true); err != nil {
 			return err
 		}
@@ -249,107 +255,111 @@
 	return nil
 }
 
+// restart restarts a controller.
 func (r *scaleRun) restart(number int) {
-	r.hostOf[number].tell(command{Stop: []int{number}, Start: []int{number}}) // a host that has ended has said so
+	// The command fails only if the host has ended, which startHost reports.
+	r.hostByController[number].send(command{Stop: []int{number}, Start: []int{number}})
 }
 
-var errNoAction = errors.New("no such action")
+var errUnknownAction = errors.New("unknown background action")
 
-// perform performs one action of the background.
+// perform performs one background action.
 func (r *scaleRun) perform(ctx context.Context, a action, span *phaseSpan) error {
-	number := int(a.draw % uint64(r.plan.Governors))
-	service := int(a.draw % uint64(r.plan.Services))
-	replica := int(a.draw / uint64(r.plan.Services) % uint64(r.plan.shape(service).Replicas))
+	number := int(a.random % uint64(r.plan.Controllers))
+	service := int(a.random % uint64(r.plan.Services))
+	replica := int(a.random / uint64(r.plan.Services) % uint64(r.plan.shape(service).Replicas))
 	switch a.kind {
 	case publishChange:
 		return r.publish(service, true)
-	case publishInvalid: // not where the one before it may still be on its way
-		if !r.tracker.settled(service) {
+	case publishInvalid: // only if the previous revision is in force everywhere
+		if !r.tracker.serviceSettled(service) {
 			return nil
 		}
 		return r.publish(service, false)
-	case restartGovernor:
+	case restartController:
 		span.restarted++
 		r.restart(number)
-	case failGovernor:
+	case failController:
 		span.restarted++
-		r.hostOf[number].tell(command{Stop: []int{number}})
-		r.later(ctx, r.plan.Repair, func() { r.hostOf[number].tell(command{Start: []int{number}}) })
+		r.hostByController[number].send(command{Stop: []int{number}})
+		r.schedule(ctx, r.plan.RepairTime, func() { r.hostByController[number].send(command{Start: []int{number}}) })
 	case restartReplica:
-		r.change(service, replica, "Terminating")
-		step := r.plan.Repair / replaceSteps
-		r.later(ctx, step, func() { r.change(service, replica, "Gone") })
-		r.later(ctx, 2*step, func() { r.change(service, replica, "Ready") })
+		r.changeReplica(service, replica, "Terminating")
+		step := r.plan.RepairTime / replacementSteps
+		r.schedule(ctx, step, func() { r.changeReplica(service, replica, "Gone") })
+		r.schedule(ctx, 2*step, func() { r.changeReplica(service, replica, "Ready") })
 	case failReplica:
-		r.change(service, replica, "Gone")
-		r.later(ctx, r.plan.Repair, func() { r.change(service, replica, "Ready") })
+		r.changeReplica(service, replica, "Gone")
+		r.schedule(ctx, r.plan.RepairTime, func() { r.changeReplica(service, replica, "Ready") })
 	default:
-		return errNoAction
+		return errUnknownAction
 	}
 	return nil
 }
 
-func (r *scaleRun) later(ctx context.Context, pause time.Duration, do func()) {
-	at := r.tracker.since() + pause
+// schedule runs a task after a delay, unless ctx ends before.
+func (r *scaleRun) schedule(ctx context.Context, delay time.Duration, task func()) {
+	at := r.tracker.elapsed() + delay
 	r.repairs.Go(func() {
-		if r.until(ctx, at) {
-			do()
+		if r.waitUntil(ctx, at) {
+			task()
 		}
 	})
 }
 
-// change changes a replica in discovery's list.
-func (r *scaleRun) change(service, replica int, phase string) {
-	at := r.tracker.since()
+// changeReplica sets the phase of a replica in discovery's list, and records the publication.
+func (r *scaleRun) changeReplica(service, replica int, phase string) {
+	at := r.tracker.elapsed()
 	marker := r.agents[service].change(replica, phase)
 	r.tracker.add(checks.Event{Kind: checks.Published, At: at, Service: service, Subject: checks.ReplicaList, Marker: marker, Valid: true})
 }
 
-// evaluate checks the rules, and returns the report.
+// evaluate checks the rules, and completes the report.
 func (r *scaleRun) evaluate(out Report, phases []phaseSpan) (Report, error) {
-	end := r.tracker.since()
-	events, faults := r.tracker.all()
-	if len(faults) > 0 {
-		return out, fmt.Errorf("%d faults of hosts, the first: %s", len(faults), faults[0])
+	end := r.tracker.elapsed()
+	events, hostErrors := r.tracker.snapshot()
+	if len(hostErrors) > 0 {
+		return out, fmt.Errorf("%d errors of host processes, the first: %s", len(hostErrors), hostErrors[0])
 	}
-	verdict := checks.Judge(events, end, checks.Bounds{InForce: r.plan.InForce, Silence: r.plan.Silence})
-	verdict.Failures = append(verdict.Failures, r.realFailures...)
+	result := checks.Check(events, end, checks.Bounds{MaxPropagationDelay: r.plan.MaxPropagationDelay, HeartbeatTimeout: r.plan.HeartbeatTimeout})
+	result.Violations = append(result.Violations, r.realViolations...)
 	for _, span := range phases {
-		out.Phases = append(out.Phases, r.phaseReport(span, verdict))
+		out.Phases = append(out.Phases, r.phaseReport(span, result))
 	}
-	first, last := phases[0].after, phases[len(phases)-1].after
-	out.Governor = spent(first[roleHollow], last[roleHollow], r.plan.Governors, phases[len(phases)-1].to-phases[0].to)
+	first, last := phases[0].usageAfter, phases[len(phases)-1].usageAfter
+	out.PerController = resourceUsage(first[roleSimulated], last[roleSimulated], r.plan.Controllers, phases[len(phases)-1].to-phases[0].to)
 	out.Seconds = end.Seconds()
 	r.tracker.mu.Lock()
-	out.PeakMB = float64(r.peak) / (1 << 20)
+	out.PeakMB = float64(r.peakMemory) / (1 << 20)
 	r.tracker.mu.Unlock()
-	out.judged(verdict, phases[0].to)
+	out.setResult(result, phases[0].to)
 	return out, nil
 }
 
-func (r *scaleRun) phaseReport(span phaseSpan, verdict checks.Verdict) PhaseReport {
-	p := PhaseReport{Fault: span.fault, Seconds: (span.to - span.from).Seconds(), Settled: span.settled.Seconds(),
-		Cut: span.cut, Restarted: span.restarted}
+// phaseReport returns the report of one phase.
+func (r *scaleRun) phaseReport(span phaseSpan, result checks.Result) PhaseReport {
+	phase := PhaseReport{Fault: span.fault, Seconds: (span.to - span.from).Seconds(), SettleSeconds: span.settleTime.Seconds(),
+		Partitioned: span.partitioned, Restarted: span.restarted}
 	report := func(role string, count int) RoleReport {
-		return RoleReport{Role: role, Count: count, Spent: spent(span.before[role], span.after[role], count, span.to-span.from)}
+		return RoleReport{Role: role, Count: count, ResourceUsage: resourceUsage(span.usageBefore[role], span.usageAfter[role], count, span.to-span.from)}
 	}
 	for k := range r.plan.Servers {
-		p.Servers = append(p.Servers, report(oneServer(k), 1))
+		phase.Servers = append(phase.Servers, report(serverRole(k), 1))
 	}
-	for _, role := range slices.Sorted(maps.Keys(span.after)) {
-		if count := r.count(role); count > 0 {
-			p.Roles = append(p.Roles, report(role, count))
+	for _, role := range slices.Sorted(maps.Keys(span.usageAfter)) {
+		if count := r.countOfRole(role); count > 0 {
+			phase.Roles = append(phase.Roles, report(role, count))
 		}
 	}
 	from := span.from
-	if span.before == nil { // what all start with was published before they did
+	if span.usageBefore == nil { // in the start phase: the initial revisions were published before the hosts were started
 		from = 0
 	}
 	for _, subject := range []checks.Subject{checks.Configuration, checks.ReplicaList} {
-		p.Delays = append(p.Delays, subjectDelays(verdict.Changes, subject, from, span.to))
+		phase.Delays = append(phase.Delays, subjectDelays(result.Changes, subject, from, span.to))
 	}
-	if span.real != nil && span.real.TotalCount() > 0 {
-		p.Delays = append(p.Delays, SubjectDelay{Subject: "real governors' configuration", Changes: int(span.real.TotalCount()), AtAll: delaysOf(span.real)})
+	if span.realDelays != nil && span.realDelays.TotalCount() > 0 {
+		phase.Delays = append(phase.Delays, SubjectDelay{Subject: "configuration of the real service", Changes: int(span.realDelays.TotalCount()), AllControllers: summarizeDelays(span.realDelays)})
 	}
-	return p
+	return phase
 }
--- a/experiment/scale/plan.go
+++ b/experiment/scale/plan.go
@@ -1,5 +1,6 @@
-// Package scale runs many hollow controllers, which share processes, against real configuration servers on loopback,
-// with changes and faults, and measures what each role spends and how long changes take. It is no part of the product.
+// Package scale runs many simulated controllers, which share processes, against real configuration servers on loopback, with
+// changes and faults. It measures the resource usage of each role and the time until changes are in force. It is not part of
+// the product.
 package scale
 
 import (
@@ -11,147 +12,148 @@
 	"time"
 )
 
-// The size that the product is built for; what a plan leaves out keeps its proportions.
+// The full size of an installation, for which the product is built. Plan.Fill sets missing values in proportion to it.
 const (
-	fullGovernors = 1600
-	fullServices  = 290
-	fullReplicas  = 9500
-	fullRoutes    = 14_000
-	fullTenants   = 74_000
-	fullCrowd     = 1200
-	fullChanges   = 8400.0 // a day, as the next two
-	fullFailures  = 39.0
-	fullRestarts  = 1200.0
-	zonesEach     = 3 // of one service
-	day           = 24 * time.Hour
+	fullControllers   = 1600
+	fullServices      = 290
+	fullReplicas      = 9500
+	fullRoutes        = 14_000
+	fullTenants       = 74_000
+	fullBurstRestarts = 1200
+	fullChanges       = 8400.0 // per day, like the next two
+	fullFailures      = 39.0
+	fullRestarts      = 1200.0
+	zonesPerService   = 3 // at most
+	day               = 24 * time.Hour
 )
 
-// Fault is the fault of a phase.
+// Fault is the fault that is injected in a phase.
 type Fault string
 
-// The faults of phases. Each phase has the background rates of changes, failures and restarts, too.
+// The faults of phases. Changes, failures and restarts at the background rates occur in each phase as well.
 const (
-	NoFault      Fault = "quiet"
-	ServerKilled Fault = "server-killed"
-	WriterKilled Fault = "writer-killed"
-	RegionCut    Fault = "region-cut"
-	ManyRestarts Fault = "restarts"
-	ManyChanges  Fault = "burst"
+	NoFault           Fault = "quiet"
+	ServerKilled      Fault = "server-killed"
+	WriterKilled      Fault = "writer-killed"
+	RegionPartitioned Fault = "region-cut"
+	RestartBurst      Fault = "restarts"
+	ChangeBurst       Fault = "burst"
 )
 
-// Faults are all faults, in the order of a run.
-var Faults = []Fault{NoFault, ServerKilled, WriterKilled, RegionCut, ManyRestarts, ManyChanges}
+// Faults are all faults, in the default order of a run.
+var Faults = []Fault{NoFault, ServerKilled, WriterKilled, RegionPartitioned, RestartBurst, ChangeBurst}
 
 // Plan describes one run.
 type Plan struct {
-	Governors int `json:"governors"`
-	Services  int `json:"services"` // 0: in proportion, as for the following ones
-	Replicas  int `json:"replicas"`
-	Zones     int `json:"zones"`
-	Regions   int `json:"regions"`
-	Servers   int `json:"servers"`
-	Routes    int `json:"routes"`
-	Tenants   int `json:"tenants"`
-	Proxies   int `json:"proxies"`   // of each governor
-	HostSize  int `json:"host_size"` // most governors of one process
-	Skew      int `json:"skew"`      // times the size of the others that the first service has; 0: the same
-
-	Seed     uint64        `json:"seed"`
-	Phase    time.Duration `json:"phase"` // how long each fault lasts
-	Faults   []Fault       `json:"faults"`
-	Factor   float64       `json:"factor"`   // by which a day is compressed; rates below 0 are in proportion
-	Changes  float64       `json:"changes"`  // of configuration, a day
-	Failures float64       `json:"failures"` // of machines, a day: a governor or a replica each
-	Restarts float64       `json:"restarts"` // a day, of the same
-	Invalid  float64       `json:"invalid"`  // share of changes that are not valid
-	AtOnce   int           `json:"at_once"`  // changes in a burst
-	Crowd    int           `json:"crowd"`    // restarts within a minute
-
-	Repair time.Duration `json:"repair"` // until what failed is replaced
-
-	InForce time.Duration `json:"in_force"` // bound of the checks
-	Silence time.Duration `json:"silence"`
+	Controllers        int `json:"governors"`
+	Services           int `json:"services"` // 0: in proportion to Controllers; also Replicas, Routes, Tenants, BurstRestarts
+	Replicas           int `json:"replicas"`
+	Zones              int `json:"zones"`
+	Regions            int `json:"regions"`
+	Servers            int `json:"servers"`
+	Routes             int `json:"routes"`
+	Tenants            int `json:"tenants"`
+	Proxies            int `json:"proxies"`   // of each controller
+	ControllersPerHost int `json:"host_size"` // at most
+	Skew               int `json:"skew"`      // size of the first service as a multiple of the others; 0: the same size
+
+	Seed            uint64        `json:"seed"`
+	PhaseDuration   time.Duration `json:"phase"` // duration of each fault
+	Faults          []Fault       `json:"faults"`
+	TimeCompression float64       `json:"factor"`   // a day of background actions takes 24 h divided by this factor
+	ChangesPerDay   float64       `json:"changes"`  // of configuration; rates below 0: in proportion to Controllers
+	FailuresPerDay  float64       `json:"failures"` // of machines, each with a controller or a replica
+	RestartsPerDay  float64       `json:"restarts"` // of machines
+	InvalidFraction float64       `json:"invalid"`  // fraction of the changes that are not valid
+	BurstChanges    int           `json:"at_once"`  // published at once
+	BurstRestarts   int           `json:"crowd"`    // within restartBurstDuration
+
+	RepairTime time.Duration `json:"repair"` // from a failure to the replacement
+
+	MaxPropagationDelay time.Duration `json:"in_force"` // bounds of the checks
+	HeartbeatTimeout    time.Duration `json:"silence"`
 }
 
-// proportion is a part of the full size, at least 1.
-func proportion(full, governors int) int {
-	return max(1, (full*governors+fullGovernors/2)/fullGovernors)
+// proportional returns the share of a full-size count for a number of controllers, at least 1.
+func proportional(full, controllers int) int {
+	return max(1, (full*controllers+fullControllers/2)/fullControllers)
 }
 
-// Fill sets what a plan leaves out (counts of 0, rates below 0) in proportion to the number of controllers.
+// Fill sets missing values (counts of 0, rates below 0) in proportion to the number of controllers.
 func (p *Plan) Fill() {
-	fill := func(into *int, full int) {
-		if *into == 0 {
-			*into = proportion(full, p.Governors)
+	fill := func(field *int, full int) {
+		if *field == 0 {
+			*field = proportional(full, p.Controllers)
 		}
 	}
 	fill(&p.Services, fullServices)
 	fill(&p.Replicas, fullReplicas)
 	fill(&p.Routes, fullRoutes)
 	fill(&p.Tenants, fullTenants)
-	fill(&p.Crowd, fullCrowd)
-	rate := func(into *float64, full float64) {
-		if *into < 0 {
-			*into = full * float64(p.Governors) / fullGovernors
+	fill(&p.BurstRestarts, fullBurstRestarts)
+	rate := func(field *float64, full float64) {
+		if *field < 0 {
+			*field = full * float64(p.Controllers) / fullControllers
 		}
 	}
-	rate(&p.Changes, fullChanges)
-	rate(&p.Failures, fullFailures)
-	rate(&p.Restarts, fullRestarts)
+	rate(&p.ChangesPerDay, fullChanges)
+	rate(&p.FailuresPerDay, fullFailures)
+	rate(&p.RestartsPerDay, fullRestarts)
 }
 
-// Check returns what is wrong with a plan, or with this machine's limits for it.
+// Check returns an error if a plan is invalid, or if it needs more file descriptors than this process may open.
 func (p Plan) Check() error {
 	for _, f := range p.Faults {
 		if !slices.Contains(Faults, f) {
-			return fmt.Errorf("no fault %q: %v", f, Faults)
+			return fmt.Errorf("unknown fault %q, want one of %v", f, Faults)
 		}
 	}
 	switch {
-	case p.Governors < 1 || p.Services < 1 || p.Services > p.Governors:
-		return errors.New("at least a governor, and a governor for each service")
-	case p.Replicas < p.Services || p.Zones < 1 || p.Regions < 1 || p.HostSize < 1:
-		return errors.New("at least a replica for each service, a zone, a region and a governor in each process")
+	case p.Controllers < 1 || p.Services < 1 || p.Services > p.Controllers:
+		return errors.New("plan needs at least one service, and one controller for each service")
+	case p.Replicas < p.Services || p.Zones < 1 || p.Regions < 1 || p.ControllersPerHost < 1:
+		return errors.New("plan needs at least one replica for each service, one zone, one region and one controller for each host")
 	case p.Servers < 1 || slices.Contains(p.Faults, ServerKilled) && p.Servers < 2:
-		return errors.New("at least a server, and two for one to be killed")
-	case slices.Contains(p.Faults, RegionCut) && (p.Regions < 2 || p.Servers < 2):
-		return errors.New("at least two regions and two servers for one to be cut off")
+		return errors.New("plan needs at least one server, and two servers to kill one of them")
+	case slices.Contains(p.Faults, RegionPartitioned) && (p.Regions < 2 || p.Servers < 2):
+		return errors.New("plan needs at least two regions and two servers to partition a region")
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return err
 	}
-	if needs := p.descriptors(); needs > limit.Cur {
-		return fmt.Errorf("needs %d descriptors, and %d are allowed", needs, limit.Cur)
+	if needed := p.descriptors(); needed > limit.Cur {
+		return fmt.Errorf("plan needs %d file descriptors, and the limit of the process is %d", needed, limit.Cur)
 	}
-	if has := len(p.governors()); has != p.Governors {
-		return fmt.Errorf("%d services of this skew need %d governors", p.Services, has)
+	if count := len(p.controllers()); count != p.Controllers {
+		return fmt.Errorf("plan has %d services, which need %d controllers with this skew", p.Services, count)
 	}
 	return nil
 }
 
-// descriptors returns how many one process needs at most: this one has both ends of a link and the end of an agent for each
-// controller.
+// descriptors returns an upper bound of the file descriptors of one process. This process needs the most: both ends of a
+// link and one end of a discovery connection for each controller.
 func (p Plan) descriptors() uint64 {
-	return uint64(100 + 4*p.Governors + p.Services + p.Servers*(p.Regions+p.Servers))
+	return uint64(100 + 4*p.Controllers + p.Services + p.Servers*(p.Regions+p.Servers))
 }
 
-// region returns the region of a service's controller.
-func (p Plan) region(service, k int) int { return (service + k) % p.Regions }
+// controllerRegion returns the region of the k-th controller of a service.
+func (p Plan) controllerRegion(service, k int) int { return (service + k) % p.Regions }
 
-// cutRegions returns the regions that are cut off: the last server's, and one without a server if there is any.
-func (p Plan) cutRegions() []int {
-	var served []int
+// partitionedRegions returns the regions that are partitioned: that of the last server, and one without a server if there
+// is any.
+func (p Plan) partitionedRegions() []int {
+	var withServer []int
 	for server := range p.Servers {
-		served = append(served, p.serverRegion(server))
+		withServer = append(withServer, p.serverRegion(server))
 	}
-	cut := []int{served[p.Servers-1]}
+	partitioned := []int{withServer[p.Servers-1]}
 	for region := range p.Regions {
-		if !slices.Contains(served, region) {
-			return append(cut, region)
+		if !slices.Contains(withServer, region) {
+			return append(partitioned, region)
 		}
 	}
-	return cut
+	return partitioned
 }
 
 // serverRegion returns the region of a server; the writer is in region 0.
@@ -159,85 +161,89 @@
 
 // shape returns the size of one service.
 func (p Plan) shape(service int) ServiceShape {
-	first := max(1, p.Skew)
-	parts := p.Services - 1 + first
-	from, to := first+service-1, first+service
+	firstShares := max(1, p.Skew)
+	totalShares := p.Services - 1 + firstShares
+	from, to := firstShares+service-1, firstShares+service
 	if service == 0 {
 		from = 0
 	}
-	share := func(all int) int { return max(1, all*to/parts-all*from/parts) }
-	return ServiceShape{Governors: share(p.Governors), Replicas: share(p.Replicas), Zones: min(zonesEach, p.Zones),
+	share := func(all int) int { return max(1, all*to/totalShares-all*from/totalShares) }
+	return ServiceShape{Controllers: share(p.Controllers), Replicas: share(p.Replicas), Zones: min(zonesPerService, p.Zones),
 		Routes: share(p.Routes), Tenants: share(p.Tenants), Proxies: p.Proxies}
 }
 
-// A governor that is cut off for a phase has to give a sign of life in it, so it gives several, and one a second at least.
+// A controller that is partitioned for a phase must send a heartbeat within it, so it sends several per phase, and at
+// least one per second.
 const (
-	signsAPhase  = 8
-	signInterval = time.Second
+	heartbeatsPerPhase   = 8
+	maxHeartbeatInterval = time.Second
 )
 
-func (p Plan) signEvery() time.Duration { return min(signInterval, p.Phase/signsAPhase) }
+func (p Plan) heartbeatInterval() time.Duration {
+	return min(maxHeartbeatInterval, p.PhaseDuration/heartbeatsPerPhase)
+}
 
-// governors returns the controllers and their places, without addresses.
-func (p Plan) governors() []ControllerPlan {
+// controllers returns the plans of all controllers, without the addresses of their peers.
+func (p Plan) controllers() []ControllerPlan {
 	var all []ControllerPlan
 	for service := range p.Services {
 		shape := p.shape(service)
-		for k := range shape.Governors {
-			all = append(all, ControllerPlan{Number: len(all), Service: service, Region: p.region(service, k), Shape: shape,
-				Seed: p.Seed ^ uint64(len(all)+1)*0x9e3779b97f4a7c15, SignEvery: p.signEvery()})
+		for k := range shape.Controllers {
+			all = append(all, ControllerPlan{Number: len(all), Service: service, Region: p.controllerRegion(service, k), Shape: shape,
+				Seed: p.Seed ^ uint64(len(all)+1)*0x9e3779b97f4a7c15, HeartbeatInterval: p.heartbeatInterval()})
 		}
 	}
 	return all
 }
 
-// actionKind is something that the background does.
+// actionKind is the kind of a background action.
 type actionKind int
 
 const (
 	publishChange actionKind = iota
 	publishInvalid
-	restartGovernor
-	failGovernor
+	restartController
+	failController
 	restartReplica
 	failReplica
 )
 
-// action is one of them, at a time since the phase began; Draw picks who is concerned.
+// action is one background action, at a time since the start of the phase. The random number selects the service, the
+// controller or the replica.
 type action struct {
-	at   time.Duration
-	kind actionKind
-	draw uint64
+	at     time.Duration
+	kind   actionKind
+	random uint64
 }
 
-// background draws the actions of a phase, by the day's rates and the factor.
-func (p Plan) background(random *rand.Rand) []action {
+// backgroundActions returns random actions for a phase, at the daily rates multiplied by the time compression.
+func (p Plan) backgroundActions(random *rand.Rand) []action {
 	var all []action
-	add := func(aDay float64, kind func() actionKind) {
-		perSecond := aDay * p.Factor / day.Seconds()
+	add := func(perDay float64, kind func() actionKind) {
+		perSecond := perDay * p.TimeCompression / day.Seconds()
 		if perSecond <= 0 {
 			return
 		}
-		for at := random.ExpFloat64() / perSecond; at < p.Phase.Seconds(); at += random.ExpFloat64() / perSecond {
+		for at := random.ExpFloat64() / perSecond; at < p.PhaseDuration.Seconds(); at += random.ExpFloat64() / perSecond {
 			all = append(all, action{time.Duration(at * float64(time.Second)), kind(), random.Uint64()})
 		}
 	}
-	either := func(governor, replica actionKind) func() actionKind {
+	controllerOrReplica := func(controller, replica actionKind) func() actionKind {
 		return func() actionKind {
-			if random.IntN(p.Governors+p.Replicas) < p.Governors {
-				return governor
+			if random.IntN(p.Controllers+p.Replicas) < p.Controllers {
+				return controller
 			}
 			return replica
 		}
 	}
-	add(p.Changes, func() actionKind {
-		if random.Float64() < p.Invalid {
+	add(p.ChangesPerDay, func() actionKind {
+		if random.Float64() < p.InvalidFraction {
 			return publishInvalid
 		}
 		return publishChange
 	})
-	add(p.Failures, either(failGovernor, failReplica))
-	add(p.Restarts, either(restartGovernor, restartReplica))
+	add(p.FailuresPerDay, controllerOrReplica(failController, failReplica))
+	add(p.RestartsPerDay, controllerOrReplica(restartController, restartReplica))
 	slices.SortStableFunc(all, func(a, b action) int { return int(a.at - b.at) })
 	return all
 }
--- a/experiment/scale/process.go
+++ b/experiment/scale/process.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	endTimeout   = 15 * time.Second // a child may take to end, before it is killed
-	tallyTimeout = 30 * time.Second
-	reportLine   = 1 << 20
+	terminationTimeout = 15 * time.Second // from SIGTERM to SIGKILL
+	countersTimeout    = 30 * time.Second // for a host to report its counters
+	reportBufferSize   = 1 << 20          // bytes
 )
 
-// hostProcess is a host of hollow controllers, in its own process or in this one.
+// hostProcess is a host of simulated controllers, in its own process or in this one.
 type hostProcess struct {
-	pid     int
-	in      io.WriteCloser
-	out     *json.Encoder
-	tallies chan hostTally
-	ended   chan struct{} // closed when it writes no more and has ended
+	pid      int
+	in       io.WriteCloser
+	out      *json.Encoder
+	counters chan hostCounters
+	ended    chan struct{} // closed after the last report, when the host has ended
 }
 
-// Launch starts a host and returns its input, its output and a function that waits for its end.
+// Launch starts a host and returns its process ID, its input, its output and a function that waits for its end.
 type Launch func(ctx context.Context) (pid int, in io.WriteCloser, out io.Reader, wait func() error, err error)
 
-// LaunchChild starts hosts as processes of this program with a hidden command.
-func LaunchChild(arguments ...string) Launch {
+// LaunchProcess starts hosts as processes of this program, with the arguments of its hidden command.
+func LaunchProcess(arguments ...string) Launch {
 	return func(ctx context.Context) (int, io.WriteCloser, io.Reader, func() error, error) {
 		c := exec.CommandContext(ctx, os.Args[0], arguments...)
 		c.Stderr = os.Stderr
 		c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) }
-		c.WaitDelay = endTimeout
+		c.WaitDelay = terminationTimeout
 		in, err := c.StdinPipe()
 		if err != nil {
 			return 0, nil, nil, nil, err
@@ -53,14 +53,14 @@
 	}
 }
 
-// LaunchHere runs hosts in this process.
-func LaunchHere(source SourceOf) Launch {
+// LaunchInProcess runs hosts in this process.
+func LaunchInProcess(newSource NewSource) Launch {
 	return func(ctx context.Context) (int, io.WriteCloser, io.Reader, func() error, error) {
 		commands, in := io.Pipe()
 		out, reports := io.Pipe()
 		ended := make(chan error, 1)
 		go func() {
-			err := Host(ctx, commands, reports, source)
+			err := Host(ctx, commands, reports, newSource)
 			reports.Close()
 			ended <- err
 		}()
@@ -68,57 +68,57 @@
 	}
 }
 
-// startHost starts a host with a plan. It calls take with each event or fault that the host reports, in order.
-func startHost(ctx context.Context, launch Launch, plan HostPlan, take func(report)) (*hostProcess, error) {
+// startHost starts a host with a plan. It calls handle with each event or error that the host reports, in order.
+func startHost(ctx context.Context, launch Launch, plan HostPlan, handle func(report)) (*hostProcess, error) {
 	pid, in, out, wait, err := launch(ctx)
 	if err != nil {
 		return nil, err
 	}
-	h := &hostProcess{pid: pid, in: in, out: json.NewEncoder(in), tallies: make(chan hostTally, 1), ended: make(chan struct{})}
+	h := &hostProcess{pid: pid, in: in, out: json.NewEncoder(in), counters: make(chan hostCounters, 1), ended: make(chan struct{})}
 	go func() {
 		defer close(h.ended)
-		h.read(out, take)
+		h.readReports(out, handle)
 		if err := wait(); err != nil && ctx.Err() == nil {
-			take(report{Fault: fmt.Sprintf("a host ended: %v", err)})
+			handle(report{Error: fmt.Sprintf("host process ended: %v", err)})
 		}
 	}()
 	return h, h.out.Encode(plan)
 }
 
-func (h *hostProcess) read(out io.Reader, take func(report)) {
-	decoder := json.NewDecoder(bufio.NewReaderSize(out, reportLine))
+func (h *hostProcess) readReports(out io.Reader, handle func(report)) {
+	decoder := json.NewDecoder(bufio.NewReaderSize(out, reportBufferSize))
 	for {
 		var r report
 		if err := decoder.Decode(&r); err != nil {
 			return
 		}
-		if r.Tally != nil {
-			h.tallies <- *r.Tally
+		if r.Counters != nil {
+			h.counters <- *r.Counters
 			continue
 		}
-		take(r)
+		handle(r)
 	}
 }
 
-func (h *hostProcess) tell(c command) error { return h.out.Encode(c) }
+func (h *hostProcess) send(c command) error { return h.out.Encode(c) }
 
-// tally requests the counters.
-func (h *hostProcess) tally() (hostTally, error) {
-	if err := h.tell(command{Tally: true}); err != nil {
-		return hostTally{}, err
+// readCounters requests the counters and waits for them.
+func (h *hostProcess) readCounters() (hostCounters, error) {
+	if err := h.send(command{Counters: true}); err != nil {
+		return hostCounters{}, err
 	}
 	select {
-	case t := <-h.tallies:
-		return t, nil
+	case counters := <-h.counters:
+		return counters, nil
 	case <-h.ended:
-		return hostTally{}, errors.New("a host has ended")
-	case <-time.After(tallyTimeout):
-		return hostTally{}, errors.New("a host does not answer")
+		return hostCounters{}, errors.New("host process ended before it reported its counters")
+	case <-time.After(countersTimeout):
+		return hostCounters{}, errors.New("host process did not report its counters before the timeout")
 	}
 }
 
-// end closes the host's input and waits for its end.
-func (h *hostProcess) end() {
+// close closes the host's input and waits for the host to end.
+func (h *hostProcess) close() {
 	h.in.Close()
 	<-h.ended
 }
--- a/experiment/scale/run.go
+++ b/experiment/scale/run.go
@@ -15,46 +15,46 @@
 )
 
 const (
-	settleInterval = 50 * time.Millisecond
-	memoryInterval = time.Second
-	replaceSteps   = 5 // of a repair: each step of a replica's replacement
-	startTimeout   = 2 * time.Minute
-	restartsSpan   = time.Minute // the crowd restarts within it, or within the phase if that is shorter
+	settleInterval       = 50 * time.Millisecond
+	memoryInterval       = time.Second
+	replacementSteps     = 5 // each step of a replica's replacement takes this part of the repair time
+	startTimeout         = 2 * time.Minute
+	restartBurstDuration = time.Minute // or the duration of the phase if that is shorter
 )
 
 // scaleRun is a run in progress.
 type scaleRun struct {
-	plan      Plan
-	tracker   *tracker
-	servers   *servers
-	network   *network
-	agents    []*agent
-	hosts     []*hostProcess
-	hostOf    map[int]*hostProcess
-	governors []ControllerPlan
-	markers   []checks.Marker // the last published, by service
-	random    *rand.Rand
-	peak      int64
-
-	writerDown atomic.Bool // nothing is published
-
-	real         RealService // may be nil
-	realRevision int
-	realFailures []checks.Failure
+	plan             Plan
+	tracker          *tracker
+	servers          *servers
+	network          *network
+	agents           []*discoveryAgent
+	hosts            []*hostProcess
+	hostByController map[int]*hostProcess
+	controllers      []ControllerPlan
+	lastMarkers      []checks.Marker // of the last published settings, by service
+	random           *rand.Rand
+	peakMemory       int64 // bytes; guarded by tracker.mu
+
+	writerDown atomic.Bool // while set, nothing is published
+
+	realService    RealService // may be nil
+	realRevision   int
+	realViolations []checks.Violation
 
 	repairs sync.WaitGroup
 }
 
-// Options are the parts of a run.
+// Options are the parts of a run that depend on the caller.
 type Options struct {
-	Launch Launch
-	Serve  ServerLaunch
-	Dir    string      // for the servers' files
-	Real   RealService // may be nil
-	Log    func(format string, args ...any)
+	Launch      Launch
+	Serve       ServerLaunch
+	Dir         string      // for the servers' files
+	RealService RealService // may be nil
+	Log         func(format string, args ...any)
 }
 
-// Run runs a plan and checks the rules. An error is a failure of the run itself; broken rules are counted in the report.
+// Run runs a plan and checks the rules. An error means that the run itself failed; the report counts the violated rules.
 func Run(ctx context.Context, plan Plan, options Options) (Report, error) {
 	plan.Fill()
 	if err := plan.Check(); err != nil {
@@ -62,23 +62,23 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	r := &scaleRun{plan: plan, tracker: newTracker(), hostOf: map[int]*hostProcess{}, governors: plan.governors(),
-		markers: make([]checks.Marker, plan.Services), random: rand.New(rand.NewPCG(plan.Seed, 1)), real: options.Real}
+	r := &scaleRun{plan: plan, tracker: newTracker(), hostByController: map[int]*hostProcess{}, controllers: plan.controllers(),
+		lastMarkers: make([]checks.Marker, plan.Services), random: rand.New(rand.NewPCG(plan.Seed, 1)), realService: options.RealService}
 	defer r.close()
 	out := Report{Plan: plan}
-	begun, err := r.startAll(ctx, options)
+	startPhase, err := r.startAll(ctx, options)
 	if err != nil {
 		return out, err
 	}
 	out.Hosts = len(r.hosts)
-	overMemory := make(chan error, 1)
-	go r.watchMemory(ctx, stop, overMemory)
-	phases := []phaseSpan{begun}
+	memoryError := make(chan error, 1)
+	go r.watchMemory(ctx, stop, memoryError)
+	phases := []phaseSpan{startPhase}
 	for _, fault := range plan.Faults {
 		options.Log("%s", fault)
-		span, err := r.phase(ctx, fault)
+		span, err := r.runPhase(ctx, fault)
 		if err != nil {
-			return out, errors.Join(err, drained(overMemory))
+			return out, errors.Join(err, receivedError(memoryError))
 		}
 		phases = append(phases, span)
 	}
@@ -86,7 +86,8 @@
 	return r.evaluate(out, phases)
 }
 
-func drained(c <-chan error) error {
+// receivedError returns the error in a channel, or nil if there is none yet.
+func receivedError(c <-chan error) error {
 	select {
 	case err := <-c:
 		return err
@@ -95,7 +96,7 @@
 	}
 }
 
-// startAll starts everything at once, which is a phase of its own.
+// startAll starts all parts of the run. The start of the controllers, all at once, is the first phase.
 func (r *scaleRun) startAll(ctx context.Context, options Options) (span phaseSpan, err error) {
 	if r.servers, err = newServers(r.plan, options.Serve, options.Dir); err != nil {
 		return span, err
@@ -106,31 +107,31 @@
 	if err := r.publishInitial(); err != nil {
 		return span, err
 	}
-	if err := r.servers.start(ctx, func(from, to int) string { return r.network.servers[from][to].address() }); err != nil {
+	if err := r.servers.start(ctx, func(from, to int) string { return r.network.serverLinks[from][to].address() }); err != nil {
 		return span, err
 	}
-	if err := r.startReal(ctx); err != nil {
+	if err := r.startRealService(ctx); err != nil {
 		return span, err
 	}
-	span = phaseSpan{fault: "start", from: r.tracker.since()}
+	span = phaseSpan{fault: "start", from: r.tracker.elapsed()}
 	if err := r.startHosts(ctx, options.Launch); err != nil {
 		return span, err
 	}
-	if !r.settle(ctx, startTimeout) {
-		return span, errors.Join(ctx.Err(), fmt.Errorf("%d governors do not start", r.tracker.countBehind(r.plan.Governors)))
+	if !r.waitSettled(ctx, startTimeout) {
+		return span, errors.Join(ctx.Err(), fmt.Errorf("%d controllers do not run or do not serve the newest revisions after the start timeout", r.tracker.countBehind(r.plan.Controllers)))
 	}
 	return r.endPhase(span, 0)
 }
 
-// publishInitial starts discovery's agents and publishes the first settings of all services.
+// publishInitial starts the discovery agents, and publishes the first replica list and settings of all services.
 func (r *scaleRun) publishInitial() error {
 	for service := range r.plan.Services {
-		a, err := newAgent(r.plan.shape(service), service)
+		a, err := newDiscoveryAgent(r.plan.shape(service), service)
 		if err != nil {
 			return err
 		}
 		r.agents = append(r.agents, a)
-		r.tracker.recordOwn(checks.Event{Kind: checks.Published, Service: service, Subject: checks.ReplicaList, Marker: 1, Valid: true})
+		r.tracker.recordNow(checks.Event{Kind: checks.Published, Service: service, Subject: checks.ReplicaList, Marker: 1, Valid: true})
 		if err := r.publish(service, true); err != nil {
 			return err
 		}
@@ -138,32 +139,33 @@
 	return nil
 }
 
-// startHosts starts the hollow controllers, of which many share a process.
+// startHosts starts the hosts of the simulated controllers.
 func (r *scaleRun) startHosts(ctx context.Context, launch Launch) error {
-	for k := range r.governors {
-		g := &r.governors[k]
-		g.Discovery = r.agents[g.Service].address()
-		g.Servers = r.network.addresses(g.Region)
+	for k := range r.controllers {
+		controller := &r.controllers[k]
+		controller.Discovery = r.agents[controller.Service].address()
+		controller.Servers = r.network.serverAddresses(controller.Region)
 	}
-	for part := range slices.Chunk(r.governors, r.plan.HostSize) {
-		h, err := startHost(ctx, launch, HostPlan{Governors: part}, r.tracker.record)
+	for chunk := range slices.Chunk(r.controllers, r.plan.ControllersPerHost) {
+		h, err := startHost(ctx, launch, HostPlan{Controllers: chunk}, r.tracker.recordReport)
 		if err != nil {
 			return err
 		}
 		r.hosts = append(r.hosts, h)
-		for _, g := range part {
-			r.hostOf[g.Number] = h
+		for _, controller := range chunk {
+			r.hostByController[controller.Number] = h
 		}
 	}
 	return nil
 }
 
+// close ends all processes, connections and listeners of the run.
 func (r *scaleRun) close() {
 	for _, h := range r.hosts {
-		h.end()
+		h.close()
 	}
-	if r.real != nil {
-		r.real.Stop()
+	if r.realService != nil {
+		r.realService.Stop()
 	}
 	if r.servers != nil {
 		r.servers.stop()
@@ -176,21 +178,21 @@
 	}
 }
 
-// publish publishes the next revision of a service's settings.
+// publish publishes the next revision of a service's settings, unless the writer is down.
 func (r *scaleRun) publish(service int, valid bool) error {
 	if r.writerDown.Load() {
 		return nil
 	}
-	r.markers[service]++
-	marker := r.markers[service]
-	r.tracker.recordOwn(checks.Event{Kind: checks.Published, Service: service, Subject: checks.Configuration, Marker: marker, Valid: valid})
-	return r.servers.publish(service, settingsOf(r.plan.shape(service), marker, valid))
+	r.lastMarkers[service]++
+	marker := r.lastMarkers[service]
+	r.tracker.recordNow(checks.Event{Kind: checks.Published, Service: service, Subject: checks.Configuration, Marker: marker, Valid: valid})
+	return r.servers.publish(service, encodeSettings(r.plan.shape(service), marker, valid))
 }
 
-// settle waits until all controllers serve the newest versions, at most for a time.
-func (r *scaleRun) settle(ctx context.Context, bound time.Duration) bool {
-	for end := time.Now().Add(bound); ctx.Err() == nil; time.Sleep(settleInterval) {
-		if r.tracker.countBehind(r.plan.Governors) == 0 {
+// waitSettled waits until all controllers serve the newest revisions, and reports false after the timeout.
+func (r *scaleRun) waitSettled(ctx context.Context, timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); ctx.Err() == nil; time.Sleep(settleInterval) {
+		if r.tracker.countBehind(r.plan.Controllers) == 0 {
 			return true
 		}
 		if time.Now().After(end) {
@@ -200,23 +202,24 @@
 	return false
 }
 
+// pids returns the process IDs of the run.
 func (r *scaleRun) pids() (pids []int) {
 	pids = append(pids, os.Getpid())
 	pids = append(pids, r.servers.pids()...)
 	for _, h := range r.hosts {
 		pids = append(pids, h.pid)
 	}
-	if r.real != nil {
-		for _, of := range r.real.Processes() {
-			pids = append(pids, of...)
+	if r.realService != nil {
+		for _, processes := range r.realService.Processes() {
+			pids = append(pids, processes...)
 		}
 	}
 	slices.Sort(pids)
 	return slices.Compact(pids)
 }
 
-// watchMemory ends a run that uses more than half of the machine's memory.
-func (r *scaleRun) watchMemory(ctx context.Context, stop context.CancelFunc, over chan<- error) {
+// watchMemory ends a run whose processes use more than half of the machine's memory.
+func (r *scaleRun) watchMemory(ctx context.Context, stop context.CancelFunc, exceeded chan<- error) {
 	limit, err := memoryLimit()
 	for err == nil {
 		select {
@@ -225,13 +228,13 @@
 		case <-time.After(memoryInterval):
 		}
 		var sum usage
-		if sum, err = processesUsage(r.pids()); err == nil && sum.resident > limit {
-			err = fmt.Errorf("%d MB are held, over half of the machine's memory", sum.resident>>20)
+		if sum, err = totalUsage(r.pids()); err == nil && sum.resident > limit {
+			err = fmt.Errorf("processes of the run use %d MB, more than half of the machine's memory", sum.resident>>20)
 		}
 		r.tracker.mu.Lock()
-		r.peak = max(r.peak, sum.resident)
+		r.peakMemory = max(r.peakMemory, sum.resident)
 		r.tracker.mu.Unlock()
 	}
-	over <- err
+	exceeded <- err
 	stop()
 }
--- a/experiment/scale/servers.go
+++ b/experiment/scale/servers.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	maxFollowed   = 3 // servers that each other one follows: the writer, and others in its stead
+	maxFollowed   = 3 // servers that a follower may follow: the writer, and other followers as alternatives
 	listenTimeout = 10 * time.Second
 )
 
@@ -34,33 +34,33 @@
 
 // servers are the configuration servers of a run; the first one is the writer.
 type servers struct {
-	plan      Plan
-	launch    ServerLaunch
-	folder    string // of settings
-	state     string // folder of the servers' state files
-	addresses []string
-	via       func(from, to int) string
+	plan           Plan
+	launch         ServerLaunch
+	settingsFolder string // with the settings files, which the writer reads
+	stateFolder    string // with the servers' state files
+	addresses      []string
+	linkAddress    func(from, to int) string // address at which a follower reaches another server
 
-	mu      sync.Mutex
-	running []*runningServer // nil: killed
-	retired []usage          // what each has spent in lives that ended by a kill
+	mu               sync.Mutex
+	running          []*runningServer // nil: killed
+	usageBeforeKills []usage          // usage of each server in its incarnations that were killed
 }
 
-// runningServer is one server. Its pid is 0 in this process.
+// runningServer is a server that runs. Its pid is 0 if it runs in this process.
 type runningServer struct {
 	pid  int
-	kill func() error // without a word, and waits
-	end  func()       // orderly, and waits
+	kill func() error // ends the server without a shutdown, and waits for its end
+	stop func()       // shuts the server down, and waits for its end
 }
 
-// ServerLaunch starts a server; ctx ends it.
+// ServerLaunch starts a server, which runs until ctx ends.
 type ServerLaunch func(ctx context.Context, options configserver.Options) (*runningServer, error)
 
 // newServers prepares the servers of a plan, with their files in a folder.
 func newServers(p Plan, launch ServerLaunch, dir string) (*servers, error) {
-	s := &servers{plan: p, launch: launch, folder: filepath.Join(dir, "settings"), state: filepath.Join(dir, "state"),
-		running: make([]*runningServer, p.Servers), retired: make([]usage, p.Servers)}
-	for _, folder := range []string{s.folder, s.state} {
+	s := &servers{plan: p, launch: launch, settingsFolder: filepath.Join(dir, "settings"), stateFolder: filepath.Join(dir, "state"),
+		running: make([]*runningServer, p.Servers), usageBeforeKills: make([]usage, p.Servers)}
+	for _, folder := range []string{s.settingsFolder, s.stateFolder} {
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return nil, err
 		}
@@ -75,48 +75,51 @@
 	return s, nil
 }
 
-// Ports of servers are below those that the kernel gives to who asks for any: a server that is killed gets its port again.
+// The ports of servers are below the kernel's range of ephemeral ports, so that a killed server can listen at its port again
+// when it is restarted.
 const (
-	serverPortLeast = 10_240
-	serverPorts     = 20_000
+	firstServerPort = 10_240
+	serverPortCount = 20_000
 )
 
-var portsTried atomic.Int64
+var triedPorts atomic.Int64
 
-// freeAddress returns an address of loopback on which nothing listens.
+// freeAddress returns a loopback address at which no process listens.
 func freeAddress() (string, error) {
-	var failed error
-	for range serverPorts {
-		port := serverPortLeast + (int64(os.Getpid())*101+portsTried.Add(1))%serverPorts
+	var lastErr error
+	for range serverPortCount {
+		port := firstServerPort + (int64(os.Getpid())*101+triedPorts.Add(1))%serverPortCount
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err == nil {
 			return l.Addr().String(), l.Close()
 		}
-		failed = err
+		lastErr = err
 	}
-	return "", failed
+	return "", lastErr
 }
 
-func (s *servers) start(ctx context.Context, via func(from, to int) string) error {
-	s.via = via
+// start starts all servers.
+func (s *servers) start(ctx context.Context, linkAddress func(from, to int) string) error {
+	s.linkAddress = linkAddress
 	for k := range s.addresses {
-		if err := s.revive(ctx, k); err != nil {
+		if err := s.startServer(ctx, k); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *servers) revive(ctx context.Context, k int) error {
-	r, err := s.launch(ctx, s.options(k))
+// startServer starts a server, or restarts it after a kill, and waits until it responds.
+func (s *servers) startServer(ctx context.Context, k int) error {
+	server, err := s.launch(ctx, s.options(k))
 	if err != nil {
 		return fmt.Errorf("server %d: %w", k, err)
 	}
 	s.mu.Lock()
-	s.running[k] = r
+	s.running[k] = server
 	s.mu.Unlock()
 	for end := time.Now().Add(listenTimeout); ; time.Sleep(settleInterval) {
-		err := s.answers(ctx, k)
+		err := s.checkStatus(ctx, k)
 		if err == nil {
 			return nil
 		}
@@ -128,8 +131,9 @@
 
 func serverName(k int) string { return fmt.Sprintf("server-%d", k) }
 
-// answers requests the status of a server, and reports whether another one answers at its address.
-func (s *servers) answers(ctx context.Context, k int) error {
+// checkStatus requests the status of a server. It returns an error if the server does not respond, or if another server
+// responds at its address.
+func (s *servers) checkStatus(ctx context.Context, k int) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.addresses[k]+configapi.StatusPath, nil)
 	if err != nil {
 		return err
@@ -144,138 +148,142 @@
 		return err
 	}
 	if status.Server != serverName(k) {
-		return fmt.Errorf("%q answers at its address", status.Server)
+		return fmt.Errorf("server %q responds at the address", status.Server)
 	}
 	return nil
 }
 
-// statusClient keeps no connection open, which would delay a server's end.
+// statusClient keeps no connection open, as an open connection would delay the shutdown of a server.
 var statusClient = &http.Client{Timeout: listenTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// options returns the options of one server: the writer reads the folder, the others follow it and each other.
+// options returns the options of one server: the writer reads the settings folder, the others follow the writer and each
+// other.
 func (s *servers) options(k int) configserver.Options {
-	o := configserver.Options{Name: serverName(k), Region: regionName(s.plan.serverRegion(k)), Listen: s.addresses[k],
-		StateFile: filepath.Join(s.state, fmt.Sprint(k))}
+	options := configserver.Options{Name: serverName(k), Region: regionName(s.plan.serverRegion(k)), Listen: s.addresses[k],
+		StateFile: filepath.Join(s.stateFolder, fmt.Sprint(k))}
 	if k == 0 {
-		o.Folder = s.folder
-		return o
+		options.Folder = s.settingsFolder
+		return options
 	}
 	for step := range min(maxFollowed, s.plan.Servers-1) {
 		to := 0
-		if step > 0 { // not itself, and not the writer again
+		if step > 0 { // neither this server nor the writer
 			to = 1 + (k-1+step)%(s.plan.Servers-1)
 		}
-		o.Follow = append(o.Follow, configclient.Server{Address: s.via(k, to), Region: regionName(s.plan.serverRegion(to))})
+		options.Follow = append(options.Follow, configclient.Server{Address: s.linkAddress(k, to), Region: regionName(s.plan.serverRegion(to))})
 	}
-	return o
+	return options
 }
 
+// publish writes the settings file of a service.
 func (s *servers) publish(service int, body []byte) error {
 	return s.publishAs(serviceName(service), body)
 }
 
 func (s *servers) publishAs(name string, body []byte) error {
-	return renameio.WriteFile(filepath.Join(s.folder, name+".json"), body, 0o600)
+	return renameio.WriteFile(filepath.Join(s.settingsFolder, name+".json"), body, 0o600)
 }
 
+// kill kills a server, and adds its usage to usageBeforeKills.
 func (s *servers) kill(k int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r := s.running[k]
+	server := s.running[k]
 	s.running[k] = nil
-	if r == nil {
-		return errors.New("it does not run")
+	if server == nil {
+		return errors.New("server is not running")
 	}
-	if r.pid > 0 {
-		spent, err := processUsage(r.pid)
+	if server.pid > 0 {
+		spent, err := processUsage(server.pid)
 		if err != nil {
 			return err
 		}
 		spent.resident = 0
-		s.retired[k] = s.retired[k].plus(spent)
+		s.usageBeforeKills[k] = s.usageBeforeKills[k].add(spent)
 	}
-	return r.kill()
+	return server.kill()
 }
 
-// usage returns what one server has spent in all its incarnations, and its memory if it runs.
+// usage returns the usage of one server over all its incarnations, and its current memory if it runs.
 func (s *servers) usage(k int) (usage, error) {
 	s.mu.Lock()
-	r, spent := s.running[k], s.retired[k]
+	server, total := s.running[k], s.usageBeforeKills[k]
 	s.mu.Unlock()
-	if r == nil || r.pid == 0 {
-		return spent, nil
+	if server == nil || server.pid == 0 {
+		return total, nil
 	}
-	now, err := processUsage(r.pid)
-	return spent.plus(now), err
+	current, err := processUsage(server.pid)
+	return total.add(current), err
 }
 
-// pids returns the processes of the servers.
+// pids returns the process IDs of the servers.
 func (s *servers) pids() (pids []int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range s.running {
-		if r != nil && r.pid > 0 {
-			pids = append(pids, r.pid)
+	for _, server := range s.running {
+		if server != nil && server.pid > 0 {
+			pids = append(pids, server.pid)
 		}
 	}
 	return pids
 }
 
 func (s *servers) stop() {
-	for _, r := range s.running {
-		if r != nil {
-			r.end()
+	for _, server := range s.running {
+		if server != nil {
+			server.stop()
 		}
 	}
 }
 
-// ServeHere runs servers in this process.
-func ServeHere(ctx context.Context, o configserver.Options) (*runningServer, error) {
-	s, err := configserver.New(o)
+// ServeInProcess runs a server in this process.
+func ServeInProcess(ctx context.Context, o configserver.Options) (*runningServer, error) {
+	server, err := configserver.New(o)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
-	go func() { ended <- s.Run(ctx) }()
+	go func() { ended <- server.Run(ctx) }()
 	kill := func() error {
 		stop()
 		return <-ended
 	}
-	return &runningServer{kill: kill, end: func() { kill() }}, nil
+	return &runningServer{kill: kill, stop: func() { kill() }}, nil
 }
 
-// ServeAs runs servers as processes of the product's program.
-func ServeAs(program string, log io.Writer) ServerLaunch {
+// ServeProcesses runs servers as processes of the product's program.
+func ServeProcesses(program string, log io.Writer) ServerLaunch {
 	return func(ctx context.Context, o configserver.Options) (*runningServer, error) {
 		c := exec.CommandContext(ctx, program, serverArguments(o)...)
 		c.Stderr = log
 		c.Cancel = func() error { return c.Process.Signal(syscall.SIGTERM) }
-		c.WaitDelay = endTimeout
+		c.WaitDelay = terminationTimeout
 		if err := c.Start(); err != nil {
 			return nil, err
 		}
 		kill := func() error {
 			err := c.Process.Kill()
-			c.Wait() // it was killed, which is an error there
+			c.Wait() // reports the kill as an error
 			return err
 		}
-		end := func() {
+		terminate := func() {
 			c.Process.Signal(syscall.SIGTERM)
 			c.Wait()
 		}
-		return &runningServer{pid: c.Process.Pid, kill: kill, end: end}, nil
+		return &runningServer{pid: c.Process.Pid, kill: kill, stop: terminate}, nil
 	}
 }
 
+// serverArguments returns the command-line arguments for the options of a server.
 func serverArguments(o configserver.Options) []string {
 	arguments := []string{"configserver", "--name", o.Name, "--region", o.Region, "--listen", o.Listen, "--state", o.StateFile}
 	if o.Folder != "" {
 		return append(arguments, "--folder", o.Folder)
 	}
 	var follow []string
-	for _, s := range o.Follow {
-		follow = append(follow, s.Address+"="+s.Region)
+	for _, followed := range o.Follow {
+		follow = append(follow, followed.Address+"="+followed.Region)
 	}
 	return append(arguments, "--follow", strings.Join(follow, ","))
 }
--- a/experiment/scale/slopes.go
+++ b/experiment/scale/slopes.go
@@ -12,97 +12,102 @@
 	"lilacbend/internal/capacity"
 )
 
-// figure is what a slope is fitted to: a total over all of a role, so that its slope is what one governor adds.
+// figure is a measured value to which a line over the number of controllers is fitted. Usage figures are totals over all
+// instances of a role, so that the slope is the usage that each controller adds.
 type figure struct {
-	name string
-	text string
-	unit string
-	of   func(Report) float64
+	name  string
+	text  string
+	unit  string
+	value func(Report) float64
 }
 
-// megabyte is that of reports, which is 2^20 bytes, in those of the capacity page.
-const megabyte = float64(1<<20) / 1e6
+// megabytesPerMebibyte converts megabytes of reports, which are 2^20 bytes, to those of the capacity page, which are 10^6
+// bytes.
+const megabytesPerMebibyte = float64(1<<20) / 1e6
 
-// quietTotal is a figure of all of a role in the quiet phase.
-func quietTotal(role string, of func(Spent) float64) func(Report) float64 {
+// quietPhaseTotal returns a figure that is the total over all instances of a role in the quiet phase.
+func quietPhaseTotal(role string, usageFigure func(ResourceUsage) float64) func(Report) float64 {
 	return func(r Report) float64 {
-		for _, s := range quiet(r).Roles {
-			if s.Role == role {
-				return of(s.Spent) * float64(s.Count)
+		for _, report := range quietPhase(r).Roles {
+			if report.Role == role {
+				return usageFigure(report.ResourceUsage) * float64(report.Count)
 			}
 		}
 		return math.NaN()
 	}
 }
 
-// quietDelay is how long changes of configuration took to all governors of their service in the quiet phase.
-func quietDelay(of func(Delays) float64) func(Report) float64 {
+// quietPhaseDelay returns a figure of the delays until changes of configuration were in force at all controllers of their
+// service in the quiet phase.
+func quietPhaseDelay(delayFigure func(Delays) float64) func(Report) float64 {
 	return func(r Report) float64 {
-		for _, d := range quiet(r).Delays {
-			if d.Subject == checks.Configuration.String() {
-				return of(d.AtAll)
+		for _, delay := range quietPhase(r).Delays {
+			if delay.Subject == checks.Configuration.String() {
+				return delayFigure(delay.AllControllers)
 			}
 		}
 		return math.NaN()
 	}
 }
 
-// quiet is the quiet phase of a run, empty if it had none.
-func quiet(r Report) PhaseReport {
-	for _, p := range r.Phases {
-		if p.Fault == NoFault {
-			return p
+// quietPhase returns the phase of a run without a fault, or an empty one if the run had none.
+func quietPhase(r Report) PhaseReport {
+	for _, phase := range r.Phases {
+		if phase.Fault == NoFault {
+			return phase
 		}
 	}
 	return PhaseReport{}
 }
 
+// figures returns all figures. Their names are those of the capacity page.
 func figures() (all []figure) {
-	for _, role := range []struct{ name, role string }{{"governors", roleHollow}, {"servers", roleServer}, {"rig", roleRig}} {
-		add := func(name, text, unit string, of func(Spent) float64) {
-			all = append(all, figure{"scale_" + role.name + "_" + name, text + ", all of: " + role.role, unit, quietTotal(role.role, of)})
+	for _, role := range []struct{ name, role string }{{"governors", roleSimulated}, {"servers", roleServer}, {"rig", roleHarness}} {
+		add := func(name, text, unit string, usageFigure func(ResourceUsage) float64) {
+			all = append(all, figure{"scale_" + role.name + "_" + name, text + ", all of: " + role.role, unit, quietPhaseTotal(role.role, usageFigure)})
 		}
-		add("processor", "processor time", "% of a core", func(s Spent) float64 { return s.ProcessorPercent })
-		add("memory", "resident memory", "MB", func(s Spent) float64 { return s.ResidentMB * megabyte })
-		add("bytes", "bytes both ways", "B/s", func(s Spent) float64 { return s.BytesPerSecond })
-		add("messages", "messages", "/s", func(s Spent) float64 { return s.MessagesPerSecond })
+		add("processor", "processor time", "% of a core", func(s ResourceUsage) float64 { return s.CPUPercent })
+		add("memory", "resident memory", "MB", func(s ResourceUsage) float64 { return s.ResidentMB * megabytesPerMebibyte })
+		add("bytes", "bytes both ways", "B/s", func(s ResourceUsage) float64 { return s.BytesPerSecond })
+		add("messages", "messages", "/s", func(s ResourceUsage) float64 { return s.MessagesPerSecond })
 	}
-	return append(all, figure{"scale_in_force_p50", "a change in force at all governors of its service, p50", "s", quietDelay(func(d Delays) float64 { return d.P50 })},
-		figure{"scale_in_force_max", "the same, max", "s", quietDelay(func(d Delays) float64 { return d.Max })})
+	return append(all, figure{"scale_in_force_p50", "a change in force at all controllers of its service, p50", "s", quietPhaseDelay(func(d Delays) float64 { return d.P50 })},
+		figure{"scale_in_force_max", "a change in force at all controllers of its service, max", "s", quietPhaseDelay(func(d Delays) float64 { return d.Max })})
 }
 
-var errFewReports = errors.New("a slope needs reports of at least two numbers of governors, each with a quiet phase")
+var errFewReports = errors.New("slopes need reports for at least two numbers of controllers, each with a quiet phase")
 
-// Measurements takes the points of the quiet phases of reports, by their numbers of governors.
+// Measurements returns one measurement for each figure, with one point for each report: the number of controllers and the
+// value in the quiet phase.
 func Measurements(reports []Report) ([]capacity.Measurement, error) {
-	different := map[int]bool{}
+	sizes := map[int]bool{}
 	for _, r := range reports {
-		different[r.Plan.Governors] = true
+		sizes[r.Plan.Controllers] = true
 	}
-	if len(different) < 2 {
+	if len(sizes) < 2 {
 		return nil, errFewReports
 	}
 	sorted := slices.Clone(reports)
-	slices.SortStableFunc(sorted, func(a, b Report) int { return a.Plan.Governors - b.Plan.Governors })
+	slices.SortStableFunc(sorted, func(a, b Report) int { return a.Plan.Controllers - b.Plan.Controllers })
 	var all []capacity.Measurement
 	for _, f := range figures() {
 		m := capacity.Measurement{Name: f.name, Text: f.text, X: "governor", Unit: f.unit, Runs: 1}
 		for _, r := range sorted {
-			value := f.of(r)
+			value := f.value(r)
 			if math.IsNaN(value) {
 				return nil, fmt.Errorf("%s: %w", f.name, errFewReports)
 			}
-			m.Points = append(m.Points, [2]float64{float64(r.Plan.Governors), value})
+			m.Points = append(m.Points, [2]float64{float64(r.Plan.Controllers), value})
 		}
 		all = append(all, m)
 	}
 	return all, nil
 }
 
-// PrintSlopes writes the lines through measurements, as the capacity page fits them, and each point's distance from its line.
+// PrintSlopes writes the lines fitted to measurements, as the capacity page fits them, and the residual of each point.
 func PrintSlopes(w io.Writer, measurements []capacity.Measurement) error {
 	out := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprint(out, "figure\tunit\tslope, a governor\tintercept\tresiduals")
+	fmt.Fprint(out, "figure\tunit\tslope per controller\tintercept\tresiduals")
 	for _, p := range measurements[0].Points {
 		fmt.Fprintf(out, "\tat %.0f", p[0])
 	}
--- a/experiment/scale/source.go
+++ b/experiment/scale/source.go
@@ -12,34 +12,35 @@
 	"lilacbend/internal/revision"
 )
 
-// Apply takes settings that have arrived. done is called once, when they are in force or have been refused.
+// Apply is called with received settings. It calls done once, when the settings are in force or have been refused.
 type Apply func(v revision.Version, body []byte, done func(error))
 
-// ConfigurationSource brings the settings of one service to one life of a governor.
+// ConfigurationSource delivers the settings of a service to one incarnation of a controller.
 type ConfigurationSource interface {
-	// Start brings what was in force in the life before, before the first turn.
+	// Start delivers the settings that were in force in the previous incarnation. It is called before the first turn.
 	Start(apply Apply)
-	// Run brings what comes until ctx ends.
+	// Run delivers new settings until ctx ends.
 	Run(ctx context.Context)
 }
 
-// SourceOf makes the configuration source of a governor, whose disk outlasts its lives.
-type SourceOf func(plan ControllerPlan, disk configcache.Storage) ConfigurationSource
+// NewSource returns a configuration source for a controller. The storage is kept over the controller's incarnations.
+type NewSource func(plan ControllerPlan, storage configcache.Storage) ConfigurationSource
 
-// Watch is the product's client.
-func Watch(plan ControllerPlan, disk configcache.Storage) ConfigurationSource {
-	return &watchSource{plan: plan, disk: disk, service: serviceName(plan.Service), digest: configcache.DigestOf(settingsOf(plan.Shape, 1, true))}
+// NewWatchSource returns a source that uses the product's configuration client.
+func NewWatchSource(plan ControllerPlan, storage configcache.Storage) ConfigurationSource {
+	return &watchSource{plan: plan, storage: storage, service: serviceName(plan.Service), digest: configcache.DigestOf(encodeSettings(plan.Shape, 1, true))}
 }
 
+// watchSource is a source that watches configuration servers.
 type watchSource struct {
 	plan    ControllerPlan
-	disk    configcache.Storage
+	storage configcache.Storage
 	service string
 	digest  configcache.Digest // of the settings that each incarnation starts with
 	watcher *configwatch.Watcher
 }
 
-// Start prepares the watch, and resumes with the settings on disk.
+// Start creates the watcher, and resumes with the stored settings.
 func (s *watchSource) Start(apply Apply) {
 	offer := func(v revision.Version, body []byte) {
 		apply(v, body, func(err error) {
@@ -53,11 +54,11 @@
 	var err error
 	s.watcher, err = configwatch.New(configwatch.Options{Instance: fmt.Sprintf("governor-%d", s.plan.Number), Service: s.service,
 		Region: regionName(s.plan.Region), Zone: zoneName(s.plan.Number % max(1, s.plan.Shape.Zones)), Servers: s.plan.Servers,
-		Seed: s.plan.Seed, OnOffer: offer, OnActive: s.keep})
+		Seed: s.plan.Seed, OnOffer: offer, OnActive: s.store})
 	if err != nil {
-		panic(fmt.Sprintf("governor %d: %v", s.plan.Number, err)) // the rig's own plan is wrong
+		panic(fmt.Sprintf("watcher of controller %d: %v", s.plan.Number, err)) // the plan of the run is invalid
 	}
-	record, found, err := configcache.Load(s.disk)
+	record, found, err := configcache.Load(s.storage)
 	if err == nil && found && record.CheckUsable(s.service, s.digest) == nil {
 		s.watcher.Resume(record.Version, record.Settings)
 	}
@@ -66,21 +67,21 @@
 // Run follows the servers until ctx ends.
 func (s *watchSource) Run(ctx context.Context) { s.watcher.Run(ctx) }
 
-// keep stores active settings. The disk is memory, so this may happen in the turn.
-func (s *watchSource) keep(v revision.Version, settings []byte) {
-	configcache.Write(s.disk, configcache.Record{Service: s.service, Version: v, Start: s.digest, Settings: settings})
+// store stores active settings. The storage is in memory, so this may run within a turn.
+func (s *watchSource) store(version revision.Version, settings []byte) {
+	configcache.Write(s.storage, configcache.Record{Service: s.service, Version: version, Start: s.digest, Settings: settings})
 }
 
-// memoryDisk replaces the disk of a controller's machine.
-type memoryDisk struct {
+// memoryStorage replaces the disk of a controller's machine.
+type memoryStorage struct {
 	mu    sync.Mutex
 	files map[string][]byte
 }
 
-func newMemoryDisk() *memoryDisk { return &memoryDisk{files: map[string][]byte{}} }
+func newMemoryStorage() *memoryStorage { return &memoryStorage{files: map[string][]byte{}} }
 
 // Read returns the content of a file.
-func (d *memoryDisk) Read(name string, _ int64) ([]byte, error) {
+func (d *memoryStorage) Read(name string, _ int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	data, found := d.files[name]
@@ -91,7 +92,7 @@
 }
 
 // Replace replaces the content of a file.
-func (d *memoryDisk) Replace(name string, data []byte) error {
+func (d *memoryStorage) Replace(name string, data []byte) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.files[name] = bytes.Clone(data)
--- a/experiment/scale/tracker.go
+++ b/experiment/scale/tracker.go
@@ -8,41 +8,42 @@
 	"lilacbend/experiment/scale/checks"
 )
 
-// tracker records the events of a run, and which controllers do not serve the newest versions yet.
+// tracker records the events of a run, and determines which controllers do not serve the newest revisions yet.
 type tracker struct {
 	start time.Time
 
-	mu     sync.Mutex
-	events []checks.Event
-	faults []string
-	newest map[topic]checks.Marker // valid ones
-	alive  map[int]*controllerState
+	mu         sync.Mutex
+	events     []checks.Event
+	hostErrors []string
+	newest     map[topic]checks.Marker
+	running    map[int]*controllerState
 }
 
+// topic identifies a sequence of publications.
 type topic struct {
 	service int
 	subject checks.Subject
 }
 
-// controllerState is what is known of a running controller.
+// controllerState has the revisions that a running controller serves.
 type controllerState struct {
 	service int
 	serving map[checks.Subject]checks.Marker
 }
 
 func newTracker() *tracker {
-	return &tracker{start: time.Now(), newest: map[topic]checks.Marker{}, alive: map[int]*controllerState{}}
+	return &tracker{start: time.Now(), newest: map[topic]checks.Marker{}, running: map[int]*controllerState{}}
 }
 
-// since returns the time since the start of the run.
-func (t *tracker) since() time.Duration { return time.Since(t.start) }
+// elapsed returns the time since the start of the run.
+func (t *tracker) elapsed() time.Duration { return time.Since(t.start) }
 
-// record records what a host reports; its clock is this machine's.
-func (t *tracker) record(r report) {
-	if r.Fault != "" {
+// recordReport records an event or an error of a host, which uses the clock of this machine.
+func (t *tracker) recordReport(r report) {
+	if r.Error != "" {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.faults = append(t.faults, r.Fault)
+		t.hostErrors = append(t.hostErrors, r.Error)
 		return
 	}
 	if r.Event != nil {
@@ -52,40 +53,41 @@
 	}
 }
 
-// recordOwn records an event of the run itself at the current time.
-func (t *tracker) recordOwn(e checks.Event) {
-	e.At = t.since()
+// recordNow records an event of the run itself at the current time.
+func (t *tracker) recordNow(e checks.Event) {
+	e.At = t.elapsed()
 	t.add(e)
 }
 
+// add records an event.
 func (t *tracker) add(e checks.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.events = append(t.events, e)
 	switch e.Kind {
 	case checks.Published:
-		if at := (topic{e.Service, e.Subject}); e.Valid {
-			t.newest[at] = max(t.newest[at], e.Marker)
+		if key := (topic{e.Service, e.Subject}); e.Valid {
+			t.newest[key] = max(t.newest[key], e.Marker)
 		}
 	case checks.Started:
-		t.alive[e.Governor] = &controllerState{e.Service, map[checks.Subject]checks.Marker{}}
+		t.running[e.Controller] = &controllerState{e.Service, map[checks.Subject]checks.Marker{}}
 	case checks.Stopped:
-		delete(t.alive, e.Governor)
+		delete(t.running, e.Controller)
 	case checks.Serving:
-		if s := t.alive[e.Governor]; s != nil && len(e.Parts) > 0 {
-			s.serving[e.Subject] = slices.Max(e.Parts)
+		if state := t.running[e.Controller]; state != nil && len(e.Markers) > 0 {
+			state.serving[e.Subject] = slices.Max(e.Markers)
 		}
 	}
 }
 
-// countBehind counts the controllers that do not serve the newest versions, and those that do not run.
-func (t *tracker) countBehind(governors int) int {
+// countBehind returns the number of controllers that do not run or do not serve the newest valid revisions.
+func (t *tracker) countBehind(controllers int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	count := governors - len(t.alive)
-	for _, s := range t.alive {
+	count := controllers - len(t.running)
+	for _, state := range t.running {
 		for _, subject := range []checks.Subject{checks.Configuration, checks.ReplicaList} {
-			if s.serving[subject] != t.newest[topic{s.service, subject}] {
+			if state.serving[subject] != t.newest[topic{state.service, subject}] {
 				count++
 				break
 			}
@@ -94,20 +96,21 @@
 	return count
 }
 
-// settled reports whether all running controllers of a service serve its newest configuration.
-func (t *tracker) settled(service int) bool {
+// serviceSettled reports whether all running controllers of a service serve its newest valid configuration.
+func (t *tracker) serviceSettled(service int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, s := range t.alive {
-		if s.service == service && s.serving[checks.Configuration] != t.newest[topic{service, checks.Configuration}] {
+	for _, state := range t.running {
+		if state.service == service && state.serving[checks.Configuration] != t.newest[topic{service, checks.Configuration}] {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *tracker) all() ([]checks.Event, []string) {
+// snapshot returns copies of the events and of the errors of hosts.
+func (t *tracker) snapshot() ([]checks.Event, []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Clone(t.events), slices.Clone(t.faults)
+	return slices.Clone(t.events), slices.Clone(t.hostErrors)
 }
--- a/experiment/scale/usage.go
+++ b/experiment/scale/usage.go
@@ -9,24 +9,24 @@
 	"github.com/prometheus/procfs"
 )
 
-// usage is what processes have spent since their start, and their current memory.
+// usage is the resource usage of processes since their start, and their current memory.
 type usage struct {
-	processor time.Duration
-	resident  int64 // bytes
-	heap      int64 // bytes, where the process tells
-	bytes     int64 // both ways
-	messages  int64
+	cpuTime  time.Duration
+	resident int64 // bytes
+	heap     int64 // bytes, if the process reports it
+	bytes    int64 // read and written
+	messages int64
 }
 
-func (u usage) plus(o usage) usage {
-	return usage{u.processor + o.processor, u.resident + o.resident, u.heap + o.heap, u.bytes + o.bytes, u.messages + o.messages}
+func (u usage) add(other usage) usage {
+	return usage{u.cpuTime + other.cpuTime, u.resident + other.resident, u.heap + other.heap, u.bytes + other.bytes, u.messages + other.messages}
 }
 
-// errEnded reports that a process has ended and was not waited for yet.
-var errEnded = errors.New("it has ended")
+// errProcessEnded means that a process has ended and its parent has not waited for it yet.
+var errProcessEnded = errors.New("already ended")
 
-// processUsage reads the kernel's account of a process. Its bytes and messages are those of its read and write calls,
-// files and log included.
+// processUsage returns the kernel's accounting of a process. Bytes and messages are those of its read and write calls,
+// including calls on files and on the log.
 func processUsage(pid int) (usage, error) {
 	process, err := procfs.NewProc(pid)
 	if err != nil {
@@ -37,33 +37,33 @@
 		return usage{}, err
 	}
 	if stat.State == "Z" {
-		return usage{}, errEnded
+		return usage{}, errProcessEnded
 	}
 	io, err := process.IO()
 	if err != nil {
 		return usage{}, err
 	}
-	return usage{processor: time.Duration(stat.CPUTime() * float64(time.Second)), resident: int64(stat.ResidentMemory()),
+	return usage{cpuTime: time.Duration(stat.CPUTime() * float64(time.Second)), resident: int64(stat.ResidentMemory()),
 		bytes: int64(io.RChar + io.WChar), messages: int64(io.SyscR + io.SyscW)}, nil
 }
 
-// processesUsage sums over processes; one that has ended counts as nothing.
-func processesUsage(pids []int) (sum usage, err error) {
+// totalUsage returns the sum over processes. Processes that have ended are left out.
+func totalUsage(pids []int) (sum usage, err error) {
 	for _, pid := range pids {
-		u, err := processUsage(pid)
-		if errors.Is(err, os.ErrNotExist) || errors.Is(err, errEnded) {
+		one, err := processUsage(pid)
+		if errors.Is(err, os.ErrNotExist) || errors.Is(err, errProcessEnded) {
 			continue
 		}
 		if err != nil {
 			return sum, fmt.Errorf("process %d: %w", pid, err)
 		}
-		sum = sum.plus(u)
+		sum = sum.add(one)
 	}
 	return sum, nil
 }
 
-// allRun returns an error if one of some processes has ended.
-func allRun(pids []int) error {
+// checkRunning returns an error if a process has ended.
+func checkRunning(pids []int) error {
 	for _, pid := range pids {
 		if _, err := processUsage(pid); err != nil {
 			return fmt.Errorf("process %d: %w", pid, err)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// memoryLimit returns half of the machine's memory, below which a run must stay.
+// memoryLimit returns half of the machine's memory, which the processes of a run must not exceed.
 func memoryLimit() (int64, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -83,7 +83,7 @@
 		return 0, err
 	}
 	if memory.MemTotalBytes == nil {
-		return 0, errors.New("the machine does not say how much memory it has")
+		return 0, errors.New("kernel does not report the total memory of the machine")
 	}
 	return int64(*memory.MemTotalBytes / 2), nil
 }
