--- a/experiment/scale/tracker.go
+++ b/experiment/scale/tracker.go
@@ -15,7 +15,7 @@
 	mu         sync.Mutex
 	events     []checks.Event
 	hostErrors []string
-	newest     map[topic]checks.Marker
+	newest     map[topic]checks.Marker // of the valid publications
 	running    map[int]*controllerState
 }
 
@@ -38,7 +38,7 @@
 // elapsed returns the time since the start of the run.
 func (t *tracker) elapsed() time.Duration { return time.Since(t.start) }
 
-// recordReport records an event or an error of a host, which uses the clock of this machine.
+// recordReport records an event or an error of a host. Hosts run on this machine, so their events have times of its clock.
 func (t *tracker) recordReport(r report) {
 	if r.Error != "" {
 		t.mu.Lock()
