--- a/cmd/lilacbend/child_test.go
+++ b/cmd/lilacbend/child_test.go
@@ -14,34 +14,35 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// asProgram makes the test binary run as lilacbend, so that signals and exit codes are those of a process.
-const asProgram = "LILACBEND_TEST_AS_PROGRAM"
+// runAsProgramEnv is the environment variable that makes the test binary run as lilacbend, so that tests can check the signal
+// handling and the exit code of a process.
+const runAsProgramEnv = "LILACBEND_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// partingLimit is how long after SIGTERM a platform may send SIGKILL.
-const partingLimit = 700 * time.Millisecond
+// killDelay is the time after SIGTERM at which a platform may send SIGKILL.
+const killDelay = 700 * time.Millisecond
 
-// child is the program in its own process.
-type child struct {
+// childProcess is the program running in its own process.
+type childProcess struct {
 	*exec.Cmd
-	t    testing.TB
-	out  *lines // its log
-	over chan error
+	t      testing.TB
+	log    *logBuffer // standard error of the process
+	exited chan error // receives the result of Wait
 }
 
-// program starts the program with an environment and arguments.
-func program(t testing.TB, env []string, args ...string) *child {
+// startProgram starts the program with additional environment variables and arguments.
+func startProgram(t testing.TB, env []string, args ...string) *childProcess {
 	t.Helper()
-	c := &child{exec.Command(os.Args[0], args...), t, &lines{}, make(chan error, 1)}
-	// The race detector waits for 1 s at the end of a program, which is not ours to count.
-	c.Env = append(append(os.Environ(), asProgram+"=1", "GORACE=atexit_sleep_ms=0"), env...)
+	c := &childProcess{exec.Command(os.Args[0], args...), t, &logBuffer{}, make(chan error, 1)}
+	// By default the race detector delays the exit of a program by 1 s, which the time limit of expectExit does not allow for.
+	c.Env = append(append(os.Environ(), runAsProgramEnv+"=1", "GORACE=atexit_sleep_ms=0"), env...)
 	stderr, err := c.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -50,49 +51,52 @@
 		t.Fatal(err)
 	}
 	go func() {
-		io.Copy(struct{ io.Writer }{c.out}, stderr) // its Write alone locks
-		c.over <- c.Wait()
+		io.Copy(struct{ io.Writer }{c.log}, stderr) // hides the promoted ReadFrom of bytes.Buffer, which does not lock
+		c.exited <- c.Wait()
 	}()
 	t.Cleanup(func() { c.Process.Kill() })
 	return c
 }
 
-// run starts a controller with a configuration.
-func run(t testing.TB, file string) *child { return program(t, []string{"PROXY_CONFIG=" + file}) }
+// startController starts a controller with a configuration file.
+func startController(t testing.TB, file string) *childProcess {
+	return startProgram(t, []string{"PROXY_CONFIG=" + file})
+}
 
-func (c *child) logged(text string) bool { return c.out.has(text) }
+func (c *childProcess) logged(text string) bool { return c.log.contains(text) }
 
-// until waits for a text in the log.
-func (c *child) until(text string) *child {
+// waitForLog waits until the log contains a text.
+func (c *childProcess) waitForLog(text string) *childProcess {
 	c.t.Helper()
-	scriptedpeer.WaitFor(c.t, "the log does not say "+text, func() bool { return c.logged(text) })
+	scriptedpeer.WaitFor(c.t, "the log does not contain "+text, func() bool { return c.logged(text) })
 	return c
 }
 
-// signal sends signals.
-func (c *child) signal(signals ...syscall.Signal) {
+// signal sends signals to the process.
+func (c *childProcess) signal(signals ...syscall.Signal) {
 	for _, s := range signals {
 		c.Process.Signal(s)
 	}
 }
 
-// expectExit sends signals and waits for the exit, with code 0 and, after a signal, in time.
-func (c *child) expectExit(signals ...syscall.Signal) {
+// expectExit sends signals and waits for the exit. The exit code has to be 0, and the exit has to come within killDelay if there
+// are signals.
+func (c *childProcess) expectExit(signals ...syscall.Signal) {
 	c.t.Helper()
-	begun := time.Now()
+	start := time.Now()
 	c.signal(signals...)
 	select {
-	case err := <-c.over:
-		if span := time.Since(begun); err != nil || len(signals) > 0 && span > partingLimit {
-			c.t.Errorf("ended after %v: %v: %s", span, err, c.out)
+	case err := <-c.exited:
+		if elapsed := time.Since(start); err != nil || len(signals) > 0 && elapsed > killDelay {
+			c.t.Errorf("process exited after %v: %v: %s", elapsed, err, c.log)
 		}
 	case <-time.After(scriptedpeer.WaitTimeout):
-		c.t.Error("it does not end")
+		c.t.Errorf("process did not exit within %v", scriptedpeer.WaitTimeout)
 	}
 }
 
-// example returns the example's configuration.
-func example(t testing.TB) (file map[string]any) {
+// exampleFile returns the example's configuration file as decoded JSON.
+func exampleFile(t testing.TB) (file map[string]any) {
 	t.Helper()
 	raw, err := os.ReadFile("../../example/config.json")
 	if err != nil {
@@ -104,10 +108,10 @@
 	return file
 }
 
-// exampleWith returns the example's configuration with other values at some keys.
+// exampleWith returns the example's configuration file with the given top-level values replaced.
 func exampleWith(t testing.TB, values map[string]any) []byte {
 	t.Helper()
-	file := example(t)
+	file := exampleFile(t)
 	maps.Copy(file, values)
 	raw, err := json.Marshal(file)
 	if err != nil {
@@ -116,23 +120,23 @@
 	return raw
 }
 
-// configured writes the example's configuration with other values at some keys, and returns the file's name.
-func configured(t testing.TB, values map[string]any) string {
+// writeExampleConfiguration writes the example's configuration file with the given top-level values replaced, and returns its path.
+func writeExampleConfiguration(t testing.TB, values map[string]any) string {
 	t.Helper()
-	at := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(at, exampleWith(t, values), 0o600); err != nil {
+	file := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(file, exampleWith(t, values), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return at
+	return file
 }
 
-// exampleList returns the example's list of replicas in discovery's format, with one of them draining.
-func exampleList(t testing.TB, revision int, drains string) string {
+// exampleList returns the example's list of replicas in the format of the service discovery, with one replica draining.
+func exampleList(t testing.TB, revision int, draining string) string {
 	t.Helper()
-	known := example(t)["known"].(map[string]any)
+	known := exampleFile(t)["known"].(map[string]any)
 	known["revision"] = revision
 	for _, m := range known["members"].([]any) {
-		if m := m.(map[string]any); m["id"] == drains {
+		if m := m.(map[string]any); m["id"] == draining {
 			m["phase"] = "Terminating"
 		}
 	}
--- a/cmd/lilacbend/collector.go
+++ b/cmd/lilacbend/collector.go
@@ -22,14 +22,14 @@
 	var listen string
 	return &cli.Command{
 		Name:  "collector",
-		Usage: "sum what a zone's sidecars met, and tell governors",
+		Usage: "aggregate the request outcomes that a zone's sidecars report, and send them to controllers",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "zone", Usage: "whose sidecars", Required: true, Destination: &collector.Zone},
-			&cli.StringFlag{Name: "listen", Usage: "where sidecars connect, as host:port", Required: true, Destination: &listen},
-			&cli.StringSliceFlag{Name: "governor", Usage: "whom to tell, as host:port; any number", Required: true, Destination: &collector.Controllers},
-			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "between two tellings", Destination: &collector.Interval},
-			&cli.IntFlag{Name: "budget", Usage: "bytes a second, of reports to each governor; 0: no limit", Destination: &collector.Budget},
-			&cli.IntFlag{Name: "sidecars", Value: 10000, Usage: "at the most", Destination: &collector.MaxSidecars},
+			&cli.StringFlag{Name: "zone", Usage: "zone of the sidecars", Required: true, Destination: &collector.Zone},
+			&cli.StringFlag{Name: "listen", Usage: "address on which sidecars connect, as host:port", Required: true, Destination: &listen},
+			&cli.StringSliceFlag{Name: "governor", Usage: "address of a controller, as host:port; may be repeated", Required: true, Destination: &collector.Controllers},
+			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "interval between two reports", Destination: &collector.Interval},
+			&cli.IntFlag{Name: "budget", Usage: "limit of the reports to each controller, in bytes per second; 0: no limit", Destination: &collector.Budget},
+			&cli.IntFlag{Name: "sidecars", Value: 10000, Usage: "maximum number of connected sidecars", Destination: &collector.MaxSidecars},
 		},
 		Action: func(ctx context.Context, _ *cli.Command) error {
 			err := checkCollector(collector)
@@ -41,13 +41,13 @@
 	}
 }
 
-// checkCollector returns which flag of the command is invalid.
+// checkCollector returns an error that names the flag of the command that is invalid.
 func checkCollector(collector *controlclient.Collector) error {
 	if collector.Interval < minReportInterval || collector.MaxSidecars < 1 {
 		return fmt.Errorf("--every is %v, want %v or more; --sidecars is %d, want 1 or more", collector.Interval, minReportInterval, collector.MaxSidecars)
 	}
 	if collector.Budget < 0 {
-		return fmt.Errorf("--budget is %d, want bytes a second, or 0 for no limit", collector.Budget)
+		return fmt.Errorf("--budget is %d, want bytes per second, or 0 for no limit", collector.Budget)
 	}
 	for _, address := range collector.Controllers {
 		if _, _, err := net.SplitHostPort(address); err != nil {
@@ -65,8 +65,8 @@
 	logs := newLogWriter(os.Stderr)
 	defer logs.close()
 	collector.Log = slog.New(slog.NewTextHandler(logs, nil)).With("collector", collector.Zone)
-	collector.Log.Info("collector serves", "listen", listen, "governors", collector.Controllers)
+	collector.Log.Info("collector serving", "listen", listen, "governors", collector.Controllers)
 	collector.Serve(ctx, listener)
-	collector.Log.Info("collector ends", "heard", collector.Received.Load(), "told", collector.Reported.Load(), "skipped", collector.Skipped.Load())
+	collector.Log.Info("collector stopped", "heard", collector.Received.Load(), "told", collector.Reported.Load(), "skipped", collector.Skipped.Load())
 	return nil
 }
--- a/cmd/lilacbend/config.go
+++ b/cmd/lilacbend/config.go
@@ -22,11 +22,11 @@
 	name      string
 	listen    string
 	discovery string
-	file      string // the configuration
-	operator  string // the operator file
+	file      string // path of the configuration file
+	operator  string // path of the operator file
 }
 
-// configuration is what a controller reads before it starts.
+// configuration is the content of the configuration file and of the operator file, with the options applied.
 type configuration struct {
 	name        string
 	listen      string // host:port
@@ -37,11 +37,11 @@
 	known       controller.ReplicaList // the replicas to start with
 	names       settings.Names
 	settings    control.Settings
-	digest      configcache.Digest // of the settings
+	digest      configcache.Digest // of the settings in the file
 	operator    operator.File
 }
 
-// configurationFile is the JSON of the configuration file.
+// configurationFile is the JSON document in the configuration file.
 type configurationFile struct {
 	Name      string
 	Listen    string
@@ -55,16 +55,16 @@
 	Settings json.RawMessage
 }
 
-var errNoConfiguration = errors.New("no configuration is named: PROXY_CONFIG or --config")
+var errNoConfiguration = errors.New("no configuration file given: set PROXY_CONFIG or --config")
 
-// readConfiguration reads the configuration file and the operator file. The error names the file and what is wrong with it.
+// readConfiguration reads the configuration file and the operator file. The error names the file and the fault.
 func readConfiguration(opts options) (configuration, error) {
 	if opts.file == "" {
 		return configuration{}, errNoConfiguration
 	}
 	raw, err := os.ReadFile(opts.file)
 	if err != nil {
-		return configuration{}, fmt.Errorf("configuration: %w", err)
+		return configuration{}, fmt.Errorf("reading the configuration: %w", err)
 	}
 	c, err := parseConfiguration(raw, opts)
 	if err != nil {
@@ -77,16 +77,16 @@
 	return c, nil
 }
 
-// parseConfiguration decodes and checks the configuration. The error names the first key that is wrong.
+// parseConfiguration decodes and checks the configuration. The error names the first key that is missing or invalid.
 func parseConfiguration(raw []byte, opts options) (configuration, error) {
 	var file configurationFile
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return configuration{}, fmt.Errorf("not readable as JSON: %w", err)
 	}
 	c := configuration{
-		name:      or(opts.name, file.Name),
-		listen:    or(opts.listen, file.Listen),
-		discovery: or(opts.discovery, file.Discovery),
+		name:      firstNonEmpty(opts.name, file.Name),
+		listen:    firstNonEmpty(opts.listen, file.Listen),
+		discovery: firstNonEmpty(opts.discovery, file.Discovery),
 	}
 	for _, decode := range []func(*configuration, configurationFile) error{
 		checkAddresses, decodeSeed, decodeLimits, requireSections, decodeKnown, decodeSettings,
@@ -101,7 +101,7 @@
 func checkAddresses(c *configuration, _ configurationFile) error {
 	for _, address := range []struct{ key, value string }{{"listen", c.listen}, {"discovery", c.discovery}} {
 		if _, _, err := net.SplitHostPort(address.value); err != nil {
-			return fmt.Errorf("%s=%q is no address of host and port", address.key, address.value)
+			return fmt.Errorf("%s=%q is not an address of the form host:port", address.key, address.value)
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// decodeKnown decodes the list to start with, which counts as complete.
+// decodeKnown decodes the list of replicas to start with. It is taken as complete, whatever the file says.
 func decodeKnown(c *configuration, file configurationFile) error {
 	known, err := discovery.Parse(file.Known)
 	if err != nil {
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// decodeSettings decodes the settings, which need the seed: decodeSeed is called before.
+// decodeSettings decodes the settings. Decoding needs the seed, so decodeSeed has to be called first.
 func decodeSettings(c *configuration, file configurationFile) (err error) {
 	c.names, c.settings, err = settings.Load(file.Settings, c.seed)
 	if err != nil {
@@ -153,9 +153,10 @@
 	return nil
 }
 
-// changesAtRestart returns the parts of a new configuration that differ and take effect only at the next start.
+// changesAtRestart returns the names of the parts of a new configuration that differ from the current one and take effect only
+// after a restart.
 func (c configuration) changesAtRestart(next configuration) []string {
-	next.settings.Seed = c.settings.Seed // differs at each start
+	next.settings.Seed = c.settings.Seed // the seed differs at each start
 	var parts []string
 	if c.listen != next.listen {
 		parts = append(parts, "listen")
@@ -169,8 +170,8 @@
 	return append(parts, c.operator.Differs(next.operator)...)
 }
 
-// or returns the first string, or the second if the first is empty.
-func or(first, second string) string {
+// firstNonEmpty returns the first string, or the second if the first is empty.
+func firstNonEmpty(first, second string) string {
 	if first != "" {
 		return first
 	}
--- a/cmd/lilacbend/configserver.go
+++ b/cmd/lilacbend/configserver.go
@@ -17,43 +17,43 @@
 	"lilacbend/internal/configserver"
 )
 
-// configserverCommands are the commands that run a configuration server and check its file.
+// configserverCommands has the actions of the commands that run a configuration server and check its file.
 type configserverCommands struct {
 	hangups <-chan os.Signal
 	out     io.Writer
 	file    string
 	flags   configserver.Options // take precedence over the file
-	follow  []string
+	follow  []string             // values of the flag --follow
 }
 
-// configserverCommand returns the command configserver.
+// configserverCommand returns the command "configserver".
 func configserverCommand(hangups <-chan os.Signal, out io.Writer) *cli.Command {
 	commands := &configserverCommands{hangups: hangups, out: out}
 	flags := &commands.flags
 	return &cli.Command{
 		Name:  "configserver",
-		Usage: "serve the configuration of all services to governors",
+		Usage: "serve the configuration of all services to controllers",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "file", Usage: "the server's file, as YAML; flags go before it", Sources: cli.EnvVars("LILACBEND_CONFIGSERVER"), Destination: &commands.file},
-			&cli.StringFlag{Name: "name", Usage: "this server's name", Destination: &flags.Name},
-			&cli.StringFlag{Name: "region", Usage: "where it stands", Destination: &flags.Region},
-			&cli.StringFlag{Name: "listen", Usage: "where followers connect", Destination: &flags.Listen},
-			&cli.StringFlag{Name: "folder", Usage: "the settings, one file a service: makes this the writer", Destination: &flags.Folder},
-			&cli.StringSliceFlag{Name: "follow", Usage: "a server to follow, as ADDRESS or ADDRESS=REGION; the writer first", Destination: &commands.follow},
-			&cli.StringFlag{Name: "state", Usage: "keeps epoch and copy over restarts", Destination: &flags.StateFile},
-			&cli.DurationFlag{Name: "poll", Usage: "how often the folder is looked at", Destination: &flags.PollInterval},
-			&cli.IntFlag{Name: "connections", Usage: "at most", Destination: &flags.MaxConnections},
-			&cli.IntFlag{Name: "copies", Usage: "whole copies under way at most", Destination: &flags.MaxCopies},
+			&cli.StringFlag{Name: "file", Usage: "options of the server, as a YAML file; flags take precedence", Sources: cli.EnvVars("LILACBEND_CONFIGSERVER"), Destination: &commands.file},
+			&cli.StringFlag{Name: "name", Usage: "name of this server", Destination: &flags.Name},
+			&cli.StringFlag{Name: "region", Usage: "region of this server", Destination: &flags.Region},
+			&cli.StringFlag{Name: "listen", Usage: "address on which followers connect, as host:port", Destination: &flags.Listen},
+			&cli.StringFlag{Name: "folder", Usage: "folder with one settings file for each service; makes this server the writer", Destination: &flags.Folder},
+			&cli.StringSliceFlag{Name: "follow", Usage: "server to follow, as ADDRESS or ADDRESS=REGION; may be repeated, the writer first", Destination: &commands.follow},
+			&cli.StringFlag{Name: "state", Usage: "file that keeps the epoch and the copy of the configuration over restarts", Destination: &flags.StateFile},
+			&cli.DurationFlag{Name: "poll", Usage: "interval between two scans of the folder", Destination: &flags.PollInterval},
+			&cli.IntFlag{Name: "connections", Usage: "maximum number of open connections", Destination: &flags.MaxConnections},
+			&cli.IntFlag{Name: "copies", Usage: "maximum number of complete copies being sent", Destination: &flags.MaxCopies},
 		},
 		Action: commands.run,
 		Commands: []*cli.Command{
-			{Name: "check", Usage: "say whether a server's file and its folder can be used: check FILE", ArgsUsage: "FILE", Action: commands.check},
+			{Name: "check", Usage: "check that a server's file and its folder are valid: check FILE", ArgsUsage: "FILE", Action: commands.check},
 			statusCommand(out),
 		},
 	}
 }
 
-// options returns the file's options with those of the flags.
+// options returns the options of the file, replaced by those that flags set.
 func (c *configserverCommands) options() (configserver.Options, error) {
 	c.flags.Follow = parseServers(c.follow)
 	if c.file == "" {
@@ -63,13 +63,13 @@
 	return overridden(file, c.flags), err
 }
 
-// overridden returns options with those that are set in flags replaced.
+// overridden returns options, with each one that is set in flags replaced by its value there.
 func overridden(options, flags configserver.Options) configserver.Options {
-	options.Name = or(flags.Name, options.Name)
-	options.Region = or(flags.Region, options.Region)
-	options.Listen = or(flags.Listen, options.Listen)
-	options.Folder = or(flags.Folder, options.Folder)
-	options.StateFile = or(flags.StateFile, options.StateFile)
+	options.Name = firstNonEmpty(flags.Name, options.Name)
+	options.Region = firstNonEmpty(flags.Region, options.Region)
+	options.Listen = firstNonEmpty(flags.Listen, options.Listen)
+	options.Folder = firstNonEmpty(flags.Folder, options.Folder)
+	options.StateFile = firstNonEmpty(flags.StateFile, options.StateFile)
 	if len(flags.Follow) > 0 {
 		options.Follow = flags.Follow
 	}
@@ -97,7 +97,7 @@
 
 func (c *configserverCommands) run(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
-		return fmt.Errorf("no command %q: configserver --file FILE, configserver check FILE or configserver status", cmd.Args().First())
+		return fmt.Errorf("unknown command %q: want configserver --file FILE, configserver check FILE or configserver status", cmd.Args().First())
 	}
 	options, err := c.options()
 	if err != nil {
@@ -112,10 +112,11 @@
 	if err != nil {
 		return err
 	}
-	go rescanOnHangup(ctx, c.hangups, server) // ends with ctx, as the program does
+	go rescanOnHangup(ctx, c.hangups, server) // not waited for: it returns when ctx ends, and the program exits then
 	return server.Run(ctx)
 }
 
+// rescanOnHangup makes the server scan its folder at each hangup signal, until ctx ends.
 func rescanOnHangup(ctx context.Context, hangups <-chan os.Signal, server *configserver.Server) {
 	for {
 		select {
@@ -127,14 +128,14 @@
 	}
 }
 
-// check prints what a start with a file would do, or returns what is wrong with the file or its folder.
+// check prints what a server started with the file would do, or returns the fault of the file or its folder.
 func (c *configserverCommands) check(_ context.Context, cmd *cli.Command) error {
-	c.file = or(cmd.Args().First(), c.file)
+	c.file = firstNonEmpty(cmd.Args().First(), c.file)
 	options, err := c.options()
 	if err != nil {
 		return err
 	}
-	name := or(options.Name, "it")
+	name := firstNonEmpty(options.Name, "it")
 	if options.Folder == "" {
 		fmt.Fprintf(c.out, "%s would start: %s listens on %s and follows %d servers\n", c.file, name, options.Listen, len(options.Follow))
 		return nil
--- a/cmd/lilacbend/configserver_test.go
+++ b/cmd/lilacbend/configserver_test.go
@@ -21,10 +21,10 @@
 		PollInterval: time.Minute, MaxConnections: 3, MaxCopies: 4,
 	}
 	for name, c := range map[string]struct{ file, flags, want configserver.Options }{
-		"no flags":    {file, configserver.Options{}, file},
-		"no file":     {configserver.Options{}, flags, flags},
-		"all flags":   {file, flags, flags},
-		"one of each": {configserver.Options{Name: "s0"}, configserver.Options{MaxCopies: 4}, configserver.Options{Name: "s0", MaxCopies: 4}},
+		"no flags":           {file, configserver.Options{}, file},
+		"no file":            {configserver.Options{}, flags, flags},
+		"all flags":          {file, flags, flags},
+		"one option in each": {configserver.Options{Name: "s0"}, configserver.Options{MaxCopies: 4}, configserver.Options{Name: "s0", MaxCopies: 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := overridden(c.file, c.flags); !reflect.DeepEqual(got, c.want) {
--- a/cmd/lilacbend/configstatus.go
+++ b/cmd/lilacbend/configstatus.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// statusTimeout is how long the servers may take to return their status.
+	// statusTimeout limits the time for all servers to return their status.
 	statusTimeout = 3 * time.Second
-	// maxStatusBody is the largest status that is read, in bytes: that of 65,536 followers.
+	// maxStatusBody is the maximum size of a status in bytes, enough for 65,536 followers.
 	maxStatusBody = 64 << 20
 )
 
-var errNoStatusServer = errors.New("no server is named: --server or LILACBEND_CONFIGSERVERS")
+var errNoStatusServer = errors.New("no configuration server given: set --server or LILACBEND_CONFIGSERVERS")
 
 // statusCommand returns the command that prints the combined status of configuration servers.
 func statusCommand(out io.Writer) *cli.Command {
@@ -33,10 +33,10 @@
 	var asJSON bool
 	return &cli.Command{
 		Name:  "status",
-		Usage: "say by service and zone what is in force, who lags and for how long: status --server ADDRESS[,ADDRESS...]",
+		Usage: "print the active versions by service and zone, and which controllers lag and for how long: status --server ADDRESS[,ADDRESS...]",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "server", Usage: "a server to ask", Sources: cli.EnvVars("LILACBEND_CONFIGSERVERS"), Destination: &servers},
-			&cli.BoolFlag{Name: "json", Usage: "as JSON", Destination: &asJSON},
+			&cli.StringSliceFlag{Name: "server", Usage: "address of a configuration server; may be repeated", Sources: cli.EnvVars("LILACBEND_CONFIGSERVERS"), Destination: &servers},
+			&cli.BoolFlag{Name: "json", Usage: "print JSON", Destination: &asJSON},
 		},
 		Action: func(ctx context.Context, _ *cli.Command) error {
 			return printStatus(ctx, out, servers, asJSON)
@@ -44,7 +44,7 @@
 	}
 }
 
-// printStatus prints the status of the servers that answer. The error names the others.
+// printStatus prints the combined status of the servers that return one. The error names the servers that do not.
 func printStatus(ctx context.Context, out io.Writer, servers []string, asJSON bool) error {
 	if len(servers) == 0 {
 		return errNoStatusServer
@@ -66,7 +66,7 @@
 	return failed
 }
 
-// fetchStatuses fetches the status of all servers at once. The error names those that failed.
+// fetchStatuses fetches the statuses of all servers concurrently. The error names the servers that failed.
 func fetchStatuses(ctx context.Context, servers []string) ([]configapi.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -140,7 +140,7 @@
 			service.Service, service.Version, zone.Zone, strings.Join(counts, ", "), zone.Lagging, zone.Rejected)
 	}
 	if len(service.Zones) == 0 {
-		fmt.Fprintf(table, "%s\t%s\t-\tnobody\t0\t0\n", service.Service, service.Version)
+		fmt.Fprintf(table, "%s\t%s\t-\tno controllers\t0\t0\n", service.Service, service.Version)
 	}
 }
 
--- a/cmd/lilacbend/counters.go
+++ b/cmd/lilacbend/counters.go
@@ -5,7 +5,7 @@
 	"runtime"
 )
 
-// logCounters logs all counters. Their names are those of the operators' pages.
+// logCounters logs all counters under the names that the documentation for operators uses.
 func (p *process) logCounters() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/cmd/lilacbend/fleet_test.go
+++ b/cmd/lilacbend/fleet_test.go
@@ -15,11 +15,12 @@
 	"lilacbend/internal/resp"
 )
 
-// fleetConfiguration returns the example's configuration with the sizes of a fleet whose proxies are all at this controller.
-func fleetConfiguration(t *testing.T, listen string, governors, replicas, proxies int) configuration {
-	file := example(t)
+// fleetConfiguration returns the example's configuration with the given numbers of controllers, replicas and proxies, and with
+// limits that let all proxies connect to one controller.
+func fleetConfiguration(t *testing.T, listen string, controllers, replicas, proxies int) configuration {
+	file := exampleFile(t)
 	var addresses []string
-	for k := range governors {
+	for k := range controllers {
 		addresses = append(addresses, fmt.Sprintf("127.3.%d.%d:7946", k/250, k%250+1))
 	}
 	var members []map[string]any
@@ -29,7 +30,7 @@
 	}
 	file["peers"], file["known"] = addresses, map[string]any{"revision": 1, "complete": true, "members": members}
 	settings := file["settings"].(map[string]any)
-	settings["balancers"] = governors
+	settings["balancers"] = controllers
 	domain := settings["domain"].(map[string]any)
 	domain["proxy_count"], domain["pending_max"], domain["push_rate"] = proxies, 40*proxies, 20000
 	file["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": proxies + 200}
@@ -44,45 +45,45 @@
 	return c
 }
 
-// One of 350 controllers is left: all proxies connect to it at once, and each is bound to a table of 1,024 replicas. Besides,
-// some proxies do not read, and some connect repeatedly.
+// Only one of 350 controllers is left. All proxies connect to it at once, and each is bound to a table of 1,024 replicas. At the
+// same time 20 connections do not read, and 20 others are closed at once.
 func TestAllProxiesConnectAtOnce(t *testing.T) {
-	const governors, replicas, proxies = 350, 1024, 400
-	at := scriptedpeer.FreeAddress(t)
+	const controllers, replicas, proxies = 350, 1024, 400
+	address := scriptedpeer.FreeAddress(t)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
-		ended <- serve(ctx, fleetConfiguration(t, at, governors, replicas, proxies), reloader{}, slog.New(slog.DiscardHandler))
+		ended <- serve(ctx, fleetConfiguration(t, address, controllers, replicas, proxies), reloader{}, slog.New(slog.DiscardHandler))
 	}()
 	pool := resp.NewPool(64 << 20)
 	dial := func() net.Conn {
 		for range 500 {
-			if conn, err := net.Dial("tcp", at); err == nil {
+			if conn, err := net.Dial("tcp", address); err == nil {
 				conn.SetDeadline(time.Now().Add(40 * time.Second))
 				return conn
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Error("nobody listens")
+		t.Errorf("no listener on %s", address)
 		return nil
 	}
-	var deaf []net.Conn
+	var unread []net.Conn
 	for range 20 {
-		deaf = append(deaf, dial())
+		unread = append(unread, dial())
 		dial().Close()
 	}
-	var all sync.WaitGroup
+	var proxyGoroutines sync.WaitGroup
 	bound := make([]bool, proxies)
 	for id := range proxies {
-		all.Go(func() {
+		proxyGoroutines.Go(func() {
 			conn := dial()
 			if conn == nil {
 				return
 			}
 			defer conn.Close()
 			resp.Write(conn, pool, strings.Fields(fmt.Sprintf("hello id %d site %s rps 20 new 1", id, []string{"a", "b"}[id%2]))...)
-			for r := resp.NewReader(conn, pool); ; {
-				words, err := r.Next()
+			for reader := resp.NewReader(conn, pool); ; {
+				words, err := reader.Next()
 				if err != nil {
 					t.Errorf("proxy %d: %v", id, err)
 					return
@@ -98,13 +99,13 @@
 			}
 		})
 	}
-	all.Wait()
-	for id, is := range bound {
-		if !is {
-			t.Errorf("proxy %d of %d is not bound", id, proxies)
+	proxyGoroutines.Wait()
+	for id, isBound := range bound {
+		if !isBound {
+			t.Errorf("proxy %d of %d is not bound to a table", id, proxies)
 		}
 	}
-	for _, conn := range deaf {
+	for _, conn := range unread {
 		conn.Close()
 	}
 	stop()
--- a/cmd/lilacbend/follow.go
+++ b/cmd/lilacbend/follow.go
@@ -14,17 +14,18 @@
 	"lilacbend/settings"
 )
 
-// configurationFollower passes new settings from configuration servers to the core, and the core's results back. A nil one
-// follows nothing.
+// configurationFollower passes new settings from configuration servers to the core, and the core's results back to the servers.
+// A nil follower does nothing.
 type configurationFollower struct {
 	watcher *configwatch.Watcher
-	cache   *settingsCache // nil: settings are not kept
+	cache   *settingsCache // nil: settings are not kept over a restart
 	seed    uint64
 	queues  *eventloop.Queues
 	log     *slog.Logger
 }
 
-// newConfigurationFollower returns nil if the operator file has no such section.
+// newConfigurationFollower returns the follower of the servers that the operator file names, or nil if the file has no section
+// for them. own is the topology of the settings in the controller's configuration file.
 func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, queues *eventloop.Queues, log *slog.Logger) (*configurationFollower, error) {
 	following := c.operator.Configuration
 	if !following.On() {
@@ -54,7 +55,7 @@
 	return f, nil
 }
 
-// topology returns the topology to start with: that of the settings from before a restart, or own.
+// topology returns the topology to start with: that of the cached settings if there are any, own otherwise.
 func (f *configurationFollower) topology(own controller.Topology) controller.Topology {
 	if f.resumes() {
 		return f.cache.topology
@@ -62,12 +63,12 @@
 	return own
 }
 
-// resumes reports whether the controller starts with the settings from before a restart.
+// resumes reports whether the controller starts with cached settings, which were active before the restart.
 func (f *configurationFollower) resumes() bool {
 	return f != nil && f.cache != nil && f.cache.record != nil
 }
 
-// resume offers the settings from before a restart to the core. It is called before run and the first turn.
+// resume offers the cached settings, if any, to the core. It has to be called before run and the first turn.
 func (f *configurationFollower) resume() {
 	if f.resumes() {
 		f.watcher.Resume(f.cache.record.Version, f.cache.record.Settings)
@@ -85,7 +86,7 @@
 	f.watcher.Run(ctx)
 }
 
-// offer checks settings as at a start and passes them to the core.
+// offer checks settings in the same way as at the start of a controller and passes them to the core.
 func (f *configurationFollower) offer(version revision.Version, raw []byte) {
 	names, decoded, err := settings.Load(raw, f.seed)
 	if err != nil {
@@ -100,8 +101,8 @@
 	})
 }
 
-// handleResults reports the core's results to the configuration servers, and updates the control server and the queue of
-// events to the active settings.
+// handleResults reports which offered settings the core has applied or rejected to the configuration servers, and updates the
+// control server and the limit of the input queue to the active settings.
 func (f *configurationFollower) handleResults(results []controller.ConfigurationResult, core *controller.Core, server *controlserver.Server) {
 	for _, result := range results {
 		server.Reconfigure(core.CurrentTopology())
@@ -115,7 +116,7 @@
 	}
 }
 
-// counters returns the counters of following; empty if nothing is followed.
+// counters returns the counters of the follower, and an empty attribute if no configuration is followed.
 func (f *configurationFollower) counters(core *controller.Core) slog.Attr {
 	if f == nil {
 		return slog.Attr{}
--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -26,7 +26,7 @@
 	statusFile = "configserver-status.golden"
 )
 
-// outputOf runs a command of the program and returns what it prints.
+// outputOf runs a command of the program and returns its output.
 func outputOf(t *testing.T, command func(out io.Writer) *cli.Command, args ...string) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -36,9 +36,9 @@
 	return out.Bytes()
 }
 
-func state(out io.Writer) *cli.Command { return stateCommand(&options{}, out) }
+func newStateCommand(out io.Writer) *cli.Command { return stateCommand(&options{}, out) }
 
-func configurationServer(out io.Writer) *cli.Command { return configserverCommand(nil, out) }
+func newConfigserverCommand(out io.Writer) *cli.Command { return configserverCommand(nil, out) }
 
 // goldenState has a non-zero value in every exported field.
 func goldenState() learnedstate.State {
@@ -63,7 +63,7 @@
 	}
 	for _, subcommand := range [][]string{{"export"}, {"show", "--json"}} {
 		t.Run(strings.Join(subcommand, " "), func(t *testing.T) {
-			output := outputOf(t, state, append(append([]string{"state"}, subcommand...), folder)...)
+			output := outputOf(t, newStateCommand, append(append([]string{"state"}, subcommand...), folder)...)
 			golden.Compare(t, exportFile, output)
 			golden.CheckDetectsChange(t, exportFile, output)
 		})
@@ -72,30 +72,30 @@
 
 func TestStateExportRoundTrip(t *testing.T) {
 	folder := t.TempDir()
-	outputOf(t, state, "state", "import", "testdata/"+exportFile, folder)
-	golden.Compare(t, exportFile, outputOf(t, state, "state", "export", folder))
+	outputOf(t, newStateCommand, "state", "import", "testdata/"+exportFile, folder)
+	golden.Compare(t, exportFile, outputOf(t, newStateCommand, "state", "export", folder))
 }
 
 // goldenStatuses returns the statuses of a writer and of its follower. Controllers are in two zones; one lags, one has rejected
 // the newest version, and one is known to both servers.
 func goldenStatuses() []configapi.Status {
-	at := func(number uint64) revision.Version { return revision.Version{Epoch: 7, Revision: number} }
-	history := func(older int64) []configapi.Published {
-		return []configapi.Published{{Version: at(29), AgoMS: 90_000 + older}, {Version: at(30), AgoMS: 60_000 + older}, {Version: at(31), AgoMS: 1500 + older}}
+	version := func(number uint64) revision.Version { return revision.Version{Epoch: 7, Revision: number} }
+	history := func(extraMS int64) []configapi.Published {
+		return []configapi.Published{{Version: version(29), AgoMS: 90_000 + extraMS}, {Version: version(30), AgoMS: 60_000 + extraMS}, {Version: version(31), AgoMS: 1500 + extraMS}}
 	}
 	return []configapi.Status{
-		{Server: "s0", Region: "r0", Writer: true, Version: at(32), Faults: []configapi.Fault{{File: "stock.json", Reason: "unexpected end"}},
-			Services: []configapi.ServiceStatus{{Name: "orders", Version: at(31), Bytes: 905, History: history(0)}, {Name: "stock", Version: at(28), Bytes: 17}},
+		{Server: "s0", Region: "r0", Writer: true, Version: version(32), Faults: []configapi.Fault{{File: "stock.json", Reason: "unexpected end"}},
+			Services: []configapi.ServiceStatus{{Name: "orders", Version: version(31), Bytes: 905, History: history(0)}, {Name: "stock", Version: version(28), Bytes: 17}},
 			Watchers: []configapi.Watcher{
-				{Instance: "s1", Region: "r1", Active: at(32), LastSeenMS: 3},
-				{Instance: "n1", Service: "orders", Zone: "a", Region: "r0", Active: at(31), LastSeenMS: 40},
-				{Instance: "n2", Service: "orders", Zone: "a", Region: "r0", Active: at(30), LastSeenMS: 50},
-				{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: at(29), LastSeenMS: 70_000},
+				{Instance: "s1", Region: "r1", Active: version(32), LastSeenMS: 3},
+				{Instance: "n1", Service: "orders", Zone: "a", Region: "r0", Active: version(31), LastSeenMS: 40},
+				{Instance: "n2", Service: "orders", Zone: "a", Region: "r0", Active: version(30), LastSeenMS: 50},
+				{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: version(29), LastSeenMS: 70_000},
 			},
 			Counters: configapi.Counters{Requests: 1, Copies: 2}},
-		{Server: "s1", Region: "r1", Version: at(31), AgeMS: 12, Faults: []configapi.Fault{},
-			Services: []configapi.ServiceStatus{{Name: "orders", Version: at(31), Bytes: 905, History: history(-20)}},
-			Watchers: []configapi.Watcher{{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: at(29), Rejected: at(31), LastSeenMS: 30}}},
+		{Server: "s1", Region: "r1", Version: version(31), AgeMS: 12, Faults: []configapi.Fault{},
+			Services: []configapi.ServiceStatus{{Name: "orders", Version: version(31), Bytes: 905, History: history(-20)}},
+			Watchers: []configapi.Watcher{{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: version(29), Rejected: version(31), LastSeenMS: 30}}},
 	}
 }
 
@@ -104,14 +104,14 @@
 	for _, status := range goldenStatuses() {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method != http.MethodGet || r.URL.Path != "/status" {
-				t.Errorf("asked for %s %s", r.Method, r.URL)
+				t.Errorf("request is %s %s, want GET /status", r.Method, r.URL)
 			}
 			json.NewEncoder(w).Encode(status)
 		}))
 		t.Cleanup(server.Close)
 		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
-	output := outputOf(t, configurationServer, "configserver", "status", "--json", "--server", strings.Join(addresses, ","))
+	output := outputOf(t, newConfigserverCommand, "configserver", "status", "--json", "--server", strings.Join(addresses, ","))
 	golden.Compare(t, statusFile, output)
 	golden.CheckDetectsChange(t, statusFile, output)
 }
--- a/cmd/lilacbend/logwriter.go
+++ b/cmd/lilacbend/logwriter.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// logBufferLines is how many lines may wait to be written. Further ones are lost: a reader of the log that has stopped must
-	// not stop the program.
+	// logBufferLines is the maximum number of lines that wait to be written. Further lines are dropped, so that the program does
+	// not block when the reader of its log has stopped.
 	logBufferLines = 1024
-	// logCloseTimeout is how long waiting lines may take to be written at the end. With the shutdown of connections it stays
-	// within 0.7 s, after which SIGKILL may follow SIGTERM.
+	// logCloseTimeout limits the time for writing the waiting lines at shutdown. Together with the shutdown of connections it
+	// stays below 0.7 s, after which SIGKILL may follow SIGTERM.
 	logCloseTimeout = 200 * time.Millisecond
 )
 
-// logWriter writes lines on its own goroutine, so that callers of Write never wait.
+// logWriter writes lines on its own goroutine, so that callers of Write never block.
 type logWriter struct {
 	destination io.Writer
 	lines       chan []byte
 	closing     chan struct{}
 	done        chan struct{} // closed when the goroutine has ended
-	lost        atomic.Int64  // lines
+	lost        atomic.Int64  // dropped lines
 }
 
 func newLogWriter(destination io.Writer) *logWriter {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Write enqueues one line, which is how slog calls it. It never fails.
+// Write enqueues one line; slog calls it once for each line. It never fails.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
@@ -65,7 +65,7 @@
 	return len(line), nil
 }
 
-// close waits for the lines that wait, at most for logCloseTimeout.
+// close blocks until the waiting lines are written, for at most logCloseTimeout.
 func (w *logWriter) close() {
 	close(w.closing)
 	select {
--- a/cmd/lilacbend/logwriter_test.go
+++ b/cmd/lilacbend/logwriter_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// Writes do not block if the log is not read, and the lines that are not lost are complete.
+// Writes do not block while the reader of the log does not read, and the lines that are not dropped are written completely.
 func TestLogWriterNeverBlocks(t *testing.T) {
-	r, w := io.Pipe()
-	b := newLogWriter(w)
+	reader, destination := io.Pipe()
+	writer := newLogWriter(destination)
 	for range 2 * logBufferLines {
-		b.Write([]byte("line\n"))
+		writer.Write([]byte("line\n"))
 	}
-	if lost := b.lost.Load(); lost < logBufferLines-1 || lost > logBufferLines {
-		t.Errorf("%d lines are lost", lost)
+	if lost := writer.lost.Load(); lost < logBufferLines-1 || lost > logBufferLines {
+		t.Errorf("%d lines are lost, want %d or one less", lost, logBufferLines)
 	}
-	b.close() // gives up
-	go func() { <-b.done; w.Close() }()
-	if text, _ := io.ReadAll(r); strings.Count(string(text), "line\n") != 2*logBufferLines-int(b.lost.Load()) {
-		t.Errorf("%d bytes read", len(text))
+	writer.close() // returns at its timeout, as the lines are not read yet
+	go func() { <-writer.done; destination.Close() }()
+	if text, _ := io.ReadAll(reader); strings.Count(string(text), "line\n") != 2*logBufferLines-int(writer.lost.Load()) {
+		t.Errorf("%d bytes read, which are not the lines that were not lost", len(text))
 	}
 }
--- a/cmd/lilacbend/main.go
+++ b/cmd/lilacbend/main.go
@@ -1,4 +1,5 @@
-// Command lilacbend runs a controller (an operator's "governor"), a sidecar, a collector or a configuration server.
+// Command lilacbend runs a controller (called "governor" in flags, counters and files), a sidecar, a collector or a
+// configuration server.
 package main
 
 import (
@@ -14,7 +15,7 @@
 )
 
 func main() {
-	// SIGHUP is caught first of all, as by default it ends a program.
+	// SIGHUP is caught before anything else, as its default action terminates the program.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -25,28 +26,28 @@
 	}
 }
 
-// commands are the root command and those that have no file of their own.
+// commands has the actions of the root command and of "serve" and "check".
 type commands struct {
 	options options
 	hangups <-chan os.Signal
 }
 
-// command returns the command line.
+// command returns the root command of the program.
 func command(hangups <-chan os.Signal) *cli.Command {
 	c := &commands{hangups: hangups}
 	root := &cli.Command{
 		Name:   "lilacbend",
-		Usage:  "a governor that tells proxies where flows go",
+		Usage:  "control plane that sends tables of weighted endpoints, admission rates and retry policies to proxies",
 		Flags:  c.flags(),
 		Action: c.serve,
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "run a governor (also what happens without a command)", Action: c.serve},
-			{Name: "check", Usage: "say whether a configuration would start: check [FILE]", ArgsUsage: "[FILE]", Action: c.check},
+			{Name: "serve", Usage: "run a controller (the default command)", Action: c.serve},
+			{Name: "check", Usage: "check that a controller can start with a configuration: check [FILE]", ArgsUsage: "[FILE]", Action: c.check},
 			stateCommand(&c.options, os.Stdout),
 			sidecarCommand(hangups),
 			collectorCommand(),
 			configserverCommand(hangups, os.Stdout),
-			{Name: "version", Usage: "say what was built", Action: printVersion},
+			{Name: "version", Usage: "print the version of the program", Action: printVersion},
 		},
 	}
 	returnUsageErrors(root)
@@ -58,47 +59,47 @@
 		return &cli.StringFlag{Name: name, Usage: usage, Sources: cli.EnvVars(env), Destination: destination}
 	}
 	return []cli.Flag{
-		flag("config", "PROXY_CONFIG", "the configuration, as JSON", &c.options.file),
-		flag("name", "PROXY_NAME", "this governor's name, before the configuration's", &c.options.name),
-		flag("listen", "PROXY_LISTEN", "where proxies and collectors connect", &c.options.listen),
-		flag("operator", "LILACBEND_OPERATOR", "what this installation switches on, as YAML; without it nothing", &c.options.operator),
-		flag("discovery", "PROXY_DISCOVERY", "where the list of replicas is", &c.options.discovery),
+		flag("config", "PROXY_CONFIG", "path of the configuration file, as JSON", &c.options.file),
+		flag("name", "PROXY_NAME", "name of this controller; takes precedence over the configuration", &c.options.name),
+		flag("listen", "PROXY_LISTEN", "address on which proxies and collectors connect, as host:port", &c.options.listen),
+		flag("operator", "LILACBEND_OPERATOR", "path of the operator file, which enables optional features, as YAML", &c.options.operator),
+		flag("discovery", "PROXY_DISCOVERY", "address of the service discovery, as host:port", &c.options.discovery),
 	}
 }
 
 // serve runs a controller until ctx ends.
 func (c *commands) serve(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
-		return fmt.Errorf("no command %q: serve, check, state, sidecar, collector, configserver or version", cmd.Args().First())
+		return fmt.Errorf("unknown command %q: want serve, check, state, sidecar, collector, configserver or version", cmd.Args().First())
 	}
 	configuration, err := readConfiguration(c.options)
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGPIPE) // the program goes on if nobody reads its log any more
+	signal.Ignore(syscall.SIGPIPE) // the program keeps running when the reader of its log has exited
 	logs := newLogWriter(os.Stderr)
 	defer logs.close()
 	log := slog.New(slog.NewTextHandler(logs, nil)).With("governor", configuration.name)
 	return serve(ctx, configuration, reloader{hangups: c.hangups, options: c.options}, log)
 }
 
-// check prints what a start with a configuration would do, or returns what is wrong with it.
+// check prints what a controller started with the configuration would do, or returns the fault of the configuration.
 func (c *commands) check(_ context.Context, cmd *cli.Command) error {
-	c.options.file = or(cmd.Args().First(), c.options.file)
+	c.options.file = firstNonEmpty(cmd.Args().First(), c.options.file)
 	configuration, err := readConfiguration(c.options)
 	if err != nil {
 		return err
 	}
 	state := configuration.operator.State
 	if state.Folder != "" {
-		fmt.Printf("%s: state is kept in %s every %v, %d generations\n", c.options.operator, state.Folder, state.Every, state.Keep)
+		fmt.Printf("%s: learned state is saved to %s every %v, with %d generations kept\n", c.options.operator, state.Folder, state.Every, state.Keep)
 	}
 	following := configuration.operator.Configuration
 	if following.On() {
-		fmt.Printf("%s: the settings of %s are followed at %d servers\n", c.options.operator, following.Service, len(following.Servers))
+		fmt.Printf("%s: settings of service %s are followed at %d configuration servers\n", c.options.operator, following.Service, len(following.Servers))
 	}
-	fmt.Printf("%s would start: %s listens on %s, discovery at %s, %d replicas known, %d proxies, %d traffic groups\n",
-		c.options.file, or(configuration.name, "it"), configuration.listen, configuration.discovery,
+	fmt.Printf("%s would start: %s listens on %s, discovery at %s, %d replicas known, %d proxies, %d traffic classes\n",
+		c.options.file, firstNonEmpty(configuration.name, "it"), configuration.listen, configuration.discovery,
 		len(configuration.known.Members), configuration.settings.Proxies, len(configuration.names.Classes))
 	return nil
 }
@@ -108,7 +109,8 @@
 	return nil
 }
 
-// returnUsageErrors makes a command and its subcommands return errors of usage, which are printed in one line, without help.
+// returnUsageErrors makes a command and its subcommands return usage errors, so that they are printed in one line, without the
+// help text.
 func returnUsageErrors(command *cli.Command) {
 	command.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error { return err }
 	for _, subcommand := range command.Commands {
@@ -116,7 +118,7 @@
 	}
 }
 
-// version returns the module's version, the compiler's, and the revision that was built.
+// version returns the version of the module, the version of the compiler, and the revision of the source.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -12,20 +12,20 @@
 	"lilacbend/internal/eventloop"
 )
 
-// rereadInitial and rereadLimit bound the backoff after which a file that cannot be used is read again: it is still being
-// written, which takes milliseconds, or has to be corrected. The limit is well below the 6 s after which a list of the service
-// discovery that the file names counts as delivered.
+// rereadInitial and rereadLimit are the first and the longest backoff before an unusable file is read again. Such a file is
+// either still being written, which takes milliseconds, or has to be corrected. The limit is well below the 6 s after which a
+// list from the service discovery that the file names counts as delivered.
 const (
 	rereadInitial = 50 * time.Millisecond
 	rereadLimit   = time.Second
 )
 
-// reloadOnHangup calls load at each signal, until ctx ends. The signal may come before the file that load reads is complete, and
-// is not sent twice: after an error load is called again until it succeeds, or until the next signal. signalled is whether load
-// is called for a new signal.
+// reloadOnHangup calls load at each hangup signal, until ctx ends. The signal may arrive before the file that load reads is
+// complete, and is not sent a second time. After an error, load is therefore called again with backoff until it succeeds; a new
+// signal calls it at once and resets the backoff. signalled reports whether load is called for a signal and not as a retry.
 func reloadOnHangup(ctx context.Context, hangups <-chan os.Signal, load func(signalled bool) error) {
 	retry := backoff.New(rereadInitial, rereadLimit)
-	var due <-chan time.Time // nil: there is nothing to retry
+	var due <-chan time.Time // nil: no retry is pending
 	for {
 		signalled := false
 		select {
@@ -44,14 +44,14 @@
 	}
 }
 
-// reloader reads a controller's configuration again at each hangup signal.
+// reloader reloads a controller's configuration at each hangup signal.
 type reloader struct {
 	hangups <-chan os.Signal
 	options options // of the command line
 }
 
-// read reads the configuration again. Its address of discovery takes precedence over the options now. A panic is returned as an
-// error: the program goes on with an unusable file.
+// read reads the configuration. Other than at the start, the discovery address in the file takes precedence over the options. A
+// panic is returned as an error, so that an unusable file does not end the program.
 func (r reloader) read() (c configuration, err error) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -63,24 +63,24 @@
 	return readConfiguration(opts)
 }
 
-// run reads the configuration again at each signal, until ctx ends. Only the address of discovery changes at once, all else at the
-// next start. A configuration that cannot be used is logged and counted once.
+// run reloads the configuration at each signal, until ctx ends. Only the discovery address takes effect at once, all other changes
+// require a restart. A configuration that cannot be used is logged and counted once for each signal, not at each retry.
 func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, queues *eventloop.Queues, log *slog.Logger) {
 	reloadOnHangup(ctx, r.hangups, func(signalled bool) error {
 		next, err := r.read()
 		if err != nil {
 			if signalled {
 				queues.Counters.ReloadsFailed.Add(1)
-				log.Error("the new configuration cannot be used, the old one goes on", "error", err, "again_every", rereadLimit)
+				log.Error("configuration reload failed, keeping the current configuration", "error", err, "again_every", rereadLimit)
 			}
 			return err
 		}
 		queues.Counters.Reloads.Add(1)
-		log.Info("read again", "discovery", next.discovery)
+		log.Info("configuration reloaded", "discovery", next.discovery)
 		client.SetAddress(next.discovery)
 		parts := running.changesAtRestart(next)
 		if len(parts) > 0 {
-			log.Warn("some of the new configuration waits for the next start", "fields", parts)
+			log.Warn("configuration changes require a restart", "fields", parts)
 		}
 		return nil
 	})
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -18,194 +18,203 @@
 	"lilacbend/internal/eventloop"
 )
 
-const wholeList = "GET /registry/instances HTTP/1.1"
+// completeListRequest is the request line of the discovery client for the complete list of replicas.
+const completeListRequest = "GET /registry/instances HTTP/1.1"
 
-// exampleAt returns the example's configuration with another address of discovery.
+// exampleAt returns the example's configuration file with another address of the service discovery.
 func exampleAt(t *testing.T, discovery string) []byte {
 	t.Helper()
 	return exampleWith(t, map[string]any{"discovery": discovery})
 }
 
-func write(t *testing.T, file string, raw []byte) {
+func writeFile(t *testing.T, file string, raw []byte) {
 	t.Helper()
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// replace replaces a file atomically.
-func replace(t *testing.T, file string, raw []byte) {
+// replaceFile replaces a file atomically.
+func replaceFile(t *testing.T, file string, raw []byte) {
 	t.Helper()
-	write(t, file+".new", raw)
+	writeFile(t, file+".new", raw)
 	if err := os.Rename(file+".new", file); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// times returns how often a text is in the log.
-func (l *lines) times(text string) int {
+// count returns the number of times that a text is in the log.
+func (l *logBuffer) count(text string) int {
 	l.Lock()
 	defer l.Unlock()
 	return strings.Count(l.String(), text)
 }
 
-func launch(t *testing.T, file, listen string) *child {
-	return program(t, []string{"PROXY_CONFIG=" + file, "PROXY_LISTEN=" + listen})
+// startControllerOn starts a controller that listens on an address.
+func startControllerOn(t *testing.T, file, listen string) *childProcess {
+	return startProgram(t, []string{"PROXY_CONFIG=" + file, "PROXY_LISTEN=" + listen})
 }
 
-// A file that is incomplete, empty or missing at SIGHUP is read again until it is complete, without a second SIGHUP, and
-// logged once.
+// A configuration file that is incomplete, empty or missing at SIGHUP is read again until it is complete, without a second SIGHUP.
+// The failure is logged once.
 func TestSIGHUPBeforeFileIsComplete(t *testing.T) {
-	for name, spoil := range map[string]func(file string, whole []byte){
-		"half written": func(file string, whole []byte) { write(t, file, whole[:len(whole)/2]) },
-		"empty":        func(file string, _ []byte) { write(t, file, nil) },
+	for name, makeUnusable := range map[string]func(file string, complete []byte){
+		"half written": func(file string, complete []byte) { writeFile(t, file, complete[:len(complete)/2]) },
+		"empty":        func(file string, _ []byte) { writeFile(t, file, nil) },
 		"missing":      func(file string, _ []byte) { os.Remove(file) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			file, before, after := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-			write(t, file, exampleAt(t, before.Address()))
-			p := launch(t, file, scriptedpeer.FreeAddress(t))
-			if got := before.AcceptConn().ReadRequestHead(); got != wholeList {
-				t.Errorf("asked %q", got)
+			writeFile(t, file, exampleAt(t, before.Address()))
+			process := startControllerOn(t, file, scriptedpeer.FreeAddress(t))
+			if got := before.AcceptConn().ReadRequestHead(); got != completeListRequest {
+				t.Errorf("request is %q, want %q", got, completeListRequest)
 			}
-			spoil(file, exampleAt(t, after.Address()))
-			p.signal(syscall.SIGHUP)
-			p.until("cannot be used")
-			replace(t, file, exampleAt(t, after.Address()))
-			if got := after.AcceptConn().ReadRequestHead(); got != wholeList {
-				t.Errorf("asked %q", got)
+			makeUnusable(file, exampleAt(t, after.Address()))
+			process.signal(syscall.SIGHUP)
+			process.waitForLog("configuration reload failed")
+			replaceFile(t, file, exampleAt(t, after.Address()))
+			if got := after.AcceptConn().ReadRequestHead(); got != completeListRequest {
+				t.Errorf("request is %q, want %q", got, completeListRequest)
 			}
-			p.expectExit(syscall.SIGTERM)
-			for text, times := range map[string]int{"cannot be used": 1, "read again": 1, "in.reloads=1 ": 1, "errors.misread=1 ": 1} {
-				if got := p.out.times(text); got != times {
-					t.Errorf("%q %d times, want %d", text, got, times)
+			process.expectExit(syscall.SIGTERM)
+			for text, want := range map[string]int{"configuration reload failed": 1, "configuration reloaded": 1, "in.reloads=1 ": 1, "errors.misread=1 ": 1} {
+				if got := process.log.count(text); got != want {
+					t.Errorf("%q is in the log %d times, want %d", text, got, want)
 				}
 			}
 		})
 	}
 }
 
-// SIGHUP does not affect the shutdown: while a file is retried, together with SIGTERM, and after it.
+// SIGHUP does not delay or abort the shutdown, neither while an unusable file is retried nor together with SIGTERM or after it.
 func TestSIGHUPDuringShutdown(t *testing.T) {
-	file, agent, at := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
-	write(t, file, exampleAt(t, agent.Address()))
-	p := launch(t, file, at)
+	file, agent, listen := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+	writeFile(t, file, exampleAt(t, agent.Address()))
+	process := startControllerOn(t, file, listen)
 	agent.AcceptConn().ReadRequestHead()
 	os.Remove(file)
-	p.signal(syscall.SIGHUP)
-	p.until("cannot be used")
-	p.expectExit(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP)
-	scriptedpeer.ListenOn(t, at) // it is free for the successor
+	process.signal(syscall.SIGHUP)
+	process.waitForLog("configuration reload failed")
+	process.expectExit(syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP)
+	scriptedpeer.ListenOn(t, listen) // the address is free for the successor
 }
 
-// reloading runs a reloader until the end of the test. The channel is unbuffered: a signal is sent when it is received.
-func reloading(t *testing.T, file, address string) (chan<- os.Signal, *eventloop.Queues, *lines) {
-	c, x, out := exampleConfiguration(t, "127.0.0.1:1"), eventloop.New(), &lines{}
-	asked, log := make(chan os.Signal), slog.New(slog.NewTextHandler(out, nil))
+// startReloader runs a reloader until the end of the test. The returned channel for signals is unbuffered: a send returns when the
+// reloader has received the signal.
+func startReloader(t *testing.T, file, address string) (chan<- os.Signal, *eventloop.Queues, *logBuffer) {
+	c, queues, out := exampleConfiguration(t, "127.0.0.1:1"), eventloop.New(), &logBuffer{}
+	hangups, log := make(chan os.Signal), slog.New(slog.NewTextHandler(out, nil))
 	ctx, stop := context.WithCancel(context.Background())
-	client := discovery.New(address, 0, x, log, func() int64 { return 1 }, 1)
-	moved, read := make(chan struct{}), make(chan struct{})
-	go func() { defer close(moved); client.Run(ctx) }()
+	client := discovery.New(address, 0, queues, log, func() int64 { return 1 }, 1)
+	clientDone, reloaderDone := make(chan struct{}), make(chan struct{})
+	go func() { defer close(clientDone); client.Run(ctx) }()
 	go func() {
-		defer close(read)
-		reloader{asked, options{discovery: address, file: file}}.run(ctx, c, client, x, log)
+		defer close(reloaderDone)
+		reloader{hangups, options{discovery: address, file: file}}.run(ctx, c, client, queues, log)
 	}()
-	t.Cleanup(func() { stop(); <-moved; <-read })
-	return asked, x, out
+	t.Cleanup(func() { stop(); <-clientDone; <-reloaderDone })
+	return hangups, queues, out
 }
 
-// Two signals at once, the same address, and A to B and back to A: the last file that was read counts.
-func TestSIGHUPAddressThereAndBack(t *testing.T) {
-	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-	asked, x, _ := reloading(t, file, a.Address())
-	first := a.AcceptConn()
+// The discovery client uses the address in the file that was read last: after two signals in a row with an unchanged address, and
+// after a change from one address to another and back.
+func TestSIGHUPChangesDiscoveryAddressAndBack(t *testing.T) {
+	file, oldAgent, newAgent := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
+	hangups, queues, _ := startReloader(t, file, oldAgent.Address())
+	first := oldAgent.AcceptConn()
 	first.ReadRequestHead()
-	write(t, file, exampleAt(t, a.Address()))
-	asked <- syscall.SIGHUP // to where it is
-	asked <- syscall.SIGHUP // taken once the first has been read
-	scriptedpeer.WaitFor(t, "not read twice", func() bool { return x.Counters.Reloads.Load() == 2 })
-	if dials := x.Counters.Dials.Load(); dials != 1 {
-		t.Errorf("%d dials", dials)
+	writeFile(t, file, exampleAt(t, oldAgent.Address()))
+	hangups <- syscall.SIGHUP // the address is unchanged
+	hangups <- syscall.SIGHUP // received only after the file has been read for the first signal
+	scriptedpeer.WaitFor(t, "the file was not read twice", func() bool { return queues.Counters.Reloads.Load() == 2 })
+	if dials := queues.Counters.Dials.Load(); dials != 1 {
+		t.Errorf("%d dials for an unchanged address, want 1", dials)
 	}
-	replace(t, file, exampleAt(t, b.Address()))
-	asked <- syscall.SIGHUP
-	there := b.AcceptConn()
+	replaceFile(t, file, exampleAt(t, newAgent.Address()))
+	hangups <- syscall.SIGHUP
+	second := newAgent.AcceptConn()
 	first.WaitForClose()
-	there.ReadRequestHead()
-	replace(t, file, exampleAt(t, a.Address()))
-	asked <- syscall.SIGHUP
-	back := a.AcceptConn()
-	there.WaitForClose()
-	if got := back.ReadRequestHead(); got != wholeList || x.Counters.Reloads.Load() != 4 || x.Counters.ReloadsFailed.Load() != 0 {
-		t.Errorf("asked %q, %d reloads", got, x.Counters.Reloads.Load())
+	second.ReadRequestHead()
+	replaceFile(t, file, exampleAt(t, oldAgent.Address()))
+	hangups <- syscall.SIGHUP
+	third := oldAgent.AcceptConn()
+	second.WaitForClose()
+	if got := third.ReadRequestHead(); got != completeListRequest || queues.Counters.Reloads.Load() != 4 || queues.Counters.ReloadsFailed.Load() != 0 {
+		t.Errorf("request is %q, want %q; %d reloads, want 4; %d reloads failed, want 0", got, completeListRequest,
+			queues.Counters.Reloads.Load(), queues.Counters.ReloadsFailed.Load())
 	}
 }
 
-// In virtual time: a file that stays incomplete is read again once in rereadLimit.
-func TestIncompleteFileIsReadAgainWithBackoff(t *testing.T) {
+// A file that stays missing for 10 s is read again with increasing intervals up to rereadLimit, then once in rereadLimit. The time
+// is that of a synctest bubble.
+func TestUnusableFileIsReadAgainWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		file, x, asked := filepath.Join(t.TempDir(), "config.json"), eventloop.New(), make(chan os.Signal)
+		file, queues, hangups := filepath.Join(t.TempDir(), "config.json"), eventloop.New(), make(chan os.Signal)
 		c, log := exampleConfiguration(t, "127.0.0.1:1"), slog.New(slog.DiscardHandler)
-		client := discovery.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
-		read := make(chan struct{})
-		go func() { defer close(read); reloader{asked, options{file: file}}.run(t.Context(), c, client, x, log) }()
-		t.Cleanup(func() { <-read })
+		client := discovery.New(c.discovery, 0, queues, log, func() int64 { return 1 }, 1)
+		reloaderDone := make(chan struct{})
+		go func() {
+			defer close(reloaderDone)
+			reloader{hangups, options{file: file}}.run(t.Context(), c, client, queues, log)
+		}()
+		t.Cleanup(func() { <-reloaderDone })
 		start := time.Now()
-		asked <- syscall.SIGHUP
+		hangups <- syscall.SIGHUP
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		write(t, file, exampleAt(t, "127.0.0.1:2"))
-		for x.Counters.Reloads.Load() == 0 && time.Since(start) < time.Minute {
+		writeFile(t, file, exampleAt(t, "127.0.0.1:2"))
+		for queues.Counters.Reloads.Load() == 0 && time.Since(start) < time.Minute {
 			time.Sleep(time.Millisecond)
 		}
-		// 50, 100, ... 800 ms apart, which is 1.55 s in all, then a second each: the next one is at 10.55 s.
+		// The intervals are 50, 100, ... 800 ms, 1.55 s in total, and then 1 s each: the first attempt after 10 s is at 10.55 s.
 		want := 31*rereadInitial + 9*rereadLimit
-		if took := time.Since(start); took < want || took > want+2*time.Millisecond || x.Counters.ReloadsFailed.Load() != 1 {
-			t.Errorf("taken over after %v, want %v; %d misread", took, want, x.Counters.ReloadsFailed.Load())
+		if elapsed := time.Since(start); elapsed < want || elapsed > want+2*time.Millisecond || queues.Counters.ReloadsFailed.Load() != 1 {
+			t.Errorf("configuration reloaded after %v, want %v; %d signals with a failed reload, want 1", elapsed, want, queues.Counters.ReloadsFailed.Load())
 		}
 	})
 }
 
-// A second SIGHUP while a file is retried reads it at once; each signal that finds it unusable is logged.
+// A second SIGHUP while an unusable file is retried reads the file at once. The failure is logged once for each signal.
 func TestSIGHUPWhileFileIsRetried(t *testing.T) {
-	file, a, b := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-	asked, x, out := reloading(t, file, a.Address())
-	a.AcceptConn().ReadRequestHead()
-	asked <- syscall.SIGHUP
-	asked <- syscall.SIGHUP
-	scriptedpeer.WaitFor(t, "not read twice", func() bool { return x.Counters.ReloadsFailed.Load() == 2 })
-	replace(t, file, exampleAt(t, b.Address()))
-	asked <- syscall.SIGHUP
-	if got := b.AcceptConn().ReadRequestHead(); got != wholeList {
-		t.Errorf("asked %q", got)
+	file, oldAgent, newAgent := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
+	hangups, queues, out := startReloader(t, file, oldAgent.Address())
+	oldAgent.AcceptConn().ReadRequestHead()
+	hangups <- syscall.SIGHUP
+	hangups <- syscall.SIGHUP
+	scriptedpeer.WaitFor(t, "the file was not read twice", func() bool { return queues.Counters.ReloadsFailed.Load() == 2 })
+	replaceFile(t, file, exampleAt(t, newAgent.Address()))
+	hangups <- syscall.SIGHUP
+	if got := newAgent.AcceptConn().ReadRequestHead(); got != completeListRequest {
+		t.Errorf("request is %q, want %q", got, completeListRequest)
 	}
-	if n := x.Counters.ReloadsFailed.Load(); n != 2 || out.times("cannot be used") != 2 {
-		t.Errorf("%d misread, said %d times", n, out.times("cannot be used"))
+	if failed := queues.Counters.ReloadsFailed.Load(); failed != 2 || out.count("configuration reload failed") != 2 {
+		t.Errorf("%d reloads failed, want 2; logged %d times, want 2", failed, out.count("configuration reload failed"))
 	}
 }
 
-// The configuration's list is out of date. It serves the proxies that connect before discovery answers with the complete list;
-// then draining replicas are withdrawn.
+// The list in the configuration is out of date. Proxies that connect before discovery answers receive endpoints from it; after the
+// complete list of discovery, the replica that it lists as draining is removed from them.
 func TestProxiesConnectBeforeDiscoveryAnswers(t *testing.T) {
-	agent, at := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
-	c := exampleConfiguration(t, at)
+	agent, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+	c := exampleConfiguration(t, listen)
 	c.discovery = agent.Address()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- serve(ctx, c, reloader{}, slog.New(slog.DiscardHandler)) }()
 	defer func() { stop(); <-ended }()
-	proxy := scriptedpeer.DialWhenUp(t, at)
+	proxy := scriptedpeer.DialWhenUp(t, listen)
 	proxy.Send("hello id 3 site a rps 20 new 1")
 	first := proxy.WaitForMessage("push full 1 endpoints box-")
 	conn := agent.AcceptConn()
-	if got := conn.ReadRequestHead(); got != wholeList {
-		t.Errorf("asked %q", got)
+	if got := conn.ReadRequestHead(); got != completeListRequest {
+		t.Errorf("request is %q, want %q", got, completeListRequest)
 	}
-	name := strings.SplitN(strings.Fields(first)[4], ":", 2)[0]
+	drained := strings.SplitN(strings.Fields(first)[4], ":", 2)[0]
 	var members []map[string]any
 	for _, m := range c.known.Members {
 		phase := "Ready"
-		if m.ID == name {
+		if m.ID == drained {
 			phase = "Terminating"
 		}
 		members = append(members, map[string]any{"id": m.ID, "host_port": m.Address, "locality": m.Zone, "flavor": m.HardwareClass,
@@ -218,17 +227,17 @@
 	conn.SendRaw(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 	for {
 		text := proxy.WaitForMessage("push ")
-		if words := strings.Fields(text); withdraws(words, name) {
+		if words := strings.Fields(text); removesReplica(words, drained) {
 			break
 		}
 	}
 }
 
-// withdraws reports whether an update removes a replica from its proxy.
-func withdraws(words []string, name string) bool {
+// removesReplica reports whether an update removes a replica from its proxy.
+func removesReplica(words []string, replica string) bool {
 	for k := 1; k+1 < len(words); k += 2 {
 		for _, part := range strings.Split(words[k+1], ",") {
-			if words[k] == "eject" && part == name || words[k] == "endpoints" && part == name+":0" {
+			if words[k] == "eject" && part == replica || words[k] == "endpoints" && part == replica+":0" {
 				return true
 			}
 		}
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -22,29 +22,31 @@
 )
 
 const (
-	// heapFraction is the fraction of the memory limit that is set for the Go runtime, which needs the rest for itself.
+	// heapFraction is the fraction of the memory limit that is set as the soft limit of the Go runtime. The rest is a reserve
+	// for memory that the runtime needs beyond it.
 	heapFraction = 0.8
-	// buffersFraction is the fraction of the memory limit for buffers of long messages: any number of peers that send 1 MiB
-	// each stays below it.
+	// buffersFraction is the fraction of the memory limit for buffers of long messages. It bounds the buffers of any number of
+	// peers that send messages of 1 MiB.
 	buffersFraction = 0.125
 	// batchDelay is how long a turn waits for events that were sent together but arrive in pieces or on several connections.
-	// It is short beside the 100 ms and more that a message takes to a proxy.
+	// It is short compared to the 100 ms or more that a message takes to reach a proxy.
 	batchDelay = 2 * time.Millisecond
-	// classesPerProxy is how many traffic classes size the queue of inputs for the number of proxies once more.
-	classesPerProxy = 4
-	// shutdownTimeout is how long connections may take to end. SIGKILL may follow 0.7 s after SIGTERM.
+	// classesPerExtraProxy is the number of traffic classes whose demand reports take as much room in the queue of inputs as one
+	// more proxy.
+	classesPerExtraProxy = 4
+	// shutdownTimeout limits the time for closing the connections at shutdown. SIGKILL may follow 0.7 s after SIGTERM.
 	shutdownTimeout = 300 * time.Millisecond
 )
 
-// unnamedOwner is the owner of a folder's lock if the controller has no name.
+// unnamedOwner is the owner that is written to a folder's lock if the controller has no name.
 const unnamedOwner = "a governor"
 
-// clock returns wall time that never goes back: the wall clock at the start plus the monotonic time since then.
+// clock returns wall time that never runs backwards: the wall clock at the start plus the monotonic time since then.
 type clock struct{ start time.Time }
 
 func (c clock) now() int64 { return c.start.UnixNano() + time.Since(c.start).Nanoseconds() }
 
-// process is one running controller with all that it uses.
+// process is one running controller with its connections, queues and files.
 type process struct {
 	configuration configuration
 	clock         clock
@@ -64,7 +66,7 @@
 	defer signal.Stop(reportRequests)
 	debug.SetMemoryLimit(int64(heapFraction * float64(c.memory)))
 	listener, err := listen(ctx, c.listen, log)
-	if err != nil && ctx.Err() != nil { // ended while it waited for its address, which is no failure
+	if err != nil && ctx.Err() != nil { // a shutdown while waiting for the address is not a failure
 		return nil
 	}
 	if err != nil {
@@ -89,29 +91,29 @@
 	p.snapshots.submit(p.core.FinalSnapshot(p.clock.now()))
 	p.snapshots.close()
 	p.logCounters()
-	ended := make(chan struct{})
+	allEnded := make(chan struct{})
 	go func() {
 		goroutines.Wait()
-		close(ended)
+		close(allEnded)
 	}()
 	select {
-	case <-ended:
+	case <-allEnded:
 		return serveErr
 	case <-time.After(shutdownTimeout):
-		log.Warn("connections did not end in time")
+		log.Warn("shutdown timed out, some connections are still open")
 		return nil
 	}
 }
 
-// newProcess prepares a controller. The events that it starts with are published in this order: learned state, the known list,
-// settings from before a restart.
+// newProcess prepares a controller. It enqueues the first inputs of the core in this order: learned state, the list of replicas
+// to start with, cached settings.
 func newProcess(ctx context.Context, c configuration, log *slog.Logger) (*process, error) {
 	p := &process{configuration: c, clock: clock{start: time.Now()}, queues: eventloop.New(), log: log}
 	p.queues.SetProxies(queuedProxies(c.settings.Proxies, len(c.names.Classes)))
 	own := controller.NewTopology(c.names, c.settings)
 	follower, err := newConfigurationFollower(ctx, c, own, p.queues, log)
 	if err != nil {
-		return nil, fmt.Errorf("cannot follow a configuration: %w", err)
+		return nil, fmt.Errorf("cannot follow the configuration servers: %w", err)
 	}
 	p.follower = follower
 	topology := follower.topology(own)
@@ -122,7 +124,7 @@
 	known.ReadAtWall = p.clock.start.UnixNano()
 	p.queues.Enqueue(*known)
 	follower.resume()
-	log.Info("serving", "listen", c.listen, "discovery", c.discovery, "revision", known.Revision,
+	log.Info("controller serving", "listen", c.listen, "discovery", c.discovery, "revision", known.Revision,
 		"replicas", len(known.Members), "proxies", c.settings.Proxies)
 	pool := resp.NewPool(int(buffersFraction * float64(c.memory)))
 	p.server = controlserver.New(p.queues, pool, log, c.descriptors, topology)
@@ -130,8 +132,8 @@
 	return p, nil
 }
 
-// openSnapshots restores learned state and starts to keep it, if the operator file says so. A newer list of replicas in it
-// replaces the known one.
+// openSnapshots restores learned state and starts to write snapshots of it, if the operator file names a folder for them. A list
+// of replicas in the learned state replaces the one in the configuration if it is newer.
 func (p *process) openSnapshots(ctx context.Context, topology controller.Topology) {
 	retention := p.configuration.operator.State
 	snapshots := openSnapshotKeeper(ctx, retention, p.configuration.name, p.log)
@@ -148,11 +150,11 @@
 	p.snapshots = snapshots
 }
 
-// queuedProxies returns the number of proxies that the queue of inputs is sized for: the proxies of the settings, and as many
-// again for each classesPerProxy traffic classes, as each proxy reports its demand by class.
-func queuedProxies(proxies, classes int) int { return proxies * (1 + classes/classesPerProxy) }
+// queuedProxies returns the number of proxies that the queue of inputs is sized for: the proxies of the settings, and the same
+// number again for each classesPerExtraProxy traffic classes, as each proxy reports its demand by class.
+func queuedProxies(proxies, classes int) int { return proxies * (1 + classes/classesPerExtraProxy) }
 
-// listen listens on an address. It retries while the address is in use, which it logs once.
+// listen listens on an address. While the address is in use, it retries for at most inUseTimeout and logs that once.
 func listen(ctx context.Context, address string, log *slog.Logger) (listener net.Listener, err error) {
 	logged := false
 	err = retryWhileInUse(ctx, func() (inUse bool, err error) {
@@ -160,14 +162,14 @@
 		inUse = errors.Is(err, syscall.EADDRINUSE)
 		if inUse && !logged {
 			logged = true
-			log.Warn("the address is in use, waiting for it", "listen", address, "at_most", inUseTimeout)
+			log.Warn("listen address is in use, retrying", "listen", address, "at_most", inUseTimeout)
 		}
 		return inUse, err
 	})
 	return listener, err
 }
 
-// runCore runs the core's turns until ctx ends. The core is used by this goroutine alone.
+// runCore runs the turns of the core until ctx ends. Only the goroutine of runCore uses the core.
 func (p *process) runCore(ctx context.Context, reportRequests <-chan os.Signal) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -190,7 +192,8 @@
 	}
 }
 
-// execute carries out what a turn has decided.
+// execute carries out the result of a turn: it sends updates, closes streams, logs, and hands over snapshots and results of
+// configuration changes.
 func (p *process) execute(result controller.TurnResult) {
 	for _, update := range result.Updates {
 		p.queues.Send(update)
@@ -203,10 +206,11 @@
 	}
 	p.snapshots.submit(result.Snapshot)
 	p.follower.handleResults(result.Configured, p.core, p.server)
-	// A new module has taken over within the turn. It starts from what was last learned and what is connected and listed; what
-	// the turn had asked for, timers and the reports that came with it are lost. If new modules panic as well, settings of this
-	// turn and then the learned state are left out, and at last the module is paused for a second (Core.recoverTurn).
+	// A new module has replaced the old one within the turn. It starts from the last learned state, the connected proxies and the
+	// listed replicas; the commands of the turn, timers, and the reports that arrived in the turn are lost. If the new module
+	// panics as well, the settings that arrived in this turn and then the learned state are dropped, and finally the module is
+	// paused for a second (Core.recoverTurn).
 	if result.Panic != "" {
-		p.log.Error("the module panicked, a new one is started", "panic", result.Panic)
+		p.log.Error("module panicked, starting a new module", "panic", result.Panic)
 	}
 }
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -19,132 +19,135 @@
 	"lilacbend/internal/resp"
 )
 
-type lines struct {
+// logBuffer collects log output. Its own methods lock; those of the buffer do not.
+type logBuffer struct {
 	sync.Mutex
 	bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.Lock()
 	defer l.Unlock()
 	return l.Buffer.Write(b)
 }
 
-func (l *lines) has(text string) bool {
+func (l *logBuffer) contains(text string) bool {
 	l.Lock()
 	defer l.Unlock()
 	return strings.Contains(l.String(), text)
 }
 
+// exampleConfiguration returns the example's configuration with an address to listen on and a service discovery that refuses
+// connections.
 func exampleConfiguration(t *testing.T, listen string) configuration {
 	raw, err := os.ReadFile("../../example/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := parseConfiguration(raw, options{listen: listen, discovery: "127.0.0.1:1"}) // nobody answers there
+	c, err := parseConfiguration(raw, options{listen: listen, discovery: "127.0.0.1:1"}) // nothing listens there
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// A controller serves from its known list while discovery refuses, and shuts down in time.
+// A controller serves proxies from its known list while discovery refuses connections, and shuts down in time.
 func TestServeFromKnownList(t *testing.T) {
-	at, out := scriptedpeer.FreeAddress(t), &lines{}
+	listen, log := scriptedpeer.FreeAddress(t), &logBuffer{}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() {
-		ended <- serve(ctx, exampleConfiguration(t, at), reloader{}, slog.New(slog.NewTextHandler(out, nil)))
+		ended <- serve(ctx, exampleConfiguration(t, listen), reloader{}, slog.New(slog.NewTextHandler(log, nil)))
 	}()
 	var conn net.Conn
 	for range 200 {
 		var err error
-		if conn, err = net.Dial("tcp", at); err == nil {
+		if conn, err = net.Dial("tcp", listen); err == nil {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	if conn == nil {
-		t.Fatal("nobody listens")
+		t.Fatalf("no listener on %s", listen)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	pool := resp.NewPool(1 << 20)
-	r := resp.NewReader(conn, pool)
-	for _, says := range []string{"probe", "hello id 3 site a rps 20 new 1"} {
-		if _, err := resp.Write(conn, pool, strings.Fields(says)...); err != nil {
+	reader := resp.NewReader(conn, pool)
+	for _, message := range []string{"probe", "hello id 3 site a rps 20 new 1"} {
+		if _, err := resp.Write(conn, pool, strings.Fields(message)...); err != nil {
 			t.Fatal(err)
 		}
-		words, err := r.Next()
+		words, err := reader.Next()
 		if text := strings.Join(words, " "); err != nil || text != "alive" && !strings.HasPrefix(text, "push full 1 endpoints box-") {
-			t.Fatalf("%s: %q %v", says, text, err)
+			t.Fatalf("answer to %q is %q, error %v", message, text, err)
 		}
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGUSR1)
 	for range 200 {
-		if out.has("msg=counters") {
+		if log.contains("msg=counters") {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if !out.has("msg=counters") {
-		t.Error("no counters when asked for")
+	if !log.contains("msg=counters") {
+		t.Error("no counters in the log after SIGUSR1")
 	}
 	start := time.Now()
 	stop()
 	if err := <-ended; err != nil || time.Since(start) > 2*shutdownTimeout {
-		t.Errorf("ended after %v: %v", time.Since(start), err)
+		t.Errorf("serve returned after %v, want at most %v; error %v", time.Since(start), 2*shutdownTimeout, err)
 	}
-	for _, says := range []string{"msg=serving", "discovery call failed", "in.joins=1", "answered.alive=1", "sent.whole=1"} {
-		if !out.has(says) {
-			t.Errorf("no %q in the log", says)
+	for _, want := range []string{`msg="controller serving"`, "discovery call failed", "in.joins=1", "answered.alive=1", "sent.whole=1"} {
+		if !log.contains(want) {
+			t.Errorf("the log does not contain %q", want)
 		}
 	}
 }
 
 func TestAddressInUseIsReported(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	err = serve(context.Background(), exampleConfiguration(t, l.Addr().String()), reloader{}, slog.New(slog.DiscardHandler))
-	if err == nil || !strings.Contains(err.Error(), l.Addr().String()) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("got %v", err)
+	defer listener.Close()
+	err = serve(context.Background(), exampleConfiguration(t, listener.Addr().String()), reloader{}, slog.New(slog.DiscardHandler))
+	if err == nil || !strings.Contains(err.Error(), listener.Addr().String()) || strings.Contains(err.Error(), "\n") {
+		t.Errorf("error is %v, want one line with %s", err, listener.Addr())
 	}
 }
 
-// A reload changes the address of discovery, whatever the options of the start; an invalid file changes nothing.
-func TestReloadOfConfiguration(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// A reload changes the address of discovery even if an option set it at the start. An invalid file changes nothing.
+func TestReloadChangesDiscoveryAddress(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	c, file, x := exampleConfiguration(t, "127.0.0.1:1"), filepath.Join(t.TempDir(), "config.json"), eventloop.New()
-	asked, log := make(chan os.Signal), slog.New(slog.DiscardHandler)
+	defer listener.Close()
+	c, file, queues := exampleConfiguration(t, "127.0.0.1:1"), filepath.Join(t.TempDir(), "config.json"), eventloop.New()
+	hangups, log := make(chan os.Signal), slog.New(slog.DiscardHandler)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	client := discovery.New(c.discovery, 0, x, log, func() int64 { return 1 }, 1)
+	client := discovery.New(c.discovery, 0, queues, log, func() int64 { return 1 }, 1)
 	go client.Run(ctx)
-	go reloader{asked, options{discovery: c.discovery, file: file}}.run(ctx, c, client, x, log)
-	moved := exampleAt(t, l.Addr().String())
-	for k, raw := range [][]byte{moved, moved[:100]} { // the bad one last: it is read again until it is whole, which counts too
+	go reloader{hangups, options{discovery: c.discovery, file: file}}.run(ctx, c, client, queues, log)
+	moved := exampleAt(t, listener.Addr().String())
+	for k, raw := range [][]byte{moved, moved[:100]} { // the invalid file is last, as it is read again until it is complete
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		asked <- syscall.SIGHUP
-		for x.Counters.Reloads.Load()+x.Counters.ReloadsFailed.Load() <= int64(k) {
+		hangups <- syscall.SIGHUP
+		for queues.Counters.Reloads.Load()+queues.Counters.ReloadsFailed.Load() <= int64(k) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
-	conn, err := l.Accept()
+	listener.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
+	conn, err := listener.Accept()
 	if err != nil {
-		t.Fatalf("discovery did not move: %v", err)
+		t.Fatalf("discovery did not connect to the new address: %v", err)
 	}
 	conn.Close()
-	if x.Counters.Reloads.Load() != 1 || x.Counters.ReloadsFailed.Load() != 1 {
-		t.Errorf("%d taken over, %d not usable", x.Counters.Reloads.Load(), x.Counters.ReloadsFailed.Load())
+	if queues.Counters.Reloads.Load() != 1 || queues.Counters.ReloadsFailed.Load() != 1 {
+		t.Errorf("%d reloads, want 1; %d reloads failed, want 1", queues.Counters.Reloads.Load(), queues.Counters.ReloadsFailed.Load())
 	}
 }
--- a/cmd/lilacbend/settingscache.go
+++ b/cmd/lilacbend/settingscache.go
@@ -12,28 +12,28 @@
 	"lilacbend/settings"
 )
 
-// settingsCache keeps the active settings over a restart, in the folder that the operator file names. A nil one keeps nothing.
+// settingsCache keeps the active settings over a restart, in the folder that the operator file names. A nil cache stores nothing.
 type settingsCache struct {
 	service string
-	digest  configcache.Digest // of the settings in the controller's own file
+	digest  configcache.Digest // of the settings in the controller's configuration file
 	writer  *configcache.Writer
 	lock    *filewriter.Lock
 
-	record   *configcache.Record // from before the restart; nil: there is none that can be used
+	record   *configcache.Record // from before the restart; nil: no usable one was found
 	topology controller.Topology // of the record's settings
 }
 
-// openSettingsCache acquires the folder and reads the settings from before the restart. Failures are logged, and the controller
-// uses its own file.
+// openSettingsCache acquires the folder and reads the settings that were active before the restart. After a failure, which is
+// logged, the controller starts with the settings in its configuration file.
 func openSettingsCache(ctx context.Context, c configuration, own controller.Topology, log *slog.Logger) *settingsCache {
 	following := c.operator.Configuration
 	if following.Folder == "" {
 		return nil
 	}
 	folder := filewriter.Directory(following.Folder)
-	lock, err := acquireFolder(ctx, folder, or(c.name, unnamedOwner))
+	lock, err := acquireFolder(ctx, folder, firstNonEmpty(c.name, unnamedOwner))
 	if err != nil {
-		log.Warn("the configuration in force is neither read nor kept", "folder", following.Folder, "error", err)
+		log.Warn("configuration cache disabled, its folder cannot be acquired", "folder", following.Folder, "error", err)
 		return nil
 	}
 	cache := &settingsCache{
@@ -48,14 +48,15 @@
 	}
 	switch {
 	case err != nil:
-		log.Warn("the kept configuration is not used", "folder", following.Folder, "version", record.Version.String(), "error", err)
+		log.Warn("cached configuration rejected, starting with the configuration file", "folder", following.Folder, "version", record.Version.String(), "error", err)
 	case found:
-		log.Info("the kept configuration is used", "folder", following.Folder, "version", record.Version.String())
+		log.Info("starting with the cached configuration", "folder", following.Folder, "version", record.Version.String())
 	}
 	return cache
 }
 
-// use makes a record the settings to start with, unless they are not for this controller.
+// use makes the settings of a record those to start with. It returns an error if the record belongs to another service, if the
+// configuration file has changed since, or if the settings are invalid or do not fit the topology of the configuration file.
 func (s *settingsCache) use(record configcache.Record, own controller.Topology, seed uint64) error {
 	if err := record.CheckUsable(s.service, s.digest); err != nil {
 		return err
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// submit hands settings that have become active to the writer.
+// submit passes settings that have become active to the writer.
 func (s *settingsCache) submit(version revision.Version, raw []byte) {
 	if s == nil {
 		return
@@ -81,7 +82,7 @@
 	s.writer.Submit(configcache.Record{Service: s.service, Version: version, Start: s.digest, Settings: raw})
 }
 
-// run writes submitted settings until ctx ends.
+// run writes submitted settings until ctx ends. Then it releases the folder.
 func (s *settingsCache) run(ctx context.Context) {
 	if s == nil {
 		return
@@ -90,7 +91,7 @@
 	s.lock.Release()
 }
 
-// counters returns the counters of writing; empty if nothing is kept.
+// counters returns the counters of the writer, and an empty attribute if settings are not cached.
 func (s *settingsCache) counters() slog.Attr {
 	if s == nil {
 		return slog.Attr{}
--- a/cmd/lilacbend/sidecar.go
+++ b/cmd/lilacbend/sidecar.go
@@ -14,33 +14,33 @@
 	"lilacbend/internal/sidecar"
 )
 
-var errNoManifest = errors.New("no file is named: --manifest or LILACBEND_SIDECAR")
+var errNoManifest = errors.New("no manifest given: set --manifest or LILACBEND_SIDECAR")
 
-// sidecarCommands are the commands that run a sidecar and check its file.
+// sidecarCommands has the actions of the commands that run a sidecar and check its manifest.
 type sidecarCommands struct {
 	hangups <-chan os.Signal
-	file    string
+	file    string // path of the manifest
 }
 
-// sidecarCommand returns the command sidecar.
+// sidecarCommand returns the command "sidecar".
 func sidecarCommand(hangups <-chan os.Signal) *cli.Command {
 	commands := &sidecarCommands{hangups: hangups}
 	return &cli.Command{
 		Name:  "sidecar",
-		Usage: "forward the flows of a client process as governors say",
+		Usage: "proxy the requests of a client process by the tables and policies of controllers",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "manifest", Usage: "the sidecar's file, as YAML", Sources: cli.EnvVars("LILACBEND_SIDECAR"), Destination: &commands.file},
+			&cli.StringFlag{Name: "manifest", Usage: "path of the sidecar's manifest, as YAML", Sources: cli.EnvVars("LILACBEND_SIDECAR"), Destination: &commands.file},
 		},
 		Action: commands.run,
 		Commands: []*cli.Command{
-			{Name: "check", Usage: "say whether a sidecar's file would start: check FILE", ArgsUsage: "FILE", Action: commands.check},
+			{Name: "check", Usage: "check that a sidecar can start with a manifest: check FILE", ArgsUsage: "FILE", Action: commands.check},
 		},
 	}
 }
 
 func (c *sidecarCommands) run(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
-		return fmt.Errorf("no command %q: sidecar --manifest FILE, or sidecar check FILE", cmd.Args().First())
+		return fmt.Errorf("unknown command %q: want sidecar --manifest FILE or sidecar check FILE", cmd.Args().First())
 	}
 	config, err := readManifest(c.file)
 	if err != nil {
@@ -54,17 +54,17 @@
 	if err != nil {
 		return err
 	}
-	go reloadManifest(ctx, c.file, s, c.hangups, log) // ends with ctx, as the program does
+	go reloadManifest(ctx, c.file, s, c.hangups, log) // not waited for: it returns when ctx ends, and the program exits then
 	return s.Run(ctx)
 }
 
 func (c *sidecarCommands) check(_ context.Context, cmd *cli.Command) error {
-	config, err := readManifest(or(cmd.Args().First(), c.file))
+	config, err := readManifest(firstNonEmpty(cmd.Args().First(), c.file))
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s would start: %s, proxy %d of zone %s, HTTP/1.1 on %s, HTTP/2 on %s, %d traffic groups, %d rules, %d governors\n",
-		config.File, config.Name, config.ProxyID, config.Zone, or(config.HTTP1, "nothing"), or(config.HTTP2, "nothing"),
+	fmt.Printf("%s would start: %s, proxy %d of zone %s, HTTP/1.1 on %s, HTTP/2 on %s, %d traffic classes, %d rules, %d controllers\n",
+		config.File, config.Name, config.ProxyID, config.Zone, firstNonEmpty(config.HTTP1, "nothing"), firstNonEmpty(config.HTTP2, "nothing"),
 		len(config.Dispatch.Classes), len(config.Rules), len(config.Controllers))
 	return nil
 }
@@ -76,7 +76,8 @@
 	return sidecar.Read(file)
 }
 
-// reloadManifest reads the file again at each SIGHUP. One that cannot be used changes nothing, and is logged once.
+// reloadManifest reloads the manifest at each SIGHUP. A manifest that cannot be used changes nothing, and is logged once for each
+// signal, not at each retry.
 func reloadManifest(ctx context.Context, file string, s *sidecar.Sidecar, hangups <-chan os.Signal, log *slog.Logger) {
 	reloadOnHangup(ctx, hangups, func(signalled bool) error {
 		config, err := readManifest(file)
@@ -86,12 +87,12 @@
 		}
 		switch {
 		case err != nil && signalled:
-			log.Error("the new file cannot be used, the old one goes on", "error", err, "again_every", rereadLimit)
+			log.Error("manifest reload failed, keeping the current manifest", "error", err, "again_every", rereadLimit)
 		case err != nil:
 		case len(atRestart) > 0:
-			log.Warn("rules taken over, some of the file waits for the next start", "fields", atRestart)
+			log.Warn("manifest rules reloaded, other changes require a restart", "fields", atRestart)
 		default:
-			log.Info("rules taken over", "rules", len(config.Rules))
+			log.Info("manifest rules reloaded", "rules", len(config.Rules))
 		}
 		return err
 	})
--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -11,8 +11,8 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// shop writes a sidecar's manifest with one replica.
-func shop(t *testing.T, file, listen, replica string) {
+// writeManifest writes a sidecar's manifest with one replica.
+func writeManifest(t *testing.T, file, listen, replica string) {
 	t.Helper()
 	text := fmt.Sprintf(`
 name: shop
@@ -31,54 +31,54 @@
 // A manifest that is missing or incomplete at SIGHUP is read again until it is complete, without a second SIGHUP.
 func TestSidecarManifestIsReadAgain(t *testing.T) {
 	listen, file := scriptedpeer.FreeAddress(t), filepath.Join(t.TempDir(), "shop.yaml")
-	shop(t, file, listen, "127.0.0.1:9")
-	c := program(t, nil, "sidecar", "--manifest", file)
+	writeManifest(t, file, listen, "127.0.0.1:9")
+	process := startProgram(t, nil, "sidecar", "--manifest", file)
 	scriptedpeer.DialWhenUp(t, listen)
-	for k, spoil := range []func() error{func() error { return os.Remove(file) }, func() error { return os.WriteFile(file, []byte("name: sh"), 0o600) }} {
-		if err := spoil(); err != nil {
+	for k, makeUnusable := range []func() error{func() error { return os.Remove(file) }, func() error { return os.WriteFile(file, []byte("name: sh"), 0o600) }} {
+		if err := makeUnusable(); err != nil {
 			t.Fatal(err)
 		}
-		c.signal(syscall.SIGHUP)
-		scriptedpeer.WaitFor(t, "it is not said", func() bool { return c.out.times("cannot be used") == k+1 })
-		shop(t, file, listen, "127.0.0.1:9")
-		scriptedpeer.WaitFor(t, "it is not taken over", func() bool { return c.out.times("rules taken over") == k+1 })
+		process.signal(syscall.SIGHUP)
+		scriptedpeer.WaitFor(t, "the failed reload is not logged once for the signal", func() bool { return process.log.count("manifest reload failed") == k+1 })
+		writeManifest(t, file, listen, "127.0.0.1:9")
+		scriptedpeer.WaitFor(t, "the rules are not reloaded once", func() bool { return process.log.count("manifest rules reloaded") == k+1 })
 	}
-	if c.expectExit(syscall.SIGTERM); c.out.times("cannot be used") != 2 {
-		t.Error(c.out)
+	if process.expectExit(syscall.SIGTERM); process.log.count("manifest reload failed") != 2 {
+		t.Errorf("the log does not have two failed reloads: %s", process.log)
 	}
 }
 
-// SIGTERM with a request in flight, and once more with a SIGHUP while it drains: the request gets its complete answer, which
-// closes the connection, and the exit is clean.
+// A sidecar receives SIGTERM with a request in flight, and SIGTERM and SIGHUP while it drains. The client receives the complete
+// response, which closes the connection, and the exit is clean.
 func TestSidecarSIGTERMTwiceWithRequestInFlight(t *testing.T) {
 	replica, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	file := filepath.Join(t.TempDir(), "shop.yaml")
-	shop(t, file, listen, replica.Address())
-	c := program(t, nil, "sidecar", "--manifest", file)
+	writeManifest(t, file, listen, replica.Address())
+	process := startProgram(t, nil, "sidecar", "--manifest", file)
 	client := scriptedpeer.DialWhenUp(t, listen)
 	client.SendRaw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
-	flow := replica.AcceptConn()
-	flow.ReadRequestHead()
-	c.signal(syscall.SIGTERM)
-	c.until("sidecar drains")
-	c.signal(syscall.SIGTERM, syscall.SIGHUP)
-	flow.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	resp, err := http.ReadResponse(client.Reader, nil)
-	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("%+v, %v", resp, err)
+	upstream := replica.AcceptConn()
+	upstream.ReadRequestHead()
+	process.signal(syscall.SIGTERM)
+	process.waitForLog("sidecar drains")
+	process.signal(syscall.SIGTERM, syscall.SIGHUP)
+	upstream.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	response, err := http.ReadResponse(client.Reader, nil)
+	if err != nil || response.StatusCode != http.StatusOK || !response.Close {
+		t.Errorf("response is %+v, error %v, want status 200 and a closed connection", response, err)
 	}
 	client.Close()
-	if c.expectExit(); !c.logged("lost=0") {
-		t.Error(c.out)
+	if process.expectExit(); !process.logged("lost=0") {
+		t.Errorf("the log does not contain lost=0: %s", process.log)
 	}
 }
 
-// SIGTERM at a collector with sidecars and an unreachable controller: the exit is clean and in time.
+// A collector with a connected sidecar and an unreachable controller exits cleanly and in time after SIGTERM.
 func TestCollectorSIGTERM(t *testing.T) {
 	listen := scriptedpeer.FreeAddress(t)
-	c := program(t, nil, "collector", "--zone", "a", "--listen", listen, "--governor", scriptedpeer.FreeAddress(t), "--every", "50ms")
+	process := startProgram(t, nil, "collector", "--zone", "a", "--listen", listen, "--governor", scriptedpeer.FreeAddress(t), "--every", "50ms")
 	sidecar := scriptedpeer.DialWhenUp(t, listen)
 	sidecar.Send("met target b count 3 fail 1 mean 10")
-	c.expectExit(syscall.SIGTERM)
+	process.expectExit(syscall.SIGTERM)
 	sidecar.WaitForClose()
 }
--- a/cmd/lilacbend/snapshots.go
+++ b/cmd/lilacbend/snapshots.go
@@ -14,11 +14,11 @@
 	"lilacbend/internal/snapshot"
 )
 
-// finalSnapshotTimeout is how long the last snapshot may take to be written. With the shutdown of connections and of the log it
-// stays within 0.7 s.
+// finalSnapshotTimeout limits the time for writing the last snapshot at shutdown. Together with the shutdown of connections and
+// of the log it stays below 0.7 s, after which SIGKILL may follow SIGTERM.
 const finalSnapshotTimeout = 150 * time.Millisecond
 
-// snapshotKeeper keeps learned state over restarts, in the folder that the operator file names. A nil one keeps nothing.
+// snapshotKeeper keeps learned state over restarts, in the folder that the operator file names. A nil keeper stores nothing.
 type snapshotKeeper struct {
 	name      string // of the controller
 	retention operator.Retention
@@ -28,61 +28,64 @@
 	stop      context.CancelFunc
 	log       *slog.Logger
 
-	generation string // from which the state was restored; empty: none
-	age        time.Duration
-	refused    int // files at the start
+	generation string        // file name of the generation that was restored; empty: none
+	age        time.Duration // of the restored generation at the start
+	refused    int           // files that were rejected at the start
 }
 
-// openSnapshotKeeper acquires the folder. It returns nil if none is named, or if it cannot be acquired, which is logged.
+// openSnapshotKeeper acquires the folder. It returns nil if the operator file names no folder, or if the folder cannot be
+// acquired, which is logged.
 func openSnapshotKeeper(ctx context.Context, retention operator.Retention, name string, log *slog.Logger) *snapshotKeeper {
 	if retention.Folder == "" {
 		return nil
 	}
 	folder := filewriter.Directory(retention.Folder)
-	lock, err := acquireFolder(ctx, folder, or(name, unnamedOwner))
+	lock, err := acquireFolder(ctx, folder, firstNonEmpty(name, unnamedOwner))
 	if err != nil {
-		log.Warn("state is neither read nor kept", "folder", retention.Folder, "error", err)
+		log.Warn("learned state disabled, its folder cannot be acquired", "folder", retention.Folder, "error", err)
 		return nil
 	}
 	return &snapshotKeeper{name: name, retention: retention, folder: folder, lock: lock, log: log}
 }
 
-// restoredState is what a controller starts with.
+// restoredState is the list of replicas and the learned state that a controller starts with.
 type restoredState struct {
 	list  controller.ReplicaList
 	state *learnedstate.AgedState // nil: none
 }
 
-// restore reads the newest complete generation. Without a usable one, which is logged, the list is the known one.
+// restore returns the state and the list to start with from the newest complete generation. If no generation is usable, it logs
+// that and returns the known list without state.
 func (k *snapshotKeeper) restore(known controller.ReplicaList, topology controller.Topology, base clock) restoredState {
-	nothing := restoredState{list: known}
+	unrestored := restoredState{list: known}
 	latest, err := snapshot.Latest(k.folder)
 	k.refused = len(latest.Refused)
 	if err != nil {
-		k.log.Warn("state cannot be read", "folder", k.retention.Folder, "error", err)
-		return nothing
+		k.log.Warn("learned state cannot be read", "folder", k.retention.Folder, "error", err)
+		return unrestored
 	}
 	for _, refused := range latest.Refused {
 		k.logRefused(refused.Name, refused.Err)
 	}
 	if !latest.Found {
-		k.log.Info("no state to begin with", "folder", k.retention.Folder)
-		return nothing
+		k.log.Info("no learned state found, starting without it", "folder", k.retention.Folder)
+		return unrestored
 	}
 	if latest.State.Controller != k.name {
-		k.logRefused(latest.Name, fmt.Sprintf("it was written by controller %q, this is %q", latest.State.Controller, k.name))
+		k.logRefused(latest.Name, fmt.Sprintf("written by controller %q, this controller is %q", latest.State.Controller, k.name))
 		k.refused++
-		return nothing
+		return unrestored
 	}
 	return k.restoreGeneration(latest.Generation, known, topology, base)
 }
 
-// logRefused logs that a file is not used. The reason is an error or a text.
+// logRefused logs that a state file is rejected. The reason is an error or a text.
 func (k *snapshotKeeper) logRefused(name string, reason any) {
-	k.log.Warn("state refused", "file", filepath.Join(k.retention.Folder, name), "error", reason)
+	k.log.Warn("learned state file rejected", "file", filepath.Join(k.retention.Folder, name), "error", reason)
 }
 
-// restoreGeneration returns the state of a generation, fitted to the topology, and its list if that is newer than the known one.
+// restoreGeneration returns the state of a generation, fitted to the topology, and its list if that list is newer than the known
+// one.
 func (k *snapshotKeeper) restoreGeneration(generation snapshot.Generation, known controller.ReplicaList, topology controller.Topology, base clock) restoredState {
 	halfLife := k.retention.HalfLife.Nanoseconds()
 	age := generation.State.Taken.Age(snapshot.Now())
@@ -93,7 +96,7 @@
 	}
 	k.generation = generation.Name
 	k.age = time.Duration(age)
-	k.log.Info("state read",
+	k.log.Info("learned state restored",
 		"file", generation.Name,
 		"age", k.age.Round(time.Millisecond),
 		"weight", fmt.Sprintf("%.2f", learnedstate.Weight(age, halfLife)),
@@ -107,7 +110,7 @@
 	return restoredState{list: list, state: aged}
 }
 
-// start starts to write submitted snapshots.
+// start starts the goroutine that writes submitted snapshots.
 func (k *snapshotKeeper) start() {
 	k.writer = snapshot.NewWriter(k.folder, k.retention.Keep, k.retention.Every, k.reacquire, k.log)
 	ctx, stop := context.WithCancel(context.Background())
@@ -115,9 +118,9 @@
 	go k.writer.Run(ctx)
 }
 
-// reacquire replaces the lock after the folder had vanished, and the lock with it.
+// reacquire acquires the lock again after the folder was removed together with its lock file.
 func (k *snapshotKeeper) reacquire() error {
-	lock, err := k.folder.Acquire(or(k.name, unnamedOwner))
+	lock, err := k.folder.Acquire(firstNonEmpty(k.name, unnamedOwner))
 	if err != nil {
 		return err
 	}
@@ -126,7 +129,7 @@
 	return nil
 }
 
-// submit hands learned state, if any, to the writer.
+// submit passes learned state, if there is any, to the writer.
 func (k *snapshotKeeper) submit(state *learnedstate.State) {
 	if k == nil || state == nil {
 		return
@@ -137,7 +140,7 @@
 	k.writer.Submit(submitted)
 }
 
-// close waits until the last submitted state is written, at most for finalSnapshotTimeout.
+// close blocks until the last submitted state is written, for at most finalSnapshotTimeout.
 func (k *snapshotKeeper) close() {
 	if k == nil {
 		return
@@ -147,11 +150,11 @@
 	case <-k.writer.Done():
 		k.lock.Release()
 	case <-time.After(finalSnapshotTimeout):
-		k.log.Warn("the last state was not written in time")
+		k.log.Warn("final snapshot not written within the shutdown timeout")
 	}
 }
 
-// counters returns the counters of reading and writing.
+// counters returns the counters of restoring and writing learned state.
 func (k *snapshotKeeper) counters() slog.Attr {
 	if k == nil {
 		return slog.Group("state", "on", false)
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -21,76 +21,79 @@
 	"lilacbend/internal/snapshot"
 )
 
-func stateful(t *testing.T, folder string) configuration {
+// configurationWithState returns the example's configuration with snapshots of learned state in a folder every 20 ms.
+func configurationWithState(t *testing.T, folder string) configuration {
 	c := exampleConfiguration(t, scriptedpeer.FreeAddress(t))
 	c.operator = operator.File{State: operator.Retention{Folder: folder, Every: 20 * time.Millisecond, HalfLife: time.Minute, Keep: 2}}
 	return c
 }
 
-// start serves until stop, which waits for the end.
-func start(t *testing.T, c configuration) (out *lines, stop func()) {
-	return startWith(t, c, reloader{})
+// startServe runs serve until stop is called. stop returns when serve has returned.
+func startServe(t *testing.T, c configuration) (log *logBuffer, stop func()) {
+	return startServeWithReload(t, c, reloader{})
 }
 
-func startWith(t *testing.T, c configuration, reload reloader) (out *lines, stop func()) {
-	out = &lines{}
+// startServeWithReload is startServe with a reloader.
+func startServeWithReload(t *testing.T, c configuration, reload reloader) (log *logBuffer, stop func()) {
+	log = &logBuffer{}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- serve(ctx, c, reload, slog.New(slog.NewTextHandler(out, nil))) }()
+	go func() { ended <- serve(ctx, c, reload, slog.New(slog.NewTextHandler(log, nil))) }()
 	for range 500 {
 		if conn, err := net.Dial("tcp", c.listen); err == nil {
 			conn.Close()
-			return out, func() {
-				begun := time.Now()
+			return log, func() {
+				start := time.Now()
 				cancel()
-				if err := <-ended; err != nil || time.Since(begun) > 700*time.Millisecond {
-					t.Errorf("ended after %v: %v", time.Since(begun), err)
+				if err := <-ended; err != nil || time.Since(start) > 700*time.Millisecond {
+					t.Errorf("serve returned after %v: %v", time.Since(start), err)
 				}
 			}
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("nobody listens")
+	t.Fatalf("no listener on %s", c.listen)
 	return nil, nil
 }
 
-// reports sends outcomes of a replica that answers nothing, until it is ejected.
-func reports(t *testing.T, at, sick string, out *lines) {
+// reportFailuresUntilEjected reports outcomes as a collector, in which all requests to one replica fail, until that replica is
+// ejected.
+func reportFailuresUntilEjected(t *testing.T, address, failing string, log *logBuffer) {
 	pool := resp.NewPool(1 << 20)
-	conn, err := net.Dial("tcp", at)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	for _, says := range []string{"agent site a"} {
-		resp.Write(conn, pool, strings.Fields(says)...)
+	for _, message := range []string{"agent site a"} {
+		resp.Write(conn, pool, strings.Fields(message)...)
 	}
 	for range 100 {
 		for k := 1; k <= 6; k++ {
 			failed := 0
-			if fmt.Sprint("box-", k) == sick {
+			if fmt.Sprint("box-", k) == failing {
 				failed = 10
 			}
 			resp.Write(conn, pool, strings.Fields(fmt.Sprintf("outcomes site a target box-%d count 10 fail %d mean 100 over 500", k, failed))...)
 		}
 		time.Sleep(50 * time.Millisecond)
-		if out.has("replica " + sick + " ejected") {
+		if log.contains("replica " + failing + " ejected") {
 			return
 		}
 	}
-	t.Fatal("not called sick: ", out.String())
+	t.Fatalf("replica %s was not ejected: %s", failing, log.String())
 }
 
 func TestRestartRestoresEjectedReplicas(t *testing.T) {
-	c := stateful(t, filepath.Join(t.TempDir(), "state"))
-	out, stop := start(t, c)
-	reports(t, c.listen, "box-2", out)
+	c := configurationWithState(t, filepath.Join(t.TempDir(), "state"))
+	log, stop := startServe(t, c)
+	reportFailuresUntilEjected(t, c.listen, "box-2", log)
 	stop()
-	if !out.has("no state to begin with") || !out.has("state.failed=0") {
-		t.Errorf("first: %s", out)
+	if !log.contains("no learned state found") || !log.contains("state.failed=0") {
+		t.Errorf("log of the first controller: %s", log)
 	}
 	c.listen = scriptedpeer.FreeAddress(t)
-	out, stop = start(t, c)
+	log, stop = startServe(t, c)
 	conn, err := net.Dial("tcp", c.listen)
 	if err != nil {
 		t.Fatal(err)
@@ -99,79 +102,84 @@
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	pool := resp.NewPool(1 << 20)
 	resp.Write(conn, pool, strings.Fields("hello id 3 site a rps 20 new 0")...)
-	var heard string
-	for r := resp.NewReader(conn, pool); !strings.Contains(heard, "box-2:0."); { // let in, with less than the others
+	var received string
+	for r := resp.NewReader(conn, pool); !strings.Contains(received, "box-2:0."); { // bound to the proxy with a weight below 1
 		words, err := r.Next()
-		if heard += strings.Join(words, " ") + "\n"; err != nil || strings.Count(heard, "\n") > 9 {
-			t.Fatalf("told %q %v", heard, err)
+		if received += strings.Join(words, " ") + "\n"; err != nil || strings.Count(received, "\n") > 9 {
+			t.Fatalf("received %q without a weight of box-2 below 1, error %v", received, err)
 		}
 	}
-	other, end := start(t, func() configuration { second := c; second.listen = scriptedpeer.FreeAddress(t); return second }())
-	if end(); !other.has("state is neither read nor kept") || !other.has(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
-		t.Errorf("two on one folder: %s", other)
+	secondLog, stopSecond := startServe(t, func() configuration {
+		configuration := c
+		configuration.listen = scriptedpeer.FreeAddress(t)
+		return configuration
+	}())
+	if stopSecond(); !secondLog.contains("learned state disabled, its folder cannot be acquired") || !secondLog.contains(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
+		t.Errorf("log of a second controller on the same folder: %s", secondLog)
 	}
-	if stop(); !out.has("state read") || !out.has("replica box-2 probation by learned state") {
-		t.Errorf("second: %s", out)
+	if stop(); !log.contains("learned state restored") || !log.contains("replica box-2 probation by learned state") {
+		t.Errorf("log of the restarted controller: %s", log)
 	}
 }
 
-// With any content of the folder a controller serves; it logs the files that it cannot use, and leaves them.
+// A controller serves whatever its state folder contains. It logs the files that it cannot use and leaves them unchanged.
 func TestControllerServesWithAnyStateFolder(t *testing.T) {
-	whole, _ := snapshot.Encode(learnedstate.State{Controller: "n9", Taken: snapshot.Now()}, 1)
-	for name, c := range map[string]struct{ raw, says string }{
-		"state-0000000000000001.lbs": {string(whole), `it was written by controller \"n9\", this is \"n0\"`},
-		"state-0000000000000002.lbs": {string(whole), "file name does not match generation 1 in the header"},
+	encoded, _ := snapshot.Encode(learnedstate.State{Controller: "n9", Taken: snapshot.Now()}, 1)
+	for name, c := range map[string]struct{ raw, logText string }{
+		"state-0000000000000001.lbs": {string(encoded), `written by controller \"n9\", this controller is \"n0\"`},
+		"state-0000000000000002.lbs": {string(encoded), "file name does not match generation 1 in the header"},
 		"state-0000000000000003.lbs": {"", "magic bytes at the start of the file are missing"},
-		"state-0000000000000004.lbs": {string(whole[:60]), "damaged"},
-		"unrelated":                  {"x", "no state to begin with"},
+		"state-0000000000000004.lbs": {string(encoded[:60]), "damaged"},
+		"unrelated":                  {"x", "no learned state found"},
 	} {
-		started := stateful(t, t.TempDir())
-		os.Chmod(started.operator.State.Folder, 0o700)
-		file := filepath.Join(started.operator.State.Folder, name)
+		configuration := configurationWithState(t, t.TempDir())
+		os.Chmod(configuration.operator.State.Folder, 0o700)
+		file := filepath.Join(configuration.operator.State.Folder, name)
 		os.WriteFile(file, []byte(c.raw), 0o600)
-		out, stop := start(t, started)
+		log, stop := startServe(t, configuration)
 		stop()
-		if !out.has(c.says) || c.raw != "x" && !out.has(name) {
-			t.Errorf("%s: %s", name, out)
+		if !log.contains(c.logText) || c.raw != "x" && !log.contains(name) {
+			t.Errorf("folder with %s: the log does not contain %q: %s", name, c.logText, log)
 		}
-		if left, _ := os.ReadFile(file); name == "unrelated" && string(left) != "x" {
-			t.Error("a file that is not ours is touched")
+		if remaining, _ := os.ReadFile(file); name == "unrelated" && string(remaining) != "x" {
+			t.Error("an unrelated file in the state folder was changed")
 		}
 	}
 }
 
-// Signals for counters, reload and shutdown during writes: no generation is damaged, and the shutdown is in time.
+// Signals that request counters, a reload and the shutdown arrive while snapshots are written: no generation is damaged, and the
+// shutdown is in time.
 func TestSignalsDuringSnapshotWrites(t *testing.T) {
 	for range 2 {
-		c := stateful(t, t.TempDir())
+		c := configurationWithState(t, t.TempDir())
 		os.Chmod(c.operator.State.Folder, 0o700)
 		c.operator.State.Every = time.Millisecond
 		hangups := make(chan os.Signal)
-		out, stop := startWith(t, c, reloader{hangups, options{file: "../../example/config.json"}})
+		log, stop := startServeWithReload(t, c, reloader{hangups, options{file: "../../example/config.json"}})
 		for range 20 {
 			syscall.Kill(os.Getpid(), syscall.SIGUSR1)
 			hangups <- syscall.SIGHUP
 			time.Sleep(25 * time.Millisecond)
 		}
-		if stop(); !out.has("read again") || !out.has("msg=counters") {
-			t.Errorf("%s", out)
+		if stop(); !log.contains("configuration reloaded") || !log.contains("msg=counters") {
+			t.Errorf("no reload or no counters in the log: %s", log)
 		}
-		whole, refused, err := snapshot.ReadAll(filewriter.Directory(c.operator.State.Folder))
-		if len(whole) != 2 || len(refused) != 0 || err != nil {
-			t.Errorf("%d whole, refused %v, %v", len(whole), refused, err)
+		complete, refused, err := snapshot.ReadAll(filewriter.Directory(c.operator.State.Folder))
+		if len(complete) != 2 || len(refused) != 0 || err != nil {
+			t.Errorf("%d complete generations, want 2; refused %v, error %v", len(complete), refused, err)
 		}
 	}
 }
 
 func TestStateCommands(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "s")
-	m := learnedstate.State{Controller: "n0", Taken: snapshot.Now(), Classes: []string{"read"}, AdmissionThreshold: 1, Replicas: []learnedstate.Replica{{ID: "box-2", Zone: "a", Speed: 0.5, EjectedFor: 3e9, Ejections: 1}}}
-	paper, err := snapshot.Export(m)
+	state := learnedstate.State{Controller: "n0", Taken: snapshot.Now(), Classes: []string{"read"}, AdmissionThreshold: 1, Replicas: []learnedstate.Replica{{ID: "box-2", Zone: "a", Speed: 0.5, EjectedFor: 3e9, Ejections: 1}}}
+	exported, err := snapshot.Export(state)
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "s.json")
-	os.WriteFile(file, paper, 0o600)
+	os.WriteFile(file, exported, 0o600)
 	run := func(args ...string) (string, error) {
 		var out bytes.Buffer
 		cmd := stateCommand(&options{}, &out)
@@ -185,30 +193,30 @@
 		{"show " + folder, "", "no such file"},
 		{"import " + file + " " + folder, "generation 1, 1 replicas", ""},
 		{"import " + file + " " + folder, "generation 2, 1 replicas", ""},
-		{"import " + folder, "", "no folder: name one"},
+		{"import " + folder, "", "no folder given: name one"},
 		{"import " + filepath.Join(folder, "lock") + " " + folder, "", "invalid exported state"},
 		{"show " + folder, "sick, 3s left", ""},
 		{"show " + filepath.Join(folder, "state-0000000000000001.lbs"), "generation 1, format 2", ""},
-		{"show --json " + folder, string(paper), ""},
-		{"export " + folder, string(paper), ""},
-		{"verify " + folder, "whole: 2 generations, the newest 2", ""},
+		{"show --json " + folder, string(exported), ""},
+		{"export " + folder, string(exported), ""},
+		{"verify " + folder, "intact: 2 generations, the newest 2", ""},
 		{"prune --keep 0 " + folder, "", "--keep is 0"},
 		{"prune " + folder, "removed 1 files", ""},
-		{"verify " + filepath.Join(folder, "state-0000000000000002.lbs"), "is whole: generation 2", ""},
+		{"verify " + filepath.Join(folder, "state-0000000000000002.lbs"), "is intact: generation 2", ""},
 		{"verify " + file, "", "not a controller's state"},
-		{"verify", "", "no folder: name one"},
+		{"verify", "", "no folder given: name one"},
 	} {
 		out, err := run(strings.Fields(c.args)...)
 		if !strings.Contains(out, c.out) || (err != nil) != (c.fail != "") || err != nil && !strings.Contains(err.Error(), c.fail) {
-			t.Errorf("%s: %q %v", c.args, out, err)
+			t.Errorf("%s: output %q, error %v, want %q and %q", c.args, out, err, c.out, c.fail)
 		}
 	}
 	os.WriteFile(filepath.Join(folder, "state-0000000000000003.lbs"), []byte("LILACST\nx"), 0o600)
-	if _, err := run("verify", folder); err == nil || !strings.Contains(err.Error(), "1 of 2 files refused") {
-		t.Errorf("a damaged one: %v", err)
+	if _, err := run("verify", folder); err == nil || !strings.Contains(err.Error(), "1 of 2 files rejected") {
+		t.Errorf("verify of a folder with a damaged generation: %v", err)
 	}
-	if out, err := run("export", folder); err != nil || out != string(paper) {
-		t.Errorf("the newest whole one: %v", err)
+	if out, err := run("export", folder); err != nil || out != string(exported) {
+		t.Errorf("export is not the newest intact generation: error %v, output %q", err, out)
 	}
 	lock, err := filewriter.Directory(folder).Acquire("n0")
 	if err != nil {
@@ -216,6 +224,6 @@
 	}
 	defer lock.Release()
 	if _, err := run("prune", folder); err == nil || !strings.Contains(err.Error(), "held by n0") {
-		t.Errorf("pruned while held: %v", err)
+		t.Errorf("prune of a folder in use: %v", err)
 	}
 }
--- a/cmd/lilacbend/statecommand.go
+++ b/cmd/lilacbend/statecommand.go
@@ -20,50 +20,50 @@
 	"lilacbend/internal/snapshot"
 )
 
-// importKeep is how many generations an import leaves: all, as it prunes nothing.
+// importKeep is the number of generations that an import keeps. It is large enough to keep all, so that an import prunes nothing.
 const importKeep = 1 << 20
 
 // Errors of the state commands for missing arguments.
 var (
-	errNoFolder     = errors.New("no folder: name one, or the operator file that sets state.folder (--operator)")
-	errNoImportFile = errors.New("name the exported file: import FILE [FOLDER]")
+	errNoFolder     = errors.New("no folder given: name one, or an operator file that sets state.folder (--operator)")
+	errNoImportFile = errors.New("no exported file given: import FILE [FOLDER]")
 )
 
-// stateCommands are the commands that show, check and move snapshots of learned state.
+// stateCommands has the actions of the commands that show, verify, export, import and prune snapshots of learned state.
 type stateCommands struct {
 	options *options
 	out     io.Writer
 }
 
-// stateCommand returns the command state.
+// stateCommand returns the command "state".
 func stateCommand(opts *options, out io.Writer) *cli.Command {
 	commands := &stateCommands{options: opts, out: out}
 	return &cli.Command{
 		Name:  "state",
-		Usage: "show, check and move what governors have learned",
+		Usage: "show, verify, export, import and prune snapshots of controllers' learned state",
 		Commands: []*cli.Command{
 			{
 				Name:      "show",
-				Usage:     "show the newest whole generation: show [FOLDER|FILE]",
+				Usage:     "print the newest intact generation: show [FOLDER|FILE]",
 				ArgsUsage: "[FOLDER|FILE]",
-				Flags:     []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "as JSON"}},
+				Flags:     []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print JSON"}},
 				Action:    commands.show,
 			},
 			{
 				Name:      "verify",
-				Usage:     "say whether a file, or all of a folder, is whole: verify [FILE|FOLDER]",
+				Usage:     "check that a file, or each file of a folder, is intact: verify [FILE|FOLDER]",
 				ArgsUsage: "[FILE|FOLDER]",
 				Action:    commands.verify,
 			},
 			{
 				Name:      "export",
-				Usage:     "write the newest whole generation as JSON: export [FOLDER|FILE]",
+				Usage:     "export the newest intact generation as JSON: export [FOLDER|FILE]",
 				ArgsUsage: "[FOLDER|FILE]",
 				Action:    commands.export,
 			},
 			{
 				Name:      "import",
-				Usage:     "write exported JSON as the next generation: import FILE [FOLDER]",
+				Usage:     "write an exported JSON file as the next generation: import FILE [FOLDER]",
 				ArgsUsage: "FILE [FOLDER]",
 				Action:    commands.importState,
 			},
@@ -71,7 +71,7 @@
 				Name:      "prune",
 				Usage:     "remove all but the newest generations: prune [--keep N] [FOLDER]",
 				ArgsUsage: "[FOLDER]",
-				Flags:     []cli.Flag{&cli.IntFlag{Name: "keep", Value: 1, Usage: "whole generations that stay"}},
+				Flags:     []cli.Flag{&cli.IntFlag{Name: "keep", Value: 1, Usage: "number of intact generations to keep"}},
 				Action:    commands.prune,
 			},
 		},
@@ -94,7 +94,7 @@
 	return file.State.Folder, nil
 }
 
-// generation returns the generation that the first argument names.
+// generation reads the generation that the first argument or the operator file names.
 func (s *stateCommands) generation(cmd *cli.Command) (snapshot.Generation, error) {
 	path, err := s.path(cmd, 0)
 	if err != nil {
@@ -119,7 +119,7 @@
 	if latest.Found {
 		return latest.Generation, nil
 	}
-	err = fmt.Errorf("%s: no whole generation among %d files", path, len(latest.Refused))
+	err = fmt.Errorf("%s: no intact generation among %d files", path, len(latest.Refused))
 	if len(latest.Refused) > 0 {
 		err = fmt.Errorf("%w: %w", err, latest.Refused[0])
 	}
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%s is whole: generation %d, format %d, %d bytes\n", path, generation.Number, generation.Format, generation.Bytes)
+	fmt.Fprintf(s.out, "%s is intact: generation %d, format %d, %d bytes\n", path, generation.Number, generation.Format, generation.Bytes)
 	return nil
 }
 
@@ -180,11 +180,11 @@
 	case err != nil:
 		return err
 	case len(refused) > 0:
-		return fmt.Errorf("%s: %d of %d files refused, the newest: %w", path, len(refused), len(refused)+len(complete), refused[0])
+		return fmt.Errorf("%s: %d of %d files rejected, the newest: %w", path, len(refused), len(refused)+len(complete), refused[0])
 	case len(complete) == 0:
-		return fmt.Errorf("%s: no generation", path)
+		return fmt.Errorf("%s: the folder has no generation", path)
 	}
-	fmt.Fprintf(s.out, "%s is whole: %d generations, the newest %d\n", path, len(complete), complete[0].Number)
+	fmt.Fprintf(s.out, "%s is intact: %d generations, the newest %d\n", path, len(complete), complete[0].Number)
 	return nil
 }
 
@@ -203,7 +203,7 @@
 	}
 	lock, err := filewriter.Directory(folder).Acquire("import")
 	if err != nil {
-		return fmt.Errorf("%s: %w: end it first", folder, err)
+		return fmt.Errorf("%s: %w: stop the process that uses the folder first", folder, err)
 	}
 	defer lock.Release()
 	generation, err := snapshot.Write(filewriter.Directory(folder), state, importKeep)
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// readExport reads a file that the command export has written.
+// readExport reads a file that the command "export" has written.
 func readExport(path string) (learnedstate.State, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -242,7 +242,7 @@
 	}
 	lock, err := filewriter.Directory(folder).Acquire("prune")
 	if err != nil {
-		return fmt.Errorf("%s: %w: a governor prunes its own folder", folder, err)
+		return fmt.Errorf("%s: %w: a running controller prunes its own folder", folder, err)
 	}
 	defer lock.Release()
 	removed, err := snapshot.Prune(filewriter.Directory(folder), keep)
@@ -250,14 +250,14 @@
 	return err
 }
 
-// printGeneration prints a generation for a person. Ages are as of now.
+// printGeneration prints a generation as a table. Ages are relative to the current time.
 func printGeneration(out io.Writer, generation snapshot.Generation) error {
 	state := generation.State
 	age := time.Duration(state.Taken.Age(snapshot.Now()))
 	fmt.Fprintf(out, "%s: generation %d, format %d, %d bytes\n", generation.Name, generation.Number, generation.Format, generation.Bytes)
-	fmt.Fprintf(out, "governor %s, taken %s, %v ago; list %d\n",
+	fmt.Fprintf(out, "controller %s, taken %s, %v ago; list revision %d\n",
 		state.Controller, time.Unix(0, state.Taken.Wall).UTC().Format(time.RFC3339), age.Round(time.Second), state.Revision)
-	fmt.Fprintf(out, "traffic groups %s; let in %.0f%%; one try only %v; %d tables, %d proxies bound, %d flows of proxies\n\n",
+	fmt.Fprintf(out, "traffic classes %s; admission threshold %.0f%%; retries stopped %v; %d tables, %d proxies bound, %d request rates of proxies\n\n",
 		strings.Join(state.Classes, ", "), 100*state.AdmissionThreshold, state.RetriesStopped, state.Tables, len(state.Bindings), len(state.RequestRates))
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "replica\tzone\tkind\tlisted\tverdict\trelapses\tspeed\ttries\tage")
@@ -270,13 +270,13 @@
 	return table.Flush()
 }
 
-// listedState returns the word for a replica's state in the endpoint list.
+// listedState returns the name of a replica's state in the endpoint list. A state out of range has the name of the nearest one.
 func listedState(state control.State) string {
 	words := [...]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
 	return words[max(0, min(len(words)-1, int(state)))]
 }
 
-// healthState returns the words for a replica's health.
+// healthState returns a replica's health as the table shows it: ejected ("sick"), on probation ("on trial") or "well".
 func healthState(replica learnedstate.Replica) string {
 	switch {
 	case replica.EjectedFor > 0:
--- a/cmd/lilacbend/statecommand_test.go
+++ b/cmd/lilacbend/statecommand_test.go
@@ -25,7 +25,7 @@
 		"sick, 1.5s left": {EjectedFor: int64(1520 * time.Millisecond), Probation: true},
 	} {
 		if got := healthState(replica); got != want {
-			t.Errorf("got %q, want %q", got, want)
+			t.Errorf("health of %+v is %q, want %q", replica, got, want)
 		}
 	}
 }
