--- a/cmd/lilacbend/child_test.go
+++ b/cmd/lilacbend/child_test.go
@@ -14,8 +14,8 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-// runAsProgramEnv is the environment variable that makes the test binary run as lilacbend, so that tests can check the signal
-// handling and the exit code of a process.
+// runAsProgramEnv is the environment variable that makes the test binary run as lilacbend, so that tests can check the
+// signal handling and the exit code of a process.
 const runAsProgramEnv = "LILACBEND_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -41,7 +41,8 @@
 func startProgram(t testing.TB, env []string, args ...string) *childProcess {
 	t.Helper()
 	c := &childProcess{exec.Command(os.Args[0], args...), t, &logBuffer{}, make(chan error, 1)}
-	// By default the race detector delays the exit of a program by 1 s, which the time limit of expectExit does not allow for.
+	// By default the race detector delays the exit of a program by 1 s, which the time limit of expectExit does not allow
+	// for.
 	c.Env = append(append(os.Environ(), runAsProgramEnv+"=1", "GORACE=atexit_sleep_ms=0"), env...)
 	stderr, err := c.StderrPipe()
 	if err != nil {
@@ -79,8 +80,8 @@
 	}
 }
 
-// expectExit sends signals and waits for the exit. The exit code has to be 0, and the exit has to come within killDelay if there
-// are signals.
+// expectExit sends signals and waits for the exit. The exit code has to be 0, and the exit has to come within killDelay if
+// there are signals.
 func (c *childProcess) expectExit(signals ...syscall.Signal) {
 	c.t.Helper()
 	start := time.Now()
@@ -120,7 +121,8 @@
 	return raw
 }
 
-// writeExampleConfiguration writes the example's configuration file with the given top-level values replaced, and returns its path.
+// writeExampleConfiguration writes the example's configuration file with the given top-level values replaced, and returns
+// its path.
 func writeExampleConfiguration(t testing.TB, values map[string]any) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
--- a/cmd/lilacbend/config.go
+++ b/cmd/lilacbend/config.go
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// changesAtRestart returns the names of the parts of a new configuration that differ from the current one and take effect only
-// after a restart.
+// changesAtRestart returns the names of the parts of a new configuration that differ from the current one and take effect
+// only after a restart.
 func (c configuration) changesAtRestart(next configuration) []string {
 	next.settings.Seed = c.settings.Seed // the seed differs at each start
 	var parts []string
--- a/cmd/lilacbend/fleet_test.go
+++ b/cmd/lilacbend/fleet_test.go
@@ -15,8 +15,8 @@
 	"lilacbend/internal/resp"
 )
 
-// fleetConfiguration returns the example's configuration with the given numbers of controllers, replicas and proxies, and with
-// limits that let all proxies connect to one controller.
+// fleetConfiguration returns the example's configuration with the given numbers of controllers, replicas and proxies, and
+// with limits that let all proxies connect to one controller.
 func fleetConfiguration(t *testing.T, listen string, controllers, replicas, proxies int) configuration {
 	file := exampleFile(t)
 	var addresses []string
@@ -45,8 +45,8 @@
 	return c
 }
 
-// Only one of 350 controllers is left. All proxies connect to it at once, and each is bound to a table of 1,024 replicas. At the
-// same time 20 connections do not read, and 20 others are closed at once.
+// Only one of 350 controllers is left. All proxies connect to it at once, and each is bound to a table of 1,024 replicas. At
+// the same time 20 connections do not read, and 20 others are closed at once.
 func TestAllProxiesConnectAtOnce(t *testing.T) {
 	const controllers, replicas, proxies = 350, 1024, 400
 	address := scriptedpeer.FreeAddress(t)
@@ -90,8 +90,8 @@
 				}
 				text := strings.Join(words, " ")
 				bound[id] = bound[id] || strings.HasPrefix(text, "push full 1 endpoints box-")
-				if _, mark, marked := strings.Cut(text, "nonce_out "); marked {
-					resp.Write(conn, pool, "ack", "id", fmt.Sprint(id), "seq", strings.Fields(mark)[0], "ms", "1")
+				if _, nonce, hasNonce := strings.Cut(text, "nonce_out "); hasNonce {
+					resp.Write(conn, pool, "ack", "id", fmt.Sprint(id), "seq", strings.Fields(nonce)[0], "ms", "1")
 					if bound[id] {
 						return
 					}
--- a/cmd/lilacbend/follow.go
+++ b/cmd/lilacbend/follow.go
@@ -14,8 +14,8 @@
 	"lilacbend/settings"
 )
 
-// configurationFollower passes new settings from configuration servers to the core, and the core's results back to the servers.
-// A nil follower does nothing.
+// configurationFollower passes new settings from configuration servers to the core, and the core's results back to the
+// servers. A nil follower does nothing.
 type configurationFollower struct {
 	watcher *configwatch.Watcher
 	cache   *settingsCache // nil: settings are not kept over a restart
@@ -24,8 +24,8 @@
 	log     *slog.Logger
 }
 
-// newConfigurationFollower returns the follower of the servers that the operator file names, or nil if the file has no section
-// for them. own is the topology of the settings in the controller's configuration file.
+// newConfigurationFollower returns the follower of the servers that the operator file names, or nil if the file has no
+// section for them. own is the topology of the settings in the controller's configuration file.
 func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, queues *eventloop.Queues, log *slog.Logger) (*configurationFollower, error) {
 	following := c.operator.Configuration
 	if !following.On() {
@@ -101,8 +101,8 @@
 	})
 }
 
-// handleResults reports which offered settings the core has applied or rejected to the configuration servers, and updates the
-// control server and the limit of the input queue to the active settings.
+// handleResults reports which offered settings the core has applied or rejected to the configuration servers, and updates
+// the control server and the limit of the input queue to the active settings.
 func (f *configurationFollower) handleResults(results []controller.ConfigurationResult, core *controller.Core, server *controlserver.Server) {
 	for _, result := range results {
 		server.Reconfigure(core.CurrentTopology())
--- a/cmd/lilacbend/follow_test.go
+++ b/cmd/lilacbend/follow_test.go
@@ -69,8 +69,8 @@
 	return summary
 }
 
-// A changed settings file takes effect in a running controller: a joined proxy stays connected, a new proxy may have an ID that
-// only the new settings allow, and rejected settings are logged with their key.
+// A changed settings file takes effect in a running controller: a joined proxy stays connected, a new proxy may have an ID
+// that only the new settings allow, and rejected settings are logged with their key.
 func TestChangedSettingsReachRunningController(t *testing.T) {
 	folder := t.TempDir()
 	writeSettings(t, folder, "orders")
@@ -115,8 +115,8 @@
 	}
 }
 
-// Without the section "configuration" in the operator file, a controller follows no configuration servers and logs nothing about
-// them.
+// Without the section "configuration" in the operator file, a controller follows no configuration servers and logs nothing
+// about them.
 func TestNothingIsFollowedWithoutConfigurationSection(t *testing.T) {
 	agent, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	file := writeExampleConfiguration(t, map[string]any{"discovery": agent.Address(), "listen": listen})
--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -76,8 +76,8 @@
 	golden.Compare(t, exportFile, outputOf(t, newStateCommand, "state", "export", folder))
 }
 
-// goldenStatuses returns the statuses of a writer and of its follower. Controllers are in two zones; one lags, one has rejected
-// the newest version, and one is known to both servers.
+// goldenStatuses returns the statuses of a writer and of its follower. Controllers are in two zones; one lags, one has
+// rejected the newest version, and one is known to both servers.
 func goldenStatuses() []configapi.Status {
 	version := func(number uint64) revision.Version { return revision.Version{Epoch: 7, Revision: number} }
 	history := func(extraMS int64) []configapi.Published {
--- a/cmd/lilacbend/logwriter.go
+++ b/cmd/lilacbend/logwriter.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// logBufferLines is the maximum number of lines that wait to be written. Further lines are dropped, so that the program does
-	// not block when the reader of its log has stopped.
+	// logBufferLines is the maximum number of lines that wait to be written. Further lines are dropped, so that the program
+	// does not block when the reader of its log has stopped.
 	logBufferLines = 1024
-	// logCloseTimeout limits the time for writing the waiting lines at shutdown. Together with the shutdown of connections it
-	// stays below 0.7 s, after which SIGKILL may follow SIGTERM.
+	// logCloseTimeout limits the time for writing the waiting lines at shutdown. Together with the shutdown of connections
+	// it stays below 0.7 s, after which SIGKILL may follow SIGTERM.
 	logCloseTimeout = 200 * time.Millisecond
 )
 
--- a/cmd/lilacbend/main.go
+++ b/cmd/lilacbend/main.go
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// returnUsageErrors makes a command and its subcommands return usage errors, so that they are printed in one line, without the
-// help text.
+// returnUsageErrors makes a command and its subcommands return usage errors, so that they are printed in one line, without
+// the help text.
 func returnUsageErrors(command *cli.Command) {
 	command.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error { return err }
 	for _, subcommand := range command.Commands {
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -55,8 +55,8 @@
 	return startProgram(t, []string{"PROXY_CONFIG=" + file, "PROXY_LISTEN=" + listen})
 }
 
-// A configuration file that is incomplete, empty or missing at SIGHUP is read again until it is complete, without a second SIGHUP.
-// The failure is logged once.
+// A configuration file that is incomplete, empty or missing at SIGHUP is read again until it is complete, without a second
+// SIGHUP. The failure is logged once.
 func TestSIGHUPBeforeFileIsComplete(t *testing.T) {
 	for name, makeUnusable := range map[string]func(file string, complete []byte){
 		"half written": func(file string, complete []byte) { writeFile(t, file, complete[:len(complete)/2]) },
@@ -87,7 +87,8 @@
 	}
 }
 
-// SIGHUP does not delay or abort the shutdown, neither while an unusable file is retried nor together with SIGTERM or after it.
+// SIGHUP does not delay or abort the shutdown, neither while an unusable file is retried nor together with SIGTERM or after
+// it.
 func TestSIGHUPDuringShutdown(t *testing.T) {
 	file, agent, listen := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	writeFile(t, file, exampleAt(t, agent.Address()))
@@ -100,8 +101,8 @@
 	scriptedpeer.ListenOn(t, listen) // the address is free for the successor
 }
 
-// startReloader runs a reloader until the end of the test. The returned channel for signals is unbuffered: a send returns when the
-// reloader has received the signal.
+// startReloader runs a reloader until the end of the test. The returned channel for signals is unbuffered: a send returns
+// when the reloader has received the signal.
 func startReloader(t *testing.T, file, address string) (chan<- os.Signal, *eventloop.Queues, *logBuffer) {
 	c, queues, out := exampleConfiguration(t, "127.0.0.1:1"), eventloop.New(), &logBuffer{}
 	hangups, log := make(chan os.Signal), slog.New(slog.NewTextHandler(out, nil))
@@ -117,8 +118,8 @@
 	return hangups, queues, out
 }
 
-// The discovery client uses the address in the file that was read last: after two signals in a row with an unchanged address, and
-// after a change from one address to another and back.
+// The discovery client uses the address in the file that was read last: after two signals in a row with an unchanged
+// address, and after a change from one address to another and back.
 func TestSIGHUPChangesDiscoveryAddressAndBack(t *testing.T) {
 	file, oldAgent, newAgent := filepath.Join(t.TempDir(), "config.json"), scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	hangups, queues, _ := startReloader(t, file, oldAgent.Address())
@@ -146,8 +147,8 @@
 	}
 }
 
-// A file that stays missing for 10 s is read again with increasing intervals up to rereadLimit, then once in rereadLimit. The time
-// is that of a synctest bubble.
+// A file that stays missing for 10 s is read again with increasing intervals up to rereadLimit, then once in rereadLimit.
+// The time is that of a synctest bubble.
 func TestUnusableFileIsReadAgainWithBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		file, queues, hangups := filepath.Join(t.TempDir(), "config.json"), eventloop.New(), make(chan os.Signal)
@@ -167,7 +168,8 @@
 		for queues.Counters.Reloads.Load() == 0 && time.Since(start) < time.Minute {
 			time.Sleep(time.Millisecond)
 		}
-		// The intervals are 50, 100, ... 800 ms, 1.55 s in total, and then 1 s each: the first attempt after 10 s is at 10.55 s.
+		// The intervals are 50, 100, ... 800 ms, 1.55 s in total, and then 1 s each: the first attempt after 10 s is at
+		// 10.55 s.
 		want := 31*rereadInitial + 9*rereadLimit
 		if elapsed := time.Since(start); elapsed < want || elapsed > want+2*time.Millisecond || queues.Counters.ReloadsFailed.Load() != 1 {
 			t.Errorf("configuration reloaded after %v, want %v; %d signals with a failed reload, want 1", elapsed, want, queues.Counters.ReloadsFailed.Load())
@@ -193,8 +195,8 @@
 	}
 }
 
-// The list in the configuration is out of date. Proxies that connect before discovery answers receive endpoints from it; after the
-// complete list of discovery, the replica that it lists as draining is removed from them.
+// The list in the configuration is out of date. Proxies that connect before discovery answers receive endpoints from it;
+// after the complete list of discovery, the replica that it lists as draining is removed from them.
 func TestProxiesConnectBeforeDiscoveryAnswers(t *testing.T) {
 	agent, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	c := exampleConfiguration(t, listen)
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	// heapFraction is the fraction of the memory limit that is set as the soft limit of the Go runtime. The rest is a reserve
-	// for memory that the runtime needs beyond it.
+	// heapFraction is the fraction of the memory limit that is set as the soft limit of the Go runtime. The rest is a
+	// reserve for memory that the runtime needs beyond it.
 	heapFraction = 0.8
-	// buffersFraction is the fraction of the memory limit for buffers of long messages. It bounds the buffers of any number of
-	// peers that send messages of 1 MiB.
+	// buffersFraction is the fraction of the memory limit for buffers of long messages. It bounds the buffers of any number
+	// of peers that send messages of 1 MiB.
 	buffersFraction = 0.125
 	// batchDelay is how long a turn waits for events that were sent together but arrive in pieces or on several connections.
 	// It is short compared to the 100 ms or more that a message takes to reach a proxy.
 	batchDelay = 2 * time.Millisecond
-	// classesPerExtraProxy is the number of traffic classes whose demand reports take as much room in the queue of inputs as one
-	// more proxy.
+	// classesPerExtraProxy is the number of traffic classes whose demand reports take as much room in the queue of inputs as
+	// one more proxy.
 	classesPerExtraProxy = 4
 	// shutdownTimeout limits the time for closing the connections at shutdown. SIGKILL may follow 0.7 s after SIGTERM.
 	shutdownTimeout = 300 * time.Millisecond
@@ -105,8 +105,8 @@
 	}
 }
 
-// newProcess prepares a controller. It enqueues the first inputs of the core in this order: learned state, the list of replicas
-// to start with, cached settings.
+// newProcess prepares a controller. It enqueues the first inputs of the core in this order: learned state, the list of
+// replicas to start with, cached settings.
 func newProcess(ctx context.Context, c configuration, log *slog.Logger) (*process, error) {
 	p := &process{configuration: c, clock: clock{start: time.Now()}, queues: eventloop.New(), log: log}
 	p.queues.SetProxies(queuedProxies(c.settings.Proxies, len(c.names.Classes)))
@@ -132,8 +132,8 @@
 	return p, nil
 }
 
-// openSnapshots restores learned state and starts to write snapshots of it, if the operator file names a folder for them. A list
-// of replicas in the learned state replaces the one in the configuration if it is newer.
+// openSnapshots restores learned state and starts to write snapshots of it, if the operator file names a folder for them. A
+// list of replicas in the learned state replaces the one in the configuration if it is newer.
 func (p *process) openSnapshots(ctx context.Context, topology controller.Topology) {
 	retention := p.configuration.operator.State
 	snapshots := openSnapshotKeeper(ctx, retention, p.configuration.name, p.log)
@@ -150,8 +150,8 @@
 	p.snapshots = snapshots
 }
 
-// queuedProxies returns the number of proxies that the queue of inputs is sized for: the proxies of the settings, and the same
-// number again for each classesPerExtraProxy traffic classes, as each proxy reports its demand by class.
+// queuedProxies returns the number of proxies that the queue of inputs is sized for: the proxies of the settings, and the
+// same number again for each classesPerExtraProxy traffic classes, as each proxy reports its demand by class.
 func queuedProxies(proxies, classes int) int { return proxies * (1 + classes/classesPerExtraProxy) }
 
 // listen listens on an address. While the address is in use, it retries for at most inUseTimeout and logs that once.
@@ -206,10 +206,10 @@
 	}
 	p.snapshots.submit(result.Snapshot)
 	p.follower.handleResults(result.Configured, p.core, p.server)
-	// A new module has replaced the old one within the turn. It starts from the last learned state, the connected proxies and the
-	// listed replicas; the commands of the turn, timers, and the reports that arrived in the turn are lost. If the new module
-	// panics as well, the settings that arrived in this turn and then the learned state are dropped, and finally the module is
-	// paused for a second (Core.recoverTurn).
+	// A new module has replaced the old one within the turn. It starts from the last learned state, the connected proxies
+	// and the listed replicas; the commands of the turn, timers, and the reports that arrived in the turn are lost. If the
+	// new module panics as well, the settings that arrived in this turn and then the learned state are dropped, and finally
+	// the module is paused for a second (Core.recoverTurn).
 	if result.Panic != "" {
 		p.log.Error("module panicked, starting a new module", "panic", result.Panic)
 	}
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -132,7 +132,7 @@
 	go client.Run(ctx)
 	go reloader{hangups, options{discovery: c.discovery, file: file}}.run(ctx, c, client, queues, log)
 	moved := exampleAt(t, listener.Addr().String())
-	for k, raw := range [][]byte{moved, moved[:100]} { // the invalid file is last, as it is read again until it is complete
+	for k, raw := range [][]byte{moved, moved[:100]} { // the invalid file comes last, as a reload that is retried would be counted
 		if err := os.WriteFile(file, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/lilacbend/settings_test.go
+++ b/cmd/lilacbend/settings_test.go
@@ -17,13 +17,14 @@
 	"lilacbend/experiment/emulator"
 )
 
-// The tests in this file use settings with unusual values. A configuration with such settings is either accepted, and core and
-// module keep rules 1, 3 and 5 in a short simulation with faults, or it is rejected with an error of one line that names the key.
+// The tests in this file use settings with unusual values. A configuration with such settings is either accepted, and core
+// and module keep rules 1, 3 and 5 in a short simulation with faults, or it is rejected with an error of one line that names
+// the key.
 
 type object = map[string]any
 
-// editedConfiguration is the example's configuration file as decoded JSON, which tests change. The other fields are objects within
-// file: rules is settings.invariants.
+// editedConfiguration is the example's configuration file as decoded JSON, which tests change. The other fields are objects
+// within file: rules is settings.invariants.
 type editedConfiguration struct{ file, settings, domain, rules object }
 
 func newEditedConfiguration(t interface{ Fatal(...any) }) editedConfiguration {
@@ -51,8 +52,8 @@
 	}
 }
 
-// setClasses replaces the traffic classes by ones with the given names. Their other settings are copied from the example's classes
-// in turn.
+// setClasses replaces the traffic classes by ones with the given names. Their other settings are copied from the example's
+// classes in turn.
 func (s editedConfiguration) setClasses(names ...string) {
 	originals, classes := s.classes(), []any{}
 	for k, name := range names {
@@ -84,8 +85,8 @@
 }
 
 // simulateViolations simulates core and module: all proxies join, a replica drains, one is replaced, a stream is replaced, a
-// controller restarts and a replica becomes silent. It returns the violations of rules 1, 3 and 5, and the controllers whose module
-// was restarted or whose core had invalid inputs.
+// controller restarts and a replica becomes silent. It returns the violations of rules 1, 3 and 5, and the controllers whose
+// module was restarted or whose core had invalid inputs.
 func simulateViolations(c configuration) (violations []string) {
 	const second = int64(1e9)
 	if c.settings.Proxies == 0 { // no proxy may join
@@ -240,7 +241,8 @@
 	}
 }
 
-// One value of the configuration is replaced by any JSON value: the configuration is accepted, or rejected with an error of one line.
+// One value of the configuration is replaced by any JSON value: the configuration is accepted, or rejected with an error of
+// one line.
 func FuzzStartWithChangedValue(f *testing.F) {
 	for _, value := range []string{"null", "-1", "1e308", "0.5", "[]", "{}", `"a\nb"`, `["a"]`, "true", "12345678901234567890"} {
 		for k := range uint(40) {
--- a/cmd/lilacbend/settingscache.go
+++ b/cmd/lilacbend/settingscache.go
@@ -12,7 +12,8 @@
 	"lilacbend/settings"
 )
 
-// settingsCache keeps the active settings over a restart, in the folder that the operator file names. A nil cache stores nothing.
+// settingsCache keeps the active settings over a restart, in the folder that the operator file names. A nil cache stores
+// nothing.
 type settingsCache struct {
 	service string
 	digest  configcache.Digest // of the settings in the controller's configuration file
@@ -23,8 +24,8 @@
 	topology controller.Topology // of the record's settings
 }
 
-// openSettingsCache acquires the folder and reads the settings that were active before the restart. After a failure, which is
-// logged, the controller starts with the settings in its configuration file.
+// openSettingsCache acquires the folder and reads the settings that were active before the restart. After a failure, which
+// is logged, the controller starts with the settings in its configuration file.
 func openSettingsCache(ctx context.Context, c configuration, own controller.Topology, log *slog.Logger) *settingsCache {
 	following := c.operator.Configuration
 	if following.Folder == "" {
@@ -55,8 +56,9 @@
 	return cache
 }
 
-// use makes the settings of a record those to start with. It returns an error if the record belongs to another service, if the
-// configuration file has changed since, or if the settings are invalid or do not fit the topology of the configuration file.
+// use makes the settings of a record those to start with. It returns an error if the record belongs to another service, if
+// the configuration file has changed since, or if the settings are invalid or do not fit the topology of the configuration
+// file.
 func (s *settingsCache) use(record configcache.Record, own controller.Topology, seed uint64) error {
 	if err := record.CheckUsable(s.service, s.digest); err != nil {
 		return err
--- a/cmd/lilacbend/settingscache_test.go
+++ b/cmd/lilacbend/settingscache_test.go
@@ -18,9 +18,9 @@
 	"lilacbend/internal/revision"
 )
 
-// writeCachingOperatorFile writes the operator file of a controller that follows servers and caches its settings in a folder. A test
-// without configuration servers has to pass the address of a listener of its own: a free address may be given to another test, whose
-// server the controller would then follow.
+// writeCachingOperatorFile writes the operator file of a controller that follows servers and caches its settings in a
+// folder. A test without configuration servers has to pass the address of a listener of its own: a free address may be given
+// to another test, whose server the controller would then follow.
 func writeCachingOperatorFile(t *testing.T, folder string, servers ...string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "operator.yaml")
@@ -43,8 +43,8 @@
 	}
 }
 
-// A controller restarts while no configuration server is reachable. It uses the version that was active, accepts the proxies of that
-// version, and applies the next version when a server is back, without fetching the one it has again.
+// A controller restarts while no configuration server is reachable. It uses the version that was active, accepts the proxies
+// of that version, and applies the next version when a server is back, without fetching the one it has again.
 func TestRestartResumesActiveSettings(t *testing.T) {
 	folder, cacheFolder := t.TempDir(), filepath.Join(t.TempDir(), "kept")
 	writeSettings(t, folder, "orders", `"proxy_count":4`, `"proxy_count":6`)
@@ -76,8 +76,8 @@
 	}
 }
 
-// A controller serves whatever its cache folder contains: with the cached settings if they are complete and belong to it, otherwise
-// with the settings in its configuration file.
+// A controller serves whatever its cache folder contains: with the cached settings if they are complete and belong to it,
+// otherwise with the settings in its configuration file.
 func TestCachedSettingsAreUsedOnlyIfValid(t *testing.T) {
 	own := configcache.DigestOf(exampleSettings(t))
 	changed := exampleSettings(t, `"proxy_count":4`, `"proxy_count":6`)
@@ -127,8 +127,8 @@
 	}
 }
 
-// If the previous process still holds the lock of a folder, its successor waits for the lock, for at most inUseTimeout and only until
-// it is told to end.
+// If the previous process still holds the lock of a folder, its successor waits for the lock, for at most inUseTimeout and
+// only until it is told to end.
 func TestAcquireFolderRetriesWhileLocked(t *testing.T) {
 	folder := filewriter.Directory(filepath.Join(t.TempDir(), "kept"))
 	previous, err := folder.Acquire("n6")
@@ -157,8 +157,8 @@
 	lock.Release()
 }
 
-// If two controllers have the same cache folder, the second one serves without the cache. A folder that others may write to is not
-// used.
+// If two controllers have the same cache folder, the second one serves without the cache. A folder that others may write to
+// is not used.
 func TestFolderOfAnotherOwnerIsNotUsed(t *testing.T) {
 	agent := scriptedpeer.Listen(t)
 	start := func(folder string) *childProcess {
--- a/cmd/lilacbend/shutdown_test.go
+++ b/cmd/lilacbend/shutdown_test.go
@@ -12,7 +12,8 @@
 
 // The tests in this file check starts and shutdowns that race with other events, in processes of their own.
 
-// A controller that waits for an address in use exits cleanly at SIGTERM; without a signal it listens once the address is free.
+// A controller that waits for an address in use exits cleanly at SIGTERM; without a signal it listens once the address is
+// free.
 func TestSIGTERMWhileAddressIsInUse(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{"SIGTERM": {syscall.SIGTERM}, "SIGHUP, SIGTERM, SIGTERM": {syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM}} {
 		listener := scriptedpeer.Listen(t)
@@ -31,8 +32,9 @@
 	process.expectExit(syscall.SIGTERM)
 }
 
-// The shutdown does not wait for a proxy that does not read, an incomplete message, a rejected peer, a collector in the middle of a
-// report, or a response of discovery in the middle of its body. Further signals change nothing. The address is free at once.
+// The shutdown does not wait for a proxy that does not read, an incomplete message, a rejected peer, a collector in the
+// middle of a report, or a response of discovery in the middle of its body. Further signals change nothing. The address is
+// free at once.
 func TestShutdownWithUnfinishedMessages(t *testing.T) {
 	discovery, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	var members []map[string]any
@@ -74,10 +76,10 @@
 	}
 }
 
-// A restarted controller serves reconnected proxies from its known list before discovery answers. A drain that discovery then reports
-// reaches the proxies at once. The proxy's acks are for nonces of the controller before its restart. The controller may read the ack
-// of nonce 1 before or after it has sent its own nonce 1; in the second case the proxy counts as bound and receives the drain as a
-// weight of 0.
+// A restarted controller serves reconnected proxies from its known list before discovery answers. A drain that discovery
+// then reports reaches the proxies at once. The proxy's acks are for nonces of the controller before its restart. The
+// controller may read the ack of nonce 1 before or after it has sent its own nonce 1; in the second case the proxy counts as
+// bound and receives the drain as a weight of 0.
 func TestProxiesReconnectBeforeDiscoveryAnswers(t *testing.T) {
 	discovery, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	file := writeExampleConfiguration(t, map[string]any{"listen": listen, "discovery": discovery.Address()})
--- a/cmd/lilacbend/sidecar.go
+++ b/cmd/lilacbend/sidecar.go
@@ -76,8 +76,8 @@
 	return sidecar.Read(file)
 }
 
-// reloadManifest reloads the manifest at each SIGHUP. A manifest that cannot be used changes nothing, and is logged once for each
-// signal, not at each retry.
+// reloadManifest reloads the manifest at each SIGHUP. A manifest that cannot be used changes nothing, and is logged once for
+// each signal, not at each retry.
 func reloadManifest(ctx context.Context, file string, s *sidecar.Sidecar, hangups <-chan os.Signal, log *slog.Logger) {
 	reloadOnHangup(ctx, hangups, func(signalled bool) error {
 		config, err := readManifest(file)
--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// A sidecar receives SIGTERM with a request in flight, and SIGTERM and SIGHUP while it drains. The client receives the complete
-// response, which closes the connection, and the exit is clean.
+// A sidecar receives SIGTERM with a request in flight, and SIGTERM and SIGHUP while it drains. The client receives the
+// complete response, which closes the connection, and the exit is clean.
 func TestSidecarSIGTERMTwiceWithRequestInFlight(t *testing.T) {
 	replica, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	file := filepath.Join(t.TempDir(), "shop.yaml")
--- a/cmd/lilacbend/snapshots.go
+++ b/cmd/lilacbend/snapshots.go
@@ -14,8 +14,8 @@
 	"lilacbend/internal/snapshot"
 )
 
-// finalSnapshotTimeout limits the time for writing the last snapshot at shutdown. Together with the shutdown of connections and
-// of the log it stays below 0.7 s, after which SIGKILL may follow SIGTERM.
+// finalSnapshotTimeout limits the time for writing the last snapshot at shutdown. Together with the shutdown of connections
+// and of the log it stays below 0.7 s, after which SIGKILL may follow SIGTERM.
 const finalSnapshotTimeout = 150 * time.Millisecond
 
 // snapshotKeeper keeps learned state over restarts, in the folder that the operator file names. A nil keeper stores nothing.
@@ -54,8 +54,8 @@
 	state *learnedstate.AgedState // nil: none
 }
 
-// restore returns the state and the list to start with from the newest complete generation. If no generation is usable, it logs
-// that and returns the known list without state.
+// restore returns the state and the list to start with from the newest complete generation. If no generation is usable, it
+// logs that and returns the known list without state.
 func (k *snapshotKeeper) restore(known controller.ReplicaList, topology controller.Topology, base clock) restoredState {
 	unrestored := restoredState{list: known}
 	latest, err := snapshot.Latest(k.folder)
@@ -84,8 +84,8 @@
 	k.log.Warn("learned state file rejected", "file", filepath.Join(k.retention.Folder, name), "error", reason)
 }
 
-// restoreGeneration returns the state of a generation, fitted to the topology, and its list if that list is newer than the known
-// one.
+// restoreGeneration returns the state of a generation, fitted to the topology, and its list if that list is newer than the
+// known one.
 func (k *snapshotKeeper) restoreGeneration(generation snapshot.Generation, known controller.ReplicaList, topology controller.Topology, base clock) restoredState {
 	halfLife := k.retention.HalfLife.Nanoseconds()
 	age := generation.State.Taken.Age(snapshot.Now())
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -56,8 +56,8 @@
 	return nil, nil
 }
 
-// reportFailuresUntilEjected reports outcomes as a collector, in which all requests to one replica fail, until that replica is
-// ejected.
+// reportFailuresUntilEjected reports outcomes as a collector, in which all requests to one replica fail, until that replica
+// is ejected.
 func reportFailuresUntilEjected(t *testing.T, address, failing string, log *logBuffer) {
 	pool := resp.NewPool(1 << 20)
 	conn, err := net.Dial("tcp", address)
@@ -147,8 +147,8 @@
 	}
 }
 
-// Signals that request counters, a reload and the shutdown arrive while snapshots are written: no generation is damaged, and the
-// shutdown is in time.
+// Signals that request counters, a reload and the shutdown arrive while snapshots are written: no generation is damaged, and
+// the shutdown is in time.
 func TestSignalsDuringSnapshotWrites(t *testing.T) {
 	for range 2 {
 		c := configurationWithState(t, t.TempDir())
--- a/cmd/lilacbend/statecommand.go
+++ b/cmd/lilacbend/statecommand.go
@@ -20,7 +20,8 @@
 	"lilacbend/internal/snapshot"
 )
 
-// importKeep is the number of generations that an import keeps. It is large enough to keep all, so that an import prunes nothing.
+// importKeep is the number of generations that an import keeps. It is large enough to keep all, so that an import prunes
+// nothing.
 const importKeep = 1 << 20
 
 // Errors of the state commands for missing arguments.
@@ -270,7 +271,8 @@
 	return table.Flush()
 }
 
-// listedState returns the name of a replica's state in the endpoint list. A state out of range has the name of the nearest one.
+// listedState returns the name of a replica's state in the endpoint list. A state out of range has the name of the nearest
+// one.
 func listedState(state control.State) string {
 	words := [...]string{control.Ready: "ready", control.Draining: "draining", control.Gone: "gone"}
 	return words[max(0, min(len(words)-1, int(state)))]
