--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -51,7 +51,7 @@
 	options options // of the command line
 }
 
-// read reads the configuration. Other than at the start, the discovery address in the file takes precedence over the
+// read reads the configuration. Unlike at the start, the discovery address in the file takes precedence over the
 // options. A panic is returned as an error, so that an unusable file does not end the program.
 func (r reloader) read() (c configuration, err error) {
 	defer func() {
--- a/cmd/lilacbend/settings_test.go
+++ b/cmd/lilacbend/settings_test.go
@@ -113,7 +113,7 @@
 	return violations
 }
 
-func TestSettingsOfUnusualSizes(t *testing.T) {
+func TestUnusualSettings(t *testing.T) {
 	t.Parallel()
 	longName := strings.Repeat("n", 2000)
 	for name, c := range map[string]struct {
