--- a/internal/configapi/configapi.go
+++ b/internal/configapi/configapi.go
@@ -1,6 +1,6 @@
-// Package configapi holds the messages between configuration servers and their followers. A follower polls as discovery's
-// clients do: the query has the version in use (since) and how long the server may wait for a newer one (timeout_ms), the
-// answer says whether it is a complete copy. The package has no I/O and no clock.
+// Package configapi defines the messages between configuration servers and their followers. A follower polls like a client
+// of service discovery: the query has the version in use (since) and how long the server may wait for a newer one
+// (timeout_ms), and the answer says whether it is a complete copy. The package has no I/O and no clock.
 package configapi
 
 import (
@@ -13,24 +13,24 @@
 	"lilacbend/internal/revision"
 )
 
-// Paths of a server's requests.
+// Paths of the requests that a server handles.
 const (
 	WatchPath  = "/configuration"
 	StatusPath = "/status"
 )
 
 const (
-	// MaxWait is the longest that a server waits for a newer version.
+	// MaxWait is the longest time that a query may request a server to wait for a newer version.
 	MaxWait = time.Minute
-	// MaxNameLength is the longest name of a service, an instance, a zone or a region, in bytes.
+	// MaxNameLength is the largest length of the name of a service, an instance, a zone or a region, in bytes.
 	MaxNameLength = 128
 )
 
-// Query is a follower's poll.
+// Query is the poll of a follower.
 type Query struct {
 	Service  string           // empty: all services
 	Since    revision.Version // active at the follower
-	Rejected revision.Version // the newest that the follower could not use, if any
+	Rejected revision.Version // the newest version that the follower could not use, if any
 	Timeout  time.Duration    // how long the server may wait for a newer version
 	Instance string           // the follower's name
 	Zone     string
@@ -73,7 +73,7 @@
 	}
 }
 
-// ParseQuery reads the parameters of a request. The error names the parameter.
+// ParseQuery parses the parameters of a request. An error names the invalid parameter.
 func ParseQuery(values url.Values) (Query, error) {
 	var query Query
 	for _, name := range []struct {
@@ -104,7 +104,7 @@
 	return query, nil
 }
 
-// parseTimeout reads the milliseconds that a server may wait. An empty text is 0.
+// parseTimeout parses the number of milliseconds that a server may wait. The empty text is 0.
 func parseTimeout(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
@@ -116,15 +116,15 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// Answer is a server's answer to a query. Without services there is no newer version than the follower's.
+// Answer is a server's answer to a query. It has no services if there is no newer version than the follower's.
 type Answer struct {
-	revision.Version           // of the service in the query, or of the server's whole configuration
-	Complete         bool      `json:"complete"` // Services are all there are; otherwise those that have changed
+	revision.Version           // of the service that the query names, or of the server's whole configuration
+	Complete         bool      `json:"complete"` // Services has all queried services; otherwise only the changed ones
 	AgeMS            int64     `json:"age_ms"`   // how long ago the server last heard from the writer; 0 at the writer
 	Services         []Service `json:"services"`
 }
 
-// Service is the configuration of one service.
+// Service is one version of a service's configuration, or its removal.
 type Service struct {
 	Name string `json:"name"`
 	revision.Version
@@ -135,10 +135,10 @@
 // Refusal is the body of the answer to a query that is not served.
 type Refusal struct {
 	Reason       string `json:"error"`
-	RetryAfterMS int64  `json:"retry_after_ms,omitempty"` // when to poll again; 0: unknown
+	RetryAfterMS int64  `json:"retry_after_ms,omitempty"` // after how long to poll again; 0: unknown
 }
 
-// Check returns what is wrong with an answer to a query. It does not look into the settings.
+// Check returns an error if an answer to a query is invalid. It does not check the settings themselves.
 func (a Answer) Check(q Query) error {
 	switch {
 	case !a.Valid() || a.AgeMS < 0:
@@ -153,7 +153,7 @@
 		}
 	}
 	if q.Service != "" && len(a.Services) > 1 {
-		return fmt.Errorf("%d services where %s was asked for", len(a.Services), q.Service)
+		return fmt.Errorf("answer has %d services, the query names only service %s", len(a.Services), q.Service)
 	}
 	return nil
 }
@@ -161,11 +161,11 @@
 func (a Answer) checkService(service Service, q Query) error {
 	switch {
 	case service.Name == "" || len(service.Name) > MaxNameLength:
-		return fmt.Errorf("a service is called %.40q", service.Name)
+		return fmt.Errorf("name %.40q of a service is empty or too long", service.Name)
 	case q.Service != "" && service.Name != q.Service:
-		return fmt.Errorf("service %s was asked for, not %s", q.Service, service.Name)
+		return fmt.Errorf("query for service %s was answered with service %s", q.Service, service.Name)
 	case service.Newer(a.Version):
-		return fmt.Errorf("service %s has version %s, the answer %s", service.Name, service.Version, a.Version)
+		return fmt.Errorf("service %s has version %s, which is newer than version %s of the answer", service.Name, service.Version, a.Version)
 	case !service.Removed && len(service.Settings) == 0:
 		return fmt.Errorf("service %s has no settings", service.Name)
 	}
--- a/internal/configapi/configapi_test.go
+++ b/internal/configapi/configapi_test.go
@@ -21,13 +21,13 @@
 			t.Fatal(err)
 		}
 		if got, err := ParseQuery(at.Query()); err != nil || got != q || at.Path != WatchPath {
-			t.Errorf("%+v became %+v: %v", q, got, err)
+			t.Errorf("query %+v is parsed as %+v, error %v", q, got, err)
 		}
 	}
 }
 
 func TestParseQueryNamesInvalidParameter(t *testing.T) {
-	for query, says := range map[string]string{
+	for query, wantError := range map[string]string{
 		"since=7": "since: version", "refused=a.b": "refused: epoch", "timeout_ms=-1": "timeout_ms=", "timeout_ms=60001": "timeout_ms=",
 		"timeout_ms=1s": "timeout_ms=", "service=" + strings.Repeat("x", MaxNameLength+1): "service has 129 bytes", "instance=" + strings.Repeat("x", 4096): "instance has",
 	} {
@@ -35,38 +35,38 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := ParseQuery(v); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%.40s: %v", query, err)
+		if _, err := ParseQuery(v); err == nil || !strings.Contains(err.Error(), wantError) {
+			t.Errorf("query %.40s: error %v, want %q", query, err, wantError)
 		}
 	}
 }
 
 func TestCheckRejectsInvalidAnswers(t *testing.T) {
-	one := Query{Service: "orders"}
-	for text, says := range map[string]string{
+	query := Query{Service: "orders"}
+	for text, wantError := range map[string]string{
 		`{"epoch":9007199254740993,"revision":1}`: "out of range",
 		`{"revision":7}`:                       "has no epoch",
 		`{"epoch":1,"revision":1,"age_ms":-1}`: "out of range",
-		`{"epoch":1,"revision":1,"services":[{"name":"","epoch":1,"revision":1,"settings":{}}]}`:                "is called",
-		`{"epoch":1,"revision":1,"services":[{"name":"payouts","epoch":1,"revision":1,"settings":{}}]}`:         "was asked for, not payouts",
+		`{"epoch":1,"revision":1,"services":[{"name":"","epoch":1,"revision":1,"settings":{}}]}`:                "of a service is empty or too long",
+		`{"epoch":1,"revision":1,"services":[{"name":"payouts","epoch":1,"revision":1,"settings":{}}]}`:         "answered with service payouts",
 		`{"epoch":1,"revision":1,"services":[{"name":"orders","epoch":1,"revision":2,"settings":{}}]}`:          "has version 1.2",
 		`{"epoch":1,"revision":1,"services":[{"name":"orders","epoch":1,"revision":1}]}`:                        "has no settings",
-		`{"epoch":1,"revision":1,"services":[{"name":"orders","settings":{}},{"name":"orders","settings":{}}]}`: "2 services",
+		`{"epoch":1,"revision":1,"services":[{"name":"orders","settings":{}},{"name":"orders","settings":{}}]}`: "answer has 2 services",
 	} {
 		var a Answer
 		if err := json.Unmarshal([]byte(text), &a); err != nil {
 			t.Fatal(err)
 		}
-		if err := a.Check(one); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%s: %v", text, err)
+		if err := a.Check(query); err == nil || !strings.Contains(err.Error(), wantError) {
+			t.Errorf("answer %s: error %v, want %q", text, err, wantError)
 		}
 	}
-	good := `{"epoch":1,"revision":3,"complete":true,"services":[{"name":"orders","epoch":1,"revision":3,"settings":{"a":1}}]}`
+	valid := `{"epoch":1,"revision":3,"complete":true,"services":[{"name":"orders","epoch":1,"revision":3,"settings":{"a":1}}]}`
 	var a Answer
-	if err := json.Unmarshal([]byte(good), &a); err != nil || a.Check(one) != nil || a.Services[0].Revision != 3 {
-		t.Errorf("%+v: %v %v", a, err, a.Check(one))
+	if err := json.Unmarshal([]byte(valid), &a); err != nil || a.Check(query) != nil || a.Services[0].Revision != 3 {
+		t.Errorf("valid answer is decoded as %+v, error %v, Check returns %v", a, err, a.Check(query))
 	}
 	if raw, err := json.Marshal(a); err != nil || strings.Count(string(raw), `"epoch":1,"revision":3`) != 2 {
-		t.Errorf("%s: %v", raw, err)
+		t.Errorf("answer is encoded as %s, error %v", raw, err)
 	}
 }
--- a/internal/configapi/encode.go
+++ b/internal/configapi/encode.go
@@ -8,8 +8,8 @@
 	"lilacbend/internal/revision"
 )
 
-// WriteTo writes an answer as JSON, byte for byte as encoding/json does, but without parsing the settings: they are compact
-// JSON already, and most of an answer.
+// WriteTo writes an answer as JSON with the same bytes as encoding/json, but without parsing the settings, which are compact
+// JSON already and make up most of an answer.
 func (a Answer) WriteTo(destination io.Writer) (written int64, err error) {
 	writer := &answerWriter{destination: destination}
 	head := appendVersion([]byte{'{'}, a.Version)
@@ -29,7 +29,7 @@
 	return writer.written, writer.err
 }
 
-// answerWriter writes until the first error, and counts the bytes.
+// answerWriter writes the parts of an answer until the first error, and counts the bytes.
 type answerWriter struct {
 	destination io.Writer
 	written     int64
--- a/internal/configapi/encode_test.go
+++ b/internal/configapi/encode_test.go
@@ -30,17 +30,17 @@
 		}
 		var got bytes.Buffer
 		if n, err := a.WriteTo(&got); err != nil || n != int64(len(want)) || got.String() != string(want) {
-			t.Fatalf("%d bytes, %v:\n%s\n%s", n, err, got.String(), want)
+			t.Fatalf("%d bytes, error %v:\n%s\nwant\n%s", n, err, got.String(), want)
 		}
 	})
 }
 
-// limitedWriter accepts capacity bytes and fails then.
+// limitedWriter accepts capacity bytes and fails for all further ones.
 type limitedWriter struct{ capacity int }
 
-func (f *limitedWriter) Write(b []byte) (int, error) {
-	n := min(len(b), f.capacity)
-	if f.capacity -= n; n < len(b) {
+func (w *limitedWriter) Write(b []byte) (int, error) {
+	n := min(len(b), w.capacity)
+	if w.capacity -= n; n < len(b) {
 		return n, errors.New("full")
 	}
 	return n, nil
@@ -55,7 +55,7 @@
 	}
 	for capacity := range int(size) {
 		if n, err := a.WriteTo(&limitedWriter{capacity}); err == nil || n != int64(capacity) {
-			t.Errorf("with a capacity of %d: %d, %v", capacity, n, err)
+			t.Errorf("writer with a capacity of %d bytes: %d bytes written, error %v", capacity, n, err)
 		}
 	}
 }
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -15,6 +15,7 @@
 
 const messagesFile = "messages.golden"
 
+// goldenStatus returns a status in which each field has a value.
 func goldenStatus() Status {
 	active := revision.Version{Epoch: 7, Revision: 30}
 	newest := revision.Version{Epoch: 7, Revision: 31}
@@ -27,7 +28,7 @@
 	}
 }
 
-// messages returns a query, and each body that a server sends, as they are on the wire.
+// messages returns queries and each kind of body that a server sends, as they are on the wire.
 func messages(t *testing.T) []byte {
 	t.Helper()
 	version := revision.Version{Epoch: 7, Revision: 31}
@@ -65,10 +66,10 @@
 	path, parameters, _ := strings.Cut(line, "?")
 	values, err := url.ParseQuery(parameters)
 	if err != nil || path != WatchPath {
-		t.Fatalf("%q %v", line, err)
+		t.Fatalf("query of the golden file is %q, error %v", line, err)
 	}
 	query, err := ParseQuery(values)
 	if err != nil || query.Encode() != line {
-		t.Errorf("%q %v, want %q", query.Encode(), err, line)
+		t.Errorf("query is parsed and encoded as %q, error %v, want %q", query.Encode(), err, line)
 	}
 }
--- a/internal/configapi/status.go
+++ b/internal/configapi/status.go
@@ -2,26 +2,26 @@
 
 import "lilacbend/internal/revision"
 
-// Status is the state of one server: its configuration, and the versions that are active at its followers.
+// Status is the state of one server: the versions of its services, and those that are active at its followers.
 type Status struct {
 	Server   string           `json:"server"`
 	Region   string           `json:"region"`
 	Writer   bool             `json:"writer"`
 	Version  revision.Version `json:"version"`
-	AgeMS    int64            `json:"age_ms"`
-	Faults   []Fault          `json:"faults"` // rejected files
+	AgeMS    int64            `json:"age_ms"` // how long ago the server last heard from the writer; 0 at the writer
+	Faults   []Fault          `json:"faults"` // rejected settings files
 	Services []ServiceStatus  `json:"services"`
 	Watchers []Watcher        `json:"watchers"`
 	Counters Counters         `json:"counters"`
 }
 
-// Fault is a rejected file and the reason.
+// Fault is a rejected settings file, or an unusable folder, and the reason.
 type Fault struct {
 	File   string `json:"file"`
 	Reason string `json:"reason"`
 }
 
-// ServiceStatus is a server's version of a service, and when it received this and earlier ones.
+// ServiceStatus is the version of a service at a server, and how long ago the server received it and earlier ones.
 type ServiceStatus struct {
 	Name    string           `json:"name"`
 	Version revision.Version `json:"version"`
@@ -38,22 +38,22 @@
 // Watcher is a follower, which is a controller or another server, as of its last poll.
 type Watcher struct {
 	Instance   string           `json:"instance"`
-	Service    string           `json:"service"` // empty: a server
+	Service    string           `json:"service"` // empty: the follower is a server
 	Zone       string           `json:"zone"`
 	Region     string           `json:"region"`
 	Active     revision.Version `json:"in_force"`
 	Rejected   revision.Version `json:"refused"`
-	LastSeenMS int64            `json:"heard_ms"` // how long ago
+	LastSeenMS int64            `json:"heard_ms"` // how long ago it polled
 }
 
-// Counters count a server's work since its start.
+// Counters count requests, answers and connections of a server since its start.
 type Counters struct {
 	Requests    int64 `json:"requests"`
 	Copies      int64 `json:"copies"`       // complete copies sent
 	Changes     int64 `json:"changes"`      // answers with changes
-	Throttled   int64 `json:"sent_away"`    // queries answered with Retry-After
-	Refused     int64 `json:"refused"`      // connections over the limit
-	BytesOut    int64 `json:"bytes_out"`    // of bodies
-	WriteErrors int64 `json:"write_errors"` // answers not received by the follower in time
+	Throttled   int64 `json:"sent_away"`    // queries rejected because too many complete copies were being sent
+	Refused     int64 `json:"refused"`      // connections closed because of the connection limit
+	BytesOut    int64 `json:"bytes_out"`    // of response bodies
+	WriteErrors int64 `json:"write_errors"` // answers that a follower did not receive in time
 	Connections int64 `json:"connections"`  // open now
 }
