--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -1,7 +1,7 @@
-// Package configclient is the decision logic of a follower of configuration servers: which server it polls next and when,
-// and which answers it uses. Followers are controllers, which follow one service, and servers, which follow all. The package
-// has no I/O, no clock and no goroutine: it is given times (nanoseconds of any one clock) and outcomes of polls, returns the
-// next poll, and draws random numbers from a seed.
+// Package configclient decides for a follower of configuration servers which server it polls next and when, and which
+// answers it uses. Followers are controllers, which follow one service, and servers, which follow all. The package has no
+// I/O, no clock and no goroutine: its callers pass it times, in nanoseconds of a clock whose zero is arbitrary, and the
+// outcomes of polls. It returns the next poll, and draws random numbers from a seed.
 package configclient
 
 import (
@@ -14,71 +14,71 @@
 )
 
 const (
-	// ControllerPollWait is how long a server may wait for a change before it answers a controller without one. It bounds how
-	// long a silently dead connection goes unnoticed, and how often a follower polls when nothing changes.
+	// ControllerPollWait is how long a server may wait for a change before it answers a controller without one. It bounds the
+	// time until a silently dead connection is detected, and the rate at which a follower polls when nothing changes.
 	ControllerPollWait = 5 * time.Second
 	// ServerPollWait is the same for a server that follows another one.
 	ServerPollWait = 2 * time.Second
-	// AnswerTimeout is how much longer than the requested wait a server may be silent before the poll has failed.
+	// AnswerTimeout is how much longer than the requested wait a server may send nothing before the poll fails.
 	AnswerTimeout = 2 * time.Second
 )
 
 const (
 	// retryInitial and retryLimit bound the backoff after which a failed server may be polled again while no other one
-	// answers: a network that recovers is noticed within retryLimit.
+	// answers, so that the recovery of a network is detected within retryLimit.
 	retryInitial = 100 * time.Millisecond
 	retryLimit   = 3 * time.Second
 	// failbackInitial and failbackLimit bound the backoff after which a failed or stale server may be polled again while
 	// another one answers.
 	failbackInitial = 5 * time.Second
 	failbackLimit   = time.Minute
-	// staleAfter is how long ago a server may last have heard from the writer before it is stale: others are tried first,
-	// and it is used only if there is none better. Servers poll each other with ServerPollWait, so two in a row may be
-	// behind by twice that.
+	// staleAfter is how long ago a server may last have heard from the writer before it is stale. Other servers are polled
+	// before a stale one, which is used only if there is none better. Servers poll each other with ServerPollWait, so the
+	// second in a chain of two may be behind the writer by twice that.
 	staleAfter = 3 * ServerPollWait
-	// failurePauseInitial and failurePauseLimit bound the backoff between any two polls after a failure: the followers of a
-	// failed server reach the others spread out over time, and servers that all fail are not polled without pause.
+	// failurePauseInitial and failurePauseLimit bound the backoff between any two polls after a failure. It spreads the
+	// followers of a failed server over time as they move to the others, and limits the poll rate while all servers fail.
 	failurePauseInitial = 250 * time.Millisecond
 	failurePauseLimit   = time.Second
-	// minPollInterval separates any two polls, whatever is answered. A writer scans its folder once a second, so this delays
-	// none of its changes.
+	// minPollInterval is the shortest time between any two polls, whatever the answers are. A writer scans its folder once a
+	// second, so this delays none of its changes.
 	minPollInterval = 100 * time.Millisecond
-	// earlyInitial and earlyLimit bound the backoff after answers without a change that arrive before the requested wait is
-	// over: a server that shuts down sends one of these, a server that cannot wait sends only these.
+	// earlyInitial and earlyLimit bound the backoff after answers without a change that arrive before the requested wait has
+	// passed. A server that shuts down sends one such answer, a server that cannot wait sends no others.
 	earlyInitial = minPollInterval
 	earlyLimit   = retryLimit
-	// maxBusyAnswers is how many times in a row a busy server is polled again before others are tried.
+	// maxBusyAnswers is how many consecutive busy answers a server may give before it counts as failed.
 	maxBusyAnswers = 3
-	// busyJitter is the largest fraction by which the wait that a busy server asks for is extended.
+	// busyJitter is the largest fraction by which the wait that a busy server requests is extended at random.
 	busyJitter = 0.25
 )
 
 // ErrNoServers is returned by New if there is no server to follow.
-var ErrNoServers = errors.New("there is no server to follow")
+var ErrNoServers = errors.New("no configuration server to follow is configured")
 
-// Options describe a follower.
+// Options configure a Client.
 type Options struct {
-	Instance string // its name
+	Instance string // the follower's name
 	Service  string // empty: all services, for a server
 	Region   string
 	Zone     string
 	Servers  []Server
 	Ordered  bool // Servers are in order of preference; otherwise Order sorts them
 	Seed     uint64
-	Wait     time.Duration // requested of servers; 0: ControllerPollWait or, for all services, ServerPollWait
+	Wait     time.Duration // requested wait for a change; 0: ControllerPollWait or, for all services, ServerPollWait
 }
 
 // Client is the state of one follower. It is not safe for concurrent use.
 type Client struct {
-	options  Options
-	servers  []*server     // in order of preference
-	polled   *server       // by the latest poll
-	polledAt int64         // when
-	wait     time.Duration // requested by that poll
-	draws    uint64        // random numbers drawn so far
-	nextPoll int64         // no server is polled before
-	pause    *backoff.Backoff
-	early    *backoff.Backoff
+	options        Options
+	servers        []*server     // in order of preference
+	polled         *server       // by the latest poll
+	polledAt       int64         // when, in nanoseconds
+	polledWait     time.Duration // requested by that poll
+	draws          uint64        // random numbers drawn so far
+	nextPoll       int64         // no server is polled before this time
+	failureBackoff *backoff.Backoff
+	earlyBackoff   *backoff.Backoff
 
 	active   revision.Version
 	settings []byte // of the active version; nil: unknown
@@ -89,13 +89,13 @@
 // server is the state of one server.
 type server struct {
 	Server
-	failures   int   // in a row
-	busy       int   // in a row
-	stale      bool  // it answers, but has not heard from the writer for long or is behind the follower
-	retryAt    int64 // not polled before
-	failbackAt int64 // not polled before while another server answers
-	retry      *backoff.Backoff
-	failback   *backoff.Backoff
+	consecutiveFailures int
+	consecutiveBusy     int
+	stale               bool  // it answers, but last heard from the writer more than staleAfter ago or is behind the follower
+	retryAt             int64 // not polled before this time
+	failbackAt          int64 // not polled before this time while another server answers
+	retryBackoff        *backoff.Backoff
+	failbackBackoff     *backoff.Backoff
 }
 
 // New returns a follower without an active version.
@@ -111,16 +111,16 @@
 		order = Order(options.Instance, options.Region, options.Servers)
 	}
 	client := &Client{
-		options: options,
-		pause:   backoff.NewJittered(failurePauseInitial, failurePauseLimit, options.Seed),
-		early:   backoff.NewJittered(earlyInitial, earlyLimit, options.Seed),
+		options:        options,
+		failureBackoff: backoff.NewJittered(failurePauseInitial, failurePauseLimit, options.Seed),
+		earlyBackoff:   backoff.NewJittered(earlyInitial, earlyLimit, options.Seed),
 	}
 	for k, s := range order {
 		seed := options.Seed + uint64(k) + 1
 		client.servers = append(client.servers, &server{
-			Server:   s,
-			retry:    backoff.NewJittered(retryInitial, retryLimit, seed),
-			failback: backoff.NewJittered(failbackInitial, failbackLimit, seed),
+			Server:          s,
+			retryBackoff:    backoff.NewJittered(retryInitial, retryLimit, seed),
+			failbackBackoff: backoff.NewJittered(failbackInitial, failbackLimit, seed),
 		})
 	}
 	return client, nil
@@ -142,7 +142,7 @@
 	return servers
 }
 
-// Active returns the version in use.
+// Active returns the active version.
 func (c *Client) Active() revision.Version { return c.active }
 
 // ActiveSettings returns the settings of the active version, or nil if they are unknown.
@@ -153,11 +153,11 @@
 	return revision.Latest(c.active, revision.Latest(c.rejected, c.offered))
 }
 
-// Resume offers a version that was active before a restart, as if a server had answered with it: Applied or Rejected must
-// follow. It is called before the first poll.
+// Resume offers a version that was active before a restart as if a server had answered with it: Applied or Rejected must be
+// called for it. Resume must be called before the first poll.
 func (c *Client) Resume(version revision.Version) { c.offered = version }
 
-// Pending reports whether an offered version has been neither applied nor rejected. No server is polled until then.
+// Pending reports whether an offered version was neither applied nor rejected yet. While it is true no server may be polled.
 func (c *Client) Pending() bool { return !c.offered.IsZero() }
 
 // Applied records that an offered version is active.
@@ -166,17 +166,17 @@
 		c.active = version
 		c.settings = settings
 	}
-	c.decided(version)
+	c.endOffer(version)
 }
 
 // Rejected records that an offered version cannot be used. The active version stays.
 func (c *Client) Rejected(version revision.Version) {
 	c.rejected = revision.Latest(c.rejected, version)
-	c.decided(version)
+	c.endOffer(version)
 }
 
-// decided ends an offer. A rejected version is forgotten once a newer one is active.
-func (c *Client) decided(version revision.Version) {
+// endOffer ends the offer of a version. It forgets the rejected version once a newer one is active.
+func (c *Client) endOffer(version revision.Version) {
 	if !c.offered.Newer(version) {
 		c.offered = revision.Version{}
 	}
--- a/internal/configclient/order.go
+++ b/internal/configclient/order.go
@@ -13,8 +13,9 @@
 	Region  string
 }
 
-// Order returns the servers in the order in which a follower prefers them: those of its own region first and, within each
-// group, by rendezvous hashing of the follower's name, so that the followers of a lost server spread over all others.
+// Order returns the servers, without duplicates, in the order in which a follower prefers them: those of its own region
+// first. Within its own and within the other regions the order is that of rendezvous hashing with the follower's name, so
+// that the followers of a lost server spread over all others.
 func Order(instance, region string, servers []Server) []Server {
 	local, remote := []string{}, []string{}
 	regions := map[string]string{}
@@ -36,7 +37,8 @@
 	return order
 }
 
-// ranked sorts addresses by their hash with a key: the first is the library's choice, the next its choice among the rest.
+// ranked returns addresses in the order of rendezvous hashing with a key. The library only returns the first choice, so each
+// further address is its choice among the remaining ones.
 func ranked(key string, addresses []string) []string {
 	var order []string
 	rest := slices.Sorted(slices.Values(addresses))
--- a/internal/configclient/poll.go
+++ b/internal/configclient/poll.go
@@ -13,13 +13,13 @@
 	Query  configapi.Query
 }
 
-// NextPoll returns the next poll. One of Failed, Busy, Unknown and Answered must follow before the next call.
+// NextPoll returns the next poll. One of Failed, Busy, Unknown and Answered must be called before NextPoll is called again.
 func (c *Client) NextPoll(now int64) Poll {
-	chosen, due := c.choose(now)
+	chosen, due := c.chooseServer(now)
 	at := max(due, c.nextPoll, now)
 	c.polled = chosen
 	c.polledAt = at
-	c.wait = c.requestedWait(chosen, at)
+	c.polledWait = c.requestedWait(chosen, at)
 	c.nextPoll = at + int64(minPollInterval)
 	return Poll{
 		At:     at,
@@ -28,7 +28,7 @@
 			Service:  c.options.Service,
 			Since:    c.active,
 			Rejected: c.rejected,
-			Timeout:  c.wait,
+			Timeout:  c.polledWait,
 			Instance: c.options.Instance,
 			Zone:     c.options.Zone,
 			Region:   c.options.Region,
@@ -36,10 +36,11 @@
 	}
 }
 
-// choose returns the server to poll and when. In order of preference it is: the first healthy server, or failed or stale one
-// whose failback is due; the failed one that has been due for longest; the stale one that has been due for longest, as it at
-// least answers; the one that is due first.
-func (c *Client) choose(now int64) (*server, int64) {
+// chooseServer returns the server to poll and when. Among the servers whose retryAt has passed, it chooses in this order:
+// the most preferred one that is healthy or whose failbackAt has passed; the failed one that has been due for longest; the
+// stale one that has been due for longest, which at least answers. If no retryAt has passed, it chooses the server that is
+// due first.
+func (c *Client) chooseServer(now int64) (*server, int64) {
 	for _, s := range c.servers {
 		if s.retryAt <= now && (s.healthy() || s.failbackAt <= now) {
 			return s, now
@@ -57,10 +58,11 @@
 	return next, next.retryAt
 }
 
-// healthy reports whether the server answers and is not stale.
-func (s *server) healthy() bool { return s.failures == 0 && !s.stale }
+// healthy reports whether no poll of the server has failed since its last answer, and the server is not stale.
+func (s *server) healthy() bool { return s.consecutiveFailures == 0 && !s.stale }
 
-// earliestDue returns the server with the earliest retryAt among those that match, so that each has its turn, or nil.
+// earliestDue returns the server with the earliest retryAt among those that match, so that each of them is polled in turn,
+// or nil if none matches.
 func earliestDue(servers []*server, match func(*server) bool) *server {
 	var earliest *server
 	for _, s := range servers {
@@ -71,11 +73,11 @@
 	return earliest
 }
 
-// requestedWait returns how long a server may wait for a change. A stale server may wait no longer than until another one is
-// due.
+// requestedWait returns how long the polled server may wait for a change. A stale server may wait only until another server
+// that is not stale is due, but at least retryInitial.
 func (c *Client) requestedWait(polled *server, at int64) time.Duration {
 	if c.active.IsZero() && c.rejected.IsZero() {
-		return 0 // any version is a change
+		return 0 // without a version every answer is a change
 	}
 	wait := c.options.Wait
 	if !polled.stale {
@@ -91,7 +93,7 @@
 	return wait
 }
 
-// delay prevents polls before a wait is over.
-func (c *Client) delay(now int64, wait time.Duration) {
+// delayPolls prevents polls of any server until a wait has passed.
+func (c *Client) delayPolls(now int64, wait time.Duration) {
 	c.nextPoll = max(c.nextPoll, now+int64(wait))
 }
--- a/internal/configclient/propagation_test.go
+++ b/internal/configclient/propagation_test.go
@@ -6,60 +6,63 @@
 	"time"
 )
 
-func none(*controller) bool { return false }
+// noController matches no controller.
+func noController(*controller) bool { return false }
 
-// Whatever fails, is disconnected or recovers, each change is active at all reachable controllers within the limit, and no
-// controller goes back or applies a version that it rejected.
+// Each change becomes active at all reachable controllers within propagationLimit: after many changes at once, the loss of a
+// server, the disconnection of a region, their recovery, and restarts of all controllers. No controller goes back to an
+// older version or applies one that it rejected.
 func TestChangesPropagateWithinLimit(t *testing.T) {
 	for seed := range int64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newSimulation(t, seed, 4, 2, 200, 12)
 			s.run(propagationLimit)
-			s.settled(none)
+			s.checkPropagated(noController)
 
-			for range 100 { // at one time
-				s.change(s.Intn(12))
+			for range 100 { // 100 changes at the same time
+				s.changeService(s.Intn(12))
 			}
 			s.run(propagationLimit)
-			s.settled(none)
+			s.checkPropagated(noController)
 
-			s.lost(s.nodes[3])
-			s.change(s.Intn(12))
+			s.stop(s.nodes[3])
+			s.changeService(s.Intn(12))
 			s.run(propagationLimit)
-			s.settled(none)
+			s.checkPropagated(noController)
 
 			s.disconnected["r2"] = true
 			s.run(int64(2 * time.Minute))
 			for k := range 12 {
-				s.change(k)
+				s.changeService(k)
 			}
 			s.run(propagationLimit)
-			s.settled(func(g *controller) bool { return g.region == "r2" })
+			s.checkPropagated(func(g *controller) bool { return g.region == "r2" })
 			s.nodes[3].up = true
-			s.followAsServer(s.nodes[3], serversOf(s))
+			s.followAsServer(s.nodes[3], allServers(s))
 			s.run(int64(time.Minute))
 			s.disconnected["r2"] = false
 			s.run(propagationLimit)
-			s.settled(none)
+			s.checkPropagated(noController)
 
-			for _, g := range s.controllers { // restarted within a minute, with a change meanwhile
-				s.after(s.Int63n(int64(time.Minute)), func() { s.followAsController(g, serversOf(s)) })
+			for _, controller := range s.controllers { // all restart within a minute, during which a service changes
+				s.after(s.Int63n(int64(time.Minute)), func() { s.followAsController(controller, allServers(s)) })
 			}
 			s.run(int64(30 * time.Second))
-			s.change(3)
+			s.changeService(3)
 			s.run(int64(30*time.Second) + propagationLimit)
-			s.settled(none)
+			s.checkPropagated(noController)
 
 			queries := s.queries
 			s.run(int64(time.Minute))
-			if quiet := s.queries - queries; quiet > (len(s.controllers)+3*len(s.nodes))*13 {
-				t.Errorf("%d queries in a quiet minute", quiet)
+			if idleQueries := s.queries - queries; idleQueries > (len(s.controllers)+3*len(s.nodes))*13 {
+				t.Errorf("%d queries in a minute without changes, which is more than 13 for each controller and 39 for each server", idleQueries)
 			}
 		})
 	}
 }
 
-func serversOf(s *simulation) (all []Server) {
+// allServers returns the servers of all nodes.
+func allServers(s *simulation) (all []Server) {
 	for _, n := range s.nodes {
 		all = append(all, n.server)
 	}
--- a/internal/configclient/serverlist.go
+++ b/internal/configclient/serverlist.go
@@ -6,7 +6,7 @@
 	"lilacbend/internal/strictyaml"
 )
 
-// ReadServers reads the list of servers under a key of a file, and reports its faults to the section.
+// ReadServers reads the list of servers under a key of a configuration file's section. It reports faults to the section.
 func ReadServers(section *strictyaml.Section, key string) []Server {
 	var servers []Server
 	seen := map[string]bool{}
@@ -18,7 +18,7 @@
 			entry.Fault("address", "is %.40q, want an address of host and port", server.Address)
 		}
 		if seen[server.Address] {
-			entry.Fault("address", "%s is there twice", server.Address)
+			entry.Fault("address", "%s is listed twice", server.Address)
 		}
 		seen[server.Address] = true
 		entry.Done()
--- a/internal/configclient/simulation_test.go
+++ b/internal/configclient/simulation_test.go
@@ -12,33 +12,36 @@
 	"lilacbend/internal/revision"
 )
 
-// This file simulates an installation in virtual time: a writer and its followers in regions, controllers of several
-// services, a network that loses whole regions, servers that fail and recover. Stores, limiters and clients are the real ones.
+// This file simulates an installation in virtual time: a writer, other servers and controllers of several services in
+// several regions. Regions can be disconnected, servers can fail and recover. Stores, copy limiters and clients are those of
+// production.
 
 // Limits of the simulated network, and of propagation.
 const (
-	maxDelay         = int64(40 * time.Millisecond) // at most, one way
+	maxDelay         = int64(40 * time.Millisecond) // of a message, one way
 	answerTimeout    = int64(AnswerTimeout)
 	propagationLimit = int64(18 * time.Second)
 )
 
+// node is a server.
 type node struct {
 	server  Server
 	store   *configstore.Store
 	copies  *configstore.CopyLimiter
 	client  *Client // nil at the writer
 	up      bool
-	waiting []*call // calls to be answered later
+	waiting []*call // calls that wait for a change
 }
 
+// controller follows one service and records the versions that it has applied.
 type controller struct {
 	instance, service, region string
 	client                    *Client
 	applied                   []revision.Version
-	bad                       bool // rejects every version that is divisible by five
+	rejectsSome               bool // rejects every revision that is divisible by five
 }
 
-// call is one query in flight or waiting at a server.
+// call is one query that is in flight or waits at a server.
 type call struct {
 	from   *follower
 	to     *node
@@ -49,19 +52,21 @@
 
 // follower is a controller, or a server that follows others.
 type follower struct {
-	client *Client
-	region string
-	take   func(a configapi.Answer)
-	down   func() bool
-	turn   int // counts polls, so that outcomes of earlier ones are dropped
+	client    *Client
+	region    string
+	accept    func(a configapi.Answer)
+	down      func() bool
+	pollCount int // number of polls so far, by which outcomes of earlier polls are recognized and dropped
 }
 
+// event is a function that runs at a time. seq orders events of the same time.
 type event struct {
 	at  int64
 	seq int
-	do  func()
+	run func()
 }
 
+// events is a heap of events, earliest first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -76,6 +81,7 @@
 	return last
 }
 
+// simulation is the state of the simulated installation. Its random numbers come from one seed.
 type simulation struct {
 	*rand.Rand
 	t            testing.TB
@@ -88,27 +94,31 @@
 	queries      int
 }
 
-func (s *simulation) after(span int64, do func()) {
+// after schedules a function.
+func (s *simulation) after(delay int64, run func()) {
 	s.seq++
-	heap.Push(&s.queue, event{s.now + span, s.seq, do})
+	heap.Push(&s.queue, event{s.now + delay, s.seq, run})
 }
 
-func (s *simulation) run(span int64) {
-	until := s.now + span
-	for len(s.queue) > 0 && s.queue[0].at <= until {
+// run executes the events of a duration.
+func (s *simulation) run(duration int64) {
+	end := s.now + duration
+	for len(s.queue) > 0 && s.queue[0].at <= end {
 		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
-	s.now = until
+	s.now = end
 }
 
-func (s *simulation) delay() int64 { return 1 + s.Int63n(maxDelay) }
+func (s *simulation) networkDelay() int64 { return 1 + s.Int63n(maxDelay) }
 
-func (s *simulation) linked(a, b string) bool {
+// connected reports whether messages between two regions arrive.
+func (s *simulation) connected(a, b string) bool {
 	return a == b || !s.disconnected[a] && !s.disconnected[b]
 }
 
+// newSimulation returns an installation whose first server is the writer, and whose followers have started.
 func newSimulation(t testing.TB, seed int64, regions, perRegion, controllers, services int) *simulation {
 	s := &simulation{Rand: rand.New(rand.NewSource(seed)), t: t, disconnected: map[string]bool{}}
 	var servers []Server
@@ -129,17 +139,19 @@
 		s.followAsServer(n, servers)
 	}
 	for k := range services {
-		s.change(k)
+		s.changeService(k)
 	}
 	for k := range controllers {
-		s.followAsController(&controller{instance: fmt.Sprintf("n%d", k), service: name(k % services),
-			region: fmt.Sprintf("r%d", s.Intn(regions)), bad: k%7 == 0}, servers)
+		s.followAsController(&controller{instance: fmt.Sprintf("n%d", k), service: serviceName(k % services),
+			region: fmt.Sprintf("r%d", s.Intn(regions)), rejectsSome: k%7 == 0}, servers)
 	}
 	return s
 }
 
-func name(service int) string { return fmt.Sprintf("service-%d", service) }
+// serviceName returns the name of the service with a number.
+func serviceName(service int) string { return fmt.Sprintf("service-%d", service) }
 
+// followAsServer makes a server follow all others, which are in order of preference.
 func (s *simulation) followAsServer(n *node, servers []Server) {
 	var others []Server
 	for _, server := range servers {
@@ -147,44 +159,45 @@
 			others = append(others, server)
 		}
 	}
-	c, err := New(Options{Instance: n.server.Address, Region: n.server.Region, Servers: others, Ordered: true, Seed: s.Uint64()})
+	client, err := New(Options{Instance: n.server.Address, Region: n.server.Region, Servers: others, Ordered: true, Seed: s.Uint64()})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	n.client = c
-	f := &follower{client: c, region: n.server.Region, down: func() bool { return !n.up }}
-	f.take = func(a configapi.Answer) {
+	n.client = client
+	f := &follower{client: client, region: n.server.Region, down: func() bool { return !n.up }}
+	f.accept = func(a configapi.Answer) {
 		if _, err := n.store.Merge(a, s.now); err != nil {
-			s.t.Errorf("%s: %v", n.server.Address, err)
+			s.t.Errorf("server %s does not merge an answer: %v", n.server.Address, err)
 		}
-		c.Applied(a.Version, nil)
+		client.Applied(a.Version, nil)
 		s.wake(n)
 	}
-	s.after(s.delay(), func() { s.poll(f) })
+	s.after(s.networkDelay(), func() { s.poll(f) })
 }
 
-func (s *simulation) followAsController(g *controller, servers []Server) {
-	c, err := New(Options{Instance: g.instance, Service: g.service, Region: g.region, Servers: servers, Seed: s.Uint64()})
+// followAsController starts a controller, or restarts it without an active version.
+func (s *simulation) followAsController(controller *controller, servers []Server) {
+	client, err := New(Options{Instance: controller.instance, Service: controller.service, Region: controller.region, Servers: servers, Seed: s.Uint64()})
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if g.client == nil {
-		s.controllers = append(s.controllers, g)
+	if controller.client == nil {
+		s.controllers = append(s.controllers, controller)
 	}
-	g.client, g.applied = c, nil
-	f := &follower{client: c, region: g.region, down: func() bool { return g.client != c }}
-	f.take = func(a configapi.Answer) {
-		if g.bad && a.Revision%5 == 0 {
-			c.Rejected(a.Version)
+	controller.client, controller.applied = client, nil
+	f := &follower{client: client, region: controller.region, down: func() bool { return controller.client != client }}
+	f.accept = func(a configapi.Answer) {
+		if controller.rejectsSome && a.Revision%5 == 0 {
+			client.Rejected(a.Version)
 			return
 		}
-		if len(g.applied) > 0 && !a.Version.Newer(g.applied[len(g.applied)-1]) {
-			s.t.Errorf("%s activates %s after %s", g.instance, a.Version, g.applied[len(g.applied)-1])
+		if len(controller.applied) > 0 && !a.Version.Newer(controller.applied[len(controller.applied)-1]) {
+			s.t.Errorf("controller %s applies version %s after %s", controller.instance, a.Version, controller.applied[len(controller.applied)-1])
 		}
-		g.applied = append(g.applied, a.Version)
-		c.Applied(a.Version, a.Services[0].Settings)
+		controller.applied = append(controller.applied, a.Version)
+		client.Applied(a.Version, a.Services[0].Settings)
 	}
-	s.after(s.delay(), func() { s.poll(f) })
+	s.after(s.networkDelay(), func() { s.poll(f) })
 }
 
 func (s *simulation) node(address string) *node {
@@ -203,25 +216,26 @@
 		return
 	}
 	poll := f.client.NextPoll(s.now)
-	f.turn++
-	turn := f.turn
+	f.pollCount++
+	pollNumber := f.pollCount
 	s.after(poll.At-s.now, func() {
-		if f.down() || f.turn != turn {
+		if f.down() || f.pollCount != pollNumber {
 			return
 		}
 		s.queries++
 		c := &call{from: f, to: s.node(poll.Server.Address), query: poll.Query, sent: s.now}
-		if !s.linked(f.region, c.to.server.Region) { // no answer arrives
-			s.after(answerTimeout, func() { s.fail(c, turn) })
+		if !s.connected(f.region, c.to.server.Region) { // the query is lost
+			s.after(answerTimeout, func() { s.fail(c, pollNumber) })
 			return
 		}
-		s.after(s.delay(), func() { s.receive(c) })
-		s.after(int64(poll.Query.Timeout)+answerTimeout, func() { s.fail(c, turn) })
+		s.after(s.networkDelay(), func() { s.receive(c) })
+		s.after(int64(poll.Query.Timeout)+answerTimeout, func() { s.fail(c, pollNumber) })
 	})
 }
 
-func (s *simulation) fail(c *call, turn int) {
-	if c.closed || c.from.turn != turn {
+// fail ends a call without an answer, unless a later poll has replaced it.
+func (s *simulation) fail(c *call, pollNumber int) {
+	if c.closed || c.from.pollCount != pollNumber {
 		return
 	}
 	c.closed = true
@@ -234,13 +248,14 @@
 	if c.closed {
 		return
 	}
-	if !c.to.up { // rejected at once
-		s.fail(c, c.from.turn)
+	if !c.to.up { // the connection is refused
+		s.fail(c, c.from.pollCount)
 		return
 	}
 	s.serve(c, true)
 }
 
+// serve answers a query, or lets it wait for a change if mayWait is true.
 func (s *simulation) serve(c *call, mayWait bool) {
 	n := c.to
 	if n.client == nil {
@@ -263,31 +278,32 @@
 			s.reply(c, func() { c.from.client.Busy(s.now, time.Duration(retryAfter)) })
 			return
 		}
-		took := int64(5 * time.Millisecond)
-		s.after(took, func() { n.copies.Release(1, took) })
+		copyDuration := int64(5 * time.Millisecond)
+		s.after(copyDuration, func() { n.copies.Release(1, copyDuration) })
 	}
 	s.reply(c, func() {
 		if c.from.down() {
 			return
 		}
-		if a.Check(c.query) != nil { // of a server without a configuration
+		if a.Check(c.query) != nil { // the server has no configuration yet
 			c.from.client.Failed(s.now)
 			return
 		}
 		offer, err := c.from.client.Answered(s.now, a)
 		if err != nil {
-			s.t.Errorf("%+v: %v", c.query, err)
+			s.t.Errorf("answer to %+v is unusable: %v", c.query, err)
 		}
 		if offer {
-			c.from.take(a)
+			c.from.accept(a)
 		}
-		if owner := s.owner(c.from); owner != nil {
+		if owner := s.nodeOf(c.from); owner != nil {
 			owner.store.WriterSeen(a.AgeMS*int64(time.Millisecond), s.now)
 		}
 	})
 }
 
-func (s *simulation) owner(f *follower) *node {
+// nodeOf returns the server that a follower is, or nil for a controller.
+func (s *simulation) nodeOf(f *follower) *node {
 	for _, n := range s.nodes {
 		if n.client == f.client {
 			return n
@@ -296,19 +312,19 @@
 	return nil
 }
 
-// reply delivers an answer if the network and the server still work.
-func (s *simulation) reply(c *call, take func()) {
-	s.after(s.delay(), func() {
-		if c.closed || !c.to.up || !s.linked(c.from.region, c.to.server.Region) {
+// reply delivers an answer, unless the server has failed or the regions are disconnected when it arrives.
+func (s *simulation) reply(c *call, deliver func()) {
+	s.after(s.networkDelay(), func() {
+		if c.closed || !c.to.up || !s.connected(c.from.region, c.to.server.Region) {
 			return
 		}
 		c.closed = true
-		take()
+		deliver()
 		s.poll(c.from)
 	})
 }
 
-// wake answers the waiting calls of a server that have become answerable.
+// wake serves the waiting calls of a server again after its configuration has changed.
 func (s *simulation) wake(n *node) {
 	waiting := n.waiting
 	n.waiting = nil
@@ -319,34 +335,36 @@
 	}
 }
 
-func (s *simulation) change(service int) {
-	if _, err := s.nodes[0].store.Put(name(service), fmt.Appendf(nil, `{"at":%d}`, s.seq*1000+s.Intn(1000)), s.now); err != nil {
+// changeService stores new settings of a service at the writer.
+func (s *simulation) changeService(service int) {
+	if _, err := s.nodes[0].store.Put(serviceName(service), fmt.Appendf(nil, `{"at":%d}`, s.seq*1000+s.Intn(1000)), s.now); err != nil {
 		s.t.Fatal(err)
 	}
 	s.seq++
 	s.wake(s.nodes[0])
 }
 
-// lost stops a server: its followers notice at once, as their connections are reset.
-func (s *simulation) lost(n *node) {
+// stop stops a server. Its followers detect this at once, because their connections are reset.
+func (s *simulation) stop(n *node) {
 	n.up = false
 	for _, c := range n.waiting {
 		if !c.closed {
-			s.fail(c, c.from.turn)
+			s.fail(c, c.from.pollCount)
 		}
 	}
 	n.waiting = nil
 }
 
-// settled checks that the newest version is active at all controllers but those that match except.
-func (s *simulation) settled(except func(g *controller) bool) {
+// checkPropagated checks that the newest version is active at all controllers except those for which except is true and
+// those that have rejected it.
+func (s *simulation) checkPropagated(except func(g *controller) bool) {
 	s.t.Helper()
-	for _, g := range s.controllers {
-		a, _ := s.nodes[0].store.Answer(configapi.Query{Service: g.service}, s.now)
-		have := g.client.Active()
-		if have == a.Version || except(g) || g.bad && a.Revision%5 == 0 && g.client.newestKnown() == a.Version {
+	for _, controller := range s.controllers {
+		a, _ := s.nodes[0].store.Answer(configapi.Query{Service: controller.service}, s.now)
+		active := controller.client.Active()
+		if active == a.Version || except(controller) || controller.rejectsSome && a.Revision%5 == 0 && controller.client.newestKnown() == a.Version {
 			continue
 		}
-		s.t.Errorf("%s of %s in %s has %s active, not %s, after %v", g.instance, g.service, g.region, have, a.Version, time.Duration(s.now))
+		s.t.Errorf("controller %s of service %s in region %s has version %s active, not %s, at virtual time %v", controller.instance, controller.service, controller.region, active, a.Version, time.Duration(s.now))
 	}
 }
--- a/internal/configserver/deploy_test.go
+++ b/internal/configserver/deploy_test.go
@@ -8,7 +8,7 @@
 	"lilacbend/internal/operator"
 )
 
-// uncommented takes the comment signs from the lines after a marker.
+// uncommented returns a file's content without the comment signs of the marker's line and of the lines after it.
 func uncommented(t *testing.T, file, marker string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(file)
@@ -17,27 +17,28 @@
 	}
 	before, after, found := strings.Cut(string(raw), marker)
 	if !found {
-		t.Fatalf("no %s in %s", marker, file)
+		t.Fatalf("no %q in %s", marker, file)
 	}
 	return []byte(before + strings.ReplaceAll(strings.TrimPrefix(marker, "# ")+after, "\n# ", "\n"))
 }
 
-// The files under deploy can be used as they are, and so can what stands in them as a comment.
+// The example files under deploy can be read as they are, and so can the sections that are commented out in them, for a
+// server that follows others and for a controller that follows configuration servers.
 func TestFilesUnderDeployAreUsable(t *testing.T) {
 	const file, operatorFile = "../../deploy/configserver.yaml", "../../deploy/operator.yaml"
-	o, err := ReadFile(file)
-	if err != nil || o.Folder == "" || o.StateFile == "" || o.MaxConnections != DefaultMaxConnections || o.MaxCopies != DefaultMaxCopies || o.PollInterval != DefaultPollInterval {
-		t.Errorf("%+v %v", o, err)
+	options, err := ReadFile(file)
+	if err != nil || options.Folder == "" || options.StateFile == "" || options.MaxConnections != DefaultMaxConnections || options.MaxCopies != DefaultMaxCopies || options.PollInterval != DefaultPollInterval {
+		t.Errorf("%s as a writer's file: options %+v, error %v", file, options, err)
 	}
 	follower := strings.Replace(string(uncommented(t, file, "# follow:")), "folder:", "# folder:", 1)
-	if o, err = ParseFile(file, []byte(follower)); err != nil || len(o.Follow) != 2 {
-		t.Errorf("%+v %v", o, err)
+	if options, err = ParseFile(file, []byte(follower)); err != nil || len(options.Follow) != 2 {
+		t.Errorf("%s with follow instead of folder: options %+v, error %v", file, options, err)
 	}
-	book, err := operator.Parse(operatorFile, uncommented(t, operatorFile, "# configuration:"))
-	if err != nil || !book.Configuration.On() || len(book.Configuration.Servers) != 2 {
-		t.Errorf("%+v %v", book, err)
+	operatorConfig, err := operator.Parse(operatorFile, uncommented(t, operatorFile, "# configuration:"))
+	if err != nil || !operatorConfig.Configuration.On() || len(operatorConfig.Configuration.Servers) != 2 {
+		t.Errorf("%s with the configuration section: %+v, error %v", operatorFile, operatorConfig, err)
 	}
-	if book, err = operator.Read(operatorFile); err != nil || book.Configuration.On() {
-		t.Errorf("%+v %v", book, err)
+	if operatorConfig, err = operator.Read(operatorFile); err != nil || operatorConfig.Configuration.On() {
+		t.Errorf("%s without the configuration section: %+v, error %v", operatorFile, operatorConfig, err)
 	}
 }
--- a/internal/configserver/failures_test.go
+++ b/internal/configserver/failures_test.go
@@ -11,129 +11,129 @@
 	"lilacbend/internal/configclient"
 )
 
-// A controller whose server is killed receives the next change from another one.
+// A controller whose server is killed receives the next change from another server of its region.
 func TestKilledServerIsReplacedByAnother(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
-	write(t, folder, "orders.json", exampleSettings(t, "first"))
-	writer := start(t, Options{Name: "s0", Folder: folder})
+	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
+	writer := startServer(t, Options{Name: "s0", Folder: folder})
 	var regional []configclient.Server
 	var servers []*runningServer
 	for k := range 3 {
-		r := start(t, Options{Name: fmt.Sprintf("s%d", k+1), Region: "r0", Follow: []configclient.Server{at(writer)}})
-		servers, regional = append(servers, r), append(regional, at(r))
+		server := startServer(t, Options{Name: fmt.Sprintf("s%d", k+1), Region: "r0", Follow: []configclient.Server{asServer(writer)}})
+		servers, regional = append(servers, server), append(regional, asServer(server))
 	}
-	g := follow(t, "orders", regional...)
-	g.until("first")
+	controller := followService(t, "orders", regional...)
+	controller.waitForClass("first")
 	for k, class := range []string{"second", "third"} {
-		for _, r := range servers {
-			if w := r.Status().Watchers; len(w) == 1 && w[0].LastSeenMS < 6000 && r.Status().Counters.Connections == 1 {
-				r.http.Close() // its connections are reset, and it no longer listens
-				r.stop()
+		for _, server := range servers {
+			if watchers := server.Status().Watchers; len(watchers) == 1 && watchers[0].LastSeenMS < 6000 && server.Status().Counters.Connections == 1 {
+				server.http.Close() // its connections are reset, and it no longer listens
+				server.stop()
 				break
 			}
 		}
-		write(t, folder, "orders.json", exampleSettings(t, class))
-		g.until(class)
-		if k == 1 && g.Counts().Failures == 0 {
-			t.Error("no server was lost")
+		writeFile(t, folder, "orders.json", exampleSettings(t, class))
+		controller.waitForClass(class)
+		if k == 1 && controller.Counts().Failures == 0 {
+			t.Error("the controller lost none of its servers")
 		}
 	}
 }
 
-// A silently disconnected region keeps its configuration; once connected again it catches up by the changes, which reach its
-// controllers.
+// A region whose connections drop all data silently keeps its configuration. Once connected again, its server catches up by
+// receiving only the changes, and these reach the region's controllers.
 func TestDisconnectedRegionCatchesUp(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	for k := range 20 {
-		write(t, folder, fmt.Sprintf("service-%d.json", k), exampleSettings(t, "first"))
+		writeFile(t, folder, fmt.Sprintf("service-%d.json", k), exampleSettings(t, "first"))
 	}
-	writer := start(t, Options{Name: "s0", Folder: folder})
-	way := newGate(t, writer.Address())
-	away := start(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{{Address: way.Addr().String(), Region: "r0"}}})
-	g := follow(t, "service-3", at(away))
-	g.until("first")
+	writer := startServer(t, Options{Name: "s0", Folder: folder})
+	link := newForwarder(t, writer.Address())
+	disconnected := startServer(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{{Address: link.Addr().String(), Region: "r0"}}})
+	controller := followService(t, "service-3", asServer(disconnected))
+	controller.waitForClass("first")
 	copies := writer.Status().Counters.Copies
-	way.set(true)
-	write(t, folder, "service-3.json", exampleSettings(t, "second"))
-	scriptedpeer.WaitFor(t, "the writer does not change", func() bool { return writer.Version().Revision == 21 })
-	late := follow(t, "service-4", at(away)) // starts while the region is disconnected
-	late.until("first")
-	scriptedpeer.WaitFor(t, "the disconnection is not noticed", func() bool { return away.log.count("configuration server fails") == 1 })
-	if away.Version().Revision != 20 || g.Active().Revision == 21 {
-		t.Errorf("%s at the server, %s in force", away.Version(), g.Active())
+	link.setCut(true)
+	writeFile(t, folder, "service-3.json", exampleSettings(t, "second"))
+	scriptedpeer.WaitFor(t, "the writer did not publish the change", func() bool { return writer.Version().Revision == 21 })
+	lateController := followService(t, "service-4", asServer(disconnected)) // starts while the region is disconnected
+	lateController.waitForClass("first")
+	scriptedpeer.WaitFor(t, "the disconnection was not logged exactly once", func() bool { return disconnected.log.count("configuration server poll failed") == 1 })
+	if disconnected.Version().Revision != 20 || controller.Active().Revision == 21 {
+		t.Errorf("while disconnected: server has version %s, controller has %s active", disconnected.Version(), controller.Active())
 	}
-	way.set(false)
-	way.close()
-	g.until("second")
-	if c := writer.Status().Counters; c.Copies != copies || c.Changes == 0 {
-		t.Errorf("caught up by a complete copy: %+v", c)
+	link.setCut(false)
+	link.close()
+	controller.waitForClass("second")
+	if counts := writer.Status().Counters; counts.Copies != copies || counts.Changes == 0 {
+		t.Errorf("caught up by a complete copy instead of changes: %+v", counts)
 	}
 }
 
-// A follower that receives its answer too slowly is disconnected, which frees its slots for copies.
+// A follower that does not read its answer is disconnected after the write timeout, which frees its slots for copies.
 func TestFollowerThatDoesNotReadIsDisconnected(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	large := strings.Replace(string(exampleSettings(t, "first")), `"domain"`, fmt.Sprintf(`"remark": %q, "domain"`, strings.Repeat("x", 900<<10)), 1)
 	for k := range 8 {
-		write(t, folder, fmt.Sprintf("service-%d.json", k), []byte(large))
+		writeFile(t, folder, fmt.Sprintf("service-%d.json", k), []byte(large))
 	}
-	writer := start(t, Options{Name: "s0", Folder: folder, MaxCopies: 1})
-	scriptedpeer.WaitFor(t, "no service is served", func() bool { return writer.Version().Revision == 8 })
+	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxCopies: 1})
+	scriptedpeer.WaitFor(t, "the writer did not publish all services", func() bool { return writer.Version().Revision == 8 })
 	conn, err := net.Dial("tcp", writer.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	fmt.Fprint(conn, "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n") // 7 MB, and nothing is read
-	scriptedpeer.WaitFor(t, "it gets no copy", func() bool { return writer.Status().Counters.Copies == 1 })
-	g := follow(t, "service-3", at(writer))
-	scriptedpeer.WaitFor(t, "no follower is throttled", func() bool { return g.Counts().Throttled > 0 })
-	g.until("first")
-	scriptedpeer.WaitFor(t, "the slow follower is not disconnected", func() bool { return writer.Status().Counters.WriteErrors == 1 })
+	fmt.Fprint(conn, "GET /configuration HTTP/1.1\r\nHost: x\r\n\r\n") // the answer has 7 MB, of which the test reads nothing
+	scriptedpeer.WaitFor(t, "the follower that does not read got no copy", func() bool { return writer.Status().Counters.Copies == 1 })
+	controller := followService(t, "service-3", asServer(writer))
+	scriptedpeer.WaitFor(t, "the second follower was not throttled", func() bool { return controller.Counts().Throttled > 0 })
+	controller.waitForClass("first")
+	scriptedpeer.WaitFor(t, "the follower that does not read was not disconnected", func() bool { return writer.Status().Counters.WriteErrors == 1 })
 }
 
-// Many followers that start at once are served within the limits, each with one complete copy.
+// Many followers that start at once are served within the limit of concurrent copies, and each receives one complete copy.
 func TestManyFollowersAtOnce(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
-	write(t, folder, "orders.json", exampleSettings(t, "first"))
-	writer := start(t, Options{Name: "s0", Folder: folder, MaxCopies: 2})
+	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
+	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxCopies: 2})
 	const followers = 200
-	var all []*controllerClient
+	var controllers []*controllerClient
 	for range followers {
-		all = append(all, follow(t, "orders", at(writer)))
+		controllers = append(controllers, followService(t, "orders", asServer(writer)))
 	}
-	for _, g := range all {
-		g.until("first")
+	for _, controller := range controllers {
+		controller.waitForClass("first")
 	}
-	c := writer.Status().Counters
-	if c.Copies != followers || c.Connections != followers {
-		t.Errorf("%+v", c)
+	counts := writer.Status().Counters
+	if counts.Copies != followers || counts.Connections != followers {
+		t.Errorf("want %d copies and connections: %+v", followers, counts)
 	}
-	begun := time.Now()
-	write(t, folder, "orders.json", exampleSettings(t, "second"))
-	for _, g := range all {
-		g.until("second")
+	changedAt := time.Now()
+	writeFile(t, folder, "orders.json", exampleSettings(t, "second"))
+	for _, controller := range controllers {
+		controller.waitForClass("second")
 	}
-	t.Logf("%d throttled; a change active at %d after %v", c.Throttled, followers, time.Since(begun))
+	t.Logf("%d queries throttled; a change was active at %d followers after %v", counts.Throttled, followers, time.Since(changedAt))
 }
 
-// Servers without a configuration that have lost the writer poll each other with backoff.
+// Servers that have no configuration and cannot reach the writer poll each other with backoff.
 func TestServersWithoutConfigurationPollWithBackoff(t *testing.T) {
 	t.Parallel()
-	lost := configclient.Server{Address: scriptedpeer.FreeAddress(t)}
-	one, two := scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t)
-	first := start(t, Options{Name: "s1", Listen: one, Follow: []configclient.Server{lost, {Address: two}}})
-	second := start(t, Options{Name: "s2", Listen: two, Follow: []configclient.Server{lost, {Address: one}}})
-	const seconds, paceMost = 2, 10 // queries a second
+	lostWriter := configclient.Server{Address: scriptedpeer.FreeAddress(t)}
+	firstAddress, secondAddress := scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t)
+	first := startServer(t, Options{Name: "s1", Listen: firstAddress, Follow: []configclient.Server{lostWriter, {Address: secondAddress}}})
+	second := startServer(t, Options{Name: "s2", Listen: secondAddress, Follow: []configclient.Server{lostWriter, {Address: firstAddress}}})
+	const seconds, maxRate = 2, 10 // maxRate in queries a second
 	time.Sleep(seconds * time.Second)
-	for _, r := range []*runningServer{first, second} {
-		if asked := r.Status().Counters.Requests; asked == 0 || asked > seconds*paceMost {
-			t.Errorf("%s was asked %d times in %d s", r.Status().Server, asked, seconds)
+	for _, server := range []*runningServer{first, second} {
+		if requests := server.Status().Counters.Requests; requests == 0 || requests > seconds*maxRate {
+			t.Errorf("%s received %d queries in %d s, want 1 to %d", server.Status().Server, requests, seconds, seconds*maxRate)
 		}
 	}
 }
--- a/internal/configserver/folder.go
+++ b/internal/configserver/folder.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// settingsSuffix is the suffix of files with settings; the rest of a file's name is the service's.
+	// settingsSuffix is the suffix of settings files. The rest of a file's name is the name of the service.
 	settingsSuffix = ".json"
-	// timestampResolution is how old the last change of a file must be for its time and size to show whether it has changed
-	// since. Timestamps of file systems are no coarser than this.
+	// timestampResolution is the coarsest resolution of a file system's timestamps. A file that was modified less than this
+	// before it is read may change again without a change of its modification time and size.
 	timestampResolution = 2 * time.Second
-	// fullScanInterval is how often all files are read, whether they seem unchanged or not.
+	// fullScanInterval is how often all files are read, even those whose modification time and size are unchanged.
 	fullScanInterval = time.Minute
 )
 
-// errFileChanging reports that a file was written to while it was read.
-var errFileChanging = errors.New("it changes while it is read")
+// errFileChanging reports that a file was modified while it was read.
+var errFileChanging = errors.New("modified while it was read")
 
-// errFolderEmpty reports that a folder that had settings has none.
+// errFolderEmpty reports that a folder that had settings files has none any more.
 var errFolderEmpty = errors.New("no settings are left in it, all services stay as they are")
 
 // folder reads the settings of all services from the files of a folder.
 type folder struct {
 	path     string
-	stamps   map[string]fileStamp // by file name, of files whose stamp shows whether they have changed
-	lastFull time.Time            // when all files were read
+	stamps   map[string]fileStamp // by file name; only of files whose next change is certain to change the stamp
+	lastFull time.Time            // when all files were last read
 }
 
-// fileStamp is what is known of a file without reading it.
+// fileStamp is the metadata that shows whether a file has changed, without reading it.
 type fileStamp struct {
 	size     int64
 	modified time.Time
@@ -49,7 +49,8 @@
 	err      error
 }
 
-// scan reads the files that may have changed, or all. Present are the services that have a file, whether it is usable or not.
+// scan reads the files that may have changed since the last scan; if all is true or fullScanInterval has passed, it reads
+// all files. present has each service that has a file, whether the file is valid or not.
 func (f *folder) scan(now time.Time, all bool) (read []settingsFile, present map[string]bool, err error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return read, present, nil
 }
 
-// read reads a file, unless its stamp shows that it is unchanged since it was last read.
+// read reads a file, unless its stamp shows that it has not changed since it was last read.
 func (f *folder) read(name string, now time.Time) (file settingsFile, changed bool) {
 	path := filepath.Join(f.path, name)
 	before, err := os.Stat(path)
@@ -94,7 +95,8 @@
 	return settingsFile{name: name, settings: settings, err: err}, true
 }
 
-// readUnchanged reads a file that does not change meanwhile.
+// readUnchanged reads a file, whose metadata before the read are given. It returns errFileChanging if they differ after the
+// read.
 func readUnchanged(path string, before os.FileInfo) ([]byte, error) {
 	if !before.Mode().IsRegular() {
 		return nil, errors.New("it is no regular file")
@@ -121,7 +123,7 @@
 	return settings, nil
 }
 
-// CheckFolder returns the number of services in a folder, or what is wrong with its files.
+// CheckFolder returns the number of services that have a file in a folder, and an error if one of the files is invalid.
 func CheckFolder(path string) (services int, err error) {
 	f := folder{path: path}
 	read, present, err := f.scan(time.Now(), true)
@@ -139,7 +141,7 @@
 		}
 	}
 	if len(faults) > 1 {
-		return len(present), fmt.Errorf("%w (and %d more)", faults[0], len(faults)-1)
+		return len(present), fmt.Errorf("%w (and %d more invalid files)", faults[0], len(faults)-1)
 	}
 	return len(present), errors.Join(faults...)
 }
--- a/internal/configserver/golden_test.go
+++ b/internal/configserver/golden_test.go
@@ -17,31 +17,32 @@
 	goldenFolder = "testdata/folder"
 )
 
-// stateOf returns the state file of a server that starts with the state before, if any, and has scanned its folder, if it has
-// one. It is for use in a synctest bubble, whose clock sets the epoch.
-func stateOf(t *testing.T, o Options, before []byte) []byte {
+// stateFileAfterScan returns the content of the state file of a server that has started with the state file before, if that
+// is not nil, and has scanned its folder, if it has one. Its caller must run in a synctest bubble, whose clock determines
+// the epoch.
+func stateFileAfterScan(t *testing.T, options Options, before []byte) []byte {
 	t.Helper()
-	o.StateFile = filepath.Join(t.TempDir(), "state.json")
-	o.Listen = "127.0.0.1:0"
-	o.Log = slog.New(slog.DiscardHandler)
+	options.StateFile = filepath.Join(t.TempDir(), "state.json")
+	options.Listen = "127.0.0.1:0"
+	options.Log = slog.New(slog.DiscardHandler)
 	if before != nil {
-		if err := os.WriteFile(o.StateFile, before, 0o600); err != nil {
+		if err := os.WriteFile(options.StateFile, before, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s, err := New(o)
+	server, err := New(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.listener.Close()
-	s.scan(true)
-	s.mu.Lock()
-	s.dirty = true
-	s.mu.Unlock()
-	if err := s.save(); err != nil {
+	defer server.listener.Close()
+	server.scan(true)
+	server.mu.Lock()
+	server.dirty = true
+	server.mu.Unlock()
+	if err := server.save(); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := os.ReadFile(o.StateFile)
+	raw, err := os.ReadFile(options.StateFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +51,7 @@
 
 func TestStateFileMatchesGoldenFile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		output := stateOf(t, Options{Name: "s0", Folder: goldenFolder}, nil)
+		output := stateFileAfterScan(t, Options{Name: "s0", Folder: goldenFolder}, nil)
 		golden.Compare(t, stateFile, output)
 		golden.CheckDetectsChange(t, stateFile, output)
 	})
@@ -58,12 +59,12 @@
 
 func TestStateFileRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		held := golden.Read(t, stateFile)
+		stored := golden.Read(t, stateFile)
 		follower := Options{Name: "s1", Follow: []configclient.Server{{Address: "127.0.0.1:1", Region: "r0"}}}
-		golden.Compare(t, stateFile, stateOf(t, follower, held))
+		golden.Compare(t, stateFile, stateFileAfterScan(t, follower, stored))
 		writer := Options{Name: "s0", Folder: goldenFolder}
-		if later := stateOf(t, writer, held); bytes.Equal(later, held) {
-			t.Error("a writer that begins with the state does not begin a later epoch")
+		if later := stateFileAfterScan(t, writer, stored); bytes.Equal(later, stored) {
+			t.Error("a writer that starts with the state file does not begin a later epoch")
 		}
 	})
 }
--- a/internal/configserver/handler.go
+++ b/internal/configserver/handler.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// writeTimeout and minWriteRate limit how long a follower may take to receive an answer: writeTimeout and, for a long
-	// answer, a second more for each minWriteRate bytes. A slower one is disconnected, which frees its slots for copies.
+	// writeTimeout and minWriteRate limit how long a follower may take to receive an answer: writeTimeout plus, for a long
+	// answer, one second for each minWriteRate bytes. A slower follower is disconnected, which frees its slots for copies.
 	writeTimeout = 5 * time.Second
 	minWriteRate = 1 << 20
-	// answerOverhead is about how many bytes an answer has besides its settings, for each service.
+	// answerOverhead estimates the bytes that an answer has for each service besides its settings.
 	answerOverhead = 256
 )
 
@@ -32,8 +32,8 @@
 	s.writeJSON(w, http.StatusOK, s.Status())
 }
 
-// handleWatch answers a query at once if there is a newer version than the follower's, otherwise when there is one or the
-// query's timeout is over.
+// handleWatch answers a query at once if there is a newer version than the follower's, otherwise as soon as there is one or
+// the query's timeout has passed.
 func (s *Server) handleWatch(w http.ResponseWriter, r *http.Request) {
 	s.counts.requests.Add(1)
 	query, err := configapi.ParseQuery(r.URL.Query())
@@ -68,7 +68,8 @@
 	}
 }
 
-// copySlots returns how many slots of the copy limiter an answer takes: none without a change or with a small one.
+// copySlots returns how many slots of the copy limiter an answer takes. An answer without a change takes none, nor does one
+// with changes of at most configstore.MaxSettingsSize.
 func copySlots(answer configapi.Answer) int {
 	size := settingsSize(answer)
 	if !answer.Complete && size <= configstore.MaxSettingsSize {
@@ -85,17 +86,17 @@
 	return size
 }
 
-// preparedAnswer is the answer to a query, and whether it may be sent now.
+// preparedAnswer is the answer to a query, and whether the copy limiter allows sending it now.
 type preparedAnswer struct {
 	answer     configapi.Answer
 	result     configstore.Result
 	slots      int   // of the copy limiter, acquired unless throttled
-	throttled  bool  // the slots are not free
-	retryAfter int64 // if throttled, in nanoseconds
+	throttled  bool  // too few slots are free
+	retryAfter int64 // when to poll again if throttled, in nanoseconds
 }
 
-// prepareAnswer waits for a newer version than the follower's, at most until the query's timeout, and acquires the slots for
-// the answer.
+// prepareAnswer waits for a newer version than the follower's, at most until the query's timeout, and acquires the copy
+// limiter's slots for the answer.
 func (s *Server) prepareAnswer(query configapi.Query, r *http.Request) preparedAnswer {
 	timeout := time.NewTimer(query.Timeout)
 	defer timeout.Stop()
@@ -103,21 +104,21 @@
 	defer s.mu.Unlock()
 	s.watchers.Record(query, s.now())
 	s.observe(query.Since)
-	for waitOver := false; ; {
+	for waitEnded := false; ; {
 		if s.isWriter() {
 			s.store.WriterSeen(0, s.now())
 		}
 		answer, result := s.store.Answer(query, s.now())
-		if result != configstore.Unchanged || waitOver {
+		if result != configstore.Unchanged || waitEnded {
 			return s.acquireSlots(answer, result)
 		}
-		waitOver = s.awaitChange(query.Service, timeout.C, r.Context().Done())
+		waitEnded = s.awaitChange(query.Service, timeout.C, r.Context().Done())
 	}
 }
 
-// awaitChange waits for a change of a service, or of any for the empty name, and reports whether the wait ended without one.
-// It releases mu, which the caller holds, while it waits.
-func (s *Server) awaitChange(service string, timeout <-chan time.Time, canceled <-chan struct{}) (waitOver bool) {
+// awaitChange waits for a change of a service or, for the empty name, of any service, and reports whether the wait ended
+// without one. The caller holds mu, which awaitChange releases while it waits.
+func (s *Server) awaitChange(service string, timeout <-chan time.Time, canceled <-chan struct{}) (waitEnded bool) {
 	changed := s.changeSignal(service)
 	s.mu.Unlock()
 	defer s.mu.Lock()
@@ -131,7 +132,7 @@
 	return true
 }
 
-// acquireSlots acquires the slots for an answer. The caller holds mu.
+// acquireSlots acquires the copy limiter's slots for an answer. The caller holds mu.
 func (s *Server) acquireSlots(answer configapi.Answer, result configstore.Result) preparedAnswer {
 	prepared := preparedAnswer{answer: answer, result: result, slots: copySlots(answer)}
 	if prepared.slots == 0 {
@@ -143,7 +144,7 @@
 	return prepared
 }
 
-// releaseCopy releases the slots of an answer that took duration to send.
+// releaseCopy releases the slots of an answer, which took duration nanoseconds to send.
 func (s *Server) releaseCopy(slots int, duration int64) {
 	if slots == 0 {
 		return
@@ -153,7 +154,7 @@
 	s.copies.Release(slots, duration)
 }
 
-// writeJSON writes a small body.
+// writeJSON sends a response with a small JSON body.
 func (s *Server) writeJSON(w http.ResponseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil { // cannot happen with the types in use
@@ -163,7 +164,7 @@
 	s.write(w, status, raw)
 }
 
-// writeAnswer writes the answer to a query.
+// writeAnswer sends the answer to a query.
 func (s *Server) writeAnswer(w http.ResponseWriter, answer configapi.Answer) {
 	var body bytes.Buffer
 	body.Grow(settingsSize(answer) + answerOverhead*(1+len(answer.Services)))
--- a/internal/configserver/helpers_test.go
+++ b/internal/configserver/helpers_test.go
@@ -20,7 +20,7 @@
 	"lilacbend/internal/revision"
 )
 
-// logBuffer is a log that can be read while it is written.
+// logBuffer holds log output. It may be read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -32,13 +32,14 @@
 	return l.text.Write(b)
 }
 
+// count returns how many times the log contains a text.
 func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), text)
 }
 
-// runningServer is a server that runs until stop or the end of the test.
+// runningServer is a server that runs until stop is called or the test ends.
 type runningServer struct {
 	*Server
 	t    testing.TB
@@ -46,43 +47,44 @@
 	stop func()
 }
 
-func start(t testing.TB, o Options) *runningServer {
+// startServer starts a server. Options without an address or a poll interval get those of a test.
+func startServer(t testing.TB, options Options) *runningServer {
 	t.Helper()
-	r := &runningServer{t: t, log: &logBuffer{}}
-	o.Log = slog.New(slog.NewTextHandler(r.log, nil))
-	if o.Listen == "" {
-		o.Listen = "127.0.0.1:0"
+	server := &runningServer{t: t, log: &logBuffer{}}
+	options.Log = slog.New(slog.NewTextHandler(server.log, nil))
+	if options.Listen == "" {
+		options.Listen = "127.0.0.1:0"
 	}
-	if o.PollInterval == 0 {
-		o.PollInterval = 20 * time.Millisecond
+	if options.PollInterval == 0 {
+		options.PollInterval = 20 * time.Millisecond
 	}
 	var err error
-	if r.Server, err = New(o); err != nil {
+	if server.Server, err = New(options); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- r.Run(ctx) }()
+	go func() { ended <- server.Run(ctx) }()
 	var once sync.Once
-	r.stop = func() {
+	server.stop = func() {
 		once.Do(func() {
-			begun := time.Now()
+			stoppedAt := time.Now()
 			cancel()
 			select {
 			case err := <-ended:
-				if span := time.Since(begun); err != nil || span > 2*shutdownTimeout {
-					t.Errorf("%s ended after %v: %v", o.Name, span, err)
+				if elapsed := time.Since(stoppedAt); err != nil || elapsed > 2*shutdownTimeout {
+					t.Errorf("server %s ended %v after its context: %v", options.Name, elapsed, err)
 				}
 			case <-time.After(scriptedpeer.WaitTimeout):
-				t.Errorf("%s does not end", o.Name)
+				t.Errorf("server %s did not end", options.Name)
 			}
 		})
 	}
-	t.Cleanup(r.stop)
-	return r
+	t.Cleanup(server.stop)
+	return server
 }
 
-// exampleSettings are the example's, with another name of its first traffic class.
+// exampleSettings returns the settings of example/config.json with another name of the first traffic class.
 func exampleSettings(t testing.TB, class string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile("../../example/config.json")
@@ -96,143 +98,147 @@
 	return bytes.Replace(file.Settings, []byte(`"lookup"`), []byte(fmt.Sprintf("%q", class)), 1)
 }
 
-func write(t testing.TB, folder, name string, raw []byte) {
+// writeFile writes a file atomically.
+func writeFile(t testing.TB, folder, name string, raw []byte) {
 	t.Helper()
-	at := filepath.Join(folder, name)
-	if err := os.WriteFile(at+".new", raw, 0o600); err != nil {
+	path := filepath.Join(folder, name)
+	if err := os.WriteFile(path+".new", raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(at+".new", at); err != nil {
+	if err := os.Rename(path+".new", path); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// controllerClient is a follower of one service that applies every version but one that names the class "refused".
+// controllerClient is a follower of one service that applies every version except those with a traffic class "refused".
 type controllerClient struct {
 	*configwatch.Watcher
-	t    testing.TB
-	mu   sync.Mutex
-	seen []revision.Version
-	has  string
+	t        testing.TB
+	mu       sync.Mutex
+	offered  []revision.Version
+	settings string // of the version that was applied last
 }
 
-func follow(t testing.TB, service string, servers ...configclient.Server) *controllerClient {
+// followService follows a service until the end of the test.
+func followService(t testing.TB, service string, servers ...configclient.Server) *controllerClient {
 	t.Helper()
-	g := &controllerClient{t: t}
+	c := &controllerClient{t: t}
 	var err error
-	g.Watcher, err = configwatch.New(configwatch.Options{Instance: "n0", Service: service, Region: "r0", Zone: "a", Servers: servers, Seed: 1, OnOffer: g.offer})
+	c.Watcher, err = configwatch.New(configwatch.Options{Instance: "n0", Service: service, Region: "r0", Zone: "a", Servers: servers, Seed: 1, OnOffer: c.offer})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); g.Run(ctx) }()
+	go func() { defer close(ended); c.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	return g
+	return c
 }
 
-func (g *controllerClient) offer(v revision.Version, settings []byte) {
-	g.mu.Lock()
-	if len(g.seen) > 0 && !v.Newer(g.seen[len(g.seen)-1]) {
-		g.t.Errorf("%s is offered after %s", v, g.seen[len(g.seen)-1])
+func (c *controllerClient) offer(v revision.Version, settings []byte) {
+	c.mu.Lock()
+	if len(c.offered) > 0 && !v.Newer(c.offered[len(c.offered)-1]) {
+		c.t.Errorf("version %s was offered after %s", v, c.offered[len(c.offered)-1])
 	}
-	g.seen = append(g.seen, v)
+	c.offered = append(c.offered, v)
 	reject := bytes.Contains(settings, []byte(`"refused"`))
 	if !reject {
-		g.has = string(settings)
+		c.settings = string(settings)
 	}
-	g.mu.Unlock()
+	c.mu.Unlock()
 	if reject {
-		g.Rejected(v, fmt.Errorf("setting lanes.0.name is refused"))
+		c.Rejected(v, fmt.Errorf("setting lanes.0.name is refused"))
 	} else {
-		g.Applied(v)
+		c.Applied(v)
 	}
 }
 
-// until waits until the settings with a class are active.
-func (g *controllerClient) until(class string) {
-	g.t.Helper()
-	scriptedpeer.WaitFor(g.t, class+" is not active", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return strings.Contains(g.has, fmt.Sprintf("%q", class))
+// waitForClass waits until settings with a traffic class are active.
+func (c *controllerClient) waitForClass(class string) {
+	c.t.Helper()
+	scriptedpeer.WaitFor(c.t, class+" is not active", func() bool {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		return strings.Contains(c.settings, fmt.Sprintf("%q", class))
 	})
 }
 
-func at(r *runningServer) configclient.Server {
-	return configclient.Server{Address: r.Address(), Region: "r0"}
+// asServer returns a server's address in the form that a follower is configured with.
+func asServer(server *runningServer) configclient.Server {
+	return configclient.Server{Address: server.Address(), Region: "r0"}
 }
 
-// gate forwards connections to a server, and can be cut silently: connections stay open, and nothing is forwarded.
-type gate struct {
+// forwarder forwards connections to a server. It can be cut silently: connections stay open, and the data that arrives is
+// dropped.
+type forwarder struct {
 	net.Listener
-	t  testing.TB
-	to string
+	t      testing.TB
+	target string
 
 	mu    sync.Mutex
 	cut   bool
 	conns []net.Conn
 }
 
-func newGate(t testing.TB, to string) *gate {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func newForwarder(t testing.TB, target string) *forwarder {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gate{Listener: l, t: t, to: to}
+	f := &forwarder{Listener: listener, t: t, target: target}
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go g.pass(conn)
+			go f.forward(conn)
 		}
 	}()
-	t.Cleanup(func() { l.Close(); g.close() })
-	return g
+	t.Cleanup(func() { listener.Close(); f.close() })
+	return f
 }
 
-func (g *gate) pass(from net.Conn) {
-	to, err := net.Dial("tcp", g.to)
+func (f *forwarder) forward(incoming net.Conn) {
+	outgoing, err := net.Dial("tcp", f.target)
 	if err != nil {
-		from.Close()
+		incoming.Close()
 		return
 	}
-	g.mu.Lock()
-	g.conns = append(g.conns, from, to)
-	g.mu.Unlock()
-	go g.copy(to, from)
-	go g.copy(from, to)
+	f.mu.Lock()
+	f.conns = append(f.conns, incoming, outgoing)
+	f.mu.Unlock()
+	go f.copy(outgoing, incoming)
+	go f.copy(incoming, outgoing)
 }
 
-func (g *gate) copy(to, from net.Conn) {
-	defer to.Close()
+func (f *forwarder) copy(destination, source net.Conn) {
+	defer destination.Close()
 	buffer := make([]byte, 64<<10)
 	for {
-		n, err := from.Read(buffer)
+		n, err := source.Read(buffer)
 		if err != nil {
 			return
 		}
-		g.mu.Lock()
-		cut := g.cut
-		g.mu.Unlock()
+		f.mu.Lock()
+		cut := f.cut
+		f.mu.Unlock()
 		if !cut {
-			to.Write(buffer[:n])
+			destination.Write(buffer[:n])
 		}
 	}
 }
 
-func (g *gate) set(cut bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.cut = cut
+func (f *forwarder) setCut(cut bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.cut = cut
 }
 
-func (g *gate) close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, conn := range g.conns {
+func (f *forwarder) close() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, conn := range f.conns {
 		conn.Close()
 	}
 }
--- a/internal/configserver/listener.go
+++ b/internal/configserver/listener.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// acceptRetryInterval is the pause after a failed accept, such as when no descriptor is left.
+// acceptRetryInterval is the pause after a failed accept, for example because the process has no file descriptor left.
 const acceptRetryInterval = 50 * time.Millisecond
 
-// limitListener closes connections over a limit at once, so that their clients try another server.
+// limitListener closes each connection beyond a limit as soon as it is accepted, so that its client tries another server.
 type limitListener struct {
 	net.Listener
 	limit   int64
@@ -19,7 +19,7 @@
 	refused atomic.Int64
 }
 
-// Accept waits for a connection within the limit.
+// Accept waits for a connection that does not exceed the limit.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -39,13 +39,13 @@
 	}
 }
 
-// isTemporary reports whether accept failed for another reason than a closed listener.
+// isTemporary reports whether err is a network error of accept other than that the listener is closed.
 func isTemporary(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed)
 }
 
-// limitedConn counts against the limit until it is closed.
+// limitedConn is a connection that counts against the limit until it is closed.
 type limitedConn struct {
 	net.Conn
 	listener *limitListener
--- a/internal/configserver/optionsfile.go
+++ b/internal/configserver/optionsfile.go
@@ -10,7 +10,7 @@
 	"lilacbend/internal/strictyaml"
 )
 
-// Limits of the values in a server's file.
+// Limits of the values in a server's configuration file.
 const (
 	minPollInterval    = 100 * time.Millisecond
 	maxPollInterval    = time.Hour
@@ -18,7 +18,8 @@
 	maxCopyLimit       = 1 << 14
 )
 
-// ReadFile reads the file of a server, strictly. The error names file, line and key of all that is wrong.
+// ReadFile reads a server's configuration file. Unknown keys are faults, too; the error names file, line and key of each
+// fault.
 func ReadFile(file string) (Options, error) {
 	raw, err := strictyaml.Open(file)
 	if err != nil {
@@ -27,7 +28,7 @@
 	return ParseFile(file, raw)
 }
 
-// ParseFile parses the bytes of a server's file.
+// ParseFile parses the content of a server's configuration file.
 func ParseFile(file string, raw []byte) (Options, error) {
 	document, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
@@ -48,9 +49,9 @@
 	}
 	switch {
 	case options.Folder == "" && !top.Has("follow"):
-		top.Fault("", "lacks folder or follow: a writer reads a folder, all others follow servers")
+		top.Fault("", "lacks folder or follow: a writer reads a folder, any other server follows servers")
 	case options.Folder != "" && top.Has("follow"):
-		top.Fault("follow", "is given beside folder: a writer follows nobody")
+		top.Fault("follow", "is set together with folder: a writer follows no server")
 	}
 	options.Folder = relativeTo(file, options.Folder)
 	options.StateFile = relativeTo(file, options.StateFile)
@@ -61,7 +62,7 @@
 	return options, nil
 }
 
-// relativeTo returns a path, which is relative to the folder of a file unless it is absolute.
+// relativeTo joins path to the folder that contains file, unless path is blank or absolute.
 func relativeTo(file, path string) string {
 	if strings.TrimSpace(path) == "" || filepath.IsAbs(path) {
 		return path
--- a/internal/configserver/server.go
+++ b/internal/configserver/server.go
@@ -1,5 +1,6 @@
-// Package configserver is a configuration server. It reads the settings of all services from a folder, as the writer, or
-// follows other servers, and serves complete copies and watches over HTTP/1.1.
+// Package configserver implements a configuration server. One server, the writer, reads the settings of all services from a
+// folder; every other one follows other servers. All serve complete copies and watches to their followers, which are
+// controllers and other servers, over HTTP/1.1.
 package configserver
 
 import (
@@ -21,7 +22,8 @@
 	"lilacbend/settings"
 )
 
-// Defaults of Options. 1,600 controllers share 8 servers, and all may connect to one; sending a copy takes some milliseconds.
+// Defaults of Options. 1,600 controllers share 8 servers, and all of them may connect to the same one; sending a complete
+// copy takes a few milliseconds.
 const (
 	DefaultMaxConnections = 4096
 	DefaultMaxCopies      = 64
@@ -29,40 +31,41 @@
 )
 
 const (
-	// maxHeaderSize (bytes) and headerTimeout limit the header of a request.
+	// maxHeaderSize (bytes) and headerTimeout limit the size of a request's header and the time to receive it.
 	maxHeaderSize = 8 << 10
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a connection without a request stays open: longer than any follower pauses.
+	// idleTimeout is how long a connection without a request stays open. It exceeds the longest pause of a follower between
+	// two polls.
 	idleTimeout = 2 * time.Minute
-	// shutdownTimeout is how long connections may take to end. SIGKILL may follow 0.7 s after SIGTERM.
+	// shutdownTimeout is how long open connections may take to end at shutdown. SIGKILL may follow 0.7 s after SIGTERM.
 	shutdownTimeout = 300 * time.Millisecond
-	// finalSaveTimeout is how much longer Run waits for the last write of the state file.
+	// finalSaveTimeout is how long Run waits, after all connections have ended, for the last write of the state file.
 	finalSaveTimeout = 100 * time.Millisecond
 	// saveInterval is the shortest time between two writes of the state file, which holds the whole configuration. A server
-	// that starts with an older one loses nothing: a writer begins a later epoch, and all others catch up.
+	// that starts with an outdated state file loses nothing: a writer begins a later epoch, and any other server catches up.
 	saveInterval = 10 * time.Second
 )
 
-// Errors of New for Options that are neither a writer's nor a follower's.
+// Errors of New for Options that fit neither a writer nor a server that follows others.
 var (
-	ErrNoSource   = errors.New("neither a folder nor a server to follow is named")
-	ErrTwoSources = errors.New("both a folder and a server to follow are named: a writer follows nobody")
+	ErrNoSource   = errors.New("neither a folder nor a server to follow is configured")
+	ErrTwoSources = errors.New("both a folder and a server to follow are configured: a writer follows no server")
 )
 
-// Options describe a server.
+// Options configure a Server.
 type Options struct {
 	Name   string
 	Region string
 	Listen string
-	// Folder has a file with the settings of each service, for the writer. Follow are the servers that any other server
-	// follows, in order of preference: the writer first. Exactly one of the two is set.
+	// Folder is where the writer reads the settings, in one file for each service. Follow lists the servers that any other
+	// server follows, in order of preference, the writer first. Exactly one of Folder and Follow is set.
 	Folder string
 	Follow []configclient.Server
-	// StateFile keeps epoch and configuration over restarts; empty: nothing is kept.
+	// StateFile stores the epoch and the configuration across restarts; empty: neither is stored.
 	StateFile      string
-	PollInterval   time.Duration // between scans of the folder
+	PollInterval   time.Duration // between two scans of Folder
 	MaxConnections int
-	MaxCopies      int // sent at once
+	MaxCopies      int // complete copies sent at once; a large one counts as several
 	Seed           uint64
 	Log            *slog.Logger
 }
@@ -73,30 +76,30 @@
 	start    time.Time
 	listener *limitListener
 	http     *http.Server
-	closing  chan struct{}
-	rescans  chan struct{}
+	closing  chan struct{} // closed at shutdown
+	rescans  chan struct{} // requests by Rescan
 	counts   counters
 	upstream *configwatch.Watcher // nil at the writer
-	folder   folder               // of the writer, used by one goroutine
+	folder   folder               // of the writer; used by one goroutine at a time
 
-	mu            sync.Mutex // guards the following fields
-	store         *configstore.Store
-	watchers      *configstore.WatcherTable
-	copies        *configstore.CopyLimiter
-	faults        map[string]string        // reasons by file
-	changeSignals map[string]chan struct{} // closed when a service changes; empty name: any service
-	absent        map[string]bool          // services without a file at the last scan
-	dirty         bool                     // the state file is behind
-	anotherWriter bool                     // a second writer was logged
+	mu                  sync.Mutex // guards the following fields
+	store               *configstore.Store
+	watchers            *configstore.WatcherTable
+	copies              *configstore.CopyLimiter
+	faults              map[string]string        // reasons by file, or by folder if the whole folder is unusable
+	changeSignals       map[string]chan struct{} // by service, closed when it changes; empty name: any service
+	absent              map[string]bool          // services that had no file at the last scan
+	dirty               bool                     // the configuration has changed since the state file was written
+	anotherWriterLogged bool                     // that there is a second writer was logged
 }
 
-// Check returns what is wrong with the settings of a service, as at a controller's start.
+// Check returns an error if the settings of a service are invalid. It checks them as a controller does at its start.
 func Check(raw []byte) error {
 	_, _, err := settings.Load(raw, 1)
 	return err
 }
 
-// New returns a server that listens, but does not serve before Run.
+// New returns a server that listens, but does not serve before Run is called.
 func New(options Options) (*Server, error) {
 	switch {
 	case options.Folder == "" && len(options.Follow) == 0:
@@ -162,7 +165,7 @@
 // isWriter reports whether the server reads a folder and follows no other server.
 func (s *Server) isWriter() bool { return s.upstream == nil }
 
-// Rescan requests that all files of the folder are read at once.
+// Rescan requests that all files of the folder are read now, without waiting for the next scan.
 func (s *Server) Rescan() {
 	select {
 	case s.rescans <- struct{}{}:
@@ -170,13 +173,13 @@
 	}
 }
 
-// Run serves until ctx ends, and returns soon after.
+// Run serves until ctx ends. It then returns within the sum of shutdownTimeout and finalSaveTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	s.scan(true)
 	s.options.Log.Info("serving configuration", "listen", s.Address(), "folder", s.options.Folder, "follows", len(s.options.Follow),
-		"version", s.Version().String(), "services", len(s.names()))
+		"version", s.Version().String(), "services", len(s.serviceNames()))
 	var goroutines sync.WaitGroup
 	var serveErr error
 	goroutines.Go(func() {
@@ -203,7 +206,7 @@
 	case <-ended:
 		return serveErr
 	case <-time.After(finalSaveTimeout):
-		s.options.Log.Warn("the state was not written in time")
+		s.options.Log.Warn("final write of the state file did not end in time")
 		return nil
 	}
 }
@@ -218,7 +221,8 @@
 	}
 }
 
-// publish wakes the followers that wait for services. The caller holds mu.
+// publish records that services have changed: it marks the state file as outdated and wakes the followers that wait for one
+// of them or for any service. The caller holds mu.
 func (s *Server) publish(services []string) {
 	if len(services) == 0 {
 		return
@@ -232,7 +236,8 @@
 	}
 }
 
-// changeSignal returns a channel that is closed when a service changes, or any for the empty name. The caller holds mu.
+// changeSignal returns a channel that is closed when a service changes or, for the empty name, when any service changes.
+// The caller holds mu.
 func (s *Server) changeSignal(service string) <-chan struct{} {
 	if s.changeSignals[service] == nil {
 		s.changeSignals[service] = make(chan struct{})
@@ -240,7 +245,7 @@
 	return s.changeSignals[service]
 }
 
-// followUpstream prepares following other servers.
+// followUpstream creates the watcher of the followed servers, whose active version is that of the restored state.
 func (s *Server) followUpstream() error {
 	upstream, err := configwatch.New(configwatch.Options{
 		Instance: s.options.Name,
@@ -260,6 +265,7 @@
 	return nil
 }
 
+// merge stores an answer of a followed server.
 func (s *Server) merge(answer configapi.Answer) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,6 +277,7 @@
 	return nil
 }
 
+// recordWriterAge records how long before an answer the followed server last heard from the writer.
 func (s *Server) recordWriterAge(answer configapi.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/configserver/state.go
+++ b/internal/configserver/state.go
@@ -15,12 +15,12 @@
 	"lilacbend/internal/configapi"
 )
 
-// restore reads the state file. A writer begins a later epoch than any that it knows of, as it may have been restored from
-// a backup: its configuration then outranks all that it served before.
+// restore reads the state file. A writer then begins a later epoch than any that it knows, because it may have been restored
+// from a backup: in the new epoch its configuration outranks every version that it served before.
 func (s *Server) restore() error {
 	if s.options.StateFile != "" {
 		if err := s.readState(); err != nil {
-			s.options.Log.Error("state refused, the server begins without", "file", s.options.StateFile, "error", err)
+			s.options.Log.Error("state file rejected, starting without it", "file", s.options.StateFile, "error", err)
 		}
 	}
 	if len(s.options.Follow) > 0 {
@@ -47,7 +47,7 @@
 		return err
 	}
 	if !answer.Complete {
-		return errors.New("it is no whole copy")
+		return errors.New("state is not a complete copy")
 	}
 	for _, service := range answer.Services {
 		if err := Check(service.Settings); err != nil {
@@ -58,7 +58,7 @@
 	return err
 }
 
-// saveChanges writes the state file at intervals if the configuration has changed, and when ctx ends.
+// saveChanges writes the state file at intervals and when ctx ends, each time only if the configuration has changed.
 func (s *Server) saveChanges(ctx context.Context) {
 	if s.options.StateFile == "" {
 		return
@@ -69,7 +69,7 @@
 		err := s.save()
 		if (err != nil) != failing {
 			failing = err != nil
-			s.options.Log.Error("state file", "file", s.options.StateFile, "kept", !failing, "error", err)
+			s.options.Log.Error("writing the state file failed or recovered", "file", s.options.StateFile, "kept", !failing, "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -80,7 +80,7 @@
 	}
 }
 
-// save writes the state file if it is behind.
+// save writes the state file if the configuration has changed since it was last written.
 func (s *Server) save() error {
 	s.mu.Lock()
 	if !s.dirty {
@@ -99,8 +99,8 @@
 	return err
 }
 
-// writeState replaces the state file atomically. It writes service by service, as all of it in memory would be as large as the
-// store.
+// writeState replaces the state file atomically. It writes service by service: the whole file in memory would be as large as
+// the store.
 func writeState(path string, snapshot configapi.Answer) error {
 	pending, err := renameio.NewPendingFile(path, renameio.WithPermissions(0o600))
 	if err != nil {
--- a/internal/configserver/status.go
+++ b/internal/configserver/status.go
@@ -10,6 +10,7 @@
 	"lilacbend/internal/revision"
 )
 
+// counters are the counts of handled queries and sent answers that Status returns.
 type counters struct {
 	requests, copies, changes, throttled, bytesOut, writeErrors atomic.Int64
 }
@@ -21,13 +22,13 @@
 	return s.store.Version()
 }
 
-func (s *Server) names() []string {
+func (s *Server) serviceNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.store.Names()
+	return s.store.ServiceNames()
 }
 
-// Status returns the server's state.
+// Status returns the server's configuration, faults, followers and counters.
 func (s *Server) Status() configapi.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/configserver/writer.go
+++ b/internal/configserver/writer.go
@@ -11,7 +11,7 @@
 	"lilacbend/internal/revision"
 )
 
-// pollFolder scans the folder at intervals and on request, until ctx ends.
+// pollFolder scans the folder at intervals and when Rescan requests it, until ctx ends.
 func (s *Server) pollFolder(ctx context.Context) {
 	ticker := time.NewTicker(s.options.PollInterval)
 	defer ticker.Stop()
@@ -27,7 +27,7 @@
 	}
 }
 
-// scan stores the changes of the folder. If all is true, it reads files that seem unchanged, too.
+// scan reads the folder and publishes its changes. If all is true, it also reads files that seem unchanged.
 func (s *Server) scan(all bool) {
 	if !s.isWriter() {
 		return
@@ -39,7 +39,7 @@
 		s.recordFault(s.options.Folder, err)
 		return
 	}
-	if len(present) == 0 && len(s.store.Names()) > 0 { // most likely the folder is not mounted
+	if len(present) == 0 && len(s.store.ServiceNames()) > 0 { // most likely its file system is not mounted
 		s.recordFault(s.options.Folder, errFolderEmpty)
 		return
 	}
@@ -58,7 +58,7 @@
 func (s *Server) putFiles(files []settingsFile) []string {
 	var changed []string
 	for _, file := range files {
-		if errors.Is(file.err, errFileChanging) { // it is read again at the next scan
+		if errors.Is(file.err, errFileChanging) { // the next scan reads it again
 			continue
 		}
 		isChanged, err := s.putFile(file)
@@ -82,33 +82,33 @@
 	return s.store.Put(file.service, file.settings, s.now())
 }
 
-// removeAbsent removes the services that had no file in two scans in a row, as some programs replace a file by removing it
-// first. It returns the services that were removed.
+// removeAbsent removes the services that had no file in two consecutive scans; a single one is not enough because some
+// programs replace a file by removing it first. It returns the services that were removed.
 func (s *Server) removeAbsent(present map[string]bool) []string {
 	var removed []string
 	absentBefore := s.absent
 	s.absent = map[string]bool{}
-	for _, name := range s.store.Names() {
+	for _, name := range s.store.ServiceNames() {
 		if present[name] {
 			continue
 		}
 		s.absent[name] = true
 		if absentBefore[name] && s.store.Remove(name) {
-			s.options.Log.Warn("service removed, its governors keep what they have", "service", name, "version", s.store.Version().String())
+			s.options.Log.Warn("service removed, its controllers keep their settings", "service", name, "version", s.store.Version().String())
 			removed = append(removed, name)
 		}
 	}
 	return removed
 }
 
-// recordFault records the fault of a file, and logs it if it is a new one.
+// recordFault records the fault of a file or of the folder, and logs it unless it is recorded already.
 func (s *Server) recordFault(name string, err error) {
 	reason := err.Error()
 	if s.faults[name] == reason {
 		return
 	}
 	s.faults[name] = reason
-	s.options.Log.Error("file refused, the last good one stays", "file", name, "error", reason)
+	s.options.Log.Error("settings file or folder rejected, last valid settings stay", "file", name, "error", reason)
 }
 
 func (s *Server) clearFault(name string) {
@@ -116,11 +116,11 @@
 		return
 	}
 	delete(s.faults, name)
-	s.options.Log.Info("file can be used again", "file", name)
+	s.options.Log.Info("settings file or folder is valid again", "file", name)
 }
 
-// observe handles the version that is active at a follower. A writer that has lost its state begins a later epoch than the
-// follower's.
+// observe records the version that is active at a follower. A writer that has lost its state begins a later epoch than the
+// follower's. The caller holds mu.
 func (s *Server) observe(active revision.Version) {
 	conflict := s.store.Observe(active)
 	if !s.isWriter() {
@@ -141,16 +141,16 @@
 		s.recordFault(s.options.Folder, err)
 		return
 	}
-	s.options.Log.Warn("a follower has a later epoch in force, this one is begun after it",
+	s.options.Log.Warn("a later epoch was active at a follower, began the epoch after it",
 		"follower", active.String(), "version", s.store.Version().String())
-	s.publish(s.store.Names())
+	s.publish(s.store.ServiceNames())
 }
 
 func (s *Server) reportAnotherWriter(active revision.Version) {
-	if s.anotherWriter {
+	if s.anotherWriterLogged {
 		return
 	}
-	s.anotherWriter = true
-	s.options.Log.Error("a follower has a later epoch in force: another writer is about, and this one is not followed",
+	s.anotherWriterLogged = true
+	s.options.Log.Error("a later epoch is active at a follower: there is another writer, which is followed instead of this one",
 		"follower", active.String(), "version", s.store.Version().String())
 }
--- a/internal/configstore/answer.go
+++ b/internal/configstore/answer.go
@@ -5,14 +5,14 @@
 	"lilacbend/internal/revision"
 )
 
-// Result classifies the answer to a query.
+// Result classifies an answer to a query by what it has for the follower.
 type Result int
 
 // Results of a query.
 const (
-	Unchanged      Result = iota // no newer version than the follower's: it may wait
+	Unchanged      Result = iota // no newer version than the follower's, which may wait for one
 	Changed                      // a newer version
-	UnknownService               // no such service
+	UnknownService               // the server has no such service
 )
 
 // Answer returns the answer to a query as of now.
@@ -43,7 +43,7 @@
 		return answer, Unchanged
 	}
 	answer.Complete = query.Since.Epoch != s.version.Epoch || query.Since.Revision < s.compacted
-	for _, name := range s.Names() {
+	for _, name := range s.ServiceNames() {
 		stored := s.services[name]
 		if answer.Complete || stored.Revision > query.Since.Revision {
 			answer.Services = append(answer.Services, stored.Service)
@@ -68,32 +68,32 @@
 	return answer
 }
 
-// Services returns the versions of all services and when they were received.
+// Services returns the current and earlier versions of all services, and how long ago the server received each of them.
 func (s *Store) Services(now int64) []configapi.ServiceStatus {
 	services := make([]configapi.ServiceStatus, 0, len(s.services))
-	for _, name := range s.Names() {
+	for _, name := range s.ServiceNames() {
 		stored := s.services[name]
 		status := configapi.ServiceStatus{Name: name, Version: stored.Version, Bytes: len(stored.Settings)}
-		for _, p := range stored.history {
-			status.History = append(status.History, configapi.Published{Version: p.version, AgoMS: milliseconds(now - p.at)})
+		for _, entry := range stored.history {
+			status.History = append(status.History, configapi.Published{Version: entry.version, AgoMS: milliseconds(now - entry.at)})
 		}
 		services = append(services, status)
 	}
 	return services
 }
 
-// EpochConflict classifies a later epoch at a follower.
+// EpochConflict classifies what a follower's epoch means to a writer.
 type EpochConflict int
 
-// What a later epoch at a follower means to a writer.
+// Epoch conflicts. EpochLost and AnotherWriter are caused by a follower whose epoch is later than the writer's.
 const (
 	NoConflict    EpochConflict = iota
-	EpochLost                   // no follower uses this epoch: the writer has lost its state and begins a later epoch
-	AnotherWriter               // followers use this epoch: there is a second writer
+	EpochLost                   // no follower uses the writer's epoch: the writer has lost its state and begins a later one
+	AnotherWriter               // followers use the writer's epoch: there is a second writer
 )
 
-// Observe records the version that is active at a follower, and reports whether its epoch is later than the store's. Only a
-// writer must act on that; a server that follows receives the later epoch from its writer.
+// Observe records the version that is active at a follower, and returns the conflict if its epoch is later than the store's.
+// Only a writer must act on a conflict; any other server receives the later epoch from its writer.
 func (s *Store) Observe(version revision.Version) EpochConflict {
 	switch {
 	case version.Epoch == s.version.Epoch && !version.IsZero():
--- a/internal/configstore/copylimiter_test.go
+++ b/internal/configstore/copylimiter_test.go
@@ -7,89 +7,89 @@
 )
 
 func TestCopyLimiterRejectsBeyondSlots(t *testing.T) {
-	c := NewCopyLimiter(2)
+	limiter := NewCopyLimiter(2)
 	for k, want := range []bool{true, true, false, false} {
-		ok, retryAfter := c.Acquire(1, 0)
+		ok, retryAfter := limiter.Acquire(1, 0)
 		if ok != want || !ok && (retryAfter < minRetryAfter || retryAfter > maxRetryAfter) {
-			t.Errorf("%d: %v, %d", k, ok, retryAfter)
+			t.Errorf("copy %d: acquired %v, retry after %d ns", k, ok, retryAfter)
 		}
 	}
-	c.Release(1, initialCopyDuration)
-	if ok, _ := c.Acquire(1, 0); !ok || c.Used() != 2 {
-		t.Error("a free slot is not given")
+	limiter.Release(1, initialCopyDuration)
+	if ok, _ := limiter.Acquire(1, 0); !ok || limiter.Used() != 2 {
+		t.Error("a released slot cannot be acquired")
 	}
 }
 
-// A large copy takes slots by its size; one that needs more than there are is sent alone.
+// A large copy takes slots by its size. One that needs more slots than there are is sent alone.
 func TestLargeCopiesTakeMoreSlots(t *testing.T) {
 	for bytes, want := range map[int]int{0: 1, 1: 1, MaxSettingsSize: 1, MaxSettingsSize + 1: 2, 10 * MaxSettingsSize: 10} {
 		if got := Slots(bytes); got != want {
 			t.Errorf("%d bytes take %d slots, want %d", bytes, got, want)
 		}
 	}
-	c := NewCopyLimiter(4)
+	limiter := NewCopyLimiter(4)
 	for k, step := range []struct {
 		slots int
 		ok    bool
 	}{{3, true}, {2, false}, {1, true}, {1, false}} {
-		if ok, _ := c.Acquire(step.slots, 0); ok != step.ok {
-			t.Errorf("%d: %v", k, ok)
+		if ok, _ := limiter.Acquire(step.slots, 0); ok != step.ok {
+			t.Errorf("step %d: acquired %v", k, ok)
 		}
 	}
-	c.Release(3, 1)
-	c.Release(1, 1)
-	if ok, _ := c.Acquire(9, 0); !ok {
-		t.Error("a copy that is larger than all slots never goes")
+	limiter.Release(3, 1)
+	limiter.Release(1, 1)
+	if ok, _ := limiter.Acquire(9, 0); !ok {
+		t.Error("a copy that needs more slots than there are is rejected while no other is sent")
 	}
-	if ok, _ := c.Acquire(1, 0); ok {
-		t.Error("another one goes beside it")
+	if ok, _ := limiter.Acquire(1, 0); ok {
+		t.Error("a second copy is sent at the same time as one that needs all slots")
 	}
 }
 
-// arrivals is a heap of times at which followers poll.
-type arrivals []int64
+// timeHeap is a heap of times: those at which followers poll, or at which copies end.
+type timeHeap []int64
 
-func (a arrivals) Len() int           { return len(a) }
-func (a arrivals) Less(i, j int) bool { return a[i] < a[j] }
-func (a arrivals) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *arrivals) Push(x any)        { *a = append(*a, x.(int64)) }
-func (a *arrivals) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (h timeHeap) Len() int           { return len(h) }
+func (h timeHeap) Less(i, j int) bool { return h[i] < h[j] }
+func (h timeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *timeHeap) Push(x any)        { *h = append(*h, x.(int64)) }
+func (h *timeHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// Many followers that poll at once are served at the rate of copies, with few retries, and never more at once than there are
-// slots.
+// Many followers that poll at the same time are served at the rate at which copies can be sent, with few retries, and never
+// more of them at once than there are slots.
 func TestCopyLimiterSpreadsManyFollowers(t *testing.T) {
 	for _, seed := range []int64{1, 2, 3} {
-		draw := rand.New(rand.NewSource(seed))
-		const followers, most, span = 1200, 16, int64(20 * 1e6)
-		c, waiting, ends := NewCopyLimiter(most), &arrivals{}, &arrivals{}
+		random := rand.New(rand.NewSource(seed))
+		const followers, slots, copyDuration = 1200, 16, int64(20 * 1e6)
+		limiter, waiting, copyEnds := NewCopyLimiter(slots), &timeHeap{}, &timeHeap{}
 		for range followers {
-			heap.Push(waiting, draw.Int63n(1e8))
+			heap.Push(waiting, random.Int63n(1e8))
 		}
-		served, tries, last := 0, 0, int64(0)
+		served, attempts, lastServed := 0, 0, int64(0)
 		for waiting.Len() > 0 {
 			now := heap.Pop(waiting).(int64)
-			for ends.Len() > 0 && (*ends)[0] <= now {
-				heap.Pop(ends)
-				c.Release(1, span)
+			for copyEnds.Len() > 0 && (*copyEnds)[0] <= now {
+				heap.Pop(copyEnds)
+				limiter.Release(1, copyDuration)
 			}
-			tries++
-			ok, retryAfter := c.Acquire(1, now)
+			attempts++
+			ok, retryAfter := limiter.Acquire(1, now)
 			if !ok {
-				heap.Push(waiting, now+retryAfter+draw.Int63n(retryAfter/4))
+				heap.Push(waiting, now+retryAfter+random.Int63n(retryAfter/4))
 				continue
 			}
-			if served, last = served+1, now; c.Used() > most {
-				t.Fatalf("%d at once", c.Used())
+			if served, lastServed = served+1, now; limiter.Used() > slots {
+				t.Fatalf("%d copies at once, want at most %d", limiter.Used(), slots)
 			}
-			heap.Push(ends, now+span)
+			heap.Push(copyEnds, now+copyDuration)
 		}
-		ideal := int64(followers) * span / most
-		if served != followers || last > 3*ideal+maxRetryAfter || tries > 4*followers {
-			t.Errorf("seed %d: %d served with %d tries, the last after %d ms, %d at full pace", seed, served, tries, last/1e6, ideal/1e6)
+		shortest := int64(followers) * copyDuration / slots
+		if served != followers || lastServed > 3*shortest+maxRetryAfter || attempts > 4*followers {
+			t.Errorf("seed %d: %d followers served with %d attempts, the last one after %d ms; with all slots in use it takes %d ms", seed, served, attempts, lastServed/1e6, shortest/1e6)
 		}
 	}
 }
--- a/internal/configstore/merge.go
+++ b/internal/configstore/merge.go
@@ -6,16 +6,16 @@
 	"lilacbend/internal/configapi"
 )
 
-// Merge stores another server's answer, all of it or nothing, and returns the services that changed. An answer of the stored
-// version changes nothing.
+// Merge stores another server's answer, or nothing of it if it returns an error, and returns the names of the services that
+// changed. An answer with the stored version changes nothing.
 func (s *Store) Merge(answer configapi.Answer, now int64) (changed []string, err error) {
 	switch {
 	case s.version.Newer(answer.Version):
-		return nil, fmt.Errorf("version %s is older than %s, which is held", answer.Version, s.version)
+		return nil, fmt.Errorf("answer of version %s is older than stored version %s", answer.Version, s.version)
 	case answer.Version == s.version:
 		return nil, nil
 	case !answer.Complete && answer.Epoch != s.version.Epoch:
-		return nil, fmt.Errorf("changes of epoch %d where epoch %d is held", answer.Epoch, s.version.Epoch)
+		return nil, fmt.Errorf("changes of epoch %d do not apply to a configuration of epoch %d", answer.Epoch, s.version.Epoch)
 	}
 	if err := s.checkMerge(answer); err != nil {
 		return nil, err
@@ -32,7 +32,7 @@
 	return changed, nil
 }
 
-// checkMerge returns an error if the store would exceed its limits after merging an answer.
+// checkMerge returns an error if an answer has an invalid name, or if the store would exceed its limits after the merge.
 func (s *Store) checkMerge(answer configapi.Answer) error {
 	sizes := map[string]int{}
 	if !answer.Complete {
@@ -55,19 +55,19 @@
 		total += size
 	}
 	if total > MaxTotalSize || len(sizes) > MaxServices {
-		return fmt.Errorf("%d services of %d bytes in all, at most %d of %d may be", len(sizes), total, MaxServices, MaxTotalSize)
+		return fmt.Errorf("merged configuration has %d services with %d bytes in total, limits are %d services and %d bytes", len(sizes), total, MaxServices, MaxTotalSize)
 	}
 	return nil
 }
 
-// replaceAll makes the services of a complete copy the configuration.
+// replaceAll replaces the configuration by a complete copy, and returns the names of the services that changed.
 func (s *Store) replaceAll(answer configapi.Answer, now int64) []string {
 	var changed []string
 	listed := map[string]bool{}
 	for _, update := range answer.Services {
 		listed[update.Name] = !update.Removed
 	}
-	for _, name := range s.Names() {
+	for _, name := range s.ServiceNames() {
 		if !listed[name] {
 			s.remove(name, answer.Revision)
 			changed = append(changed, name)
@@ -88,7 +88,7 @@
 	return changed
 }
 
-// applyChanges stores the services that changed since the stored version.
+// applyChanges stores an answer with the changes since the stored version, and returns the names of the changed services.
 func (s *Store) applyChanges(answer configapi.Answer, now int64) []string {
 	var changed []string
 	for _, update := range answer.Services {
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -1,6 +1,7 @@
-// Package configstore holds the configuration of all services on one server: the version of each, the answer to a follower's
-// query, the active versions of followers, and how many complete copies may be sent at once. It has no I/O, no clock and no
-// goroutine; times are nanoseconds of any one clock. Callers serialize access.
+// Package configstore holds the configuration of all services on one server. It assigns the version of each service, answers
+// the queries of followers, records the versions that are active at them, and limits how many complete copies are sent at
+// once. It has no I/O, no clock and no goroutine; times are nanoseconds of the caller's clock, whose zero is arbitrary.
+// Callers serialize access.
 package configstore
 
 import (
@@ -16,19 +17,20 @@
 )
 
 const (
-	// MaxServices is how many services one installation may have.
+	// MaxServices is the largest number of services of one installation.
 	MaxServices = 1 << 14
-	// MaxSettingsSize is the largest settings of one service, in bytes.
+	// MaxSettingsSize is the largest size of one service's settings, in bytes.
 	MaxSettingsSize = 1 << 20
-	// MaxTotalSize limits the settings of all services together, in bytes: a server keeps them in memory.
+	// MaxTotalSize limits the size of all services' settings together, in bytes: a server keeps them in memory.
 	MaxTotalSize = 64 << 20
-	// maxRemoved is how many removed services are recorded. A follower that is further behind receives a complete copy.
+	// maxRemoved is how many removed services are recorded. A follower that lacks an earlier removal receives a complete
+	// copy.
 	maxRemoved = 1 << 12
-	// maxHistory is how many versions of a service are recorded with their times, which show for how long a follower lags.
+	// maxHistory is how many versions of a service are recorded with their times, which show how long a follower has lagged.
 	maxHistory = 32
 )
 
-// Check returns what is wrong with the settings of a service.
+// Check returns an error if the settings of a service are invalid.
 type Check func(settings []byte) error
 
 // Store is the configuration of all services.
@@ -36,11 +38,11 @@
 	check      Check
 	version    revision.Version // of the whole configuration
 	services   map[string]*service
-	removed    map[string]uint64 // revisions with which services were removed
+	removed    map[string]uint64 // the revision of each recorded removal, by service
 	compacted  uint64            // removals up to this revision are no longer in removed
-	bytes      int               // of all settings
-	writerSeen int64             // when the writer is known to have been running
-	followed   bool              // this epoch is active at a follower
+	bytes      int               // size of all settings
+	writerSeen int64             // the latest time at which the writer is known to have been running
+	followed   bool              // the current epoch is active at a follower
 }
 
 // service is the stored state of one service.
@@ -49,15 +51,17 @@
 	history []published // oldest first
 }
 
+// published is a version and when it was stored.
 type published struct {
 	version revision.Version
 	at      int64
 }
 
-// writerNeverSeen is how long ago the writer is taken to have been running before anything is known of it, in nanoseconds.
+// writerNeverSeen is the time since the writer was running, in nanoseconds, that is assumed of a new store until WriterSeen
+// is called.
 const writerNeverSeen = int64(24 * 3600 * 1e9)
 
-// New returns an empty store. Settings must pass check.
+// New returns an empty store, which accepts only settings for which check returns no error.
 func New(check Check) *Store {
 	return &Store{check: check, writerSeen: -writerNeverSeen, services: map[string]*service{}, removed: map[string]uint64{}}
 }
@@ -65,11 +69,11 @@
 // Version returns the version of the whole configuration.
 func (s *Store) Version() revision.Version { return s.version }
 
-// Names returns the services, sorted.
-func (s *Store) Names() []string { return slices.Sorted(maps.Keys(s.services)) }
+// ServiceNames returns the names of all services, sorted.
+func (s *Store) ServiceNames() []string { return slices.Sorted(maps.Keys(s.services)) }
 
-// BeginEpoch starts an epoch, which must be later than the current one. Revisions continue, and all services get the new
-// epoch.
+// BeginEpoch starts an epoch, which must be later than the current one. Revisions continue from the current one, and all
+// services get the new epoch.
 func (s *Store) BeginEpoch(epoch uint64, now int64) error {
 	if epoch <= s.version.Epoch || epoch > revision.Max {
 		return fmt.Errorf("epoch %d does not follow epoch %d", epoch, s.version.Epoch)
@@ -85,8 +89,8 @@
 	return nil
 }
 
-// Put stores the settings of a service. They get a revision only if they are valid and differ from the stored ones; otherwise
-// the store does not change.
+// Put stores the settings of a service under a new revision if they are valid and differ from the stored ones. Otherwise the
+// store does not change.
 func (s *Store) Put(name string, settings []byte, now int64) (changed bool, err error) {
 	if err := CheckName(name); err != nil {
 		return false, err
@@ -113,7 +117,7 @@
 	return true, nil
 }
 
-// checkCapacity returns an error if settings of a size do not fit in place of the stored ones.
+// checkCapacity returns an error if the store would exceed its limits with settings of a size in place of the stored ones.
 func (s *Store) checkCapacity(stored *service, size int) error {
 	total := s.bytes + size
 	if stored != nil {
@@ -128,7 +132,7 @@
 	return nil
 }
 
-// Remove removes a service. Controllers that have its settings keep them.
+// Remove removes a service under a new revision. Controllers that have its settings keep them.
 func (s *Store) Remove(name string) (changed bool) {
 	if s.services[name] == nil {
 		return false
@@ -138,6 +142,7 @@
 	return true
 }
 
+// set stores the settings and the version of a service.
 func (s *Store) set(update configapi.Service, now int64) {
 	stored := s.services[update.Name]
 	if stored == nil {
@@ -150,7 +155,7 @@
 	stored.publish(now)
 }
 
-// remove removes a service at a revision, and drops the oldest recorded removal beyond maxRemoved.
+// remove removes a service at a revision, and drops the oldest recorded removal if there are more than maxRemoved.
 func (s *Store) remove(name string, removedAt uint64) {
 	if stored := s.services[name]; stored != nil {
 		s.bytes -= len(stored.Settings)
@@ -170,19 +175,19 @@
 	delete(s.removed, oldest)
 }
 
-// publish records the current version in the history.
+// publish records the current version in the history, without the oldest entries beyond maxHistory.
 func (s *service) publish(now int64) {
 	s.history = append(s.history, published{version: s.Version, at: now})
 	s.history = s.history[max(0, len(s.history)-maxHistory):]
 }
 
-// WriterSeen records that the writer was running so long ago.
+// WriterSeen records that the writer was running age nanoseconds before now.
 func (s *Store) WriterSeen(age, now int64) { s.writerSeen = max(s.writerSeen, now-max(0, age)) }
 
-// WriterAge returns how long ago the writer is known to have been running.
+// WriterAge returns how many nanoseconds before now the writer was last known to be running.
 func (s *Store) WriterAge(now int64) int64 { return max(0, now-s.writerSeen) }
 
-// CheckName returns what is wrong with the name of a service, which is also the name of a file.
+// CheckName returns an error if name is no valid name of a service. The name is also part of the name of the settings file.
 func CheckName(name string) error {
 	switch {
 	case name == "" || strings.HasPrefix(name, "."):
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -14,8 +14,8 @@
 	"lilacbend/internal/revision"
 )
 
-// object accepts a JSON object without the key "bad".
-func object(settings []byte) error {
+// checkObject accepts a JSON object without the key "bad".
+func checkObject(settings []byte) error {
 	var o map[string]any
 	if err := json.Unmarshal(settings, &o); err != nil {
 		return err
@@ -26,8 +26,9 @@
 	return nil
 }
 
-func writer(t testing.TB, epoch uint64) *Store {
-	s := New(object)
+// newWriter returns a writer's store that has begun an epoch.
+func newWriter(t testing.TB, epoch uint64) *Store {
+	s := New(checkObject)
 	if err := s.BeginEpoch(epoch, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -41,21 +42,22 @@
 	}
 }
 
-func version(epoch, number uint64) revision.Version {
-	return revision.Version{Epoch: epoch, Revision: number}
+func version(epoch, revisionNumber uint64) revision.Version {
+	return revision.Version{Epoch: epoch, Revision: revisionNumber}
 }
 
-// Only valid settings that differ get a revision; rejected ones leave the last valid ones in place.
+// Only valid settings that differ from the stored ones get a new revision. Invalid settings leave the last valid ones in
+// place.
 func TestPutGivesRevisionToValidChange(t *testing.T) {
-	s := writer(t, 5)
+	s := newWriter(t, 5)
 	for k, step := range []struct {
 		name, settings string
 		changed        bool
-		says           string
+		wantError      string
 		revision       uint64
 	}{
 		{"orders", `{"a": 1}`, true, "", 1},
-		{"orders", `{"a":1}`, false, "", 1}, // the same, written otherwise
+		{"orders", `{"a":1}`, false, "", 1}, // the same settings with other white space
 		{"orders", `{"a": 1, "bad": 2}`, false, "setting bad is bad", 1},
 		{"orders", `{"a": 1`, false, "unexpected end", 1},
 		{"orders", ``, false, "unexpected end", 1},
@@ -68,22 +70,22 @@
 		{"large", `{"x":"` + strings.Repeat("x", MaxSettingsSize) + `"}`, false, "at most 1048576", 3},
 	} {
 		changed, err := s.Put(step.name, []byte(step.settings), 0)
-		if changed != step.changed || (err != nil) != (step.says != "") || err != nil && !strings.Contains(err.Error(), step.says) || s.Version() != version(5, step.revision) {
+		if changed != step.changed || (err != nil) != (step.wantError != "") || err != nil && !strings.Contains(err.Error(), step.wantError) || s.Version() != version(5, step.revision) {
 			t.Errorf("step %d: changed %v, %v, %s", k, changed, err, s.Version())
 		}
 	}
 	a, result := s.Answer(configapi.Query{Service: "orders"}, 0)
 	if result != Changed || string(a.Services[0].Settings) != `{"a":2}` || a.Version != version(5, 3) || !a.Complete {
-		t.Errorf("%+v %v", a.Services, result)
+		t.Errorf("answer with services %+v, result %v, want the settings of 5.3", a.Services, result)
 	}
 	if !s.Remove("orders") || s.Remove("orders") || s.Version() != version(5, 4) {
-		t.Errorf("removed: %s", s.Version())
+		t.Errorf("version %s after the removal, want 5.4 and one removal", s.Version())
 	}
 }
 
-// The answer depends on the version that is active at the follower: unchanged, a change, or a complete copy.
+// The version that is active at a follower decides whether its answer has no change, the changes, or a complete copy.
 func TestAnswerByQuery(t *testing.T) {
-	s := writer(t, 5)
+	s := newWriter(t, 5)
 	put(t, s, "orders", `{"a":1}`)  // 5.1
 	put(t, s, "payouts", `{"b":1}`) // 5.2
 	put(t, s, "stock", `{"c":1}`)   // 5.3
@@ -101,7 +103,7 @@
 		{configapi.Query{Service: "orders", Since: version(5, 5)}, Unchanged, false, "", version(5, 5)},
 		{configapi.Query{Service: "orders", Since: version(5, 1), Rejected: version(5, 5)}, Unchanged, false, "", version(5, 5)},
 		{configapi.Query{Service: "orders", Since: version(4, 900)}, Changed, true, "orders", version(5, 5)},
-		{configapi.Query{Service: "orders", Since: version(6, 1)}, Unchanged, false, "", version(5, 5)}, // a follower that is ahead gets nothing older
+		{configapi.Query{Service: "orders", Since: version(6, 1)}, Unchanged, false, "", version(5, 5)}, // a follower of a later epoch receives nothing older
 		{configapi.Query{Service: "payouts"}, UnknownService, false, "", version(0, 0)},
 		{configapi.Query{Service: "stock", Since: version(5, 3)}, Unchanged, false, "", version(5, 3)}, // other services' changes do not matter
 		{configapi.Query{}, Changed, true, "orders,stock", version(5, 5)},
@@ -119,17 +121,18 @@
 			names = append(names, service.Name)
 		}
 		if result != c.result || a.Complete != c.complete || strings.Join(names, ",") != c.services || a.Version != c.version {
-			t.Errorf("%+v: %v, complete %v, %v, %s", c.query, result, a.Complete, names, a.Version)
+			t.Errorf("query %+v: result %v, complete %v, services %v, version %s", c.query, result, a.Complete, names, a.Version)
 		}
 		if err := a.Check(c.query); result != UnknownService && err != nil {
-			t.Errorf("%+v: %v", c.query, err)
+			t.Errorf("answer to query %+v is invalid: %v", c.query, err)
 		}
 	}
 }
 
-// A restored server begins a later epoch, whose lower revisions outrank the higher ones of the epoch before.
+// A writer that was restored from a backup begins a later epoch, whose lower revisions outrank higher ones of earlier
+// epochs.
 func TestRestoredServerOutranksEarlierEpoch(t *testing.T) {
-	s := writer(t, 5)
+	s := newWriter(t, 5)
 	put(t, s, "orders", `{"a":1}`)
 	backup := s.Snapshot()
 	for k := range 9 {
@@ -137,90 +140,91 @@
 	}
 	ahead := configapi.Query{Service: "orders", Since: s.Version()}
 
-	restored := New(object)
+	restored := New(checkObject)
 	if _, err := restored.Merge(backup, 0); err != nil {
 		t.Fatal(err)
 	}
 	if _, result := restored.Answer(ahead, 0); result != Unchanged {
-		t.Errorf("a backup of the same epoch serves an older revision: %v", result)
+		t.Errorf("a backup in the same epoch serves an older revision: result %v", result)
 	}
 	if err := restored.BeginEpoch(5, 0); err == nil {
-		t.Error("the same epoch began twice")
+		t.Error("the current epoch can begin again")
 	}
 	if err := restored.BeginEpoch(6, 0); err != nil {
 		t.Fatal(err)
 	}
 	a, result := restored.Answer(ahead, 0)
 	if result != Changed || !a.Complete || a.Version != version(6, 1) || string(a.Services[0].Settings) != `{"a":1}` {
-		t.Errorf("%v %s %v", result, a.Version, a.Complete)
+		t.Errorf("result %v, version %s, complete %v after the later epoch began", result, a.Version, a.Complete)
 	}
 	if a, result = s.Answer(configapi.Query{Service: "orders", Since: version(6, 1)}, 0); result != Unchanged {
-		t.Errorf("the server of the epoch before goes on to serve %s", a.Version)
+		t.Errorf("a server of the earlier epoch serves version %s to a follower of the later one", a.Version)
 	}
 }
 
-// A writer without followers that sees a later epoch has lost its state; one with followers sees another writer.
+// A later epoch at a follower means that a writer without followers has lost its state, and that a writer with followers is
+// not the only one.
 func TestObserveLaterEpoch(t *testing.T) {
-	s := writer(t, 5)
+	s := newWriter(t, 5)
 	if got := s.Observe(version(5, 0)); got != NoConflict {
-		t.Errorf("own epoch: %v", got)
+		t.Errorf("version of the own epoch: conflict %v", got)
 	}
 	if got := s.Observe(version(6, 1)); got != AnotherWriter {
-		t.Errorf("a later epoch, followed: %v", got)
+		t.Errorf("later epoch at a writer with followers: conflict %v", got)
 	}
-	s = writer(t, 5)
+	s = newWriter(t, 5)
 	for _, v := range []revision.Version{{}, version(4, 9)} {
 		if got := s.Observe(v); got != NoConflict {
-			t.Errorf("%s: %v", v, got)
+			t.Errorf("version %s, which is not of a later epoch: conflict %v", v, got)
 		}
 	}
 	if got := s.Observe(version(6, 1)); got != EpochLost {
-		t.Errorf("a later epoch, not followed: %v", got)
+		t.Errorf("later epoch at a writer without followers: conflict %v", got)
 	}
 	if err := s.BeginEpoch(revision.Max+1, 0); err == nil {
-		t.Error("an epoch out of range began")
+		t.Error("an epoch beyond revision.Max can begin")
 	}
 }
 
 func TestMergeRejectsInvalidAnswers(t *testing.T) {
-	s := writer(t, 5)
+	s := newWriter(t, 5)
 	put(t, s, "orders", `{"a":1}`)
 	put(t, s, "orders", `{"a":2}`)
 	before, _ := json.Marshal(s.Snapshot())
 	update := func(name string, size int) configapi.Service {
 		return configapi.Service{Name: name, Version: version(5, 3), Settings: json.RawMessage(strings.Repeat(" ", size))}
 	}
-	for says, a := range map[string]configapi.Answer{
+	for wantError, a := range map[string]configapi.Answer{
 		"is older than":        {Version: version(5, 1), Complete: true},
 		"4.900 is older than":  {Version: version(4, 900), Complete: true},
 		"changes of epoch 6":   {Version: version(6, 1)},
 		"no name of a service": {Version: version(5, 3), Services: []configapi.Service{update("a/b", 1)}},
-		"bytes in all":         {Version: version(5, 3), Services: []configapi.Service{update("x", MaxTotalSize)}},
+		"bytes in total":       {Version: version(5, 3), Services: []configapi.Service{update("x", MaxTotalSize)}},
 	} {
-		if _, err := s.Merge(a, 0); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%s: %v", says, err)
+		if _, err := s.Merge(a, 0); err == nil || !strings.Contains(err.Error(), wantError) {
+			t.Errorf("error %v, want %q", err, wantError)
 		}
 		if after, _ := json.Marshal(s.Snapshot()); string(after) != string(before) {
-			t.Errorf("%s: it changed something", says)
+			t.Errorf("an answer rejected with %q changed the store", wantError)
 		}
 	}
 	if changed, err := s.Merge(configapi.Answer{Version: version(5, 2)}, 0); err != nil || changed != nil {
-		t.Errorf("nothing new: %v %v", changed, err)
+		t.Errorf("answer of the stored version: changed %v, error %v", changed, err)
 	}
 }
 
-// Followers that merge answers, skipping any number of revisions, have at each version exactly the services that the writer
-// had, through removals, epochs and compacted removals.
+// Followers that merge answers, and skip any number of revisions, have at each version exactly the services that the writer
+// had at it, also after removals, new epochs and compacted removals.
 func TestFollowersConvergeToWriter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, followers := New(object), []*Store{New(object), New(object), New(object)}
+		s, followers := New(checkObject), []*Store{New(checkObject), New(checkObject), New(checkObject)}
 		if err := s.BeginEpoch(1, 0); err != nil {
 			t.Fatal(err)
 		}
 		names := []string{"a", "b", "c", "d", "e"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := rapid.SampledFrom(names).Draw(t, "name")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
 				s.Remove(name)
 			case 1:
@@ -237,7 +241,7 @@
 			default:
 				k := rapid.IntRange(0, len(followers)-1).Draw(t, "follower")
 				from := s
-				if k > 0 && rapid.Bool().Draw(t, "of another follower") {
+				if k > 0 && rapid.Bool().Draw(t, "from another follower") {
 					from = followers[0]
 				}
 				f := followers[k]
@@ -247,23 +251,24 @@
 					t.Fatal(err)
 				}
 				if before.Newer(f.Version()) {
-					t.Fatalf("went back from %s to %s", before, f.Version())
+					t.Fatalf("follower went back from version %s to %s", before, f.Version())
 				}
 				if from.Version() == f.Version() {
 					want, _ := json.Marshal(from.Snapshot().Services)
 					if got, _ := json.Marshal(f.Snapshot().Services); string(got) != string(want) {
-						t.Fatalf("at %s: has %s, want %s", f.Version(), got, want)
+						t.Fatalf("follower at version %s has %s, want %s", f.Version(), got, want)
 					}
 				} else if result == Changed {
-					t.Fatalf("was told of %s and is at %s", from.Version(), f.Version())
+					t.Fatalf("follower was answered with version %s and is at %s", from.Version(), f.Version())
 				}
 			}
 		}
 	})
 }
 
+// A follower that lacks a removal that is no longer recorded receives a complete copy.
 func TestCompactedRemovalsNeedCompleteCopy(t *testing.T) {
-	s := writer(t, 1)
+	s := newWriter(t, 1)
 	put(t, s, "kept", `{}`)
 	since := s.Version()
 	for k := range maxRemoved + 1 {
@@ -272,9 +277,9 @@
 		s.Remove(name)
 	}
 	if a, _ := s.Answer(configapi.Query{Since: since}, 0); !a.Complete || len(a.Services) != 1 || len(s.removed) != maxRemoved {
-		t.Errorf("complete %v, %d services, %d removals kept", a.Complete, len(a.Services), len(s.removed))
+		t.Errorf("complete %v, %d services, %d removals recorded", a.Complete, len(a.Services), len(s.removed))
 	}
-	if !slices.Equal(s.Names(), []string{"kept"}) {
-		t.Errorf("%v", s.Names())
+	if !slices.Equal(s.ServiceNames(), []string{"kept"}) {
+		t.Errorf("services %v, want only kept", s.ServiceNames())
 	}
 }
--- a/internal/configstore/summary.go
+++ b/internal/configstore/summary.go
@@ -11,10 +11,10 @@
 
 // Summary is the combined state of the servers of an installation.
 type Summary struct {
-	Version  revision.Version  `json:"version"` // the newest of all servers
+	Version  revision.Version  `json:"version"` // the newest version of all servers
 	Servers  []ServerSummary   `json:"servers"`
 	Services []ServiceSummary  `json:"services"`
-	Lagging  []LaggingWatcher  `json:"lagging"` // the one that lags for longest first
+	Lagging  []LaggingWatcher  `json:"lagging"` // longest lag first
 	Faults   []configapi.Fault `json:"faults"`
 }
 
@@ -27,7 +27,7 @@
 	AgeMS   int64            `json:"age_ms"`
 }
 
-// ServiceSummary is the newest version of a service, and the active versions by zone.
+// ServiceSummary is the newest version of a service, and the versions that are active in each zone.
 type ServiceSummary struct {
 	Service string           `json:"service"`
 	Version revision.Version `json:"version"`
@@ -48,15 +48,15 @@
 	Controllers int              `json:"governors"`
 }
 
-// LaggingWatcher is a controller at which the newest version of its service is not active.
+// LaggingWatcher is a controller whose active version is older than the newest version of its service.
 type LaggingWatcher struct {
 	configapi.Watcher
 	Newest revision.Version `json:"wants"`
-	ForMS  int64            `json:"for_ms"` // since a newer version than its active one was published
+	ForMS  int64            `json:"for_ms"` // time since a newer version than the active one was published
 }
 
-// Summarize combines the states of several servers. A controller that has changed its server is known to both; the one that
-// it polled last counts.
+// Summarize combines the states of several servers. If several servers have a controller, because it has changed its server,
+// the state at the server that it polled last is used.
 func Summarize(statuses []configapi.Status) Summary {
 	summary := Summary{
 		Servers:  []ServerSummary{},
@@ -88,7 +88,7 @@
 	return summary
 }
 
-// collectServices adds a server's services, of which the more complete status of two servers stays.
+// collectServices adds a server's services. Of several servers' statuses of the same service the most complete one stays.
 func collectServices(services map[string]configapi.ServiceStatus, added []configapi.ServiceStatus) {
 	for _, service := range added {
 		known, ok := services[service.Name]
@@ -98,7 +98,7 @@
 	}
 }
 
-// moreComplete reports whether a has a newer version than b, or the same one and a longer history.
+// moreComplete reports whether a has a newer version than b, or the same version and a history that reaches back further.
 func moreComplete(a, b configapi.ServiceStatus) bool {
 	order := a.Version.Compare(b.Version)
 	if order != 0 {
@@ -107,7 +107,8 @@
 	return len(a.History) > 0 && len(b.History) > 0 && a.History[0].AgoMS > b.History[0].AgoMS
 }
 
-// collectWatchers adds a server's followers other than servers, of which the most recent poll stays.
+// collectWatchers adds the controllers among a server's followers. Of several servers' states of the same controller the one
+// with the latest poll stays.
 func collectWatchers(watchers map[watcherKey]configapi.Watcher, added []configapi.Watcher) {
 	for _, w := range added {
 		if w.Service == "" {
@@ -121,13 +122,13 @@
 	}
 }
 
-// zoneCounts is a zone's summary while its watchers are counted.
+// zoneCounts accumulates a zone's summary while its watchers are counted.
 type zoneCounts struct {
 	ZoneSummary
 	versions map[revision.Version]int
 }
 
-// addService adds a service and its lagging watchers.
+// addService adds the summary of a service, and its lagging watchers.
 func (s *Summary) addService(service configapi.ServiceStatus, watchers map[watcherKey]configapi.Watcher) {
 	zones := map[string]*zoneCounts{}
 	for _, w := range watchers {
@@ -165,11 +166,11 @@
 	return summary
 }
 
-// lagMS returns for how long there has been a newer version than the active one, in milliseconds.
+// lagMS returns how long ago the first newer version than the active one was published, in milliseconds.
 func lagMS(service configapi.ServiceStatus, active revision.Version) int64 {
-	for _, p := range service.History {
-		if p.Version.Newer(active) {
-			return p.AgoMS
+	for _, entry := range service.History {
+		if entry.Version.Newer(active) {
+			return entry.AgoMS
 		}
 	}
 	return 0
--- a/internal/configstore/watchers.go
+++ b/internal/configstore/watchers.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// maxWatchers limits how many followers are recorded; more are served, but not shown.
+	// maxWatchers limits how many followers are recorded. Further ones are served, but Watchers does not return them.
 	maxWatchers = 1 << 16
-	// watcherTTL is how long a follower is recorded after its last poll, in nanoseconds.
+	// watcherTTL is how long a follower stays recorded after its last poll, in nanoseconds.
 	watcherTTL = int64(3600 * 1e9)
-	// expiryInterval is how often followers past watcherTTL are removed, in nanoseconds.
+	// expiryInterval is how often followers whose watcherTTL has passed are removed, in nanoseconds.
 	expiryInterval = int64(60 * 1e9)
 )
 
@@ -22,8 +22,10 @@
 	lastExpiry int64
 }
 
+// watcherKey identifies a follower. The service of a server that follows all services is empty.
 type watcherKey struct{ service, instance string }
 
+// watcher is the last poll of a follower and when it was received.
 type watcher struct {
 	query    configapi.Query
 	lastSeen int64
@@ -32,7 +34,7 @@
 // NewWatcherTable returns an empty table.
 func NewWatcherTable() *WatcherTable { return &WatcherTable{watchers: map[watcherKey]watcher{}} }
 
-// Record records a poll. One without the follower's name is ignored.
+// Record records a poll. It ignores a poll without the follower's name.
 func (t *WatcherTable) Record(query configapi.Query, now int64) {
 	if query.Instance == "" {
 		return
--- a/internal/configstore/watchers_test.go
+++ b/internal/configstore/watchers_test.go
@@ -10,59 +10,61 @@
 const second = int64(1e9)
 
 func TestWatcherTableExpiresWatchers(t *testing.T) {
-	b := NewWatcherTable()
-	b.Record(configapi.Query{Service: "orders"}, 0) // without a name
-	b.Record(configapi.Query{Service: "orders", Instance: "n1", Zone: "a"}, 0)
-	b.Record(configapi.Query{Service: "orders", Instance: "n0", Since: version(1, 2)}, 0)
-	b.Record(configapi.Query{Service: "orders", Instance: "n0", Since: version(1, 3)}, second)
-	all := b.Watchers(3 * second)
-	if len(all) != 2 || all[0].Instance != "n0" || all[0].Active != version(1, 3) || all[0].LastSeenMS != 2000 || all[1].Zone != "a" {
-		t.Errorf("%+v", all)
+	table := NewWatcherTable()
+	table.Record(configapi.Query{Service: "orders"}, 0) // ignored, as it has no name
+	table.Record(configapi.Query{Service: "orders", Instance: "n1", Zone: "a"}, 0)
+	table.Record(configapi.Query{Service: "orders", Instance: "n0", Since: version(1, 2)}, 0)
+	table.Record(configapi.Query{Service: "orders", Instance: "n0", Since: version(1, 3)}, second)
+	watchers := table.Watchers(3 * second)
+	if len(watchers) != 2 || watchers[0].Instance != "n0" || watchers[0].Active != version(1, 3) || watchers[0].LastSeenMS != 2000 || watchers[1].Zone != "a" {
+		t.Errorf("watchers %+v, want the last poll of n0 and that of n1", watchers)
 	}
-	b.Record(configapi.Query{Service: "orders", Instance: "n2"}, watcherTTL+2*second)
-	if all = b.Watchers(watcherTTL + 2*second); len(all) != 1 || all[0].Instance != "n2" {
-		t.Errorf("%+v", all)
+	table.Record(configapi.Query{Service: "orders", Instance: "n2"}, watcherTTL+2*second)
+	if watchers = table.Watchers(watcherTTL + 2*second); len(watchers) != 1 || watchers[0].Instance != "n2" {
+		t.Errorf("watchers %+v, want only n2 after watcherTTL", watchers)
 	}
 }
 
+// The summary combines two servers, one of which has lost the writer, and lists the controllers that lag behind the newest
+// version.
 func TestSummarizeShowsLaggingWatchers(t *testing.T) {
-	s := writer(t, 3)
-	if _, err := s.Put("orders", []byte(`{"a":1}`), 10*second); err != nil {
+	writer := newWriter(t, 3)
+	if _, err := writer.Put("orders", []byte(`{"a":1}`), 10*second); err != nil {
 		t.Fatal(err)
 	}
-	behind := New(object) // a server that is disconnected from now on
-	if _, err := behind.Merge(s.Snapshot(), 11*second); err != nil {
+	disconnected := New(checkObject) // the store of a server that is disconnected from now on
+	if _, err := disconnected.Merge(writer.Snapshot(), 11*second); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Put("orders", []byte(`{"a":2}`), 20*second); err != nil {
+	if _, err := writer.Put("orders", []byte(`{"a":2}`), 20*second); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := s.Put("orders", []byte(`{"a":3}`), 30*second); err != nil {
+	if _, err := writer.Put("orders", []byte(`{"a":3}`), 30*second); err != nil {
 		t.Fatal(err)
 	}
-	here, there, now := NewWatcherTable(), NewWatcherTable(), 40*second
-	hear := func(b *WatcherTable, instance, zone string, active, rejected revision.Version, at int64) {
-		b.Record(configapi.Query{Service: "orders", Instance: instance, Zone: zone, Since: active, Rejected: rejected}, at)
+	current, outdated, now := NewWatcherTable(), NewWatcherTable(), 40*second
+	record := func(table *WatcherTable, instance, zone string, active, rejected revision.Version, at int64) {
+		table.Record(configapi.Query{Service: "orders", Instance: instance, Zone: zone, Since: active, Rejected: rejected}, at)
 	}
-	hear(here, "n0", "a", version(3, 3), revision.Version{}, 39*second)
-	hear(here, "n1", "a", version(3, 2), version(3, 3), 39*second)
-	hear(there, "n2", "b", version(3, 1), revision.Version{}, 38*second) // at the disconnected server
-	hear(there, "n0", "a", version(3, 1), revision.Version{}, 15*second) // an earlier poll at the other server
-	hear(here, "s1", "", version(3, 3), revision.Version{}, 39*second)
-	here.Record(configapi.Query{Instance: "s2", Since: version(3, 3)}, 39*second) // a server
-	status := func(name string, s *Store, b *WatcherTable) configapi.Status {
-		return configapi.Status{Server: name, Version: s.Version(), Services: s.Services(now), Watchers: b.Watchers(now)}
+	record(current, "n0", "a", version(3, 3), revision.Version{}, 39*second)
+	record(current, "n1", "a", version(3, 2), version(3, 3), 39*second)
+	record(outdated, "n2", "b", version(3, 1), revision.Version{}, 38*second) // at the disconnected server
+	record(outdated, "n0", "a", version(3, 1), revision.Version{}, 15*second) // an earlier poll at the other server
+	record(current, "s1", "", version(3, 3), revision.Version{}, 39*second)
+	current.Record(configapi.Query{Instance: "s2", Since: version(3, 3)}, 39*second) // a server
+	status := func(name string, store *Store, table *WatcherTable) configapi.Status {
+		return configapi.Status{Server: name, Version: store.Version(), Services: store.Services(now), Watchers: table.Watchers(now)}
 	}
-	sum := Summarize([]configapi.Status{status("s2", behind, there), status("s1", s, here)})
-	if sum.Version != version(3, 3) || len(sum.Servers) != 2 || len(sum.Services) != 1 || len(sum.Services[0].Zones) != 3 {
-		t.Fatalf("%+v", sum)
+	summary := Summarize([]configapi.Status{status("s2", disconnected, outdated), status("s1", writer, current)})
+	if summary.Version != version(3, 3) || len(summary.Servers) != 2 || len(summary.Services) != 1 || len(summary.Services[0].Zones) != 3 {
+		t.Fatalf("summary %+v, want version 3.3, two servers, and one service in three zones", summary)
 	}
-	if len(sum.Lagging) != 2 || sum.Lagging[0].Instance != "n2" || sum.Lagging[0].ForMS != 20000 || sum.Lagging[0].Newest != version(3, 3) ||
-		sum.Lagging[1].Instance != "n1" || sum.Lagging[1].ForMS != 10000 {
-		t.Errorf("%+v", sum.Lagging)
+	if len(summary.Lagging) != 2 || summary.Lagging[0].Instance != "n2" || summary.Lagging[0].ForMS != 20000 || summary.Lagging[0].Newest != version(3, 3) ||
+		summary.Lagging[1].Instance != "n1" || summary.Lagging[1].ForMS != 10000 {
+		t.Errorf("lagging watchers %+v, want n2 for 20 s and n1 for 10 s", summary.Lagging)
 	}
-	a := sum.Services[0].Zones[1]
-	if a.Zone != "a" || a.Lagging != 1 || a.Rejected != 1 || len(a.Active) != 2 || a.Active[0] != (VersionCount{version(3, 3), 1}) {
-		t.Errorf("%+v", a)
+	zone := summary.Services[0].Zones[1]
+	if zone.Zone != "a" || zone.Lagging != 1 || zone.Rejected != 1 || len(zone.Active) != 2 || zone.Active[0] != (VersionCount{version(3, 3), 1}) {
+		t.Errorf("zone %+v, want zone a with one lagging and one rejecting controller", zone)
 	}
 }
--- a/internal/configwatch/connection.go
+++ b/internal/configwatch/connection.go
@@ -17,11 +17,12 @@
 )
 
 const (
-	// dialTimeout bounds one attempt to connect.
+	// dialTimeout limits one attempt to connect.
 	dialTimeout = 2 * time.Second
-	// readTimeLimit is how long an answer may take beyond the requested wait. It ends connections that only trickle.
+	// readTimeLimit is how much longer than the requested wait an answer may take in all. It ends connections on which data
+	// only trickles.
 	readTimeLimit = 10 * time.Second
-	// maxServiceBody and maxAllBody are the largest answers, in bytes, to followers of one service and of all.
+	// maxServiceBody and maxAllBody limit the body of an answer for one service and for all services, in bytes.
 	maxServiceBody = configstore.MaxSettingsSize + 4<<10
 	maxAllBody     = configstore.MaxTotalSize + configstore.MaxServices*(configapi.MaxNameLength+128)
 	// maxRefusalBody limits the body of an answer with an error status, in bytes.
@@ -29,7 +30,7 @@
 	readBufferSize = 4 << 10
 )
 
-// Stage is how far a call got before it failed.
+// Stage is the step of a call at which it failed.
 type Stage string
 
 // The stages of a call, in order.
@@ -41,7 +42,7 @@
 	StageAnswer Stage = "answer"
 )
 
-// CallError reports the stage at which a call failed, and the cause.
+// CallError is the error of a call that failed at a stage.
 type CallError struct {
 	Stage Stage
 	Err   error
@@ -53,20 +54,20 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// RefusalError reports that a server is working but does not serve a query.
+// RefusalError reports that a server works but has refused to serve a query.
 type RefusalError struct {
 	Status         int
 	Reason         string
-	RetryAfter     time.Duration // 0: unknown
+	RetryAfter     time.Duration // requested by the server; 0: unknown
 	UnknownService bool
 }
 
-// Error returns status and reason.
+// Error returns the status and the reason.
 func (e *RefusalError) Error() string {
-	return fmt.Sprintf("sent away with status %d: %s", e.Status, e.Reason)
+	return fmt.Sprintf("query refused with status %d: %s", e.Status, e.Reason)
 }
 
-// connection is the persistent connection of a follower. Its address is that of the server it is open to.
+// connection is a follower's persistent connection. While it is open, address is that of its server.
 type connection struct {
 	counts  *counters
 	address string
@@ -74,8 +75,8 @@
 	reader  *bufio.Reader
 }
 
-// call sends a query to a server and reads the answer. If the server has closed a reused connection, the query is sent again
-// on a new one.
+// call sends a query to a server and reads the answer. If the query fails because the server has closed a reused connection,
+// call sends it once more on a new one.
 func (c *connection) call(ctx context.Context, poll configclient.Poll) (configapi.Answer, error) {
 	reused := c.conn != nil && c.address == poll.Server.Address
 	if !reused {
@@ -97,12 +98,13 @@
 	return answer, err
 }
 
-// closedByServer reports whether a call failed because the connection was closed before any of the answer arrived.
+// closedByServer reports whether the connection of a failed call was closed by the server before any part of the answer
+// arrived.
 func (c *connection) closedByServer(err error) bool {
 	return c.conn != nil && !c.conn.received && !isTimeout(err)
 }
 
-// closeAfterFailure closes the connection after a failed call. After an answer of any status it stays open.
+// closeAfterFailure closes the connection after a CallError. After an answer or a RefusalError it stays open.
 func (c *connection) closeAfterFailure(err error) {
 	var failure *CallError
 	if errors.As(err, &failure) {
@@ -120,8 +122,8 @@
 	c.address = ""
 }
 
-// dial replaces the connection. The previous one stays if no new one can be made: while a lost server is retried, the one
-// that answers meanwhile need not be connected to again.
+// dial replaces the connection. If no new one can be made the previous one stays open, so that retries of a lost server do
+// not cost the connection to the server that answers meanwhile.
 func (c *connection) dial(ctx context.Context, address string) error {
 	c.counts.dials.Add(1)
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -173,10 +175,10 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, limit+1))
 	if err != nil {
-		return configapi.Answer{}, &CallError{Stage: StageBody, Err: fmt.Errorf("after %d bytes: %w", len(body), err)}
+		return configapi.Answer{}, &CallError{Stage: StageBody, Err: fmt.Errorf("reading stopped after %d bytes: %w", len(body), err)}
 	}
 	if int64(len(body)) > limit {
-		return configapi.Answer{}, &CallError{Stage: StageBody, Err: fmt.Errorf("over %d bytes", limit)}
+		return configapi.Answer{}, &CallError{Stage: StageBody, Err: fmt.Errorf("size exceeds %d bytes", limit)}
 	}
 	var answer configapi.Answer
 	if err := json.Unmarshal(body, &answer); err != nil {
@@ -188,33 +190,34 @@
 	return answer, nil
 }
 
-// readRefusal returns the error for an answer with another status than 200.
+// readRefusal returns the error for an answer with a status other than 200: a RefusalError for an unknown service or a busy
+// server, otherwise a CallError.
 func (c *connection) readRefusal(response *http.Response) error {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxRefusalBody))
 	if err != nil || len(body) == maxRefusalBody {
-		return &CallError{Stage: StageStatus, Err: fmt.Errorf("answered %s", response.Status)}
+		return &CallError{Stage: StageStatus, Err: fmt.Errorf("server answered with status %s", response.Status)}
 	}
 	var refusal configapi.Refusal
 	if err := json.Unmarshal(body, &refusal); err != nil {
-		return &CallError{Stage: StageStatus, Err: fmt.Errorf("answered %s", response.Status)}
+		return &CallError{Stage: StageStatus, Err: fmt.Errorf("server answered with status %s", response.Status)}
 	}
 	if response.Close {
 		c.close()
 	}
-	refused := &RefusalError{
+	refusalError := &RefusalError{
 		Status:     response.StatusCode,
 		Reason:     refusal.Reason,
 		RetryAfter: time.Duration(refusal.RetryAfterMS) * time.Millisecond,
 	}
 	switch response.StatusCode {
 	case http.StatusNotFound:
-		refused.UnknownService = true
-		return refused
+		refusalError.UnknownService = true
+		return refusalError
 	case http.StatusServiceUnavailable:
-		return refused
+		return refusalError
 	}
-	// Any other status is a failure: the text of a RefusalError without its type.
-	return &CallError{Stage: StageStatus, Err: errors.New(refused.Error())}
+	// Any other status is a failed call, whose cause has the text of a RefusalError but not its type.
+	return &CallError{Stage: StageStatus, Err: errors.New(refusalError.Error())}
 }
 
 func isTimeout(err error) bool {
--- a/internal/configwatch/pacedconn.go
+++ b/internal/configwatch/pacedconn.go
@@ -7,17 +7,17 @@
 	"lilacbend/internal/configclient"
 )
 
-// pacedConn is a connection whose read deadline is extended by each piece of an answer that arrives, up to a last deadline.
-// It counts bytes.
+// pacedConn is a connection whose read deadline is extended by each part of an answer that arrives, up to a final deadline.
+// It counts the bytes of both directions.
 type pacedConn struct {
 	net.Conn
 	counts   *counters
-	deadline time.Time // for the next piece
-	latest   time.Time // the deadline is extended only while it stays before this time
-	received bool      // a piece of the expected answer has arrived
+	deadline time.Time // for the next part of the answer
+	latest   time.Time // the deadline is not extended beyond this time
+	received bool      // a part of the expected answer has arrived
 }
 
-// expect sets the deadlines for an answer that the server may delay for wait.
+// expect sets the deadlines for an answer before which the server may wait for the given time.
 func (c *pacedConn) expect(wait time.Duration) {
 	now := time.Now()
 	c.deadline = now.Add(wait + configclient.AnswerTimeout)
@@ -26,7 +26,7 @@
 	c.SetDeadline(c.deadline)
 }
 
-// Read reads, and extends the deadline if something arrived.
+// Read reads from the connection, and extends the read deadline if data has arrived.
 func (c *pacedConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if n > 0 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Write writes and counts.
+// Write writes to the connection.
 func (c *pacedConn) Write(raw []byte) (int, error) {
 	n, err := c.Conn.Write(raw)
 	c.counts.bytesOut.Add(int64(n))
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -1,5 +1,5 @@
 // Package configwatch follows configuration servers over HTTP/1.1, with one goroutine and one persistent connection for each
-// follower. Which server is polled and which answers are used is decided by package configclient.
+// follower. Package configclient decides which server is polled and which answers are used.
 package configwatch
 
 import (
@@ -17,7 +17,7 @@
 	"lilacbend/internal/revision"
 )
 
-// Options describe a follower and what is done with new versions.
+// Options configure a Watcher, and have the functions that it calls with new versions and answers.
 type Options struct {
 	Instance string // the follower's name
 	Service  string // empty: all services, for a server
@@ -27,10 +27,10 @@
 	Ordered  bool // Servers are in order of preference
 	Seed     uint64
 	Log      *slog.Logger
-	// OnOffer receives new settings of the service. Applied or Rejected must be called for each, from any goroutine; no server
-	// is polled until then.
+	// OnOffer is called with each new version of the service and its settings. Applied or Rejected must be called for it, from
+	// any goroutine; no server is polled until then. A watcher of all services uses Merge instead.
 	OnOffer func(version revision.Version, settings []byte)
-	// Merge stores an answer to a follower of all services. An error rejects the answer.
+	// Merge stores an answer for a follower of all services. An error rejects the answer's version.
 	Merge func(answer configapi.Answer) error
 	// OnActive, if set, is called with each version of the service that has become active, and its settings.
 	OnActive func(version revision.Version, settings []byte)
@@ -38,15 +38,15 @@
 	OnAnswer func(answer configapi.Answer)
 }
 
-// Counts count a watcher's work since its start.
+// Counts count a watcher's connections, polls, versions and bytes since its start.
 type Counts struct {
 	Dials     int64
 	Requests  int64
 	Answers   int64
 	Failures  int64
-	Throttled int64 // queries that a busy server did not serve
-	Offered   int64 // versions
-	Rejected  int64 // versions
+	Throttled int64 // queries that busy servers refused to serve
+	Offered   int64 // versions offered by servers
+	Rejected  int64 // versions rejected after an offer
 	BytesIn   int64
 	BytesOut  int64
 }
@@ -59,14 +59,14 @@
 
 // Watcher follows configuration servers.
 type Watcher struct {
-	options Options
-	start   time.Time
-	counts  counters
-	decided chan struct{} // signals that an offer was applied or rejected
+	options   Options
+	start     time.Time
+	counts    counters
+	decisions chan struct{} // signals that an offer was applied or rejected
 
 	mu      sync.Mutex
 	client  *configclient.Client
-	offered []byte // settings that were neither applied nor rejected yet
+	offered []byte // settings of the latest offer
 	failing bool   // a failure was logged, and no server has answered since
 }
 
@@ -87,18 +87,18 @@
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Watcher{options: options, start: time.Now(), client: client, decided: make(chan struct{}, 1)}, nil
+	return &Watcher{options: options, start: time.Now(), client: client, decisions: make(chan struct{}, 1)}, nil
 }
 
-// SetActive sets the active version of a watcher that does not run yet.
+// SetActive sets the active version. It must be called before Run.
 func (w *Watcher) SetActive(version revision.Version) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.client.Applied(version, nil)
 }
 
-// Resume offers settings that were active before a restart. It is called before Run, which polls no server until Applied or
-// Rejected was called.
+// Resume offers settings that were active before a restart. It must be called before Run, which polls no server until
+// Applied or Rejected has been called.
 func (w *Watcher) Resume(version revision.Version, settings []byte) {
 	w.mu.Lock()
 	w.client.Resume(version)
@@ -114,10 +114,10 @@
 	w.client.Applied(version, w.offered)
 	w.mu.Unlock()
 	w.notifyActive(before)
-	w.signalDecided()
+	w.signalDecision()
 }
 
-// notifyActive calls OnActive if the active version is another one than before.
+// notifyActive calls OnActive, if it is set, if the active version differs from the one before.
 func (w *Watcher) notifyActive(before revision.Version) {
 	w.mu.Lock()
 	active := w.client.Active()
@@ -128,19 +128,20 @@
 	}
 }
 
-// Rejected records that an offered version cannot be used, and why. The active one stays.
+// Rejected records that an offered version cannot be used, and logs the reason. The active version stays.
 func (w *Watcher) Rejected(version revision.Version, reason error) {
 	w.counts.rejected.Add(1)
-	w.options.Log.Error("configuration refused, the last good one stays", "version", version.String(), "in_force", w.Active().String(), "error", reason)
+	w.options.Log.Error("configuration rejected, active version stays", "version", version.String(), "in_force", w.Active().String(), "error", reason)
 	w.mu.Lock()
 	w.client.Rejected(version)
 	w.mu.Unlock()
-	w.signalDecided()
+	w.signalDecision()
 }
 
-func (w *Watcher) signalDecided() {
+// signalDecision wakes awaitDecision.
+func (w *Watcher) signalDecision() {
 	select {
-	case w.decided <- struct{}{}:
+	case w.decisions <- struct{}{}:
 	default:
 	}
 }
@@ -152,7 +153,7 @@
 	return w.client.Active()
 }
 
-// Counts returns the current counts.
+// Counts returns the counts so far.
 func (w *Watcher) Counts() Counts {
 	c := &w.counts
 	return Counts{
@@ -188,7 +189,7 @@
 	}
 }
 
-// awaitDecision blocks until no offer is pending, and reports whether ctx continues.
+// awaitDecision blocks until no offer is pending or ctx ends, and returns false if ctx has ended.
 func (w *Watcher) awaitDecision(ctx context.Context) bool {
 	for {
 		w.mu.Lock()
@@ -198,14 +199,14 @@
 			return true
 		}
 		select {
-		case <-w.decided:
+		case <-w.decisions:
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// poll polls once and handles the outcome.
+// poll executes one poll and handles its outcome.
 func (w *Watcher) poll(ctx context.Context, conn *connection, poll configclient.Poll) {
 	w.counts.requests.Add(1)
 	answer, err := conn.call(ctx, poll)
@@ -228,7 +229,7 @@
 	}
 }
 
-// failed records a failed poll, and logs the first one of a series.
+// failed records a failed poll, and logs it if it is the first one since an answer.
 func (w *Watcher) failed(poll configclient.Poll, err error, record func(*configclient.Client, int64)) {
 	w.counts.failures.Add(1)
 	w.mu.Lock()
@@ -237,10 +238,11 @@
 	w.failing = true
 	w.mu.Unlock()
 	if first {
-		w.options.Log.Warn("configuration server fails, others are tried", "server", poll.Server.Address, "error", err)
+		w.options.Log.Warn("configuration server poll failed, trying other servers", "server", poll.Server.Address, "error", err)
 	}
 }
 
+// answered handles an answer, and offers its version if it is new.
 func (w *Watcher) answered(poll configclient.Poll, answer configapi.Answer) {
 	w.counts.answers.Add(1)
 	w.mu.Lock()
@@ -259,19 +261,19 @@
 		return
 	}
 	if recovered {
-		w.options.Log.Info("configuration server answers", "server", poll.Server.Address, "version", answer.Version.String())
+		w.options.Log.Info("configuration server poll succeeded after failures", "server", poll.Server.Address, "version", answer.Version.String())
 	}
 	if w.options.OnAnswer != nil {
 		w.options.OnAnswer(answer)
 	}
-	w.notifyActive(before) // the active settings may have got a new version
+	w.notifyActive(before) // the answer may have changed only the version of the active settings
 	if offered {
 		w.counts.offered.Add(1)
 		w.offer(answer)
 	}
 }
 
-// offer hands a new version over. A panic of the receiver rejects it.
+// offer passes a new version to OnOffer or Merge. A panic of either rejects the version.
 func (w *Watcher) offer(answer configapi.Answer) {
 	defer func() {
 		if v := recover(); v != nil {
@@ -289,7 +291,7 @@
 	w.Applied(answer.Version)
 }
 
-// sleep blocks for a duration, and reports whether ctx continues.
+// sleep blocks for a duration or until ctx ends, and returns false if ctx has ended.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -16,12 +16,12 @@
 	"lilacbend/internal/revision"
 )
 
-// instance is the name of this process's watchers. Other tests' clients go on asking servers that have ended, whose ports may
-// be given to servers of this test: they have other names.
+// instance is the name of this process's watchers. Clients of other test processes continue to poll servers that have ended,
+// whose ports may have been assigned to servers of these tests. Their different names distinguish them.
 var instance = fmt.Sprintf("watcher-%d", os.Getpid())
 
-// takeOwn accepts the next connection of a watcher of this process, and reads its request.
-func takeOwn(t *testing.T, l *scriptedpeer.Listener) *scriptedpeer.Conn {
+// acceptOwn accepts the next connection of a watcher of this process and reads its request. It closes connections of others.
+func acceptOwn(t *testing.T, l *scriptedpeer.Listener) *scriptedpeer.Conn {
 	t.Helper()
 	for {
 		conn := l.AcceptConn()
@@ -32,15 +32,15 @@
 	}
 }
 
-// startWatcher runs a watcher of orders until the end of the test; offers are sent to the channel.
+// startWatcher runs a watcher of the service orders until the end of the test. Offered versions are sent to the channel.
 func startWatcher(t *testing.T, servers ...*scriptedpeer.Listener) (*Watcher, chan revision.Version) {
 	t.Helper()
-	var all []configclient.Server
+	var addresses []configclient.Server
 	for _, l := range servers {
-		all = append(all, configclient.Server{Address: l.Address()})
+		addresses = append(addresses, configclient.Server{Address: l.Address()})
 	}
 	offers := make(chan revision.Version, 10)
-	w, err := New(Options{Instance: instance, Service: "orders", Zone: "a", Servers: all, Ordered: true, Seed: 1,
+	w, err := New(Options{Instance: instance, Service: "orders", Zone: "a", Servers: addresses, Ordered: true, Seed: 1,
 		OnOffer: func(v revision.Version, settings []byte) {
 			if strings.Contains(string(settings), "panic") {
 				panic("as requested")
@@ -60,16 +60,16 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); w.Run(ctx) }()
 	t.Cleanup(func() {
-		begun := time.Now()
+		stoppedAt := time.Now()
 		stop()
 		<-ended
-		if span := time.Since(begun); span > time.Second {
-			t.Errorf("ended after %v", span)
+		if elapsed := time.Since(stoppedAt); elapsed > time.Second {
+			t.Errorf("watcher ended %v after its context", elapsed)
 		}
 	})
 }
 
-// startResumed runs a watcher that resumes with version 1.4, which is the first offer, until the end of the test.
+// startResumed runs a watcher that resumes with version 1.4, which is its first offer, until the end of the test.
 func startResumed(t *testing.T, server *scriptedpeer.Listener, onActive func(revision.Version, []byte)) (w *Watcher, resumed revision.Version, offers chan revision.Version) {
 	t.Helper()
 	resumed = revision.Version{Epoch: 1, Revision: 4}
@@ -84,11 +84,13 @@
 	return w, resumed, offers
 }
 
+// response returns an HTTP response.
 func response(status, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-func changed(number int, settings string) string {
+// changedResponse returns the response with a revision of the service orders.
+func changedResponse(number int, settings string) string {
 	return response("200 OK", fmt.Sprintf(`{"epoch":1,"revision":%d,"complete":true,"age_ms":0,"services":[{"name":"orders","epoch":1,"revision":%d,"settings":%s}]}`, number, number, settings))
 }
 
@@ -98,12 +100,13 @@
 	case v := <-offers:
 		return v
 	case <-time.After(scriptedpeer.WaitTimeout):
-		t.Fatal("nothing is offered")
+		t.Fatal("no version was offered")
 		return revision.Version{}
 	}
 }
 
-// One connection is used for all watches; since is the active version, and no server is polled while an offer is pending.
+// All watches use one connection. Queries have the active and the rejected version, and no server is polled while an offer
+// is pending.
 func TestWatchReusesConnection(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	w, offers := startWatcher(t, server)
@@ -111,31 +114,31 @@
 	if got := conn.ReadRequestHead(); got != "GET /configuration?instance="+instance+"&service=orders&zone=a HTTP/1.1" {
 		t.Errorf("requested %q", got)
 	}
-	conn.SendRaw(changed(1, `{"a":1}`))
+	conn.SendRaw(changedResponse(1, `{"a":1}`))
 	v := receiveOffer(t, offers)
 	if w.Active() != (revision.Version{}) {
-		t.Errorf("%s active before it was applied", w.Active())
+		t.Errorf("version %s is active before it was applied", w.Active())
 	}
 	w.Applied(v)
 	if got := conn.ReadRequestHead(); got != "GET /configuration?instance="+instance+"&service=orders&since=1.1&timeout_ms=5000&zone=a HTTP/1.1" {
 		t.Errorf("requested %q", got)
 	}
-	conn.SendByteByByte(changed(2, `{"a":2}`))
+	conn.SendByteByByte(changedResponse(2, `{"a":2}`))
 	w.Rejected(receiveOffer(t, offers), errors.New("setting a is 2"))
 	if got := conn.ReadRequestHead(); got != "GET /configuration?instance="+instance+"&refused=1.2&service=orders&since=1.1&timeout_ms=5000&zone=a HTTP/1.1" {
 		t.Errorf("requested %q", got)
 	}
-	conn.SendRaw(changed(3, `{"panic":1}`))
+	conn.SendRaw(changedResponse(3, `{"panic":1}`))
 	if got := conn.ReadRequestHead(); !strings.Contains(got, "refused=1.3&") {
 		t.Errorf("requested %q", got)
 	}
 	if c := w.Counts(); c.Dials != 1 || c.Answers != 3 || c.Offered != 3 || c.Rejected != 2 || c.Failures != 0 || c.BytesIn == 0 || c.BytesOut == 0 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts after one connection with three answers: %+v", c)
 	}
 }
 
-// A resumed follower polls no server until its version was applied, and then for a newer one. OnActive is called with each
-// version that becomes active, also with a new version of the same settings.
+// A resumed watcher polls no server until its version was applied, and then requests newer versions. OnActive is called with
+// each version that becomes active, also if only the version of the settings is new.
 func TestResumedVersionIsOfferedFirst(t *testing.T) {
 	type activation struct {
 		version  revision.Version
@@ -154,7 +157,7 @@
 	if got := conn.ReadRequestHead(); !strings.Contains(got, "since=1.4&") {
 		t.Errorf("requested %q", got)
 	}
-	conn.SendRaw(strings.Replace(changed(1, `{"a":4}`), `"epoch":1`, `"epoch":2`, 2)) // a new writer, the same settings
+	conn.SendRaw(strings.Replace(changedResponse(1, `{"a":4}`), `"epoch":1`, `"epoch":2`, 2)) // the same settings under a later epoch
 	if got := conn.ReadRequestHead(); !strings.Contains(got, "since=2.1&") {
 		t.Errorf("requested %q", got)
 	}
@@ -162,112 +165,114 @@
 		activations = append(activations, <-active)
 	}
 	if want := []activation{{resumed, `{"a":4}`}, {revision.Version{Epoch: 2, Revision: 1}, `{"a":4}`}}; !slices.Equal(activations, want) {
-		t.Errorf("%v, want %v", activations, want)
+		t.Errorf("OnActive was called with %v, want %v", activations, want)
 	}
 	if c := w.Counts(); c.Offered != 0 {
-		t.Errorf("%d offered by servers", c.Offered)
+		t.Errorf("%d versions offered by servers, want none", c.Offered)
 	}
 }
 
 // A resumed version that is rejected is reported to servers and not offered again.
 func TestResumedVersionThatIsRejected(t *testing.T) {
 	server := scriptedpeer.Listen(t)
-	w, _, offers := startResumed(t, server, func(v revision.Version, _ []byte) { t.Errorf("%s is active", v) })
+	w, _, offers := startResumed(t, server, func(v revision.Version, _ []byte) { t.Errorf("version %s became active", v) })
 	w.Rejected(receiveOffer(t, offers), errors.New("setting a is 4"))
 	conn := server.AcceptConn()
 	if got := conn.ReadRequestHead(); !strings.Contains(got, "refused=1.4&") || strings.Contains(got, "since=") {
 		t.Errorf("requested %q", got)
 	}
-	conn.SendRaw(changed(4, `{"a":4}`))
+	conn.SendRaw(changedResponse(4, `{"a":4}`))
 	conn.ReadRequestHead()
 	select {
 	case v := <-offers:
-		t.Errorf("%s is offered", v)
+		t.Errorf("version %s was offered again", v)
 	default:
 	}
 }
 
-// A reused connection that its server has closed is no failure; one whose close was announced is not used again.
+// A reused connection that its server has closed does not count as a failure. A connection whose close the server has
+// announced is not reused.
 func TestClosedConnectionIsNoFailure(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	w, offers := startWatcher(t, server)
 	conn := server.AcceptConn()
 	conn.ReadRequestHead()
-	conn.SendRaw(changed(1, `{}`))
+	conn.SendRaw(changedResponse(1, `{}`))
 	v := receiveOffer(t, offers)
 	conn.Close()
 	w.Applied(v)
 	conn = server.AcceptConn()
 	conn.ReadRequestHead()
-	conn.SendRaw(strings.Replace(changed(2, `{"a":2}`), "\r\n", "\r\nConnection: close\r\n", 1))
+	conn.SendRaw(strings.Replace(changedResponse(2, `{"a":2}`), "\r\n", "\r\nConnection: close\r\n", 1))
 	w.Applied(receiveOffer(t, offers))
 	conn = server.AcceptConn()
 	conn.ReadRequestHead()
 	if c := w.Counts(); c.Failures != 0 || c.Dials != 3 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts after two closed connections: %+v, want three dials and no failure", c)
 	}
 }
 
-// After an unusable answer, nothing of which is offered, the next server is polled.
+// An unusable answer counts as one failure and offers no version, and the next server is polled.
 func TestUnusableAnswersAreFailures(t *testing.T) {
 	for name, text := range map[string]string{
-		"not HTTP":        "+OK\r\n\r\n",
-		"an error":        response("500 Internal Server Error", "{}"),
-		"bad request":     response("400 Bad Request", `{"error":"since: no"}`),
-		"no JSON":         response("503 Service Unavailable", "busy"),
-		"long refusal":    response("503 Service Unavailable", strings.Repeat(" ", maxRefusalBody)),
-		"cut off":         changed(1, `{}`)[:100],
-		"no epoch":        response("200 OK", `{"revision":7}`),
-		"no answer":       response("200 OK", "<html>"),
-		"another service": strings.Replace(changed(1, `{}`), "orders", "stocks", 1),
-		"no settings":     strings.Replace(changed(1, `{}`), `"settings"`, `"setting_"`, 1),
-		"out of range":    strings.Replace(changed(1, `{}`), `"epoch":1`, `"epoch":-`, 1),
-		"too long":        response("200 OK", strings.Repeat(" ", maxServiceBody+1)),
-		"not there":       response("404 Not Found", `{"error":"no service"}`),
-		"closed":          "",
+		"not HTTP":                 "+OK\r\n\r\n",
+		"status 500":               response("500 Internal Server Error", "{}"),
+		"status 400":               response("400 Bad Request", `{"error":"since: no"}`),
+		"refusal without JSON":     response("503 Service Unavailable", "busy"),
+		"refusal beyond the limit": response("503 Service Unavailable", strings.Repeat(" ", maxRefusalBody)),
+		"truncated answer":         changedResponse(1, `{}`)[:100],
+		"no epoch":                 response("200 OK", `{"revision":7}`),
+		"answer without JSON":      response("200 OK", "<html>"),
+		"another service":          strings.Replace(changedResponse(1, `{}`), "orders", "stocks", 1),
+		"no settings":              strings.Replace(changedResponse(1, `{}`), `"settings"`, `"setting_"`, 1),
+		"invalid epoch":            strings.Replace(changedResponse(1, `{}`), `"epoch":1`, `"epoch":-`, 1),
+		"answer beyond the limit":  response("200 OK", strings.Repeat(" ", maxServiceBody+1)),
+		"unknown service":          response("404 Not Found", `{"error":"no service"}`),
+		"closed without an answer": "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-			w, offers := startWatcher(t, first, second)
-			conn := takeOwn(t, first)
+			watcher, offers := startWatcher(t, first, second)
+			conn := acceptOwn(t, first)
 			go func() { conn.Write([]byte(text)); conn.Close() }()
-			other := takeOwn(t, second)
-			other.SendRaw(changed(7, `{}`))
-			if v := receiveOffer(t, offers); v.Revision != 7 || w.Counts().Failures != 1 {
-				t.Errorf("%s offered, %+v", v, w.Counts())
+			secondConn := acceptOwn(t, second)
+			secondConn.SendRaw(changedResponse(7, `{}`))
+			if v := receiveOffer(t, offers); v.Revision != 7 || watcher.Counts().Failures != 1 {
+				t.Errorf("version %s offered, counts %+v", v, watcher.Counts())
 			}
 		})
 	}
 }
 
-// A silent or trickling server times out; a busy one is polled again after its Retry-After.
+// A poll of a server that sends nothing, or sends its answer too slowly, times out. A busy server is polled again after the
+// time that it requests.
 func TestSlowAndBusyServers(t *testing.T) {
 	t.Run("silent", func(t *testing.T) {
 		t.Parallel()
 		first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 		_, offers := startWatcher(t, first, second)
-		begun := time.Now()
-		takeOwn(t, first)
-		other := takeOwn(t, second)
-		if span := time.Since(begun); span < configclient.AnswerTimeout/2 {
-			t.Errorf("timed out after %v", span)
+		startedAt := time.Now()
+		acceptOwn(t, first)
+		secondConn := acceptOwn(t, second)
+		if elapsed := time.Since(startedAt); elapsed < configclient.AnswerTimeout/2 {
+			t.Errorf("poll timed out after %v", elapsed)
 		}
-		other.SendRaw(changed(7, `{}`))
+		secondConn.SendRaw(changedResponse(7, `{}`))
 		receiveOffer(t, offers)
 	})
-	t.Run("dripping", func(t *testing.T) {
+	t.Run("trickling", func(t *testing.T) {
 		t.Parallel()
 		first, second := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 		_, offers := startWatcher(t, first, second)
-		conn := takeOwn(t, first)
+		conn := acceptOwn(t, first)
 		go func() {
 			for _, err := conn.Write([]byte("HTTP/1.1 200 OK\r\n\r\n ")); err == nil; time.Sleep(200 * time.Millisecond) {
 				_, err = conn.Write([]byte(" "))
 			}
 		}()
-		other := takeOwn(t, second)
-		other.SendRaw(changed(7, `{}`))
+		secondConn := acceptOwn(t, second)
+		secondConn.SendRaw(changedResponse(7, `{}`))
 		receiveOffer(t, offers)
 	})
 	t.Run("busy", func(t *testing.T) {
@@ -277,20 +282,21 @@
 		conn := server.AcceptConn()
 		conn.ReadRequestHead()
 		conn.SendRaw(response("503 Service Unavailable", `{"error":"busy","retry_after_ms":300}`))
-		begun := time.Now()
+		answeredAt := time.Now()
 		conn.ReadRequestHead()
-		if span := time.Since(begun); span < 250*time.Millisecond {
-			t.Errorf("polled again after %v", span)
+		if elapsed := time.Since(answeredAt); elapsed < 250*time.Millisecond {
+			t.Errorf("polled again after %v", elapsed)
 		}
-		conn.SendRaw(changed(1, `{}`))
+		conn.SendRaw(changedResponse(1, `{}`))
 		receiveOffer(t, offers)
 		if c := w.Counts(); c.Throttled != 1 || c.Dials != 1 || c.Failures != 0 {
-			t.Errorf("%+v", c)
+			t.Errorf("counts after a busy answer: %+v, want one throttled poll, one dial and no failure", c)
 		}
 	})
 }
 
-// A follower of all services merges answers itself; a version that it cannot merge is not requested again.
+// A follower of all services merges its answers. A version that it cannot merge is reported as rejected and not offered
+// again.
 func TestFollowerOfAllServicesMerges(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	merged, ages := make(chan configapi.Answer, 10), make(chan int64, 10)
@@ -299,7 +305,7 @@
 		Merge: func(a configapi.Answer) error {
 			merged <- a
 			if a.Revision == 5 {
-				return errors.New("not this one")
+				return errors.New("revision 5 is not merged")
 			}
 			return nil
 		}})
@@ -326,41 +332,41 @@
 	}
 	for want := int64(40); want < 45; want++ {
 		if got := <-ages; got != want {
-			t.Errorf("received %d, want %d", got, want)
+			t.Errorf("answer has age %d ms, want %d", got, want)
 		}
 	}
 	if len(merged) != 3 || w.Active().Revision != 6 {
-		t.Errorf("%d merged, %s in force", len(merged), w.Active())
+		t.Errorf("%d answers merged, version %s active", len(merged), w.Active())
 	}
 }
 
-// A server that answers every watch at once, without a change, is polled with backoff.
+// A server that answers every watch without waiting and without a change is polled with backoff.
 func TestServerThatDoesNotWaitIsPolledWithBackoff(t *testing.T) {
 	server := scriptedpeer.Listen(t)
 	w, offers := startWatcher(t, server)
 	conn := server.AcceptConn()
 	conn.ReadRequestHead()
-	conn.SendRaw(changed(1, `{}`))
+	conn.SendRaw(changedResponse(1, `{}`))
 	w.Applied(receiveOffer(t, offers))
-	begun := time.Now()
+	appliedAt := time.Now()
 	const answers = 4
 	for range answers {
 		conn.ReadRequestHead()
 		conn.SendRaw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":0,"services":[]}`))
 	}
 	conn.ReadRequestHead()
-	// At least minPollInterval, then halves of 0.1, 0.2, 0.4 and 0.8 s.
-	if span := time.Since(begun); span < 700*time.Millisecond {
-		t.Errorf("%d answers without a change were polled within %v", answers, span)
+	// The pauses are at least minPollInterval, and then the halves of 0.1, 0.2, 0.4 and 0.8 s.
+	if elapsed := time.Since(appliedAt); elapsed < 700*time.Millisecond {
+		t.Errorf("%d answers without a change and the polls after them took only %v", answers, elapsed)
 	}
 }
 
-// While a lost server is retried, the connection to the one that answers meanwhile stays open.
+// Retries of a lost server leave the connection to the server that answers meanwhile open.
 func TestPollsOfLostServerKeepConnection(t *testing.T) {
 	server := scriptedpeer.Listen(t)
-	lost, regional := configclient.Server{Address: scriptedpeer.FreeAddress(t)}, configclient.Server{Address: server.Address()}
+	lostServer, workingServer := configclient.Server{Address: scriptedpeer.FreeAddress(t)}, configclient.Server{Address: server.Address()}
 	offers := make(chan revision.Version, 1)
-	w, err := New(Options{Instance: instance, Service: "orders", Servers: []configclient.Server{lost, regional}, Ordered: true, Seed: 1,
+	w, err := New(Options{Instance: instance, Service: "orders", Servers: []configclient.Server{lostServer, workingServer}, Ordered: true, Seed: 1,
 		OnOffer: func(v revision.Version, _ []byte) { offers <- v }})
 	if err != nil {
 		t.Fatal(err)
@@ -371,14 +377,14 @@
 	t.Cleanup(func() { stop(); <-ended })
 	conn := server.AcceptConn()
 	conn.ReadRequestHead()
-	conn.SendRaw(changed(1, `{}`))
+	conn.SendRaw(changedResponse(1, `{}`))
 	w.Applied(receiveOffer(t, offers))
-	for tries := w.Counts().Failures; w.Counts().Failures < tries+3; {
+	for before := w.Counts().Failures; w.Counts().Failures < before+3; {
 		conn.ReadRequestHead()
 		conn.SendRaw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":60000,"services":[]}`))
 	}
 	conn.ReadRequestHead()
 	if c := w.Counts(); c.Dials != c.Failures+1 {
-		t.Errorf("%d connections beside %d that were refused", c.Dials-c.Failures, c.Failures)
+		t.Errorf("%d successful dials besides %d failed ones, want 1", c.Dials-c.Failures, c.Failures)
 	}
 }
--- a/internal/operator/configuration_test.go
+++ b/internal/operator/configuration_test.go
@@ -29,7 +29,7 @@
 		"configuration: {service: orders, servers: []}":                                                         "configuration.servers: names no server",
 		"configuration: {service: orders, servers: [{address: x}]}":                                             "configuration.servers[0].address: is \"x\"",
 		"configuration: {service: orders, servers: [{address: ':7'}], regoin: a}":                               "configuration.regoin: is not known: did you mean region?",
-		"configuration: {service: orders, servers: [{address: ':7'}, {address: ':7'}]}":                         "is there twice",
+		"configuration: {service: orders, servers: [{address: ':7'}, {address: ':7'}]}":                         "is listed twice",
 		"configuration: {service: orders, servers: [{address: ':7'}], zone: [a]}":                               "configuration.zone: is a list",
 		"configuration: [orders]":                                                                               "configuration: is a list",
 		"configuration: {service: orders, servers: [{address: ':7', adress: ':8'}]}":                            "configuration.servers[0].adress: is not known",
