--- a/internal/configserver/server.go
+++ b/internal/configserver/server.go
@@ -22,8 +22,8 @@
 	"lilacbend/settings"
 )
 
-// Defaults of Options. 1,600 controllers share 8 servers, and all of them may connect to the same one; sending a complete
-// copy takes a few milliseconds.
+// Defaults of Options. An installation has 1,600 controllers and 8 servers, and all controllers may connect to the same
+// server; sending a complete copy takes a few milliseconds.
 const (
 	DefaultMaxConnections = 4096
 	DefaultMaxCopies      = 64
@@ -89,8 +89,8 @@
 	faults              map[string]string        // reasons by file, or by folder if the whole folder is unusable
 	changeSignals       map[string]chan struct{} // by service, closed when it changes; empty name: any service
 	absent              map[string]bool          // services that had no file at the last scan
-	dirty               bool                     // the configuration has changed since the state file was written
-	anotherWriterLogged bool                     // that there is a second writer was logged
+	dirty               bool                     // the configuration has changed since the last write of the state file
+	anotherWriterLogged bool                     // the existence of another writer was logged
 }
 
 // Check returns an error if the settings of a service are invalid. It checks them as a controller does at its start.
--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -63,29 +63,29 @@
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	whole := exampleSettings(t, "first")
-	writeFile(t, folder, "orders.json", whole)
-	writeFile(t, folder, "stock.json", whole)
+	valid := exampleSettings(t, "first")
+	writeFile(t, folder, "orders.json", valid)
+	writeFile(t, folder, "stock.json", valid)
 	writer := startServer(t, Options{Name: "s0", Folder: folder})
 	controller := followService(t, "orders", asServer(writer))
 	controller.waitForClass("first")
 	before := writer.Version()
-	for reason, spoil := range map[string]func(){
-		"unexpected":        func() { os.WriteFile(filepath.Join(folder, "orders.json"), whole[:len(whole)/2], 0o600) },
+	for reason, makeInvalid := range map[string]func(){
+		"unexpected":        func() { os.WriteFile(filepath.Join(folder, "orders.json"), valid[:len(valid)/2], 0o600) },
 		"EOF":               func() { os.WriteFile(filepath.Join(folder, "orders.json"), nil, 0o600) },
-		"more than one":     func() { os.WriteFile(filepath.Join(folder, "orders.json"), append(whole, whole...), 0o600) },
+		"more than one":     func() { os.WriteFile(filepath.Join(folder, "orders.json"), append(valid, valid...), 0o600) },
 		"at most 1048576":   func() { os.WriteFile(filepath.Join(folder, "orders.json"), make([]byte, 2<<20), 0o600) },
 		"no regular file":   func() { os.Mkdir(filepath.Join(folder, "shop.json"), 0o700) },
-		"no name of a serv": func() { writeFile(t, folder, "a b.json", whole) },
+		"no name of a serv": func() { writeFile(t, folder, "a b.json", valid) },
 	} {
-		spoil()
+		makeInvalid()
 		scriptedpeer.WaitFor(t, "no fault with the reason "+reason, func() bool {
 			faults := writer.Status().Faults
 			return len(faults) == 1 && strings.Contains(faults[0].Reason, reason)
 		})
 		os.Remove(filepath.Join(folder, "shop.json"))
 		os.Remove(filepath.Join(folder, "a b.json"))
-		writeFile(t, folder, "orders.json", whole)
+		writeFile(t, folder, "orders.json", valid)
 		scriptedpeer.WaitFor(t, reason+": fault remains after the file became valid", func() bool { return len(writer.Status().Faults) == 0 })
 	}
 	if writer.Version().Epoch != before.Epoch {
@@ -163,15 +163,15 @@
 // configuration although they have higher revisions.
 func TestRestoredWriterIsFollowed(t *testing.T) {
 	t.Parallel()
-	folder, state := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
+	folder, statePath := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
 	listen := scriptedpeer.FreeAddress(t)
-	writer := startServer(t, Options{Name: "s0", Folder: folder, StateFile: state, Listen: listen})
+	writer := startServer(t, Options{Name: "s0", Folder: folder, StateFile: statePath, Listen: listen})
 	follower := startServer(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{asServer(writer)}})
 	controller := followService(t, "orders", asServer(follower))
 	controller.waitForClass("first")
-	scriptedpeer.WaitFor(t, "no state file was written", func() bool { _, err := os.Stat(state); return err == nil })
-	backup, err := os.ReadFile(state)
+	scriptedpeer.WaitFor(t, "no state file was written", func() bool { _, err := os.Stat(statePath); return err == nil })
+	backup, err := os.ReadFile(statePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,16 +182,16 @@
 	previous := writer.Version()
 	writer.stop()
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first")) // folder and state file are restored
-	if err := os.WriteFile(state, backup, 0o600); err != nil {
+	if err := os.WriteFile(statePath, backup, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	writer = startServer(t, Options{Name: "s0", Folder: folder, StateFile: state, Listen: listen})
+	writer = startServer(t, Options{Name: "s0", Folder: folder, StateFile: statePath, Listen: listen})
 	controller.waitForClass("first")
 	if active := controller.Active(); active.Epoch <= previous.Epoch || active.Revision >= previous.Revision {
 		t.Errorf("version %s active after %s", active, previous)
 	}
 	writer.stop() // the next writer has lost its state, and its clock may be behind
-	os.Remove(state)
+	os.Remove(statePath)
 	writeFile(t, folder, "orders.json", exampleSettings(t, "fourth"))
 	restarted := startServer(t, Options{Name: "s0", Folder: folder, Listen: listen})
 	restarted.mu.Lock()
@@ -237,16 +237,16 @@
 // its state file.
 func TestStateFileIsCheckedAtStart(t *testing.T) {
 	t.Parallel()
-	folder, state := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
+	folder, statePath := t.TempDir(), filepath.Join(t.TempDir(), "state.json")
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
-	writer := startServer(t, Options{Name: "s0", Folder: folder, StateFile: state})
-	scriptedpeer.WaitFor(t, "no state file was written", func() bool { _, err := os.Stat(state); return err == nil })
+	writer := startServer(t, Options{Name: "s0", Folder: folder, StateFile: statePath})
+	scriptedpeer.WaitFor(t, "no state file was written", func() bool { _, err := os.Stat(statePath); return err == nil })
 	writer.stop()
 	writeFile(t, folder, "orders.json", []byte("{"))
-	writer = startServer(t, Options{Name: "s0", Folder: folder, StateFile: state})
+	writer = startServer(t, Options{Name: "s0", Folder: folder, StateFile: statePath})
 	followService(t, "orders", asServer(writer)).waitForClass("first")
 	writer.stop()
-	raw, err := os.ReadFile(state)
+	raw, err := os.ReadFile(statePath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,10 +254,10 @@
 		"unexpected end": string(raw[:len(raw)/2]), "not a complete copy": strings.Replace(string(raw), `"complete":true`, `"complete":false`, 1),
 		"push_rate": strings.ReplaceAll(string(raw), "push_rate", "rate"),
 	} {
-		if err := os.WriteFile(state, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(statePath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		writer = startServer(t, Options{Name: "s0", Folder: folder, StateFile: state})
+		writer = startServer(t, Options{Name: "s0", Folder: folder, StateFile: statePath})
 		scriptedpeer.WaitFor(t, "the log does not report "+wantLog, func() bool { return writer.log.count("state file rejected") == 1 && writer.log.count(wantLog) > 0 })
 		writer.stop()
 	}
--- a/internal/configwatch/watcher.go
+++ b/internal/configwatch/watcher.go
@@ -17,7 +17,7 @@
 	"lilacbend/internal/revision"
 )
 
-// Options configure a Watcher, and have the functions that it calls with new versions and answers.
+// Options configure a Watcher and its callbacks for new versions and answers.
 type Options struct {
 	Instance string // the follower's name
 	Service  string // empty: all services, for a server
@@ -51,6 +51,7 @@
 	BytesOut  int64
 }
 
+// counters are the atomic counters behind Counts.
 type counters struct {
 	dials, requests, answers, failures, throttled atomic.Int64
 	offered, rejected                             atomic.Int64
@@ -62,7 +63,7 @@
 	options   Options
 	start     time.Time
 	counts    counters
-	decisions chan struct{} // signals that an offer was applied or rejected
+	decisions chan struct{} // receives a signal when an offer was applied or rejected
 
 	mu      sync.Mutex
 	client  *configclient.Client
@@ -117,7 +118,7 @@
 	w.signalDecision()
 }
 
-// notifyActive calls OnActive, if it is set, if the active version differs from the one before.
+// notifyActive calls OnActive, if set, when the active version differs from the one before.
 func (w *Watcher) notifyActive(before revision.Version) {
 	w.mu.Lock()
 	active := w.client.Active()
