--- a/internal/configapi/configapi.go
+++ b/internal/configapi/configapi.go
@@ -76,25 +76,25 @@
 // ParseQuery parses the parameters of a request. An error names the invalid parameter.
 func ParseQuery(values url.Values) (Query, error) {
 	var query Query
-	for _, name := range []struct {
+	for _, parameter := range []struct {
 		key         string
 		destination *string
 	}{{keyService, &query.Service}, {keyInstance, &query.Instance}, {keyZone, &query.Zone}, {keyRegion, &query.Region}} {
-		value := values.Get(name.key)
+		value := values.Get(parameter.key)
 		if len(value) > MaxNameLength {
-			return Query{}, fmt.Errorf("%s has %d bytes, at most %d may be", name.key, len(value), MaxNameLength)
+			return Query{}, fmt.Errorf("%s has %d bytes, at most %d may be", parameter.key, len(value), MaxNameLength)
 		}
-		*name.destination = value
+		*parameter.destination = value
 	}
-	for _, version := range []struct {
+	for _, parameter := range []struct {
 		key         string
 		destination *revision.Version
 	}{{keySince, &query.Since}, {keyRejected, &query.Rejected}} {
-		value, err := revision.Parse(values.Get(version.key))
+		value, err := revision.Parse(values.Get(parameter.key))
 		if err != nil {
-			return Query{}, fmt.Errorf("%s: %w", version.key, err)
+			return Query{}, fmt.Errorf("%s: %w", parameter.key, err)
 		}
-		*version.destination = value
+		*parameter.destination = value
 	}
 	timeout, err := parseTimeout(values.Get(keyTimeout))
 	if err != nil {
@@ -139,7 +139,7 @@
 }
 
 // Check returns an error if an answer to a query is invalid. It does not check the settings themselves.
-func (a Answer) Check(q Query) error {
+func (a Answer) Check(query Query) error {
 	switch {
 	case !a.Valid() || a.AgeMS < 0:
 		return fmt.Errorf("version %s or age %d ms is out of range", a.Version, a.AgeMS)
@@ -147,23 +147,23 @@
 		return fmt.Errorf("version %s has no epoch", a.Version)
 	}
 	for _, service := range a.Services {
-		err := a.checkService(service, q)
+		err := a.checkService(service, query)
 		if err != nil {
 			return err
 		}
 	}
-	if q.Service != "" && len(a.Services) > 1 {
-		return fmt.Errorf("answer has %d services, the query names only service %s", len(a.Services), q.Service)
+	if query.Service != "" && len(a.Services) > 1 {
+		return fmt.Errorf("answer has %d services, the query names only service %s", len(a.Services), query.Service)
 	}
 	return nil
 }
 
-func (a Answer) checkService(service Service, q Query) error {
+func (a Answer) checkService(service Service, query Query) error {
 	switch {
 	case service.Name == "" || len(service.Name) > MaxNameLength:
 		return fmt.Errorf("name %.40q of a service is empty or too long", service.Name)
-	case q.Service != "" && service.Name != q.Service:
-		return fmt.Errorf("query for service %s was answered with service %s", q.Service, service.Name)
+	case query.Service != "" && service.Name != query.Service:
+		return fmt.Errorf("query for service %s was answered with service %s", query.Service, service.Name)
 	case service.Newer(a.Version):
 		return fmt.Errorf("service %s has version %s, which is newer than version %s of the answer", service.Name, service.Version, a.Version)
 	case !service.Removed && len(service.Settings) == 0:
--- a/internal/configapi/configapi_test.go
+++ b/internal/configapi/configapi_test.go
@@ -53,20 +53,20 @@
 		`{"epoch":1,"revision":1,"services":[{"name":"orders","epoch":1,"revision":1}]}`:                        "has no settings",
 		`{"epoch":1,"revision":1,"services":[{"name":"orders","settings":{}},{"name":"orders","settings":{}}]}`: "answer has 2 services",
 	} {
-		var a Answer
-		if err := json.Unmarshal([]byte(text), &a); err != nil {
+		var answer Answer
+		if err := json.Unmarshal([]byte(text), &answer); err != nil {
 			t.Fatal(err)
 		}
-		if err := a.Check(query); err == nil || !strings.Contains(err.Error(), wantError) {
+		if err := answer.Check(query); err == nil || !strings.Contains(err.Error(), wantError) {
 			t.Errorf("answer %s: error %v, want %q", text, err, wantError)
 		}
 	}
 	valid := `{"epoch":1,"revision":3,"complete":true,"services":[{"name":"orders","epoch":1,"revision":3,"settings":{"a":1}}]}`
-	var a Answer
-	if err := json.Unmarshal([]byte(valid), &a); err != nil || a.Check(query) != nil || a.Services[0].Revision != 3 {
-		t.Errorf("valid answer is decoded as %+v, error %v, Check returns %v", a, err, a.Check(query))
+	var answer Answer
+	if err := json.Unmarshal([]byte(valid), &answer); err != nil || answer.Check(query) != nil || answer.Services[0].Revision != 3 {
+		t.Errorf("valid answer is decoded as %+v, error %v, Check returns %v", answer, err, answer.Check(query))
 	}
-	if raw, err := json.Marshal(a); err != nil || strings.Count(string(raw), `"epoch":1,"revision":3`) != 2 {
+	if raw, err := json.Marshal(answer); err != nil || strings.Count(string(raw), `"epoch":1,"revision":3`) != 2 {
 		t.Errorf("answer is encoded as %s, error %v", raw, err)
 	}
 }
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -33,26 +33,26 @@
 	t.Helper()
 	version := revision.Version{Epoch: 7, Revision: 31}
 	query := Query{Service: "orders", Since: revision.Version{Epoch: 7, Revision: 30}, Rejected: version, Timeout: 1500 * time.Millisecond, Instance: "n7", Zone: "a", Region: "r1"}
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "query\n%s\nquery of a server that holds nothing\n%s\nanswer\n", query.Encode(), Query{Instance: "s1"}.Encode())
+	var wire bytes.Buffer
+	fmt.Fprintf(&wire, "query\n%s\nquery of a server that holds nothing\n%s\nanswer\n", query.Encode(), Query{Instance: "s1"}.Encode())
 	answer := Answer{Version: version, Complete: true, AgeMS: 12, Services: []Service{
 		{Name: "orders", Version: version, Settings: json.RawMessage(`{"zones":["a","b"]}`)},
 		{Name: "stock", Version: revision.Version{Epoch: 7, Revision: 29}, Removed: true},
 	}}
 	for _, a := range []Answer{answer, {Version: version, Services: []Service{}}} {
-		if _, err := a.WriteTo(&b); err != nil {
+		if _, err := a.WriteTo(&wire); err != nil {
 			t.Fatal(err)
 		}
-		b.WriteByte('\n')
+		wire.WriteByte('\n')
 	}
 	for _, body := range []any{Refusal{Reason: "no service \"x\""}, Refusal{Reason: "too many whole copies are under way", RetryAfterMS: 150}, goldenStatus()} {
 		raw, err := json.Marshal(body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Write(append(raw, '\n'))
+		wire.Write(append(raw, '\n'))
 	}
-	return b.Bytes()
+	return wire.Bytes()
 }
 
 func TestMessagesMatchGoldenFile(t *testing.T) {
--- a/internal/configserver/listener.go
+++ b/internal/configserver/listener.go
@@ -23,7 +23,7 @@
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
-		if isTemporary(err) {
+		if isRetryable(err) {
 			time.Sleep(acceptRetryInterval)
 			continue
 		}
@@ -39,8 +39,8 @@
 	}
 }
 
-// isTemporary reports whether err is a network error of accept other than that the listener is closed.
-func isTemporary(err error) bool {
+// isRetryable reports whether err is a network error of accept other than that the listener is closed.
+func isRetryable(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed)
 }
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -74,9 +74,9 @@
 			t.Errorf("step %d: changed %v, %v, %s", k, changed, err, s.Version())
 		}
 	}
-	a, result := s.Answer(configapi.Query{Service: "orders"}, 0)
-	if result != Changed || string(a.Services[0].Settings) != `{"a":2}` || a.Version != version(5, 3) || !a.Complete {
-		t.Errorf("answer with services %+v, result %v, want the settings of 5.3", a.Services, result)
+	answer, result := s.Answer(configapi.Query{Service: "orders"}, 0)
+	if result != Changed || string(answer.Services[0].Settings) != `{"a":2}` || answer.Version != version(5, 3) || !answer.Complete {
+		t.Errorf("answer with services %+v, result %v, want the settings of 5.3", answer.Services, result)
 	}
 	if !s.Remove("orders") || s.Remove("orders") || s.Version() != version(5, 4) {
 		t.Errorf("version %s after the removal, want 5.4 and one removal", s.Version())
@@ -112,18 +112,18 @@
 		{configapi.Query{Since: version(5, 5)}, Unchanged, false, "", version(5, 5)},
 		{configapi.Query{Since: version(4, 5)}, Changed, true, "orders,stock", version(5, 5)},
 	} {
-		a, result := s.Answer(c.query, 0)
+		answer, result := s.Answer(c.query, 0)
 		var names []string
-		for _, service := range a.Services {
+		for _, service := range answer.Services {
 			if service.Removed {
 				service.Name = "-" + service.Name
 			}
 			names = append(names, service.Name)
 		}
-		if result != c.result || a.Complete != c.complete || strings.Join(names, ",") != c.services || a.Version != c.version {
-			t.Errorf("query %+v: result %v, complete %v, services %v, version %s", c.query, result, a.Complete, names, a.Version)
+		if result != c.result || answer.Complete != c.complete || strings.Join(names, ",") != c.services || answer.Version != c.version {
+			t.Errorf("query %+v: result %v, complete %v, services %v, version %s", c.query, result, answer.Complete, names, answer.Version)
 		}
-		if err := a.Check(c.query); result != UnknownService && err != nil {
+		if err := answer.Check(c.query); result != UnknownService && err != nil {
 			t.Errorf("answer to query %+v is invalid: %v", c.query, err)
 		}
 	}
@@ -153,12 +153,12 @@
 	if err := restored.BeginEpoch(6, 0); err != nil {
 		t.Fatal(err)
 	}
-	a, result := restored.Answer(ahead, 0)
-	if result != Changed || !a.Complete || a.Version != version(6, 1) || string(a.Services[0].Settings) != `{"a":1}` {
-		t.Errorf("result %v, version %s, complete %v after the later epoch began", result, a.Version, a.Complete)
+	answer, result := restored.Answer(ahead, 0)
+	if result != Changed || !answer.Complete || answer.Version != version(6, 1) || string(answer.Services[0].Settings) != `{"a":1}` {
+		t.Errorf("result %v, version %s, complete %v after the later epoch began", result, answer.Version, answer.Complete)
 	}
-	if a, result = s.Answer(configapi.Query{Service: "orders", Since: version(6, 1)}, 0); result != Unchanged {
-		t.Errorf("a server of the earlier epoch serves version %s to a follower of the later one", a.Version)
+	if answer, result = s.Answer(configapi.Query{Service: "orders", Since: version(6, 1)}, 0); result != Unchanged {
+		t.Errorf("a server of the earlier epoch serves version %s to a follower of the later one", answer.Version)
 	}
 }
 
@@ -194,14 +194,14 @@
 	update := func(name string, size int) configapi.Service {
 		return configapi.Service{Name: name, Version: version(5, 3), Settings: json.RawMessage(strings.Repeat(" ", size))}
 	}
-	for wantError, a := range map[string]configapi.Answer{
+	for wantError, answer := range map[string]configapi.Answer{
 		"is older than":        {Version: version(5, 1), Complete: true},
 		"4.900 is older than":  {Version: version(4, 900), Complete: true},
 		"changes of epoch 6":   {Version: version(6, 1)},
 		"no name of a service": {Version: version(5, 3), Services: []configapi.Service{update("a/b", 1)}},
 		"bytes in total":       {Version: version(5, 3), Services: []configapi.Service{update("x", MaxTotalSize)}},
 	} {
-		if _, err := s.Merge(a, 0); err == nil || !strings.Contains(err.Error(), wantError) {
+		if _, err := s.Merge(answer, 0); err == nil || !strings.Contains(err.Error(), wantError) {
 			t.Errorf("error %v, want %q", err, wantError)
 		}
 		if after, _ := json.Marshal(s.Snapshot()); string(after) != string(before) {
@@ -240,26 +240,26 @@
 				}
 			default:
 				k := rapid.IntRange(0, len(followers)-1).Draw(t, "follower")
-				from := s
+				source := s
 				if k > 0 && rapid.Bool().Draw(t, "from another follower") {
-					from = followers[0]
+					source = followers[0]
 				}
-				f := followers[k]
-				a, result := from.Answer(configapi.Query{Since: f.Version()}, 0)
-				before := f.Version()
-				if _, err := f.Merge(a, 0); err != nil && result == Changed {
+				follower := followers[k]
+				answer, result := source.Answer(configapi.Query{Since: follower.Version()}, 0)
+				before := follower.Version()
+				if _, err := follower.Merge(answer, 0); err != nil && result == Changed {
 					t.Fatal(err)
 				}
-				if before.Newer(f.Version()) {
-					t.Fatalf("follower went back from version %s to %s", before, f.Version())
+				if before.Newer(follower.Version()) {
+					t.Fatalf("follower went back from version %s to %s", before, follower.Version())
 				}
-				if from.Version() == f.Version() {
-					want, _ := json.Marshal(from.Snapshot().Services)
-					if got, _ := json.Marshal(f.Snapshot().Services); string(got) != string(want) {
-						t.Fatalf("follower at version %s has %s, want %s", f.Version(), got, want)
+				if source.Version() == follower.Version() {
+					want, _ := json.Marshal(source.Snapshot().Services)
+					if got, _ := json.Marshal(follower.Snapshot().Services); string(got) != string(want) {
+						t.Fatalf("follower at version %s has %s, want %s", follower.Version(), got, want)
 					}
 				} else if result == Changed {
-					t.Fatalf("follower was answered with version %s and is at %s", from.Version(), f.Version())
+					t.Fatalf("follower was answered with version %s and is at %s", source.Version(), follower.Version())
 				}
 			}
 		}
@@ -276,8 +276,8 @@
 		put(t, s, name, `{}`)
 		s.Remove(name)
 	}
-	if a, _ := s.Answer(configapi.Query{Since: since}, 0); !a.Complete || len(a.Services) != 1 || len(s.removed) != maxRemoved {
-		t.Errorf("complete %v, %d services, %d removals recorded", a.Complete, len(a.Services), len(s.removed))
+	if answer, _ := s.Answer(configapi.Query{Since: since}, 0); !answer.Complete || len(answer.Services) != 1 || len(s.removed) != maxRemoved {
+		t.Errorf("complete %v, %d services, %d removals recorded", answer.Complete, len(answer.Services), len(s.removed))
 	}
 	if !slices.Equal(s.ServiceNames(), []string{"kept"}) {
 		t.Errorf("services %v, want only kept", s.ServiceNames())
