--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -117,7 +117,7 @@
 	if stopSecond(); !secondLog.contains("learned state disabled, its folder cannot be acquired") || !secondLog.contains(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
 		t.Errorf("log of a second controller on the same folder: %s", secondLog)
 	}
-	if stop(); !log.contains("learned state restored") || !log.contains("replica box-2 probation by learned state") {
+	if stop(); !log.contains("learned state restored") || !log.contains("replica box-2 probation from learned state") {
 		t.Errorf("log of the restarted controller: %s", log)
 	}
 }
--- a/policy/admission/demand.go
+++ b/policy/admission/demand.go
@@ -29,8 +29,8 @@
 	LatestRequests map[int]float64
 	// FailedFraction is the fraction of the requests of LoadWindow that got no successful response.
 	FailedFraction float64
-	// ReportDelay is the mean time by which the periods of the reports exceed the report interval. If it is above 0, the
-	// controller receives reports late, each for several intervals.
+	// ReportDelay is the mean length of the periods that the reports cover, minus the report interval. If it is above 0, the
+	// reports arrive late, because they cover more than one interval each.
 	ReportDelay time.Duration
 }
 
@@ -124,7 +124,7 @@
 }
 
 // Renumber gives the reports and the restored rates the new numbers of their classes, and drops those of classes that no
-// longer exist.
+// longer exist. newClasses holds the new number of each class by its old number, negative for a class that no longer exists.
 func (d *Demand) Renumber(newClasses []int) {
 	var reports []demandReport
 	for _, r := range d.reports {
--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -82,8 +82,8 @@
 // Load is the load of the fleet over LoadWindow.
 type Load struct {
 	AttemptRate          float64 // attempts per second at replicas that are ready and neither ejected nor on probation
-	FailureRate          float64 // fraction of these attempts that failed
-	TypicalFailureRate   float64 // mean failure rate of most of these replicas, without those with the highest failure rates
+	FailureRate          float64 // fraction of the attempts of AttemptRate that failed
+	TypicalFailureRate   float64 // mean failure rate of most replicas of AttemptRate, without those with the highest rates
 	ResponseTime         float64 // mean of the successful responses, in seconds
 	ServingReplicas      float64 // number of the replicas that AttemptRate covers
 	BaselineResponseTime float64 // response time of the fastest hardware class without load, in seconds; infinite: not known
@@ -250,9 +250,9 @@
 	return highest
 }
 
-// Renumber adapts the threshold to changed traffic classes; newClasses holds the new number of each old class, below 0 if
-// the class no longer exists. A class that was admitted completely stays admitted completely, unless a class of higher
-// priority is not: the threshold is set at the first class, in the new order, that was shed in part or completely.
+// Renumber adapts the threshold to changed traffic classes. newClasses holds the new number of each class by its old number,
+// negative for a class that no longer exists. A class that was admitted completely stays admitted completely, unless a class
+// of higher priority is not: the threshold is set at the first class, in the new order, that was shed in part or completely.
 func (t *Threshold) Renumber(newClasses []int) {
 	if t.classes == nil {
 		return
--- a/policy/admission/threshold_test.go
+++ b/policy/admission/threshold_test.go
@@ -317,7 +317,7 @@
 		name       string
 		admitted   float64 // threshold before; classes 1, 2 and 0 have the priority weights 3, 2 and 1
 		want       float64 // threshold after
-		numbers    []int   // new number of each class; -1: removed
+		newNumbers []int   // new number of each class, by its old number; -1: class removed
 		priorities []float64
 	}{
 		{"all admitted, class added", 3, 4, []int{0, 1, 2}, []float64{1, 3, 2, 5}},
@@ -339,7 +339,7 @@
 			for _, priority := range c.priorities {
 				settings.Classes = append(settings.Classes, control.TrafficClass{PriorityWeight: priority})
 			}
-			threshold.Renumber(c.numbers)
+			threshold.Renumber(c.newNumbers)
 			if threshold.AdmittedClasses() != c.want {
 				t.Errorf("threshold %v, want %v", threshold.AdmittedClasses(), c.want)
 			}
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -37,8 +37,8 @@
 	// minAttempts is the number of attempts below which a healthy replica is not evaluated: a few failures may be chance.
 	minAttempts = 5
 
-	// minProbationAttempts is the same limit for a replica on probation. It is lower because the earlier ejection is a
-	// reason to suspect the replica.
+	// minProbationAttempts is the number of attempts below which a replica on probation is not evaluated. It is lower than
+	// minAttempts because the earlier ejection is a reason to suspect the replica.
 	minProbationAttempts = 3
 
 	// excessFailureFraction sets the failure rate above which a replica is an outlier: the fleet's failure rate plus this
@@ -114,7 +114,7 @@
 	case probation:
 		return fmt.Sprintf("probation after ejection %d", c.ejections)
 	case restoredOnProbation:
-		return fmt.Sprintf("probation by learned state: %.2f of its weight", c.weightFraction)
+		return fmt.Sprintf("probation from learned state: %.2f of its weight", c.weightFraction)
 	case healthy:
 		return fmt.Sprintf("healthy: %.0f of %.0f attempts failed", c.window.Failures, c.window.Attempts)
 	default:
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -214,7 +214,7 @@
 		"unchanged",
 		"probation after ejection 1",
 		"healthy: 0 of 4 attempts failed",
-		"probation by learned state: 0.12 of its weight",
+		"probation from learned state: 0.12 of its weight",
 	} {
 		if got[k] != want {
 			t.Errorf("got %q, want %q", got[k], want)
--- a/policy/replica_test.go
+++ b/policy/replica_test.go
@@ -36,7 +36,7 @@
 		"replica 9 ejected: 10 of 10 attempts failed, fleet failure rate 0.00, for 3s",
 		"replica 9 probation after ejection 1",
 		"replica 9 healthy: 0 of 4 attempts failed",
-		"replica 9 probation by learned state: 0.12 of its weight",
+		"replica 9 probation from learned state: 0.12 of its weight",
 	}; !slices.Equal(texts, wanted) {
 		t.Errorf("log lines: got %q, want %q", texts, wanted)
 	}
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -46,8 +46,8 @@
 	// maxFailureRate is the failure rate of the fleet's attempts above which retries stop. It is above the failure rate that
 	// a few unhealthy replicas cause before they are ejected.
 	maxFailureRate = 0.08
-	// resumeFailureRate is the failure rate at which retries resume. It is lower because resumed retries cause failed
-	// attempts as well.
+	// resumeFailureRate is the failure rate at which retries resume. It is lower than maxFailureRate because resumed
+	// retries cause failed attempts as well.
 	resumeFailureRate = maxFailureRate / 2
 	// MinChangeInterval is the minimum time between two changes of the decision. It is as long as the period over which the
 	// failure rate is measured: until then, the rate includes attempts made under the earlier decision.
@@ -64,8 +64,8 @@
 	lastChange time.Duration
 }
 
-// Evaluate stops or resumes retries by the fraction of the fleet's attempts that failed, from 0 to 1. It reports whether the
-// decision changed.
+// Evaluate stops or resumes retries according to failureRate, the fraction of the fleet's attempts that failed, from 0 to 1.
+// It reports whether the decision changed.
 func (t *Throttle) Evaluate(now time.Duration, failureRate float64) (changed bool) {
 	limit := maxFailureRate
 	if t.stopped {
--- a/policy/slowstart/recovery.go
+++ b/policy/slowstart/recovery.go
@@ -16,12 +16,13 @@
 type Fleet struct {
 	overloadMultiple  float64
 	warmingCapacity   float64 // load at which the replicas that warm up fail, in units of listed weight
-	attempts          float64 // at all replicas
-	warmedUpSuccesses float64 // of the warmed-up replicas
+	attempts          float64 // attempts at all replicas, including draining ones
+	warmedUpSuccesses float64 // successful attempts at the warmed-up replicas
 	warmedUpWeight    float64 // listed weight of the warmed-up replicas
 }
 
-// Recovery says how replicas that warm up are treated.
+// Recovery holds what the load of the whole fleet determines for the replicas that warm up: the fraction of lost requests
+// that counts for them, and how they are unejected.
 type Recovery struct {
 	// LostFraction is the fraction of lost requests that counts for replicas that warm up: it reduces their weight and
 	// decides whether they are held back. It is the fraction of the attempts that fail or of the requests that fail,
@@ -50,10 +51,10 @@
 	}
 }
 
-// Recovery returns how replicas that warm up are treated, given the fraction of the attempts that fail and the fraction of
-// the requests that are lost.
-func (f *Fleet) Recovery(failureRate, lostFraction float64) Recovery {
-	lost := math.Max(failureRate, lostFraction)
+// Recovery returns the fraction of lost requests that counts for the replicas that warm up, and how they are unejected.
+// failureRate is the fraction of the attempts that fail, and failedFraction the fraction of the requests that fail.
+func (f *Fleet) Recovery(failureRate, failedFraction float64) Recovery {
+	lost := math.Max(failureRate, failedFraction)
 	if !f.warmingReplicasSuffice() {
 		return Recovery{LostFraction: lost}
 	}
--- a/policy/slowstart/recovery_test.go
+++ b/policy/slowstart/recovery_test.go
@@ -46,11 +46,11 @@
 	}
 }
 
-func TestRecoveryUsesHigherOfFailuresAndLosses(t *testing.T) {
+func TestRecoveryUsesHigherFailureRateOfAttemptsAndRequests(t *testing.T) {
 	f := fleet(10, 0, 10)
-	for _, c := range []struct{ failures, lost, want float64 }{{0.1, 0.9, 0.9}, {0.7, 0.2, 0.7}, {0, 0, 0}} {
-		if got := f.Recovery(c.failures, c.lost); got != (Recovery{LostFraction: c.want}) {
-			t.Errorf("failure rate %v, lost fraction %v: got %+v, want %v", c.failures, c.lost, got, c.want)
+	for _, c := range []struct{ attempts, requests, want float64 }{{0.1, 0.9, 0.9}, {0.7, 0.2, 0.7}, {0, 0, 0}} {
+		if got := f.Recovery(c.attempts, c.requests); got != (Recovery{LostFraction: c.want}) {
+			t.Errorf("failure rate of attempts %v, of requests %v: got %+v, want %v", c.attempts, c.requests, got, c.want)
 		}
 	}
 }
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -9,9 +9,10 @@
 //   - entryFraction, for the first entryTime after the replica became known
 //   - 1, the weight fraction of a warmed-up replica
 //
-// The first limit, or 1 if that is lower, is multiplied by the square of the fraction of requests that succeed, because each
-// failed request is sent again. If the fraction of lost requests exceeds maxLostFraction, and until the state of the fleet
-// is known, the replica is held back and gets no requests: in a collapse all retries would go to it.
+// The fraction of lost requests is the fraction of the attempts that fail or of the requests that fail, whichever is larger.
+// The first limit, or 1 if that is lower, is multiplied by the square of the fraction of requests that are not lost, because
+// each failed request is sent again. If the fraction of lost requests exceeds maxLostFraction, and until the state of the
+// fleet is known, the replica is held back and gets no requests: in a collapse all retries would go to it.
 //
 // The exception is the recovery of a fleet of which most replicas have just been replaced. If all replicas that warm up
 // could serve all attempts together, lost requests do not count for them (Fleet.Recovery): holding them back would overload
@@ -31,11 +32,12 @@
 	// entryTime is the time after a replica became known during which entryFraction applies.
 	entryTime = 5 * time.Second
 
-	// maxOverloadFraction is the fraction of the overload multiple that a replica's weight may use. The rest is headroom for
-	// sudden increases of requests.
+	// maxOverloadFraction limits the weight of a replica that warms up to this fraction of the load at which the replica
+	// fails with its current capacity. The rest is headroom for sudden increases of requests.
 	maxOverloadFraction = 1.0 / 3
 
-	// maxLostFraction is the fraction of lost requests above which replicas that warm up are held back.
+	// maxLostFraction is the fraction of lost requests (Recovery.LostFraction) above which replicas that warm up are held
+	// back and get no requests.
 	maxLostFraction = 0.3
 
 	// minSum is the initial value of sums, which keeps divisors above 0.
@@ -70,7 +72,8 @@
 	return c.InitialFraction + (1-c.InitialFraction)*float64(age)/float64(max(1, c.Duration))
 }
 
-// WeightFraction returns the fraction of its usual weight that the replica gets while lostFraction of the requests is lost.
+// WeightFraction returns the fraction of its usual weight that the replica gets. lostFraction is the fraction of lost
+// requests (Recovery.LostFraction).
 func (c Config) WeightFraction(now time.Duration, r Replica, lostFraction float64) float64 {
 	if !c.WarmingUp(now, r) {
 		return 1
--- a/policy/slowstart/slowstart_test.go
+++ b/policy/slowstart/slowstart_test.go
@@ -8,7 +8,7 @@
 
 var config = Config{Duration: 10 * time.Second, InitialFraction: 0.2, OverloadMultiple: 4}
 
-func TestWeightFractionStaysBelowTheOverloadBound(t *testing.T) {
+func TestWeightFractionStaysWithinMaxOverloadFraction(t *testing.T) {
 	r := Replica{Start: 99 * time.Second, KnownSince: 100 * time.Second}
 	now := r.KnownSince
 	for ; now < r.Start+config.Duration; now += time.Second {
@@ -36,7 +36,7 @@
 		ejected  bool
 		min, max float64
 	}{
-		{"half of Duration: a third of the overload multiple", 5 * time.Second, 0, 0, false, 0.7999, 0.8001},
+		{"half of Duration: a third of the load at which the replica fails", 5 * time.Second, 0, 0, false, 0.7999, 0.8001},
 		{"nearly warmed up: at most the weight of a warmed-up replica", 9 * time.Second, 0, 0, false, 1, 1},
 		{"known for less than entryTime: at most entryFraction", 9 * time.Second, start + 4*time.Second + 1, 0, false, 0.5, 0.5},
 		{"known for entryTime: limited by its age only", 9 * time.Second, start + 4*time.Second, 0, false, 1, 1},
@@ -73,7 +73,7 @@
 		{"just started", now, true},
 		{"at the end of the warm-up", now - config.Duration, false},
 		{"shortly before the end of the warm-up", now - config.Duration + 1, true},
-		{"start in the future, as by a clock that is ahead", now + time.Second, true},
+		{"start in the future, because of a clock that is ahead", now + time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := config.WarmingUp(now, Replica{Start: c.start}); got != c.want {
@@ -98,7 +98,7 @@
 		want    float64
 	}{
 		{"just started", now, false, config.InitialFraction},
-		{"start in the future, as by a clock that is ahead", now + time.Second, false, config.InitialFraction},
+		{"start in the future, because of a clock that is ahead", now + time.Second, false, config.InitialFraction},
 		{"half of Duration", now - config.Duration/2, false, 0.6},
 		{"ejected", now - config.Duration/2, true, 0},
 	} {
--- a/policy/weight/baselines.go
+++ b/policy/weight/baselines.go
@@ -60,8 +60,9 @@
 	return all
 }
 
-// Renumber changes the numbers of the hardware classes: newNumbers holds the new number of each old one, below 0 if the
-// class no longer exists. The number that denotes all classes together changes from oldAllClasses to newAllClasses.
+// Renumber changes the numbers of the hardware classes. newNumbers holds the new number of each class by its old number,
+// negative for a class that no longer exists. The number that denotes all classes together changes from oldAllClasses to
+// newAllClasses.
 func (b *Baselines) Renumber(newNumbers []int, oldAllClasses, newAllClasses int) {
 	renumbered := map[int][]float64{}
 	for class, samples := range b.byClass {
--- a/policy/weight/estimate.go
+++ b/policy/weight/estimate.go
@@ -9,7 +9,7 @@
 	// settleTime is the time constant with which the speed of a replica follows its goal.
 	settleTime = 4 * time.Second
 
-	// minSettleTime is the same time constant for a replica that has just become known.
+	// minSettleTime is the time constant with which the speed of a replica that has just become known follows its goal.
 	minSettleTime = time.Second
 
 	// settleDivisor shortens the time constant of a new replica: it is the time since the replica became known, divided by
--- a/policy/weight/weight.go
+++ b/policy/weight/weight.go
@@ -39,7 +39,8 @@
 	// replica, while there are no baselines. The first baselines are measured under load.
 	initialIdleFraction = 0.85
 
-	// settledIdleFraction is the same fraction once there are settledSampleCount samples of the baselines.
+	// settledIdleFraction is the fraction of the baseline response time that is assumed to be the response time of an idle
+	// replica, once there are settledSampleCount samples of the baselines.
 	settledIdleFraction = 0.6
 	settledSampleCount  = 15.0
 
@@ -90,7 +91,7 @@
 	fastestBaseline    float64 // lowest baseline of all hardware classes, in seconds; infinite: there is none
 	idleFraction       float64 // between initialIdleFraction and settledIdleFraction
 	classes            map[int]classTotals
-	meanCapacity       float64 // of the healthy replicas
+	meanCapacity       float64 // mean capacity of the healthy replicas
 	equalListedWeights bool    // all listed weights are equal
 }
 
