--- a/internal/controller/buildupdate.go
+++ b/internal/controller/buildupdate.go
@@ -65,7 +65,7 @@
 	return units
 }
 
-// ejectionCost returns 1 if an update has to state whether a replica is ejected, because the proxy may hold the opposite,
+// ejectionCost returns 1 if an update has to state whether a replica is ejected, because the proxy may assume the opposite,
 // and 0 otherwise.
 func (c *Core) ejectionCost(s *stream, replica uint32) int {
 	if s.delivered.mayDiffer(replica, c.routing.ejected[replica]) {
@@ -77,7 +77,7 @@
 // buildUpdate builds the next update of a stream and records its content as delivered. It also reports whether the turn's
 // commands affect the stream, which is possible even if the update is empty. If the stream has only a subset of its table,
 // an urgent update omits the rest of the table unless no replica of the subset is usable.
-func (c *Core) buildUpdate(s *stream, changes *turnChanges, urgent bool) (update Update, reached bool) {
+func (c *Core) buildUpdate(s *stream, changes *turnChanges, urgent bool) (update Update, affected bool) {
 	needsFull := s.binding.needsFull
 	s.binding.needsFull = false
 	update.Full = needsFull && s.binding.table >= 0
@@ -93,7 +93,7 @@
 		if needsFull { // the stream is unbound and its updates were lost
 			ejections = c.routing.ejected
 		}
-		reached = c.addEjections(s, ejections, &update)
+		affected = c.addEjections(s, ejections, &update)
 		update.Admissions = append(update.Admissions, s.delivered.cancelledAdmissions...)
 	}
 	s.delivered.cancelledAdmissions = nil
@@ -101,7 +101,7 @@
 	if s.binding.subset != nil && s.binding.subset.restDue {
 		c.delivery.markDue(s)
 	}
-	return update, reached || update.cost() > 0 || changes.affects(s.binding)
+	return update, affected || update.cost() > 0 || changes.affects(s.binding)
 }
 
 // affects reports whether the changed endpoints or admissions affect a binding.
@@ -110,7 +110,7 @@
 	return tableChanged || t.admissions[control.AllTables] || t.admissions[b.table]
 }
 
-// dueEndpoints returns the endpoints of the next update: the whole table, its subset, the rest of the table beside the
+// dueEndpoints returns the endpoints of the next update: the whole table, the subset, the rest of the table outside the
 // subset, or the changed endpoints.
 func (c *Core) dueEndpoints(s *stream, changes *turnChanges, full, urgent bool) endpointList {
 	table := s.binding.table
@@ -155,7 +155,7 @@
 	return affected
 }
 
-// addEjection adds the ejection or unejection of a replica to an update if the proxy may hold the opposite.
+// addEjection adds the ejection or unejection of a replica to an update if the proxy may assume the opposite.
 func (c *Core) addEjection(s *stream, replica uint32, update *Update) {
 	ejected := c.routing.ejected[replica]
 	if !s.delivered.mayDiffer(replica, ejected) {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -102,7 +102,7 @@
 func (c *Core) setAdmission(command control.SetAdmission, changes *turnChanges) {
 	changes.admissions[command.Table] = true
 	c.routing.admissions[tableClass{command.Table, command.Class}] = command
-	c.Counters.CostRequested += int64(len(c.streams.reachedBy(command.Table)))
+	c.Counters.CostRequested += int64(len(c.streams.inTable(command.Table)))
 }
 
 // replaceReplicaNumber replaces the number of a replica in a log line by its name, since operators do not know the numbers.
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -444,7 +444,7 @@
 				t.Fatalf("%d streams listed by table, %d streams connected", listed, len(c.streams.byProxy))
 			}
 			for proxy, s := range c.streams.byProxy {
-				if update, reached := c.buildUpdate(s, &turnChanges{fullTables: map[int]endpointList{}, changedTables: map[int]endpointList{}}, false); c.module.pausedUntil <= now && (reached || update.cost() > 0 || update.Resync) {
+				if update, affected := c.buildUpdate(s, &turnChanges{fullTables: map[int]endpointList{}, changedTables: map[int]endpointList{}}, false); c.module.pausedUntil <= now && (affected || update.cost() > 0 || update.Resync) {
 					t.Fatalf("proxy %d has unsent changes: %+v", proxy, update)
 				}
 			}
--- a/internal/controller/crossings_test.go
+++ b/internal/controller/crossings_test.go
@@ -11,8 +11,8 @@
 // This file tests inputs that race with each other within one turn, or with the end of a module or a stream: see
 // docs/crossings.md.
 
-// Lists that are applied in one turn share its time. A replica that the last complete list does not contain must be gone
-// nevertheless: otherwise a new module would consider it ready, and its name would be kept forever.
+// All lists that are applied in one turn have the same time. A replica that the last complete list does not contain must
+// still be marked as gone. Otherwise a new module would consider the replica ready, and the core would never evict its name.
 func TestListsOfOneTurnAreAppliedInOrder(t *testing.T) {
 	for name, lists := range map[string][]Input{
 		"complete, complete":          {replicaList(true, "xr", "yr"), replicaList(true, "yr")},
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// takeDue returns the streams that are due, by proxy, and marks none as due.
+// takeDue returns the streams that are marked as due, by proxy, and removes all marks.
 func (d *deliveryState) takeDue() map[int]*stream {
 	due := d.due
 	d.due = map[int]*stream{}
@@ -90,7 +90,7 @@
 		}
 	}
 	for table := range changes.admissions {
-		maps.Copy(affected, c.streams.reachedBy(table))
+		maps.Copy(affected, c.streams.inTable(table))
 	}
 	return slices.Sorted(maps.Keys(affected))
 }
@@ -157,8 +157,8 @@
 
 // sendUpdate builds the update of a stream, charges it to the account and sends it, unless it is empty.
 func (c *Core) sendUpdate(t *turn, s *stream, urgent bool, changes *turnChanges) {
-	update, reached := c.buildUpdate(s, changes, urgent)
-	wantsNewAck := reached && changes.wantsAck
+	update, affected := c.buildUpdate(s, changes, urgent)
+	wantsNewAck := affected && changes.wantsAck
 	last := len(s.unacked) - 1
 	switch {
 	case wantsNewAck:
--- a/internal/controller/handleinput.go
+++ b/internal/controller/handleinput.go
@@ -104,7 +104,7 @@
 }
 
 // handleOutcomes passes a collector's report to the module. A report with an unknown replica or zone or with impossible
-// figures counts as invalid.
+// values counts as invalid.
 func (c *Core) handleOutcomes(report Outcomes) []control.Event {
 	replica, known := c.replicas.numbers[report.Replica]
 	if !known || !c.validOutcomes(report) {
--- a/internal/controller/input.go
+++ b/internal/controller/input.go
@@ -70,8 +70,8 @@
 	UpSince       int64 // when the replica's process started, by the wall clock; 0 means long ago
 }
 
-// StreamActive reports that a message arrived on a stream which could not be used as any other input. It shows that the
-// proxy is alive.
+// StreamActive reports that a message arrived on a stream but could not be used as any other input. It shows that the proxy
+// is alive.
 type StreamActive struct{ Stream StreamID }
 
 // MessageSent reports that all bytes of an update have been written. Number is the update's number in the channel's account.
--- a/internal/controller/messagecap_test.go
+++ b/internal/controller/messagecap_test.go
@@ -68,7 +68,7 @@
 			}
 		}
 		switch {
-		case now < 26*second/10 && (now/(second/10))%4 == 0: // with the first connection, this uses the cap up to one message
+		case now < 26*second/10 && (now/(second/10))%4 == 0: // with the first connection, this leaves one message of the cap
 			inputs = append(inputs, connect(0))
 		case drainedAt == 0 && now >= 3*second:
 			drainedAt, inputs = now, append(inputs, list("s-0"))
@@ -76,7 +76,7 @@
 	}
 	for proxy := 1; proxy < capped.Proxies; proxy++ {
 		if !stopped[proxy] {
-			t.Errorf("proxy %d was not told within the grace that replica s-0 is draining", proxy)
+			t.Errorf("proxy %d was not notified within the grace that replica s-0 is draining", proxy)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		for id, at := range drained {
 			for stream, usable := range tables {
 				if usable[id] && now > at+grace-capped.MaxTransit {
-					t.Fatalf("stream %d, %d messages since the release began: not told by %d ms that %s has been draining since %d ms", stream, messages[stream], now/1e6, id, at/1e6)
+					t.Fatalf("stream %d, %d messages since the release began: not notified by %d ms that %s has been draining since %d ms", stream, messages[stream], now/1e6, id, at/1e6)
 				}
 			}
 		}
--- a/internal/controller/pendingchanges.go
+++ b/internal/controller/pendingchanges.go
@@ -6,7 +6,7 @@
 type turnChanges struct {
 	endpoints  map[int]map[uint32]bool // changed replicas by table
 	ejections  map[uint32]bool         // replicas that were ejected or unejected
-	admissions map[int]bool            // changed tables, including control.AllTables
+	admissions map[int]bool            // tables with changed admissions; control.AllTables may be one of them
 	wantsAck   bool
 	nonce      uint64
 	// The endpoint lists of a table are made once and shared by the updates of all its streams.
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -53,7 +53,7 @@
 type appliedList struct {
 	event          control.ReplicasListed
 	newOrRestarted []control.ListedReplica // replicas that are new, or have restarted or moved since the last list
-	unusable       int                     // number of unusable members
+	unusable       int                     // number of list members that could not be used
 }
 
 // applyList applies a response of discovery.
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -7,7 +7,8 @@
 	"lilacbend/internal/learnedstate"
 )
 
-// Installation returns the classes, hardware classes and number of proxies to which restored learned state is fitted.
+// Installation returns the traffic classes, hardware classes and number of proxies to which restored learned state is
+// fitted.
 func (t Topology) Installation() learnedstate.Installation {
 	return learnedstate.Installation{Classes: t.names.Classes, HardwareClasses: t.names.HardwareClasses, Proxies: t.proxies}
 }
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -30,7 +30,7 @@
 	restored    *learnedstate.AgedState // state of an earlier controller; nil if there is none
 	last        *learnedstate.AgedState // last snapshot that a module of this core returned
 	requestedAt int64                   // time of the last request; 0 if there was none
-	settledAt   int64                   // before this time a snapshot would contain less than restored
+	settledAt   int64                   // before this time a snapshot would contain less than the restored state
 }
 
 func newSnapshotState() snapshotState {
--- a/internal/controller/streams.go
+++ b/internal/controller/streams.go
@@ -44,7 +44,7 @@
 	ejectsOnlyReported  bool
 	ejections           map[uint32]bool   // by replica: whether it was last reported as ejected or as unejected
 	admissions          map[int]Admission // by traffic class
-	cancelledAdmissions []Admission       // not yet sent; of traffic classes that no longer exist
+	cancelledAdmissions []Admission       // unsent cancellations, for traffic classes that no longer exist
 }
 
 // reset forgets the delivered state, so that everything is sent again. It keeps the cancelled admissions, which have not
@@ -55,7 +55,7 @@
 	d.admissions = map[int]Admission{}
 }
 
-// mayDiffer reports whether the proxy may have a replica as ejected or unejected contrary to its current state.
+// mayDiffer reports whether the proxy may treat a replica as ejected although it is not, or the other way round.
 func (d *deliveredState) mayDiffer(replica uint32, ejected bool) bool {
 	last, reported := d.ejections[replica]
 	return ejected != last || !reported && !d.ejectsOnlyReported
@@ -114,7 +114,7 @@
 type streamSet struct {
 	byProxy map[int]*stream
 	byID    map[StreamID]*stream
-	byTable map[int]map[int]*stream // by table, including unbound, and by proxy
+	byTable map[int]map[int]*stream // by table number and then by proxy; the key unbound holds the unbound streams
 }
 
 func newStreamSet() streamSet {
@@ -154,8 +154,8 @@
 // isCurrent reports whether a stream is still the stream of its proxy.
 func (set *streamSet) isCurrent(s *stream) bool { return set.byProxy[s.opened.Proxy] == s }
 
-// reachedBy returns the streams that an admission of a table, or of control.AllTables, affects.
-func (set *streamSet) reachedBy(table int) map[int]*stream {
+// inTable returns the streams that are bound to a table, or all streams if the table is control.AllTables.
+func (set *streamSet) inTable(table int) map[int]*stream {
 	if table == control.AllTables {
 		return set.byProxy
 	}
--- a/internal/controller/streams_test.go
+++ b/internal/controller/streams_test.go
@@ -25,11 +25,11 @@
 			}
 		}
 	}
-	if reached := set.reachedBy(control.AllTables); reached[4] != s {
-		t.Errorf("streams of all tables: %v", reached)
+	if streams := set.inTable(control.AllTables); streams[4] != s {
+		t.Errorf("streams of all tables: %v", streams)
 	}
-	if reached := set.reachedBy(2); len(reached) != 0 {
-		t.Errorf("streams of a table from which the only stream was moved: %v", reached)
+	if streams := set.inTable(2); len(streams) != 0 {
+		t.Errorf("streams of a table from which the only stream was moved: %v", streams)
 	}
 	set.remove(s)
 	if set.isCurrent(s) || len(set.byProxy)+len(set.byID)+len(set.byTable[0]) != 0 {
--- a/internal/controller/subset.go
+++ b/internal/controller/subset.go
@@ -12,7 +12,7 @@
 	ordered  []uint32        // in the module's order
 	replicas map[uint32]bool // those of ordered that were sent or are about to be sent
 	// confirmedCount is the number of replicas at the beginning of the first update for which this update also states that
-	// they are not ejected, if the proxy may hold the opposite.
+	// they are not ejected, if the proxy may assume the opposite.
 	confirmedCount int
 	restDue        bool // the rest of the table is due
 }
--- a/internal/learnedstate/fit.go
+++ b/internal/learnedstate/fit.go
@@ -39,7 +39,7 @@
 type Dropped struct {
 	Replicas       int  // replicas with a value out of bounds
 	Expired        int  // replicas whose samples are so old that their weight is 0
-	RequestRates   int  // those of unknown traffic classes or proxies, out of bounds or too old
+	RequestRates   int  // request rates of unknown traffic classes or proxies, out of bounds or too old
 	ClassesChanged bool // the traffic classes or their order differ, so that the admission threshold does not apply
 }
 
@@ -132,7 +132,7 @@
 	return kept
 }
 
-// within reports whether a value lies between two others; false for what is no number.
+// inRange reports whether a value is at least low and at most high. It returns false for NaN.
 func inRange(value, low, high float64) bool { return value >= low && value <= high }
 
 // valid reports whether all values of a replica are within their bounds.
--- a/internal/learnedstate/state.go
+++ b/internal/learnedstate/state.go
@@ -12,13 +12,13 @@
 	"lilacbend/control"
 )
 
-// Bounds of one state: a few times the size of the largest known installation.
+// Limits on the size of a State: a few times the size of the largest known installation.
 const (
-	// MaxReplicas is the maximum number of replicas.
+	// MaxReplicas is the maximum number of replicas in a State.
 	MaxReplicas = 1 << 14
-	// MaxRequestRates is the maximum number of request rates, over all proxies and traffic classes.
+	// MaxRequestRates is the maximum number of request rates in a State, over all proxies and traffic classes.
 	MaxRequestRates = 1 << 18
-	// MaxNames is the maximum number of traffic classes, and also that of hardware classes.
+	// MaxNames is the maximum number of traffic classes in a State, and also the maximum number of hardware classes.
 	MaxNames = 1 << 10
 )
 
@@ -26,7 +26,7 @@
 type State struct {
 	Controller            string    // the controller's name
 	Taken                 Timestamp // when the state was taken
-	Revision              int64     // of the endpoint list
+	Revision              int64     // revision of the endpoint list
 	Classes               []string
 	Replicas              []Replica // sorted by ID
 	BaselineResponseTimes []ResponseTimes
@@ -43,7 +43,7 @@
 	ID              string
 	Zone            string
 	HardwareClass   string
-	UpSince         int64 // start of its process as listed, Unix time; another value is another process
+	UpSince         int64 // start of the replica's process as listed, in Unix time; another value means another process
 	State           control.State
 	Weight          float64 // as listed
 	Speed           float64 // as in control.LearnedReplica, like the fields below
@@ -53,7 +53,7 @@
 	EjectedFor      int64
 	Probation       bool
 	Ejections       int
-	SinceLastSample int64 // time from its last sample to State.Taken
+	SinceLastSample int64 // time from the replica's last sample to State.Taken
 }
 
 // ResponseTimes are the response times of a hardware class at low load, in seconds. The empty class name denotes the whole
--- a/internal/sendbudget/account.go
+++ b/internal/sendbudget/account.go
@@ -20,7 +20,7 @@
 	writtenAt   int64 // when its last byte was reported as written; 0 if it was not
 }
 
-// New returns an account of an empty channel.
+// New returns an account without any charges, for a channel that is empty.
 func New(b Bounds) *Account { return &Account{Bounds: b, proxies: map[int]*proxyAccount{}} }
 
 // Queued returns how many units may still wait in the channel.
@@ -165,7 +165,7 @@
 	a.trim()
 }
 
-// Evict expires messages and drops the accounts of proxies for which nothing counts any more.
+// Evict calls Expire and drops the accounts of proxies without messages that count against their message caps.
 func (a *Account) Evict(now int64) {
 	a.Expire(now)
 	for proxy, p := range a.proxies {
@@ -200,7 +200,7 @@
 	a.lookup(number).release(a)
 }
 
-// assumeReceived counts an unacknowledged message as received after the longest transit from now. Otherwise a proxy whose
+// assumeReceived counts an unacknowledged message as received one longest transit time from now. Otherwise a proxy whose
 // acks are lost would get no more messages than its cap for as long as the channel might hold the unacknowledged ones.
 func (a *Account) assumeReceived(number uint64, now int64) {
 	if p := a.proxies[a.lookup(number).proxy]; p != nil {
--- a/internal/sendbudget/bounds.go
+++ b/internal/sendbudget/bounds.go
@@ -25,16 +25,17 @@
 }
 
 const (
-	// reservedDivisor is the divisor that gives the part of the channel reserved for urgent messages: about the cost of
-	// ejecting one replica at all proxies of a controller.
+	// reservedDivisor determines how many units are reserved for urgent messages: the channel's limit without the reserve
+	// for ack requests, divided by reservedDivisor. That is about the cost of ejecting one replica at all proxies of a
+	// controller. The reserve for ack requests is at most the channel's limit divided by reservedDivisor.
 	reservedDivisor = 16
-	// reservedAckRequests is the number of ack requests that still fit into a channel that is full otherwise.
+	// reservedAckRequests is the number of ack requests that still fit into a channel that is otherwise full.
 	reservedAckRequests = 4
 	// busyTransits is the time for which normal messages may keep the channel busy, as a multiple of MaxTransit: two round
 	// trips, one of the messages in the channel and one of the acks to the messages before them.
 	busyTransits = 4
-	// busyGraceDivisor limits the same time to the drain grace divided by busyGraceDivisor, since urgent messages wait
-	// behind all messages that are already in the channel.
+	// busyGraceDivisor also limits the time given by busyTransits: it is at most the drain grace divided by
+	// busyGraceDivisor, since urgent messages wait behind all messages that are already in the channel.
 	busyGraceDivisor = 4
 	// urgentBusyFactor is the factor by which urgent messages may keep the channel busy for longer than normal ones.
 	urgentBusyFactor = 2
@@ -60,10 +61,11 @@
 	// countedTransits is the time beyond the window for which a message counts against a proxy's cap, as a multiple of
 	// MaxTransit.
 	countedTransits = 4
-	// spacingGraceDivisor divides the drain grace without the transit to give the longest time between spaced messages.
+	// spacingGraceDivisor determines the longest time between two spaced messages: the drain grace minus the longest
+	// transit time, divided by spacingGraceDivisor.
 	spacingGraceDivisor = 2
-	// spacedDivisor is the divisor that gives the part of a proxy's messages that is not spaced if the drain grace is not
-	// known.
+	// spacedDivisor determines how many of a proxy's messages are not spaced if the drain grace is unknown: the message cap
+	// divided by spacedDivisor.
 	spacedDivisor = 2
 )
 
--- a/internal/sendbudget/messagecap.go
+++ b/internal/sendbudget/messagecap.go
@@ -27,7 +27,8 @@
 	return len(p.outstanding)+len(p.chargedAt)+len(p.receivedAt) == 0
 }
 
-// acknowledge records that the proxy has received all messages up to the one with a number, possibly only just now.
+// acknowledge records that the proxy has received all messages up to the one with a number. They count as received now,
+// which is the latest time at which they can have been received.
 func (p *proxyAccount) acknowledge(number uint64, now int64) {
 	for len(p.outstanding) > 0 && p.outstanding[0] <= number {
 		p.outstanding = p.outstanding[1:]
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -68,7 +68,7 @@
 	return v
 }
 
-// Encode returns the content of the file that holds the state as the given generation.
+// Encode returns the content of a generation's file: the encoded state, with the generation's number in the header.
 func Encode(state learnedstate.State, generation uint64) ([]byte, error) {
 	return encodeFile(newBody2(state), Format, generation)
 }
--- a/internal/snapshot/generations.go
+++ b/internal/snapshot/generations.go
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("%s%016d%s", filePrefix, generation, fileSuffix)
 }
 
-// generationNumber returns the number in the name of a generation's file; false: the name is not that of a generation.
+// generationNumber returns the number in the name of a generation's file, or false if the name is not that of a generation.
 func generationNumber(name string) (uint64, bool) {
 	digits, hasPrefix := strings.CutPrefix(name, filePrefix)
 	digits, hasSuffix := strings.CutSuffix(digits, fileSuffix)
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -23,12 +23,12 @@
 // Counters are the counters of a Writer.
 type Counters struct {
 	Offered    atomic.Int64 // submitted states
-	Written    atomic.Int64 // generations
-	Bytes      atomic.Int64 // of all generations written
+	Written    atomic.Int64 // generations written
+	Bytes      atomic.Int64 // total size of the generations written
 	Failed     atomic.Int64 // failed writes
 	Skipped    atomic.Int64 // submitted states that were replaced by a newer one before they were written
-	Generation atomic.Int64 // number of the last one written
-	Duration   atomic.Int64 // of the last successful write, in nanoseconds
+	Generation atomic.Int64 // number of the last generation written
+	Duration   atomic.Int64 // duration of the last successful write, in nanoseconds
 }
 
 // Writer writes states as generations in its own goroutine, so that a slow, full or missing disk only makes the stored state
@@ -43,7 +43,7 @@
 }
 
 // NewWriter returns a Writer that keeps the newest keep generations and writes at most one per interval. reopen is called
-// when the directory no longer exists, to create it again; nil: it is not created again.
+// when the directory no longer exists, to create it again. If reopen is nil, the directory is not created again.
 func NewWriter(storage Storage, keep int, interval time.Duration, reopen func() error, log *slog.Logger) *Writer {
 	w := &Writer{storage: storage, keep: keep, reopen: reopen, log: log}
 	w.writer = filewriter.New(filewriter.Config[learnedstate.State]{
