--- a/control/events.go
+++ b/control/events.go
@@ -6,8 +6,8 @@
 // The states of a replica.
 const (
 	Ready    State = iota
-	Draining       // it is about to end and must get no new requests
-	Gone           // it has ended or is no longer listed
+	Draining       // the replica is about to end and must get no new requests
+	Gone           // the replica has ended or is no longer listed
 )
 
 // Event is a report from a controller to its decision module. The set of events is closed: only types of this package
@@ -83,8 +83,8 @@
 // changed with them: later events use the new numbers. Learned state, tables and bindings are kept.
 type SettingsChanged struct {
 	Settings
-	NewClasses         []int           // the new number of each traffic class; below 0: it no longer exists
-	NewHardwareClasses []int           // likewise for each hardware class
+	NewClasses         []int           // the new number of each traffic class; below 0: the class no longer exists
+	NewHardwareClasses []int           // the new number of each hardware class; below 0: the class no longer exists
 	Replicas           []ListedReplica // all listed replicas, with the new numbers
 	Proxies            []StreamOpened  // all proxies with a stream, with the new numbers
 }
@@ -97,14 +97,14 @@
 type ReplicaRestored struct {
 	LearnedReplica
 	Weight float64 // confidence in the state, lower the older the state is: above 0, up to 1
-	Age    int64   // of its last sample, in nanoseconds
+	Age    int64   // age of the last sample of the replica's speed, in nanoseconds
 }
 
 // FleetRestored provides the state that an earlier controller had learned of the fleet as a whole. It precedes the first
 // ReplicasListed.
 type FleetRestored struct {
 	LearnedFleet
-	Weight float64 // as for ReplicaRestored
+	Weight float64 // confidence in the state, as in ReplicaRestored
 }
 
 func (ReplicasListed) event()      {}
--- a/control/learned.go
+++ b/control/learned.go
@@ -7,9 +7,9 @@
 	PlacementKey    float64 // rank in the weighted random order in which replicas are assigned to tables
 	Speed           float64 // relative to the fleet's mean, above 0
 	SampleCount     float64 // number of attempts from which the speed was estimated
-	EjectedFor      int64   // time until its ejection as unhealthy ends, in nanoseconds; 0: it is not ejected
-	Probation       bool    // its ejection has ended or is about to end, and it has not been evaluated since
-	Ejections       int     // of its process; healthy periods do not reset the count, a restore lowers it by its age
+	EjectedFor      int64   // time until the ejection as unhealthy ends, in nanoseconds; 0: the replica is not ejected
+	Probation       bool    // the ejection has ended or is about to end, and the replica has not been evaluated since
+	Ejections       int     // ejections of the process; not reset by healthy periods, lowered at a restore by the age of the state
 	SinceLastSample int64   // time since the last sample of the speed, in nanoseconds
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,8 +9,9 @@
 	"lilacbend/policy/retry"
 )
 
-// admissionController is the component that runs packages admission and retry: one command sets both the admitted fraction
-// of a traffic class and its retry policy.
+// admissionController is the component that decides which requests the proxies admit and retry. See packages admission and
+// retry for the rules. One component uses both packages because one command sets both the admitted fraction of a traffic
+// class and its retry policy.
 type admissionController struct {
 	*sharedState
 	demand    *admission.Demand
--- a/policy/binding.go
+++ b/policy/binding.go
@@ -8,7 +8,8 @@
 	"lilacbend/policy/pacing"
 )
 
-// binder is the component that runs package binding.
+// binder is the component that binds proxies to tables and tracks the acks that they have not sent yet. See package binding
+// for the rules.
 type binder struct {
 	*sharedState
 	bindings *binding.Bindings
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// playEvents returns all commands of a new Policy that gets a list of six replicas, the streams of six proxies and then the
-// events, one event a second, each together with a timer.
+// playEvents passes a list of six replicas, the streams of six proxies and then the events to a new Policy, and returns all
+// of its commands. Each stream and each event has its own turn, one second after the previous one, together with a
+// TimerFired.
 func playEvents(events ...control.Event) []control.Command {
 	p := New(testSettings())
 	commands := p.Turn(0, []control.Event{control.ReplicasListed{Full: true, Entries: readyReplicas(6)}})
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -30,56 +30,56 @@
 	tickStarted    struct{}                 // to placement and update: the tick interval has passed
 	placementDue   struct{}                 // to placement: all replicas have reported their status
 	turnEnding     struct{}                 // to pacing: the commands that the budget allows are sent now
-	replicaEvicted struct{ replica uint32 } // to placement, update and pacing: in state Gone for longer than evictAfter
+	replicaEvicted struct{ replica uint32 } // to placement, update and pacing: replica in state Gone longer than evictAfter
 )
 
 // Messages that request a command.
 type (
-	replicaExcluded  struct{ replica uint32 }       // placement to pacing: newly excluded, to be ejected at the proxies
-	bindRequested    struct{ control.Bind }         // binding to pacing (first bind) or update (move)
-	admissionChanged struct{ control.SetAdmission } // admission to pacing
+	replicaExcluded  struct{ replica uint32 }       // from placement to pacing: newly excluded replica to eject at the proxies
+	bindRequested    struct{ control.Bind }         // from binding to pacing (first bind) or update (move)
+	admissionChanged struct{ control.SetAdmission } // from admission to pacing
 )
 
 // Messages that carry a result of a component.
 type (
-	tablesAssigned    struct{ servingTables []int } // placement to binding: the table that serves the proxies of each table
-	proxyBound        struct{ proxy binding.Proxy } // binding to placement: a proxy with a table, at each change of it
-	replicaEvaluation struct {                      // placement to replica
-		health       outlier.Fleet // what its health is compared with
-		weightGoal   float64       // relative to its listed weight
+	tablesAssigned    struct{ servingTables []int } // from placement to binding: by table, the table that serves its proxies
+	proxyBound        struct{ proxy binding.Proxy } // from binding to placement: a proxy whose table or zone was set
+	replicaEvaluation struct {                      // from placement to the replica
+		health       outlier.Fleet // values that the replica's health is compared with
+		weightGoal   float64       // goal of the replica's weight, relative to its listed weight
 		lostFraction float64       // see slowstart.Recovery
 	}
-	replicaStatus struct { // replica to placement
+	replicaStatus struct { // from the replica to placement
 		control.ListedReplica
-		queue            int     // of the replica
-		weight           float64 // of its endpoints, by its estimated speed
-		capacity         float64 // as weight, but by the weight goal, which the estimated speed follows over time
+		queue            int     // index of the replica's queue
+		weight           float64 // weight of its endpoints, by its estimated speed
+		capacity         float64 // weight that its endpoints have once its estimated speed has reached the weight goal
 		placementKey     float64
 		window           outlier.Window
-		rememberedSpeed  float64 // restored from an earlier controller
+		rememberedSpeed  float64 // speed that was restored from an earlier controller
 		confidence       float64 // number of attempts that rememberedSpeed counts for
 		penalty          float64 // fraction that its weight is reduced by while it is on probation because of learned state
 		capacityFraction float64 // fraction of its usual capacity that it certainly has while it warms up
 		warmingUp        bool
-		heldBack         bool // gets no requests for now because it is warming up
-		ejected          bool // by outlier detection
-		onProbation      bool // after an ejection by this controller, not by learned state
+		heldBack         bool // the replica gets no requests for now because it is warming up
+		ejected          bool // outlier detection has ejected the replica
+		onProbation      bool // it is on probation after an ejection by this controller, not because of learned state
 	}
-	fleetLoad       admission.Load    // placement to admission
-	targetTables    update.Target     // placement to update
-	demandSummary   admission.Summary // admission to placement
-	warmingReplicas pacing.Warming    // placement to pacing
-	updateStep      pacing.Step       // update to pacing
+	fleetLoad       admission.Load    // from placement to admission
+	targetTables    update.Target     // from placement to update
+	demandSummary   admission.Summary // from admission to placement
+	warmingReplicas pacing.Warming    // from placement to pacing
+	updateStep      pacing.Step       // from update to pacing
 )
 
 // Reports of sent messages and of acks.
 type (
-	messagesSent struct { // pacing to update and binding: the messages of one turn
-		nonce    uint64            // that the proxies are asked to acknowledge; 0: no proxy was sent a message
-		proxies  []int             // that were sent messages, in ascending order
-		commands []control.Command // those of the update's step
+	messagesSent struct { // from pacing to update and binding: the messages of one turn
+		nonce    uint64            // nonce that the proxies are asked to acknowledge; 0: no proxy was sent a message
+		proxies  []int             // proxies that were sent messages, in ascending order
+		commands []control.Command // commands of the update's step
 	}
-	acknowledged struct { // binding to pacing and update
+	acknowledged struct { // from binding to pacing and update
 		nonce        uint64
 		complete     bool // no ack of the nonce is outstanding; false: one proxy has acknowledged it
 		disconnected bool // complete because the proxies whose acks were outstanding have disconnected
--- a/policy/pacing/budget.go
+++ b/policy/pacing/budget.go
@@ -21,11 +21,11 @@
 //	rest of a table after a subset         1/4 of what the drain grace sends   0.75
 //	first binds                            0.4 to 0.85, see firstBindFraction  0.95
 //	admission rates, ejections             0.85                                0.95
-//	ejections, where the host queues       no limit                            no limit
-//	first binds, where the host queues     by size, see subset.go              no limit
+//	ejections, if the controller queues    no limit                            no limit
+//	first binds, if the controller queues  by size, see subset.go              no limit
 //
-// The host queues if Settings.HostQueues is set. Whatever the budget, a bind waits until its table has an endpoint, and
-// commands of the step wait for other commands of the step by the rules of stepPass.
+// The controller queues commands that exceed a limit if Settings.HostQueues is set. Whatever the budget, a bind waits until
+// its table has an endpoint, and commands of the step wait for other commands of the step by the rules of stepPass.
 type budget struct {
 	channel  float64 // fraction of Settings.ChannelLimit
 	messages float64 // fraction of Settings.MaxMessages
@@ -70,8 +70,8 @@
 }
 
 // budgetOfUrgent returns the budget of an urgent command that is sent unchanged, without a subset in place of a table.
-// Ejections are unlimited if the host queues: it holds them back only for those proxies that are at their message cap. If it
-// does not queue, the cap of one proxy holds an ejection back from all proxies.
+// Ejections are unlimited if the controller queues commands: it holds them back only for those proxies that are at their
+// message cap. If it does not queue commands, the cap of one proxy holds an ejection back from all proxies.
 func (p *Pacer) budgetOfUrgent(command control.Command) budget {
 	switch c := command.(type) {
 	case control.SetEjected:
@@ -126,9 +126,9 @@
 }
 
 // firstBindFraction returns the fraction of the channel's limit that the complete tables of a reconnect storm may use if the
-// host does not queue. An ejection then waits for capacity until the tables in the channel are sent, and is itself sent
-// together with as many more tables: each of these two phases may take half of the drain grace. The fraction is never less
-// than what ordinary changes may use; otherwise no proxy would be bound if the grace is short.
+// controller does not queue commands. An ejection then waits for capacity until the tables in the channel are sent, and is
+// itself sent together with as many more tables: each of these two phases may take half of the drain grace. The fraction is
+// never less than what ordinary changes may use; otherwise no proxy would be bound if the grace is short.
 func (p *Pacer) firstBindFraction() float64 {
 	if p.settings.DrainGrace == 0 || p.settings.HostQueues {
 		return urgentChannelFraction
@@ -138,7 +138,7 @@
 }
 
 // graceFraction returns the fraction of the channel's limit that reaches the proxies within the drain grace; 0 if no grace
-// is known or the host does not queue.
+// is known or the controller does not queue commands.
 func (p *Pacer) graceFraction() float64 {
 	if !p.settings.HostQueues {
 		return 0
--- a/policy/pacing/budget_test.go
+++ b/policy/pacing/budget_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestUrgentBudgetDependsOnTheHost(t *testing.T) {
+func TestUrgentBudgetDependsOnWhetherTheControllerQueuesCommands(t *testing.T) {
 	ejection := control.SetEjected{Replica: 1, Ejected: true}
 	for _, c := range []struct {
 		name    string
@@ -106,9 +106,9 @@
 		want    budget
 	}{
 		{"ejection", false, ejection, urgentBudget},
-		{"ejection, host queues", true, ejection, unlimited},
+		{"ejection, controller queues commands", true, ejection, unlimited},
 		{"admission rate", false, control.SetAdmission{}, urgentBudget},
-		{"admission rate, host queues", true, control.SetAdmission{}, urgentBudget},
+		{"admission rate, controller queues commands", true, control.SetAdmission{}, urgentBudget},
 		{"bind without a drain grace", false, control.Bind{}, urgentBudget},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -127,7 +127,7 @@
 		want   float64
 	}{
 		{"no grace is known", 0, false, urgentChannelFraction},
-		{"the host queues", 4 * second, true, urgentChannelFraction},
+		{"controller queues commands", 4 * second, true, urgentChannelFraction},
 		{"half of the grace sends less than ordinary commands may use", second, false, ordinaryChannelFraction},
 		{"half of the grace, less the transit", 4 * second, false, 0.75}, // 1500 of 2000 units
 		{"half of the grace sends more than urgent commands may use", 40 * second, false, urgentChannelFraction},
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestGraceFractionNeedsAQueueingHostAndAGrace(t *testing.T) {
+func TestGraceFractionNeedsAGraceAndAControllerThatQueuesCommands(t *testing.T) {
 	const second = int64(time.Second)
 	for _, c := range []struct {
 		name   string
@@ -151,11 +151,11 @@
 		queues bool
 		want   float64
 	}{
-		{"neither grace nor queueing host", 0, false, 0},
-		{"grace, but the host does not queue", 4 * second, false, 0},
-		{"queueing host, but no grace", 0, true, 0},
+		{"no grace, controller does not queue commands", 0, false, 0},
+		{"grace, controller does not queue commands", 4 * second, false, 0},
+		{"no grace, controller queues commands", 0, true, 0},
 		{"grace shorter than the transit", second / 4, true, 0},
-		{"grace and queueing host", 5 * second / 2, true, 1},
+		{"grace, controller queues commands", 5 * second / 2, true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPacer(func(s *control.Settings) {
--- a/policy/pacing/helpers_test.go
+++ b/policy/pacing/helpers_test.go
@@ -9,7 +9,7 @@
 
 const testTickInterval = 250 * time.Millisecond
 
-// testSettings returns settings without a drain grace and message caps, for a host that does not queue.
+// testSettings returns settings without a drain grace and message caps, for a controller that does not queue commands.
 func testSettings() control.Settings {
 	return control.Settings{Controllers: 1, Zones: 2, HardwareClasses: 1, Proxies: 6, ChannelRate: 1000, ChannelLimit: 400,
 		MessageOverhead: 4, MaxTransit: int64(time.Second / 2), MessageWindow: int64(10 * time.Second),
--- a/policy/pacing/order.go
+++ b/policy/pacing/order.go
@@ -51,7 +51,7 @@
 		}
 		return done
 	})
-	p.step.Additions = 0 // held-back additions count as additions again once the next SetStep says so
+	p.step.Additions = 0 // the next SetStep sets the number of additions again, with those held back now
 	return sent
 }
 
@@ -62,8 +62,8 @@
 //   - A replica is not unejected while a change of its weights is held back: proxies would pick it by weights from a time
 //     when it may have been warmed up.
 //   - If warming replicas are to be unejected together (Warming.UnejectTogether), none is unejected until there is capacity
-//     for all of them or the channel is empty. Until then, weights of ejected replicas are not raised: they rise at each
-//     evaluation, and would use up this capacity.
+//     for all of them or the channel is empty. Until then, raised weights of ejected replicas are not sent: weights rise at
+//     each evaluation, and the commands would use up the capacity that the unejections need.
 type stepPass struct {
 	pacer           *Pacer
 	additionsLeft   int
--- a/policy/pacing/order_test.go
+++ b/policy/pacing/order_test.go
@@ -26,7 +26,8 @@
 }
 
 // If warming replicas are unejected together, a raised weight is sent only after its replica is unejected: weights rise at
-// each evaluation, and sending them earlier would leave no capacity for the unejection.
+// each evaluation, and raised weights that were sent earlier would use up the message caps and the capacity of the channel
+// that the unejections need.
 func TestRaisedWeightWaitsForTheUnejectionIfWarmingReplicasAreUnejectedTogether(t *testing.T) {
 	p := newPacer(func(s *control.Settings) { s.MaxMessages = 4 })
 	p.proxies.tables = map[int]map[uint32]float64{0: {1: 0.2}, 1: {1: 0.4}, 2: {}}
--- a/policy/pacing/pacing.go
+++ b/policy/pacing/pacing.go
@@ -33,7 +33,7 @@
 // NonceMask selects the bits of a nonce that a RequestAck carries.
 const NonceMask = 1<<16 - 1
 
-// Step holds the commands that the open step of the update has to send, in order.
+// Step holds the commands that the current step of the update has to send, in order.
 type Step struct {
 	Additions int // number of commands at the start of Commands that add endpoints or uneject replicas
 	Commands  []control.Command
@@ -90,7 +90,7 @@
 	p.urgent.renumberClasses(newClasses)
 }
 
-// SetStep replaces the commands that the update's open step has to send.
+// SetStep replaces the commands that the update's current step has to send.
 func (p *Pacer) SetStep(step Step) { p.step = step }
 
 // SetWarming replaces the set of warming replicas.
--- a/policy/pacing/subset_test.go
+++ b/policy/pacing/subset_test.go
@@ -59,8 +59,8 @@
 	assertEqual(t, "first tables cost no more than their part of the grace", within, true)
 }
 
-// If the host does not queue, the proxies of a reconnect storm get complete tables, at one time as many as the channel sends
-// in half of the grace: an ejection need not wait for the acks of these tables.
+// If the controller does not queue commands, the proxies of a reconnect storm get complete tables, at one time as many as the
+// channel sends in half of the drain grace: an ejection need not wait for the acks of these tables.
 func TestCompleteTablesOfAReconnectStormLeaveCapacityForAnEjection(t *testing.T) {
 	p := pacerInReconnectStorm(40, 160, func(s *control.Settings) {
 		s.HostQueues = false
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -39,8 +39,8 @@
 	Capacity      float64 // capacity to serve requests, in units of listed weight
 	Penalty       float64 // fraction by which its weight is reduced while learned state has it on probation
 	WarmingUp     bool
-	HeldBack      bool // it is warming up and is not to get requests yet
-	Ejected       bool // outlier detection has ejected it, whether placement excludes it or not
+	HeldBack      bool // the replica is warming up and is not to get requests yet
+	Ejected       bool // outlier detection has ejected the replica, whether placement excludes it or not
 }
 
 // Proxy is a connected proxy that is bound.
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -141,7 +141,7 @@
 	return fleet.Recovery(window.FailureRate(), p.demand.FailedFraction)
 }
 
-// weightInputs returns the replicas as package weight compares them, in the order of ids.
+// weightInputs returns the inputs of package weight for the replicas, in the order of ids.
 func (p *planner) weightInputs(ids []uint32) []weight.Replica {
 	replicas := make([]weight.Replica, len(ids))
 	for k, id := range ids {
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -117,8 +117,9 @@
 	wantEqual(t, "number of proxies", len(p.binding.bindings.Proxies()), 40)
 }
 
-// After a change of the traffic classes, a class that was admitted completely stays so, unless a class of higher priority is
-// not: the threshold is at the first of the classes that were shed in part or completely.
+// A change of the traffic classes sets the threshold at the first class, by descending priority, that was shed in part or
+// completely before the change. A class that was admitted completely therefore still is, unless a class of higher priority
+// was shed in part or completely.
 func TestReconfigureMovesTheThresholdWithItsClasses(t *testing.T) {
 	for _, c := range []struct {
 		name           string
--- a/policy/turn.go
+++ b/policy/turn.go
@@ -62,8 +62,8 @@
 //  2. Tick, if a timer fired, and in the first turn. Replicas are compared with each other in this phase and nowhere else,
 //     after all reports of the turn are processed; health, weights, the admission threshold and retries change only at a
 //     tick. These decisions therefore do not depend on how events are distributed over turns.
-//  3. Placement. The target tables are computed once a turn, from all changes of the turn, and from the target tables the
-//     bindings and the open step of the update.
+//  3. Placement. The target tables are computed once a turn, from all changes of the turn. The bindings and the current step
+//     of the update are then computed from the target tables.
 //  4. Pacing. Commands are sent last, because all commands that reach a proxy in one turn cost one message and all commands
 //     share one budget: urgent commands can be sent first only if all commands are known.
 //  5. Snapshot, if it was requested. It includes the changes of this turn.
--- a/policy/update/acks.go
+++ b/policy/update/acks.go
@@ -9,7 +9,7 @@
 // by no more than this.
 const ackTimeout = 2 * time.Second
 
-// pendingAcks maps the nonces of the open step that are not acknowledged yet to the times at which they were sent.
+// pendingAcks maps the nonces of the current step that are not acknowledged yet to the times at which they were sent.
 type pendingAcks map[uint64]time.Duration
 
 func (a pendingAcks) expire(now time.Duration) {
--- a/policy/update/sequence.go
+++ b/policy/update/sequence.go
@@ -62,13 +62,13 @@
 	Ejected map[uint32]bool
 }
 
-// Pending holds the commands that the open step has to send, in order.
+// Pending holds the commands that the current step has to send, in order.
 type Pending struct {
 	Additions int // number of commands at the start of Commands that are additions
 	Commands  []control.Command
 }
 
-// Sequence is the state of the update: the current weights, the target and the open step.
+// Sequence is the state of the update: the current weights, the target and the current step.
 type Sequence struct {
 	target  Target
 	current map[Endpoint]float64 // weights that were sent; never 0
@@ -76,7 +76,7 @@
 	rebinds map[int]int          // by proxy that is to be moved: its new table
 
 	step        Step
-	stepHasSent bool // the open step has sent something
+	stepHasSent bool // the current step has sent something
 	acks        pendingAcks
 }
 
@@ -106,8 +106,8 @@
 // Forget removes a replica that no longer exists. It stays ejected at the proxies: no unejection becomes due for it.
 func (s *Sequence) Forget(replica uint32) { delete(s.ejected, replica) }
 
-// Sent records commands that were sent. The open step does not end before the nonce is acknowledged; nonce 0 means that the
-// commands reach no proxy, so there is no ack to wait for.
+// Sent records commands that were sent. The current step does not end before the nonce is acknowledged; nonce 0 means that
+// the commands reach no proxy, so there is no ack to wait for.
 func (s *Sequence) Sent(now time.Duration, nonce uint64, commands []control.Command) {
 	for _, command := range commands {
 		s.apply(command)
@@ -139,8 +139,8 @@
 // Expire stops waiting for acks that are overdue.
 func (s *Sequence) Expire(now time.Duration) { s.acks.expire(now) }
 
-// Advance ends the open step if it is finished, and each following step that has nothing to send, and returns the commands
-// that are due in the step that is open then. The commands remain due until Sent records them.
+// Advance ends the current step if it is finished, and each following step that has nothing to send, and returns the
+// commands that are due in the first step that is not finished. The commands remain due until Sent records them.
 func (s *Sequence) Advance() Pending {
 	additions := s.commands(Add)
 	var due []control.Command
@@ -155,7 +155,7 @@
 	return Pending{Additions: len(additions), Commands: due}
 }
 
-// due returns the additions followed by the commands of the open step.
+// due returns the additions followed by the commands of the current step.
 func (s *Sequence) due(additions []control.Command) []control.Command {
 	if s.step == Add || s.step == Remove && !s.mayRemove(additions) {
 		return additions
@@ -169,8 +169,8 @@
 	return len(additions) == 0 && len(s.rebinds) == 0
 }
 
-// finished reports whether the open step ends, given the commands that are due in it. Only acks time out (Expire): a step
-// that has sent nothing yet because the budget had no capacity stays open.
+// finished reports whether the current step ends, given the commands that are due in it. Only acks time out (Expire): a step
+// that has sent nothing yet because the budget had no capacity does not end.
 func (s *Sequence) finished(due []control.Command) bool {
 	return len(s.acks) == 0 && (len(due) == 0 || s.stepHasSent)
 }
--- a/settings/capacity_bench_test.go
+++ b/settings/capacity_bench_test.go
@@ -10,9 +10,9 @@
 // channelLimit is the channel limit of a large fleet, in cost units.
 const channelLimit = 49200
 
-// BenchmarkSettingsByClasses measures the size of settings in bytes and the time to parse and check them, by number of
-// traffic classes: the growth of a configuration in docs/CAPACITY.md. The classes are those of the example, repeated under
-// other names.
+// BenchmarkSettingsByClasses measures the size of settings in bytes and the time to parse and check them, for several
+// numbers of traffic classes. docs/CAPACITY.md describes the growth of a configuration by these results. The classes are
+// those of the example, repeated under other names.
 func BenchmarkSettingsByClasses(b *testing.B) {
 	for _, classes := range []int{3, 48, 960, 14000} {
 		b.Run(fmt.Sprintf("classes=%d", classes), func(b *testing.B) {
