--- a/cmd/lilacbend/settingscache_test.go
+++ b/cmd/lilacbend/settingscache_test.go
@@ -94,11 +94,11 @@
 		used bool
 	}{
 		"whole":                  {whole, "the kept configuration is used", true},
-		"damaged":                {append(bytes.Clone(whole), ' '), "it is not as it was written", false},
-		"half":                   {whole[:len(whole)/2], "it is not as it was written", false},
-		"empty":                  {nil, "it is not as it was written", false},
-		"of a newer program":     {bytes.Replace(whole, []byte(`"format":1`), []byte(`"format":9`), 1), "a newer program wrote it", false},
-		"of another service":     {record("stock", own, more), "it is of service", false},
+		"damaged":                {append(bytes.Clone(whole), ' '), "cached settings file is damaged", false},
+		"half":                   {whole[:len(whole)/2], "cached settings file is damaged", false},
+		"empty":                  {nil, "cached settings file is damaged", false},
+		"of a newer program":     {bytes.Replace(whole, []byte(`"format":1`), []byte(`"format":9`), 1), "cached settings file was written by a newer program", false},
+		"of another service":     {record("stock", own, more), "cached settings are of service", false},
 		"own file changed since": {record("orders", configcache.DigestOf([]byte(`{}`)), more), "have changed since", false},
 		"no settings":            {record("orders", own, []byte(`{}`)), "the kept configuration is not used", false},
 		"another admission":      {record("orders", own, exampleSettings(t, `"admit":"fraction"`, `"admit":"silent"`)), "setting domain.admit cannot change", false},
@@ -170,8 +170,8 @@
 		t.Fatal(err)
 	}
 	first := begin(shared)
-	second := begin(shared).until("is neither read nor kept").until("held by n7")
-	third := begin(open).until("is neither read nor kept").until("others may write to it")
+	second := begin(shared).until("is neither read nor kept").until("is locked by n7")
+	third := begin(open).until("is neither read nor kept").until("directory is writable by other users")
 	for _, p := range []*child{first, second, third} {
 		p.expectExit(syscall.SIGTERM)
 	}
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -107,7 +107,7 @@
 		}
 	}
 	other, end := start(t, func() configuration { second := c; second.listen = scriptedpeer.FreeAddress(t); return second }())
-	if end(); !other.has("state is neither read nor kept") || !other.has(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
+	if end(); !other.has("state is neither read nor kept") || !other.has(fmt.Sprintf("directory is locked by n0, process %d", os.Getpid())) {
 		t.Errorf("two on one folder: %s", other)
 	}
 	if stop(); !out.has("state read") || !out.has("replica box-2 probation by learned state") {
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	defer lock.Release()
-	if _, err := run("prune", folder); err == nil || !strings.Contains(err.Error(), "held by n0") {
+	if _, err := run("prune", folder); err == nil || !strings.Contains(err.Error(), "directory is locked by n0") {
 		t.Errorf("pruned while held: %v", err)
 	}
 }
--- a/internal/configcache/golden_test.go
+++ b/internal/configcache/golden_test.go
@@ -20,27 +20,27 @@
 	}
 }
 
-func TestRecordIsWrittenAsInTheGoldenFile(t *testing.T) {
-	d := &disk{}
-	if err := Write(d, goldenRecord()); err != nil {
+func TestWrittenRecordMatchesGoldenFile(t *testing.T) {
+	storage := &fakeStorage{}
+	if err := Write(storage, goldenRecord()); err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, recordFile, d.file)
-	golden.CheckDetectsChange(t, recordFile, d.file)
+	golden.Compare(t, recordFile, storage.file)
+	golden.CheckDetectsChange(t, recordFile, storage.file)
 }
 
-func TestRecordOfTheGoldenFileIsDecodedAndEncodedAgain(t *testing.T) {
-	held := golden.Read(t, recordFile)
-	decoded, err := Decode(held)
+func TestGoldenRecordDecodesAndEncodesToTheSameBytes(t *testing.T) {
+	content := golden.Read(t, recordFile)
+	decoded, err := Decode(content)
 	if want := goldenRecord(); err != nil || !reflect.DeepEqual(decoded, want) {
-		t.Fatalf("%+v %v, want %+v", decoded, err, want)
+		t.Fatalf("golden record: decoded %+v, error %v; want %+v", decoded, err, want)
 	}
 	golden.Compare(t, recordFile, encoded(t, decoded))
-	for at := range held {
-		changed := bytes.Clone(held)
-		changed[at] ^= 1
+	for position := range content {
+		changed := bytes.Clone(content)
+		changed[position] ^= 1
 		if _, err := Decode(changed); err == nil {
-			t.Errorf("byte %d changed: the record is decoded", at)
+			t.Errorf("byte %d changed: the record was decoded, want an error", position)
 		}
 	}
 }
--- a/internal/configcache/record_test.go
+++ b/internal/configcache/record_test.go
@@ -12,7 +12,7 @@
 	"lilacbend/internal/revision"
 )
 
-func recordOf(settings string) Record {
+func recordWithSettings(settings string) Record {
 	return Record{Service: "orders", Version: revision.Version{Epoch: 7, Revision: 31}, Start: DigestOf([]byte(`{"a":1}`)), Settings: []byte(settings)}
 }
 
@@ -25,7 +25,7 @@
 	return raw
 }
 
-func TestRecordIsDecodedAsItWasEncoded(t *testing.T) {
+func TestRecordRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := Record{
 			Service:  rapid.StringMatching(`[a-z0-9.-]{1,40}`).Draw(t, "service"),
@@ -38,76 +38,76 @@
 			t.Fatal(err)
 		}
 		if got, err := Decode(raw); err != nil || !reflect.DeepEqual(got, want) {
-			t.Fatalf("%+v %v, want %+v", got, err, want)
+			t.Fatalf("decoded %+v, error %v; want %+v", got, err, want)
 		}
 	})
 }
 
-// Whatever a disk makes of a file, it is refused or decoded as it was written.
-func TestDamagedRecordIsRefused(t *testing.T) {
-	want := recordOf(`{"domain":{"push_rate":1200}}`)
+// A damaged file, as a faulty disk may return it, is rejected; it is never decoded as a record that was not written.
+func TestDamagedRecordIsRejected(t *testing.T) {
+	want := recordWithSettings(`{"domain":{"push_rate":1200}}`)
 	raw := encoded(t, want)
-	refused := func(what string, damaged []byte) {
+	checkRejectedOrIntact := func(damage string, damaged []byte) {
 		t.Helper()
 		got, err := Decode(damaged)
 		if err == nil && !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as %+v", what, got)
+			t.Errorf("%s: decoded as %+v, want an error or the written record", damage, got)
 		}
 		if err != nil && !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrNewer) {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: error %v, want ErrDamaged or ErrNewer", damage, err)
 		}
 	}
-	for at := range raw {
+	for position := range raw {
 		for bit := range 8 {
 			flipped := bytes.Clone(raw)
-			flipped[at] ^= 1 << bit
-			refused("a flipped bit", flipped)
+			flipped[position] ^= 1 << bit
+			checkRejectedOrIntact("flipped bit", flipped)
 		}
-		refused("a half", raw[:at])
-		if _, err := Decode(raw[:at]); err == nil {
-			t.Errorf("%d of %d bytes are read", at, len(raw))
+		checkRejectedOrIntact("truncated file", raw[:position])
+		if _, err := Decode(raw[:position]); err == nil {
+			t.Errorf("a file truncated to %d of %d bytes was decoded", position, len(raw))
 		}
 	}
 	if _, err := Decode(append(bytes.Clone(raw), 'x')); !errors.Is(err, ErrDamaged) {
-		t.Errorf("more bytes than were written: %v", err)
+		t.Errorf("byte appended: error %v, want ErrDamaged", err)
 	}
 	newer := bytes.Replace(raw, []byte(`"format":1`), []byte(`"format":2`), 1)
 	if _, err := Decode(newer); !errors.Is(err, ErrNewer) {
-		t.Errorf("a file of a newer program: %v", err)
+		t.Errorf("newer format: error %v, want ErrNewer", err)
 	}
 	if _, err := Decode([]byte(strings.Repeat("x", maxHeaderSize+1) + "\n")); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a header without end: %v", err)
+		t.Errorf("oversized header: error %v, want ErrDamaged", err)
 	}
 	zero := want
 	zero.Version = revision.Version{}
 	if _, err := Decode(encoded(t, zero)); !errors.Is(err, ErrDamaged) {
-		t.Errorf("no version: %v", err)
+		t.Errorf("zero version: error %v, want ErrDamaged", err)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(encoded(f, recordOf(`{"domain":{}}`)))
+	f.Add(encoded(f, recordWithSettings(`{"domain":{}}`)))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r, err := Decode(raw)
 		if err != nil {
 			return
 		}
 		if again, err := Decode(encoded(t, r)); err != nil || !reflect.DeepEqual(again, r) {
-			t.Errorf("%+v %v, want %+v", again, err, r)
+			t.Errorf("encoded and decoded again: %+v, error %v; want %+v", again, err, r)
 		}
 	})
 }
 
 func TestCheckUsable(t *testing.T) {
-	r := recordOf(`{}`)
+	r := recordWithSettings(`{}`)
 	if err := r.CheckUsable("orders", DigestOf([]byte("{ \"a\" : 1 }\n"))); err != nil {
-		t.Errorf("other spaces in the controller's own file: %v", err)
+		t.Errorf("white space in the controller's own file differs: error %v, want none", err)
 	}
-	if err := r.CheckUsable("orders", DigestOf([]byte(`{"a":2}`))); !errors.Is(err, ErrStartChanged) {
-		t.Errorf("another own file: %v", err)
+	if err := r.CheckUsable("orders", DigestOf([]byte(`{"a":2}`))); !errors.Is(err, ErrOwnSettingsChanged) {
+		t.Errorf("settings in the controller's own file differ: error %v, want ErrOwnSettingsChanged", err)
 	}
 	var other *OtherServiceError
 	if err := r.CheckUsable("stock", r.Start); !errors.As(err, &other) || other.Service != "orders" {
-		t.Errorf("another service: %v", err)
+		t.Errorf("record of service orders at a controller of service stock: error %v, want an OtherServiceError", err)
 	}
 }
--- a/internal/configcache/writer.go
+++ b/internal/configcache/writer.go
@@ -20,13 +20,14 @@
 	maxRetryInterval = time.Minute
 )
 
-// Storage is the directory of the file. Replace writes a file completely or not at all, and returns once it is durable.
+// Storage is the directory that holds the file. Replace writes a file completely or not at all, and returns once it is
+// durable.
 type Storage interface {
 	Read(name string, maxBytes int64) ([]byte, error)
 	Replace(name string, data []byte) error
 }
 
-// Load reads the record of a directory; found is false where there is none.
+// Load reads the record from storage. found is false if there is no file, or if the file cannot be used; then err says why.
 func Load(storage Storage) (r Record, found bool, err error) {
 	raw, err := storage.Read(fileName, maxFileSize)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -39,23 +40,23 @@
 	return r, err == nil, err
 }
 
-// Write writes a record in place of the one before.
+// Write replaces the record in storage.
 func Write(storage Storage, r Record) error {
 	raw, err := Encode(r)
 	if err != nil {
-		return fmt.Errorf("encoding it: %w", err)
+		return fmt.Errorf("encoding the record: %w", err)
 	}
 	return storage.Replace(fileName, raw)
 }
 
-// Counters count what a Writer has done.
+// Counters counts the successful and failed writes of a Writer.
 type Counters struct {
 	Written atomic.Int64
 	Failed  atomic.Int64
 }
 
-// Writer writes the record in force from a goroutine of its own. A disk that is slow, full or gone costs what a restart would
-// begin with, and nothing else.
+// Writer writes the record of the active settings from a goroutine of its own. If the disk is slow, full or gone, a
+// restarted controller lacks the newest record; nothing else is affected.
 type Writer struct {
 	Counters Counters
 	writer   *filewriter.Writer[Record]
@@ -63,7 +64,7 @@
 	log      *slog.Logger
 }
 
-// NewWriter returns a writer, whose Run has to be called.
+// NewWriter returns a writer that writes nothing until Run is called.
 func NewWriter(storage Storage, seed uint64, log *slog.Logger) *Writer {
 	w := &Writer{storage: storage, log: log}
 	retry := backoff.NewJittered(minRetryInterval, maxRetryInterval, seed)
@@ -82,10 +83,12 @@
 	return w
 }
 
-// Submit hands over the record in force. It replaces one that was not written yet, and does not wait for the disk.
+// Submit passes the record of the active settings to the writer. It replaces a record that has not been written yet, and
+// does not wait for the disk.
 func (w *Writer) Submit(r Record) { w.writer.Submit(r) }
 
-// Run writes what is submitted until ctx ends, and then what was submitted last.
+// Run writes submitted records until ctx ends. It then writes the last submitted record once, unless a write of it was
+// already tried.
 func (w *Writer) Run(ctx context.Context) { w.writer.Run(ctx) }
 
 func (w *Writer) write(r Record) error {
--- a/internal/configcache/writer_test.go
+++ b/internal/configcache/writer_test.go
@@ -15,51 +15,51 @@
 	"lilacbend/internal/revision"
 )
 
-// disk is a directory in memory that fails when it is set to.
-type disk struct {
-	mu     sync.Mutex
-	file   []byte
-	fail   error
-	takes  time.Duration // to write
-	writes int
+// fakeStorage is a Storage in memory. While err is set, writes and reads of an existing file fail with it.
+type fakeStorage struct {
+	mu            sync.Mutex
+	file          []byte
+	err           error
+	writeDuration time.Duration // of each write
+	writes        int
 }
 
-func (d *disk) Read(string, int64) ([]byte, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.file == nil {
+func (s *fakeStorage) Read(string, int64) ([]byte, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.file == nil {
 		return nil, fs.ErrNotExist
 	}
-	return d.file, d.fail
+	return s.file, s.err
 }
 
-func (d *disk) Replace(_ string, data []byte) error {
-	time.Sleep(d.takes)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.writes++
-	if d.fail == nil {
-		d.file = bytes.Clone(data)
+func (s *fakeStorage) Replace(_ string, data []byte) error {
+	time.Sleep(s.writeDuration)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.writes++
+	if s.err == nil {
+		s.file = bytes.Clone(data)
 	}
-	return d.fail
+	return s.err
 }
 
-func (d *disk) setError(err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.fail = err
+func (s *fakeStorage) setError(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.err = err
 }
 
-func recordNumbered(revisionNumber uint64) Record {
-	r := recordOf(`{}`)
+func recordWithRevision(revisionNumber uint64) Record {
+	r := recordWithSettings(`{}`)
 	r.Version.Revision = revisionNumber
 	return r
 }
 
-// revisionOn returns the revision on a disk; 0: there is none.
-func revisionOn(t *testing.T, d *disk) uint64 {
+// storedRevision returns the revision of the record in storage, or 0 if there is none.
+func storedRevision(t *testing.T, storage *fakeStorage) uint64 {
 	t.Helper()
-	r, found, err := Load(d)
+	r, found, err := Load(storage)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,95 +69,95 @@
 	return r.Version.Revision
 }
 
-// start runs a writer on virtual time until the test ends it.
-func start(t *testing.T, d *disk) (k *Writer, out *bytes.Buffer, end func()) {
+// startWriter runs a writer and returns it, its log and a function that stops it and waits for its last write.
+func startWriter(t *testing.T, storage *fakeStorage) (w *Writer, out *bytes.Buffer, stop func()) {
 	out = &bytes.Buffer{}
-	k = NewWriter(d, 1, slog.New(slog.NewTextHandler(out, nil)))
-	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { k.Run(ctx); close(ended) }()
-	return k, out, func() { stop(); <-ended }
+	w = NewWriter(storage, 1, slog.New(slog.NewTextHandler(out, nil)))
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { w.Run(ctx); close(done) }()
+	return w, out, func() { cancel(); <-done }
 }
 
 func TestWriterWritesTheNewestRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &disk{takes: time.Second}
-		k, _, end := start(t, d)
-		k.Submit(recordNumbered(1))
+		storage := &fakeStorage{writeDuration: time.Second}
+		writer, _, stop := startWriter(t, storage)
+		writer.Submit(recordWithRevision(1))
 		synctest.Wait()
-		began := time.Now()
+		submitStart := time.Now()
 		for n := range uint64(50) {
-			k.Submit(recordNumbered(2 + n))
+			writer.Submit(recordWithRevision(2 + n))
 		}
-		if time.Since(began) > 0 {
-			t.Errorf("the disk held it up for %v", time.Since(began))
+		if time.Since(submitStart) > 0 {
+			t.Errorf("Submit blocked for %v, want no wait for the disk", time.Since(submitStart))
 		}
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
-		if got := revisionOn(t, d); got != 51 || d.writes != 2 {
-			t.Errorf("revision %d after %d writes, want 51 after 2", got, d.writes)
+		if got := storedRevision(t, storage); got != 51 || storage.writes != 2 {
+			t.Errorf("revision %d stored after %d writes, want 51 after 2", got, storage.writes)
 		}
-		end()
+		stop()
 	})
 }
 
-// Writes to a failing disk are retried less and less often, with the newest record that there is then. The log has the first
-// failure and the first success after it.
-func TestWriterRetriesOnAFailingDisk(t *testing.T) {
+// Failed writes are retried at growing intervals, each time with the newest record. Only the first failure and the first
+// success after it are logged.
+func TestWriterRetriesFailedWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &disk{}
-		d.setError(errors.New("no space"))
-		k, out, end := start(t, d)
-		k.Submit(recordNumbered(1))
+		storage := &fakeStorage{}
+		storage.setError(errors.New("no space"))
+		writer, out, stop := startWriter(t, storage)
+		writer.Submit(recordWithRevision(1))
 		time.Sleep(10 * time.Minute)
 		synctest.Wait()
-		if d.writes < 10 || d.writes > 40 {
-			t.Errorf("%d attempts in ten minutes", d.writes)
+		if storage.writes < 10 || storage.writes > 40 {
+			t.Errorf("%d writes in ten minutes, want 10 to 40", storage.writes)
 		}
-		if said := strings.Count(out.String(), "configuration not cached"); said != 1 {
-			t.Errorf("logged %d times: %s", said, out)
+		if warnings := strings.Count(out.String(), "configuration not cached"); warnings != 1 {
+			t.Errorf("failure logged %d times, want once: %s", warnings, out)
 		}
-		k.Submit(recordNumbered(2))
+		writer.Submit(recordWithRevision(2))
 		synctest.Wait()
-		d.setError(nil)
+		storage.setError(nil)
 		time.Sleep(maxRetryInterval)
 		synctest.Wait()
-		if got := revisionOn(t, d); got != 2 || !strings.Contains(out.String(), "configuration cached again") {
-			t.Errorf("revision %d: %s", got, out)
+		if got := storedRevision(t, storage); got != 2 || !strings.Contains(out.String(), "configuration cached again") {
+			t.Errorf("revision %d stored, want 2 and a logged recovery: %s", got, out)
 		}
-		if written, failed := k.Counters.Written.Load(), k.Counters.Failed.Load(); written != 1 || failed < 10 {
-			t.Errorf("%d written, %d failed", written, failed)
+		if written, failed := writer.Counters.Written.Load(), writer.Counters.Failed.Load(); written != 1 || failed < 10 {
+			t.Errorf("%d writes succeeded, %d failed; want 1 and at least 10", written, failed)
 		}
-		end()
+		stop()
 	})
 }
 
-func TestWriterWritesTheLastRecordAtTheEnd(t *testing.T) {
+func TestWriterWritesTheLastRecordWhenStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &disk{takes: time.Second}
-		k, _, end := start(t, d)
-		k.Submit(recordNumbered(1))
-		synctest.Wait() // the first is being written
-		k.Submit(recordNumbered(2))
-		end()
-		if got := revisionOn(t, d); got != 2 {
-			t.Errorf("revision %d, want 2", got)
+		storage := &fakeStorage{writeDuration: time.Second}
+		writer, _, stop := startWriter(t, storage)
+		writer.Submit(recordWithRevision(1))
+		synctest.Wait() // until the first record is being written
+		writer.Submit(recordWithRevision(2))
+		stop()
+		if got := storedRevision(t, storage); got != 2 {
+			t.Errorf("revision %d stored, want 2", got)
 		}
 	})
 }
 
 func TestLoad(t *testing.T) {
-	if _, found, err := Load(&disk{}); found || err != nil {
-		t.Errorf("an empty folder: %v %v", found, err)
+	if _, found, err := Load(&fakeStorage{}); found || err != nil {
+		t.Errorf("empty directory: found %v, error %v; want neither", found, err)
 	}
-	if _, found, err := Load(&disk{file: []byte("x"), fail: errors.New("input/output error")}); found || err == nil {
-		t.Errorf("a disk that fails: %v %v", found, err)
+	if _, found, err := Load(&fakeStorage{file: []byte("x"), err: errors.New("input/output error")}); found || err == nil {
+		t.Errorf("read error: found %v, error %v; want an error", found, err)
 	}
-	if _, found, err := Load(&disk{file: []byte("x\n")}); found || !errors.Is(err, ErrDamaged) {
-		t.Errorf("a damaged file: %v %v", found, err)
+	if _, found, err := Load(&fakeStorage{file: []byte("x\n")}); found || !errors.Is(err, ErrDamaged) {
+		t.Errorf("damaged file: found %v, error %v; want ErrDamaged", found, err)
 	}
-	r, found, err := Load(&disk{file: encoded(t, recordNumbered(3))})
+	r, found, err := Load(&fakeStorage{file: encoded(t, recordWithRevision(3))})
 	if !found || err != nil || r.Version != (revision.Version{Epoch: 7, Revision: 3}) {
-		t.Errorf("%+v %v %v", r, found, err)
+		t.Errorf("loaded %+v, found %v, error %v; want version 7.3", r, found, err)
 	}
 }
--- a/internal/filewriter/directory.go
+++ b/internal/filewriter/directory.go
@@ -13,24 +13,24 @@
 	"github.com/google/renameio/v2"
 )
 
-// maxFiles is how many files of one directory are listed.
+// maxFiles is the maximum number of directory entries that List reads.
 const maxFiles = 1 << 10
 
 const (
 	filePermissions      = 0o600
 	directoryPermissions = 0o700
-	// writableByOthers are the permissions that a directory must not have to be held: whoever can write there can make the
-	// controller believe anything.
+	// writableByOthers are the permissions that a directory must not have: any user who can write to it could replace the files
+	// that the controller trusts.
 	writableByOthers = 0o022
 )
 
-// ErrTooLarge is a file that is larger than any that was written.
-var ErrTooLarge = errors.New("too large")
+// ErrTooLarge is returned for a file that is larger than any file that the program writes there.
+var ErrTooLarge = errors.New("file is too large")
 
-// Directory is a directory of the file system, by its path.
+// Directory is the path of a directory in the file system.
 type Directory string
 
-// List returns the names of the regular files, sorted.
+// List returns the sorted names of the regular files among the first maxFiles entries of the directory.
 func (d Directory) List() ([]string, error) {
 	directory, err := os.Open(string(d))
 	if err != nil {
@@ -51,8 +51,8 @@
 	return names, nil
 }
 
-// Read returns the contents of a file of at most so many bytes; a larger one is an ErrTooLarge. Of one that grows meanwhile it
-// reads one byte more.
+// Read returns the contents of a file of at most maxBytes; for a larger file the error wraps ErrTooLarge. If the file grows
+// beyond maxBytes during the call, Read returns maxBytes+1 bytes and no error.
 func (d Directory) Read(name string, maxBytes int64) ([]byte, error) {
 	file, err := os.Open(filepath.Join(string(d), name))
 	if err != nil {
@@ -69,8 +69,8 @@
 	return io.ReadAll(io.LimitReader(file, maxBytes+1))
 }
 
-// Replace writes a file completely or not at all: it writes a temporary one, syncs and renames it, and then syncs the directory,
-// without which the rename may not survive a power cut.
+// Replace writes a file completely or not at all: it writes a temporary file, syncs and renames it, and then syncs the
+// directory, since otherwise the rename might not survive a power failure.
 func (d Directory) Replace(name string, data []byte) error {
 	temporary, err := renameio.NewPendingFile(filepath.Join(string(d), name),
 		renameio.WithTempDir(string(d)), renameio.WithPermissions(filePermissions))
@@ -79,13 +79,13 @@
 	}
 	defer temporary.Cleanup()
 	if n, err := temporary.Write(data); err != nil {
-		return fmt.Errorf("after %d of %d bytes: %w", n, len(data), err)
+		return fmt.Errorf("write failed after %d of %d bytes: %w", n, len(data), err)
 	}
 	if err := temporary.CloseAtomicallyReplace(); err != nil {
-		return fmt.Errorf("after all %d bytes: %w", len(data), err)
+		return fmt.Errorf("replacing the file failed after all %d bytes were written: %w", len(data), err)
 	}
 	if err := d.sync(); err != nil {
-		return fmt.Errorf("in place, but its folder is not synced: %w", err)
+		return fmt.Errorf("file was replaced, but syncing its directory failed: %w", err)
 	}
 	return nil
 }
@@ -107,22 +107,23 @@
 // Remove removes a file.
 func (d Directory) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-// lockName is the name of the file by which a directory is held.
+// lockName is the name of the lock file of a directory.
 const lockName = "lock"
 
-// maxOwnerText bounds what is read of the owner of a lock, in bytes.
+// maxOwnerText is the maximum number of bytes of the owner's name that are read from a lock file.
 const maxOwnerText = 200
 
-// Lock is a directory that this process holds.
+// Lock is a lock on a directory that this process holds.
 type Lock struct{ file *os.File }
 
-// LockedError says who holds a directory.
+// LockedError is returned for a directory that Owner has locked.
 type LockedError struct{ Owner string }
 
-func (e *LockedError) Error() string { return "held by " + e.Owner }
+func (e *LockedError) Error() string { return "directory is locked by " + e.Owner }
 
-// Acquire creates the directory if need be and holds it for this process; a LockedError names who else holds it. The lock ends
-// with the process, however that ends. A directory that belongs to another user, or that others may write to, is refused.
+// Acquire creates the directory if it does not exist and locks it for this process. If it is already locked, the error is a
+// LockedError that names the owner of the lock. The operating system releases the lock when the process ends, even after a
+// crash. Acquire rejects a directory that belongs to another user or is writable by other users.
 func (d Directory) Acquire(owner string) (*Lock, error) {
 	if err := os.MkdirAll(string(d), directoryPermissions); err != nil {
 		return nil, fmt.Errorf("creating the directory: %w", err)
@@ -138,28 +139,28 @@
 		file.Close()
 		return nil, err
 	}
-	// The owner's name is for people: a lock is held even if it cannot be written.
+	// The owner's name is only for operators: the lock is valid even if writing the name fails.
 	file.Truncate(0)
 	fmt.Fprintf(file, "%s, process %d\n", owner, os.Getpid())
 	return &Lock{file}, nil
 }
 
-// checkOwner returns an error if others than this user can write to the directory.
+// checkOwner returns an error if the directory belongs to another user or is writable by other users.
 func (d Directory) checkOwner() error {
 	info, err := os.Stat(string(d))
 	if err != nil {
 		return err
 	}
 	if s, ok := info.Sys().(*syscall.Stat_t); ok && int(s.Uid) != os.Geteuid() {
-		return fmt.Errorf("it belongs to user %d, this is user %d: chown it or name another folder", s.Uid, os.Geteuid())
+		return fmt.Errorf("directory belongs to user %d, but this process runs as user %d: chown it or name another folder", s.Uid, os.Geteuid())
 	}
 	if info.Mode().Perm()&writableByOthers != 0 {
-		return fmt.Errorf("others may write to it (%v): chmod go-w", info.Mode().Perm())
+		return fmt.Errorf("directory is writable by other users (%v): chmod go-w", info.Mode().Perm())
 	}
 	return nil
 }
 
-// lockFile locks a file, or returns a LockedError with the owner that it names.
+// lockFile locks a lock file. If it is already locked, the error is a LockedError with the owner that the file names.
 func lockFile(file *os.File) error {
 	err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 	if err == nil {
@@ -168,9 +169,9 @@
 	if !errors.Is(err, syscall.EWOULDBLOCK) {
 		return fmt.Errorf("locking the lock file: %w", err)
 	}
-	owner, _ := io.ReadAll(io.LimitReader(file, maxOwnerText)) // what cannot be read is not named
+	owner, _ := io.ReadAll(io.LimitReader(file, maxOwnerText)) // if reading fails, the owner's name is empty or cut
 	return &LockedError{strings.Join(strings.Fields(string(owner)), " ")}
 }
 
-// Release ends the lock.
+// Release releases the lock.
 func (l *Lock) Release() { l.file.Close() }
--- a/internal/filewriter/writer.go
+++ b/internal/filewriter/writer.go
@@ -1,6 +1,6 @@
-// Package filewriter writes files so that a reader finds them complete or not at all, and writes the newest of many values
-// without holding up whoever has them. Directory is a directory of the file system; Writer keeps the newest value and writes
-// it from a goroutine of its own, less and less often while that fails.
+// Package filewriter writes files atomically, so that a reader finds them complete or not at all, and writes the newest of
+// many values without blocking the caller. Directory is a directory in the file system. Writer holds the newest value and
+// writes it from a goroutine of its own; while writes fail, it backs off.
 package filewriter
 
 import (
@@ -9,42 +9,43 @@
 	"time"
 )
 
-// Config says how a Writer writes. Its functions are called by the goroutine of Run alone.
+// Config configures a Writer. Its functions are called only by the goroutine that calls Run.
 type Config[T any] struct {
-	// Write writes one value. However long it takes, Submit does not wait for it.
+	// Write writes one value. Submit does not wait for it.
 	Write func(value T) error
-	// Failed is called for the first failure after a success; final says that the writer ends with this value.
+	// Failed is called for the first failed write, and for the first one after a success. final is true if this is the write
+	// at the end of Run.
 	Failed func(value T, err error, final bool)
-	// Recovered is called for the first success after a failure.
+	// Recovered is called for the first successful write after a failed one. final is as for Failed.
 	Recovered func(value T, final bool)
-	// Interval is the least time between two writes; 0: a value is written as soon as the one before it.
+	// Interval is the pause after a successful write; if it is 0, the next value is written without a pause.
 	Interval time.Duration
-	// Backoff returns the time to the next write after so many failures in a row.
+	// Backoff returns the time until the next write after a number of consecutive failures.
 	Backoff func(failures int) time.Duration
-	// Retry has a value that failed written again after the backoff, or a newer one at once when it arrives. Without it a value
-	// that failed is dropped, and newer ones wait for the backoff.
+	// Retry enables retries: a value whose write failed is written again after the backoff, unless a newer value arrives
+	// earlier, which is written at once. Without Retry the failed value is dropped, and newer values wait for the backoff.
 	Retry bool
 }
 
-// Writer writes the newest value that it was given.
+// Writer writes the newest submitted value.
 type Writer[T any] struct {
 	config   Config[T]
-	submit   sync.Mutex // held while latest is replaced
+	submitMu sync.Mutex // held while latest is replaced
 	latest   chan T     // holds one value at most
-	failures int        // in a row
+	failures int        // consecutive failed writes
 	done     chan struct{}
 }
 
-// New returns a writer, whose Run has to be called.
+// New returns a writer that writes nothing until Run is called.
 func New[T any](config Config[T]) *Writer[T] {
 	return &Writer[T]{config: config, latest: make(chan T, 1), done: make(chan struct{})}
 }
 
-// Submit hands over a value, which must not change any more, and reports whether it replaces one that was not written yet. It
-// does not wait for writes.
+// Submit passes a value to the writer, and reports whether it replaces a value that has not been written yet. The caller
+// must not change the value afterwards. Submit does not wait for writes.
 func (w *Writer[T]) Submit(value T) (replaced bool) {
-	w.submit.Lock()
-	defer w.submit.Unlock()
+	w.submitMu.Lock()
+	defer w.submitMu.Unlock()
 	select {
 	case <-w.latest:
 		replaced = true
@@ -54,7 +55,8 @@
 	return replaced
 }
 
-// Run writes what is submitted until ctx ends, and then once what was submitted last, if that is not written yet.
+// Run writes submitted values until ctx ends. It then writes the last submitted value once, unless a write of it was already
+// tried.
 func (w *Writer[T]) Run(ctx context.Context) {
 	defer close(w.done)
 	for {
@@ -74,7 +76,7 @@
 // Done is closed once Run has returned.
 func (w *Writer[T]) Done() <-chan struct{} { return w.done }
 
-// next waits for a value; false: ctx has ended, even if there is a value.
+// next waits for a value. ok is false if ctx has ended, even if a value is waiting.
 func (w *Writer[T]) next(ctx context.Context) (value T, ok bool) {
 	if ctx.Err() != nil {
 		return value, false
@@ -87,8 +89,8 @@
 	}
 }
 
-// writeAndPause writes a value, or newer ones if it fails and is to be retried, and returns when the next one may be written
-// or ctx has ended.
+// writeAndPause writes a value. If that fails and Retry is set, it writes the value or newer ones until a write succeeds. It
+// returns when the next value may be written or ctx has ended.
 func (w *Writer[T]) writeAndPause(ctx context.Context, value T) {
 	for !w.write(value, false) {
 		backoff := w.config.Backoff(w.failures)
@@ -105,8 +107,8 @@
 	sleep(ctx, w.config.Interval)
 }
 
-// awaitRetry returns the value to be written next: the one that failed after the backoff, or a newer one at once; false: ctx
-// has ended.
+// awaitRetry returns the value to write next: the one that failed, after the backoff, or a newer one as soon as it is
+// submitted. ok is false if ctx has ended.
 func (w *Writer[T]) awaitRetry(ctx context.Context, failed T, backoff time.Duration) (newest T, ok bool) {
 	timer := time.NewTimer(backoff)
 	defer timer.Stop()
@@ -120,7 +122,7 @@
 	}
 }
 
-// write writes a value and reports whether that succeeded.
+// write writes a value, reports failures and recoveries to the functions of Config, and returns whether the write succeeded.
 func (w *Writer[T]) write(value T, final bool) bool {
 	err := w.config.Write(value)
 	switch {
@@ -137,7 +139,7 @@
 	return true
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep blocks for wait, or until ctx ends.
 func sleep(ctx context.Context, wait time.Duration) {
 	if wait <= 0 {
 		return
--- a/internal/filewriter/writer_test.go
+++ b/internal/filewriter/writer_test.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// recorder records the writes and reports of a writer; its writes fail while err is set.
+// recorder records a writer's writes and its calls of Failed and Recovered. Writes fail while err is set.
 type recorder struct {
-	mu      sync.Mutex
-	err     error
-	takes   time.Duration
-	started time.Time
-	written []int
-	at      []time.Duration // when each write was begun
-	reports []string
+	mu            sync.Mutex
+	err           error
+	writeDuration time.Duration
+	startTime     time.Time
+	written       []int
+	writeTimes    []time.Duration // of the start of each write, failed ones too, since startTime
+	reports       []string
 }
 
 func (r *recorder) write(value int) error {
-	time.Sleep(r.takes)
+	time.Sleep(r.writeDuration)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at = append(r.at, time.Since(r.started)-r.takes)
+	r.writeTimes = append(r.writeTimes, time.Since(r.startTime)-r.writeDuration)
 	if r.err == nil {
 		r.written = append(r.written, value)
 	}
 	return r.err
 }
 
-// fail has writes fail from now on, or succeed if err is nil.
-func (r *recorder) fail(err error) {
+// setError makes writes fail with err from now on, or succeed if err is nil.
+func (r *recorder) setError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.err = err
@@ -41,14 +41,14 @@
 
 func (r *recorder) report(text string, final bool) {
 	if final {
-		text += " finally"
+		text += " at the final write"
 	}
 	r.reports = append(r.reports, text)
 }
 
-// start runs a writer; end stops it and waits for it.
-func start(t *testing.T, r *recorder, config Config[int]) (w *Writer[int], end func()) {
-	r.started = time.Now()
+// startWriter runs a writer; stop ends Run and waits until it has returned.
+func startWriter(t *testing.T, r *recorder, config Config[int]) (w *Writer[int], stop func()) {
+	r.startTime = time.Now()
 	config.Write = r.write
 	config.Failed = func(_ int, _ error, final bool) { r.report("failed", final) }
 	config.Recovered = func(_ int, final bool) { r.report("recovered", final) }
@@ -56,50 +56,50 @@
 		config.Backoff = func(failures int) time.Duration { return time.Duration(failures) * time.Second }
 	}
 	w = New(config)
-	ctx, stop := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go w.Run(ctx)
 	return w, func() {
-		stop()
+		cancel()
 		<-w.Done()
 	}
 }
 
-func TestWriterWritesTheNewestAndHoldsUpNobody(t *testing.T) {
+func TestSubmitDoesNotWaitAndTheNewestValueIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &recorder{takes: time.Second}
-		w, end := start(t, r, Config[int]{})
+		r := &recorder{writeDuration: time.Second}
+		w, stop := startWriter(t, r, Config[int]{})
 		if w.Submit(1) {
-			t.Error("the first value replaces another")
+			t.Error("value 1: replaced true, want false")
 		}
 		synctest.Wait()
-		begun := time.Now()
+		submitStart := time.Now()
 		for value := 2; value < 50; value++ {
 			if replaced := w.Submit(value); replaced != (value > 2) {
-				t.Errorf("value %d: replaced %v", value, replaced)
+				t.Errorf("value %d: replaced %v, want %v", value, replaced, value > 2)
 			}
 		}
-		if waited := time.Since(begun); waited > 0 {
-			t.Errorf("submitting took %v", waited)
+		if waited := time.Since(submitStart); waited > 0 {
+			t.Errorf("submitting 48 values took %v, want no wait for the write", waited)
 		}
 		time.Sleep(5 * time.Second)
-		end()
+		stop()
 		if !slices.Equal(r.written, []int{1, 49}) {
-			t.Errorf("written %v", r.written)
+			t.Errorf("written %v, want 1 and 49", r.written)
 		}
 	})
 }
 
-func TestWriterKeepsItsInterval(t *testing.T) {
+func TestWriterPausesForItsIntervalBetweenWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{}
-		w, end := start(t, r, Config[int]{Interval: 10 * time.Second})
+		w, stop := startWriter(t, r, Config[int]{Interval: 10 * time.Second})
 		for value := range 30 {
 			w.Submit(value)
 			time.Sleep(time.Second)
 		}
-		end()
-		if want := []time.Duration{0, 10 * time.Second, 20 * time.Second, 30 * time.Second}; !slices.Equal(r.at, want) {
-			t.Errorf("written at %v, want %v", r.at, want)
+		stop()
+		if want := []time.Duration{0, 10 * time.Second, 20 * time.Second, 30 * time.Second}; !slices.Equal(r.writeTimes, want) {
+			t.Errorf("written at %v, want %v", r.writeTimes, want)
 		}
 	})
 }
@@ -107,87 +107,87 @@
 func TestWriterRetriesAfterTheBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{err: errors.New("no space")}
-		w, end := start(t, r, Config[int]{Retry: true})
+		w, stop := startWriter(t, r, Config[int]{Retry: true})
 		w.Submit(1)
-		time.Sleep(4 * time.Second) // writes at 0, 1 and 3 s
-		w.Submit(2)                 // at once
+		time.Sleep(4 * time.Second) // failing writes at 0, 1 and 3 s
+		w.Submit(2)                 // written at once, and fails
 		synctest.Wait()
-		r.fail(nil)
-		time.Sleep(10 * time.Second) // 4 s later
-		end()
-		if want := []time.Duration{0, time.Second, 3 * time.Second, 4 * time.Second, 8 * time.Second}; !slices.Equal(r.at, want) {
-			t.Errorf("written at %v, want %v", r.at, want)
+		r.setError(nil)
+		time.Sleep(10 * time.Second) // successful write 4 s after the failed one
+		stop()
+		if want := []time.Duration{0, time.Second, 3 * time.Second, 4 * time.Second, 8 * time.Second}; !slices.Equal(r.writeTimes, want) {
+			t.Errorf("written at %v, want %v", r.writeTimes, want)
 		}
 		if !slices.Equal(r.written, []int{2}) || !slices.Equal(r.reports, []string{"failed", "recovered"}) {
-			t.Errorf("written %v, reports %v", r.written, r.reports)
+			t.Errorf("written %v, reports %v; want [2] and [failed recovered]", r.written, r.reports)
 		}
 	})
 }
 
-func TestWriterWithoutRetryDropsWhatFailed(t *testing.T) {
+func TestWriterWithoutRetryDropsFailedValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{err: errors.New("no space")}
-		w, end := start(t, r, Config[int]{Backoff: func(int) time.Duration { return 5 * time.Second }})
+		w, stop := startWriter(t, r, Config[int]{Backoff: func(int) time.Duration { return 5 * time.Second }})
 		w.Submit(1)
 		time.Sleep(7 * time.Second)
 		w.Submit(2)
 		synctest.Wait()
-		r.fail(nil)
+		r.setError(nil)
 		time.Sleep(time.Second)
 		w.Submit(3)
 		time.Sleep(10 * time.Second)
-		end()
-		if want := []time.Duration{0, 7 * time.Second, 12 * time.Second}; !slices.Equal(r.at, want) {
-			t.Errorf("written at %v, want %v", r.at, want)
+		stop()
+		if want := []time.Duration{0, 7 * time.Second, 12 * time.Second}; !slices.Equal(r.writeTimes, want) {
+			t.Errorf("written at %v, want %v", r.writeTimes, want)
 		}
 		if !slices.Equal(r.written, []int{3}) || !slices.Equal(r.reports, []string{"failed", "recovered"}) {
-			t.Errorf("written %v, reports %v", r.written, r.reports)
+			t.Errorf("written %v, reports %v; want [3] and [failed recovered]", r.written, r.reports)
 		}
 	})
 }
 
-func TestWriterWritesTheLastValueAtTheEnd(t *testing.T) {
+func TestWriterWritesTheLastValueWhenStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, retry := range []bool{false, true} {
-			r := &recorder{takes: time.Second}
-			w, end := start(t, r, Config[int]{Interval: time.Hour, Retry: retry})
+			r := &recorder{writeDuration: time.Second}
+			w, stop := startWriter(t, r, Config[int]{Interval: time.Hour, Retry: retry})
 			w.Submit(1)
-			synctest.Wait() // the first is being written
+			synctest.Wait() // until the first value is being written
 			w.Submit(2)
-			end()
+			stop()
 			if !slices.Equal(r.written, []int{1, 2}) || len(r.reports) != 0 {
-				t.Errorf("retry %v: written %v, reports %v", retry, r.written, r.reports)
+				t.Errorf("retry %v: written %v, reports %v; want 1 and 2 written, no reports", retry, r.written, r.reports)
 			}
 		}
 	})
 }
 
-func TestWriterGivesUpAFailedValueAtTheEnd(t *testing.T) {
+func TestWriterDoesNotRetryWhenStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, retry := range []bool{false, true} {
 			r := &recorder{err: errors.New("no space")}
-			w, end := start(t, r, Config[int]{Retry: retry})
+			w, stop := startWriter(t, r, Config[int]{Retry: retry})
 			w.Submit(1)
 			synctest.Wait()
-			end()
-			if len(r.at) != 1 || !slices.Equal(r.reports, []string{"failed"}) {
-				t.Errorf("retry %v: written at %v, reports %v", retry, r.at, r.reports)
+			stop()
+			if len(r.writeTimes) != 1 || !slices.Equal(r.reports, []string{"failed"}) {
+				t.Errorf("retry %v: writes at %v, reports %v; want one write, reported as failed", retry, r.writeTimes, r.reports)
 			}
 		}
 	})
 }
 
-func TestWriterReportsTheFailureOfItsLastWrite(t *testing.T) {
+func TestWriterReportsFailureOfTheFinalWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &recorder{}
-		w, end := start(t, r, Config[int]{Interval: time.Hour})
+		w, stop := startWriter(t, r, Config[int]{Interval: time.Hour})
 		w.Submit(1)
 		synctest.Wait()
 		w.Submit(2)
-		r.fail(errors.New("no space"))
-		end()
-		if !slices.Equal(r.written, []int{1}) || !slices.Equal(r.reports, []string{"failed finally"}) {
-			t.Errorf("written %v, reports %v", r.written, r.reports)
+		r.setError(errors.New("no space"))
+		stop()
+		if !slices.Equal(r.written, []int{1}) || !slices.Equal(r.reports, []string{"failed at the final write"}) {
+			t.Errorf("written %v, reports %v; want [1] and [failed at the final write]", r.written, r.reports)
 		}
 	})
 }
