--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -6,37 +6,39 @@
 	"lilacbend/internal/strictyaml"
 )
 
-// Following describes from where a controller receives changes of its configuration.
-type Following struct {
-	Service string                // empty: no configuration is followed
+// ConfigurationSource describes the configuration servers from which a controller receives changes of its settings, and the
+// folder where it keeps them.
+type ConfigurationSource struct {
+	Service string                // whose settings the controller receives; empty: it uses no configuration server
 	Region  string                // of this controller
-	Zone    string                // of this controller, for the servers' status
+	Zone    string                // of this controller; only reported, in the servers' status
 	Servers []configclient.Server // of all regions; those of this controller's region are preferred
-	Folder  string                // keeps the active settings over a restart; empty: they are not kept
+	Folder  string                // where the active settings are kept across restarts; empty: they are not kept
 }
 
-// On reports whether a configuration is followed.
-func (f Following) On() bool { return f.Service != "" }
+// On reports whether the controller receives its settings from configuration servers.
+func (f ConfigurationSource) On() bool { return f.Service != "" }
 
-// readFollowing reads the section configuration.
-func readFollowing(file string, section *strictyaml.Section) Following {
-	var following Following
-	section.Text("service", &following.Service)
-	section.Text("region", &following.Region)
-	section.Text("zone", &following.Zone)
-	following.Servers = configclient.ReadServers(section, "servers")
-	readFolder(file, section, &following.Folder)
-	checkService(section, following.Service)
+// readConfigurationSource reads the section configuration.
+func readConfigurationSource(file string, section *strictyaml.Section) ConfigurationSource {
+	var source ConfigurationSource
+	section.Text("service", &source.Service)
+	section.Text("region", &source.Region)
+	section.Text("zone", &source.Zone)
+	source.Servers = configclient.ReadServers(section, "servers")
+	readFolder(file, section, &source.Folder)
+	checkService(section, source.Service)
 	if !section.Has("servers") {
 		section.Fault("", "lacks servers: name the configuration servers")
 	}
 	section.Done()
-	return following
+	return source
 }
 
+// checkService reports a section without a service, or with one that has an invalid name.
 func checkService(section *strictyaml.Section, service string) {
 	if !section.Has("service") {
-		section.Fault("", "lacks service: name the one whose settings this governor is to follow")
+		section.Fault("", "lacks service: name the service whose settings this controller is to receive")
 		return
 	}
 	err := configstore.CheckName(service)
--- a/internal/operator/configuration_test.go
+++ b/internal/operator/configuration_test.go
@@ -11,18 +11,18 @@
 func TestParseConfiguration(t *testing.T) {
 	raw := "configuration:\n  service: orders\n  region: r1\n  zone: a\n  servers: [{address: 's0:7000', region: r0}, {address: 's1:7000', region: r1}]\n"
 	file, err := Parse("o.yaml", []byte(raw))
-	want := Following{Service: "orders", Region: "r1", Zone: "a", Servers: []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000", Region: "r1"}}}
+	want := ConfigurationSource{Service: "orders", Region: "r1", Zone: "a", Servers: []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000", Region: "r1"}}}
 	if err != nil || !reflect.DeepEqual(file.Configuration, want) || !file.Configuration.On() {
-		t.Errorf("%+v %v", file, err)
+		t.Errorf("parsed %+v, error %v; want %+v", file.Configuration, err, want)
 	}
-	if off := (File{}); off.Configuration.On() || !reflect.DeepEqual(off.Differs(file), []string{"configuration"}) || len(file.Differs(file)) != 0 {
-		t.Errorf("%v", off.Differs(file))
+	if empty := (File{}); empty.Configuration.On() || !reflect.DeepEqual(empty.Differs(file), []string{"configuration"}) || len(file.Differs(file)) != 0 {
+		t.Errorf("sections that differ from an empty file %v, from itself %v; want [configuration] and none", empty.Differs(file), file.Differs(file))
 	}
-	kept := "configuration:\n  service: orders\n  servers: [{address: 's0:7000'}]\n  folder: kept\n"
-	if file, err := Parse("/etc/o.yaml", []byte(kept)); err != nil || file.Configuration.Folder != "/etc/kept" {
-		t.Errorf("%+v %v", file, err)
+	withFolder := "configuration:\n  service: orders\n  servers: [{address: 's0:7000'}]\n  folder: kept\n"
+	if file, err := Parse("/etc/o.yaml", []byte(withFolder)); err != nil || file.Configuration.Folder != "/etc/kept" {
+		t.Errorf("relative folder: parsed %+v, error %v; want folder /etc/kept", file.Configuration, err)
 	}
-	for raw, says := range map[string]string{
+	for raw, wantError := range map[string]string{
 		"configuration: {}":                                                                                     "configuration: lacks service",
 		"configuration: {service: orders}":                                                                      "configuration: lacks servers",
 		"configuration: {service: a/b, servers: [{address: ':7'}]}":                                             `configuration.service: "a/b" is no name of a service`,
@@ -34,12 +34,12 @@
 		"configuration: [orders]":                                                                               "configuration: is a list",
 		"configuration: {service: orders, servers: [{address: ':7', adress: ':8'}]}":                            "configuration.servers[0].adress: is not known",
 		"configuration: {service: orders, servers: [{address: ':7'}], folder: ''}":                              "configuration.folder: is empty",
-		"{state: {folder: /s/x}, configuration: {service: orders, servers: [{address: ':7'}], folder: /s/./x}}": "configuration.folder: is that of state",
+		"{state: {folder: /s/x}, configuration: {service: orders, servers: [{address: ':7'}], folder: /s/./x}}": "configuration.folder: is also the folder of state",
 		"configurations: {service: orders, servers: [{address: ':7'}]}":                                         "configurations: is not known: did you mean configuration?",
 		"configuration: {service: orders, servers: ['s0:7000']}":                                                "configuration.servers: names no server: want a list of sections",
 	} {
-		if _, err := Parse("o.yaml", []byte(raw)); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%q: %v", raw, err)
+		if _, err := Parse("o.yaml", []byte(raw)); err == nil || !strings.Contains(err.Error(), wantError) {
+			t.Errorf("%q: error %v, want %q", raw, err, wantError)
 		}
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator file: the features that an installation enables beyond what its platform requires.
-// Without a file, and for all that a file leaves out, they are disabled.
+// Package operator reads the operator file, which enables optional features of an installation beyond what its platform
+// requires. A feature is disabled unless the file has its section.
 package operator
 
 import (
@@ -15,18 +15,18 @@
 type File struct {
 	Path          string // empty: no file
 	State         Retention
-	Configuration Following
+	Configuration ConfigurationSource
 }
 
-// Retention describes how learned state is kept over restarts.
+// Retention describes how learned state is kept across restarts.
 type Retention struct {
-	Folder   string        // of this controller alone; empty: nothing is kept
-	Every    time.Duration // between two writes
-	HalfLife time.Duration // after which learned state has half its weight
-	Keep     int           // generations
+	Folder   string        // used by no other controller; empty: nothing is kept
+	Every    time.Duration // interval between snapshot writes
+	HalfLife time.Duration // time after which learned state has half its weight
+	Keep     int           // number of generations
 }
 
-// Limits of the values of the section state.
+// Limits of the values in the section state.
 const (
 	minEvery    = 100 * time.Millisecond
 	maxEvery    = time.Hour
@@ -35,11 +35,12 @@
 	maxKeep     = 100
 )
 
-// defaultRetention applies to all that a file leaves out. A write costs a disk some milliseconds, most faults of a replica last
-// minutes, and three generations leave one if two are damaged.
+// defaultRetention has the values of keys that the section state leaves out: a write takes a disk some milliseconds, most
+// faults of a replica last minutes, and with three generations one is left if two are damaged.
 var defaultRetention = Retention{Every: 5 * time.Second, HalfLife: time.Minute, Keep: 3}
 
-// Read reads an operator file; an empty name is an empty file. The error names file, line and key of all that is wrong.
+// Read reads an operator file. Without a file name it returns a File that enables nothing. The error names the file, the
+// line and the key of every fault.
 func Read(file string) (File, error) {
 	if file == "" {
 		return File{}, nil
@@ -51,7 +52,7 @@
 	return Parse(file, raw)
 }
 
-// Parse parses the bytes of an operator file.
+// Parse parses the contents of the operator file at the path file.
 func Parse(file string, raw []byte) (File, error) {
 	document, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
@@ -62,9 +63,9 @@
 		result.State = readRetention(file, section)
 	}
 	if section := top.Section("configuration"); section != nil {
-		result.Configuration = readFollowing(file, section)
-		if sameFolder(result.Configuration.Folder, result.State.Folder) {
-			section.Fault("folder", "is that of state: name another one")
+		result.Configuration = readConfigurationSource(file, section)
+		if isSameFolder(result.Configuration.Folder, result.State.Folder) {
+			section.Fault("folder", "is also the folder of state: name a different folder")
 		}
 	}
 	top.Done()
@@ -74,8 +75,8 @@
 	return result, nil
 }
 
-// sameFolder reports whether a folder is given and the same as another one.
-func sameFolder(folder, other string) bool {
+// isSameFolder reports whether folder is set and has the same path as other.
+func isSameFolder(folder, other string) bool {
 	return folder != "" && filepath.Clean(folder) == filepath.Clean(other)
 }
 
@@ -86,26 +87,26 @@
 	section.Duration("half_life", &retention.HalfLife, minHalfLife, maxHalfLife)
 	section.Whole("keep", &retention.Keep, 1, maxKeep)
 	if !section.Has("folder") {
-		section.Fault("", "lacks folder: name one that lasts, for this governor alone")
+		section.Fault("", "lacks folder: name a persistent folder that only this controller uses")
 	}
 	readFolder(file, section, &retention.Folder)
 	section.Done()
 	return retention
 }
 
-// readFolder reads the optional folder of a section. A relative one is relative to the folder of the file.
+// readFolder reads the optional key folder of a section. A relative path is relative to the directory of the operator file.
 func readFolder(file string, section *strictyaml.Section, folder *string) {
 	section.Text("folder", folder)
 	switch {
 	case !section.Has("folder"):
 	case strings.TrimSpace(*folder) == "":
-		section.Fault("folder", "is empty: name a folder that lasts, for this governor alone")
+		section.Fault("folder", "is empty: name a persistent folder that only this controller uses")
 	case !filepath.IsAbs(*folder):
 		*folder = filepath.Join(filepath.Dir(file), *folder)
 	}
 }
 
-// Differs returns the names of the sections in which another file differs.
+// Differs returns the names of the sections whose values differ between f and other.
 func (f File) Differs(other File) []string {
 	var sections []string
 	if f.State != other.State {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -17,7 +17,7 @@
 	} {
 		file, err := Parse("/etc/operator.yaml", []byte(c.raw))
 		if err != nil || file.State != c.want {
-			t.Errorf("%q: %+v %v", c.raw, file, err)
+			t.Errorf("%q: parsed %+v, error %v; want %+v", c.raw, file.State, err, c.want)
 		}
 	}
 	for raw, want := range map[string]string{
@@ -29,10 +29,10 @@
 		"state: {folder: /s, halflife: 1m}":  "state.halflife: is not known: did you mean half_life?",
 		"stat: {folder: /s}":                 "stat: is not known: did you mean state?",
 		"state: {folder: /s, folder: /t}":    "state.folder: given twice",
-		"state: {folder: [/s]}":              "state.folder: is a list, want a word",
+		"state: {folder: [/s]}":              "state.folder: is a list, want a string",
 	} {
 		if _, err := Parse("o.yaml", []byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %s", raw, err, want)
+			t.Errorf("%q: error %v, want %q", raw, err, want)
 		}
 	}
 }
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -1,6 +1,6 @@
-// Package strictyaml reads the program's own settings, strictly: YAML in which every key is known, given once and of the
-// right type. Each fault names its file, line, column and the path of its key, and says what is wanted. All faults of a file
-// are found in one pass. The package does not know the meaning of any key.
+// Package strictyaml reads the program's own YAML files strictly: every key must be known, be given once and have a value of
+// the right type. Each fault names its file, line, column and the path of its key, and says what is expected. One pass finds
+// all faults of a file, up to maxFaults. The meaning of the keys is left to the callers.
 package strictyaml
 
 import (
@@ -18,20 +18,20 @@
 )
 
 const (
-	// maxFileSize is the largest file, in bytes. Operators' files have some hundred lines.
+	// maxFileSize is the maximum size of a file, in bytes. Operators' files have some hundred lines.
 	maxFileSize = 1 << 20
-	// maxDepth is how deep values may be nested: deeper than in any of the program's files.
+	// maxDepth is the maximum nesting depth of values. None of the program's files is nested as deeply.
 	maxDepth = 32
-	// maxFaults is how many faults of one file are recorded; nobody reads more.
+	// maxFaults is the maximum number of faults that are recorded for one file; an operator does not read more.
 	maxFaults = 50
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	File   string
-	Line   int // from 1; 0: the whole file
+	Line   int // from 1; 0: the fault has no position in the file
 	Column int
-	Path   string // of the key, such as state.every; empty: the file
+	Path   string // of the key, such as state.every; empty: the fault has no key
 	Reason string
 }
 
@@ -47,10 +47,10 @@
 	return fmt.Sprintf("%s: %s", position, f.Reason)
 }
 
-// Faults are all faults of a file in the order of its lines, at least one.
+// Faults are the recorded faults of a file, at least one, in the order of their positions.
 type Faults []Fault
 
-// Error returns the text of the first fault, and how many more there are.
+// Error returns the text of the first fault and the number of further ones.
 func (fs Faults) Error() string {
 	text := fs[0].Error()
 	if more := len(fs) - 1; more > 0 {
@@ -59,13 +59,13 @@
 	return text
 }
 
-// Document is one file that is being read, and the faults found so far.
+// Document is a file that is being read, with the faults found so far.
 type Document struct {
 	file   string
 	faults Faults
 }
 
-// Open returns the bytes of a file of at most maxFileSize.
+// Open returns the contents of a file; a file larger than maxFileSize is a Fault.
 func Open(file string) ([]byte, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -74,16 +74,17 @@
 	defer f.Close()
 	raw, err := io.ReadAll(io.LimitReader(f, maxFileSize+1))
 	if err != nil {
-		return nil, Fault{File: file, Reason: fmt.Sprintf("breaks off after %d bytes: %v", len(raw), err)}
+		return nil, Fault{File: file, Reason: fmt.Sprintf("read failed after %d bytes: %v", len(raw), err)}
 	}
 	if len(raw) > maxFileSize {
-		return nil, Fault{File: file, Reason: fmt.Sprintf("over %d bytes: split it", maxFileSize)}
+		return nil, Fault{File: file, Reason: fmt.Sprintf("is larger than %d bytes: split it", maxFileSize)}
 	}
 	return raw, nil
 }
 
-// Parse returns the document and its top section, which is empty for an empty file. It fails if the file is no plain YAML
-// document with keys at the top; Document.Err returns all other faults once the sections have been read.
+// Parse returns the document and its top section, which is empty for an empty file. It fails if the file is not a single
+// plain YAML document whose top level is a mapping. While the caller reads the sections,
+// further faults are recorded, which Document.Err returns.
 func Parse(file string, raw []byte) (*Document, *Section, error) {
 	document := &Document{file: file}
 	root, err := decode(file, raw)
@@ -104,7 +105,7 @@
 	return document, top, nil
 }
 
-// decode returns the root node of the only YAML document in a file.
+// decode returns the root node of the YAML document in a file, which must contain only one.
 func decode(file string, raw []byte) (*yaml.Node, error) {
 	if !isText(raw) {
 		return nil, Fault{File: file, Reason: "is not UTF-8 text: save it as UTF-8"}
@@ -122,7 +123,7 @@
 	err = decoder.Decode(&next)
 	switch {
 	case err == nil:
-		const reason = "a second document begins here: one file is one document"
+		const reason = "a second YAML document begins here: a file must contain only one"
 		return nil, Fault{File: file, Line: next.Line, Column: next.Column, Reason: reason}
 	case !errors.Is(err, io.EOF):
 		return nil, syntaxFault(file, err)
@@ -130,7 +131,7 @@
 	return document.Content[0], nil
 }
 
-// isText reports whether raw is UTF-8 without zero bytes.
+// isText reports whether raw is valid UTF-8 without zero bytes.
 func isText(raw []byte) bool {
 	return !bytes.ContainsRune(raw, 0) && strings.ToValidUTF8(string(raw), "") == string(raw)
 }
@@ -139,10 +140,10 @@
 
 func isNull(node *yaml.Node) bool { return node.Kind == yaml.ScalarNode && node.Tag == nullTag }
 
-// nullTag is the tag of an empty value.
+// nullTag is the YAML tag of an empty value.
 const nullTag = "!!null"
 
-// syntaxFault converts an error of the YAML library, whose text may begin with the line.
+// syntaxFault converts an error of the YAML library. If the error's text begins with a line number, the fault has that line.
 func syntaxFault(file string, err error) Fault {
 	const reason = "not readable as YAML: "
 	text := strings.ReplaceAll(strings.TrimPrefix(err.Error(), "yaml: "), "\n", " ")
@@ -159,17 +160,18 @@
 	return Fault{File: file, Line: line, Column: 1, Reason: reason + description}
 }
 
-// checkPlain finds what makes a value differ from its text: aliases, merges, tags, and unlimited nesting.
+// checkPlain reports YAML features by which a value can differ from its text (anchors, aliases and with them merges, and
+// tags), and nesting deeper than maxDepth.
 func (d *Document) checkPlain(node *yaml.Node, path string, depth int) {
 	switch {
 	case depth > maxDepth:
-		d.addFault(node, path, "nested more than %d deep", maxDepth)
+		d.addFault(node, path, "nested deeper than %d levels", maxDepth)
 		return
 	case node.Kind == yaml.AliasNode || node.Anchor != "":
-		d.addFault(node, path, "anchors and aliases are not read: write the value out")
+		d.addFault(node, path, "anchors and aliases are not supported: write the value out")
 		return
 	case node.Style&yaml.TaggedStyle != 0:
-		d.addFault(node, path, "tags such as %s are not read: write the value plainly", node.Tag)
+		d.addFault(node, path, "tags such as %s are not supported: write the value without a tag", node.Tag)
 		return
 	}
 	for k, child := range node.Content {
@@ -177,7 +179,7 @@
 	}
 }
 
-// childPath returns the path of a node's child. The children of a mapping are keys and values in turn.
+// childPath returns the path of a node's child k. The children of a mapping alternate between keys and values.
 func childPath(node *yaml.Node, path string, k int) string {
 	switch node.Kind {
 	case yaml.MappingNode:
@@ -188,6 +190,7 @@
 	return path
 }
 
+// keyPath returns the path of a key in the mapping at path.
 func keyPath(path, key string) string {
 	if path == "" {
 		return key
@@ -195,8 +198,10 @@
 	return path + "." + key
 }
 
+// entryPath returns the path of entry k of the list at path.
 func entryPath(path string, k int) string { return fmt.Sprintf("%s[%d]", path, k) }
 
+// addFault records a fault at the position of node, unless maxFaults are recorded already.
 func (d *Document) addFault(node *yaml.Node, path, reason string, args ...any) {
 	if len(d.faults) >= maxFaults {
 		return
@@ -210,7 +215,7 @@
 	})
 }
 
-// Err returns all faults found so far as Faults, or nil.
+// Err returns the faults recorded so far as Faults, in the order of their positions, or nil if there are none.
 func (d *Document) Err() error {
 	if len(d.faults) == 0 {
 		return nil
--- a/internal/strictyaml/nearest.go
+++ b/internal/strictyaml/nearest.go
@@ -2,13 +2,14 @@
 
 import "github.com/agnivade/levenshtein"
 
-// lettersPerEdit is the number of letters of a name for each edit that makes a slip; one edit is always allowed.
+// lettersPerEdit is the number of letters in a name per edit by which a misspelling may differ from a known name. One edit
+// is always allowed.
 const lettersPerEdit = 3
 
-// Nearest returns the known name for which name is most likely a slip, or an empty text if none is near.
+// Nearest returns the known name that name most likely misspells, or an empty string if no known name is similar enough.
 func Nearest(name string, known []string) string {
 	nearest := ""
-	// The sum rounds so that names of five letters may have two edits, as swapping two letters takes.
+	// Adding 1 allows two edits in names of five letters: swapping two letters takes two edits.
 	maxEdits := max(1, (len(name)+1)/lettersPerEdit)
 	best := maxEdits + 1
 	for _, candidate := range known {
--- a/internal/strictyaml/nearest_test.go
+++ b/internal/strictyaml/nearest_test.go
@@ -15,7 +15,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := Nearest(name, known); got != want {
-				t.Errorf("got %q, want %q", got, want)
+				t.Errorf("nearest known name is %q, want %q", got, want)
 			}
 		})
 	}
--- a/internal/strictyaml/section.go
+++ b/internal/strictyaml/section.go
@@ -8,7 +8,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Section is a mapping. The keys that are read are the known ones; Done reports all others.
+// Section is a mapping of a document. Reading a key makes it known; Done reports the keys that are not known.
 type Section struct {
 	document *Document
 	node     *yaml.Node
@@ -16,7 +16,8 @@
 	known    []string
 }
 
-// newSection returns the section of a node, or nil if it is no mapping.
+// newSection returns the section of a node. If the node is not a mapping, it reports that and returns nil. It also reports
+// keys that are not scalars or are given twice.
 func (d *Document) newSection(node *yaml.Node, path string) *Section {
 	if node.Kind != yaml.MappingNode {
 		d.addFault(node, path, "is %s, want keys with values", describe(node))
@@ -27,7 +28,7 @@
 	for k := 0; k < len(node.Content); k += 2 {
 		key := node.Content[k]
 		if key.Kind != yaml.ScalarNode {
-			d.addFault(key, path, "a key is %s, want a plain word", describe(key))
+			d.addFault(key, path, "a key is %s, want a plain string", describe(key))
 			continue
 		}
 		if first, duplicate := lines[key.Value]; duplicate {
@@ -39,7 +40,7 @@
 	return section
 }
 
-// describe returns what a value is, for the text of a fault.
+// describe describes a value for the text of a fault.
 func describe(node *yaml.Node) string {
 	switch {
 	case node.Kind == yaml.MappingNode:
@@ -52,7 +53,7 @@
 	return fmt.Sprintf("%.40q", node.Value)
 }
 
-// find returns the value of a key, or nil, and makes the key known.
+// find returns the value of a key, or nil if the key is not given, and makes the key known.
 func (s *Section) find(key string) *yaml.Node {
 	s.known = append(s.known, key)
 	for k := 0; k+1 < len(s.node.Content); k += 2 {
@@ -63,10 +64,11 @@
 	return nil
 }
 
-// Has reports whether a key is given.
+// Has reports whether a key is given, and makes it known.
 func (s *Section) Has(key string) bool { return s.find(key) != nil }
 
-// Section returns the section of a key, or nil if the key is not given or its value is no section.
+// Section returns the section of a key, or nil if the key is not given. A value that is not a mapping is reported, and the
+// result is nil.
 func (s *Section) Section(key string) *Section {
 	node := s.find(key)
 	if node == nil {
@@ -75,7 +77,7 @@
 	return s.document.newSection(node, keyPath(s.path, key))
 }
 
-// Sections returns the sections of the list of a key.
+// Sections returns the sections in the list of a key. Values that are not mappings are reported and left out.
 func (s *Section) Sections(key string) []*Section {
 	var sections []*Section
 	for k, entry := range s.entries(key) {
@@ -87,7 +89,7 @@
 	return sections
 }
 
-// entries returns the entries of the list of a key.
+// entries returns the entries of the list of a key. A value that is not a list is reported.
 func (s *Section) entries(key string) []*yaml.Node {
 	node := s.find(key)
 	if node == nil {
@@ -100,7 +102,8 @@
 	return node.Content
 }
 
-// Fault reports that the value of a key is invalid, or that the section is if the key is empty.
+// Fault reports that the value of a key is invalid. If key is empty, the fault is that of the whole section. reason and args
+// are formatted as by fmt.Sprintf.
 func (s *Section) Fault(key, reason string, args ...any) {
 	if key == "" {
 		s.document.addFault(s.node, s.path, reason, args...)
@@ -113,7 +116,7 @@
 	s.document.addFault(node, keyPath(s.path, key), reason, args...)
 }
 
-// Done reports every key that was not read, with the known key for which it may be a slip.
+// Done reports every key that is not known, with the known key that it probably misspells or else all known keys.
 func (s *Section) Done() {
 	slices.Sort(s.known)
 	known := slices.Compact(s.known)
@@ -128,6 +131,6 @@
 			s.document.addFault(key, path, "is not known: did you mean %s?", nearest)
 			continue
 		}
-		s.document.addFault(key, path, "is not known: known here are %s", strings.Join(known, ", "))
+		s.document.addFault(key, path, "is not known: known keys are %s", strings.Join(known, ", "))
 	}
 }
--- a/internal/strictyaml/value.go
+++ b/internal/strictyaml/value.go
@@ -11,7 +11,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// scalar returns the scalar value of a key, or nil. A value of another kind is a fault, whose text says what is wanted.
+// scalar returns the scalar value of a key, or nil if the key is not given. A value that is empty or not a scalar is
+// reported, with want as the expected value.
 func (s *Section) scalar(key, want string) *yaml.Node {
 	node := s.find(key)
 	if node == nil {
@@ -24,25 +25,26 @@
 	return node
 }
 
-// Text reads a text. Like all readers it leaves the destination as it is if the key is not given or its value is invalid.
+// Text reads a string. Like all methods that read values, it reports an invalid value, and leaves the destination unchanged
+// if the key is not given or its value is invalid.
 func (s *Section) Text(key string, destination *string) {
-	node := s.scalar(key, "a word")
+	node := s.scalar(key, "a string")
 	if node != nil {
 		*destination = node.Value
 	}
 }
 
-// numberFormat is how values of a type are written.
+// numberFormat describes how values of a type are written.
 type numberFormat[T cmp.Ordered] struct {
-	want    string // for the fault of a value that is no scalar
-	example string // for the fault of a scalar that cannot be parsed
+	want    string // expected value, in the fault of a value that is not a scalar
+	example string // expected value, in the fault of a scalar that cannot be parsed
 	parse   func(string) (T, error)
 }
 
 var (
 	durationFormat = numberFormat[time.Duration]{
-		want:    "a time such as 5s",
-		example: "a time with its unit, such as 250ms, 5s or 1m30s",
+		want:    "a duration such as 5s",
+		example: "a duration with its unit, such as 250ms, 5s or 1m30s",
 		parse:   time.ParseDuration,
 	}
 	integerFormat = numberFormat[int]{want: "a whole number", example: "a whole number", parse: strconv.Atoi}
@@ -51,8 +53,8 @@
 
 func parseFloat(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
 
-// readNumber reads a value from least to most.
-func readNumber[T cmp.Ordered](s *Section, key string, destination *T, format numberFormat[T], least, most T) {
+// readNumber reads a value in the range from minimum to maximum, both included.
+func readNumber[T cmp.Ordered](s *Section, key string, destination *T, format numberFormat[T], minimum, maximum T) {
 	node := s.scalar(key, format.want)
 	if node == nil {
 		return
@@ -62,39 +64,39 @@
 	switch {
 	case err != nil || isNaN:
 		s.document.addFault(node, keyPath(s.path, key), "is %.40q, want %s", node.Value, format.example)
-	case value < least || value > most:
-		s.document.addFault(node, keyPath(s.path, key), "is %v, want %v to %v", value, least, most)
+	case value < minimum || value > maximum:
+		s.document.addFault(node, keyPath(s.path, key), "is %v, want %v to %v", value, minimum, maximum)
 	default:
 		*destination = value
 	}
 }
 
-// Duration reads a time with its unit, such as 250ms or 1m30s, from least to most.
-func (s *Section) Duration(key string, destination *time.Duration, least, most time.Duration) {
-	readNumber(s, key, destination, durationFormat, least, most)
+// Duration reads a duration with its unit, such as 250ms or 1m30s, in the range from minimum to maximum.
+func (s *Section) Duration(key string, destination *time.Duration, minimum, maximum time.Duration) {
+	readNumber(s, key, destination, durationFormat, minimum, maximum)
 }
 
-// Whole reads an integer from least to most.
-func (s *Section) Whole(key string, destination *int, least, most int) {
-	readNumber(s, key, destination, integerFormat, least, most)
+// Whole reads an integer in the range from minimum to maximum.
+func (s *Section) Whole(key string, destination *int, minimum, maximum int) {
+	readNumber(s, key, destination, integerFormat, minimum, maximum)
 }
 
-// Number reads a number from least to most.
-func (s *Section) Number(key string, destination *float64, least, most float64) {
-	readNumber(s, key, destination, floatFormat, least, most)
+// Number reads a floating-point number in the range from minimum to maximum.
+func (s *Section) Number(key string, destination *float64, minimum, maximum float64) {
+	readNumber(s, key, destination, floatFormat, minimum, maximum)
 }
 
-// Words reads a list of texts.
+// Words reads a list of strings. Invalid entries are reported and left out.
 func (s *Section) Words(key string, destination *[]string) {
 	node := s.find(key)
 	if node == nil || node.Kind != yaml.SequenceNode {
-		s.entries(key) // reports a value of another kind
+		s.entries(key) // reports a value that is not a list
 		return
 	}
 	words := make([]string, 0, len(node.Content))
 	for k, entry := range node.Content {
 		if entry.Kind != yaml.ScalarNode || entry.Tag == nullTag {
-			s.document.addFault(entry, entryPath(keyPath(s.path, key), k), "is %s, want a word", describe(entry))
+			s.document.addFault(entry, entryPath(keyPath(s.path, key), k), "is %s, want a string", describe(entry))
 			continue
 		}
 		words = append(words, entry.Value)
@@ -102,7 +104,7 @@
 	*destination = words
 }
 
-// Pairs reads a section of texts with arbitrary keys.
+// Pairs reads a section with arbitrary keys whose values are strings. An invalid value is reported and read as empty.
 func (s *Section) Pairs(key string, destination *map[string]string) {
 	section := s.Section(key)
 	if section == nil {
@@ -118,9 +120,9 @@
 	*destination = pairs
 }
 
-// Choice reads a text that is one of the keys of choices, and sets the destination to its value.
+// Choice reads a string that must be one of the keys of choices, and sets the destination to that key's value.
 func Choice[T any](s *Section, key string, destination *T, choices map[string]T) {
-	node := s.scalar(key, "a word")
+	node := s.scalar(key, "a string")
 	if node == nil {
 		return
 	}
@@ -138,8 +140,8 @@
 	s.document.addFault(node, path, "is %.40q, want one of %s", node.Value, strings.Join(known, ", "))
 }
 
-// Switch reads true or false.
-func (s *Section) Switch(key string, destination *bool) {
+// Bool reads true or false.
+func (s *Section) Bool(key string, destination *bool) {
 	node := s.scalar(key, "true or false")
 	if node == nil {
 		return
