--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,5 +1,5 @@
-// Package backoff computes the waits between retries: they grow exponentially up to a limit, and jitter keeps callers that
-// failed together from retrying together. Only Sleep uses a clock.
+// Package backoff computes the waits between retries. They grow exponentially up to a limit, and jitter keeps callers that
+// failed at the same time from retrying at the same time. Only Sleep uses a clock.
 package backoff
 
 import (
@@ -24,8 +24,8 @@
 	return &Backoff{initial: initial, limit: limit, next: initial}
 }
 
-// NewJittered returns a Backoff whose waits are drawn from the upper half of an interval that grows as the waits of New do.
-// The same seed gives the same waits.
+// NewJittered returns a Backoff with jitter: each wait is drawn from the upper half of an interval that grows as the waits
+// of New do. The same seed gives the same waits.
 func NewJittered(initial, limit time.Duration, seed uint64) *Backoff {
 	b := New(initial, limit)
 	b.jitter = true
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -12,7 +12,7 @@
 	limit   = time.Second
 )
 
-// intervals are those that grow from initial to limit.
+// intervals are the successive intervals of a Backoff that grows from initial to limit.
 var intervals = []time.Duration{initial, 2 * initial, 4 * initial, 8 * initial, 16 * initial, limit, limit}
 
 func TestNextDoublesUpToLimit(t *testing.T) {
@@ -20,7 +20,7 @@
 	for round := range 2 {
 		for k, want := range intervals {
 			if got := b.Next(); got != want {
-				t.Errorf("round %d, wait %d is %v, want %v", round, k, got, want)
+				t.Errorf("round %d: wait %d is %v, want %v", round, k, got, want)
 			}
 		}
 		b.Reset()
@@ -29,10 +29,10 @@
 
 func TestJitterDrawsFromUpperHalfOfInterval(t *testing.T) {
 	const (
-		seeds = 200
-		apart = 0.1 // of the interval
+		seeds     = 200
+		tolerance = 0.1 // maximum distance of the extreme waits from the range's ends, as a fraction of the interval
 	)
-	least, most := make([]time.Duration, len(intervals)), make([]time.Duration, len(intervals))
+	shortest, longest := make([]time.Duration, len(intervals)), make([]time.Duration, len(intervals))
 	for seed := range uint64(seeds) {
 		b := NewJittered(initial, limit, seed)
 		for k, interval := range intervals {
@@ -40,16 +40,16 @@
 			if got < interval/2 || got > interval {
 				t.Fatalf("seed %d: wait %d is %v, want %v to %v", seed, k, got, interval/2, interval)
 			}
-			if least[k] == 0 || got < least[k] {
-				least[k] = got
+			if shortest[k] == 0 || got < shortest[k] {
+				shortest[k] = got
 			}
-			most[k] = max(most[k], got)
+			longest[k] = max(longest[k], got)
 		}
 	}
 	for k, interval := range intervals {
-		margin := time.Duration(apart * float64(interval))
-		if least[k] > interval/2+margin || most[k] < interval-margin {
-			t.Errorf("wait %d: all waits are from %v to %v of an interval of %v", k, least[k], most[k], interval)
+		margin := time.Duration(tolerance * float64(interval))
+		if shortest[k] > interval/2+margin || longest[k] < interval-margin {
+			t.Errorf("wait %d: %d seeds give waits from %v to %v, want nearly all of %v to %v", k, seeds, shortest[k], longest[k], interval/2, interval)
 		}
 	}
 }
@@ -59,28 +59,28 @@
 	a, b := NewJittered(initial, limit, 7), NewJittered(initial, limit, 7)
 	first := a.Next()
 	if got := b.Next(); got != first {
-		t.Errorf("the same seed gives %v and %v", first, got)
+		t.Errorf("the same seed gives first waits of %v and %v, want equal ones", first, got)
 	}
 	a.Reset()
-	again := a.Next()
-	if again == first || again > initial {
-		t.Errorf("after Reset the wait is %v, the first was %v", again, first)
+	afterReset := a.Next()
+	if afterReset == first || afterReset > initial {
+		t.Errorf("wait after Reset is %v, want at most %v and not the first wait %v", afterReset, initial, first)
 	}
 }
 
-func TestSleepEndsWithItsContext(t *testing.T) {
+func TestSleepReturnsWhenItsContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		Sleep(t.Context(), time.Minute)
-		if took := time.Since(start); took != time.Minute {
-			t.Errorf("it took %v, want %v", took, time.Minute)
+		if elapsed := time.Since(start); elapsed != time.Minute {
+			t.Errorf("Sleep took %v, want %v", elapsed, time.Minute)
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		start = time.Now()
 		Sleep(ctx, time.Minute)
-		if took := time.Since(start); took != time.Second {
-			t.Errorf("it took %v, want %v", took, time.Second)
+		if elapsed := time.Since(start); elapsed != time.Second {
+			t.Errorf("Sleep took %v, want %v", elapsed, time.Second)
 		}
 	})
 }
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,6 +1,6 @@
-// Package revision orders versions of a configuration. Within an epoch revisions only increase. A server that was restored or
-// has lost its state begins a later epoch, which outranks every revision of the epochs before it. The package has no I/O and
-// no clock.
+// Package revision orders the versions of a configuration. Within an epoch, revisions only increase. A configuration server
+// that was restored or has lost its state begins a later epoch, whose revisions are all newer than those of earlier epochs.
+// The package has no I/O and no clock.
 package revision
 
 import (
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// Max is the largest epoch or revision: up to here JSON decoders that use float64 represent integers exactly.
+// Max is the maximum epoch and revision. Up to this value, JSON decoders that use float64 represent integers exactly.
 const Max = uint64(1) << 53
 
-// Version identifies one state of a configuration. The zero value is no configuration.
+// Version identifies one state of a configuration. The zero Version means that there is no configuration.
 type Version struct {
 	Epoch    uint64 `json:"epoch"`
 	Revision uint64 `json:"revision"`
 }
 
-// Compare returns a negative number if v is older than other, and a positive one if it is newer.
+// Compare returns a negative number if v is older than other, a positive one if it is newer, and 0 if they are equal.
 func (v Version) Compare(other Version) int {
 	return cmp.Or(cmp.Compare(v.Epoch, other.Epoch), cmp.Compare(v.Revision, other.Revision))
 }
@@ -27,10 +27,10 @@
 // Newer reports whether v is newer than other.
 func (v Version) Newer(other Version) bool { return v.Compare(other) > 0 }
 
-// IsZero reports whether v is no configuration.
+// IsZero reports whether v is the zero Version.
 func (v Version) IsZero() bool { return v == Version{} }
 
-// Valid reports whether both numbers are within range.
+// Valid reports whether epoch and revision are at most Max.
 func (v Version) Valid() bool { return v.Epoch <= Max && v.Revision <= Max }
 
 // String returns the form in which versions are sent and logged: epoch, a dot, revision.
@@ -46,7 +46,7 @@
 	return a
 }
 
-// Parse parses what String returns. The empty text is the zero version.
+// Parse parses a version in the form that String returns. The empty string is the zero Version.
 func Parse(text string) (Version, error) {
 	if text == "" {
 		return Version{}, nil
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 		if !newer.Newer(older) || older.Newer(newer) || older.Newer(older) || Latest(older, newer) != newer || Latest(newer, older) != newer {
-			t.Errorf("%s is not newer than %s", newer, older)
+			t.Errorf("Newer or Latest do not order %s after %s", newer, older)
 		}
 	}
 }
@@ -31,23 +31,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		v := Version{rapid.Uint64Range(0, Max).Draw(t, "epoch"), rapid.Uint64Range(0, Max).Draw(t, "revision")}
 		if got, err := Parse(v.String()); err != nil || got != v || !v.Valid() {
-			t.Fatalf("%s became %s: %v", v, got, err)
+			t.Fatalf("version %s parsed as %s, error %v", v, got, err)
 		}
 	})
 }
 
 func TestParseRejectsInvalidText(t *testing.T) {
-	for text, says := range map[string]string{
+	for text, want := range map[string]string{
 		"7": "lacks the dot", "a.1": "epoch", "1.b": "revision", "-1.2": "epoch", "1.9007199254740993": "is over", "1.2.3": "revision",
 	} {
-		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%q: %v", text, err)
+		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
 	if v, err := Parse(""); err != nil || !v.IsZero() {
-		t.Errorf("the empty text is %v: %v", v, err)
+		t.Errorf("empty string parsed as %v, error %v; want the zero version", v, err)
 	}
 	if (Version{Epoch: Max + 1}).Valid() {
-		t.Error("an epoch out of range is valid")
+		t.Error("epoch Max+1 is valid, want invalid")
 	}
 }
