--- a/internal/filewriter/directory_test.go
+++ b/internal/filewriter/directory_test.go
@@ -18,8 +18,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var held *LockedError
-	if _, err := dir.Acquire("n1"); !errors.As(err, &held) || held.Owner != fmt.Sprintf("n0, process %d", os.Getpid()) {
+	var locked *LockedError
+	if _, err := dir.Acquire("n1"); !errors.As(err, &locked) || locked.Owner != fmt.Sprintf("n0, process %d", os.Getpid()) {
 		t.Errorf("locked directory: error %v, want a LockedError that names n0 and this process", err)
 	}
 	first.Release()
