--- a/cmd/lilacbend/settingscache_test.go
+++ b/cmd/lilacbend/settingscache_test.go
@@ -95,11 +95,11 @@
 		used    bool
 	}{
 		"complete":                         {complete, "starting with the cached configuration", true},
-		"damaged":                          {append(bytes.Clone(complete), ' '), "it is not as it was written", false},
-		"truncated":                        {complete[:len(complete)/2], "it is not as it was written", false},
-		"empty":                            {nil, "it is not as it was written", false},
-		"format of a newer program":        {bytes.Replace(complete, []byte(`"format":1`), []byte(`"format":9`), 1), "a newer program wrote it", false},
-		"of another service":               {record("stock", own, changed), "it is of service", false},
+		"damaged":                          {append(bytes.Clone(complete), ' '), "cached settings file is damaged", false},
+		"truncated":                        {complete[:len(complete)/2], "cached settings file is damaged", false},
+		"empty":                            {nil, "cached settings file is damaged", false},
+		"format of a newer program":        {bytes.Replace(complete, []byte(`"format":1`), []byte(`"format":9`), 1), "cached settings file was written by a newer program", false},
+		"of another service":               {record("stock", own, changed), "cached settings are of service", false},
 		"configuration file changed since": {record("orders", configcache.DigestOf([]byte(`{}`)), changed), "have changed since", false},
 		"no settings":                      {record("orders", own, []byte(`{}`)), "cached configuration rejected, starting with", false},
 		"another admission":                {record("orders", own, exampleSettings(t, `"admit":"fraction"`, `"admit":"silent"`)), "setting domain.admit cannot change", false},
@@ -173,8 +173,8 @@
 		t.Fatal(err)
 	}
 	first := start(shared)
-	second := start(shared).waitForLog("configuration cache disabled").waitForLog("held by n7")
-	third := start(writable).waitForLog("configuration cache disabled").waitForLog("others may write to it")
+	second := start(shared).waitForLog("configuration cache disabled").waitForLog("is locked by n7")
+	third := start(writable).waitForLog("configuration cache disabled").waitForLog("directory is writable by other users")
 	for _, process := range []*childProcess{first, second, third} {
 		process.expectExit(syscall.SIGTERM)
 	}
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -114,7 +114,7 @@
 		configuration.listen = scriptedpeer.FreeAddress(t)
 		return configuration
 	}())
-	if stopSecond(); !secondLog.contains("learned state disabled, its folder cannot be acquired") || !secondLog.contains(fmt.Sprintf("held by n0, process %d", os.Getpid())) {
+	if stopSecond(); !secondLog.contains("learned state disabled, its folder cannot be acquired") || !secondLog.contains(fmt.Sprintf("directory is locked by n0, process %d", os.Getpid())) {
 		t.Errorf("log of a second controller on the same folder: %s", secondLog)
 	}
 	if stop(); !log.contains("learned state restored") || !log.contains("replica box-2 probation from learned state") {
@@ -223,7 +223,7 @@
 		t.Fatal(err)
 	}
 	defer lock.Release()
-	if _, err := run("prune", folder); err == nil || !strings.Contains(err.Error(), "held by n0") {
+	if _, err := run("prune", folder); err == nil || !strings.Contains(err.Error(), "directory is locked by n0") {
 		t.Errorf("prune of a folder in use: %v", err)
 	}
 }
