--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -60,7 +60,7 @@
 	flow := replica.AcceptConn()
 	flow.ReadRequestHead()
 	c.signal(syscall.SIGTERM)
-	c.until("sidecar drains")
+	c.until("sidecar draining")
 	c.signal(syscall.SIGTERM, syscall.SIGHUP)
 	flow.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	resp, err := http.ReadResponse(client.Reader, nil)
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -12,9 +12,10 @@
 	"lilacbend/internal/dispatch"
 )
 
-// readAnswer reads the next answer on a client's connection, as status, reason, and whether it was complete.
-func readAnswer(c *scriptedpeer.Conn) string {
-	resp, err := http.ReadResponse(c.Reader, nil)
+// readResponse reads the next response on a client's connection. It returns the status, followed by the reason if there is
+// one, and by "broken off" if the body is incomplete.
+func readResponse(conn *scriptedpeer.Conn) string {
+	resp, err := http.ReadResponse(conn.Reader, nil)
 	if err != nil {
 		return err.Error()
 	}
@@ -28,64 +29,65 @@
 	return text
 }
 
-// Capacity for one request, or one connection, and many requests: the one that waits gets it as it is freed.
-func TestFreedCapacityIsTakenAtOnce(t *testing.T) {
+// With capacity for one request, or for one connection, a queued request is served as soon as the capacity is released.
+func TestFreedCapacityServesQueuedRequests(t *testing.T) {
 	const clients, requests = 8, 60
-	r := startReplica(t, nil)
-	for name, limit := range map[string]string{"flows at once": "flows: 1, waiting: 1000, wait: 1m", "connections": "replica_connections: 1, waiting: 1000, wait: 1m"} {
+	testReplica := startReplica(t, nil)
+	for name, limit := range map[string]string{"one request": "flows: 1, waiting: 1000, wait: 1m", "one connection": "replica_connections: 1, waiting: 1000, wait: 1m"} {
 		t.Run(name, func(t *testing.T) {
-			s := start(t, patient("limits: {", "limits: {"+limit+", ", ", flows: 500, replica_connections: 300", map[bool]string{true: ", replica_connections: 300", false: ", flows: 500"}[name == "flows at once"],
-				"usual: again", "usual: once", "expiry: 2s", "expiry: 1m"), r.Addr)
-			var all sync.WaitGroup
+			s := startSidecar(t, withLongTimeouts("limits: {", "limits: {"+limit+", ", ", flows: 500, replica_connections: 300", map[bool]string{true: ", replica_connections: 300", false: ", flows: 500"}[name == "one request"],
+				"usual: again", "usual: once", "expiry: 2s", "expiry: 1m"), testReplica.Addr)
+			var senders sync.WaitGroup
 			for range clients {
 				client := scriptedpeer.Dial(t, s.h1)
-				all.Go(func() {
+				senders.Go(func() {
 					for range requests {
 						client.SendRaw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
-						if got := readAnswer(client); got != "200" {
-							t.Errorf("%q", got)
+						if got := readResponse(client); got != "200" {
+							t.Errorf("response %q, want 200", got)
 							return
 						}
 					}
 				})
 			}
-			all.Wait()
-			nothingInFlight(t, s)
+			senders.Wait()
+			waitUntilIdle(t, s)
 		})
 	}
 }
 
-// A replica leaves the list at any moment, also between the pick and the sending: a request goes to the address of its
-// pick, or is rejected because there is no replica. That a replica has no address any more is no failure of it.
-func TestReplicaLeavesTheListAsItIsPicked(t *testing.T) {
-	r := startReplica(t, nil)
-	s := start(t, patient("usual: again", "usual: once"), r.Addr)
-	if err := (controlTarget{s.proxy}).Apply([]dispatch.Update{{Full: true, Weights: map[string]float64{"r0": 1}}}); err != nil {
+// A replica can be removed from the endpoint list at any moment, also between the pick and the sending of the request. The
+// request is sent to the address of the picked replica, or is rejected because there is no replica. A replica without an
+// address does not count as a failure of the replica.
+func TestReplicaRemovedWhilePicked(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	s := startSidecar(t, withLongTimeouts("usual: again", "usual: once"), testReplica.Addr)
+	if err := (lockedDispatcher{s.proxy}).Apply([]dispatch.Update{{Full: true, Weights: map[string]float64{"r0": 1}}}); err != nil {
 		t.Fatal(err)
 	}
-	end, flapped := make(chan struct{}), make(chan struct{})
+	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(flapped)
+		defer close(stopped)
 		for {
 			select {
-			case <-end:
+			case <-stop:
 				return
 			default:
 				s.updateEndpoints(false, map[string]dispatch.Endpoint{"r0": {State: control.Gone}})
-				s.updateEndpoints(false, map[string]dispatch.Endpoint{"r0": {Address: r.Addr, Zone: "a"}})
+				s.updateEndpoints(false, map[string]dispatch.Endpoint{"r0": {Address: testReplica.Addr, Zone: "a"}})
 			}
 		}
 	}()
 	client := scriptedpeer.Dial(t, s.h1)
-	got := map[string]int{}
+	results := map[string]int{}
 	for range 500 {
 		client.SendRaw("POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay")
-		got[readAnswer(client)]++
+		results[readResponse(client)]++
 	}
-	close(end)
-	<-flapped
-	if got["200"]+got["503 no-replica"] != 500 {
-		t.Errorf("%v", got)
+	close(stop)
+	<-stopped
+	if results["200"]+results["503 no-replica"] != 500 {
+		t.Errorf("responses %v, want only 200 and 503 no-replica", results)
 	}
-	nothingInFlight(t, s)
+	waitUntilIdle(t, s)
 }
--- a/internal/sidecar/classify.go
+++ b/internal/sidecar/classify.go
@@ -12,30 +12,30 @@
 	"lilacbend/internal/strictyaml"
 )
 
-// Rule assigns requests to a traffic class. Empty fields match all requests; of the rules the first that matches holds.
+// Rule assigns requests to a traffic class. An empty field matches all requests. The first rule that matches applies.
 type Rule struct {
-	Class  string // its name
+	Class  string // name of the traffic class
 	Method string
 	Host   string
 	Path   string            // a path, or a prefix of paths followed by *
-	Fields map[string]string // header fields that have to have a value
+	Fields map[string]string // required values of header fields, by name
 }
 
-// noClass is the index of requests that no rule matches.
+// noClass is the class index of requests that no rule matches.
 const noClass = -1
 
-// parseRules reads which requests belong to which traffic class.
+// parseRules parses the rules that assign requests to traffic classes.
 func (c *Config) parseRules(top *strictyaml.Section) {
 	for _, s := range top.Sections("rules") {
 		c.Rules = append(c.Rules, c.parseRule(s))
 		s.Done()
 	}
 	if len(c.Rules) == 0 {
-		top.Fault("rules", "are none: no flow would belong to a traffic group")
+		top.Fault("rules", "is missing or empty: no request would match a traffic class")
 	}
 }
 
-// parseRule reads one rule, which is not yet among the others.
+// parseRule parses one rule. c.Rules contains only the rules before it.
 func (c *Config) parseRule(s *strictyaml.Section) Rule {
 	var rule Rule
 	s.Text("group", &rule.Class)
@@ -47,29 +47,29 @@
 		c.faultUnknownClass(s, rule.Class)
 	}
 	if !validPath(rule.Path) {
-		s.Fault("path", "is %.60q, want a path, or the beginning of one and * at its end", rule.Path)
+		s.Fault("path", "is %.60q, want a path that begins with / and has * at most at its end", rule.Path)
 	}
-	hidden := slices.IndexFunc(c.Rules, func(earlier Rule) bool { return earlier.hides(rule) })
-	if hidden >= 0 {
-		s.Fault("", "is never reached: rules[%d] takes all of its flows", hidden)
+	shadowing := slices.IndexFunc(c.Rules, func(earlier Rule) bool { return earlier.shadows(rule) })
+	if shadowing >= 0 {
+		s.Fault("", "is never reached: rules[%d] matches all of its requests", shadowing)
 	}
 	return rule
 }
 
-// faultUnknownClass faults a rule for its class.
+// faultUnknownClass adds a fault to a rule whose traffic class is not defined, with the nearest name if there is one.
 func (c *Config) faultUnknownClass(s *strictyaml.Section, name string) {
 	var names []string
 	for _, class := range c.Dispatch.Classes {
 		names = append(names, class.Name)
 	}
-	if near := strictyaml.Nearest(name, names); near != "" {
-		s.Fault("group", "is %q, which is no traffic group: did you mean %s?", name, near)
+	if nearest := strictyaml.Nearest(name, names); nearest != "" {
+		s.Fault("group", "is %q, which is not a traffic class: did you mean %s?", name, nearest)
 		return
 	}
 	s.Fault("group", "is %q, want one of %s", name, strings.Join(names, ", "))
 }
 
-// validPath reports whether a path is empty, a path, or the prefix of paths.
+// validPath reports whether a rule's path is empty, a path, or a prefix of paths followed by *.
 func validPath(path string) bool {
 	if path == "" {
 		return true
@@ -77,8 +77,8 @@
 	return path[0] == '/' && !strings.Contains(strings.TrimSuffix(path, "*"), "*")
 }
 
-// hides reports whether each request that a later rule matches is matched by this one.
-func (r Rule) hides(later Rule) bool {
+// shadows reports whether this rule matches every request that a later rule matches.
+func (r Rule) shadows(later Rule) bool {
 	if r.Method != "" && r.Method != later.Method {
 		return false
 	}
@@ -90,11 +90,11 @@
 			return false
 		}
 	}
-	return r.hidesPath(later)
+	return r.shadowsPath(later)
 }
 
-// hidesPath reports whether each path that a later rule matches is matched by this one.
-func (r Rule) hidesPath(later Rule) bool {
+// shadowsPath reports whether this rule matches every path that a later rule matches.
+func (r Rule) shadowsPath(later Rule) bool {
 	prefix, isPrefix := strings.CutSuffix(r.Path, "*")
 	laterPrefix, laterIsPrefix := strings.CutSuffix(later.Path, "*")
 	switch {
@@ -108,17 +108,17 @@
 	return r.Path == later.Path
 }
 
-// matcher is a Rule made ready for matching.
+// matcher is a Rule prepared for matching requests.
 type matcher struct {
-	class    int
+	class    int // index of the traffic class
 	method   string
 	host     string
 	path     string // without the * of a prefix
 	isPrefix bool
-	fields   map[string]string // by canonical name
+	fields   map[string]string // required values by canonical name
 }
 
-// Classifier returns a function that returns the class of the first rule that matches a request.
+// Classifier returns a function that returns the class index of the first rule that matches a request, or noClass.
 func (c Config) Classifier() ingress.Classifier {
 	var matchers []matcher
 	for _, rule := range c.Rules {
@@ -144,7 +144,7 @@
 	return matcher{class: class, method: rule.Method, host: rule.Host, path: path, isPrefix: isPrefix, fields: fields}
 }
 
-// matches reports whether a request is of the rule's kind.
+// matches reports whether the rule matches a request.
 func (m *matcher) matches(method, host, path string, header http.Header) bool {
 	if m.method != "" && m.method != method {
 		return false
@@ -163,7 +163,7 @@
 	return true
 }
 
-// matchesPath reports whether a path is that of the rule, or begins with its prefix. A rule without a path matches all.
+// matchesPath reports whether a path equals the rule's path or begins with its prefix. A rule without a path matches all.
 func (m *matcher) matchesPath(path string) bool {
 	if m.isPrefix {
 		return strings.HasPrefix(path, m.path)
@@ -171,7 +171,7 @@
 	return m.path == "" || path == m.path
 }
 
-// isSameHost compares hosts without the port, which a client may leave out.
+// isSameHost compares hosts without regard to case. A port in got is ignored, since clients may omit it.
 func isSameHost(want, got string) bool {
 	if name, _, err := net.SplitHostPort(got); err == nil {
 		got = name
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -15,32 +15,32 @@
 	"lilacbend/internal/upstream"
 )
 
-// Config is what a sidecar's file sets.
+// Config is the configuration of a sidecar, as read from its file.
 type Config struct {
 	File        string
 	Name        string
 	Zone        string
 	ProxyID     int
-	HTTP1       string // address of a listener; empty: not served
+	HTTP1       string // address of the listener for HTTP/1.1; empty: not served
 	HTTP2       string
-	Local       string                       // for health and counters
+	Local       string                       // address of the listener for /health and /figures; empty: not served
 	Controllers []string                     // addresses
-	Collectors  []string                     // addresses in the order of preference
-	Discovery   string                       // address; empty: Endpoints are listed in the file
-	Endpoints   map[string]dispatch.Endpoint // by replica
+	Collectors  []string                     // addresses in order of preference
+	Discovery   string                       // address; empty: the file lists the Endpoints
+	Endpoints   map[string]dispatch.Endpoint // by the id of the replica
 	Rules       []Rule
 
 	Dispatch            dispatch.Config
 	Ingress             ingress.Limits
 	Upstream            upstream.Config
-	NotExecutedStatuses []int // by which replicas say that they have not executed a request
+	NotExecutedStatuses []int // statuses by which replicas report that they have not executed a request
 
-	LogEvery       int // one of so many requests is logged; 0: none
+	LogEvery       int // one of this many requests is logged; 0: none
 	ReportInterval time.Duration
-	MemoryMB       int // that the sidecar keeps within; 0: no limit
+	MemoryMB       int // memory limit in MiB; 0: no limit
 }
 
-// The words of the file for the choices of the dispatcher.
+// Names in the file of the dispatcher's policies and of the idempotency of traffic classes.
 var (
 	idempotencyWords   = map[string]control.Idempotency{"retriable": control.Idempotent, "deduped": control.IdempotentByKey, "non-retriable": control.NotIdempotent}
 	scopeWords         = map[string]control.DeduplicationScope{"cell": control.ScopeCell, "zone": control.ScopeZone, "all": control.ScopeAll}
@@ -49,7 +49,7 @@
 	retryPolicyWords   = map[string]control.RetryPolicy{"once": control.NoRetry, "never-ran": control.RetryIfNotExecuted, "again": control.RetryOnce, "twice-more": control.RetryTwice}
 )
 
-// defaultConfig is what holds where the file is silent.
+// defaultConfig returns the values of the keys that the file leaves out.
 func defaultConfig(file string) Config {
 	return Config{
 		File:           file,
@@ -84,7 +84,7 @@
 	}
 }
 
-// Read reads a sidecar's file. The error names file, line and key of all that is wrong.
+// Read reads and parses a sidecar's file. The error lists all faults of the file, each with its file, line and key.
 func Read(file string) (Config, error) {
 	raw, err := strictyaml.Open(file)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return Parse(file, raw)
 }
 
-// Parse reads the bytes of a sidecar's file.
+// Parse parses the content of a sidecar's file. The file name is used in errors.
 func Parse(file string, raw []byte) (Config, error) {
 	document, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
@@ -115,18 +115,18 @@
 	return c, nil
 }
 
-// parseClasses reads the traffic classes.
+// parseClasses parses the traffic classes.
 func (c *Config) parseClasses(top *strictyaml.Section) {
 	for _, s := range top.Sections("groups") {
 		c.Dispatch.Classes = append(c.Dispatch.Classes, c.parseClass(s))
 		s.Done()
 	}
 	if len(c.Dispatch.Classes) == 0 {
-		top.Fault("groups", "are none: name at least one traffic group")
+		top.Fault("groups", "is missing or empty, want at least one traffic class")
 	}
 }
 
-// parseClass reads one traffic class, which is not yet among the others.
+// parseClass parses one traffic class. c.Dispatch.Classes contains only the classes before it.
 func (c *Config) parseClass(s *strictyaml.Section) dispatch.Class {
 	var class dispatch.Class
 	var objective, timeout, window time.Duration
@@ -142,18 +142,18 @@
 	class.DeduplicationWindow = window.Nanoseconds()
 	switch {
 	case c.hasClass(class.Name):
-		s.Fault("name", "is %q, as an earlier group is", class.Name)
+		s.Fault("name", "is %q, the name of an earlier traffic class", class.Name)
 	case strings.ContainsAny(class.Name, "+, \t") || s.Has("name") && class.Name == "":
-		s.Fault("name", "is %.40q, want a word without + and ,", class.Name)
+		s.Fault("name", "is %.40q, want a word without plus, comma or white space", class.Name)
 	case objective > timeout && s.Has("expiry"):
-		s.Fault("latency_budget", "is %v, over the expiry of %v", objective, timeout)
+		s.Fault("latency_budget", "is %v, exceeds the expiry of %v", objective, timeout)
 	default:
 		checkDeduplication(s, class)
 	}
 	return class
 }
 
-// checkDeduplication checks that scope and window are given for requests with an idempotency key, and for no others.
+// checkDeduplication checks that scope and window are set exactly for traffic classes with idempotency keys.
 func checkDeduplication(s *strictyaml.Section, class dispatch.Class) {
 	if !s.Has("effect") {
 		return
@@ -161,18 +161,18 @@
 	byKey := class.Idempotency == control.IdempotentByKey
 	switch {
 	case byKey && (!s.Has("window") || !s.Has("scope")):
-		s.Fault("effect", "is deduped: give scope and window, within which replicas drop a repeat")
+		s.Fault("effect", "is deduped, which requires the scope and the window within which replicas deduplicate retries")
 	case !byKey && (s.Has("window") || s.Has("scope")):
-		s.Fault("effect", "has no scope and window unless it is deduped")
+		s.Fault("effect", "does not allow scope or window unless it is deduped")
 	}
 }
 
-// hasClass reports whether a traffic class of a name was read before.
+// hasClass reports whether a traffic class with this name has been parsed.
 func (c *Config) hasClass(name string) bool {
 	return slices.ContainsFunc(c.Dispatch.Classes, func(class dispatch.Class) bool { return class.Name == name })
 }
 
-// requireKeys faults a section for each key that it lacks.
+// requireKeys adds a fault to a section for each key that it lacks.
 func requireKeys(s *strictyaml.Section, keys ...string) {
 	for _, key := range keys {
 		if !s.Has(key) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// parseAttempts reads how replicas are picked, and how attempts are made and retried.
+// parseAttempts parses the pick policy, the admission mode, and the settings of attempts, ejection and retries.
 func (c *Config) parseAttempts(top *strictyaml.Section) {
 	strictyaml.Choice(top, "pick", &c.Dispatch.Pick, pickPolicyWords)
 	strictyaml.Choice(top, "admission", &c.Dispatch.Admission, admissionModeWords)
@@ -199,7 +199,7 @@
 	s.Done()
 }
 
-// parseNotExecutedStatuses reads the statuses by which replicas say that they have not executed a request.
+// parseNotExecutedStatuses parses the statuses by which replicas report that they have not executed a request.
 func (c *Config) parseNotExecutedStatuses(s *strictyaml.Section) {
 	const key = "never_ran_statuses"
 	var words []string
@@ -214,7 +214,7 @@
 	}
 }
 
-// parseLimits reads the limits of requests, connections and memory.
+// parseLimits parses the limits of requests, connections and memory.
 func (c *Config) parseLimits(top *strictyaml.Section) {
 	s := top.Section("limits")
 	if s == nil {
@@ -237,7 +237,7 @@
 	s.Done()
 }
 
-// parseReports reads how often requests are logged and outcomes are reported.
+// parseReports parses how often requests are logged and outcomes are reported.
 func (c *Config) parseReports(top *strictyaml.Section) {
 	if s := top.Section("log"); s != nil {
 		s.Whole("every", &c.LogEvery, 0, 1<<30)
--- a/internal/sidecar/config_addresses.go
+++ b/internal/sidecar/config_addresses.go
@@ -8,16 +8,15 @@
 	"lilacbend/internal/strictyaml"
 )
 
-// maxProxyID is the largest id of a proxy.
 const maxProxyID = 1 << 20
 
-// isAddress reports whether a text is host:port.
+// isAddress reports whether a text has the form host:port.
 func isAddress(text string) bool {
 	_, port, err := net.SplitHostPort(text)
 	return err == nil && port != ""
 }
 
-// parseAddress reads one address, which may be left out.
+// parseAddress parses an optional address.
 func parseAddress(s *strictyaml.Section, key string, v *string) {
 	s.Text(key, v)
 	if *v != "" && !isAddress(*v) {
@@ -25,7 +24,7 @@
 	}
 }
 
-// parseAddresses reads a list of addresses.
+// parseAddresses parses a list of addresses.
 func parseAddresses(s *strictyaml.Section, key string, v *[]string) {
 	s.Words(key, v)
 	for k, text := range *v {
@@ -35,7 +34,7 @@
 	}
 }
 
-// parseIdentity reads who the sidecar is, whom it serves, and whom it connects to.
+// parseIdentity parses the name, zone and proxy id of the sidecar, its listeners, and the addresses it connects to.
 func (c *Config) parseIdentity(top *strictyaml.Section) {
 	top.Text("name", &c.Name)
 	top.Text("zone", &c.Zone)
@@ -48,7 +47,7 @@
 	c.parseEndpoints(top)
 }
 
-// parseListeners reads the addresses on which the sidecar listens.
+// parseListeners parses the addresses on which the sidecar listens.
 func (c *Config) parseListeners(top *strictyaml.Section) {
 	if s := top.Section("listen"); s != nil {
 		parseAddress(s, "http1", &c.HTTP1)
@@ -58,7 +57,7 @@
 		c.checkListeners(s)
 	}
 	if c.HTTP1 == "" && c.HTTP2 == "" {
-		top.Fault("listen", "serves nobody: give http1 or http2 an address")
+		top.Fault("listen", "has no listener for clients: set http1 or http2")
 	}
 }
 
@@ -68,19 +67,19 @@
 	for key, address := range map[string]string{"http1": c.HTTP1, "http2": c.HTTP2, "local": c.Local} {
 		other, duplicate := keys[address]
 		if address != "" && duplicate {
-			s.Fault(max(key, other), "is the address of %s as well", min(key, other))
+			s.Fault(max(key, other), "is also the address of %s", min(key, other))
 		}
 		keys[address] = key
 	}
 }
 
-// parseCollectors reads one collector, or several in the order of preference.
+// parseCollectors parses either one collector, or several in order of preference.
 func (c *Config) parseCollectors(top *strictyaml.Section) {
 	var single string
 	parseAddress(top, "collector", &single)
 	parseAddresses(top, "collectors", &c.Collectors)
 	if single != "" && top.Has("collectors") {
-		top.Fault("collectors", "are given beside collector: give one of the two")
+		top.Fault("collectors", "is set together with collector: set one of the two")
 	}
 	if single != "" {
 		c.Collectors = []string{single}
@@ -88,27 +87,27 @@
 	}
 	for k, address := range c.Collectors {
 		if slices.Contains(c.Collectors[:k], address) {
-			top.Fault("collectors", "entry %d is %.60q, which stands before it already", k, address)
+			top.Fault("collectors", "entry %d is %.60q, which repeats an earlier entry", k, address)
 		}
 	}
 }
 
-// parseEndpoints reads the replicas of a sidecar without discovery.
+// parseEndpoints parses the replicas that are listed in the file instead of by discovery.
 func (c *Config) parseEndpoints(top *strictyaml.Section) {
-	listed := top.Sections("replicas")
+	sections := top.Sections("replicas")
 	c.Endpoints = map[string]dispatch.Endpoint{}
-	if len(listed) > 0 && c.Discovery != "" {
-		top.Fault("replicas", "are listed by discovery as well: give one of the two")
+	if len(sections) > 0 && c.Discovery != "" {
+		top.Fault("replicas", "is set together with discovery: set one of the two")
 	}
-	for _, s := range listed {
+	for _, s := range sections {
 		c.parseEndpoint(s)
 	}
-	if len(listed) == 0 && c.Discovery == "" {
-		top.Fault("", "lacks discovery, or replicas: where are they?")
+	if len(sections) == 0 && c.Discovery == "" {
+		top.Fault("", "lacks discovery or replicas: set one of the two")
 	}
 }
 
-// parseEndpoint reads one replica.
+// parseEndpoint parses one replica.
 func (c *Config) parseEndpoint(s *strictyaml.Section) {
 	var id string
 	var endpoint dispatch.Endpoint
@@ -118,7 +117,7 @@
 	parseAddress(s, "address", &endpoint.Address)
 	_, duplicate := c.Endpoints[id]
 	if duplicate || id == "" || endpoint.Address == "" {
-		s.Fault("", "wants an id of its own and an address")
+		s.Fault("", "requires a unique id and an address")
 	}
 	c.Endpoints[id] = endpoint
 	s.Done()
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -8,35 +8,35 @@
 	"lilacbend/internal/proxy"
 )
 
-// controlTarget is the dispatcher as controlclient sees it.
-type controlTarget struct{ proxy *proxy.Proxy }
+// lockedDispatcher gives the clients of controllers and collectors access to the proxy's dispatcher under the proxy's lock.
+type lockedDispatcher struct{ proxy *proxy.Proxy }
 
 // Apply implements controlclient.Dispatcher.
-func (t controlTarget) Apply(parts []dispatch.Update) (err error) {
-	t.proxy.WithDispatcher(func(now int64, d *dispatch.Dispatcher) { err = d.Apply(now, parts...) })
+func (l lockedDispatcher) Apply(updates []dispatch.Update) (err error) {
+	l.proxy.WithDispatcher(func(now int64, d *dispatch.Dispatcher) { err = d.Apply(now, updates...) })
 	return err
 }
 
 // HasTables implements controlclient.Dispatcher.
-func (t controlTarget) HasTables() (has bool) {
-	t.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { has = d.HasTables() })
-	return has
+func (l lockedDispatcher) HasTables() (hasTables bool) {
+	l.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { hasTables = d.HasTables() })
+	return hasTables
 }
 
 // TakeDemand implements controlclient.Dispatcher.
-func (t controlTarget) TakeDemand() (demand []dispatch.Demand) {
-	t.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { demand = d.TakeDemand() })
+func (l lockedDispatcher) TakeDemand() (demand []dispatch.Demand) {
+	l.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { demand = d.TakeDemand() })
 	return demand
 }
 
 // TakeOutcomes returns the outcomes of attempts by replica since the last call.
-func (t controlTarget) TakeOutcomes() (outcomes map[string]*dispatch.Outcomes) {
-	t.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { outcomes = d.TakeOutcomes() })
+func (l lockedDispatcher) TakeOutcomes() (outcomes map[string]*dispatch.Outcomes) {
+	l.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { outcomes = d.TakeOutcomes() })
 	return outcomes
 }
 
-// updateEndpoints takes over an endpoint list. While no controller has sent a table, all endpoints have the same weight:
-// a sidecar that starts while controllers are away serves.
+// updateEndpoints applies an endpoint list to the dispatcher. Until a controller has sent a table, all endpoints have the
+// same weight, so that a sidecar that starts while no controller is reachable can serve.
 func (s *Sidecar) updateEndpoints(complete bool, endpoints map[string]dispatch.Endpoint) {
 	s.proxy.WithDispatcher(func(now int64, d *dispatch.Dispatcher) {
 		d.UpdateEndpoints(complete, endpoints)
@@ -44,15 +44,15 @@
 	})
 }
 
-// followDiscovery takes over the endpoint lists of discovery until ctx ends.
+// followDiscovery applies the endpoint lists received from discovery until ctx is canceled.
 func (s *Sidecar) followDiscovery(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.discovery.Ready():
+		case <-s.discoveryEvents.Ready():
 		}
-		for _, event := range s.discovery.Drain() {
+		for _, event := range s.discoveryEvents.Drain() {
 			if list, ok := event.(controller.ReplicaList); ok {
 				s.updateEndpoints(list.Complete, usableEndpoints(list))
 			}
@@ -60,7 +60,7 @@
 	}
 }
 
-// usableEndpoints returns the endpoints of a list, without those that cannot be used.
+// usableEndpoints returns the endpoints of a list without those that are marked as unusable.
 func usableEndpoints(list controller.ReplicaList) map[string]dispatch.Endpoint {
 	endpoints := map[string]dispatch.Endpoint{}
 	for _, member := range list.Members {
--- a/internal/sidecar/http2_test.go
+++ b/internal/sidecar/http2_test.go
@@ -17,21 +17,23 @@
 	"lilacbend/experiment/scriptedpeer"
 )
 
-const moment = 5 * time.Second
+// streamTimeout limits the wait for streams and connections to end.
+const streamTimeout = 5 * time.Second
 
-func dialHTTP2(t testing.TB, s running, window uint32) *replica.HTTP2Client {
-	c, err := replica.DialHTTP2(s.h2, window)
+func dialHTTP2(t testing.TB, s testSidecar, window uint32) *replica.HTTP2Client {
+	client, err := replica.DialHTTP2(s.h2, window)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Conn.Close() })
-	return c
+	t.Cleanup(func() { client.Conn.Close() })
+	return client
 }
 
-func done(ids ...uint32) func(*replica.HTTP2Client) bool {
-	return func(c *replica.HTTP2Client) bool {
+// streamsDone returns a condition that holds once all given streams have ended.
+func streamsDone(ids ...uint32) func(*replica.HTTP2Client) bool {
+	return func(client *replica.HTTP2Client) bool {
 		for _, id := range ids {
-			if s := c.Streams[id]; s == nil || !s.Done() {
+			if s := client.Streams[id]; s == nil || !s.Done() {
 				return false
 			}
 		}
@@ -39,10 +41,10 @@
 	}
 }
 
-func TestHTTP2AnswersAreForwardedUnchanged(t *testing.T) {
+func TestHTTP2ResponsesAreForwardedUnchanged(t *testing.T) {
 	const piece = 10_000
 	var forwarded atomic.Int64 // bytes of bodies that the replica has read
-	r := startReplica(t, func(w http.ResponseWriter, req *http.Request) {
+	testReplica := startReplica(t, func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(countingReader{req.Body, &forwarded})
 		switch req.URL.Path {
 		case "/empty":
@@ -59,40 +61,41 @@
 			fmt.Fprintf(w, "%s %s %d host=%s cookie=%s len=%d trailer=%s", req.Method, req.RequestURI, len(body), req.Host, req.Header.Get("Cookie"), req.ContentLength, req.Trailer.Get("Sum"))
 		}
 	})
-	s := start(t, nil, r.Addr)
-	c := dialHTTP2(t, s, 1<<20)
-	c.OpenStream(1, "GET", "/a?b=c", false, "cookie", "a=1", "cookie", "b=2")
-	c.OpenStream(3, "HEAD", "/a", false)
-	c.OpenStream(5, "GET", "/empty", false)
-	c.OpenStream(7, "GET", "/early", false)
-	c.OpenStream(9, "GET", "/large", false)
-	c.OpenStream(11, "GET", "/trailer", false)
-	c.OpenStream(13, "POST", "/orders", true, "content-length", "5")
-	c.SendData(13, true, []byte("hello"))
-	c.OpenStream(15, "POST", "/orders", true)
-	for k := range int64(10) { // more than a window, which the client keeps to: no more than 60,000 bytes are on their way
-		scriptedpeer.WaitFor(t, "the body is not forwarded", func() bool { return k*piece-forwarded.Load() <= 5*piece })
-		c.SendData(15, false, make([]byte, piece))
-	}
-	c.SendData(15, true, nil)
-	c.OpenStream(17, "DELETE", "/a", false)
-	if !c.WaitFor(moment, done(1, 3, 5, 7, 9, 11, 13, 15, 17)) {
-		t.Fatal("not all ended")
+	s := startSidecar(t, nil, testReplica.Addr)
+	client := dialHTTP2(t, s, 1<<20)
+	client.OpenStream(1, "GET", "/a?b=c", false, "cookie", "a=1", "cookie", "b=2")
+	client.OpenStream(3, "HEAD", "/a", false)
+	client.OpenStream(5, "GET", "/empty", false)
+	client.OpenStream(7, "GET", "/early", false)
+	client.OpenStream(9, "GET", "/large", false)
+	client.OpenStream(11, "GET", "/trailer", false)
+	client.OpenStream(13, "POST", "/orders", true, "content-length", "5")
+	client.SendData(13, true, []byte("hello"))
+	client.OpenStream(15, "POST", "/orders", true)
+	// The body is longer than a stream window. At most 60,000 bytes are in transit, so the client never exceeds the window.
+	for k := range int64(10) {
+		scriptedpeer.WaitFor(t, "the replica did not receive the body", func() bool { return k*piece-forwarded.Load() <= 5*piece })
+		client.SendData(15, false, make([]byte, piece))
+	}
+	client.SendData(15, true, nil)
+	client.OpenStream(17, "DELETE", "/a", false)
+	if !client.WaitFor(streamTimeout, streamsDone(1, 3, 5, 7, 9, 11, 13, 15, 17)) {
+		t.Fatal("some streams have not ended")
 	}
 	for id, want := range map[uint32]string{1: "GET /a?b=c 0 host=shop.example.org cookie=a=1; b=2", 13: "POST /orders 5 host=shop.example.org cookie= len=5", 15: "POST /orders 100000", 11: "x"} {
-		if got := c.Stream(id); !strings.HasPrefix(string(got.Body), want) || got.Status != "200" || got.Reset {
-			t.Errorf("%d: %+v, want %s", id, got, want)
+		if got := client.Stream(id); !strings.HasPrefix(string(got.Body), want) || got.Status != "200" || got.Reset {
+			t.Errorf("stream %d: %+v, want body %s", id, got, want)
 		}
 	}
-	if a, b, d := c.Stream(3), c.Stream(5), c.Stream(11); len(a.Body) != 0 || a.Fields["content-length"] == "" || b.Status != "204" || d.Fields["sum"] != "9" {
-		t.Errorf("%+v %+v %+v", a, b, d)
+	if headResponse, emptyResponse, trailerResponse := client.Stream(3), client.Stream(5), client.Stream(11); len(headResponse.Body) != 0 || headResponse.Fields["content-length"] == "" || emptyResponse.Status != "204" || trailerResponse.Fields["sum"] != "9" {
+		t.Errorf("responses to HEAD %+v, to /empty %+v, to /trailer %+v", headResponse, emptyResponse, trailerResponse)
 	}
-	if large, none := c.Stream(9), c.Stream(17); len(large.Fields["large"]) != 40<<10 || none.Status != "404" || none.Fields["lilacbend-reason"] != "no-group" {
-		t.Errorf("%d %+v", len(large.Fields["large"]), none)
+	if largeResponse, unclassifiedResponse := client.Stream(9), client.Stream(17); len(largeResponse.Fields["large"]) != 40<<10 || unclassifiedResponse.Status != "404" || unclassifiedResponse.Fields["lilacbend-reason"] != "no-group" {
+		t.Errorf("large header field of %d bytes, unclassified request got %+v", len(largeResponse.Fields["large"]), unclassifiedResponse)
 	}
 }
 
-// countingReader counts what is read.
+// countingReader counts the bytes read.
 type countingReader struct {
 	io.Reader
 	count *atomic.Int64
@@ -104,211 +107,213 @@
 	return n, err
 }
 
-// A client that never opens its window: its streams end after the stall timeout, other connections keep their pace.
-func TestWindowThatNeverOpens(t *testing.T) {
-	r := startReplica(t, nil)
-	r.BodySize.Store(4 << 20)
-	s := start(t, nil, r.Addr)
-	quick := startReplica(t, nil)
-	_ = quick
-	c, neighbour := dialHTTP2(t, s, 0), dialHTTP2(t, s, 1<<20)
+// A client that never opens its stream windows: its streams end after the stall timeout, and requests of other connections
+// are not delayed.
+func TestClosedStreamWindowsDelayNoOtherConnection(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	testReplica.BodySize.Store(4 << 20)
+	s := startSidecar(t, nil, testReplica.Addr)
+	idleReplica := startReplica(t, nil)
+	_ = idleReplica
+	client, otherClient := dialHTTP2(t, s, 0), dialHTTP2(t, s, 1<<20)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for id := uint32(1); id < 100; id += 2 {
-		c.OpenStream(id, "GET", "/stock", false)
+		client.OpenStream(id, "GET", "/stock", false)
 	}
 	time.Sleep(200 * time.Millisecond)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 16<<20 {
-		t.Errorf("50 stalled streams of 4 MiB hold %d bytes", grown)
+		t.Errorf("heap grew by %d bytes with 50 stalled streams of 4 MiB, want at most 16 MiB", grown)
 	}
-	began := time.Now()
-	neighbour.OpenStream(1, "HEAD", "/stock", false)
-	if !neighbour.WaitFor(moment, done(1)) || time.Since(began) > 300*time.Millisecond {
-		t.Errorf("a neighbour waited %v", time.Since(began))
+	start := time.Now()
+	otherClient.OpenStream(1, "HEAD", "/stock", false)
+	if !otherClient.WaitFor(streamTimeout, streamsDone(1)) || time.Since(start) > 300*time.Millisecond {
+		t.Errorf("request of another connection took %v", time.Since(start))
 	}
 	var all []uint32
 	for id := uint32(1); id < 100; id += 2 {
 		all = append(all, id)
 	}
-	if !c.WaitFor(moment, done(all...)) {
-		t.Error("not all ended")
+	if !client.WaitFor(streamTimeout, streamsDone(all...)) {
+		t.Error("some stalled streams have not ended")
 	}
-	if got := c.Stream(99); !got.Reset || len(got.Body) != 0 || s.Counters().Clients["stalls"] != 50 {
-		t.Errorf("%v, %d stalls", got.ErrCode, s.Counters().Clients["stalls"])
+	if got := client.Stream(99); !got.Reset || len(got.Body) != 0 || s.Counters().Clients["stalls"] != 50 {
+		t.Errorf("stream 99 ended with %v, %d stalls counted, want 50", got.ErrCode, s.Counters().Clients["stalls"])
 	}
-	c.OpenStream(101, "HEAD", "/stock", false) // the connection is still good
-	if !c.WaitFor(moment, done(101)) || c.Stream(101).Status != "200" {
-		t.Errorf("%+v", c.Stream(101))
+	client.OpenStream(101, "HEAD", "/stock", false) // the connection is still usable
+	if !client.WaitFor(streamTimeout, streamsDone(101)) || client.Stream(101).Status != "200" {
+		t.Errorf("request after the stalled streams: %+v", client.Stream(101))
 	}
 }
 
-// A reset before, while and after a payout is sent to its replica: it is executed at most once, and nothing is left over.
-func TestStreamResetDuringAPayout(t *testing.T) {
-	one, two := startReplica(t, nil), startReplica(t, nil)
-	one.ServiceTime.Store(int64(20 * time.Millisecond))
-	two.ServiceTime.Store(int64(20 * time.Millisecond))
-	s := start(t, nil, one.Addr, two.Addr)
-	c := dialHTTP2(t, s, 1<<20)
+// A non-idempotent request whose stream is reset before, during or after it is sent to its replica is executed at most
+// once, and none of it stays in flight.
+func TestResetStreamIsExecutedAtMostOnce(t *testing.T) {
+	firstReplica, secondReplica := startReplica(t, nil), startReplica(t, nil)
+	firstReplica.ServiceTime.Store(int64(20 * time.Millisecond))
+	secondReplica.ServiceTime.Store(int64(20 * time.Millisecond))
+	s := startSidecar(t, nil, firstReplica.Addr, secondReplica.Addr)
+	client := dialHTTP2(t, s, 1<<20)
 	id := uint32(1)
 	var all []uint32
 	for k := range 90 {
-		c.OpenStream(id, "POST", "/payouts", true, append(replica.KeyField(k), "content-length", "4")...)
-		c.SendData(id, false, []byte("pa"))
+		client.OpenStream(id, "POST", "/payouts", true, append(replica.KeyField(k), "content-length", "4")...)
+		client.SendData(id, false, []byte("pa"))
 		switch k % 3 {
 		case 0:
-			c.ResetStream(id)
+			client.ResetStream(id)
 		case 1:
-			c.SendData(id, true, []byte("ys"))
+			client.SendData(id, true, []byte("ys"))
 			time.Sleep(time.Duration(k%30) * time.Millisecond)
-			c.ResetStream(id)
+			client.ResetStream(id)
 		default:
-			c.SendData(id, true, []byte("ys"))
+			client.SendData(id, true, []byte("ys"))
 			all = append(all, id)
 		}
 		id += 2
 	}
-	if !c.WaitFor(moment, done(all...)) {
-		t.Error("not all others ended")
+	if !client.WaitFor(streamTimeout, streamsDone(all...)) {
+		t.Error("some streams that were not reset have not ended")
 	}
 	for _, id := range all {
-		if got := c.Stream(id); got.Status != "200" || got.Responses != 1 {
-			t.Errorf("%d: %+v", id, got)
+		if got := client.Stream(id); got.Status != "200" || got.Responses != 1 {
+			t.Errorf("stream %d: %+v, want one response with 200", id, got)
 		}
 	}
-	ran := one.RunsByKey()
-	for key, n := range two.RunsByKey() {
-		ran[key] += n
+	executions := firstReplica.RunsByKey()
+	for key, n := range secondReplica.RunsByKey() {
+		executions[key] += n
 	}
 	for k := range 90 {
-		switch n := ran[fmt.Sprint("k", k)]; {
+		switch n := executions[fmt.Sprint("k", k)]; {
 		case n > 1:
-			t.Errorf("payout %d ran %d times", k, n)
-		case k%3 == 0 && n != 0: // its body never came completely
-			t.Errorf("payout %d ran, though it was reset before its end", k)
+			t.Errorf("payout %d was executed %d times", k, n)
+		case k%3 == 0 && n != 0: // its body was never sent completely
+			t.Errorf("payout %d was executed, though its stream was reset before the end of its body", k)
 		case k%3 == 2 && n != 1:
-			t.Errorf("payout %d ran %d times", k, n)
+			t.Errorf("payout %d was executed %d times, want once", k, n)
 		}
 	}
 }
 
-// 100 streams, some stalled, some reset, each of the others with one answer; then a drain.
-func TestHundredStreamsAndADrain(t *testing.T) {
-	r := startReplica(t, nil)
-	r.ServiceTime.Store(int64(300 * time.Millisecond))
-	r.BodySize.Store(10_000)
-	s := start(t, nil, r.Addr)
-	c := dialHTTP2(t, s, 1<<20)
-	var good, stalled []uint32
+// A drain starts with 100 streams, some of which are stalled and some reset: each of the others gets one complete response.
+func TestDrainWithHundredStreams(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	testReplica.ServiceTime.Store(int64(300 * time.Millisecond))
+	testReplica.BodySize.Store(10_000)
+	s := startSidecar(t, nil, testReplica.Addr)
+	client := dialHTTP2(t, s, 1<<20)
+	var completing, stalled []uint32
 	for k := range 100 {
 		id := uint32(2*k + 1)
 		switch k % 5 {
 		case 0:
-			c.OpenStream(id, "POST", "/orders", true) // sends no more
+			client.OpenStream(id, "POST", "/orders", true) // sends no body
 			stalled = append(stalled, id)
 		case 1:
-			c.OpenStream(id, "GET", "/stock", false)
-			c.ResetStream(id)
+			client.OpenStream(id, "GET", "/stock", false)
+			client.ResetStream(id)
 		default:
-			c.OpenStream(id, "GET", "/stock", false, replica.KeyField(k)...)
-			good = append(good, id)
+			client.OpenStream(id, "GET", "/stock", false, replica.KeyField(k)...)
+			completing = append(completing, id)
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	ended := make(chan struct{})
-	go func() { s.stop(); close(ended) }()
-	c.WaitFor(moment, func(c *replica.HTTP2Client) bool { return len(c.GoAways) >= 1 })
-	c.OpenStream(201, "GET", "/stock", false) // sent after the first word, before the second
-	good = append(good, 201)
-	if !c.WaitFor(moment, done(append(good, stalled...)...)) {
-		t.Error("not all ended")
-	}
-	<-ended
-	if !c.WaitFor(moment, func(c *replica.HTTP2Client) bool { return c.Closed }) {
-		t.Error("the connection stays")
-	}
-	for _, id := range good {
-		if got := c.Stream(id); got.Status != "200" || got.Responses != 1 || got.Reset || len(got.Body) < 10_000 {
-			t.Errorf("%d: %s, %d answers, reset %v, %d bytes", id, got.Status, got.Responses, got.Reset, len(got.Body))
+	stopped := make(chan struct{})
+	go func() { s.stop(); close(stopped) }()
+	client.WaitFor(streamTimeout, func(c *replica.HTTP2Client) bool { return len(c.GoAways) >= 1 })
+	client.OpenStream(201, "GET", "/stock", false) // opened between the two GOAWAY frames
+	completing = append(completing, 201)
+	if !client.WaitFor(streamTimeout, streamsDone(append(completing, stalled...)...)) {
+		t.Error("some streams have not ended")
+	}
+	<-stopped
+	if !client.WaitFor(streamTimeout, func(c *replica.HTTP2Client) bool { return c.Closed }) {
+		t.Error("connection is still open after the drain")
+	}
+	for _, id := range completing {
+		if got := client.Stream(id); got.Status != "200" || got.Responses != 1 || got.Reset || len(got.Body) < 10_000 {
+			t.Errorf("stream %d: status %s, %d responses, reset %v, body of %d bytes", id, got.Status, got.Responses, got.Reset, len(got.Body))
 		}
 	}
 	for _, id := range stalled {
-		if got := c.Stream(id); !got.Done() || got.Responses > 1 {
-			t.Errorf("stalled %d: %+v", id, got)
+		if got := client.Stream(id); !got.Done() || got.Responses > 1 {
+			t.Errorf("stalled stream %d: %+v", id, got)
 		}
 	}
-	if len(c.GoAways) != 2 || c.GoAways[0].LastStreamID != 1<<31-1 || c.GoAways[1].LastStreamID != 201 || c.GoAways[1].ErrCode != http2.ErrCodeNo {
-		t.Errorf("going away: %+v", c.GoAways)
+	if len(client.GoAways) != 2 || client.GoAways[0].LastStreamID != 1<<31-1 || client.GoAways[1].LastStreamID != 201 || client.GoAways[1].ErrCode != http2.ErrCodeNo {
+		t.Errorf("GOAWAY frames %+v, want one without a limit and one with last stream 201", client.GoAways)
 	}
 }
 
-// Requests outlast the drain: each open stream is reset, and counted as lost.
-func TestStreamsOutlastTheDrain(t *testing.T) {
-	r := startReplica(t, nil)
-	r.Unresponsive.Store(true)
-	s := start(t, func(f string) string { return strings.Replace(f, "drain: 2s", "drain: 200ms", 1) }, r.Addr)
-	c := dialHTTP2(t, s, 1<<20)
+// Streams that are still open at the drain timeout are reset and counted as lost.
+func TestStreamsAreResetAfterDrainTimeout(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	testReplica.Unresponsive.Store(true)
+	s := startSidecar(t, func(f string) string { return strings.Replace(f, "drain: 2s", "drain: 200ms", 1) }, testReplica.Addr)
+	client := dialHTTP2(t, s, 1<<20)
 	for id := uint32(1); id < 20; id += 2 {
-		c.OpenStream(id, "GET", "/stock", false)
+		client.OpenStream(id, "GET", "/stock", false)
 	}
 	time.Sleep(100 * time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	s.stop()
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("took %v", took)
+	if duration := time.Since(start); duration > time.Second {
+		t.Errorf("drain took %v, want at most 1s", duration)
 	}
-	if !c.WaitFor(moment, done(1, 3, 5, 7, 9, 11, 13, 15, 17, 19)) || s.Counters().Clients["lost"] != 10 {
-		t.Errorf("lost without a word: %+v, %d counted", c.Stream(19), s.Counters().Clients["lost"])
+	if !client.WaitFor(streamTimeout, streamsDone(1, 3, 5, 7, 9, 11, 13, 15, 17, 19)) || s.Counters().Clients["lost"] != 10 {
+		t.Errorf("stream 19 after the drain: %+v, %d requests counted as lost, want 10", client.Stream(19), s.Counters().Clients["lost"])
 	}
 }
 
-func TestAmbiguousHTTP2HeadsAreRefused(t *testing.T) {
-	r := startReplica(t, nil)
-	s := start(t, nil, r.Addr)
-	c := dialHTTP2(t, s, 1<<20)
+func TestAmbiguousHTTP2HeadersAreRejected(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	s := startSidecar(t, nil, testReplica.Addr)
+	client := dialHTTP2(t, s, 1<<20)
 	id := uint32(1)
 	for _, fields := range [][]string{{"connection", "close"}, {"transfer-encoding", "chunked"}, {"upgrade", "x"}, {"keep-alive", "1"}, {"te", "gzip"}, {"host", "other"},
 		{"content-length", "4", "content-length", "4"}, {"content-length", "+4"}, {"content-length", "x"}, {"x", "a\r\nb: c"}, {"x", "a\x00b"}, {"X", "a"}, {"a b", "c"}, {":path", "/x"}} {
-		c.OpenStream(id, "POST", "/orders", true, fields...)
-		c.SendData(id, true, []byte("abcd"))
-		if !c.WaitFor(moment, done(id)) || !c.Stream(id).Reset {
-			t.Errorf("%q: %+v", fields, c.Stream(id))
+		client.OpenStream(id, "POST", "/orders", true, fields...)
+		client.SendData(id, true, []byte("abcd"))
+		if !client.WaitFor(streamTimeout, streamsDone(id)) || !client.Stream(id).Reset {
+			t.Errorf("fields %q: %+v", fields, client.Stream(id))
 		}
 		id += 2
 	}
 	for _, path := range []string{"", "x", "http://x/", "/a b", "/a\r\nX: y", "/a#b"} {
-		c.OpenStream(id, "GET", path, false)
-		if !c.WaitFor(moment, done(id)) || !c.Stream(id).Reset {
-			t.Errorf("path %q: %+v", path, c.Stream(id))
+		client.OpenStream(id, "GET", path, false)
+		if !client.WaitFor(streamTimeout, streamsDone(id)) || !client.Stream(id).Reset {
+			t.Errorf("path %q: %+v", path, client.Stream(id))
 		}
 		id += 2
 	}
 	for length, body := range map[string]string{"3": "abcd", "5": "abcd"} {
-		c.OpenStream(id, "POST", "/payouts", true, "content-length", length)
-		c.SendData(id, true, []byte(body))
-		if !c.WaitFor(moment, done(id)) || c.Stream(id).ErrCode != http2.ErrCodeProtocol {
-			t.Errorf("length %s of 4: %+v", length, c.Stream(id))
+		client.OpenStream(id, "POST", "/payouts", true, "content-length", length)
+		client.SendData(id, true, []byte(body))
+		if !client.WaitFor(streamTimeout, streamsDone(id)) || client.Stream(id).ErrCode != http2.ErrCodeProtocol {
+			t.Errorf("content-length %s with a body of 4 bytes: %+v", length, client.Stream(id))
 		}
 		id += 2
 	}
-	if n := r.RequestCount.Load(); n != 0 {
-		t.Errorf("%d of them reached the replica", n)
+	if n := testReplica.RequestCount.Load(); n != 0 {
+		t.Errorf("%d rejected requests reached the replica", n)
 	}
-	c.OpenStream(id, "GET", "/stock", false)
-	if !c.WaitFor(moment, done(id)) || c.Stream(id).Status != "200" {
-		t.Errorf("the connection is of no use any more: %+v", c.Stream(id))
+	client.OpenStream(id, "GET", "/stock", false)
+	if !client.WaitFor(streamTimeout, streamsDone(id)) || client.Stream(id).Status != "200" {
+		t.Errorf("valid request after the rejected ones: %+v", client.Stream(id))
 	}
 }
 
-// Each way of keeping a sidecar busy ends its own connection, and harms no other.
-func TestFloodsEndTheirConnectionAlone(t *testing.T) {
-	r := startReplica(t, nil)
-	r.ServiceTime.Store(int64(5 * time.Millisecond))
-	s := start(t, nil, r.Addr)
-	neighbour := dialHTTP2(t, s, 1<<20)
-	for name, say := range map[string]func(c *replica.HTTP2Client, k uint32) error{
+// Each kind of flood closes the connection that sends it, and leaves other connections unaffected.
+func TestFloodsCloseOnlyTheirConnection(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	testReplica.ServiceTime.Store(int64(5 * time.Millisecond))
+	s := startSidecar(t, nil, testReplica.Addr)
+	otherClient := dialHTTP2(t, s, 1<<20)
+	for name, send := range map[string]func(c *replica.HTTP2Client, k uint32) error{
 		"resets": func(c *replica.HTTP2Client, k uint32) error {
 			c.OpenStream(2*k+1, "GET", "/stock", false)
 			return c.ResetStream(2*k + 1)
@@ -322,25 +327,25 @@
 		"priorities": func(c *replica.HTTP2Client, k uint32) error {
 			return c.WriteFrames(func() error { return c.Framer.WritePriority(2*k+1, http2.PriorityParam{}) })
 		},
-		"empty pieces": func(c *replica.HTTP2Client, k uint32) error {
+		"empty data frames": func(c *replica.HTTP2Client, k uint32) error {
 			if k == 0 {
 				c.OpenStream(1, "POST", "/orders", true)
 			}
 			return c.SendData(1, false, nil)
 		},
-		"single bytes": func(c *replica.HTTP2Client, k uint32) error {
+		"one-byte data frames": func(c *replica.HTTP2Client, k uint32) error {
 			if k == 0 {
 				c.OpenStream(1, "POST", "/orders", true)
 			}
 			return c.SendData(1, false, []byte("x"))
 		},
-		"tiny windows": func(c *replica.HTTP2Client, k uint32) error {
+		"one-byte window updates": func(c *replica.HTTP2Client, k uint32) error {
 			return c.WriteFrames(func() error { return c.Framer.WriteWindowUpdate(0, 1) })
 		},
-		"bad heads": func(c *replica.HTTP2Client, k uint32) error {
+		"invalid header fields": func(c *replica.HTTP2Client, k uint32) error {
 			return c.OpenStream(2*k+1, "GET", "/stock", false, "connection", "x")
 		},
-		"header bombs": func(c *replica.HTTP2Client, k uint32) error {
+		"oversized headers": func(c *replica.HTTP2Client, k uint32) error {
 			return c.OpenStream(2*k+1, "GET", "/stock", false, "a", strings.Repeat("x", 4000), "a", strings.Repeat("x", 4000), "a", strings.Repeat("x", 4000), "a", strings.Repeat("x", 4000), "a", strings.Repeat("x", 4000))
 		},
 		"continuations": func(c *replica.HTTP2Client, k uint32) error {
@@ -352,52 +357,52 @@
 			})
 		},
 	} {
-		c := dialHTTP2(t, s, 1<<20)
-		ended := false
-		for k := uint32(0); k < 20000 && !ended; k++ {
-			ended = say(c, k) != nil
+		client := dialHTTP2(t, s, 1<<20)
+		failed := false
+		for k := uint32(0); k < 20000 && !failed; k++ {
+			failed = send(client, k) != nil
 			if k%500 == 0 {
-				ended = ended || c.WaitFor(0, func(c *replica.HTTP2Client) bool { return c.Closed })
+				failed = failed || client.WaitFor(0, func(c *replica.HTTP2Client) bool { return c.Closed })
 			}
 		}
-		if !c.WaitFor(moment, func(c *replica.HTTP2Client) bool { return c.Closed }) {
-			t.Errorf("%s: the connection goes on", name)
+		if !client.WaitFor(streamTimeout, func(c *replica.HTTP2Client) bool { return c.Closed }) {
+			t.Errorf("flood of %s: connection is still open", name)
 		}
 	}
-	began := time.Now()
-	neighbour.OpenStream(1, "GET", "/stock", false)
-	if !neighbour.WaitFor(moment, done(1)) || neighbour.Stream(1).Status != "200" || time.Since(began) > time.Second {
-		t.Errorf("a neighbour: %+v after %v", neighbour.Stream(1), time.Since(began))
+	start := time.Now()
+	otherClient.OpenStream(1, "GET", "/stock", false)
+	if !otherClient.WaitFor(streamTimeout, streamsDone(1)) || otherClient.Stream(1).Status != "200" || time.Since(start) > time.Second {
+		t.Errorf("request of another connection: %+v after %v", otherClient.Stream(1), time.Since(start))
 	}
 }
 
-// A connection that waits for an answer is not idle; one without a request gets a GOAWAY before it ends.
+// A connection that waits for a response is not idle. A connection without a request gets a GOAWAY before it is closed.
 func TestHTTP2IdleTimeout(t *testing.T) {
-	r := startReplica(t, nil)
-	r.ServiceTime.Store(int64(400 * time.Millisecond))
-	s := start(t, func(f string) string { return strings.Replace(f, "idle: 5s", "idle: 100ms", 1) }, r.Addr)
-	c := dialHTTP2(t, s, 1<<20)
-	c.OpenStream(1, "GET", "/stock", false)
-	if !c.WaitFor(moment, done(1)) || c.Stream(1).Status != "200" {
-		t.Errorf("%+v", c.Stream(1))
+	testReplica := startReplica(t, nil)
+	testReplica.ServiceTime.Store(int64(400 * time.Millisecond))
+	s := startSidecar(t, func(f string) string { return strings.Replace(f, "idle: 5s", "idle: 100ms", 1) }, testReplica.Addr)
+	client := dialHTTP2(t, s, 1<<20)
+	client.OpenStream(1, "GET", "/stock", false)
+	if !client.WaitFor(streamTimeout, streamsDone(1)) || client.Stream(1).Status != "200" {
+		t.Errorf("request that takes longer than the idle timeout: %+v", client.Stream(1))
 	}
-	if !c.WaitFor(moment, func(c *replica.HTTP2Client) bool { return c.Closed }) || len(c.GoAways) != 1 || c.GoAways[0].LastStreamID != 1 || c.GoAways[0].ErrCode != http2.ErrCodeNo {
-		t.Errorf("ended %v, %+v", c.Closed, c.GoAways)
+	if !client.WaitFor(streamTimeout, func(c *replica.HTTP2Client) bool { return c.Closed }) || len(client.GoAways) != 1 || client.GoAways[0].LastStreamID != 1 || client.GoAways[0].ErrCode != http2.ErrCodeNo {
+		t.Errorf("connection closed %v, GOAWAY frames %+v, want one", client.Closed, client.GoAways)
 	}
 }
 
 func TestStreamsOverTheLimitAreRefused(t *testing.T) {
-	r := startReplica(t, nil)
-	r.ServiceTime.Store(int64(200 * time.Millisecond))
-	s := start(t, func(f string) string { return strings.Replace(f, "streams: 100", "streams: 3", 1) }, r.Addr)
-	c := dialHTTP2(t, s, 1<<20)
+	testReplica := startReplica(t, nil)
+	testReplica.ServiceTime.Store(int64(200 * time.Millisecond))
+	s := startSidecar(t, func(f string) string { return strings.Replace(f, "streams: 100", "streams: 3", 1) }, testReplica.Addr)
+	client := dialHTTP2(t, s, 1<<20)
 	for id := uint32(1); id <= 9; id += 2 {
-		c.OpenStream(id, "GET", "/stock", false)
+		client.OpenStream(id, "GET", "/stock", false)
 	}
-	if !c.WaitFor(moment, done(1, 3, 5, 7, 9)) || c.Stream(9).ErrCode != http2.ErrCodeRefusedStream || c.Stream(5).Status != "200" || r.RequestCount.Load() != 3 {
-		t.Errorf("%+v %+v, %d ran", c.Stream(9), c.Stream(5), r.RequestCount.Load())
+	if !client.WaitFor(streamTimeout, streamsDone(1, 3, 5, 7, 9)) || client.Stream(9).ErrCode != http2.ErrCodeRefusedStream || client.Stream(5).Status != "200" || testReplica.RequestCount.Load() != 3 {
+		t.Errorf("stream over the limit %+v, stream within it %+v, %d requests reached the replica", client.Stream(9), client.Stream(5), testReplica.RequestCount.Load())
 	}
 	if got := exchangeRaw(t, s.h2, "GET / HTTP/1.1\r\nHost: x\r\n\r\n------------------------"); strings.Contains(got, "HTTP/1.1 200") {
-		t.Errorf("HTTP/1.1 on the port of HTTP/2: %q", got)
+		t.Errorf("HTTP/1.1 request to the HTTP/2 listener: %q", got)
 	}
 }
--- a/internal/sidecar/local.go
+++ b/internal/sidecar/local.go
@@ -9,21 +9,21 @@
 	"lilacbend/internal/upstream"
 )
 
-// Counters are what a sidecar has counted, and what it has now. The local port gives them as JSON.
+// Counters is a snapshot of a sidecar's counters and gauges. The local listener serves it as JSON.
 type Counters struct {
-	Controller string         // the address that the control stream is to; empty: there is none
-	TableSizes map[string]int // by traffic class
-	InFlight   int            // requests
+	Controller string         // address of the controller with the control stream; empty: no stream
+	TableSizes map[string]int // number of endpoints by traffic class
+	InFlight   int            // number of requests in flight or queued
 	Requests   dispatch.Counters
 	Upstream   upstream.Counters
-	Clients    map[string]int64
-	Control    map[string]int64
+	Clients    map[string]int64 // counters of client connections and requests
+	Control    map[string]int64 // counters of the control stream and of outcome reports
 }
 
-// Counters returns the counters as of now.
+// Counters returns a snapshot of the counters.
 func (s *Sidecar) Counters() Counters {
 	counters := Counters{
-		Controller: s.client.Controller(),
+		Controller: s.controlClient.Controller(),
 		Upstream:   s.pool.Counters(),
 		Clients:    s.clientCounters(),
 		Control:    s.controlCounters(),
@@ -55,7 +55,7 @@
 }
 
 func (s *Sidecar) controlCounters() map[string]int64 {
-	c := &s.client.Counters
+	c := &s.controlClient.Counters
 	return map[string]int64{
 		"dials":                c.Dials.Load(),
 		"streams":              c.Streams.Load(),
@@ -70,8 +70,8 @@
 	}
 }
 
-// localHandler serves the local port: /health says 200 while requests are taken and a replica can be picked, /figures
-// gives the counters.
+// localHandler returns the handler of the local listener. /health responds with 200 while the sidecar accepts requests and
+// the table of at least one traffic class has an endpoint. /figures responds with the counters.
 func (s *Sidecar) localHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", s.serveHealth)
--- a/internal/sidecar/races_test.go
+++ b/internal/sidecar/races_test.go
@@ -19,423 +19,426 @@
 	"lilacbend/internal/dispatch"
 )
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// A reused connection ends during a request that must not be executed twice, at each point of it: the request gets one
-// answer at once and is never sent twice, and the next request has a connection of its own.
-func TestReusedConnectionEndsDuringARequest(t *testing.T) {
+// A reused connection to a replica ends at some point of a non-idempotent request: the request gets one response at once,
+// it is never sent twice, and the next request uses a new connection.
+func TestReusedConnectionClosesDuringRequest(t *testing.T) {
 	long := strings.Repeat("x", 100_000)
-	close := func(r *scriptedpeer.Conn) { r.Close() }
-	for name, c := range map[string]struct {
-		before, end func(r *scriptedpeer.Conn) // before the request is written, and once its head has come
-		body, want  string
+	closeConn := func(r *scriptedpeer.Conn) { r.Close() }
+	for name, test := range map[string]struct {
+		// Called before the request is sent, and after the replica has received its head. nil: not called.
+		beforeRequest, afterHead func(r *scriptedpeer.Conn)
+		body, want               string
 	}{
-		"before it is written":             {close, nil, "pay", "200"},
-		"with bytes that nobody asked for": {func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n") }, nil, "pay", "200"},
-		"in the middle of its body":        {nil, (*scriptedpeer.Conn).Reset, long, "503 unclear"},
-		"after all of it":                  {nil, close, "pay", "503 unclear"},
-		"after all of it, by a reset":      {nil, (*scriptedpeer.Conn).Reset, "pay", "503 unclear"},
-		"after the first of an answer":     {nil, func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 200 OK\r\nCont"); r.Close() }, "pay", "503 unclear"},
-		"in the middle of an answer":       {nil, func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"); r.Close() }, "pay", "200 broken off"},
-		"after an answer, with bytes left": {nil, func(r *scriptedpeer.Conn) { r.SendRaw(okAnswer + okAnswer) }, "pay", "200"},
+		"closed before the request":               {closeConn, nil, "pay", "200"},
+		"unsolicited response before the request": {func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n") }, nil, "pay", "200"},
+		"reset during the request body":           {nil, (*scriptedpeer.Conn).Reset, long, "503 unclear"},
+		"closed after the request":                {nil, closeConn, "pay", "503 unclear"},
+		"reset after the request":                 {nil, (*scriptedpeer.Conn).Reset, "pay", "503 unclear"},
+		"closed during the response head":         {nil, func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 200 OK\r\nCont"); r.Close() }, "pay", "503 unclear"},
+		"closed during the response body":         {nil, func(r *scriptedpeer.Conn) { r.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf"); r.Close() }, "pay", "200 broken off"},
+		"extra bytes after the response":          {nil, func(r *scriptedpeer.Conn) { r.SendRaw(okResponse + okResponse) }, "pay", "200"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			at := scriptedpeer.Listen(t)
-			s := start(t, patient("usual: again", "usual: twice-more"), at.Address())
+			listener := scriptedpeer.Listen(t)
+			s := startSidecar(t, withLongTimeouts("usual: again", "usual: twice-more"), listener.Address())
 			client := scriptedpeer.Dial(t, s.h1)
-			pay := func(body string) {
+			sendPayout := func(body string) {
 				go fmt.Fprintf(client.Conn, "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			}
-			pay("pay")
-			replica := at.AcceptConn()
+			sendPayout("pay")
+			replica := listener.AcceptConn()
 			replica.ReadRequestHead()
-			replica.SendRaw(okAnswer)
-			if got := readAnswer(client); got != "200" {
-				t.Fatal(got)
+			replica.SendRaw(okResponse)
+			if got := readResponse(client); got != "200" {
+				t.Fatalf("first request: %q, want 200", got)
 			}
-			if c.before != nil {
-				c.before(replica)
+			if test.beforeRequest != nil {
+				test.beforeRequest(replica)
 			}
-			pay(c.body)
-			if c.end != nil {
-				replica.ReadRequestHead() // on the kept connection
-				c.end(replica)
+			sendPayout(test.body)
+			if test.afterHead != nil {
+				replica.ReadRequestHead() // on the reused connection
+				test.afterHead(replica)
 			} else {
-				replica = at.AcceptConn()
+				replica = listener.AcceptConn()
 				replica.ReadRequestHead()
-				replica.SendRaw(okAnswer)
+				replica.SendRaw(okResponse)
 			}
-			if got := readAnswer(client); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+			if got := readResponse(client); got != test.want {
+				t.Errorf("response %q, want %q", got, test.want)
 			}
 			if n := s.Counters().Requests.Attempts; n != 2 {
-				t.Errorf("two requests had %d attempts", n)
+				t.Errorf("two requests had %d attempts, want 2", n)
 			}
-			if c.end != nil {
+			if test.afterHead != nil {
 				client = scriptedpeer.Dial(t, s.h1)
-				pay("pay")
-				next := at.AcceptConn()
+				sendPayout("pay")
+				next := listener.AcceptConn()
 				next.ReadRequestHead()
-				next.SendRaw(okAnswer)
-				if got := readAnswer(client); got != "200" {
-					t.Errorf("the next request: %q", got)
+				next.SendRaw(okResponse)
+				if got := readResponse(client); got != "200" {
+					t.Errorf("request on a new connection: %q, want 200", got)
 				}
 			}
-			nothingInFlight(t, s)
+			waitUntilIdle(t, s)
 		})
 	}
 }
 
-// A client leaves while its request waits for capacity, while its replica is silent (also for longer than a client may
-// be), or ends its half alone, which counts as leaving: capacity and connection are released.
-func TestClientLeavesDuringItsRequest(t *testing.T) {
-	at := scriptedpeer.Listen(t)
-	s := start(t, patient(" stall: 1m", " stall: 100ms", "limits: {", "limits: {waiting: 10, wait: 1m, ", "flows: 500", "flows: 1", "expiry: 2s", "expiry: 1m"), at.Address())
+// A client disconnects while its request is queued or while its replica does not respond (also for longer than the stall
+// timeout of clients), or closes only its sending half, which counts as a disconnect: capacity and connection are released.
+func TestClientDisconnectReleasesCapacity(t *testing.T) {
+	listener := scriptedpeer.Listen(t)
+	s := startSidecar(t, withLongTimeouts(" stall: 1m", " stall: 100ms", "limits: {", "limits: {waiting: 10, wait: 1m, ", "flows: 500", "flows: 1", "expiry: 2s", "expiry: 1m"), listener.Address())
 	const request = "GET /stock HTTP/1.1\r\nHost: x\r\n\r\n"
-	for _, pay := range []string{"POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay", // with a body that has come completely
+	for _, payout := range []string{"POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay", // with a completely received body
 		"POST /payouts HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\npay\r\n0\r\n\r\n"} {
 		client := scriptedpeer.Dial(t, s.h1)
-		client.SendRaw(pay)
-		replica := at.AcceptConn()
+		client.SendRaw(payout)
+		replica := listener.AcceptConn()
 		replica.ReadRequestHead()
 		client.Close()
 		replica.WaitForClose()
-		nothingInFlight(t, s)
+		waitUntilIdle(t, s)
 	}
-	first := scriptedpeer.Dial(t, s.h1)
-	first.SendRaw(request)
-	replica := at.AcceptConn()
+	inFlight := scriptedpeer.Dial(t, s.h1)
+	inFlight.SendRaw(request)
+	replica := listener.AcceptConn()
 	replica.ReadRequestHead()
-	waits := scriptedpeer.Dial(t, s.h1)
-	waits.SendRaw(request)
-	scriptedpeer.WaitFor(t, "the second does not wait", func() bool { return s.Counters().InFlight == 2 })
-	half := scriptedpeer.Dial(t, s.h1) // is ended for its silence: so long have the others been silent as well
-	half.SendRaw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
-	half.WaitForClose()
-	waits.Close()
-	scriptedpeer.WaitFor(t, "a request that has left still waits", func() bool { return s.Counters().InFlight == 1 })
-	first.Close()
+	queued := scriptedpeer.Dial(t, s.h1)
+	queued.SendRaw(request)
+	scriptedpeer.WaitFor(t, "the second request is not queued", func() bool { return s.Counters().InFlight == 2 })
+	stalled := scriptedpeer.Dial(t, s.h1) // closed at the stall timeout, which has then passed for the other clients too
+	stalled.SendRaw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
+	stalled.WaitForClose()
+	queued.Close()
+	scriptedpeer.WaitFor(t, "the request of a disconnected client is still queued", func() bool { return s.Counters().InFlight == 1 })
+	inFlight.Close()
 	replica.WaitForClose()
-	nothingInFlight(t, s)
-	last := scriptedpeer.Dial(t, s.h1)
-	last.SendRaw(request)
-	replica = at.AcceptConn()
+	waitUntilIdle(t, s)
+	halfClosed := scriptedpeer.Dial(t, s.h1)
+	halfClosed.SendRaw(request)
+	replica = listener.AcceptConn()
 	replica.ReadRequestHead()
-	last.Conn.(*net.TCPConn).CloseWrite()
+	halfClosed.Conn.(*net.TCPConn).CloseWrite()
 	replica.WaitForClose()
-	last.WaitForClose()
-	nothingInFlight(t, s)
-	if f := s.Counters().Requests; f.Failed[dispatch.ErrClientGone] != 5 {
-		t.Errorf("%+v", f)
+	halfClosed.WaitForClose()
+	waitUntilIdle(t, s)
+	if counters := s.Counters().Requests; counters.Failed[dispatch.ErrClientGone] != 5 {
+		t.Errorf("counters %+v, want 5 requests that failed because the client was gone", counters)
 	}
 }
 
-// A stream is reset as a retry is decided: either the reset comes first, and there is no retry; or the retry is on its
-// way, ends with the reset, and is the last attempt.
-func TestStreamResetDuringARetryDecision(t *testing.T) {
+// A stream is reset around the time when a retry is decided. If the reset is first, there is no retry. If the retry has
+// been sent, the reset aborts it, and it is the last attempt.
+func TestStreamResetDuringRetryDecision(t *testing.T) {
 	for _, resetFirst := range []bool{true, false} {
-		one, two := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
-		s := start(t, patient("usual: again", "usual: twice-more", "expiry: 2s", "expiry: 1m", "latency_budget: 500ms", "latency_budget: 30s", "window: 2500ms", "window: 10m"), one.Address())
+		firstReplica, secondReplica := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
+		s := startSidecar(t, withLongTimeouts("usual: again", "usual: twice-more", "expiry: 2s", "expiry: 1m", "latency_budget: 500ms", "latency_budget: 30s", "window: 2500ms", "window: 10m"), firstReplica.Address())
 		client := dialHTTP2(t, s, 1<<20)
 		client.OpenStream(1, "POST", "/orders", true, "content-length", "3")
 		client.SendData(1, true, []byte("buy"))
-		replica := one.AcceptConn()
+		replica := firstReplica.AcceptConn()
 		replica.ReadRequestHead()
-		s.updateEndpoints(false, map[string]dispatch.Endpoint{"r1": {Zone: "a", Address: two.Address()}})
+		s.updateEndpoints(false, map[string]dispatch.Endpoint{"r1": {Zone: "a", Address: secondReplica.Address()}})
 		if resetFirst {
 			client.ResetStream(1)
-			replica.WaitForClose() // it was noticed
+			replica.WaitForClose() // the sidecar has noticed the reset
 			replica.Close()
 		} else {
 			replica.Close()
-			next := two.AcceptConn()
-			next.ReadRequestHead()
+			retry := secondReplica.AcceptConn()
+			retry.ReadRequestHead()
 			client.ResetStream(1)
-			next.WaitForClose()
+			retry.WaitForClose()
 		}
-		nothingInFlight(t, s)
-		tries := int64(2)
+		waitUntilIdle(t, s)
+		wantAttempts := int64(2)
 		if resetFirst {
-			tries = 1
+			wantAttempts = 1
 		}
-		if f := s.Counters().Requests; f.Attempts != tries || f.Failed[dispatch.ErrClientGone] != 1 {
-			t.Errorf("reset first %v: %+v", resetFirst, f)
+		if counters := s.Counters().Requests; counters.Attempts != wantAttempts || counters.Failed[dispatch.ErrClientGone] != 1 {
+			t.Errorf("stream reset before the retry %v: %+v", resetFirst, counters)
 		}
 	}
 }
 
-// The drain is over, and requests go on whose connection nobody watches: with a body, and with another request behind
-// them. They are ended all the same, and the sidecar with them.
-func TestDrainEndsUnwatchedRequests(t *testing.T) {
+// At the drain timeout there are requests whose client connection is not being read, so that a disconnect would not be
+// noticed: a request with a body, and a request with a pipelined one behind it. They are aborted, and the sidecar stops.
+func TestDrainAbortsRequestsOfUnreadConnections(t *testing.T) {
 	for name, text := range map[string]string{
-		"a body":         "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay",
-		"another behind": "GET /stock HTTP/1.1\r\nHost: x\r\n\r\nGET /stock HTTP/1.1\r\nHost: x\r\n\r\n",
+		"with a body":              "POST /payouts HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\npay",
+		"with a pipelined request": "GET /stock HTTP/1.1\r\nHost: x\r\n\r\nGET /stock HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
-		at := scriptedpeer.Listen(t)
-		s := start(t, patient("drain: 2s", "drain: 50ms", "expiry: 2s", "expiry: 1m"), at.Address())
+		listener := scriptedpeer.Listen(t)
+		s := startSidecar(t, withLongTimeouts("drain: 2s", "drain: 50ms", "expiry: 2s", "expiry: 1m"), listener.Address())
 		client := scriptedpeer.Dial(t, s.h1)
 		client.SendRaw(text)
-		replica := at.AcceptConn()
+		replica := listener.AcceptConn()
 		replica.ReadRequestHead()
-		ended := make(chan struct{})
-		go func() { s.stop(); close(ended) }()
+		stopped := make(chan struct{})
+		go func() { s.stop(); close(stopped) }()
 		select {
-		case <-ended:
+		case <-stopped:
 		case <-time.After(scriptedpeer.WaitTimeout):
-			t.Fatalf("%s: the sidecar goes on", name)
+			t.Fatalf("%s: sidecar is still running after the drain timeout", name)
 		}
 		client.WaitForClose()
 		if n := s.Counters().Clients["lost"]; n != 1 {
-			t.Errorf("%s: %d lost", name, n)
+			t.Errorf("%s: %d requests counted as lost, want 1", name, n)
 		}
 	}
 }
 
-// A replica gives a long answer before it has read the body, and the client sends on: the answer arrives completely,
-// though the sidecar closes the connection with bytes unread.
-func TestAnswerArrivesThoughTheClientStillSends(t *testing.T) {
+// A replica sends a long response before it has read the request body, while the client is still sending: the client gets
+// the complete response, although the sidecar closes the connection with unread bytes.
+func TestResponseArrivesWhileClientStillSends(t *testing.T) {
 	const size = 1 << 20
-	at := scriptedpeer.Listen(t)
-	s := start(t, patient(), at.Address())
+	listener := scriptedpeer.Listen(t)
+	s := startSidecar(t, withLongTimeouts(), listener.Address())
 	client := scriptedpeer.Dial(t, s.h1)
 	client.SendRaw("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 100000000\r\n\r\n")
-	go io.CopyN(client.Conn, zeros{}, 10_000_000)
-	replica := at.AcceptConn()
+	go io.CopyN(client.Conn, zeroReader{}, 10_000_000)
+	replica := listener.AcceptConn()
 	replica.ReadRequestHead()
 	go fmt.Fprintf(replica.Conn, "HTTP/1.1 413 Too Large\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
-	nothingInFlight(t, s) // the answer has been written, and the client has read none of it
+	waitUntilIdle(t, s) // the sidecar has written the response, and the client has read none of it
 	resp, err := http.ReadResponse(client.Reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); n != size || err != nil {
-		t.Errorf("%d of %d bytes: %v", n, size, err)
+		t.Errorf("read %d of %d bytes of the response: %v", n, size, err)
 	}
 }
 
-// frames is an HTTP/2 client that reads a frame when the test says so.
-type frames struct {
+// frameClient is an HTTP/2 client that reads frames only when the test calls nextFrame.
+type frameClient struct {
 	*scriptedpeer.Conn
 	*http2.Framer
-	block bytes.Buffer
-	enc   *hpack.Encoder
-	room  int64 // that the connection leaves us
+	block            bytes.Buffer
+	encoder          *hpack.Encoder
+	connectionCredit int64 // bytes that the sidecar's connection window allows
 }
 
-func dialFrames(t *testing.T, s running, window, connection uint32) *frames {
-	c := &frames{Conn: scriptedpeer.Dial(t, s.h2), room: 65535}
-	c.Framer = http2.NewFramer(c.Conn.Conn, c.Conn.Reader)
-	c.enc = hpack.NewEncoder(&c.block)
-	c.SendRaw(http2.ClientPreface)
-	c.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: window})
-	if connection > 65535 {
-		c.WriteWindowUpdate(0, connection-65535)
+func dialFrameClient(t *testing.T, s testSidecar, streamWindow, connectionWindow uint32) *frameClient {
+	client := &frameClient{Conn: scriptedpeer.Dial(t, s.h2), connectionCredit: 65535}
+	client.Framer = http2.NewFramer(client.Conn.Conn, client.Conn.Reader)
+	client.encoder = hpack.NewEncoder(&client.block)
+	client.SendRaw(http2.ClientPreface)
+	client.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: streamWindow})
+	if connectionWindow > 65535 {
+		client.WriteWindowUpdate(0, connectionWindow-65535)
 	}
-	return c
+	return client
 }
 
-func (c *frames) open(id uint32, method, path string, end bool, pairs ...string) {
+func (c *frameClient) openStream(id uint32, method, path string, endStream bool, pairs ...string) {
 	c.block.Reset()
 	pairs = append([]string{":method", method, ":scheme", "http", ":path", path, ":authority", "x"}, pairs...)
 	for k := 0; k < len(pairs); k += 2 {
-		c.enc.WriteField(hpack.HeaderField{Name: pairs[k], Value: pairs[k+1]})
+		c.encoder.WriteField(hpack.HeaderField{Name: pairs[k], Value: pairs[k+1]})
 	}
-	b := c.block.Bytes()
-	n := min(len(b), 16<<10)
-	c.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: b[:n], EndStream: end, EndHeaders: n == len(b)})
-	if n < len(b) {
-		c.WriteContinuation(id, true, b[n:])
+	block := c.block.Bytes()
+	firstLength := min(len(block), 16<<10)
+	c.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: block[:firstLength], EndStream: endStream, EndHeaders: firstLength == len(block)})
+	if firstLength < len(block) {
+		c.WriteContinuation(id, true, block[firstLength:])
 	}
 }
 
-// next reads one frame and counts what the window of the connection allows.
-func (c *frames) next() (http2.Frame, error) {
-	f, err := c.ReadFrame()
-	if u, ok := f.(*http2.WindowUpdateFrame); ok && u.StreamID == 0 {
-		c.room += int64(u.Increment)
+// nextFrame reads one frame and adds updates of the connection window to the credit.
+func (c *frameClient) nextFrame() (http2.Frame, error) {
+	frame, err := c.ReadFrame()
+	if update, ok := frame.(*http2.WindowUpdateFrame); ok && update.StreamID == 0 {
+		c.connectionCredit += int64(update.Increment)
 	}
-	return f, err
+	return frame, err
 }
 
-// Bodies that are discarded because they differ from their content-length return to the window of their connection all
-// the same: it carries any number of them.
-func TestDiscardedDataReturnsToTheConnectionWindow(t *testing.T) {
-	s := start(t, patient(), startReplica(t, nil).Addr)
-	c := dialFrames(t, s, 1<<20, 1<<20)
+// Bodies that are discarded because they differ from their content-length are returned to the connection window, so that
+// a connection can carry any number of them.
+func TestDiscardedDataIsReturnedToConnectionWindow(t *testing.T) {
+	s := startSidecar(t, withLongTimeouts(), startReplica(t, nil).Addr)
+	client := dialFrameClient(t, s, 1<<20, 1<<20)
 	piece := make([]byte, 16<<10)
 	for k := range uint32(60) {
-		for c.room < int64(len(piece)) {
-			if _, err := c.next(); err != nil {
-				t.Fatalf("no room after %d pieces: %v", k, err)
+		for client.connectionCredit < int64(len(piece)) {
+			if _, err := client.nextFrame(); err != nil {
+				t.Fatalf("no connection window left after %d bodies: %v", k, err)
 			}
 		}
-		c.open(2*k+1, "POST", "/orders", false, "content-length", "1")
-		c.WriteData(2*k+1, true, piece)
-		c.room -= int64(len(piece))
+		client.openStream(2*k+1, "POST", "/orders", false, "content-length", "1")
+		client.WriteData(2*k+1, true, piece)
+		client.connectionCredit -= int64(len(piece))
 	}
-	c.Close()
-	nothingInFlight(t, s)
+	client.Close()
+	waitUntilIdle(t, s)
 }
 
-// A head that was truncated is not forwarded: the missing fields could be those that say its class.
-func TestTooLargeHTTP2HeadIsNotForwarded(t *testing.T) {
-	r := startReplica(t, nil)
-	s := start(t, patient(), r.Addr)
-	c := dialFrames(t, s, 1<<20, 1<<20)
-	c.Framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+// A truncated request head is not forwarded: the missing fields could be those that determine its traffic class.
+func TestTooLargeHTTP2HeadersAreNotForwarded(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	s := startSidecar(t, withLongTimeouts(), testReplica.Addr)
+	client := dialFrameClient(t, s, 1<<20, 1<<20)
+	client.Framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	var pairs []string
 	for k := range 6 {
 		pairs = append(pairs, fmt.Sprint("f", k), strings.Repeat("x", 4000))
 	}
-	c.open(1, "GET", "/stock", true, pairs...)
+	client.openStream(1, "GET", "/stock", true, pairs...)
 	for {
-		f, err := c.next()
+		frame, err := client.nextFrame()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if h, ok := f.(*http2.MetaHeadersFrame); ok {
-			if h.PseudoValue("status") != "431" || r.RequestCount.Load() != 0 {
-				t.Errorf("status %s, %d ran", h.PseudoValue("status"), r.RequestCount.Load())
+		if response, ok := frame.(*http2.MetaHeadersFrame); ok {
+			if response.PseudoValue("status") != "431" || testReplica.RequestCount.Load() != 0 {
+				t.Errorf("status %s, %d requests reached the replica, want 431 and none", response.PseudoValue("status"), testReplica.RequestCount.Load())
 			}
 			return
 		}
 	}
 }
 
-// A client opens its windows and reads nothing: once a write has failed in the middle of a frame its connection is over,
-// and no request that it still sends is executed without an answer.
-func TestFailedWriteEndsItsConnection(t *testing.T) {
-	r := startReplica(t, nil)
-	r.BodySize.Store(64 << 20)
-	s := start(t, patient(" stall: 1m", " stall: 100ms"), r.Addr)
-	c := dialFrames(t, s, 1<<30, 1<<30)
-	c.ShrinkBuffers()
-	c.open(1, "GET", "/stock", true)
-	scriptedpeer.WaitFor(t, "the connection stays", func() bool {
-		f := s.Counters()
-		return f.Clients["requests"] == 1 && f.Clients["open"] == 0
+// A client opens its windows and reads nothing. After a write has failed in the middle of a frame the connection is closed,
+// so that no further request on it is executed without a response.
+func TestFailedWriteClosesConnection(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	testReplica.BodySize.Store(64 << 20)
+	s := startSidecar(t, withLongTimeouts(" stall: 1m", " stall: 100ms"), testReplica.Addr)
+	client := dialFrameClient(t, s, 1<<30, 1<<30)
+	client.ShrinkBuffers()
+	client.openStream(1, "GET", "/stock", true)
+	scriptedpeer.WaitFor(t, "the connection is still open", func() bool {
+		counters := s.Counters()
+		return counters.Clients["requests"] == 1 && counters.Clients["open"] == 0
 	})
-	nothingInFlight(t, s)
+	waitUntilIdle(t, s)
 }
 
-// A drain sends its GOAWAYs while a client opens streams without a pause: each one up to the last that they name has its
-// answer, and none above it is executed without one.
-func TestStreamsThatCrossAGoAway(t *testing.T) {
-	r := startReplica(t, nil)
-	s := start(t, patient("streams: 100", "streams: 10000", "flows: 500", "flows: 10000", "waiting: 200", "waiting: 10000"), r.Addr)
-	var all sync.WaitGroup
-	began := make(chan struct{}, 8)
+// A drain sends its GOAWAYs while clients keep opening streams: each stream up to the last stream id of the second GOAWAY
+// gets its response or REFUSED_STREAM, and no stream above it is executed, so that none of those gets a response.
+func TestStreamsOpenedDuringGoAway(t *testing.T) {
+	testReplica := startReplica(t, nil)
+	s := startSidecar(t, withLongTimeouts("streams: 100", "streams: 10000", "flows: 500", "flows: 10000", "waiting: 200", "waiting: 10000"), testReplica.Addr)
+	var clients sync.WaitGroup
+	started := make(chan struct{}, 8)
 	for range 8 {
-		c := dialHTTP2(t, s, 1<<20)
-		all.Go(func() {
+		client := dialHTTP2(t, s, 1<<20)
+		clients.Go(func() {
 			opened := uint32(0)
-			over := func(c *replica.HTTP2Client) bool { return c.Closed || len(c.GoAways) >= 2 }
+			goingAway := func(c *replica.HTTP2Client) bool { return c.Closed || len(c.GoAways) >= 2 }
 			for id := uint32(1); id < 40_000; id += 2 {
 				if id == 1 {
-					began <- struct{}{}
+					started <- struct{}{}
 				}
-				if c.WaitFor(0, over) || c.OpenStream(id, "HEAD", "/stock", false) != nil {
+				if client.WaitFor(0, goingAway) || client.OpenStream(id, "HEAD", "/stock", false) != nil {
 					break
 				}
 				opened = id
-				if id%16 == 1 { // not many more than can be answered
-					c.WaitFor(scriptedpeer.WaitTimeout, func(c *replica.HTTP2Client) bool { return over(c) || c.Streams[id] != nil && c.Streams[id].Done() })
+				if id%16 == 1 { // keeps the number of open streams low
+					client.WaitFor(scriptedpeer.WaitTimeout, func(c *replica.HTTP2Client) bool { return goingAway(c) || c.Streams[id] != nil && c.Streams[id].Done() })
 				}
 			}
-			if !c.WaitFor(scriptedpeer.WaitTimeout, func(c *replica.HTTP2Client) bool { return c.Closed && len(c.GoAways) == 2 }) {
-				t.Errorf("ended %v, %d words of going away", c.Closed, len(c.GoAways))
+			if !client.WaitFor(scriptedpeer.WaitTimeout, func(c *replica.HTTP2Client) bool { return c.Closed && len(c.GoAways) == 2 }) {
+				t.Errorf("connection closed %v, %d GOAWAY frames, want 2", client.Closed, len(client.GoAways))
 				return
 			}
-			c.Conn.Close()
-			last := c.GoAways[1].LastStreamID
+			client.Conn.Close()
+			last := client.GoAways[1].LastStreamID
 			for id := uint32(1); id <= opened; id += 2 {
-				got := c.Stream(id)
+				got := client.Stream(id)
 				if id <= last && got.Status != "200" && !(got.Reset && got.ErrCode == http2.ErrCodeRefusedStream) || id > last && got.Status != "" {
-					t.Errorf("stream %d of %d, the last that counts is %d: %+v", id, opened, last, got)
+					t.Errorf("stream %d of %d, last stream of the GOAWAY is %d: %+v", id, opened, last, got)
 					return
 				}
 			}
 		})
 	}
 	for range 8 {
-		<-began
+		<-started
 	}
-	scriptedpeer.WaitFor(t, "not all are taken in", func() bool { return s.Counters().Clients["open"] == 8 })
+	scriptedpeer.WaitFor(t, "not all connections are accepted", func() bool { return s.Counters().Clients["open"] == 8 })
 	s.stop()
-	all.Wait()
+	clients.Wait()
 }
 
-// A sidecar ends while a client, which sends window updates as it reads, has yet to read its answer: the connection ends
-// only once it has been read, so no reset destroys it.
-func TestAnswerIsReadAsTheSidecarEnds(t *testing.T) {
+// A sidecar stops while a client, which sends window updates as it reads, has not read its response yet. The sidecar closes
+// the connection only after the client has read the response, since a reset caused by unread window updates would destroy
+// it.
+func TestShutdownWaitsForClientToReadResponse(t *testing.T) {
 	const size = 1 << 20
-	r := startReplica(t, nil)
-	r.BodySize.Store(size)
-	s := start(t, patient("drain: 2s", "drain: 1m"), r.Addr)
-	c := dialFrames(t, s, 1<<30, 1<<30)
-	c.open(1, "GET", "/stock", true)
-	scriptedpeer.WaitFor(t, "the answer is not written", func() bool {
-		f := s.Counters()
-		return f.Clients["requests"] == 1 && f.Clients["in_flight"] == 0 && f.InFlight == 0
+	testReplica := startReplica(t, nil)
+	testReplica.BodySize.Store(size)
+	s := startSidecar(t, withLongTimeouts("drain: 2s", "drain: 1m"), testReplica.Addr)
+	client := dialFrameClient(t, s, 1<<30, 1<<30)
+	client.openStream(1, "GET", "/stock", true)
+	scriptedpeer.WaitFor(t, "the response is not written completely", func() bool {
+		counters := s.Counters()
+		return counters.Clients["requests"] == 1 && counters.Clients["in_flight"] == 0 && counters.InFlight == 0
 	})
-	ended := make(chan struct{})
-	go func() { s.stop(); close(ended) }()
-	got, words := 0, 0
+	stopped := make(chan struct{})
+	go func() { s.stop(); close(stopped) }()
+	received, events := 0, 0
 	for {
-		f, err := c.next()
+		frame, err := client.nextFrame()
 		if err != nil {
 			if err != io.EOF {
 				t.Error(err)
 			}
 			break
 		}
-		switch f := f.(type) {
+		switch f := frame.(type) {
 		case *http2.DataFrame:
-			got += len(f.Data())
-			c.WriteWindowUpdate(0, uint32(max(64, len(f.Data()))))
-			if words == 0 { // the sidecar has hung up: what it had to say has all been written
-				scriptedpeer.WaitFor(t, "it does not drain", s.server.Draining)
-				time.Sleep(3 * 50 * time.Millisecond) // over its pauses: it would have closed
-				words++
+			received += len(f.Data())
+			client.WriteWindowUpdate(0, uint32(max(64, len(f.Data()))))
+			if events == 0 { // the sidecar has written all of the response
+				scriptedpeer.WaitFor(t, "the sidecar is not draining", s.server.Draining)
+				// Longer than the pauses of the drain: without the wait for the client the sidecar would have closed.
+				time.Sleep(3 * 50 * time.Millisecond)
+				events++
 			}
 		case *http2.GoAwayFrame:
-			words++
+			events++
 		}
 	}
-	if got < size {
-		t.Errorf("%d of %d bytes", got, size)
+	if received < size {
+		t.Errorf("read %d of %d bytes of the response", received, size)
 	}
-	c.Close()
-	<-ended
+	client.Close()
+	<-stopped
 }
 
-// A drain with a request in flight: from its first moment /health says that no request should come here.
+// From the beginning of a drain, while a request is still in flight, /health reports that no new requests are accepted.
 func TestHealthDuringDrain(t *testing.T) {
-	at, local := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
-	s := start(t, patient("drain: 2s", "drain: 1m", "listen: {", "listen: {local: \""+local+"\", "), at.Address())
-	health := func() string {
-		c := scriptedpeer.Dial(t, local)
-		c.SendRaw("GET /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-		return readAnswer(c)
+	listener, local := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
+	s := startSidecar(t, withLongTimeouts("drain: 2s", "drain: 1m", "listen: {", "listen: {local: \""+local+"\", "), listener.Address())
+	checkHealth := func() string {
+		conn := scriptedpeer.Dial(t, local)
+		conn.SendRaw("GET /health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+		return readResponse(conn)
 	}
-	if got := health(); got != "200" {
-		t.Errorf("before: %q", got)
+	if got := checkHealth(); got != "200" {
+		t.Errorf("health before the drain: %q, want 200", got)
 	}
 	client := scriptedpeer.Dial(t, s.h1)
 	client.SendRaw("GET /stock HTTP/1.1\r\nHost: x\r\n\r\n")
-	replica := at.AcceptConn()
+	replica := listener.AcceptConn()
 	replica.ReadRequestHead()
-	ended := make(chan struct{})
-	go func() { s.stop(); close(ended) }()
-	scriptedpeer.WaitFor(t, "it does not drain", s.server.Draining)
-	if got := health(); got != "503" {
-		t.Errorf("during: %q", got)
+	stopped := make(chan struct{})
+	go func() { s.stop(); close(stopped) }()
+	scriptedpeer.WaitFor(t, "the sidecar is not draining", s.server.Draining)
+	if got := checkHealth(); got != "503" {
+		t.Errorf("health during the drain: %q, want 503", got)
 	}
-	replica.SendRaw(okAnswer)
-	if got := readAnswer(client); got != "200" {
-		t.Errorf("the request in flight: %q", got)
+	replica.SendRaw(okResponse)
+	if got := readResponse(client); got != "200" {
+		t.Errorf("request in flight during the drain: %q, want 200", got)
 	}
 	client.Close()
-	<-ended
+	<-stopped
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,5 +1,6 @@
-// Package sidecar is the program beside a client process. It puts together what serves clients (ingress, proxy), decides
-// (dispatch), talks to replicas (upstream) and to controllers, collectors and discovery, as the sidecar's file says.
+// Package sidecar assembles the sidecar, the proxy that runs beside a client process, from its configuration file: the
+// listeners for clients (ingress), the forwarding of requests (proxy), the choice of replicas (dispatch), the connections to
+// replicas (upstream), and the clients of controllers, collectors (controlclient) and discovery.
 package sidecar
 
 import (
@@ -26,54 +27,55 @@
 )
 
 const (
-	// idleCheckInterval is the time between two looks for connections that were idle for too long.
+	// idleCheckInterval is the time between two checks for connections to replicas that exceeded their idle timeout.
 	idleCheckInterval = time.Second
-	// heapFraction is the part of the memory limit for the heap: the runtime needs room beside what is live.
+	// heapFraction is the part of the configured memory that the Go runtime's memory limit is set to. The runtime needs
+	// headroom beside the live heap.
 	heapFraction = 0.8
 	bytesPerMB   = 1 << 20
-	// noRevision says that no endpoint list is known yet.
+	// noRevision is the revision of the endpoint list before the first one is received.
 	noRevision = -1
 )
 
-// Keys of the listeners, as in the sidecar's file.
+// Keys of the listeners in the sidecar's file.
 const (
 	keyHTTP1 = "http1"
 	keyHTTP2 = "http2"
 	keyLocal = "local"
 )
 
-// errClassesChanged is returned by Reload for other traffic classes.
-var errClassesChanged = errors.New("groups differ: start anew, since governors know them by their order")
+// errClassesChanged is returned by Reload if the new configuration defines other traffic classes.
+var errClassesChanged = errors.New("groups differ from the running ones: restart the sidecar, since controllers identify traffic classes by their order")
 
-// Sidecar is one running sidecar.
+// Sidecar serves clients according to one configuration.
 type Sidecar struct {
-	config    Config
-	log       *slog.Logger
-	started   time.Time
-	proxy     *proxy.Proxy
-	pool      *upstream.Pool
-	server    *ingress.Server
-	client    *controlclient.Client
-	reporter  *controlclient.Reporter
-	discovery *eventloop.Queues // queue of endpoint lists
-	requests  atomic.Int64      // that have ended
+	config          Config
+	log             *slog.Logger
+	started         time.Time
+	proxy           *proxy.Proxy
+	pool            *upstream.Pool
+	server          *ingress.Server
+	controlClient   *controlclient.Client
+	reporter        *controlclient.Reporter
+	discoveryEvents *eventloop.Queues // endpoint lists received from discovery
+	endedRequests   atomic.Int64      // number of requests that have ended
 
-	listeners map[string]net.Listener // by key
+	listeners map[string]net.Listener // by their key in the file
 }
 
-// New returns a sidecar that does not listen yet.
+// New returns a sidecar that does not listen yet. Endpoints that are listed in the file are applied.
 func New(config Config, log *slog.Logger) (*Sidecar, error) {
 	dispatcher, err := dispatch.New(config.Dispatch)
 	if err != nil {
 		return nil, err
 	}
 	s := &Sidecar{
-		config:    config,
-		log:       log,
-		started:   time.Now(),
-		pool:      upstream.NewPool(config.Upstream),
-		discovery: eventloop.New(),
-		listeners: map[string]net.Listener{},
+		config:          config,
+		log:             log,
+		started:         time.Now(),
+		pool:            upstream.NewPool(config.Upstream),
+		discoveryEvents: eventloop.New(),
+		listeners:       map[string]net.Listener{},
 	}
 	s.proxy = proxy.New(dispatcher, s.pool, proxy.Config{
 		NotExecutedStatuses: config.NotExecutedStatuses,
@@ -88,12 +90,12 @@
 		Log:          log,
 		OnRequestEnd: s.logRequest,
 	})
-	s.client = &controlclient.Client{
+	s.controlClient = &controlclient.Client{
 		Controllers: config.Controllers,
 		ID:          config.ProxyID,
 		Zone:        config.Zone,
 		Classes:     config.classNames(),
-		Dispatcher:  controlTarget{s.proxy},
+		Dispatcher:  lockedDispatcher{s.proxy},
 		Seed:        config.Dispatch.Seed,
 		Log:         log,
 	}
@@ -101,7 +103,7 @@
 		Collectors:   config.Collectors,
 		Interval:     config.ReportInterval,
 		Seed:         config.Dispatch.Seed,
-		TakeOutcomes: controlTarget{s.proxy}.TakeOutcomes,
+		TakeOutcomes: lockedDispatcher{s.proxy}.TakeOutcomes,
 	}
 	if len(config.Endpoints) > 0 {
 		s.updateEndpoints(true, config.Endpoints)
@@ -109,7 +111,7 @@
 	return s, nil
 }
 
-// nonIdempotent says for each traffic class whether its requests must not be executed twice.
+// nonIdempotent returns for each traffic class, by its index, whether its requests must not be executed twice.
 func (c Config) nonIdempotent() []bool {
 	var classes []bool
 	for _, class := range c.Dispatch.Classes {
@@ -127,10 +129,10 @@
 	return names
 }
 
-// now is the dispatcher's clock, in nanoseconds. It is never 0, which stands for no time.
+// now returns the time of the dispatcher's clock in nanoseconds. It is never 0, which means that no time is set.
 func (s *Sidecar) now() int64 { return int64(time.Since(s.started)) + 1 }
 
-// Listen takes the addresses of the file, so that what is wrong with them is known before anything is served.
+// Listen opens the listeners of the file, so that an address that cannot be used is reported before any request is served.
 func (s *Sidecar) Listen() error {
 	for key, address := range map[string]string{keyHTTP1: s.config.HTTP1, keyHTTP2: s.config.HTTP2, keyLocal: s.config.Local} {
 		if address == "" {
@@ -152,10 +154,10 @@
 	}
 }
 
-// Address returns where a port listens: http1, http2 or local.
+// Address returns the address of the listener with the given key: http1, http2 or local.
 func (s *Sidecar) Address(key string) string { return s.listeners[key].Addr().String() }
 
-// Run serves until ctx ends, then lets requests in flight end. It returns when all it has started has ended.
+// Run serves until ctx is canceled, then drains. It returns after all goroutines that it started have ended.
 func (s *Sidecar) Run(ctx context.Context) error {
 	if len(s.listeners) == 0 {
 		if err := s.Listen(); err != nil {
@@ -163,7 +165,7 @@
 		}
 	}
 	defer s.closeListeners()
-	// The control streams outlive ctx, so that controllers learn of the requests that end while the sidecar drains.
+	// The control streams outlive ctx, so that the demand and outcomes of requests that end during the drain are reported.
 	controlCtx, stopControl := context.WithCancel(context.Background())
 	defer stopControl()
 	var running sync.WaitGroup
@@ -171,7 +173,7 @@
 	defer local.Close()
 	s.startServers(&running, local)
 	s.limitMemory()
-	s.log.Info("sidecar serves", "http1", s.config.HTTP1, "http2", s.config.HTTP2,
+	s.log.Info("sidecar serving", "http1", s.config.HTTP1, "http2", s.config.HTTP2,
 		"controllers", s.config.Controllers, "classes", len(s.config.Dispatch.Classes))
 	s.startControl(controlCtx, &running)
 	s.closeIdleConnections(ctx)
@@ -180,11 +182,11 @@
 	s.pool.Close()
 	s.closeListeners()
 	running.Wait()
-	s.log.Info("sidecar ends", "lost", lost, "requests", s.server.Counters.Requests.Load())
+	s.log.Info("sidecar stopped", "lost", lost, "requests", s.server.Counters.Requests.Load())
 	return nil
 }
 
-// startServers serves the listeners.
+// startServers starts a server on each listener.
 func (s *Sidecar) startServers(running *sync.WaitGroup, local *http.Server) {
 	for key, l := range s.listeners {
 		switch key {
@@ -198,27 +200,28 @@
 	}
 }
 
-// limitMemory makes the garbage collector work harder near the limit. What is live is bounded by the other limits.
+// limitMemory sets the Go runtime's soft memory limit, near which the garbage collector runs more often. The size of the
+// live heap is bounded by the other limits.
 func (s *Sidecar) limitMemory() {
 	if s.config.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(heapFraction * float64(s.config.MemoryMB) * bytesPerMB))
 	}
 }
 
-// startControl follows a controller and discovery, and reports to collectors, until ctx ends.
+// startControl starts the clients of controllers, collectors and discovery, which run until ctx is canceled.
 func (s *Sidecar) startControl(ctx context.Context, running *sync.WaitGroup) {
-	running.Go(func() { s.client.Run(ctx) })
+	running.Go(func() { s.controlClient.Run(ctx) })
 	if len(s.config.Collectors) > 0 {
 		running.Go(func() { s.reporter.Run(ctx) })
 	}
 	if s.config.Discovery != "" {
-		resolver := discovery.New(s.config.Discovery, noRevision, s.discovery, s.log, s.now, s.config.Dispatch.Seed)
+		resolver := discovery.New(s.config.Discovery, noRevision, s.discoveryEvents, s.log, s.now, s.config.Dispatch.Seed)
 		running.Go(func() { resolver.Run(ctx) })
 		running.Go(func() { s.followDiscovery(ctx) })
 	}
 }
 
-// closeIdleConnections closes connections to replicas that were idle for too long, until ctx ends.
+// closeIdleConnections closes connections to replicas that exceeded their idle timeout, until ctx is canceled.
 func (s *Sidecar) closeIdleConnections(ctx context.Context) {
 	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
@@ -232,10 +235,10 @@
 	}
 }
 
-// drain lets requests in flight end, and returns the number of those that were cut off. The local port stays: it says
-// that the sidecar drains.
+// drain stops accepting clients, waits for the requests in flight up to the drain timeout, and returns the number of
+// requests that were aborted. The local listener stays open, so that /health reports the drain.
 func (s *Sidecar) drain() (lost int64) {
-	s.log.Info("sidecar drains", "in_flight", s.server.Counters.InFlight.Load())
+	s.log.Info("sidecar draining", "in_flight", s.server.Counters.InFlight.Load())
 	for key, l := range s.listeners {
 		if key != keyLocal {
 			l.Close()
@@ -244,8 +247,8 @@
 	return s.server.Shutdown()
 }
 
-// Reload takes over what may change while the sidecar runs: which requests belong to which traffic class. It returns the
-// names of the other fields that differ, which wait for the next start.
+// Reload applies the rules that assign requests to traffic classes, the only part of the configuration that can change at
+// run time. It returns the names of the other fields that differ, which take effect at the next start.
 func (s *Sidecar) Reload(config Config) (pending []string, err error) {
 	if !reflect.DeepEqual(config.Dispatch.Classes, s.config.Dispatch.Classes) {
 		return nil, errClassesChanged
@@ -264,15 +267,15 @@
 	return pending, nil
 }
 
-// logPanic logs a panic that has ended one request.
+// logPanic counts and logs a panic that ended one request.
 func (s *Sidecar) logPanic(text string) {
 	s.server.Counters.Panics.Add(1)
-	s.log.Error("panic in a request", "panic", text)
+	s.log.Error("panic while serving a request", "panic", text)
 }
 
-// logRequest logs one of so many requests that have ended.
+// logRequest counts a request that has ended, and logs it if it is the last of LogEvery requests.
 func (s *Sidecar) logRequest(record ingress.Record) {
-	n := s.requests.Add(1)
+	n := s.endedRequests.Add(1)
 	if s.config.LogEvery == 0 || n%int64(s.config.LogEvery) != 0 {
 		return
 	}
