--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -15,6 +15,7 @@
 
 const messagesFile = "messages.golden"
 
+// goldenStatus returns a status in which each field has a value.
 func goldenStatus() Status {
 	active := revision.Version{Epoch: 7, Revision: 30}
 	newest := revision.Version{Epoch: 7, Revision: 31}
@@ -27,31 +28,31 @@
 	}
 }
 
-// messages returns a query, and each body that a server sends, as they are on the wire.
+// messages returns queries and each kind of body that a server sends, as they are on the wire.
 func messages(t *testing.T) []byte {
 	t.Helper()
 	version := revision.Version{Epoch: 7, Revision: 31}
 	query := Query{Service: "orders", Since: revision.Version{Epoch: 7, Revision: 30}, Rejected: version, Timeout: 1500 * time.Millisecond, Instance: "n7", Zone: "a", Region: "r1"}
-	var b bytes.Buffer
-	fmt.Fprintf(&b, "query\n%s\nquery of a server that holds nothing\n%s\nanswer\n", query.Encode(), Query{Instance: "s1"}.Encode())
+	var wire bytes.Buffer
+	fmt.Fprintf(&wire, "query\n%s\nquery of a server that holds nothing\n%s\nanswer\n", query.Encode(), Query{Instance: "s1"}.Encode())
 	answer := Answer{Version: version, Complete: true, AgeMS: 12, Services: []Service{
 		{Name: "orders", Version: version, Settings: json.RawMessage(`{"zones":["a","b"]}`)},
 		{Name: "stock", Version: revision.Version{Epoch: 7, Revision: 29}, Removed: true},
 	}}
 	for _, a := range []Answer{answer, {Version: version, Services: []Service{}}} {
-		if _, err := a.WriteTo(&b); err != nil {
+		if _, err := a.WriteTo(&wire); err != nil {
 			t.Fatal(err)
 		}
-		b.WriteByte('\n')
+		wire.WriteByte('\n')
 	}
 	for _, body := range []any{Refusal{Reason: "no service \"x\""}, Refusal{Reason: "too many whole copies are under way", RetryAfterMS: 150}, goldenStatus()} {
 		raw, err := json.Marshal(body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Write(append(raw, '\n'))
+		wire.Write(append(raw, '\n'))
 	}
-	return b.Bytes()
+	return wire.Bytes()
 }
 
 func TestMessagesMatchGoldenFile(t *testing.T) {
@@ -65,10 +66,10 @@
 	path, parameters, _ := strings.Cut(line, "?")
 	values, err := url.ParseQuery(parameters)
 	if err != nil || path != WatchPath {
-		t.Fatalf("%q %v", line, err)
+		t.Fatalf("query of the golden file is %q, error %v", line, err)
 	}
 	query, err := ParseQuery(values)
 	if err != nil || query.Encode() != line {
-		t.Errorf("%q %v, want %q", query.Encode(), err, line)
+		t.Errorf("query is parsed and encoded as %q, error %v, want %q", query.Encode(), err, line)
 	}
 }
