--- a/cmd/lilacbend/sidecar_child_test.go
+++ b/cmd/lilacbend/sidecar_child_test.go
@@ -60,7 +60,7 @@
 	upstream := replica.AcceptConn()
 	upstream.ReadRequestHead()
 	process.signal(syscall.SIGTERM)
-	process.waitForLog("sidecar drains")
+	process.waitForLog("sidecar draining")
 	process.signal(syscall.SIGTERM, syscall.SIGHUP)
 	upstream.SendRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	response, err := http.ReadResponse(client.Reader, nil)
