--- a/internal/controlserver/write.go
+++ b/internal/controlserver/write.go
@@ -7,8 +7,8 @@
 	"lilacbend/internal/resp"
 )
 
-// healthCheckTimeout is how long writing the answer to a health check may take. A few bytes fit an empty send buffer at once,
-// so only a peer that does not read takes longer.
+// healthCheckTimeout is how long writing the answer to a health check may take. A few bytes fit an empty send buffer at
+// once, so only a peer that does not read takes longer.
 const healthCheckTimeout = time.Second
 
 // answerHealthCheck writes the answer on the reading goroutine. For a proxy it uses the send queue instead, as only the
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -34,7 +34,7 @@
 	// idlePause separates calls that are answered at once without a change, so that they do not become a busy loop. By the
 	// protocol, a watch continues if the next call arrives within 200 ms.
 	idlePause = 100 * time.Millisecond
-	// maxBodySize, in bytes, is enough for some ten thousand members. Decoding holds several copies of a body in memory.
+	// maxBodySize, in bytes, is enough for about ten thousand members. Decoding holds several copies of a body in memory.
 	maxBodySize = 4 << 20
 	// staleAnswersLimit is the number of consecutive answers older than the list in use at which a complete list is
 	// accepted. Fewer are taken for stale copies and ignored; at the limit, after about fifteen seconds, the client
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -168,7 +168,8 @@
 	}
 }
 
-// startServer serves the connections with the handlers in order, and with the last handler from then on.
+// startServer starts a server that handles the first connection with the first handler, the second connection with the
+// second handler, and so on. It handles all further connections with the last handler.
 func startServer(t *testing.T, handlers ...func(net.Conn)) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -94,8 +94,8 @@
 // script is the behaviour of a scripted agent on one connection.
 type script func(agent net.Conn, r *bufio.Reader)
 
-// dialScripts returns a dial function whose connections run the scripts in order, and the last script from then on. For a
-// nil script the dial hangs.
+// dialScripts returns a dial function that runs the first script on the first connection, the second script on the second
+// connection, and so on. It runs the last script on all further connections. For a nil script the dial hangs.
 func dialScripts(t *testing.T, scripts ...script) dialFunc {
 	var open sync.WaitGroup
 	t.Cleanup(open.Wait)
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,14 +13,15 @@
 // maxIDLength is the longest id of a replica, in bytes. Longer ids could make a message to a proxy exceed its limit.
 const maxIDLength = 128
 
-// listMessage is an answer of discovery. A nil pointer is a missing field, as opposed to a field that is zero.
+// listMessage is the body of an answer of service discovery: a complete list of replicas, or the changes of a list. A nil
+// pointer is a missing field, as opposed to a field that is zero.
 type listMessage struct {
 	Revision *int64           `json:"revision"`
 	Complete *bool            `json:"complete"`
 	Members  *[]memberMessage `json:"members"`
 }
 
-// memberMessage is one replica in an answer.
+// memberMessage describes one replica of a listMessage.
 type memberMessage struct {
 	ID       string   `json:"id"`
 	HostPort string   `json:"host_port"`
@@ -42,7 +43,8 @@
 // defaultWeight is the weight of a member without a size.
 const defaultWeight = 1.0
 
-// Parse decodes an answer of discovery. A member that cannot be used stays in the list, marked as unusable.
+// Parse decodes the body of an answer of service discovery. A member that cannot be used stays in the list, marked as
+// unusable.
 func Parse(raw []byte) (controller.ReplicaList, error) {
 	var message listMessage
 	if err := json.Unmarshal(raw, &message); err != nil {
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -172,7 +172,9 @@
 	expectRequest(t, conn, fmt.Sprintf(watchLine, 42))
 }
 
-// Revisions at the limits of int64, revisions of other types, and lists with repeated ids.
+// A complete list of the largest or the smallest valid revision is accepted. A negative revision, a revision older than that
+// of the list in use, and a revision that is not an int64 are errors. A list with repeated ids is decoded in order, so that
+// the last entry of an id applies.
 func TestRevisionLimits(t *testing.T) {
 	body := func(answer string) []byte { return []byte(answer[strings.Index(answer, "{"):]) }
 	for name, c := range map[string]struct {
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -100,7 +100,7 @@
 		_, queues, _ := startClientWithDialer(t, 1, dialScripts(t, func(agent net.Conn, r *bufio.Reader) {
 			http.ReadRequest(r)
 			text := listAnswer(41, true, "Ready")
-			writePieces(agent, text, len(text)/16+1, answerTimeout/2) // eight seconds in all
+			writePieces(agent, text, len(text)/16+1, answerTimeout/2) // a complete answer takes 8 s, which is less than readTimeLimit
 		}))
 		start := time.Now()
 		nextList(t, queues)
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -12,19 +12,19 @@
 	UnidentifiedPeers atomic.Int64 // closed, as the first message was not a valid join
 	JoinTimeouts      atomic.Int64 // closed, as no join arrived in time
 
-	// Messages of peers.
+	// Messages received from peers.
 	Skipped   atomic.Int64 // complete messages that cannot be used
 	Malformed atomic.Int64 // connections closed, as the start of the next message is unknown
 	Panics    atomic.Int64 // recovered in the goroutine of a connection
 
-	// Messages to peers.
+	// Messages sent to peers.
 	UpdatesSent   atomic.Int64 // updates whose writing has begun
 	UpdateBytes   atomic.Int64
 	QueuesDropped atomic.Int64 // how often a full send queue has dropped its updates
 	WriteErrors   atomic.Int64
 	HealthChecks  atomic.Int64 // answered
 
-	// Discovery.
+	// Calls of service discovery.
 	DiscoveryCalls   atomic.Int64
 	DiscoveryAnswers atomic.Int64
 	Dials            atomic.Int64
@@ -34,7 +34,7 @@
 
 	InputsDropped atomic.Int64 // because the queue of inputs was full
 
-	// The configuration file.
+	// Reloads of the configuration file.
 	Reloads       atomic.Int64 // applied
 	ReloadsFailed atomic.Int64 // rejected, as the file could not be used
 }
--- a/internal/eventloop/queues.go
+++ b/internal/eventloop/queues.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxInputs limits the queued inputs, in addition to those of the proxies: it holds what one collector reports in half a
-	// minute at most. The core drains the queue some hundred times a second.
+	// maxInputs is how many inputs may be queued in addition to those of the proxies. A collector that reports at its highest
+	// rate fills the queue in half a minute. The core drains the queue hundreds of times a second.
 	maxInputs = 4 << 10
 	// maxInputsPerProxy is how many more inputs may be queued for each proxy: those that the proxy sends while the
 	// controller is stalled for a few seconds, at one report a second for each of a few traffic classes and one ack a
--- a/internal/eventloop/sendqueue.go
+++ b/internal/eventloop/sendqueue.go
@@ -26,14 +26,14 @@
 	closeConnection func()
 	queues          *Queues // its mutex guards the fields below
 	items           []Item
-	healthChecks    int  // still to be replied to, also if the items are dropped
+	healthChecks    int  // health checks that still need a reply, which an overflow does not drop
 	overflowed      bool // items were dropped, and no resync was enqueued since
 	resyncRequested bool // a resync was requested after items were dropped
 	closing         bool
 	ready           chan struct{}
 }
 
-// enqueue appends an item, or drops it as described at SendQueue. The caller holds the mutex.
+// enqueue appends an item, or drops it by the rules of a full SendQueue. The caller holds the mutex.
 func (s *SendQueue) enqueue(item Item) {
 	switch {
 	case s.overflowed && !item.Resync:
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -30,7 +30,7 @@
 	mu       sync.Mutex
 	free     []*buffer
 	inUse    int
-	maxInUse int // limit of inUse from which on long messages get no buffers
+	maxInUse int // long messages get no more buffers while inUse is at least maxInUse
 }
 
 // NewPool returns a pool that stops handing out buffers for long messages once the given number of bytes is in use.
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -25,20 +25,21 @@
 func (Killed) event()    {}
 func (Input) event()     {}
 
-// Codes of received records, with the protocol's names.
+// Codes of the records that the simulator sends. The comment at a code is its name in the simulator's protocol, where that
+// differs from the name of the constant.
 const (
 	codeStreamClosed        = 1000 // StreamDown
 	codeStreamOpened        = 1010 // Connected
-	codeKilled              = 1020 // Killed
-	codeRecorded            = 1030 // Recorded
-	codeDemand              = 1040 // Demand
+	codeKilled              = 1020
+	codeRecorded            = 1030
+	codeDemand              = 1040
 	codeOutcomes            = 1050 // TrafficReport
-	codeActivity            = 1060 // Activity
+	codeActivity            = 1060
 	codeAck                 = 1070 // CaughtUp
 	codeGossip              = 1080 // Whisper
 	codeHealthCheckFinished = 1090 // StatusBack
 	codeTimerFired          = 1100 // Reminder
-	codeConfigure           = 1110 // Configure
+	codeConfigure           = 1110
 	codeReplicasListed      = 1120 // BackendsChanged
 	codeGiven               = 1130
 )
@@ -181,7 +182,8 @@
 	return fields.float32(), nil
 }
 
-// Modes of a list of replicas. Every mode but listChanges is a complete list; that of listFailed is marked as failed.
+// Modes of a list of replicas that are handled specially: a list of mode listChanges has only the replicas that changed, and
+// a list of mode listFailed is marked as failed. A list of any mode other than listChanges is complete.
 const (
 	listFailed  = 0
 	listChanges = 3
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -109,8 +109,8 @@
 	return batch, nil
 }
 
-// describeInstance returns the instance that a record is for as part of an error text, or nothing if the fields are cut off
-// before it.
+// describeInstance returns the part of an error text that names the instance of a record. It returns an empty text if the
+// record is too short to contain the number of its instance.
 func describeInstance(fields []byte) string {
 	if len(fields) < instanceSize {
 		return ""
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -8,7 +8,8 @@
 	"lilacbend/control"
 )
 
-// Codes of sent records, with the protocol's names.
+// Codes of the records that are sent to the simulator. The comment at a code is its name in the simulator's protocol, where
+// that differs from the name of the constant.
 const (
 	codeSetEjected   = 1000 // Withdraw
 	codeSetEndpoint  = 1010 // SetLine
@@ -16,9 +17,9 @@
 	codeSetAdmission = 1030 // Valve
 	codeLog          = 1050 // Emit
 	codeSetTimer     = 1060 // NotifyMe
-	codeHealthCheck  = 1090 // HealthCheck
+	codeHealthCheck  = 1090
 	codeBind         = 1100 // Pin
-	codeFault        = 1110 // Fault
+	codeFault        = 1110
 )
 
 // Reply collects the commands of all instances for one batch.
