--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -28,7 +28,8 @@
 	// reportInterval is the time between two demand reports, each of which is followed by a probe of the controller.
 	reportInterval = time.Second
 	// responseTimeout is how long a controller may send nothing, or a collector may leave a probe unanswered, before
-	// a Client or a Reporter gives up on it. Both are probed, so that one that works always has something to send.
+	// a Client or a Reporter gives up on it. Controllers and collectors are probed, so that a working one always has an answer
+	// to send.
 	responseTimeout = 4 * time.Second
 	// clientPoolSize bounds the buffers for long messages of one client, in bytes.
 	clientPoolSize = 2 << 20
@@ -52,7 +53,7 @@
 	Dials          atomic.Int64
 	Streams        atomic.Int64
 	Failures       atomic.Int64 // failed dials and ended streams
-	Updates        atomic.Int64 // applied
+	Updates        atomic.Int64 // applied updates
 	Acks           atomic.Int64
 	InvalidUpdates atomic.Int64
 	DemandReports  atomic.Int64
@@ -77,7 +78,7 @@
 	currentController atomic.Pointer[string] // address of the current controller; nil or empty: none
 }
 
-// Controller returns the address of the controller whose updates are applied; empty: there is none.
+// Controller returns the address of the controller whose updates are applied, or an empty string if there is none.
 func (c *Client) Controller() string {
 	if address := c.currentController.Load(); address != nil {
 		return *address
@@ -216,7 +217,7 @@
 func (c *Client) reportDemand(ctx context.Context, w *messageWriter) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
-	if time.Since(c.demandSince) > maxReportAge { // counted without a controller, and out of date
+	if time.Since(c.demandSince) > maxReportAge { // the demand was counted without a controller, and is out of date
 		c.Dispatcher.TakeDemand()
 		c.demandSince = time.Now()
 	}
@@ -234,8 +235,8 @@
 }
 
 // sendDemand reports the requests since the last report with the actual length of that period. The last report may have gone
-// to another controller: requests that arrived between that stream and this one, reported as those of one second, would
-// amount to many times the actual rate.
+// to another controller: if the requests that arrived between that stream and this one were reported as those of one second,
+// the reported rate would be many times the actual rate.
 func (c *Client) sendDemand(w *messageWriter) error {
 	period := time.Since(c.demandSince)
 	c.demandSince = c.demandSince.Add(period)
--- a/internal/controlclient/collector_conn.go
+++ b/internal/controlclient/collector_conn.go
@@ -19,8 +19,8 @@
 	stopContextWatch func() bool // stops closing the connection at the end of the reporter's context
 
 	mu           sync.Mutex
-	probes       uint64    // sent
-	answers      uint64    // received
+	probes       uint64    // probes sent
+	answers      uint64    // answers received
 	waitingSince time.Time // when the oldest unanswered probe was sent or the probe before it was answered, whichever is later
 	unconfirmed  int       // sums sent since all probes were last answered
 
--- a/internal/controlclient/outcome_report.go
+++ b/internal/controlclient/outcome_report.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// maxReplicas bounds the number of replicas whose outcomes are held for one controller. No installation has as many.
+	// maxReplicas bounds the number of replicas whose outcomes are held for one controller. No installation has as many
+	// replicas.
 	maxReplicas = 1 << 14
 	// maxReportAge is how long outcomes are held for a controller that is not connected, unless two report intervals are
 	// longer. Older outcomes do not describe the current state.
@@ -109,7 +110,7 @@
 	p.outcomes.BeginRound(monotonicNow())
 }
 
-// next returns the next report of the round, or false if there is none or the budget is spent.
+// next returns the next report of the round, or false if no report is left or the budget is spent.
 func (p *pendingOutcomes) next() (loadreport.Report, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlclient/reporter.go
+++ b/internal/controlclient/reporter.go
@@ -15,8 +15,8 @@
 // reporterPoolSize bounds the buffers for long messages of a reporter, in bytes.
 const reporterPoolSize = 1 << 20
 
-// Reporter reports the outcomes of a sidecar's attempts to a collector of its zone. It uses the first one that works, so
-// that controllers receive the reports of a zone from as few collectors as possible.
+// Reporter reports the outcomes of a sidecar's attempts to a collector of its zone. It uses the first collector that works,
+// so that controllers receive the reports of a zone from as few collectors as possible.
 type Reporter struct {
 	Collectors []string // in order of preference
 	Interval   time.Duration
--- a/internal/controlclient/update.go
+++ b/internal/controlclient/update.go
@@ -16,7 +16,7 @@
 // maxParts bounds the parts of one update.
 const maxParts = 64
 
-// errMalformed is returned for a part that cannot be parsed. Later messages of its stream cannot be used.
+// errMalformed is returned for a part of an update that cannot be parsed. Later messages of the same stream cannot be used.
 var errMalformed = errors.New("malformed update")
 
 // updateMessage is one update of a controller, assembled from its parts.
@@ -24,7 +24,7 @@
 	parts      []dispatch.Update
 	wantsAck   bool
 	nonce      uint64
-	unfinished bool // more parts follow
+	unfinished bool // more parts of the update follow
 }
 
 // addPart parses the next part of the update.
@@ -52,14 +52,15 @@
 	return nil
 }
 
-// partFields are the fields of one part. Admission and retry policy may come in either order.
+// partFields are the fields of one part of an update. Admission and retry policy may come in either order.
 type partFields struct {
 	dispatch.Update
 	admission   string
 	retryPolicy string
 }
 
-// setField parses one field of a part. Unknown fields are ignored, since later versions of the protocol may add fields.
+// setField parses one field of a part of an update. Unknown fields are ignored, since later versions of the protocol may add
+// fields.
 func (m *updateMessage) setField(part *partFields, key, value string) (err error) {
 	switch key {
 	case keyClasses:
@@ -85,7 +86,8 @@
 	return err
 }
 
-// settings parses the admission and the retry policy of a part, which are sent together; nil if the part has neither.
+// settings parses the admission and the retry policy of a part of an update. A part must have both or neither; without them
+// the result is nil.
 func (p partFields) settings() ([]dispatch.ClassSettings, error) {
 	if (p.admission == "") != (p.retryPolicy == "") {
 		return nil, fmt.Errorf("%w: admit and policy come together", errMalformed)
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -31,8 +31,8 @@
 	return fraction > 0 && d.random(&d.admissions) <= fraction
 }
 
-// enqueue lets a request wait for capacity. If the queue is full, the request is rejected for the given reason; once it has
-// waited for the maximum queue time, or its deadline has passed, for ErrQueueTimeout.
+// enqueue lets a request wait for capacity. If the queue is full, the request is rejected for the given reason. Once the
+// request has waited for the maximum queue time, or its deadline has passed, it is rejected for ErrQueueTimeout.
 func (d *Dispatcher) enqueue(now int64, r *Request, reason Reason) Step {
 	if !r.queued {
 		if d.queued >= d.config.MaxQueued {
@@ -57,13 +57,14 @@
 	}
 }
 
-// tokenBucket limits the rate of requests. It holds the tokens of at most one second, or one token if that is more.
+// tokenBucket limits the rate of requests. It holds at most the tokens of one second, or one
+// token if the rate is below one per second.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt int64 // 0: never
 }
 
-// take takes a token, and reports whether there was one.
+// take takes a token, and reports whether one was available.
 func (b *tokenBucket) take(now int64, perSecond float64) bool {
 	if b.refilledAt == 0 {
 		b.tokens = perSecond
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -45,9 +45,9 @@
 	// RetryBudgetBurst is the largest number of unused retries that the budget keeps for later.
 	RetryBudgetBurst float64
 
-	MaxRequests           int // in flight
-	MaxRequestsPerReplica int // in flight; 0: no limit
-	MaxQueued             int // waiting for capacity
+	MaxRequests           int // limit of requests in flight
+	MaxRequestsPerReplica int // limit of requests in flight at one replica; 0: no limit
+	MaxQueued             int // limit of requests that wait for capacity
 	MaxQueueTime          time.Duration
 }
 
@@ -59,7 +59,8 @@
 	tables     []table // by class
 
 	// ejectedByController holds the replicas that a controller has ejected: they are never picked. The sidecar's own
-	// ejections are in replicaState.locallyEjectedUntil: other replicas are preferred to those.
+	// ejections are in replicaState.locallyEjectedUntil: other replicas are preferred to replicas that the sidecar has
+	// ejected.
 	ejectedByController map[string]bool
 
 	endpoints map[string]Endpoint
@@ -83,12 +84,12 @@
 type Counters struct {
 	Requests      int64
 	Succeeded     int64
-	SucceededLate int64 // of Succeeded: took longer than the latency objective
+	SucceededLate int64 // those of Succeeded that took longer than the latency objective
 	Attempts      int64
 	Retries       int64
 	Ejections     int64
-	Rejected      map[Reason]int64 // ended before the first attempt
-	Failed        map[Reason]int64 // ended after one or more attempts, or canceled by the client
+	Rejected      map[Reason]int64 // requests that ended before the first attempt
+	Failed        map[Reason]int64 // requests that ended after one or more attempts, or were canceled by the client
 }
 
 // Clone returns a copy that later requests do not change.
@@ -132,8 +133,8 @@
 // InFlight returns the number of requests that have no final step yet.
 func (d *Dispatcher) InFlight() int { return d.inFlight + d.queued }
 
-// randomSequence is a sequence of random numbers. Each purpose has one of its own: neighbouring numbers of one sequence
-// are correlated, so a request that one draw admits would bias the draw that picks its replica.
+// randomSequence is a sequence of random numbers. Admissions and picks have a sequence each: neighbouring numbers of one
+// sequence are correlated, so a request that one draw admits would bias the draw that picks its replica.
 type randomSequence struct {
 	seed  uint64
 	draws uint64
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -30,8 +30,7 @@
 }
 
 // UseEqualWeights gives all endpoints of the endpoint list the same weight in each table, unless a controller has sent a
-// table.
-// Settings are kept: a controller may have sent them before its table.
+// table. Settings are kept: a controller may have sent them before its table.
 func (d *Dispatcher) UseEqualWeights(now int64) {
 	if d.hasTables {
 		return
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -8,7 +8,7 @@
 	inFlight             int
 	consecutiveFailures  int
 	locallyEjectedUntil  int64 // because of failures that this sidecar observed; see also Dispatcher.ejectedByController
-	consecutiveEjections int   // without a successful attempt since
+	consecutiveEjections int   // number of ejections since the last successful attempt
 	unansweredSince      int64 // since when requests have been in flight without a successful response
 }
 
@@ -64,7 +64,8 @@
 }
 
 // recordFailure counts a failed attempt, and ejects the replica after too many consecutive failures, or after one failure
-// on probation. Attempts that fail during an ejection do not prolong it: they began before, or there was no other replica.
+// on probation. Attempts that fail during an ejection do not prolong it: either they began before the ejection, or the
+// replica was picked because no other replica was available.
 func (d *Dispatcher) recordFailure(now int64, replica *replicaState) {
 	replica.consecutiveFailures++
 	if d.config.MaxConsecutiveFailures == 0 || replica.locallyEjectedUntil > now {
--- a/internal/dispatch/outlier_test.go
+++ b/internal/dispatch/outlier_test.go
@@ -77,7 +77,8 @@
 		}
 		first = request
 	}
-	if request, step := d.Begin(second+1, 0, true); step.Replica != "b2" { // 3 in flight, none answered in time
+	// a1 has 3 requests in flight, and has answered none within the latency objective.
+	if request, step := d.Begin(second+1, 0, true); step.Replica != "b2" {
 		t.Errorf("a1 is unresponsive: step %+v, want replica b2", step)
 	} else {
 		d.AttemptEnded(second+1, request, Succeeded)
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -9,8 +9,8 @@
 }
 
 // choose picks a replica for the next attempt, by the weights of the class's table. Replicas that this sidecar avoids are
-// picked only if there is no other: its observations are less reliable than the controller's table. Replicas that a
-// controller has ejected, and those that are draining or not listed by service discovery, are never picked.
+// picked only if no other replica may be picked: the sidecar's observations are less reliable than the controller's table.
+// Replicas that a controller has ejected, and those that are draining or not listed by service discovery, are never picked.
 func (d *Dispatcher) choose(now int64, r *Request, scope retryScope) (replica string, reason Reason) {
 	reason = ErrNoReplica
 	for _, avoided := range [...]bool{false, true} {
@@ -25,8 +25,9 @@
 	return "", reason
 }
 
-// findCandidates returns the endpoints that may be picked, either the avoided ones or the others, and whether any of these
-// was left out because it is at capacity. The result is valid until the next call.
+// findCandidates returns the endpoints that may be picked: those of avoided replicas if avoided is true, and those of the
+// other replicas if it is false. It also reports whether any of these endpoints was left out because its replica is at
+// capacity. The result is valid until the next call.
 func (d *Dispatcher) findCandidates(now int64, r *Request, scope retryScope, avoided bool) (candidates []candidate, atCapacity bool) {
 	candidates = d.candidates[:0]
 	endpoints := d.tables[r.class].endpoints
--- a/internal/dispatch/pick_test.go
+++ b/internal/dispatch/pick_test.go
@@ -24,7 +24,8 @@
 		if _, step = d.Begin(0, 0, true); step.Reason != ErrNoReplica {
 			t.Errorf("%s: step %+v after the change, want reason %q", name, step, ErrNoReplica)
 		}
-		if step = d.AttemptEnded(1, request, Succeeded); !step.Succeeded { // a request in flight may still succeed
+		// The first request was sent to a1 before the change, so that the change does not affect it.
+		if step = d.AttemptEnded(1, request, Succeeded); !step.Succeeded {
 			t.Errorf("%s: request in flight ended with step %+v, want success", name, step)
 		}
 	}
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -11,7 +11,7 @@
 
 // Demand counts the requests of one traffic class since the last report.
 type Demand struct {
-	Requests int // all that arrived, including rejected ones
+	Requests int // all requests that arrived, including rejected ones
 	Failures int // attempted requests that failed; excludes rejected ones and those whose client no longer waited
 }
 
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -16,7 +16,7 @@
 // Step tells the caller what to do next with a request. It is exactly one of an attempt (Replica is set), Wait and Final.
 type Step struct {
 	Replica string // the replica to send the request to
-	Address string // of the replica when it was picked; later endpoint lists may no longer contain it
+	Address string // address of the replica when it was picked; later endpoint lists may no longer contain it
 
 	// Wait tells the caller to call Resume when there may be capacity, and at Deadline at the latest.
 	Wait bool
@@ -25,7 +25,7 @@
 	Deadline int64
 
 	Final     bool   // the request has ended
-	Succeeded bool   // with the response of the attempt that has just ended
+	Succeeded bool   // the request has succeeded with the response of the attempt that has just ended
 	Reason    Reason // why the request was rejected or failed
 }
 
@@ -42,7 +42,7 @@
 
 	queued       bool
 	inFlight     bool // counted in Dispatcher.inFlight
-	replayable   bool // its body can be sent again
+	replayable   bool // the body can be sent again
 	bodyConsumed bool // a part of a body that is not replayable has been read
 	ended        bool
 }
--- a/internal/dispatch/retry.go
+++ b/internal/dispatch/retry.go
@@ -97,9 +97,9 @@
 	return ErrAttemptsFailed
 }
 
-// retryScope returns which replicas a retry may go to, and whether it would end in time. A request with an idempotency key
-// is retried only at replicas that recognize the key from the first attempt that may have been executed, and the whole
-// retry has to fit into the deduplication window, counted from the start of that attempt.
+// retryScope returns which replicas a retry may go to, and whether the retry would end in time. A request with an
+// idempotency key is retried only at replicas that recognize the key from the first attempt that may have been executed,
+// and the whole retry has to fit into the deduplication window, counted from the start of that attempt.
 func (d *Dispatcher) retryScope(now int64, r *Request) (scope retryScope, inTime bool) {
 	class := d.config.Classes[r.class]
 	k := slices.IndexFunc(r.attempts, func(a attempt) bool { return !a.notExecuted })
@@ -119,12 +119,12 @@
 	return int64(d.config.AttemptTimeoutFactor * float64(d.config.Classes[class].LatencyObjective))
 }
 
-// earnRetryTokens adds RetryBudgetRatio to the retry budget, which one admitted request earns.
+// earnRetryTokens adds RetryBudgetRatio to the retry budget for one admitted request.
 func (d *Dispatcher) earnRetryTokens() {
 	d.retryTokens = min(d.config.RetryBudgetBurst, d.retryTokens+d.config.RetryBudgetRatio)
 }
 
-// spendRetryToken takes one retry from the retry budget, and reports whether there was one.
+// spendRetryToken takes one retry from the retry budget, and reports whether the budget allowed one.
 func (d *Dispatcher) spendRetryToken() bool {
 	if d.retryTokens < 1 {
 		return false
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -97,7 +97,7 @@
 	for _, c := range []struct {
 		name     string
 		scope    retryScope
-		contains string // endpoints in scope, each named by zone and cell
+		contains string // ids of the endpoints that the scope contains; an id is the zone followed by the cell
 	}{
 		{"unrestricted", retryScope{}, "a1 a2 b1"},
 		{"all", retryScope{restricted: true, scope: control.ScopeAll, zone: "a", cell: "1"}, "a1 a2 b1"},
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -16,7 +16,7 @@
 type table struct {
 	endpoints   []weightedEndpoint // ordered by replica
 	settings    ClassSettings
-	hasSettings bool // a controller has sent them
+	hasSettings bool // a controller has sent settings
 	bucket      tokenBucket
 }
 
--- a/internal/dispatch/update.go
+++ b/internal/dispatch/update.go
@@ -12,10 +12,10 @@
 
 // Update is one part of a controller's update.
 type Update struct {
-	Classes  []string           // the traffic classes that it applies to; none: all
-	Full     bool               // replaces the tables and settings of its classes
+	Classes  []string           // the traffic classes that the part applies to; empty: all
+	Full     bool               // the part replaces the tables and settings of its classes
 	Weights  map[string]float64 // by replica; 0 removes the replica
-	Settings []ClassSettings    // the last one applies; none: unchanged
+	Settings []ClassSettings    // the last one applies; empty: settings are unchanged
 	Eject    []string           // replicas that must not be picked
 	Uneject  []string           // replicas that may be picked again
 }
@@ -26,13 +26,13 @@
 	Retry     control.RetryPolicy
 }
 
-// ErrInvalidUpdate is returned for an update that cannot be applied. No part of it has been applied, so its stream has to
-// be reset.
+// ErrInvalidUpdate is returned for an update that cannot be applied. No part of the update has been applied, so
+// the stream that carried it has to be reset.
 var ErrInvalidUpdate = errors.New("invalid update")
 
 const (
-	// maxUpdateEndpoints bounds the endpoints of one part. No installation has as many, so a controller that sends more is
-	// faulty.
+	// maxUpdateEndpoints bounds the endpoints of one part. No installation has as many endpoints, so a controller that
+	// sends more is faulty.
 	maxUpdateEndpoints = 1 << 14
 	// maxAdmission bounds the admission setting, in requests per second.
 	maxAdmission = 1e6
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -11,7 +11,8 @@
 )
 
 // The cool-down of a peer that has failed lasts for CooldownInitial, and for twice as long after each further failure, up to
-// CooldownLimit; jitter shortens it by up to half. During its cool-down a peer is used only if no other one can be.
+// CooldownLimit; jitter shortens it by up to half. During its cool-down a peer is used only if all other peers are in their
+// cool-downs too.
 const (
 	CooldownInitial = 5 * time.Second
 	CooldownLimit   = time.Minute
@@ -27,8 +28,8 @@
 type peer struct {
 	address     string
 	failed      bool
-	lastFailure uint64 // value of Selector.failures at its last failure
-	cooldownEnd int64  // end of its cool-down
+	lastFailure uint64 // value of Selector.failures at the last failure of the peer
+	cooldownEnd int64  // when the cool-down of the peer ends
 	cooldown    *backoff.Backoff
 }
 
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -23,15 +23,15 @@
 	s.RecordFailure("b", second)
 	expectNext(second, "c")
 	s.RecordFailure("c", second+1)
-	expectNext(second+1, "a") // all have failed: the one with the oldest failure
+	expectNext(second+1, "a") // all peers have failed: a has the oldest failure
 	s.RecordFailure("a", second+2)
 	expectNext(second+2, "b")
 	s.RecordSuccess("b")
 	expectNext(2*second, "b")
-	expectNext(second+2+2*int64(CooldownInitial), "a") // its second cool-down has ended
+	expectNext(second+2+2*int64(CooldownInitial), "a") // the second cool-down of a has ended
 	s.RecordSuccess("a")
 	s.RecordFailure("a", 100*second)
-	expectNext(100*second+int64(CooldownInitial), "a") // a success has reset its cool-down to the initial one
+	expectNext(100*second+int64(CooldownInitial), "a") // the success of a has reset its cool-down to CooldownInitial
 }
 
 func TestNextWithoutPeersIsEmpty(t *testing.T) {
--- a/internal/loadreport/aggregator.go
+++ b/internal/loadreport/aggregator.go
@@ -14,7 +14,7 @@
 type Limits struct {
 	BytesPerSecond int           // bytes of reports; 0: each sum is reported in each round
 	Interval       time.Duration // between two rounds; the unused budget of one interval is kept for the next
-	MaxAge         time.Duration // outcomes older than this are not reported
+	MaxAge         time.Duration // outcomes older than MaxAge are not reported
 	MaxKeys        int           // number of keys whose sums are held
 }
 
@@ -22,7 +22,7 @@
 type Report struct {
 	Key    string
 	Sum    Sum
-	Period time.Duration // in which the outcomes occurred
+	Period time.Duration // period in which the outcomes occurred
 }
 
 // Aggregator holds the outcomes that have not been reported to one receiver yet. It is not safe for concurrent use.
@@ -108,8 +108,9 @@
 	a.oldest = append(a.oldest, e)
 }
 
-// Next returns the next report of the round, or false if there is none or the budget is spent. It alternates between changed
-// entries and the oldest ones: during an outage all entries may change in each round, and still no entry must wait forever.
+// Next returns the next report of the round, or false if no report is left or the budget is spent. It alternates between
+// changed entries and the oldest ones, so that no entry waits forever even if all entries change in each round, as in an
+// outage.
 func (a *Aggregator) Next(now int64) (Report, bool) {
 	if a.limits.BytesPerSecond > 0 && a.budget <= 0 {
 		return Report{}, false
@@ -121,7 +122,7 @@
 	return e.report(now), true
 }
 
-// takeNext takes an entry from the two queues alternately; nil: both are empty.
+// takeNext takes an entry from the two queues alternately, and returns nil if both are empty.
 func (a *Aggregator) takeNext() *entry {
 	preferred, other := &a.oldest, &a.changed
 	if a.changedIsNext {
@@ -134,7 +135,7 @@
 	return takePending(other)
 }
 
-// takePending takes the first entry of a queue that has not been reported already by way of the other queue.
+// takePending takes the first entry of a queue that has not been reported from the other queue in this round.
 func takePending(queue *[]*entry) *entry {
 	for len(*queue) > 0 {
 		e := (*queue)[0]
--- a/internal/loadreport/aggregator_test.go
+++ b/internal/loadreport/aggregator_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// For random outcomes, the reports of any period keep to its budget plus the unused budget of one interval and less than one
-// message; and each attempt is reported exactly once or still pending.
+// For random outcomes, the reports of any period do not exceed the budget of the period, the unused budget of one interval
+// and less than one message together, and each attempt is either reported exactly once or still pending.
 func TestReportsKeepToBudgetWithoutLosingOutcomes(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -129,8 +129,8 @@
 	}
 }
 
-// To a restarted receiver, sums that it knew before its restart are changes again, and the sum with most attempts comes
-// first.
+// After a restart of the receiver, sums that it knew before are changes again, and the sum with the most attempts is
+// reported first.
 func TestRestartedReceiverGetsAllSumsAsChanges(t *testing.T) {
 	a := New(limitsOf(25*messageBytes), 0)
 	known := Sum{Attempts: 30, Failures: 30}
@@ -184,7 +184,7 @@
 	}
 }
 
-// A usual rate of failures, one in forty attempts, is rarely taken for a change.
+// A steady failure rate of one in forty attempts is rarely reported as a change.
 func TestUsualFailuresAreRarelyAChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
 	a := New(limitsOf(0), 0)
@@ -208,8 +208,8 @@
 	}
 }
 
-// While all replicas fail for long and all entries change in each round, the reports of each replica keep coming at about
-// the rate that the budget allows to all.
+// During a long outage of all replicas, in which all entries change in each round, each replica is still reported at about
+// the rate that the budget allows.
 func TestNoKeyIsStarvedWhileAllKeysChange(t *testing.T) {
 	const replicas, perRound = 50, 4
 	random := rand.New(rand.NewPCG(3, 3))
--- a/internal/loadreport/sum.go
+++ b/internal/loadreport/sum.go
@@ -39,11 +39,12 @@
 	}
 }
 
-// receiverState is what a receiver knows about a key from the reports sent to it, of which later ones weigh more.
+// receiverState is what a receiver knows about a key from the reports sent to it. Later reports weigh more than earlier
+// ones.
 type receiverState struct {
 	attempts   float64
 	failures   float64
-	meanMillis float64 // of the last report with a successful attempt; 0: none yet
+	meanMillis float64 // mean response time in the last report with a successful attempt; 0: no such report yet
 }
 
 // add adds the sum of a report.
@@ -55,8 +56,8 @@
 	}
 }
 
-// deviation returns the number of attempts whose outcome deviates from what the receiver expects; 0: the difference can be
-// chance. For a receiver that knows nothing, all attempts deviate.
+// deviation returns the number of attempts whose outcome deviates from what the receiver expects, or 0 if the difference can
+// be chance. For a receiver that knows nothing, all attempts deviate.
 func (r *receiverState) deviation(s Sum) float64 {
 	if r.attempts == 0 {
 		return float64(max(s.Attempts, s.Failures))
@@ -70,7 +71,8 @@
 	return (r.failures + 0.5) / (max(r.attempts, r.failures) + 1)
 }
 
-// failureDeviation returns by how much the failures differ from those expected at the known rate; 0: it can be chance.
+// failureDeviation returns by how much the number of failures differs from the number expected at the known rate, or 0 if
+// the difference can be chance.
 func (r *receiverState) failureDeviation(s Sum) float64 {
 	rate := r.failureRate()
 	attempts := float64(s.Attempts)
