--- a/cmd/experiment/benchmarks.go
+++ b/cmd/experiment/benchmarks.go
@@ -13,10 +13,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-// pointsCommand returns the command that prints the medians of `go test -bench -count N`, which are the points of the capacity
-// table.
+// pointsCommand returns the command that prints the medians of the output of `go test -bench -count N`. The capacity table
+// uses these medians as points.
 func pointsCommand() *cli.Command {
-	return &cli.Command{Name: "points", Usage: "medians of a benchmark's output on standard input, by benchmark and unit",
+	return &cli.Command{Name: "points", Usage: "print the medians of the benchmark output on standard input, by benchmark and unit",
 		Action: func(context.Context, *cli.Command) error {
 			results, err := readBenchmarks(os.Stdin)
 			if err != nil {
@@ -36,29 +36,30 @@
 	values     []float64
 }
 
-// readBenchmarks reads lines of the form `BenchmarkName-8 N value unit value unit ...`, in the order of their first lines.
+// readBenchmarks parses lines of the form `BenchmarkName-8 N value unit value unit ...`. The results are in the order in
+// which their benchmarks and units first appear.
 func readBenchmarks(output io.Reader) ([]benchmarkResult, error) {
 	var results []benchmarkResult
 	lines := bufio.NewScanner(output)
 	for lines.Scan() {
-		words := strings.Fields(lines.Text())
-		if len(words) < 4 || !strings.HasPrefix(words[0], "Benchmark") {
+		fields := strings.Fields(lines.Text())
+		if len(fields) < 4 || !strings.HasPrefix(fields[0], "Benchmark") {
 			continue
 		}
-		name := withoutProcessors(words[0])
-		for k := 2; k+1 < len(words); k += 2 {
-			value, err := strconv.ParseFloat(words[k], 64)
+		name := trimProcessorCount(fields[0])
+		for k := 2; k+1 < len(fields); k += 2 {
+			value, err := strconv.ParseFloat(fields[k], 64)
 			if err != nil {
-				return nil, fmt.Errorf("%s: %w", words[0], err)
+				return nil, fmt.Errorf("parsing the output of %s: %w", fields[0], err)
 			}
-			results = addValue(results, name, words[k+1], value)
+			results = addValue(results, name, fields[k+1], value)
 		}
 	}
 	return results, nil
 }
 
-// withoutProcessors returns a benchmark's name without the number of processors at its end.
-func withoutProcessors(name string) string {
+// trimProcessorCount returns the name of a benchmark without the processor count at its end.
+func trimProcessorCount(name string) string {
 	end := strings.LastIndexByte(name, '-')
 	if end <= 0 {
 		return name
--- a/cmd/experiment/benchmarks_test.go
+++ b/cmd/experiment/benchmarks_test.go
@@ -13,19 +13,19 @@
 BenchmarkOther-8   	     100	    7 ns/op
 PASS
 `
-	all, err := readBenchmarks(strings.NewReader(output))
-	if err != nil || len(all) != 3 {
-		t.Fatal(all, err)
+	results, err := readBenchmarks(strings.NewReader(output))
+	if err != nil || len(results) != 3 {
+		t.Fatalf("results %v, error %v, want 3 results", results, err)
 	}
 	for k, want := range []struct {
 		name, unit string
 		median     float64
 	}{{"BenchmarkTurn/replicas=33", "ns/op", 334160}, {"BenchmarkTurn/replicas=33", "cpu-ms", 0.2955}, {"BenchmarkOther", "ns/op", 7}} {
-		if got := all[k]; got.name != want.name || got.unit != want.unit || median(got.values) != want.median {
-			t.Errorf("%+v, want %+v", got, want)
+		if got := results[k]; got.name != want.name || got.unit != want.unit || median(got.values) != want.median {
+			t.Errorf("result %+v, want %+v", got, want)
 		}
 	}
 	if _, err := readBenchmarks(strings.NewReader("BenchmarkBad-8 100 many ns/op")); err == nil {
-		t.Error("a value that is no number is accepted")
+		t.Error("non-numeric value accepted")
 	}
 }
--- a/cmd/experiment/capacity.go
+++ b/cmd/experiment/capacity.go
@@ -16,8 +16,8 @@
 // capacityCommand returns the command that prints the tables of docs/CAPACITY.md, or writes them into the page.
 func capacityCommand() *cli.Command {
 	var page string
-	return &cli.Command{Name: "capacity", Usage: "print what each role spends at the target's size, from internal/capacity/table",
-		Flags:    []cli.Flag{&cli.StringFlag{Name: "write", Usage: "replace the marked sections of this `FILE`", Destination: &page}},
+	return &cli.Command{Name: "capacity", Usage: "print the resource usage of each role at the target size, computed from internal/capacity/table",
+		Flags:    []cli.Flag{&cli.StringFlag{Name: "write", Usage: "replace the generated sections of `FILE`", Destination: &page}},
 		Commands: []*cli.Command{pointsCommand()},
 		Action: func(context.Context, *cli.Command) error {
 			table, err := capacity.Default()
@@ -33,7 +33,7 @@
 				return err
 			}
 			if page != "" {
-				return rewrite(page, sections)
+				return replaceSections(page, sections)
 			}
 			for _, name := range slices.Sorted(maps.Keys(sections)) {
 				fmt.Printf("## %s\n\n%s\n", name, sections[name])
@@ -42,15 +42,15 @@
 		}}
 }
 
-// rewrite replaces the sections of a page, all of them or none.
-func rewrite(page string, sections map[string]string) error {
+// replaceSections replaces the generated sections of a page. On an error the page stays unchanged.
+func replaceSections(page string, sections map[string]string) error {
 	raw, err := os.ReadFile(page)
 	if err != nil {
 		return err
 	}
 	text, err := capacity.Replace(string(raw), sections)
 	if err != nil {
-		return fmt.Errorf("%s: %w", page, err)
+		return fmt.Errorf("replacing the sections of %s: %w", page, err)
 	}
 	return renameio.WriteFile(page, []byte(text), 0o644)
 }
--- a/cmd/experiment/main.go
+++ b/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment measures the effect of a change of the controller, in virtual time or on loopback. All of its results are
-// simulated. It is no part of the product.
+// Command experiment measures the effect of changes to the controller, in virtual time or with processes on loopback. All of
+// its results are simulated. It is not part of the product.
 package main
 
 import (
@@ -13,7 +13,7 @@
 func main() {
 	commands := append(seedsCommands(), restartCommand(), loadCommand(), overheadCommand(), serviceCommand(), baselineCommand(), capacityCommand())
 	commands = append(commands, scaleCommands()...)
-	root := &cli.Command{Name: "experiment", Usage: "measure what a change does", Commands: commands}
+	root := &cli.Command{Name: "experiment", Usage: "measure the effect of changes to the controller", Commands: commands}
 	if err := root.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "experiment:", err)
 		os.Exit(1)
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -21,15 +21,16 @@
 )
 
 const (
-	// overheadExpiry is how long a request may take.
-	overheadExpiry = 10 * time.Second
-	// baselineStartDelay is how long the baseline may take to listen.
+	// overheadTimeout limits the duration of a request.
+	overheadTimeout = 10 * time.Second
+	// baselineStartDelay is the time that the baseline proxy is given to start listening.
 	baselineStartDelay = 300 * time.Millisecond
 	// cpuTick is the unit of processor time in /proc.
 	cpuTick = 10 * time.Millisecond
-	// referenceConcurrency is the number of requests at once whose throughput sets the rates of the second part.
+	// referenceConcurrency is the number of concurrent requests at which the sidecar's throughput is measured. The request
+	// rates of measureRates are fractions of this throughput.
 	referenceConcurrency = 100
-	// plottedRateDivisor divides the sidecar's throughput, which gives the rate of the plot.
+	// plottedRateDivisor is the divisor of the sidecar's throughput that gives the request rate of the plot.
 	plottedRateDivisor = 8
 )
 
@@ -46,13 +47,13 @@
 	return time.Duration(user+system) * cpuTick
 }
 
-// overheadCommand returns the command that measures what a sidecar adds.
+// overheadCommand returns the command that measures the latency and the processor time that a sidecar adds.
 func overheadCommand() *cli.Command {
-	var span time.Duration
-	var out string
-	return &cli.Command{Name: "overhead", Usage: "what a sidecar adds, against replicas reached directly and against a baseline on httputil",
-		Flags:  []cli.Flag{&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Destination: &span}, &cli.StringFlag{Name: "plot", Destination: &out}},
-		Action: func(ctx context.Context, _ *cli.Command) error { return measureOverhead(ctx, span, out) }}
+	var duration time.Duration
+	var plotFile string
+	return &cli.Command{Name: "overhead", Usage: "measure a sidecar's overhead, compared with direct requests to replicas and with a baseline proxy on httputil",
+		Flags:  []cli.Flag{&cli.DurationFlag{Name: "for", Value: 5 * time.Second, Destination: &duration}, &cli.StringFlag{Name: "plot", Destination: &plotFile}},
+		Action: func(ctx context.Context, _ *cli.Command) error { return measureOverhead(ctx, duration, plotFile) }}
 }
 
 // target is one way to reach the replicas.
@@ -64,12 +65,13 @@
 }
 
 const (
-	sidecarH1 = "sidecar h1"
-	path      = "/stock"
+	sidecarH1   = "sidecar h1"
+	requestPath = "/stock"
 )
 
-// measureOverhead measures each target at several concurrencies and at several rates, and plots response times if out is set.
-func measureOverhead(ctx context.Context, span time.Duration, out string) error {
+// measureOverhead measures each target at several concurrencies and at several rates, and plots latencies if plotFile is
+// set.
+func measureOverhead(ctx context.Context, duration time.Duration, plotFile string) error {
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
 		return err
@@ -81,7 +83,7 @@
 	}
 	defer site.Stop()
 	address := installation.FreeAddress()
-	baseline := exec.CommandContext(ctx, filepath.Clean(os.Args[0]), baselineArguments(site, address)...)
+	baseline := exec.CommandContext(ctx, filepath.Clean(os.Args[0]), baselineArgs(site, address)...)
 	if err := baseline.Start(); err != nil {
 		return err
 	}
@@ -89,91 +91,91 @@
 	defer baseline.Process.Kill()
 	time.Sleep(baselineStartDelay)
 	targets := overheadTargets(site, address, baseline.Process.Pid)
-	throughput, err := measureConcurrencies(ctx, targets, span)
+	throughput, err := measureConcurrencies(ctx, targets, duration)
 	if err != nil {
 		return err
 	}
-	lines, err := measureRates(ctx, targets, span, throughput)
-	if err != nil || out == "" {
+	latencies, err := measureRates(ctx, targets, duration, throughput)
+	if err != nil || plotFile == "" {
 		return err
 	}
-	return plotResponseTimes(out, throughput/plottedRateDivisor, targets, lines)
+	return plotLatencies(plotFile, throughput/plottedRateDivisor, targets, latencies)
 }
 
-func baselineArguments(site *installation.Site, address string) []string {
-	arguments := []string{"baseline"}
+func baselineArgs(site *installation.Site, address string) []string {
+	args := []string{"baseline"}
 	for _, replica := range site.Replicas {
-		arguments = append(arguments, "--to", replica.Addr)
+		args = append(args, "--to", replica.Addr)
 	}
-	return append(arguments, "--listen", address)
+	return append(args, "--listen", address)
 }
 
-func overheadTargets(site *installation.Site, baseline string, baselinePid int) []target {
-	direct := []string{"http://" + site.Replicas[0].Addr + path, "http://" + site.Replicas[1].Addr + path}
-	baselineURLs := []string{"http://" + baseline + path}
+func overheadTargets(site *installation.Site, baselineAddress string, baselinePid int) []target {
+	directURLs := []string{"http://" + site.Replicas[0].Addr + requestPath, "http://" + site.Replicas[1].Addr + requestPath}
+	baselineURLs := []string{"http://" + baselineAddress + requestPath}
 	sidecarPid := site.PID("sidecar-0")
 	return []target{
-		{name: "direct h1", urls: direct},
+		{name: "direct h1", urls: directURLs},
 		{name: "baseline h1", urls: baselineURLs, pid: baselinePid},
-		{name: sidecarH1, urls: []string{"http://" + site.HTTP1Addresses[0] + path}, pid: sidecarPid},
+		{name: sidecarH1, urls: []string{"http://" + site.HTTP1Addresses[0] + requestPath}, pid: sidecarPid},
 		{name: "baseline h2", urls: baselineURLs, h2: true, pid: baselinePid},
-		{name: "sidecar h2", urls: []string{"http://" + site.HTTP2Addresses[0] + path}, h2: true, pid: sidecarPid},
+		{name: "sidecar h2", urls: []string{"http://" + site.HTTP2Addresses[0] + requestPath}, h2: true, pid: sidecarPid},
 	}
 }
 
-// measureConcurrencies sends requests to each target as fast as it answers, and returns the sidecar's throughput a second at
-// referenceConcurrency.
-func measureConcurrencies(ctx context.Context, targets []target, span time.Duration) (throughput float64, err error) {
+// measureConcurrencies sends requests to each target at several concurrencies, and starts a new request as soon as one is
+// answered. It returns the sidecar's throughput at referenceConcurrency, in requests per second.
+func measureConcurrencies(ctx context.Context, targets []target, duration time.Duration) (throughput float64, err error) {
 	for _, t := range targets {
 		for _, concurrency := range []int{1, referenceConcurrency, 1000} {
-			before := processorTime(t.pid)
-			result, err := load.Run(ctx, load.Job{URLs: t.urls, HTTP2: t.h2, Method: "GET", Concurrency: concurrency, Duration: span, Timeout: overheadExpiry})
+			usedBefore := processorTime(t.pid)
+			result, err := load.Run(ctx, load.Job{URLs: t.urls, HTTP2: t.h2, Method: "GET", Concurrency: concurrency, Duration: duration, Timeout: overheadTimeout})
 			if err != nil {
 				return 0, err
 			}
-			used := processorTime(t.pid) - before
+			used := processorTime(t.pid) - usedBefore
 			if t.name == sidecarH1 && concurrency == referenceConcurrency {
 				throughput = float64(result.Good) / result.Elapsed.Seconds()
 			}
-			fmt.Printf("%-12s %4d at once: %v; CPU %.1f us a flow\n", t.name, concurrency, result, float64(used.Microseconds())/float64(max(1, result.Good)))
+			fmt.Printf("%-12s %4d concurrent: %v; CPU %.1f us per request\n", t.name, concurrency, result, float64(used.Microseconds())/float64(max(1, result.Good)))
 		}
 	}
 	return throughput, nil
 }
 
-// measureRates sends requests to each target at fractions of the sidecar's throughput, and returns the response times in
+// measureRates sends requests to each target at fractions of the sidecar's throughput, and returns the latencies in
 // milliseconds by percentile at the lowest rate.
-func measureRates(ctx context.Context, targets []target, span time.Duration, throughput float64) (map[string]plotter.XYs, error) {
-	lines := map[string]plotter.XYs{}
+func measureRates(ctx context.Context, targets []target, duration time.Duration, throughput float64) (map[string]plotter.XYs, error) {
+	latencies := map[string]plotter.XYs{}
 	for _, t := range targets {
 		var result load.Result
 		for _, rate := range []float64{throughput / 2, throughput / 4, throughput / plottedRateDivisor} {
 			var err error
-			result, err = load.Run(ctx, load.Job{URLs: t.urls, HTTP2: t.h2, Method: "GET", Rate: rate, Duration: span, Timeout: overheadExpiry, Seed: 1})
+			result, err = load.Run(ctx, load.Job{URLs: t.urls, HTTP2: t.h2, Method: "GET", Rate: rate, Duration: duration, Timeout: overheadTimeout, Seed: 1})
 			if err != nil {
 				return nil, err
 			}
-			fmt.Printf("%-12s %.0f a second, %.2f of the sidecar's most here: %v\n", t.name, rate, rate/throughput, result)
+			fmt.Printf("%-12s %.0f requests/s, %.2f of the sidecar's throughput: %v\n", t.name, rate, rate/throughput, result)
 		}
 		for _, percentile := range []float64{0, 50, 75, 90, 95, 99, 99.5, 99.9} {
 			milliseconds := float64(result.Latencies.ValueAtQuantile(percentile)) / 1000
-			lines[t.name] = append(lines[t.name], plotter.XY{X: percentile, Y: milliseconds})
+			latencies[t.name] = append(latencies[t.name], plotter.XY{X: percentile, Y: milliseconds})
 		}
 	}
-	return lines, nil
+	return latencies, nil
 }
 
-func plotResponseTimes(out string, rate float64, targets []target, lines map[string]plotter.XYs) error {
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("Time of an answer at %.0f flows a second", rate)
-	p.X.Label.Text = "percentile"
-	p.Y.Label.Text = "ms"
+func plotLatencies(plotFile string, rate float64, targets []target, latencies map[string]plotter.XYs) error {
+	chart := plot.New()
+	chart.Title.Text = fmt.Sprintf("Latency at %.0f requests per second", rate)
+	chart.X.Label.Text = "percentile"
+	chart.Y.Label.Text = "ms"
 	var series []any
 	for _, t := range targets {
-		series = append(series, t.name, lines[t.name])
+		series = append(series, t.name, latencies[t.name])
 	}
-	if err := plotutil.AddLinePoints(p, series...); err != nil {
+	if err := plotutil.AddLinePoints(chart, series...); err != nil {
 		return err
 	}
-	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, out)
+	return chart.Save(16*vg.Centimeter, 10*vg.Centimeter, plotFile)
 }
--- a/cmd/experiment/restart.go
+++ b/cmd/experiment/restart.go
@@ -16,70 +16,72 @@
 )
 
 func restartCommand() *cli.Command {
-	return &cli.Command{Name: "restart", Usage: "flows lost and late in the 10 s after a governor's restart, with and without state",
+	return &cli.Command{Name: "restart", Usage: "measure requests lost or late in the 10 s after a controller restart, with and without saved state",
 		Flags: []cli.Flag{&cli.IntFlag{Name: "replicas", Value: 30}, &cli.IntFlag{Name: "proxies", Value: 150},
-			&cli.IntFlag{Name: "seeds", Value: 8}, &cli.FloatFlag{Name: "load", Value: 0.5, Usage: "of what all replicas can serve when well"}},
+			&cli.IntFlag{Name: "seeds", Value: 8}, &cli.FloatFlag{Name: "load", Value: 0.5, Usage: "load as a fraction of the capacity of all replicas when healthy"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			site := emulator.NewSite(cmd.Int("replicas"), cmd.Int("proxies"), cmd.Float("load"))
-			return restartTable(site, cmd.Int("seeds"))
+			return printRestartTable(site, cmd.Int("seeds"))
 		}}
 }
 
-// restartTable prints the mean fraction of requests that were not answered in their latency budget, and its standard error.
-func restartTable(site emulator.Site, seeds int) error {
-	memories := []restart.StateKind{restart.NoRestart, restart.NoState, restart.KeptState, restart.OldState, restart.WrongState}
-	fmt.Printf("%d replicas, %d proxies, load %.2f, %d seeds: percent of the flows of 10 s not answered in their budget (standard error)\n",
+// printRestartTable prints, by scenario and kind of state, the mean percentage of requests that were not answered within
+// their latency budget, and its standard error.
+func printRestartTable(site emulator.Site, seeds int) error {
+	stateKinds := []restart.StateKind{restart.NoRestart, restart.NoState, restart.KeptState, restart.OldState, restart.WrongState}
+	fmt.Printf("%d replicas, %d proxies, load %.2f, %d seeds: percentage of the requests in 10 s not answered within their latency budget (standard error)\n",
 		site.Replicas, site.Proxies, site.Load, seeds)
-	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(out, "trouble\t")
-	for _, m := range memories {
-		fmt.Fprintf(out, "%v\t", m)
+	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "scenario\t")
+	for _, kind := range stateKinds {
+		fmt.Fprintf(table, "%v\t", kind)
 	}
-	fmt.Fprintln(out, "lost by the restart: with / without\t")
-	for _, t := range restart.Scenarios {
-		bad, err := restartRow(site, t, memories, seeds)
+	fmt.Fprintln(table, "added by the restart: with / without state\t")
+	for _, scenario := range restart.Scenarios {
+		missedFractions, err := runScenario(site, scenario, stateKinds, seeds)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "%s\t", t.Name)
-		for _, of := range bad {
-			mean, spread := meanAndError(of)
-			fmt.Fprintf(out, "%.2f (%.2f)\t", 100*mean, 100*spread)
+		fmt.Fprintf(table, "%s\t", scenario.Name)
+		for _, fractions := range missedFractions {
+			mean, standardError := meanAndError(fractions)
+			fmt.Fprintf(table, "%.2f (%.2f)\t", 100*mean, 100*standardError)
 		}
-		base, _ := meanAndError(bad[0])
-		without, _ := meanAndError(bad[1])
-		with, _ := meanAndError(bad[2])
-		fmt.Fprintf(out, "%.2f / %.2f\t\n", 100*(with-base), 100*(without-base))
+		noRestart, _ := meanAndError(missedFractions[0])
+		noState, _ := meanAndError(missedFractions[1])
+		keptState, _ := meanAndError(missedFractions[2])
+		fmt.Fprintf(table, "%.2f / %.2f\t\n", 100*(keptState-noRestart), 100*(noState-noRestart))
 	}
-	return out.Flush()
+	return table.Flush()
 }
 
-// restartRow runs all seeds with each kind of state, as many at once as there are processors.
-func restartRow(site emulator.Site, t restart.Scenario, memories []restart.StateKind, seeds int) ([][]float64, error) {
-	bad := make([][]float64, len(memories))
-	failed := make(chan error, seeds*len(memories))
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+// runScenario runs a scenario for all seeds with each kind of state, as many runs in parallel as there are processors. It
+// returns the fractions of requests not answered within their latency budget, by kind of state and seed.
+func runScenario(site emulator.Site, scenario restart.Scenario, stateKinds []restart.StateKind, seeds int) ([][]float64, error) {
+	missedFractions := make([][]float64, len(stateKinds))
+	errs := make(chan error, seeds*len(stateKinds))
+	runSlots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	var runs sync.WaitGroup
-	for k, m := range memories {
-		bad[k] = make([]float64, seeds)
+	for k, kind := range stateKinds {
+		missedFractions[k] = make([]float64, seeds)
 		for seed := range seeds {
-			slots <- struct{}{}
+			runSlots <- struct{}{}
 			runs.Go(func() {
-				defer func() { <-slots }()
-				outcome, err := restart.Run(site, t, m, int64(seed+1))
-				bad[k][seed] = outcome.BadFraction()
+				defer func() { <-runSlots }()
+				outcome, err := restart.Run(site, scenario, kind, int64(seed+1))
+				missedFractions[k][seed] = outcome.BadFraction()
 				if err != nil {
-					failed <- fmt.Errorf("%s, %v, seed %d: %w", t.Name, m, seed+1, err)
+					errs <- fmt.Errorf("%s, %v, seed %d: %w", scenario.Name, kind, seed+1, err)
 				}
 			})
 		}
 	}
 	runs.Wait()
 	select {
-	case err := <-failed:
+	case err := <-errs:
 		return nil, err
 	default:
-		return bad, nil
+		return missedFractions, nil
 	}
 }
 
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -19,69 +19,70 @@
 	"lilacbend/experiment/scale"
 )
 
-// hostCommand is the hidden command with which a scale run starts its processes.
+// hostCommand is the hidden command of the processes that a scale run starts for simulated controllers.
 const hostCommand = "scale-host"
 
 var errFailedChecks = errors.New("checks failed")
 
-// scaleCommands returns the command of a scale run, and the hidden one of a process with many hollow controllers.
+// scaleCommands returns the command of a scale run, the one that fits lines to its reports, and the hidden one of a process
+// with many simulated controllers.
 func scaleCommands() []*cli.Command {
-	var p scale.Plan
-	var out, program string
+	var plan scale.Plan
+	var reportFile, program string
 	var withReal bool
-	names := faultNames()
-	count := func(name, usage string, value int, destination *int) cli.Flag {
+	selectedFaults := faultNames()
+	intFlag := func(name, usage string, value int, destination *int) cli.Flag {
 		return &cli.IntFlag{Name: name, Usage: usage, Value: value, Destination: destination}
 	}
-	perDay := func(name, usage string, value float64, destination *float64) cli.Flag {
+	floatFlag := func(name, usage string, value float64, destination *float64) cli.Flag {
 		return &cli.FloatFlag{Name: name, Usage: usage, Value: value, Destination: destination}
 	}
-	span := func(name, usage string, value time.Duration, destination *time.Duration) cli.Flag {
+	durationFlag := func(name, usage string, value time.Duration, destination *time.Duration) cli.Flag {
 		return &cli.DurationFlag{Name: name, Usage: usage, Value: value, Destination: destination}
 	}
 	flags := []cli.Flag{
-		count("governors", "hollow ones", 100, &p.Controllers),
-		count("services", "0: in proportion to 290 for 1,600 governors", 0, &p.Services),
-		count("replicas", "0: in proportion to 9,500", 0, &p.Replicas),
-		count("routes", "of all services; 0: in proportion to 14,000", 0, &p.Routes),
-		count("tenants", "of all services; 0: in proportion to 74,000", 0, &p.Tenants),
-		count("zones", "a service has replicas in three of them at most", 54, &p.Zones),
-		count("regions", "over which governors and servers are spread", 23, &p.Regions),
-		count("servers", "of configuration", 8, &p.Servers),
-		count("proxies", "of each hollow governor", 2, &p.Proxies),
-		count("skew", "times the size of the others that the first service has; 0: the same", 0, &p.Skew),
-		count("host-size", "hollow governors of one process, at most", 400, &p.ControllersPerHost),
-		&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &p.Seed},
-		span("phase", "how long each fault lasts", time.Minute, &p.PhaseDuration),
-		&cli.StringSliceFlag{Name: "fault", Usage: "played one after the other", Value: names, Destination: &names},
-		perDay("factor", "by which a day is compressed", 60, &p.TimeCompression),
-		perDay("changes", "of configuration, a day; below 0: in proportion to 8,400", -1, &p.ChangesPerDay),
-		perDay("failures", "of machines, a day; below 0: in proportion to 39", -1, &p.FailuresPerDay),
-		perDay("restarts", "of machines, a day; below 0: in proportion to 1,200", -1, &p.RestartsPerDay),
-		perDay("invalid", "share of changes that are not valid", 0.05, &p.InvalidFraction),
-		count("at-once", "changes in a burst", 100, &p.BurstChanges),
-		count("crowd", "restarts within a minute; 0: in proportion to 1,200", 0, &p.BurstRestarts),
-		span("repair", "until what failed is replaced", 5*time.Second, &p.RepairTime),
-		span("bound", "in which a change has to be in force at all that are reachable", 18*time.Second, &p.MaxPropagationDelay),
-		span("silence", "without a sign of life, at most", 5*time.Second, &p.HeartbeatTimeout),
-		&cli.BoolFlag{Name: "real", Usage: "run real governors, collectors and sidecars of one service beside the hollow ones", Value: true, Destination: &withReal},
-		&cli.StringFlag{Name: "program", Usage: "the product's program, for real processes", Value: programBeside(), Destination: &program},
-		&cli.StringFlag{Name: "out", Usage: "file for the report as JSON", Destination: &out},
+		intFlag("governors", "number of simulated controllers", 100, &plan.Controllers),
+		intFlag("services", "number of services; 0: in proportion to 290 for 1,600 controllers", 0, &plan.Services),
+		intFlag("replicas", "number of replicas of all services; 0: in proportion to 9,500", 0, &plan.Replicas),
+		intFlag("routes", "number of routes of all services; 0: in proportion to 14,000", 0, &plan.Routes),
+		intFlag("tenants", "number of tenants of all services; 0: in proportion to 74,000", 0, &plan.Tenants),
+		intFlag("zones", "number of zones; a service has replicas in at most three", 54, &plan.Zones),
+		intFlag("regions", "number of regions that controllers and servers are spread over", 23, &plan.Regions),
+		intFlag("servers", "number of configuration servers", 8, &plan.Servers),
+		intFlag("proxies", "number of proxies of each simulated controller", 2, &plan.Proxies),
+		intFlag("skew", "size of the first service as a multiple of the others; 0: the same size", 0, &plan.Skew),
+		intFlag("host-size", "maximum number of simulated controllers in one process", 400, &plan.ControllersPerHost),
+		&cli.Uint64Flag{Name: "seed", Value: 1, Destination: &plan.Seed},
+		durationFlag("phase", "duration of each phase; a phase has one fault", time.Minute, &plan.PhaseDuration),
+		&cli.StringSliceFlag{Name: "fault", Usage: "faults to inject, one after another", Value: selectedFaults, Destination: &selectedFaults},
+		floatFlag("factor", "factor by which a day is compressed", 60, &plan.TimeCompression),
+		floatFlag("changes", "configuration changes per day; below 0: in proportion to 8,400", -1, &plan.ChangesPerDay),
+		floatFlag("failures", "machine failures per day; below 0: in proportion to 39", -1, &plan.FailuresPerDay),
+		floatFlag("restarts", "machine restarts per day; below 0: in proportion to 1,200", -1, &plan.RestartsPerDay),
+		floatFlag("invalid", "fraction of changes that are invalid", 0.05, &plan.InvalidFraction),
+		intFlag("at-once", "configuration changes in a burst", 100, &plan.BurstChanges),
+		intFlag("crowd", "restarts within a minute; 0: in proportion to 1,200", 0, &plan.BurstRestarts),
+		durationFlag("repair", "time from a failure to the replacement", 5*time.Second, &plan.RepairTime),
+		durationFlag("bound", "maximum time until a change is in force at all reachable controllers", 18*time.Second, &plan.MaxPropagationDelay),
+		durationFlag("silence", "maximum time without a heartbeat from a controller", 5*time.Second, &plan.HeartbeatTimeout),
+		&cli.BoolFlag{Name: "real", Usage: "run real controllers, collectors and sidecars of one service beside the simulated controllers", Value: true, Destination: &withReal},
+		&cli.StringFlag{Name: "program", Usage: "path of the product's program, for real processes", Value: siblingProgram(), Destination: &program},
+		&cli.StringFlag{Name: "out", Usage: "write the report as JSON to this file", Destination: &reportFile},
 	}
 	run := func(ctx context.Context, _ *cli.Command) error {
 		ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 		defer stop()
-		p.Faults = nil
-		for _, name := range names {
-			p.Faults = append(p.Faults, scale.Fault(name))
+		plan.Faults = nil
+		for _, name := range selectedFaults {
+			plan.Faults = append(plan.Faults, scale.Fault(name))
 		}
-		return runScale(ctx, p, program, withReal, out)
+		return runScale(ctx, plan, program, withReal, reportFile)
 	}
 	return []*cli.Command{
-		{Name: "scale", Usage: "many hollow governors and real servers on loopback, through changes and faults", Flags: flags, Action: run},
+		{Name: "scale", Usage: "run many simulated controllers against real configuration servers on loopback, with changes and faults", Flags: flags, Action: run},
 		slopesCommand(),
 		{Name: hostCommand, Hidden: true, Action: func(ctx context.Context, _ *cli.Command) error {
-			signal.Ignore(syscall.SIGINT) // the run ends it by closing its input
+			signal.Ignore(syscall.SIGINT) // the scale run stops this process by closing its standard input
 			return scale.Host(ctx, os.Stdin, os.Stdout, scale.NewWatchSource)
 		}},
 	}
@@ -94,53 +95,53 @@
 	return names
 }
 
-// programBeside returns the path of the product's program in the folder of this one.
-func programBeside() string {
-	self, err := os.Executable()
+// siblingProgram returns the path of the product's program in the folder of this program.
+func siblingProgram() string {
+	executable, err := os.Executable()
 	if err != nil {
-		self = os.Args[0]
+		executable = os.Args[0]
 	}
-	return filepath.Join(filepath.Dir(self), "lilacbend")
+	return filepath.Join(filepath.Dir(executable), "lilacbend")
 }
 
-func runScale(ctx context.Context, p scale.Plan, program string, withReal bool, out string) error {
+func runScale(ctx context.Context, plan scale.Plan, program string, withReal bool, reportFile string) error {
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
 	options := scale.Options{Launch: scale.LaunchProcess(hostCommand), Serve: scale.ServeProcesses(program, io.Discard), Dir: dir,
-		Log: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "lab: "+format+"\n", args...) }}
+		Log: func(format string, args ...any) { fmt.Fprintf(os.Stderr, "experiment: "+format+"\n", args...) }}
 	if withReal {
 		options.RealService = newRealService(program, dir)
 	}
-	r, err := scale.Run(ctx, p, options)
+	report, err := scale.Run(ctx, plan, options)
 	if err != nil {
 		return err
 	}
-	if err := writeReport(r, os.Stdout, out); err != nil {
+	if err := writeReport(report, os.Stdout, reportFile); err != nil {
 		return err
 	}
-	if r.FailedChecks > 0 {
+	if report.FailedChecks > 0 {
 		return errFailedChecks
 	}
 	return nil
 }
 
-func writeReport(r scale.Report, w io.Writer, out string) error {
-	if out != "" {
-		raw, err := json.MarshalIndent(r, "", "  ")
+func writeReport(report scale.Report, w io.Writer, reportFile string) error {
+	if reportFile != "" {
+		raw, err := json.MarshalIndent(report, "", "  ")
 		if err != nil {
 			return err
 		}
-		if err := renameio.WriteFile(out, append(raw, '\n'), 0o644); err != nil {
+		if err := renameio.WriteFile(reportFile, append(raw, '\n'), 0o644); err != nil {
 			return err
 		}
 	}
-	return r.Print(w)
+	return report.Print(w)
 }
 
-// roleOf returns the role of a process from its name in an installation.
+// roleOf returns the role of a real process in the report, derived from its name in the installation.
 func roleOf(name string) string {
 	role, _, _ := strings.Cut(name, "-")
 	return "real " + role
--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -14,121 +14,121 @@
 	"lilacbend/internal/configclient"
 )
 
-// The real service beside the hollow governors has the size of the mean service: 5 governors, 33 replicas. Its requests are
-// few, as what is measured is control.
+// The real service beside the simulated controllers has the size of the mean service: 5 controllers, 33 replicas. Its
+// request rate is low, as the scale run measures the control plane.
 const (
-	realGovernors = 5
-	realReplicas  = 33
-	realSidecars  = 4
-	realZones     = 2
-	realRate      = 50.0
-	realAnswer    = 5 * time.Millisecond
-	realSpan      = 5 * time.Minute
+	realControllers  = 5
+	realReplicas     = 33
+	realSidecars     = 4
+	realZones        = 2
+	realRequestRate  = 50.0
+	realServiceTime  = 5 * time.Millisecond
+	realLoadDuration = 5 * time.Minute
 )
 
-// realService is one service of real processes.
+// realService is a service of real processes: controllers, collectors and sidecars. It implements scale.RealService.
 type realService struct {
-	shape installation.Config
-	log   inForceLog
-	site  *installation.Site
-	stops context.CancelFunc
-	ended chan struct{}
+	config      installation.Config
+	activations activationLog
+	site        *installation.Site
+	cancel      context.CancelFunc
+	loadEnded   chan struct{}
 }
 
-// newRealService prepares a service with its files in a folder.
+// newRealService returns a service that is not started yet. It runs the program, and keeps its files in the folder dir.
 func newRealService(program, dir string) *realService {
-	r := &realService{log: inForceLog{at: map[string]time.Time{}}, ended: make(chan struct{})}
-	r.shape = installation.Config{Zones: realZones, Replicas: realReplicas, ReplicaSlots: 4, Sidecars: realSidecars, Controllers: realGovernors,
-		ServiceTime: realAnswer, Dir: dir, Controlled: true, Program: program, Log: &r.log}
-	r.site = &installation.Site{Config: r.shape}
+	r := &realService{activations: activationLog{activatedAt: map[string]time.Time{}}, loadEnded: make(chan struct{})}
+	r.config = installation.Config{Zones: realZones, Replicas: realReplicas, ReplicaSlots: 4, Sidecars: realSidecars, Controllers: realControllers,
+		ServiceTime: realServiceTime, Dir: dir, Controlled: true, Program: program, Log: &r.activations}
+	r.site = &installation.Site{Config: r.config}
 	return r
 }
 
-// Settings are a revision of the service's.
+// Settings returns a revision of the service's settings.
 func (r *realService) Settings(revision int) []byte { return []byte(r.site.Settings(revision)) }
 
-// Start starts the service, whose governors follow configuration servers.
+// Start starts the service. Its controllers watch the settings of the given name at servers.
 func (r *realService) Start(ctx context.Context, name, region string, servers []configclient.Server) error {
-	var list []string
-	for _, s := range servers {
-		list = append(list, fmt.Sprintf("{address: %q, region: %q}", s.Address, s.Region))
+	var serverList []string
+	for _, server := range servers {
+		serverList = append(serverList, fmt.Sprintf("{address: %q, region: %q}", server.Address, server.Region))
 	}
-	r.shape.OperatorSections = fmt.Sprintf("configuration: {service: %q, region: %q, zone: a, servers: [%s]}\n", name, region, strings.Join(list, ", "))
-	ctx, r.stops = context.WithCancel(ctx)
-	s, err := installation.Start(ctx, r.shape)
-	r.site = s
+	r.config.OperatorSections = fmt.Sprintf("configuration: {service: %q, region: %q, zone: a, servers: [%s]}\n", name, region, strings.Join(serverList, ", "))
+	ctx, r.cancel = context.WithCancel(ctx)
+	site, err := installation.Start(ctx, r.config)
+	r.site = site
 	if err != nil {
-		close(r.ended)
-		return fmt.Errorf("the real service: %w", err)
+		close(r.loadEnded)
+		return fmt.Errorf("starting the real service: %w", err)
 	}
 	go r.load(ctx)
 	return nil
 }
 
-// ActiveSince counts the governors at which a configuration has gone in force since a time.
-func (r *realService) ActiveSince(at time.Time) int { return r.log.since(at) }
+// ActiveSince returns the number of controllers at which a configuration has come into force since a time.
+func (r *realService) ActiveSince(at time.Time) int { return r.activations.countSince(at) }
 
-// Controllers is how many there are.
-func (r *realService) Controllers() int { return realGovernors }
+// Controllers returns the number of the service's controllers.
+func (r *realService) Controllers() int { return realControllers }
 
-// load sends requests until the service stops.
+// load sends requests until the service is stopped.
 func (r *realService) load(ctx context.Context) {
-	defer close(r.ended)
+	defer close(r.loadEnded)
 	var urls []string
-	for _, at := range r.site.HTTP1Addresses {
-		urls = append(urls, "http://"+at+"/stock")
+	for _, address := range r.site.HTTP1Addresses {
+		urls = append(urls, "http://"+address+"/stock")
 	}
 	for seed := int64(1); ctx.Err() == nil; seed++ {
-		load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: realRate, Duration: realSpan, Timeout: 2 * time.Second, Seed: seed})
+		load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: realRequestRate, Duration: realLoadDuration, Timeout: 2 * time.Second, Seed: seed})
 	}
 }
 
-// Stop ends all of it, and waits.
+// Stop ends the load and all processes, and waits for them.
 func (r *realService) Stop() {
-	if r.stops == nil {
+	if r.cancel == nil {
 		return
 	}
-	r.stops()
-	<-r.ended
+	r.cancel()
+	<-r.loadEnded
 	r.site.Stop()
 }
 
-// Processes lists the service's processes by role.
+// Processes returns the process IDs of the service by role.
 func (r *realService) Processes() map[string][]int {
-	all := map[string][]int{}
+	processes := map[string][]int{}
 	for _, name := range r.site.ProcessNames() {
 		if pid := r.site.PID(name); pid > 0 {
-			all[roleOf(name)] = append(all[roleOf(name)], pid)
+			processes[roleOf(name)] = append(processes[roleOf(name)], pid)
 		}
 	}
-	return all
+	return processes
 }
 
-// inForceLog reads in the governors' logs when a configuration went in force.
-type inForceLog struct {
-	mu sync.Mutex
-	at map[string]time.Time
+// activationLog records when a configuration last came into force at each controller, from the log lines of the processes.
+type activationLog struct {
+	mu          sync.Mutex
+	activatedAt map[string]time.Time
 }
 
-var inForceLine = regexp.MustCompile(`msg="configuration in force" governor=(\S+)`)
+var activationLine = regexp.MustCompile(`msg="configuration in force" governor=(\S+)`)
 
-// Write takes a part of some process's log.
-func (l *inForceLog) Write(b []byte) (int, error) {
+// Write parses log output of a process.
+func (l *activationLog) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, line := range bytes.Split(b, []byte("\n")) {
-		if found := inForceLine.FindSubmatch(line); found != nil {
-			l.at[string(found[1])] = time.Now()
+		if match := activationLine.FindSubmatch(line); match != nil {
+			l.activatedAt[string(match[1])] = time.Now()
 		}
 	}
 	return len(b), nil
 }
 
-func (l *inForceLog) since(at time.Time) (count int) {
+func (l *activationLog) countSince(at time.Time) (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, t := range l.at {
-		if t.After(at) {
+	for _, activated := range l.activatedAt {
+		if activated.After(at) {
 			count++
 		}
 	}
--- a/cmd/experiment/seeds.go
+++ b/cmd/experiment/seeds.go
@@ -19,28 +19,28 @@
 )
 
 var (
-	errBroken       = errors.New("something broke")
-	errNoScriptFile = errors.New("name the file of a script")
+	errRulesViolated = errors.New("rules violated")
+	errNoScriptFile  = errors.New("script file argument is missing")
 )
 
 const (
-	// maxPrintedSeeds is how many seeds that broke a rule are printed.
-	maxPrintedSeeds = 20
-	// progressReports is how often a run reports its progress.
-	progressReports = 10
+	// maxPrintedViolations is the number of seeds with violations whose first violation is printed.
+	maxPrintedViolations = 20
+	// progressReportCount is the number of progress reports of a run.
+	progressReportCount = 10
 )
 
-// seedCommands are the commands that run scripts of faults.
-type seedCommands struct{ profile string }
+// seedActions holds the flags that the commands of fault scripts share, and runs these commands.
+type seedActions struct{ profile string }
 
-// seedsCommands returns the commands that run scripts of faults.
+// seedsCommands returns the commands that draw, run and shrink fault scripts.
 func seedsCommands() []*cli.Command {
-	c := &seedCommands{}
+	c := &seedActions{}
 	profile := &cli.StringFlag{Name: "profile", Value: "rules", Destination: &c.profile}
 	return []*cli.Command{
 		{
 			Name:  "seeds",
-			Usage: "play scripts of faults drawn from seeds, with the rules checked after each step",
+			Usage: "run fault scripts drawn from seeds, and check the rules after each step",
 			Flags: []cli.Flag{
 				profile,
 				&cli.IntFlag{Name: "count", Value: 100},
@@ -51,27 +51,27 @@
 		},
 		{
 			Name:      "replay",
-			Usage:     "play one seed again: replay SEED",
+			Usage:     "run the fault script of one seed again: replay SEED",
 			ArgsUsage: "SEED",
-			Flags:     []cli.Flag{profile, &cli.StringFlag{Name: "trace", Usage: "a file for each step"}},
+			Flags:     []cli.Flag{profile, &cli.StringFlag{Name: "trace", Usage: "write each step to this file"}},
 			Action:    c.replay,
 		},
 		{
 			Name:      "script",
-			Usage:     "write the script of a seed as a file to be changed and played: script SEED",
+			Usage:     "print the fault script of a seed, to be edited and run with play: script SEED",
 			ArgsUsage: "SEED",
 			Flags:     []cli.Flag{profile},
 			Action:    c.printScript,
 		},
 		{
 			Name:      "play",
-			Usage:     "play a script of one's own: play FILE",
+			Usage:     "run the fault script of a file: play FILE",
 			ArgsUsage: "FILE",
 			Action:    playScript,
 		},
 		{
 			Name:      "shrink",
-			Usage:     "find the smallest script of a seed that still breaks the same rule: shrink SEED",
+			Usage:     "find the smallest fault script of a seed that still violates the same rule: shrink SEED",
 			ArgsUsage: "SEED",
 			Flags:     []cli.Flag{profile},
 			Action:    c.shrink,
@@ -79,74 +79,74 @@
 	}
 }
 
-func (c *seedCommands) selectedProfile() (seeds.Profile, error) {
+func (c *seedActions) selectedProfile() (seeds.Profile, error) {
 	profile, ok := seeds.Profiles[c.profile]
 	if !ok {
-		return seeds.Profile{}, fmt.Errorf("no profile %q: smoke, rules, restart, zones or fleet", c.profile)
+		return seeds.Profile{}, fmt.Errorf("unknown profile %q, want smoke, rules, restart, zones or fleet", c.profile)
 	}
 	return profile, nil
 }
 
 // profileAndSeed returns the selected profile and the seed that the first argument names.
-func (c *seedCommands) profileAndSeed(cmd *cli.Command) (seeds.Profile, int64, error) {
+func (c *seedActions) profileAndSeed(cmd *cli.Command) (seeds.Profile, int64, error) {
 	profile, err := c.selectedProfile()
 	if err != nil {
 		return seeds.Profile{}, 0, err
 	}
 	seed, err := strconv.ParseInt(cmd.Args().First(), 10, 64)
 	if err != nil {
-		return seeds.Profile{}, 0, fmt.Errorf("name a seed, a whole number: %w", err)
+		return seeds.Profile{}, 0, fmt.Errorf("seed argument is not an integer: %w", err)
 	}
 	return profile, seed, nil
 }
 
-// printResult prints the script and what it broke. It returns errBroken if it broke something.
+// printResult prints the script and the violations of a result. It returns errRulesViolated if there are any.
 func printResult(result seeds.Result) error {
 	for _, fault := range result.Script {
 		fmt.Println(" ", fault)
 	}
-	for _, breach := range result.Violations {
-		fmt.Println("  broken:", breach)
+	for _, violation := range result.Violations {
+		fmt.Println("  violation:", violation)
 	}
-	fmt.Printf("seed %d, %d faults, %d broken, trace digest %016x\n", result.Seed, len(result.Script), len(result.Violations), result.Digest)
+	fmt.Printf("seed %d, %d faults, %d violations, trace digest %016x\n", result.Seed, len(result.Script), len(result.Violations), result.Digest)
 	if len(result.Violations) > 0 {
-		return errBroken
+		return errRulesViolated
 	}
 	return nil
 }
 
-func (c *seedCommands) runSeeds(_ context.Context, cmd *cli.Command) error {
+func (c *seedActions) runSeeds(_ context.Context, cmd *cli.Command) error {
 	profile, err := c.selectedProfile()
 	if err != nil {
 		return err
 	}
 	count := cmd.Int("count")
 	digest := xxhash.New()
-	broken := 0
+	violatingSeeds := 0
 	finished := 0
 	start := time.Now()
 	profile.Run(cmd.Int64("first"), count, cmd.Int("workers"), func(result seeds.Result) {
 		digest.Write(binary.BigEndian.AppendUint64(nil, result.Digest))
 		if len(result.Violations) > 0 {
-			broken++
-			if broken <= maxPrintedSeeds {
+			violatingSeeds++
+			if violatingSeeds <= maxPrintedViolations {
 				fmt.Printf("seed %d: %v\n", result.Seed, result.Violations[0])
 			}
 		}
 		finished++
-		if finished%max(1, count/progressReports) == 0 {
+		if finished%max(1, count/progressReportCount) == 0 {
 			rate := float64(finished) / time.Since(start).Seconds()
-			fmt.Fprintf(os.Stderr, "%d of %d, %d broken, %.1f a second\n", finished, count, broken, rate)
+			fmt.Fprintf(os.Stderr, "%d of %d seeds, %d with violations, %.1f seeds/s\n", finished, count, violatingSeeds, rate)
 		}
 	})
-	fmt.Printf("%d seeds, %d broken, trace digest %016x\n", count, broken, digest.Sum64())
-	if broken > 0 {
-		return errBroken
+	fmt.Printf("%d seeds, %d with violations, trace digest %016x\n", count, violatingSeeds, digest.Sum64())
+	if violatingSeeds > 0 {
+		return errRulesViolated
 	}
 	return nil
 }
 
-func (c *seedCommands) replay(_ context.Context, cmd *cli.Command) error {
+func (c *seedActions) replay(_ context.Context, cmd *cli.Command) error {
 	profile, seed, err := c.profileAndSeed(cmd)
 	if err != nil {
 		return err
@@ -165,7 +165,7 @@
 	return printResult(profile.Play(seed, profile.RandomFaults(seed), func(line string) { fmt.Fprintln(buffered, line) }))
 }
 
-func (c *seedCommands) printScript(_ context.Context, cmd *cli.Command) error {
+func (c *seedActions) printScript(_ context.Context, cmd *cli.Command) error {
 	profile, seed, err := c.profileAndSeed(cmd)
 	if err != nil {
 		return err
@@ -190,7 +190,7 @@
 	return printResult(seeds.Profiles[script.Profile].Play(script.Seed, script.Faults, nil))
 }
 
-func (c *seedCommands) shrink(_ context.Context, cmd *cli.Command) error {
+func (c *seedActions) shrink(_ context.Context, cmd *cli.Command) error {
 	profile, seed, err := c.profileAndSeed(cmd)
 	if err != nil {
 		return err
--- a/cmd/experiment/service.go
+++ b/cmd/experiment/service.go
@@ -15,54 +15,55 @@
 	"lilacbend/experiment/load"
 )
 
-// serviceCommand returns the command that compares the whole product with sidecars that have an equal table and no controller.
+// serviceCommand returns the command that compares the whole product with sidecars that have equal tables and no controller.
 func serviceCommand() *cli.Command {
 	var rate float64
 	var seed int64
 	var budget int
 	faults := []string{"none", "silent", "zone-cut", "release", "slow", "collector-lost", "collector-failover", "restart", "restart-state"}
-	return &cli.Command{Name: "service", Usage: "the whole product on loopback through a trouble, with governors and without",
+	return &cli.Command{Name: "service", Usage: "run the whole product on loopback through faults, with controllers and without",
 		Flags: []cli.Flag{&cli.FloatFlag{Name: "rate", Value: 800, Destination: &rate}, &cli.Int64Flag{Name: "seed", Value: 1, Destination: &seed},
 			&cli.StringSliceFlag{Name: "trouble", Value: faults, Destination: &faults},
-			&cli.IntFlag{Name: "budget", Usage: "bytes a second of each collector to each governor; 0: no limit", Destination: &budget}},
+			&cli.IntFlag{Name: "budget", Usage: "bytes per second from each collector to each controller; 0: no limit", Destination: &budget}},
 		Action: func(ctx context.Context, _ *cli.Command) error {
 			for _, fault := range faults {
-				for _, steered := range []bool{false, true} {
-					if !steered && onlySteered(fault) {
+				for _, controlled := range []bool{false, true} {
+					if !controlled && requiresController(fault) {
 						continue
 					}
-					r, twice, err := service(ctx, fault, steered, rate, seed, budget)
+					result, duplicates, err := measureService(ctx, fault, controlled, rate, seed, budget)
 					if err != nil {
-						return fmt.Errorf("%s: %w", fault, err)
+						return fmt.Errorf("fault %s: %w", fault, err)
 					}
-					name := map[bool]string{false: "equal table", true: "governors"}[steered]
-					fmt.Printf("%-14s %-11s service %.1f%% in the budget; %v; payouts run twice %d\n", fault, name, 100*r.FractionWithin(250*time.Millisecond), r, twice)
+					variant := map[bool]string{false: "equal table", true: "controllers"}[controlled]
+					fmt.Printf("%-14s %-11s %.1f%% answered within the latency budget; %v; payouts that ran more than once %d\n", fault, variant, 100*result.FractionWithin(250*time.Millisecond), result, duplicates)
 				}
 			}
 			return nil
 		}}
 }
 
-// onlySteered reports whether a fault has no meaning without a controller.
-func onlySteered(fault string) bool {
+// requiresController reports whether a fault applies only to runs with controllers.
+func requiresController(fault string) bool {
 	return slices.Contains([]string{"collector-lost", "collector-failover", "restart", "restart-state"}, fault)
 }
 
 const (
-	serviceSpan = 25 * time.Second
-	// faultDelay is when the fault begins. It lasts to the end.
+	serviceRunDuration = 25 * time.Second
+	// faultDelay is the time from the start of the load to the fault, which lasts until the end of the run.
 	faultDelay = 8 * time.Second
-	// restartDelay is how long replicas are silent before the controllers restart.
+	// restartDelay is how long replicas are unresponsive before the controllers restart.
 	restartDelay = 6 * time.Second
-	// replacementInterval is how long a replica or a controller is absent while it is replaced.
-	replacementInterval = 300 * time.Millisecond
+	// replacementDelay is how long a replica or a controller is absent while it is replaced.
+	replacementDelay = 300 * time.Millisecond
 	// warmUpTime is how long a replaced replica is slow.
 	warmUpTime = 5 * time.Second
 	slowFactor = 5
 )
 
-// service measures the service through one fault. It returns the result of the load, and the number of keys that ran twice.
-func service(ctx context.Context, fault string, steered bool, rate float64, seed int64, budget int) (load.Result, int, error) {
+// measureService runs the service through one fault. It returns the result of the load, and the number of idempotency keys
+// that ran more than once.
+func measureService(ctx context.Context, fault string, controlled bool, rate float64, seed int64, budget int) (load.Result, int, error) {
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
 		return load.Result{}, 0, err
@@ -70,41 +71,41 @@
 	defer os.RemoveAll(dir)
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	s, err := installation.Start(ctx, installation.Config{Zones: 2, Replicas: 20, ReplicaSlots: 4, Sidecars: 4, Controllers: 2, ServiceTime: 20 * time.Millisecond, SlowFactor: 2,
-		Dir: dir, Controlled: steered, KeepState: fault == "restart-state", StandbyCollectors: fault == "collector-failover", ReportBudget: budget, Log: logOf()})
+	site, err := installation.Start(ctx, installation.Config{Zones: 2, Replicas: 20, ReplicaSlots: 4, Sidecars: 4, Controllers: 2, ServiceTime: 20 * time.Millisecond, SlowFactor: 2,
+		Dir: dir, Controlled: controlled, KeepState: fault == "restart-state", StandbyCollectors: fault == "collector-failover", ReportBudget: budget, Log: processLog()})
 	if err != nil {
 		return load.Result{}, 0, err
 	}
-	defer s.Stop()
+	defer site.Stop()
 	var urls []string
-	for _, at := range s.HTTP1Addresses {
-		urls = append(urls, "http://"+at+"/stock", "http://"+at+"/payouts")
+	for _, address := range site.HTTP1Addresses {
+		urls = append(urls, "http://"+address+"/stock", "http://"+address+"/payouts")
 	}
-	injection := time.AfterFunc(faultDelay, func() { injectFault(ctx, s, fault) })
+	injection := time.AfterFunc(faultDelay, func() { injectFault(ctx, site, fault) })
 	defer injection.Stop()
-	r, err := load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: rate, Duration: serviceSpan, Timeout: 2 * time.Second, Seed: seed,
-		EditRequest: func(k int, q *http.Request) {
-			if q.URL.Path == "/payouts" {
-				q.Method = http.MethodPost
-				q.Header.Set("Key", fmt.Sprint(k))
+	result, err := load.Run(ctx, load.Job{URLs: urls, Method: "GET", Rate: rate, Duration: serviceRunDuration, Timeout: 2 * time.Second, Seed: seed,
+		EditRequest: func(number int, request *http.Request) {
+			if request.URL.Path == "/payouts" {
+				request.Method = http.MethodPost
+				request.Header.Set("Key", fmt.Sprint(number))
 			}
 		}})
-	twice := 0
-	runs := map[string]int{}
-	for _, rep := range s.Replicas {
-		for key, n := range rep.RunsByKey() {
-			runs[key] += n
+	duplicates := 0
+	runsByKey := map[string]int{}
+	for _, replica := range site.Replicas {
+		for key, count := range replica.RunsByKey() {
+			runsByKey[key] += count
 		}
 	}
-	for _, n := range runs {
-		if n > 1 {
-			twice++
+	for _, runs := range runsByKey {
+		if runs > 1 {
+			duplicates++
 		}
 	}
-	return r, twice, err
+	return result, duplicates, err
 }
 
-// injectFault injects a fault until the end of the run.
+// injectFault injects a fault that lasts until the end of the run.
 func injectFault(ctx context.Context, site *installation.Site, fault string) {
 	switch fault {
 	case "silent":
@@ -124,7 +125,7 @@
 		time.Sleep(restartDelay)
 		site.Kill("governor-0")
 		site.Kill("governor-1")
-		time.Sleep(replacementInterval)
+		time.Sleep(replacementDelay)
 		site.StartController(ctx, 0)
 		site.StartController(ctx, 1)
 	}
@@ -136,39 +137,39 @@
 	site.Replicas[14].Unresponsive.Store(true)
 }
 
-// silenceZoneB makes the replicas of zone b, which are every second one, answer no request.
+// silenceZoneB makes the replicas of zone b, which are every second one, accept requests and answer none.
 func silenceZoneB(site *installation.Site) {
 	for k := 1; k < len(site.Replicas); k += 2 {
 		site.Replicas[k].Unresponsive.Store(true)
 	}
 }
 
-// slowThird makes a third of the replicas slowFactor times as slow.
+// slowThird multiplies the service time of a third of the replicas by slowFactor.
 func slowThird(site *installation.Site) {
 	for k := 0; k < len(site.Replicas); k += 3 {
-		span := &site.Replicas[k].ServiceTime
-		span.Store(slowFactor * span.Load())
+		serviceTime := &site.Replicas[k].ServiceTime
+		serviceTime.Store(slowFactor * serviceTime.Load())
 	}
 }
 
-// replaceThird replaces a third of the replicas one after another. The new ones are slow until they are warmed up.
+// replaceThird replaces a third of the replicas one after another. Each new one is slow during its warm-up.
 func replaceThird(site *installation.Site) {
 	for k := 0; k < len(site.Replicas); k += 3 {
 		site.ChangeMember(k, func(m *installation.Member) { m.Phase = "Terminating" })
-		time.Sleep(replacementInterval)
+		time.Sleep(replacementDelay)
 		site.ChangeMember(k, func(m *installation.Member) {
 			m.Phase = "Ready"
 			m.UpSince = time.Now().UnixMilli()
 		})
-		span := &site.Replicas[k].ServiceTime
-		warm := span.Load()
-		span.Store(slowFactor * warm)
-		time.AfterFunc(warmUpTime, func() { span.Store(warm) })
+		serviceTime := &site.Replicas[k].ServiceTime
+		warmServiceTime := serviceTime.Load()
+		serviceTime.Store(slowFactor * warmServiceTime)
+		time.AfterFunc(warmUpTime, func() { serviceTime.Store(warmServiceTime) })
 	}
 }
 
-// logOf returns the destination of the processes' logs, or nil.
-func logOf() io.Writer {
+// processLog returns the destination of the processes' logs: standard error if LAB_LOG is set, else nil.
+func processLog() io.Writer {
 	if os.Getenv("LAB_LOG") == "" {
 		return nil
 	}
--- a/cmd/experiment/slopes.go
+++ b/cmd/experiment/slopes.go
@@ -13,17 +13,17 @@
 	"lilacbend/internal/capacity"
 )
 
-// slopesCommand returns the command that fits scale runs of several sizes, for the capacity page.
+// slopesCommand returns the command that fits lines to the results of scale runs of several sizes, for the capacity page.
 func slopesCommand() *cli.Command {
 	var common capacity.Measurement // fields of all measurements
-	var table bool
-	text := func(name, usage string, destination *string) cli.Flag {
+	var asTable bool
+	stringFlag := func(name, usage string, destination *string) cli.Flag {
 		return &cli.StringFlag{Name: name, Usage: usage, Destination: destination}
 	}
-	return &cli.Command{Name: "slopes", Usage: "fit the quiet phases of scale runs over their governors: slopes FILE...", ArgsUsage: "FILE...",
-		Flags: []cli.Flag{&cli.BoolFlag{Name: "table", Usage: "write rows for the capacity page's scale.yaml", Destination: &table},
-			text("command", "of the runs", &common.Command), text("commit", "that was run", &common.Commit),
-			text("machine", "by its name in the table", &common.Machine), text("date", "of the runs", &common.Date)},
+	return &cli.Command{Name: "slopes", Usage: "fit lines over the number of controllers to the phases without a fault of scale runs: slopes FILE...", ArgsUsage: "FILE...",
+		Flags: []cli.Flag{&cli.BoolFlag{Name: "table", Usage: "print measurements for internal/capacity/table/scale.yaml", Destination: &asTable},
+			stringFlag("command", "command of the runs", &common.Command), stringFlag("commit", "commit of the program that was run", &common.Commit),
+			stringFlag("machine", "machine of the runs, by its name in the capacity table", &common.Machine), stringFlag("date", "date of the runs", &common.Date)},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			reports, err := readReports(cmd.Args().Slice())
 			if err != nil {
@@ -33,15 +33,15 @@
 			if err != nil {
 				return err
 			}
-			if !table {
+			if !asTable {
 				return scale.PrintSlopes(os.Stdout, measurements)
 			}
 			for k := range measurements {
-				m := &measurements[k]
-				m.Command = common.Command
-				m.Commit = common.Commit
-				m.Machine = common.Machine
-				m.Date = common.Date
+				measurement := &measurements[k]
+				measurement.Command = common.Command
+				measurement.Commit = common.Commit
+				measurement.Machine = common.Machine
+				measurement.Date = common.Date
 			}
 			return yaml.NewEncoder(os.Stdout).Encode(map[string]any{"measurements": measurements})
 		}}
@@ -53,11 +53,11 @@
 		if err != nil {
 			return nil, err
 		}
-		var r scale.Report
-		if err := json.Unmarshal(raw, &r); err != nil {
-			return nil, fmt.Errorf("%s: %w", file, err)
+		var report scale.Report
+		if err := json.Unmarshal(raw, &report); err != nil {
+			return nil, fmt.Errorf("decoding report %s: %w", file, err)
 		}
-		reports = append(reports, r)
+		reports = append(reports, report)
 	}
 	return reports, nil
 }
