--- a/example/shop/main.go
+++ b/example/shop/main.go
@@ -1,6 +1,6 @@
-// Command shop starts a whole small installation on loopback: a governor, two zones with a collector and a sidecar
-// each, discovery and six replicas. It serves HTTP/1.1 on 127.0.0.1:18080 and HTTP/2 cleartext on 127.0.0.1:18081,
-// and ends on an interrupt.
+// Command shop starts a small but complete installation on loopback: a controller, two zones with a collector and a sidecar
+// each, discovery and six replicas. It serves HTTP/1.1 on 127.0.0.1:18080 and HTTP/2 cleartext on 127.0.0.1:18081, and stops
+// on an interrupt.
 package main
 
 import (
@@ -29,14 +29,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s, err := installation.Start(ctx, installation.Config{Zones: 2, Replicas: 6, ReplicaSlots: 8, Sidecars: 2, Controllers: 1, ServiceTime: 20 * time.Millisecond, SlowFactor: 2,
+	site, err := installation.Start(ctx, installation.Config{Zones: 2, Replicas: 6, ReplicaSlots: 8, Sidecars: 2, Controllers: 1, ServiceTime: 20 * time.Millisecond, SlowFactor: 2,
 		HTTP1Address: "127.0.0.1:18080", HTTP2Address: "127.0.0.1:18081", KeepState: true, Controlled: true, Dir: dir, Log: os.Stderr})
 	if err != nil {
 		return err
 	}
-	defer s.Stop()
-	fmt.Println("shop: open. HTTP/1.1 on http://127.0.0.1:18080, HTTP/2 cleartext on 127.0.0.1:18081")
-	fmt.Println("shop: GET /stock, POST /orders, POST /payouts; an interrupt ends it")
+	defer site.Stop()
+	fmt.Println("shop: serving HTTP/1.1 on http://127.0.0.1:18080 and HTTP/2 cleartext on 127.0.0.1:18081")
+	fmt.Println("shop: accepts GET /stock, POST /orders and POST /payouts; press Ctrl-C to stop")
 	<-ctx.Done()
 	return nil
 }
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,7 @@
-// Command toy lets a newcomer see a controller at work: it stands in for discovery, for a few proxies and for the collector
-// of each zone, acknowledges updates, and prints each table as it arrives. After a while one replica drains and leaves, it comes
-// back and has to warm up, and another one fails every request. It forwards no requests and measures nothing.
+// Command toy demonstrates a running controller: it emulates discovery, a few proxies and the collector of each zone,
+// acknowledges updates, and prints each table as it arrives. Every few seconds it makes a change: one replica drains,
+// leaves, and comes back, so that it has to warm up; then another one fails every request. It forwards no requests and
+// measures nothing.
 package main
 
 import (
@@ -19,7 +20,7 @@
 
 const (
 	reportInterval = 500 * time.Millisecond
-	eventInterval  = 5 * time.Second // between the changes that the toy plays
+	changeInterval = 5 * time.Second // between two changes
 	replicas       = 6
 	firstPort      = 9001
 	proxies        = 4
@@ -40,7 +41,7 @@
 	startedAt                      int64 // Unix milliseconds; 0: long ago
 }
 
-// endpointList is the list that discovery serves. The channel changed is closed and made anew at each change.
+// endpointList is the list that discovery serves. The channel changed is closed and replaced at each change.
 type endpointList struct {
 	mu       sync.Mutex
 	revision int
@@ -61,7 +62,7 @@
 	return l
 }
 
-// zoneName returns the zone of the replica, proxy or collector with a number: they alternate.
+// zoneName returns the zone of the replica, proxy or collector with a number: consecutive numbers are in alternating zones.
 func zoneName(number int) string { return string("ab"[number%zones]) }
 
 func (l *endpointList) set(id, phase string, startedAt int64) {
@@ -79,7 +80,7 @@
 	fmt.Printf("toy: %s is %s (revision %d)\n", id, phase, l.revision)
 }
 
-// encode returns the list as discovery sends it, its revision, and the channel that is closed when it is no longer true.
+// encode returns the list as discovery sends it, its revision, and the channel that is closed at its next change.
 func (l *endpointList) encode() (text string, revision int, changed <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +106,8 @@
 	}
 }
 
-// answer serves one connection: the complete list, at once or as soon as it is newer than what the client has.
+// answer serves the requests of one connection with the complete list. A watch is answered as soon as the list is newer than
+// the client's revision, or when the watch times out.
 func (l *endpointList) answer(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -171,7 +173,7 @@
 	}
 }
 
-// runCollector reports the outcomes of a zone's proxies: every replica serves, except the one that fails.
+// runCollector reports the outcomes of a zone's proxies: all requests succeed, except those to the failing replica.
 func (p peer) runCollector(zone string, list *endpointList, failing *failingReplica) error {
 	if err := p.send("agent site %s", zone); err != nil {
 		return err
@@ -190,7 +192,7 @@
 	}
 }
 
-// ids returns the replicas' names.
+// ids returns the IDs of all replicas.
 func (l *endpointList) ids() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -201,7 +203,7 @@
 	return ids
 }
 
-// failingReplica names the replica that fails every request; empty: none.
+// failingReplica holds the ID of the replica that fails every request; empty: none.
 type failingReplica struct {
 	mu sync.Mutex
 	id string
@@ -224,7 +226,7 @@
 	list := newEndpointList()
 	listener, err := net.Listen("tcp", discovery)
 	if err != nil {
-		return fmt.Errorf("discovery: %w", err)
+		return fmt.Errorf("listening for clients of discovery: %w", err)
 	}
 	defer listener.Close()
 	go list.serve(listener)
@@ -234,7 +236,7 @@
 	for k := range proxies + zones {
 		conn, err := net.Dial("tcp", controller)
 		if err != nil {
-			return fmt.Errorf("governor: %w", err)
+			return fmt.Errorf("connecting to the controller: %w", err)
 		}
 		defer conn.Close()
 		p := peer{conn: conn, pool: pool}
@@ -246,24 +248,24 @@
 			ended <- p.runCollector(zoneName(k-proxies), list, &failing)
 		}()
 	}
-	return play(list, &failing, ended)
+	return makeChanges(list, &failing, ended)
 }
 
-// play makes the changes one after another, until the last one or until a connection has ended.
-func play(list *endpointList, failing *failingReplica, ended <-chan error) error {
+// makeChanges makes the changes, one every changeInterval, and returns after the last one or when a connection has ended.
+func makeChanges(list *endpointList, failing *failingReplica, ended <-chan error) error {
 	changes := []func(){
 		func() { list.set("box-1", phaseTerminating, 0) },
 		func() { list.set("box-1", phaseGone, 0) },
 		func() { list.set("box-1", phaseReady, time.Now().UnixMilli()) },
 		func() { failing.set("box-2") },
 		func() {}, // time to see the replica ejected and on probation
-		func() { fmt.Println("toy: the end") },
+		func() { fmt.Println("toy: finished") },
 	}
 	for _, change := range changes {
 		select {
 		case err := <-ended:
-			return fmt.Errorf("a connection to the governor ended: %w", err)
-		case <-time.After(eventInterval):
+			return fmt.Errorf("connection to the controller ended: %w", err)
+		case <-time.After(changeInterval):
 			change()
 		}
 	}
@@ -271,8 +273,8 @@
 }
 
 func main() {
-	controller := flag.String("governor", "127.0.0.1:8080", "where the governor listens")
-	discovery := flag.String("discovery", "127.0.0.1:8500", "where the toy serves the endpoint list")
+	controller := flag.String("governor", "127.0.0.1:8080", "address of the controller")
+	discovery := flag.String("discovery", "127.0.0.1:8500", "address at which the toy serves the endpoint list")
 	flag.Parse()
 	if err := run(*controller, *discovery); err != nil {
 		fmt.Fprintln(os.Stderr, "toy:", err)
