--- a/internal/capacity/crossing.go
+++ b/internal/capacity/crossing.go
@@ -6,65 +6,67 @@
 )
 
 const (
-	// Crossings are looked for up to so many times the target.
-	fleetsMost = 100
-	// Sizes are looked at in steps of this share, the smallest one at least, and within the step that has a crossing by
-	// halves: a row that is over its bound for a narrower span of sizes alone could be missed.
+	// maxTargetMultiple limits the search for crossings to this multiple of the target's number of controllers.
+	maxTargetMultiple = 100
+	// scanStep is the distance between two sizes at which bounds are checked, as a fraction of the size. The distance is at
+	// least the smallest step. Within the step that contains a crossing, the crossing is found by bisection. A row that
+	// exceeds its bound only in a range of sizes narrower than a step can be missed.
 	scanStep = 0.01
-	// The smallest step of the size of a service is the mean by so many.
-	serviceSteps = 10
+	// stepsPerMeanService is the number of smallest steps that make up the size of the mean service.
+	stepsPerMeanService = 10
 )
 
-// rows are all rows of the table, ordinary and bad days.
+// rows returns all rows of the table, of ordinary operation and of incidents.
 func (m *Model) rows() []Path { return slices.Concat(m.Paths, m.Incidents) }
 
-// overFunc says which rows are over their bounds at a size, counted in smallest steps.
-type overFunc func(size int) (map[string]bool, error)
+// boundsCheck reports, by row, whether it exceeds its bound at a size. The size is a number of smallest steps.
+type boundsCheck func(size int) (map[string]bool, error)
 
-// over says which rows are over their bounds in a scenario.
-func (m *Model) over(s Scenario) (map[string]bool, error) {
-	values, err := m.Evaluate(s)
+// overBound reports, by row, whether it exceeds its bound in a scenario.
+func (m *Model) overBound(scenario Scenario) (map[string]bool, error) {
+	values, err := m.Evaluate(scenario)
 	if err != nil {
 		return nil, err
 	}
-	all := map[string]bool{}
-	for _, p := range m.rows() {
-		all[p.Name] = p.Bound != "" && exceeds(values[p.Name], m.bound(p.Bound))
+	over := map[string]bool{}
+	for _, row := range m.rows() {
+		over[row.Name] = row.Bound != "" && exceeds(values[row.Name], m.bound(row.Bound))
 	}
-	return all, nil
+	return over, nil
 }
 
-// firstOver finds, by row, the smallest size at which it is over its bound. Rows that never are have no entry.
-func firstOver(from, to int, over overFunc) (map[string]int, error) {
+// firstCrossings returns, by row, the smallest size at which it exceeds its bound. Rows that never exceed it have no entry.
+func firstCrossings(from, to int, check boundsCheck) (map[string]int, error) {
 	first := map[string]int{}
-	before := from
+	previous := from
 	for size := from; size <= to; size = max(size+1, int(float64(size)*(1+scanStep))) {
-		all, err := over(size)
+		over, err := check(size)
 		if err != nil {
 			return nil, err
 		}
-		for name, crossed := range all {
+		for name, crossed := range over {
 			if _, known := first[name]; known || !crossed {
 				continue
 			}
-			if first[name], err = between(name, before, size, over); err != nil {
+			if first[name], err = bisectCrossing(name, previous, size, check); err != nil {
 				return nil, err
 			}
 		}
-		before = size
+		previous = size
 	}
 	return first, nil
 }
 
-// between is the smallest size at which a row is over, which it is not with the smaller of two and is with the larger.
-func between(name string, within, beyond int, over overFunc) (int, error) {
+// bisectCrossing returns the smallest size at which a row exceeds its bound. The row exceeds its bound at the size
+// beyond, and is within it at the size within, unless the two sizes are equal.
+func bisectCrossing(name string, within, beyond int, check boundsCheck) (int, error) {
 	for beyond-within > 1 {
 		middle := within + (beyond-within)/2
-		all, err := over(middle)
+		over, err := check(middle)
 		if err != nil {
 			return 0, err
 		}
-		if all[name] {
+		if over[name] {
 			beyond = middle
 		} else {
 			within = middle
@@ -73,56 +75,56 @@
 	return beyond, nil
 }
 
-// Crossings are, by row, the smallest fleets at which they are over their bounds in a reading, in governors. A row without a
-// mechanism crosses at once, with today's fleet; one that stays within its bound up to fleetsMost times the target has the
-// value +Inf.
+// Crossings returns, by row, the number of controllers of the smallest fleet at which the row exceeds its bound in a
+// reading. A row without a mechanism crosses at today's fleet. A row that stays within its bound up to maxTargetMultiple
+// times the target has the value +Inf.
 func (m *Model) Crossings(reading string) (map[string]float64, error) {
-	size := m.size(governorsSize)
-	first, err := firstOver(int(size.Today), int(fleetsMost*size.Target), func(governors int) (map[string]bool, error) {
-		service, err := m.Service(reading, float64(governors))
+	size := m.size(controllersSize)
+	first, err := firstCrossings(int(size.Today), int(maxTargetMultiple*size.Target), func(controllers int) (map[string]bool, error) {
+		service, err := m.Service(reading, float64(controllers))
 		if err != nil {
 			return nil, err
 		}
-		return m.over(Scenario{float64(governors), service})
+		return m.overBound(Scenario{float64(controllers), service})
 	})
 	if err != nil {
 		return nil, err
 	}
-	all := map[string]float64{}
-	for _, p := range m.rows() {
-		at, crosses := first[p.Name]
+	crossings := map[string]float64{}
+	for _, row := range m.rows() {
+		at, crosses := first[row.Name]
 		switch {
-		case len(p.Mechanism) == 0:
-			all[p.Name] = size.Today
+		case len(row.Mechanism) == 0:
+			crossings[row.Name] = size.Today
 		case crosses:
-			all[p.Name] = float64(at)
+			crossings[row.Name] = float64(at)
 		default:
-			all[p.Name] = math.Inf(1)
+			crossings[row.Name] = math.Inf(1)
 		}
 	}
-	return all, nil
+	return crossings, nil
 }
 
-// LargestServices are, by row, the sizes that a service of the target's fleet can grow to, as multiples of the mean, before
-// the row is over its bound: 0 when it is over it at the mean already, +Inf when the whole fleet may be one service.
+// LargestServices returns, by row, the largest size of a service of the target's fleet at which the row is within its bound,
+// as a multiple of the mean: 0 if the row exceeds its bound at the mean already, +Inf if the whole fleet may be one service.
 func (m *Model) LargestServices() (map[string]float64, error) {
-	governors := m.size(governorsSize).Target
-	services := int(m.sizes(governors)["services"])
-	first, err := firstOver(serviceSteps, serviceSteps*services, func(steps int) (map[string]bool, error) {
-		return m.over(Scenario{governors, float64(steps) / serviceSteps})
+	controllers := m.size(controllersSize).Target
+	services := int(m.sizesOf(controllers)["services"])
+	first, err := firstCrossings(stepsPerMeanService, stepsPerMeanService*services, func(steps int) (map[string]bool, error) {
+		return m.overBound(Scenario{controllers, float64(steps) / stepsPerMeanService})
 	})
 	if err != nil {
 		return nil, err
 	}
-	all := map[string]float64{}
-	for _, p := range m.rows() {
-		at, crosses := first[p.Name]
+	largest := map[string]float64{}
+	for _, row := range m.rows() {
+		at, crosses := first[row.Name]
 		switch {
 		case !crosses:
-			all[p.Name] = math.Inf(1)
-		case at > serviceSteps:
-			all[p.Name] = float64(at-1) / serviceSteps
+			largest[row.Name] = math.Inf(1)
+		case at > stepsPerMeanService:
+			largest[row.Name] = float64(at-1) / stepsPerMeanService
 		}
 	}
-	return all, nil
+	return largest, nil
 }
--- a/internal/capacity/fit.go
+++ b/internal/capacity/fit.go
@@ -10,12 +10,12 @@
 type Fit struct {
 	Slope     float64 `expr:"slope"`
 	Intercept float64 `expr:"intercept"`
-	// Worst is the largest distance of a point from the line, as a share of the point's value.
+	// Worst is the largest distance of a point from the line, as a fraction of the point's value.
 	Worst  float64 `expr:"-"`
 	points [][2]float64
 }
 
-// Measured is the point at x itself, not the line's value; NaN where nothing was measured.
+// Measured returns the value that was measured at x, not that of the line; NaN if no point is at x.
 func (f Fit) Measured(x float64) float64 {
 	for _, p := range f.points {
 		if p[0] == x {
@@ -25,8 +25,8 @@
 	return math.NaN()
 }
 
-// FitLine finds the line by least squares of relative residuals: the points span orders of magnitude, and absolute residuals
-// would leave small sizes to the noise of the largest.
+// FitLine fits a line to points by least squares of the relative residuals. The points span orders of magnitude: with
+// absolute residuals, the noise of the largest points would determine the line at small sizes.
 func FitLine(points [][2]float64) Fit {
 	var x, y, weights []float64
 	for _, p := range points {
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// serviceSize is the name of the size of a governor's service, as a multiple of the mean.
+	// serviceSize is the name, in formulas, of the size of a controller's service as a multiple of the mean.
 	serviceSize = "service"
-	// governorsSize is the name of the size that fleets are ranked by.
-	governorsSize = "governors"
+	// controllersSize is the name, in formulas, of the number of controllers, which is the size of a fleet.
+	controllersSize = "governors"
 )
 
 // Values are quantities by name.
@@ -33,13 +33,14 @@
 	program *vm.Program
 }
 
-// Scenario is a size of fleet, by governors, and the size of the service that a governor belongs to.
+// Scenario is the size of a fleet, in controllers, and the size of the service that a controller belongs to, as a multiple
+// of the mean.
 type Scenario struct {
-	Governors float64
-	Service   float64
+	Controllers float64
+	Service     float64
 }
 
-// NewModel compiles all formulas. The error names the row whose formula cannot be used.
+// NewModel compiles all formulas of a table and fits its lines. The error names the row whose formula is invalid.
 func NewModel(t Table) (*Model, error) {
 	m := &Model{Table: t, fits: map[string]Fit{}, readings: map[string]*vm.Program{}}
 	known, err := m.knownSizes()
@@ -49,7 +50,7 @@
 	if err := m.compileReadings(known); err != nil {
 		return nil, err
 	}
-	m.addFigures(known)
+	m.addInputs(known)
 	for _, list := range m.formulaLists() {
 		for _, row := range list.rows {
 			if err := m.compile(list.name, row.name, row.text, known); err != nil {
@@ -66,13 +67,13 @@
 	for _, size := range m.Sizes {
 		known[size.Name] = 0.0
 	}
-	if _, ok := known[governorsSize]; !ok {
-		return nil, fmt.Errorf("sizes: %s is missing", governorsSize)
+	if _, ok := known[controllersSize]; !ok {
+		return nil, fmt.Errorf("sizes: %s is missing", controllersSize)
 	}
 	return known, nil
 }
 
-// compileReadings compiles what a service has of each size. Only sizes are known there.
+// compileReadings compiles the formulas of the size of a service. They may use sizes only.
 func (m *Model) compileReadings(known map[string]any) error {
 	for _, reading := range m.Readings {
 		program, err := expr.Compile(reading.Service, expr.Env(maps.Clone(known)), expr.AsFloat64())
@@ -84,8 +85,8 @@
 	return nil
 }
 
-// addFigures adds constants, bounds and measurements to the known names; a measurement over a size is a fitted line.
-func (m *Model) addFigures(known map[string]any) {
+// addInputs adds constants, bounds and measurements to the known names. A measurement with points is a fitted line.
+func (m *Model) addInputs(known map[string]any) {
 	for _, constant := range slices.Concat(m.Constants, m.Bounds) {
 		known[constant.Name] = 0.0
 	}
@@ -107,7 +108,7 @@
 
 type formulaRow struct{ name, text string }
 
-// formulaLists returns all formulas in the order in which they may use each other.
+// formulaLists returns all formulas in the order of evaluation. A formula may use the results of earlier ones.
 func (m *Model) formulaLists() []formulaList {
 	derived := formulaList{name: "derived"}
 	for _, row := range m.Derived {
@@ -124,7 +125,7 @@
 	return []formulaList{derived, paths, claims}
 }
 
-// compile adds a formula, which later ones may use by its name.
+// compile compiles and adds a formula. Later formulas may use its result by its name.
 func (m *Model) compile(list, name, text string, known map[string]any) error {
 	program, err := expr.Compile(text, expr.Env(maps.Clone(known)), expr.AsFloat64())
 	if err != nil {
@@ -135,25 +136,26 @@
 	return nil
 }
 
-// sizes are the quantities of a fleet of so many governors, grown evenly from today's to the target's and on.
-func (m *Model) sizes(governors float64) Values {
-	v := Values{}
-	part := 1.0
+// sizesOf returns the sizes of a fleet with a number of controllers. Each is on the line through today's and the target's
+// value.
+func (m *Model) sizesOf(controllers float64) Values {
+	values := Values{}
+	growth := 1.0
 	for _, s := range m.Sizes {
-		if s.Name == governorsSize {
-			part = (governors - s.Today) / (s.Target - s.Today)
+		if s.Name == controllersSize {
+			growth = (controllers - s.Today) / (s.Target - s.Today)
 		}
 	}
 	for _, s := range m.Sizes {
-		v[s.Name] = s.Today + part*(s.Target-s.Today)
+		values[s.Name] = s.Today + growth*(s.Target-s.Today)
 	}
-	return v
+	return values
 }
 
-// Service is the size of a service in a reading, for a fleet of so many governors.
-func (m *Model) Service(reading string, governors float64) (float64, error) {
+// Service returns the size of a service in a reading, for a fleet with a number of controllers.
+func (m *Model) Service(reading string, controllers float64) (float64, error) {
 	env := map[string]any{serviceSize: 0.0}
-	for name, v := range m.sizes(governors) {
+	for name, v := range m.sizesOf(controllers) {
 		env[name] = v
 	}
 	size, err := expr.Run(m.readings[reading], env)
@@ -163,43 +165,44 @@
 	return size.(float64), nil
 }
 
-// Evaluate works out all derived quantities and rows of a scenario.
-func (m *Model) Evaluate(s Scenario) (Values, error) {
-	env := map[string]any{serviceSize: s.Service}
-	for name, v := range m.sizes(s.Governors) {
+// Evaluate computes all derived quantities, rows and claims of a scenario.
+func (m *Model) Evaluate(scenario Scenario) (Values, error) {
+	env := map[string]any{serviceSize: scenario.Service}
+	for name, v := range m.sizesOf(scenario.Controllers) {
 		env[name] = v
 	}
-	for _, c := range slices.Concat(m.Constants, m.Bounds) {
-		env[c.Name] = c.Value
+	for _, constant := range slices.Concat(m.Constants, m.Bounds) {
+		env[constant.Name] = constant.Value
 	}
-	for _, d := range m.Measurements {
-		env[d.Name] = d.Value
-		if d.X != "" {
-			env[d.Name] = m.fits[d.Name]
+	for _, measurement := range m.Measurements {
+		env[measurement.Name] = measurement.Value
+		if measurement.X != "" {
+			env[measurement.Name] = m.fits[measurement.Name]
 		}
 	}
-	out := Values{}
+	results := Values{}
 	for _, f := range m.formulas {
-		v, err := expr.Run(f.program, env)
+		output, err := expr.Run(f.program, env)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", f.name, err)
+			return nil, fmt.Errorf("evaluating formula %s: %w", f.name, err)
 		}
-		result := v.(float64)
+		result := output.(float64)
 		if math.IsNaN(result) || math.IsInf(result, 0) {
-			return nil, fmt.Errorf("%s: the result is %v at %+v", f.name, result, s)
+			return nil, fmt.Errorf("evaluating formula %s: result %v in scenario %+v is not finite", f.name, result, scenario)
 		}
-		env[f.name], out[f.name] = result, result
+		env[f.name], results[f.name] = result, result
 	}
-	return out, nil
+	return results, nil
 }
 
-// rounding is the share by which a result may be off for the order of its operations: what equals its bound is not over it.
-const rounding = 1e-9
+// roundingTolerance is the relative error that rounding can cause, depending on the order of the operations of a formula. A
+// result that equals its bound within this error does not exceed it.
+const roundingTolerance = 1e-9
 
-// exceeds says whether a result is over a bound.
-func exceeds(result, bound float64) bool { return result > bound*(1+rounding) }
+// exceeds reports whether a result is over a bound by more than roundingTolerance.
+func exceeds(result, bound float64) bool { return result > bound*(1+roundingTolerance) }
 
-// bound is the value of a named bound.
+// bound returns the value of the bound with a name; +Inf if there is none.
 func (m *Model) bound(name string) float64 {
 	for _, b := range m.Bounds {
 		if b.Name == name {
@@ -209,7 +212,7 @@
 	return math.Inf(1)
 }
 
-// size is a quantity that grows with the fleet.
+// size returns the size with a name, today's and the target's; zero if there is none.
 func (m *Model) size(name string) Size {
 	for _, s := range m.Sizes {
 		if s.Name == name {
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -9,41 +9,42 @@
 	"strings"
 )
 
-// The page holds each generated section between two comments that name it.
-var marked = regexp.MustCompile(`(?s)<!-- capacity:([a-z0-9-]+) -->\n(.*?)<!-- /capacity:([a-z0-9-]+) -->\n`)
+// sectionPattern matches a generated section of the page with the two comments around it, both of which name it.
+var sectionPattern = regexp.MustCompile(`(?s)<!-- capacity:([a-z0-9-]+) -->\n(.*?)<!-- /capacity:([a-z0-9-]+) -->\n`)
 
-// Replace puts the sections into a page. The error names sections that the page lacks, or has and should not.
+// Replace replaces the generated sections of a page. The error names each section that is missing from the page, is unknown,
+// occurs twice, or ends with the name of another one.
 func Replace(page string, sections map[string]string) (string, error) {
-	left := maps.Clone(sections)
+	missing := maps.Clone(sections)
 	var errs []error
-	replaced := marked.ReplaceAllStringFunc(page, func(text string) string {
-		found := marked.FindStringSubmatch(text)
-		name, end := found[1], found[3]
-		section, ok := left[name]
+	replaced := sectionPattern.ReplaceAllStringFunc(page, func(text string) string {
+		match := sectionPattern.FindStringSubmatch(text)
+		name, end := match[1], match[3]
+		section, ok := missing[name]
 		if !ok || name != end {
-			errs = append(errs, fmt.Errorf("section %s, which ends as %s: there is none, or it has been there", name, end))
+			errs = append(errs, fmt.Errorf("section %s, ended as %s: unknown section, duplicate, or wrong end", name, end))
 			return text
 		}
-		delete(left, name)
+		delete(missing, name)
 		return fmt.Sprintf("<!-- capacity:%s -->\n%s<!-- /capacity:%s -->\n", name, section, name)
 	})
-	for _, name := range slices.Sorted(maps.Keys(left)) {
-		errs = append(errs, fmt.Errorf("section %s is not on the page", name))
+	for _, name := range slices.Sorted(maps.Keys(missing)) {
+		errs = append(errs, fmt.Errorf("section %s is missing from the page", name))
 	}
 	return replaced, errors.Join(errs...)
 }
 
-// Difference says where a page first differs from what the table gives; empty: nowhere.
+// Difference describes the first difference of a page from the text that the table gives; empty if there is none.
 func Difference(page string, sections map[string]string) (string, error) {
 	want, err := Replace(page, sections)
 	if err != nil || want == page {
 		return "", err
 	}
-	has, wants := strings.Split(page, "\n"), strings.Split(want, "\n")
-	for k := range min(len(has), len(wants)) {
-		if has[k] != wants[k] {
-			return fmt.Sprintf("line %d is\n  %s\nthe table gives\n  %s", k+1, has[k], wants[k]), nil
+	pageLines, wantLines := strings.Split(page, "\n"), strings.Split(want, "\n")
+	for k := range min(len(pageLines), len(wantLines)) {
+		if pageLines[k] != wantLines[k] {
+			return fmt.Sprintf("line %d is\n  %s\nthe table gives\n  %s", k+1, pageLines[k], wantLines[k]), nil
 		}
 	}
-	return fmt.Sprintf("%d lines, the table gives %d", len(has), len(wants)), nil
+	return fmt.Sprintf("page has %d lines, the table gives %d", len(pageLines), len(wantLines)), nil
 }
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// ranked is one row of the ranking: the sizes at which it crosses, by reading.
-type ranked struct {
-	path    Path
-	crosses []float64
-	over    []bool  // at the target's size
-	ratio   float64 // of result to bound at the target's size, in the first reading
+// rankedPath is a row of the ranking. Its crossings are numbers of controllers, by reading.
+type rankedPath struct {
+	path      Path
+	crossings []float64
+	over      []bool  // by reading, at the target's size
+	ratio     float64 // of result to bound at the target's size, in the first reading
 }
 
-// compare puts rows without a mechanism first, then those that cross with fewer governors in the first reading, in the
-// second, and so on, then those that are farther over their bound.
-func (r ranked) compare(o ranked) int {
-	order := cmp.Compare(min(len(r.path.Mechanism), 1), min(len(o.path.Mechanism), 1))
-	return cmp.Or(order, slices.Compare(r.crosses, o.crosses), cmp.Compare(o.ratio, r.ratio))
+// compare orders rows without a mechanism first, then by the number of controllers at which they cross in the first reading,
+// in the second, and so on, then by descending ratio to the bound.
+func (r rankedPath) compare(other rankedPath) int {
+	order := cmp.Compare(min(len(r.path.Mechanism), 1), min(len(other.path.Mechanism), 1))
+	return cmp.Or(order, slices.Compare(r.crossings, other.crossings), cmp.Compare(other.ratio, r.ratio))
 }
 
-// Ranking orders all rows that have a bound or lack a mechanism by the size of fleet at which they cross.
+// Ranking returns all rows that have a bound or lack a mechanism, ordered by the size of the fleet at which they cross.
 func (m *Model) Ranking() ([]Path, error) {
 	all, err := m.ranking()
 	var paths []Path
@@ -34,8 +34,8 @@
 	return paths, err
 }
 
-func (m *Model) ranking() ([]ranked, error) {
-	values, err := m.atTarget()
+func (m *Model) ranking() ([]rankedPath, error) {
+	values, err := m.evaluateAtTarget()
 	if err != nil {
 		return nil, err
 	}
@@ -47,19 +47,19 @@
 		}
 		crossings = append(crossings, first)
 	}
-	var all []ranked
+	var all []rankedPath
 	for _, p := range m.rows() {
 		if p.Bound == "" && len(p.Mechanism) > 0 {
 			continue
 		}
-		r := ranked{path: p, ratio: values[0][p.Name] / m.bound(p.Bound)}
+		row := rankedPath{path: p, ratio: values[0][p.Name] / m.bound(p.Bound)}
 		for k, first := range crossings {
-			r.crosses = append(r.crosses, first[p.Name])
-			r.over = append(r.over, exceeds(values[k][p.Name], m.bound(p.Bound)))
+			row.crossings = append(row.crossings, first[p.Name])
+			row.over = append(row.over, exceeds(values[k][p.Name], m.bound(p.Bound)))
 		}
-		all = append(all, r)
+		all = append(all, row)
 	}
-	slices.SortStableFunc(all, ranked.compare)
+	slices.SortStableFunc(all, rankedPath.compare)
 	return all, nil
 }
 
@@ -68,22 +68,22 @@
 	if err != nil {
 		return "", err
 	}
-	size := m.size(governorsSize)
+	size := m.size(controllersSize)
 	var rows [][]string
 	for k, r := range all {
-		row := []string{strconv.Itoa(k + 1), subject(r.path), r.path.Kind, "`" + r.path.Name + "`: " + r.path.Text, mechanism(r.path)}
-		for k, c := range r.crosses {
+		row := []string{strconv.Itoa(k + 1), roleOrEvent(r.path), r.path.Kind, "`" + r.path.Name + "`: " + r.path.Text, formatMechanism(r.path)}
+		for k, crossing := range r.crossings {
 			switch {
 			case len(r.path.Mechanism) == 0:
 				row = append(row, "at once")
-			case math.IsInf(c, 0):
-				row = append(row, "not by "+exact(fleetsMost*size.Target))
-			case c <= size.Target && !r.over[k]:
-				row = append(row, exact(c)+", under it again at "+exact(size.Target))
-			case c <= size.Today:
-				row = append(row, "today's "+exact(c))
+			case math.IsInf(crossing, 0):
+				row = append(row, "not by "+formatExact(maxTargetMultiple*size.Target))
+			case crossing <= size.Target && !r.over[k]:
+				row = append(row, formatExact(crossing)+", under it again at "+formatExact(size.Target))
+			case crossing <= size.Today:
+				row = append(row, "today's "+formatExact(crossing))
 			default:
-				row = append(row, exact(c))
+				row = append(row, formatExact(crossing))
 			}
 		}
 		rows = append(rows, row)
@@ -91,83 +91,84 @@
 	return markdownTable(append([]string{"rank", "role or event", "kind", "path", "mechanism"}, m.readingNames()...), rows), nil
 }
 
-// subject is what a row is about: the role, and of an incident the event too.
-func subject(p Path) string {
+// roleOrEvent returns the role of a row, with the event before it if the row belongs to an incident.
+func roleOrEvent(p Path) string {
 	if p.Event == "" {
 		return p.Role
 	}
 	return p.Event + ", " + p.Role
 }
 
-// tolerated is a row and the largest service, in times the mean, at which the target's fleet keeps its bound.
-type tolerated struct {
+// serviceTolerance is a row and the largest service of the target's fleet, as a multiple of the mean, that keeps the row
+// within its bound.
+type serviceTolerance struct {
 	path    Path
 	service float64
 }
 
-// tolerances are those of all rows that have a bound and a mechanism, the least first.
-func (m *Model) tolerances() ([]tolerated, error) {
-	var all []tolerated
+// tolerances returns the tolerances of all rows that have a bound and a mechanism, in ascending order.
+func (m *Model) tolerances() ([]serviceTolerance, error) {
+	var all []serviceTolerance
 	largest, err := m.LargestServices()
 	if err != nil {
 		return nil, err
 	}
 	for _, p := range m.rows() {
 		if p.Bound != "" && len(p.Mechanism) > 0 {
-			all = append(all, tolerated{p, largest[p.Name]})
+			all = append(all, serviceTolerance{p, largest[p.Name]})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b tolerated) int { return cmp.Compare(a.service, b.service) })
+	slices.SortStableFunc(all, func(a, b serviceTolerance) int { return cmp.Compare(a.service, b.service) })
 	return all, nil
 }
 
-// servicesTable prints up to which size of one service each row of the target's fleet holds.
-func (m *Model) servicesTable(all []tolerated) string {
-	target := m.sizes(m.size(governorsSize).Target)
+// servicesTable formats, by row, the largest service of the target's fleet that keeps the row within its bound.
+func (m *Model) servicesTable(tolerances []serviceTolerance) string {
+	target := m.sizesOf(m.size(controllersSize).Target)
 	var rows [][]string
-	for _, h := range all {
-		row := []string{subject(h.path), "`" + h.path.Name + "`"}
-		switch part := h.service / target["services"]; {
-		case math.IsInf(h.service, 0):
+	for _, tolerance := range tolerances {
+		row := []string{roleOrEvent(tolerance.path), "`" + tolerance.path.Name + "`"}
+		switch fraction := tolerance.service / target["services"]; {
+		case math.IsInf(tolerance.service, 0):
 			row = append(row, "all of the fleet", "", "")
-		case h.service == 0:
+		case tolerance.service == 0:
 			row = append(row, "**over at the mean already**", "", "")
 		default:
-			row = append(row, exact(h.service), exact(math.Floor(part*target[governorsSize])), exact(math.Floor(part*target["replicas"])))
+			row = append(row, formatExact(tolerance.service), formatExact(math.Floor(fraction*target[controllersSize])), formatExact(math.Floor(fraction*target["replicas"])))
 		}
 		rows = append(rows, row)
 	}
 	return markdownTable([]string{"role or event", "path", "times the mean service", "its governors", "its replicas"}, rows)
 }
 
-// summary says in few lines how many rows hold in each reading, and up to which size of one service.
-func (m *Model) summary(all []tolerated) (string, error) {
-	values, err := m.atTarget()
+// summary formats how many rows are within their bounds in each reading, and the lowest tolerances of the size of a service.
+func (m *Model) summary(tolerances []serviceTolerance) (string, error) {
+	values, err := m.evaluateAtTarget()
 	if err != nil {
 		return "", err
 	}
-	var b strings.Builder
-	for k, r := range m.Readings {
-		none, over, under := 0, []string{}, 0
+	var text strings.Builder
+	for k, reading := range m.Readings {
+		noMechanism, over, within := 0, []string{}, 0
 		for _, p := range m.rows() {
 			switch {
 			case len(p.Mechanism) == 0:
-				none++
+				noMechanism++
 			case p.Bound == "":
 			case exceeds(values[k][p.Name], m.bound(p.Bound)):
 				over = append(over, "`"+p.Name+"`")
 			default:
-				under++
+				within++
 			}
 		}
-		fmt.Fprintf(&b, "- %s (%s): rows without a mechanism %d; over their bound %d (%s); within it %d.\n", r.Name, r.Text, none, len(over),
-			strings.Join(over, ", "), under)
+		fmt.Fprintf(&text, "- %s (%s): rows without a mechanism %d; over their bound %d (%s); within it %d.\n", reading.Name, reading.Text, noMechanism, len(over),
+			strings.Join(over, ", "), within)
 	}
-	first := slices.IndexFunc(all, func(h tolerated) bool { return h.service > 0 })
-	var next []string
-	for _, h := range all[first:min(first+3, len(all))] {
-		next = append(next, fmt.Sprintf("`%s` to %s times the mean", h.path.Name, exact(h.service)))
+	first := slices.IndexFunc(tolerances, func(tolerance serviceTolerance) bool { return tolerance.service > 0 })
+	var lowest []string
+	for _, tolerance := range tolerances[first:min(first+3, len(tolerances))] {
+		lowest = append(lowest, fmt.Sprintf("`%s` to %s times the mean", tolerance.path.Name, formatExact(tolerance.service)))
 	}
-	fmt.Fprintf(&b, "- Of the rows that hold for a mean service, the first to end with its size: %s.\n", strings.Join(next, ", "))
-	return b.String(), nil
+	fmt.Fprintf(&text, "- Of the rows that hold for a mean service, the first to end with its size: %s.\n", strings.Join(lowest, ", "))
+	return text.String(), nil
 }
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -1,6 +1,6 @@
-// Package capacity works out what each role of the product holds, sends and spends at a given size of fleet, from a table
-// of sizes, measured slopes and formulas, and prints the result as the tables of docs/CAPACITY.md. It is pure: the table
-// is embedded, and nothing is measured here.
+// Package capacity computes the resource usage of each role of the product (state, messages, processor time, memory and
+// delays) at a given size of the fleet. It evaluates a table of sizes, measured slopes and formulas, and formats the results
+// as the tables of docs/CAPACITY.md. It is pure: the table is embedded, and the package measures nothing.
 package capacity
 
 import (
@@ -18,9 +18,9 @@
 )
 
 //go:embed table/*.yaml
-var files embed.FS
+var tableFiles embed.FS
 
-// Table is the data behind the page: its inputs, what was measured, and the rows.
+// Table is the data behind the page: inputs, measurements, and rows with their formulas.
 type Table struct {
 	Sizes        []Size        `yaml:"sizes"`
 	Constants    []Constant    `yaml:"constants"`
@@ -34,7 +34,7 @@
 	Claims       []Claim       `yaml:"claims"`
 }
 
-// Size is a quantity that grows with the fleet, evenly from today's to the target's.
+// Size is a quantity that grows with the fleet, linearly from today's value to the target's.
 type Size struct {
 	Name   string  `yaml:"name"`
 	Today  float64 `yaml:"today"`
@@ -42,7 +42,7 @@
 	Text   string  `yaml:"text"`
 }
 
-// Constant is a quantity that does not grow with the fleet. Source says who states it, or that it is an assumption.
+// Constant is a quantity that does not grow with the fleet. Source names who states it, or says that it is an assumption.
 type Constant struct {
 	Name   string  `yaml:"name"`
 	Value  float64 `yaml:"value"`
@@ -50,7 +50,8 @@
 	Source string  `yaml:"source"`
 }
 
-// Reading says how much of the fleet one governor hears of: Service is the size of its service, as a multiple of the mean.
+// Reading is one interpretation of the fleet's structure: it determines the part of the fleet that a controller receives
+// messages about. Service is the formula of the size of the controller's service, as a multiple of the mean.
 type Reading struct {
 	Name    string `yaml:"name"`
 	Service string `yaml:"service"`
@@ -64,7 +65,7 @@
 	Text    string `yaml:"text"`
 }
 
-// Machine is what a measurement ran on.
+// Machine describes a machine on which measurements ran.
 type Machine struct {
 	Name string `yaml:"name"`
 	Text string `yaml:"text"`
@@ -74,7 +75,7 @@
 type Measurement struct {
 	Name    string       `yaml:"name"`
 	Text    string       `yaml:"text"`
-	X       string       `yaml:"x"` // what the points vary; empty: one value
+	X       string       `yaml:"x"` // quantity that the points vary; empty: a single value
 	Unit    string       `yaml:"unit"`
 	Value   float64      `yaml:"value"`
 	Points  [][2]float64 `yaml:"points,flow"`
@@ -82,20 +83,20 @@
 	Commit  string       `yaml:"commit"`
 	Machine string       `yaml:"machine"`
 	Date    string       `yaml:"date"`
-	Runs    int          `yaml:"runs"` // of which the points are medians
+	Runs    int          `yaml:"runs"` // each point is the median of this number of runs
 }
 
-// Path is one row: something that a role holds, sends or spends, and what carries it. An empty mechanism means that
-// nothing does.
+// Path is one row of the table: a quantity that a role holds, sends or spends, and the packages that implement its
+// mechanism. An empty Mechanism means that there is none.
 type Path struct {
 	Name      string   `yaml:"name"`
 	Role      string   `yaml:"role"`
-	Event     string   `yaml:"event"` // of an incident
+	Event     string   `yaml:"event"` // of an incident; else empty
 	Kind      string   `yaml:"kind"`
 	Text      string   `yaml:"text"`
 	Formula   string   `yaml:"formula"`
 	Unit      string   `yaml:"unit"`
-	Bound     string   `yaml:"bound"` // a name; empty: none is stated
+	Bound     string   `yaml:"bound"` // name of the bound; empty: none is stated
 	Mechanism []string `yaml:"mechanism,flow"`
 }
 
@@ -109,52 +110,53 @@
 	Formula string  `yaml:"formula"`
 }
 
-// kinds are what a row can be about.
+// kinds are the valid kinds of a row.
 var kinds = map[string]bool{"state": true, "messages": true, "processor": true, "memory": true, "time": true}
 
 // Default reads the embedded table.
 func Default() (Table, error) {
-	sub, err := fs.Sub(files, "table")
+	sub, err := fs.Sub(tableFiles, "table")
 	if err != nil {
 		return Table{}, err
 	}
 	return Load(sub)
 }
 
-// Load reads the table from all YAML files of a folder. The error names the file and what is wrong in it.
+// Load reads the table from all YAML files of a folder. The error names the file that cannot be decoded, or each invalid
+// entry.
 func Load(folder fs.FS) (Table, error) {
-	var t Table
+	var table Table
 	names, err := fs.Glob(folder, "*.yaml")
 	if err != nil {
-		return t, err
+		return table, err
 	}
 	for _, name := range names {
 		raw, err := fs.ReadFile(folder, name)
 		if err != nil {
-			return t, err
+			return table, err
 		}
 		var part Table
 		decoder := yaml.NewDecoder(bytes.NewReader(raw))
 		decoder.KnownFields(true)
 		if err := decoder.Decode(&part); err != nil && !errors.Is(err, io.EOF) {
-			return t, fmt.Errorf("%s: %w", name, err)
+			return table, fmt.Errorf("%s: %w", name, err)
 		}
-		t.merge(part)
+		table.merge(part)
 	}
-	return t, t.check()
+	return table, table.check()
 }
 
-// merge appends each list of another part of the table.
+// merge appends each list of another part of the table to the list of the same name.
 func (t *Table) merge(part Table) {
-	all, more := reflect.ValueOf(t).Elem(), reflect.ValueOf(part)
-	for k := range all.NumField() {
-		all.Field(k).Set(reflect.AppendSlice(all.Field(k), more.Field(k)))
+	lists, added := reflect.ValueOf(t).Elem(), reflect.ValueOf(part)
+	for k := range lists.NumField() {
+		lists.Field(k).Set(reflect.AppendSlice(lists.Field(k), added.Field(k)))
 	}
 }
 
 var identifier = regexp.MustCompile(`^[a-z][a-z0-9_]*$`)
 
-// check returns all that is wrong with the table except with its formulas, in the order of its lists.
+// check returns all errors of the table except those of its formulas, in the order of its lists.
 func (t Table) check() error {
 	names := nameChecker{}
 	var errs []error
@@ -184,7 +186,7 @@
 	return errors.Join(errs...)
 }
 
-// checkPaths returns what is wrong with the rows of paths and incidents.
+// checkPaths returns the errors of the rows of paths and incidents.
 func (t Table) checkPaths(names nameChecker) []error {
 	bounds := map[string]bool{"": true}
 	for _, bound := range t.Bounds {
@@ -194,30 +196,30 @@
 	for _, path := range slices.Concat(t.Paths, t.Incidents) {
 		errs = append(errs, names.check("paths", path.Name))
 		if !kinds[path.Kind] {
-			errs = append(errs, fmt.Errorf("paths: %s: kind %q is none of state, messages, processor, memory, time", path.Name, path.Kind))
+			errs = append(errs, fmt.Errorf("paths: %s: unknown kind %q, want state, messages, processor, memory or time", path.Name, path.Kind))
 		}
 		if !bounds[path.Bound] {
-			errs = append(errs, fmt.Errorf("paths: %s: no bound %q", path.Name, path.Bound))
+			errs = append(errs, fmt.Errorf("paths: %s: unknown bound %q", path.Name, path.Bound))
 		}
 	}
 	return errs
 }
 
-// nameChecker holds the names seen so far: each name of the table is an identifier and is there once.
+// nameChecker holds the names seen so far. Each name of the table has to be an identifier and to be unique.
 type nameChecker map[string]bool
 
 func (seen nameChecker) check(list, name string) error {
 	switch {
 	case !identifier.MatchString(name):
-		return fmt.Errorf("%s: name %q is no identifier", list, name)
+		return fmt.Errorf("%s: name %q is not an identifier", list, name)
 	case seen[name]:
-		return fmt.Errorf("%s: name %s is there twice", list, name)
+		return fmt.Errorf("%s: duplicate name %s", list, name)
 	}
 	seen[name] = true
 	return nil
 }
 
-// check returns what the measurement lacks: no figure stands on the page without the run that gave it.
+// check returns an error if the measurement lacks data. Each figure on the page has to name the run that gave it.
 func (m Measurement) check(machines map[string]bool) error {
 	for key, value := range map[string]string{"text": m.Text, "unit": m.Unit, "command": m.Command, "commit": m.Commit, "date": m.Date} {
 		if value == "" {
@@ -226,11 +228,11 @@
 	}
 	switch {
 	case !machines[m.Machine]:
-		return fmt.Errorf("measurements: %s: no machine %q", m.Name, m.Machine)
+		return fmt.Errorf("measurements: %s: unknown machine %q", m.Name, m.Machine)
 	case m.Runs < 1:
-		return fmt.Errorf("measurements: %s: runs is %d", m.Name, m.Runs)
+		return fmt.Errorf("measurements: %s: runs is %d, want at least 1", m.Name, m.Runs)
 	case m.X != "" && len(m.Points) < 2:
-		return fmt.Errorf("measurements: %s: %d points give no line", m.Name, len(m.Points))
+		return fmt.Errorf("measurements: %s: %d points, want at least 2 for a line", m.Name, len(m.Points))
 	case m.X == "" && len(m.Points) > 0:
 		return fmt.Errorf("measurements: %s: points without x", m.Name)
 	}
