--- a/internal/ci/ci_test.go
+++ b/internal/ci/ci_test.go
@@ -1,4 +1,4 @@
-// Package ci holds the tests of the scripts under .ci, which are played on small modules of their own.
+// Package ci tests the scripts under .ci on small modules, and compares documents and deploy files with the source.
 package ci
 
 import (
@@ -11,17 +11,17 @@
 	"testing"
 )
 
-// Two packages with a test of the same name: it fails in one of them alone. Each test writes a line for its run.
+// Two packages with a test of the same name, which fails in one of them only. Each test logs a line when it runs.
 const (
-	here = `package here
+	hereSource = `package here
 
 import "testing"
 
 func TestSame(t *testing.T)      { t.Fatal("ran: here.TestSame") }
 func TestSameToo(t *testing.T)   { t.Log("ran: here.TestSameToo") }
-func TestMended(t *testing.T)    { t.Log("ran: here.TestMended") }
+func TestFixed(t *testing.T)     { t.Log("ran: here.TestFixed") }
 `
-	there = `package there
+	thereSource = `package there
 
 import (
 	"os"
@@ -36,22 +36,22 @@
 `
 )
 
-// module writes the small module, and says how the script is played on it beside a list of known red tests.
-func module(t *testing.T) func(list string, env ...string) (output string, passed bool) {
+// newScriptRunner writes a small module, and returns a function that runs .ci/known-red on it with a KNOWN-RED.txt.
+func newScriptRunner(t *testing.T) func(list string, env ...string) (output string, passed bool) {
 	script, err := filepath.Abs("../../.ci/known-red")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	write := func(name, text string) {
-		at := filepath.Join(dir, name)
-		if err := errors.Join(os.MkdirAll(filepath.Dir(at), 0o755), os.WriteFile(at, []byte(text), 0o644)); err != nil {
+		path := filepath.Join(dir, name)
+		if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o755), os.WriteFile(path, []byte(text), 0o644)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write("go.mod", "module small\n\ngo 1.25\n")
-	write("here/here_test.go", here)
-	write("there/there_test.go", there)
+	write("here/here_test.go", hereSource)
+	write("there/there_test.go", thereSource)
 	write("none/none.go", "package none\n")
 	return func(list string, env ...string) (string, bool) {
 		write("KNOWN-RED.txt", list)
@@ -62,19 +62,19 @@
 	}
 }
 
-// ran are the tests that ran, in their order, with what was said of the listed ones in between.
-func ran(output string) string {
+// runOrder returns the tests that ran, in their order, and between them the reported results of the listed ones.
+func runOrder(output string) string {
 	return strings.Join(regexp.MustCompile(`ran: \S+|known red: .*`).FindAllString(output, -1), "\n")
 }
 
-const good = "TestSame | here | go test ./here, seed 7 | it fails | 31\n"
+const validLine = "TestSame | here | go test ./here, seed 7 | it fails | 31\n"
 
-func TestKnownRedIsRefused(t *testing.T) {
+func TestKnownRedRejectsInvalidList(t *testing.T) {
 	t.Parallel()
-	play := module(t)
-	for _, c := range [][2]string{
-		{strings.Repeat(good, 4), "4 lines, at most 3"},
-		{good + "\n", "malformed"},
+	runScript := newScriptRunner(t)
+	for _, test := range [][2]string{
+		{strings.Repeat(validLine, 4), "4 lines, at most 3"},
+		{validLine + "\n", "malformed"},
 		{"# none\n", "malformed"},
 		{"TestSame | here | it fails | 31\n", "malformed"}, // without its command
 		{"TestSame | here | go test | it fails\n", "malformed"},
@@ -87,45 +87,46 @@
 		{"TestSame | here | go test | it fails | 31 | more\n", "malformed"},
 		{"TestSame/part | here | go test | it fails | 31\n", "malformed"},
 		{"Test.* | here | go test | it fails | 31\n", "malformed"},
-		{"TestMended | ./there | go test | it fails | 31\n", "no such test: TestMended"},
+		{"TestFixed | ./there | go test | it fails | 31\n", "no such test: TestFixed"},
 		{"TestSam | here | go test | it fails | 31\n", "no such test: TestSam "},
 		{"TestSame | none | go test | it fails | 31\n", "no such test: TestSame | none"},
 		{"TestSame | nowhere | go test | it fails | 31\n", "no such package"},
 		{"TestSame | ./... | go test | it fails | 31\n", "no such package"},
 		{"TestSame | her. | go test | it fails | 31\n", "no such package"},
 	} {
-		output, passed := play(c[0])
-		if passed || strings.Count(output, "\n") != 1 || !strings.Contains(output, c[1]) || ran(output) != "" {
-			t.Errorf("%q: passed: %v, want %q: %s", c[0], passed, c[1], output)
+		output, passed := runScript(test[0])
+		if passed || strings.Count(output, "\n") != 1 || !strings.Contains(output, test[1]) || runOrder(output) != "" {
+			t.Errorf("list %q: passed: %v, want a failure with %q and no test run, output: %s", test[0], passed, test[1], output)
 		}
 	}
 }
 
-// What is listed fails nothing, is run last and told with its result.
-func TestKnownRedFailsNothing(t *testing.T) {
+// Listed tests run last, their results are reported, and their failures do not fail the run.
+func TestKnownRedIgnoresListedFailures(t *testing.T) {
 	t.Parallel()
-	output, passed := module(t)("TestSame | ./here | go test, seed 7 | it fails | 31\nTestMended|small/here|go test|mended since|12")
+	output, passed := newScriptRunner(t)("TestSame | ./here | go test, seed 7 | it fails | 31\nTestFixed|small/here|go test|fixed since|12")
 	want := `ran: here.TestSameToo
 ran: there.TestSame
 ran: here.TestSame
 known red: fails TestSame | ./here | go test, seed 7 | it fails | 31
-ran: here.TestMended
-known red: passes TestMended|small/here|go test|mended since|12`
-	if !passed || ran(output) != want {
-		t.Errorf("passed: %v\n%s\nall of it:\n%s", passed, ran(output), output)
+ran: here.TestFixed
+known red: passes TestFixed|small/here|go test|fixed since|12`
+	if !passed || runOrder(output) != want {
+		t.Errorf("passed: %v\n%s\ncomplete output:\n%s", passed, runOrder(output), output)
 	}
 }
 
-// A test of its name elsewhere runs as ever, and its failure fails all; the listed one runs all the same.
-func TestAllElseFails(t *testing.T) {
+// A test in another package that has the name of a listed test runs as usual, and its failure fails the run. The listed test
+// still runs.
+func TestKnownRedReportsUnlistedFailures(t *testing.T) {
 	t.Parallel()
-	output, passed := module(t)(good, "THERE=fails")
+	output, passed := newScriptRunner(t)(validLine, "THERE=fails")
 	want := `ran: here.TestSameToo
-ran: here.TestMended
+ran: here.TestFixed
 ran: there.TestSame
 ran: here.TestSame
-known red: fails ` + strings.TrimSpace(good)
-	if passed || ran(output) != want {
-		t.Errorf("passed: %v\n%s\nall of it:\n%s", passed, ran(output), output)
+known red: fails ` + strings.TrimSpace(validLine)
+	if passed || runOrder(output) != want {
+		t.Errorf("passed: %v\n%s\ncomplete output:\n%s", passed, runOrder(output), output)
 	}
 }
--- a/internal/ci/deploy_test.go
+++ b/internal/ci/deploy_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// repositoryRoot is the module's folder, from this package.
+// repositoryRoot is the path of the module's folder, relative to this package.
 const repositoryRoot = "../.."
 
 // deployList returns the strings of a list in deploy/balancer.toml.
--- a/internal/ci/docs_test.go
+++ b/internal/ci/docs_test.go
@@ -14,23 +14,23 @@
 	codePath = regexp.MustCompile("`((?:policy|control|settings|internal|cmd|experiment|example|deploy|docs|\\.ci)(?:/[A-Za-z0-9_.-]+)*)/?`")
 	// testName matches a test between backticks.
 	testName = regexp.MustCompile("`((?:Test|Benchmark|Fuzz)[A-Za-z0-9_]+)`")
-	// link matches the target of a relative link, without its anchor.
-	link = regexp.MustCompile(`\]\(([^)#:]+)(?:#[^)]*)?\)`)
+	// linkTarget matches the target of a relative link, without its anchor.
+	linkTarget = regexp.MustCompile(`\]\(([^)#:]+)(?:#[^)]*)?\)`)
 	// declaredTest matches the declaration of a test.
 	declaredTest = regexp.MustCompile(`(?m)^func ((?:Test|Benchmark|Fuzz)[A-Za-z0-9_]+)\(`)
 )
 
-// historic are pages that tell how things were, under the names of then.
-var historic = map[string]bool{"CHANGELOG.md": true, "docs/standing.md": true, "docs/incidents/README.md": true}
+// historicalPages describe earlier states of the program, under the names of their time.
+var historicalPages = map[string]bool{"CHANGELOG.md": true, "docs/standing.md": true, "docs/incidents/README.md": true}
 
-// pages returns the paths of all pages that describe the program as it is.
+// pages returns the paths of all pages that describe the present program.
 func pages(t *testing.T) []string {
 	t.Helper()
 	found := []string{"README.md"}
 	for _, folder := range []string{"docs", "example"} {
 		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(path string, entry fs.DirEntry, err error) error {
 			name, relErr := filepath.Rel(repositoryRoot, path)
-			if err == nil && relErr == nil && strings.HasSuffix(name, ".md") && !historic[name] {
+			if err == nil && relErr == nil && strings.HasSuffix(name, ".md") && !historicalPages[name] {
 				found = append(found, name)
 			}
 			return err
@@ -68,7 +68,7 @@
 	return declared
 }
 
-func TestPagesNameWhatExists(t *testing.T) {
+func TestPagesNameExistingFilesAndTests(t *testing.T) {
 	t.Parallel()
 	declared := declaredTests(t)
 	if len(declared) < 400 {
@@ -81,17 +81,17 @@
 		}
 		for _, match := range codePath.FindAllStringSubmatch(string(text), -1) {
 			if _, err := os.Stat(filepath.Join(repositoryRoot, match[1])); err != nil {
-				t.Errorf("%s names %s, which is not there", page, match[1])
+				t.Errorf("%s names %s, which does not exist", page, match[1])
 			}
 		}
 		for _, match := range testName.FindAllStringSubmatch(string(text), -1) {
 			if !declared[match[1]] {
-				t.Errorf("%s names the test %s, which is not there", page, match[1])
+				t.Errorf("%s names the test %s, which does not exist", page, match[1])
 			}
 		}
-		for _, match := range link.FindAllStringSubmatch(string(text), -1) {
+		for _, match := range linkTarget.FindAllStringSubmatch(string(text), -1) {
 			if _, err := os.Stat(filepath.Join(repositoryRoot, filepath.Dir(page), match[1])); err != nil {
-				t.Errorf("%s links to %s, which is not there", page, match[1])
+				t.Errorf("%s links to %s, which does not exist", page, match[1])
 			}
 		}
 	}
--- a/internal/ci/lint_test.go
+++ b/internal/ci/lint_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// runLint runs .ci/lint in a folder of its own, with a linter that prints the findings, and returns what it printed and
-// whether it passed.
+// runLint runs .ci/lint in a temporary folder, with a fake linter that prints the findings. It returns the output of
+// .ci/lint and whether it passed.
 func runLint(t *testing.T, pending, findings string) (output string, passed bool) {
 	t.Helper()
 	script, err := os.ReadFile("../../.ci/lint")
@@ -41,24 +41,24 @@
 		wholeFile = "a/one/file.go:401: file length is 401 lines\n"
 		inNested  = "a/one/nested/file.go:7:2: no comment\n"
 	)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, pending, findings string
-		passes                  bool
-		says                    string
+		wantPassed              bool
+		wantOutput              string
 	}{
 		{"no findings", "", "", true, "lint: clean"},
 		{"finding", "", inOne, false, inOne},
 		{"finding without a column", "", wholeFile, false, wholeFile},
 		{"findings of a pending package are counted", "a/one\n", inOne + wholeFile, true, "lint: a/one pending, 2 findings"},
-		{"a package below a pending one is not pending", "a/one\n", inOne + inNested, false, inNested},
+		{"package nested in a pending one is not pending", "a/one\n", inOne + inNested, false, inNested},
 		{"pending package without findings", "a/one\na/two\n", inOne, false, "remove it from .ci/lint-pending"},
-		{"the linter itself fails", "a/one\n", "cannot read revive.toml\n", false, "revive failed"},
+		{"failure of the linter", "a/one\n", "cannot read revive.toml\n", false, "revive failed"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			output, passed := runLint(t, c.pending, c.findings)
-			if passed != c.passes || !strings.Contains(output, c.says) {
-				t.Errorf("passed: %v, want %v and %q:\n%s", passed, c.passes, c.says, output)
+			output, passed := runLint(t, test.pending, test.findings)
+			if passed != test.wantPassed || !strings.Contains(output, test.wantOutput) {
+				t.Errorf("passed: %v, want %v and output with %q, output:\n%s", passed, test.wantPassed, test.wantOutput, output)
 			}
 		})
 	}
--- a/internal/ci/oncall_test.go
+++ b/internal/ci/oncall_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// minQuotedPart is the length in bytes from which a fixed part of a quoted log line is looked up in the source.
+// minQuotedPart is the minimum length in bytes of the fixed parts of quoted log lines that are looked up in the source.
 const minQuotedPart = 4
 
 var (
-	quoted = regexp.MustCompile("`([^`]+)`")
-	// variablePart matches what differs between two lines of one kind: numbers, verbs, and what the page leaves out.
+	quotedText = regexp.MustCompile("`([^`]+)`")
+	// variablePart matches text that differs between log lines of the same format: numbers, verbs, and omissions on the page.
 	variablePart = regexp.MustCompile(`[0-9][0-9.]*|\bN\b|\b(?:began|ended|stopped|resumed)\b|\.\.\.`)
 	// counterName matches a counter as pages name it: its group and its key.
 	counterName = regexp.MustCompile(`^[a-z]+\.([a-z_]+)$`)
@@ -23,30 +23,30 @@
 // productSource returns the source of the programs, without tests.
 func productSource(t *testing.T) string {
 	t.Helper()
-	var all strings.Builder
+	var source strings.Builder
 	for _, folder := range []string{"cmd", "control", "internal", "policy", "settings"} {
 		err := filepath.WalkDir(filepath.Join(repositoryRoot, folder), func(path string, _ fs.DirEntry, err error) error {
 			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return err
 			}
-			source, err := os.ReadFile(path)
-			all.Write(source)
+			fileSource, err := os.ReadFile(path)
+			source.Write(fileSource)
 			return err
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	return all.String()
+	return source.String()
 }
 
-// column returns the cells of a column of the tables between two texts of a page.
+// column returns the cells of one column of all tables between two texts of a page.
 func column(t *testing.T, page, from, to string, number int) []string {
 	t.Helper()
 	_, rest, found := strings.Cut(page, from)
 	part, _, ends := strings.Cut(rest, to)
 	if !found || !ends {
-		t.Fatalf("the page has no part from %q to %q", from, to)
+		t.Fatalf("the page has no text from %q to %q", from, to)
 	}
 	var cells []string
 	for line := range strings.Lines(part) {
@@ -57,7 +57,7 @@
 	return cells
 }
 
-func TestOnCallQuotesTextsOfTheProgram(t *testing.T) {
+func TestOnCallQuotesExistingTexts(t *testing.T) {
 	t.Parallel()
 	text, err := os.ReadFile(filepath.Join(repositoryRoot, "docs/on-call.md"))
 	if err != nil {
@@ -70,7 +70,7 @@
 	cells = append(cells, column(t, changed, "| before | now |", "Error texts", 2)...)
 	source := productSource(t)
 	for _, cell := range cells {
-		for _, match := range quoted.FindAllStringSubmatch(cell, -1) {
+		for _, match := range quotedText.FindAllStringSubmatch(cell, -1) {
 			checkQuotedText(t, source, match[1])
 		}
 	}
@@ -84,14 +84,14 @@
 	t.Helper()
 	if counter := counterName.FindStringSubmatch(text); counter != nil {
 		if !strings.Contains(source, `"`+counter[1]+`"`) {
-			t.Errorf("docs/on-call.md names the counter %s, which is not there", text)
+			t.Errorf("docs/on-call.md names the counter %s, which is not in the source", text)
 		}
 		return
 	}
 	for _, part := range variablePart.Split(text, -1) {
 		part = strings.Trim(part, " N,:()")
 		if len(part) >= minQuotedPart && !strings.Contains(source, part) {
-			t.Errorf("docs/on-call.md quotes %q: nothing in the program says %q", text, part)
+			t.Errorf("docs/on-call.md quotes %q, but the source does not contain %q", text, part)
 		}
 	}
 }
