--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -104,7 +104,8 @@
 	return processes
 }
 
-// activationLog records when a configuration last came into force at each controller, from the log lines of the processes.
+// activationLog is the log destination of the real processes. It records when a configuration last came into force at each
+// controller, from the log lines of the processes.
 type activationLog struct {
 	mu          sync.Mutex
 	activatedAt map[string]time.Time
--- a/cmd/experiment/seeds.go
+++ b/cmd/experiment/seeds.go
@@ -30,7 +30,7 @@
 	progressReportCount = 10
 )
 
-// seedActions holds the flags that the commands of fault scripts share, and runs these commands.
+// seedActions holds the flag that the commands of fault scripts share. Its methods are the actions of these commands.
 type seedActions struct{ profile string }
 
 // seedsCommands returns the commands that draw, run and shrink fault scripts.
--- a/cmd/experiment/service.go
+++ b/cmd/experiment/service.go
@@ -62,7 +62,7 @@
 )
 
 // measureService runs the service through one fault. It returns the result of the load, and the number of idempotency keys
-// that ran more than once.
+// whose request was executed more than once.
 func measureService(ctx context.Context, fault string, controlled bool, rate float64, seed int64, budget int) (load.Result, int, error) {
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
