--- a/internal/ingress/http1_head.go
+++ b/internal/ingress/http1_head.go
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// isLength reports whether a text is a valid Content-Length: 1 to maxLengthDigits digits, and nothing else.
+// isLength reports whether a string is a valid Content-Length: 1 to maxLengthDigits digits, and nothing else.
 func isLength(text string) bool {
 	if text == "" || len(text) > maxLengthDigits {
 		return false
--- a/internal/ingress/http2_body.go
+++ b/internal/ingress/http2_body.go
@@ -46,7 +46,7 @@
 }
 
 // receive buffers a part of the body until it is read. If the client was not allowed to send that part, it returns the
-// error code with which the stream must be reset. The connection is locked.
+// error code with which the stream must be reset. The caller holds s.conn.mu.
 func (s *stream) receive(f *http2.DataFrame, size int64) http2.ErrCode {
 	data := f.Data()
 	s.receivedLength += int64(len(data))
@@ -101,7 +101,7 @@
 }
 
 // readReceived reads bytes that were received. It returns 0 and no error if the reader has to wait for more. The
-// connection is locked.
+// caller holds s.conn.mu.
 func (s *stream) readReceived(p []byte) (int, error) {
 	switch {
 	case s.err != nil:
@@ -126,7 +126,7 @@
 	s.signalReceived()
 }
 
-// signalReceived wakes the reader of the body. The connection is locked.
+// signalReceived wakes the reader of the body. The caller holds s.conn.mu.
 func (s *stream) signalReceived() {
 	close(s.receivedMore)
 	s.receivedMore = make(chan struct{})
--- a/internal/ingress/http2_conn.go
+++ b/internal/ingress/http2_conn.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// setReadDeadline gives the next read its timeout. The connection is locked.
+// setReadDeadline gives the next read its timeout. The caller holds c.mu.
 func (c *http2Conn) setReadDeadline() {
 	timeout := c.server.limits.IdleTimeout
 	if c.lingering {
@@ -270,7 +270,7 @@
 	c.signalChange()
 }
 
-// signalChange wakes the streams that wait for a send window. The connection is locked.
+// signalChange wakes the streams that wait for a send window. The caller holds c.mu.
 func (c *http2Conn) signalChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
--- a/internal/ingress/http2_head.go
+++ b/internal/ingress/http2_head.go
@@ -47,7 +47,8 @@
 	return request, nil
 }
 
-// addField adds a header field to a request, or sets the property of the request that the field defines.
+// addField adds a header field to a request. The fields host, content-length and expect set Host, Length and ExpectContinue
+// instead, and te is checked but not added.
 func addField(request *proxy.Request, field hpack.HeaderField) error {
 	switch field.Name {
 	case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade":
--- a/internal/ingress/http2_stream.go
+++ b/internal/ingress/http2_stream.go
@@ -46,7 +46,7 @@
 	c.signalChange()
 }
 
-// removeStream removes a stream and frees its buffer. The connection is locked.
+// removeStream removes a stream and frees its buffer. The caller holds c.mu.
 func (c *http2Conn) removeStream(s *stream) {
 	c.addWindowToReturn(int64(s.received.Len()))
 	s.received = bytes.Buffer{}
@@ -54,7 +54,7 @@
 }
 
 // finishResponse records that a response is complete. The stream is removed before the frame that ends it is sent, because
-// the client may open another stream as soon as it receives that frame. The connection is locked.
+// the client may open another stream as soon as it receives that frame. The caller holds c.mu.
 func (c *http2Conn) finishResponse(s *stream) {
 	s.responseDone = true
 	c.removeStream(s)
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -18,9 +18,9 @@
 // and report each read that begins.
 type deadlineDelayingListener struct {
 	net.Listener
-	draining   chan struct{} // closed by the test before the drain: from then on the deadline is delayed
-	delayed    chan struct{} // receives a value when the deadline is being delayed
-	release    chan struct{} // closed by the test to let the deadline take effect
+	draining   chan struct{} // closed by the test before the drain; the read deadline that the drain then sets is delayed
+	delayed    chan struct{} // receives a value when a connection starts to delay the read deadline
+	release    chan struct{} // closed by the test to let the connection set the delayed deadline
 	idleReads  chan struct{} // receives a value for each read that begins before the drain
 	drainReads chan struct{} // receives a value for each read that begins during the drain
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -24,7 +24,7 @@
 	Length int64     // of the body; -1: unknown
 	// Trailer is called after the end of Body.
 	Trailer func() http.Header
-	// StopBody makes a read of Body that waits for the client return at once. It is set if Body is.
+	// StopBody immediately unblocks a read of Body that is waiting for data from the client. It is nil only if Body is nil.
 	StopBody func()
 	// ExpectContinue reports that the client waits for a 100 Continue before it sends the body.
 	ExpectContinue bool
@@ -105,7 +105,7 @@
 	p.wakeWaiting()
 }
 
-// wakeWaiting wakes the requests that wait for capacity. The proxy is locked.
+// wakeWaiting wakes the requests that wait for capacity. The caller holds p.mu.
 func (p *Proxy) wakeWaiting() {
 	if p.waiting > 0 {
 		close(p.capacityFreed)
--- a/internal/sidecar/config_addresses.go
+++ b/internal/sidecar/config_addresses.go
@@ -10,7 +10,7 @@
 
 const maxProxyID = 1 << 20
 
-// isAddress reports whether a text has the form host:port.
+// isAddress reports whether a string has the form host:port.
 func isAddress(text string) bool {
 	_, port, err := net.SplitHostPort(text)
 	return err == nil && port != ""
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -148,13 +148,14 @@
 	return nil, r, nil
 }
 
-// exhausted reports whether all of the MaxConnections connections to a replica are in use. The pool is locked.
+// exhausted reports whether all of the MaxConnections connections to a replica are in use. The caller holds p.mu.
 func (p *Pool) exhausted(address string) bool {
 	r := p.replicas[address]
 	return r != nil && len(r.idle) == 0 && r.open >= p.config.MaxConnections && !p.closed
 }
 
-// awaitRelease waits until any connection is released or closed. The pool is locked, but unlocked during the wait.
+// awaitRelease waits until any connection is released or closed. The caller holds p.mu, which is released during
+// the wait and reacquired before awaitRelease returns.
 func (p *Pool) awaitRelease(cancel *Cancellation, deadline time.Time) error {
 	p.waiting++
 	released := p.released
@@ -175,7 +176,7 @@
 }
 
 // takeIdle returns the most recently used idle connection to a replica, or nil if there is none or requireFresh is set and
-// it was idle for longer than maxFreshIdle. Connections that are found unusable are closed. The pool is locked.
+// it was idle for longer than maxFreshIdle. Connections that are found unusable are closed. The caller holds p.mu.
 func (p *Pool) takeIdle(r *replica, requireFresh bool) *conn {
 	for len(r.idle) > 0 {
 		last := len(r.idle) - 1
@@ -215,7 +216,7 @@
 	return p.dial(ctx, address)
 }
 
-// closeConn closes a connection that no request uses. The pool is locked.
+// closeConn closes a connection that no request uses. The caller holds p.mu.
 func (p *Pool) closeConn(c *conn, r *replica) {
 	c.Conn.Close()
 	if c.reader != nil {
@@ -226,7 +227,7 @@
 	p.decrementOpen(c.address, r)
 }
 
-// decrementOpen removes a connection from the count of a replica. The pool is locked.
+// decrementOpen removes a connection from the count of a replica. The caller holds p.mu.
 func (p *Pool) decrementOpen(address string, r *replica) {
 	p.wakeWaiting()
 	r.open--
@@ -235,7 +236,7 @@
 	}
 }
 
-// wakeWaiting wakes the requests that wait for a connection. The pool is locked.
+// wakeWaiting wakes the requests that wait for a connection. The caller holds p.mu.
 func (p *Pool) wakeWaiting() {
 	if p.waiting > 0 {
 		close(p.released)
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -18,7 +18,7 @@
 	Header http.Header // without hop-by-hop fields
 	Body   io.Reader   // nil: none
 	Length int64       // of the body; -1: unknown
-	// StopBody makes a waiting read of Body return, and all further reads fail with ErrBodyStopped; nil: reads never wait.
+	// StopBody unblocks a waiting read of Body and makes all further reads fail with ErrBodyStopped; nil: reads never wait.
 	StopBody func()
 	// Trailer is called after the end of Body; nil: there is no trailer.
 	Trailer func() http.Header
