--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -72,9 +72,9 @@
 type Client struct {
 	options        Options
 	servers        []*server     // in order of preference
-	polled         *server       // by the latest poll
-	polledAt       int64         // when, in nanoseconds
-	polledWait     time.Duration // requested by that poll
+	polled         *server       // the server of the latest poll
+	polledAt       int64         // time of the latest poll, in nanoseconds
+	polledWait     time.Duration // wait that the latest poll requested
 	draws          uint64        // random numbers drawn so far
 	nextPoll       int64         // no server is polled before this time
 	failureBackoff *backoff.Backoff
--- a/internal/configclient/poll.go
+++ b/internal/configclient/poll.go
@@ -93,7 +93,7 @@
 	return wait
 }
 
-// delayPolls prevents polls of any server until a wait has passed.
+// delayPolls postpones the next poll, of whichever server, to at least wait after now.
 func (c *Client) delayPolls(now int64, wait time.Duration) {
 	c.nextPoll = max(c.nextPoll, now+int64(wait))
 }
--- a/internal/configclient/pollrate_test.go
+++ b/internal/configclient/pollrate_test.go
@@ -43,9 +43,11 @@
 // and after answers without a change, by the limit of a backoff.
 func TestPollRateIsBounded(t *testing.T) {
 	const (
-		paced  = int(time.Minute/minPollInterval) + 1       // queries in a minute, the first one at time 0
-		failed = int(time.Minute/(failurePauseLimit/2)) + 5 // waits are at least half of the backoff's interval, which is shorter at first
-		idle   = int(time.Minute/(earlyLimit/2)) + 10       // as for failed
+		paced = int(time.Minute/minPollInterval) + 1 // queries in a minute, the first one at time 0
+		// Jittered pauses are at least half of the backoff's limit, except for the first ones, while the backoff grows. 5 and 10
+		// queries are added for these.
+		failed = int(time.Minute/(failurePauseLimit/2)) + 5
+		idle   = int(time.Minute/(earlyLimit/2)) + 10
 	)
 	for name, c := range map[string]struct {
 		answer     func(c *Client, now int64, pollNumber uint64)
--- a/internal/configclient/simulation_test.go
+++ b/internal/configclient/simulation_test.go
@@ -50,7 +50,7 @@
 	closed bool
 }
 
-// follower is a controller, or a server that follows others.
+// follower is a controller or a server that polls servers for new versions.
 type follower struct {
 	client    *Client
 	region    string
@@ -59,7 +59,7 @@
 	pollCount int // number of polls so far, by which outcomes of earlier polls are recognized and dropped
 }
 
-// event is a function that runs at a time. seq orders events of the same time.
+// event is a function that is scheduled for a virtual time. Events of the same time run in order of seq.
 type event struct {
 	at  int64
 	seq int
@@ -94,13 +94,13 @@
 	queries      int
 }
 
-// after schedules a function.
+// after schedules a function to run after a delay.
 func (s *simulation) after(delay int64, run func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + delay, s.seq, run})
 }
 
-// run executes the events of a duration.
+// run executes all events that are due within a duration, and advances the virtual time by it.
 func (s *simulation) run(duration int64) {
 	end := s.now + duration
 	for len(s.queue) > 0 && s.queue[0].at <= end {
@@ -302,7 +302,7 @@
 	})
 }
 
-// nodeOf returns the server that a follower is, or nil for a controller.
+// nodeOf returns the node of a follower that is a server, or nil for a controller.
 func (s *simulation) nodeOf(f *follower) *node {
 	for _, n := range s.nodes {
 		if n.client == f.client {
--- a/internal/configserver/deploy_test.go
+++ b/internal/configserver/deploy_test.go
@@ -8,7 +8,8 @@
 	"lilacbend/internal/operator"
 )
 
-// uncommented returns a file's content without the comment signs of the marker's line and of the lines after it.
+// uncommented returns the contents of a file without the prefix "# " on the line that contains marker and on all lines after
+// it. marker is a key that is commented out, such as "# follow:".
 func uncommented(t *testing.T, file, marker string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(file)
--- a/internal/configserver/helpers_test.go
+++ b/internal/configserver/helpers_test.go
@@ -47,7 +47,7 @@
 	stop func()
 }
 
-// startServer starts a server. Options without an address or a poll interval get those of a test.
+// startServer starts a server. If options has no address or no poll interval, defaults for tests are used.
 func startServer(t testing.TB, options Options) *runningServer {
 	t.Helper()
 	server := &runningServer{t: t, log: &logBuffer{}}
@@ -116,7 +116,7 @@
 	t        testing.TB
 	mu       sync.Mutex
 	offered  []revision.Version
-	settings string // of the version that was applied last
+	settings string // JSON of the last applied version
 }
 
 // followService follows a service until the end of the test.
--- a/internal/configserver/listener.go
+++ b/internal/configserver/listener.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// isRetryable reports whether err is a network error of accept other than that the listener is closed.
+// isRetryable reports whether Accept may be called again after err: err is a network error, and the listener is not closed.
 func isRetryable(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed)
--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("%d versions offered, want 2; the log: %s", got, writer.log.text.String())
 	}
 
-	writeFile(t, folder, "orders.json", exampleSettings(t, "refused")) // by the controller alone
+	writeFile(t, folder, "orders.json", exampleSettings(t, "refused")) // rejected by the controller only
 	scriptedpeer.WaitFor(t, "the controller's rejection was not reported", func() bool {
 		watchers := follower.Status().Watchers
 		return len(watchers) == 1 && watchers[0].Rejected.Revision == 5 && watchers[0].Active.Revision == 3
@@ -283,7 +283,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// The responses that the operators' documentation shows.
+// A server answers each kind of query as the operators' documentation shows.
 func TestResponseByQuery(t *testing.T) {
 	folder := t.TempDir()
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
--- a/internal/configserver/state.go
+++ b/internal/configserver/state.go
@@ -69,7 +69,7 @@
 		err := s.save()
 		if (err != nil) != failing {
 			failing = err != nil
-			s.options.Log.Error("writing the state file failed or recovered", "file", s.options.StateFile, "kept", !failing, "error", err)
+			s.options.Log.Error("state file write status changed", "file", s.options.StateFile, "kept", !failing, "error", err)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/configserver/writer.go
+++ b/internal/configserver/writer.go
@@ -141,7 +141,7 @@
 		s.recordFault(s.options.Folder, err)
 		return
 	}
-	s.options.Log.Warn("a later epoch was active at a follower, began the epoch after it",
+	s.options.Log.Warn("writer began a new epoch because a follower reported a later one",
 		"follower", active.String(), "version", s.store.Version().String())
 	s.publish(s.store.ServiceNames())
 }
--- a/internal/configstore/answer.go
+++ b/internal/configstore/answer.go
@@ -10,9 +10,9 @@
 
 // Results of a query.
 const (
-	Unchanged      Result = iota // no newer version than the follower's, which may wait for one
-	Changed                      // a newer version
-	UnknownService               // the server has no such service
+	Unchanged      Result = iota // the server has no newer version than the follower, which may wait for one
+	Changed                      // the answer has a newer version than the follower's
+	UnknownService               // the server does not have the queried service
 )
 
 // Answer returns the answer to a query as of now.
--- a/internal/configstore/copylimiter.go
+++ b/internal/configstore/copylimiter.go
@@ -15,10 +15,10 @@
 // MaxSettingsSize bytes or part of them. A rejected follower is given a time to poll again. These times are spaced at the
 // rate at which copies were recently sent.
 type CopyLimiter struct {
-	slots        int
-	used         int
-	meanDuration int64 // moving average of the time to send a copy, in nanoseconds
-	reserved     int64 // the latest time that was reserved for a rejected follower, in nanoseconds
+	slots         int
+	used          int
+	meanDuration  int64 // moving average of the time to send a copy, in nanoseconds
+	reservedUntil int64 // estimated time at which all rejected followers can be served, in nanoseconds
 }
 
 // Slots returns how many slots a copy takes, given its size in bytes.
@@ -36,8 +36,8 @@
 		l.used += slots
 		return true, 0
 	}
-	l.reserved = max(l.reserved, now) + l.meanDuration*int64(slots)/int64(l.slots)
-	return false, min(max(minRetryAfter, l.reserved-now+l.meanDuration), maxRetryAfter)
+	l.reservedUntil = max(l.reservedUntil, now) + l.meanDuration*int64(slots)/int64(l.slots)
+	return false, min(max(minRetryAfter, l.reservedUntil-now+l.meanDuration), maxRetryAfter)
 }
 
 // Release frees the slots of a copy and records how many nanoseconds sending it took.
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -57,8 +57,8 @@
 	at      int64
 }
 
-// writerNeverSeen is the time since the writer was running, in nanoseconds, that is assumed of a new store until WriterSeen
-// is called.
+// writerNeverSeen is how long before time 0 the writer is assumed to have been running until WriterSeen is called, in
+// nanoseconds.
 const writerNeverSeen = int64(24 * 3600 * 1e9)
 
 // New returns an empty store, which accepts only settings for which check returns no error.
--- a/internal/configstore/store_test.go
+++ b/internal/configstore/store_test.go
@@ -86,11 +86,11 @@
 // The version that is active at a follower decides whether its answer has no change, the changes, or a complete copy.
 func TestAnswerByQuery(t *testing.T) {
 	s := newWriter(t, 5)
-	put(t, s, "orders", `{"a":1}`)  // 5.1
-	put(t, s, "payouts", `{"b":1}`) // 5.2
-	put(t, s, "stock", `{"c":1}`)   // 5.3
-	s.Remove("payouts")             // 5.4
-	put(t, s, "orders", `{"a":2}`)  // 5.5
+	put(t, s, "orders", `{"a":1}`)  // version 5.1
+	put(t, s, "payouts", `{"b":1}`) // version 5.2
+	put(t, s, "stock", `{"c":1}`)   // version 5.3
+	s.Remove("payouts")             // version 5.4
+	put(t, s, "orders", `{"a":2}`)  // version 5.5
 	for _, c := range []struct {
 		query    configapi.Query
 		result   Result
--- a/internal/filewriter/directory.go
+++ b/internal/filewriter/directory.go
@@ -152,7 +152,7 @@
 		return err
 	}
 	if s, ok := info.Sys().(*syscall.Stat_t); ok && int(s.Uid) != os.Geteuid() {
-		return fmt.Errorf("directory belongs to user %d, but this process runs as user %d: chown it or name another folder", s.Uid, os.Geteuid())
+		return fmt.Errorf("directory belongs to user %d, but this process runs as user %d: change its owner or configure another directory", s.Uid, os.Geteuid())
 	}
 	if info.Mode().Perm()&writableByOthers != 0 {
 		return fmt.Errorf("directory is writable by other users (%v): chmod go-w", info.Mode().Perm())
--- a/internal/filewriter/writer_test.go
+++ b/internal/filewriter/writer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// recorder records a writer's writes and its calls of Failed and Recovered. Writes fail while err is set.
+// recorder records a writer's writes and its calls to Failed and Recovered. Writes fail while err is set.
 type recorder struct {
 	mu            sync.Mutex
 	err           error
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -9,7 +9,7 @@
 // ConfigurationSource describes the configuration servers from which a controller receives changes of its settings, and the
 // folder where it keeps them.
 type ConfigurationSource struct {
-	Service string                // whose settings the controller receives; empty: it uses no configuration server
+	Service string                // service of the controller; empty: the controller uses no configuration server
 	Region  string                // of this controller
 	Zone    string                // of this controller; only reported, in the servers' status
 	Servers []configclient.Server // of all regions; those of this controller's region are preferred
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -83,8 +83,8 @@
 }
 
 // Parse returns the document and its top section, which is empty for an empty file. It fails if the file is not a single
-// plain YAML document whose top level is a mapping. While the caller reads the sections,
-// further faults are recorded, which Document.Err returns.
+// plain YAML document whose top level is a mapping. While the caller reads the sections, further faults are recorded, which
+// Document.Err returns.
 func Parse(file string, raw []byte) (*Document, *Section, error) {
 	document := &Document{file: file}
 	root, err := decode(file, raw)
--- a/internal/strictyaml/section.go
+++ b/internal/strictyaml/section.go
@@ -8,7 +8,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Section is a mapping of a document. Reading a key makes it known; Done reports the keys that are not known.
+// Section is a mapping of a document. The known keys are those for which a method was called; Done reports all other keys of
+// the mapping as faults.
 type Section struct {
 	document *Document
 	node     *yaml.Node
@@ -53,7 +54,7 @@
 	return fmt.Sprintf("%.40q", node.Value)
 }
 
-// find returns the value of a key, or nil if the key is not given, and makes the key known.
+// find adds a key to the known keys, and returns its value, or nil if the mapping does not have the key.
 func (s *Section) find(key string) *yaml.Node {
 	s.known = append(s.known, key)
 	for k := 0; k+1 < len(s.node.Content); k += 2 {
@@ -64,11 +65,11 @@
 	return nil
 }
 
-// Has reports whether a key is given, and makes it known.
+// Has adds a key to the known keys, and reports whether the mapping has it.
 func (s *Section) Has(key string) bool { return s.find(key) != nil }
 
-// Section returns the section of a key, or nil if the key is not given. A value that is not a mapping is reported, and the
-// result is nil.
+// Section returns the section of a key, or nil if the mapping does not have the key. A value that is not a mapping is
+// reported, and the result is nil.
 func (s *Section) Section(key string) *Section {
 	node := s.find(key)
 	if node == nil {
@@ -102,8 +103,8 @@
 	return node.Content
 }
 
-// Fault reports that the value of a key is invalid. If key is empty, the fault is that of the whole section. reason and args
-// are formatted as by fmt.Sprintf.
+// Fault reports that the value of a key is invalid. If key is empty, the fault is one of the whole section. reason and
+// args are formatted as by fmt.Sprintf.
 func (s *Section) Fault(key, reason string, args ...any) {
 	if key == "" {
 		s.document.addFault(s.node, s.path, reason, args...)
@@ -116,7 +117,7 @@
 	s.document.addFault(node, keyPath(s.path, key), reason, args...)
 }
 
-// Done reports every key that is not known, with the known key that it probably misspells or else all known keys.
+// Done reports every key that is not known. The fault names the known key that is probably meant, or else all known keys.
 func (s *Section) Done() {
 	slices.Sort(s.known)
 	known := slices.Compact(s.known)
--- a/internal/strictyaml/value.go
+++ b/internal/strictyaml/value.go
@@ -11,8 +11,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// scalar returns the scalar value of a key, or nil if the key is not given. A value that is empty or not a scalar is
-// reported, with want as the expected value.
+// scalar returns the scalar value of a key, or nil if the section does not have the key. A value that is empty or not a
+// scalar is reported, with want as the expected value.
 func (s *Section) scalar(key, want string) *yaml.Node {
 	node := s.find(key)
 	if node == nil {
@@ -26,7 +26,7 @@
 }
 
 // Text reads a string. Like all methods that read values, it reports an invalid value, and leaves the destination unchanged
-// if the key is not given or its value is invalid.
+// if the section does not have the key or the value is invalid.
 func (s *Section) Text(key string, destination *string) {
 	node := s.scalar(key, "a string")
 	if node != nil {
