--- a/cmd/lilacbend/config.go
+++ b/cmd/lilacbend/config.go
@@ -57,7 +57,7 @@
 
 var errNoConfiguration = errors.New("no configuration file given: set PROXY_CONFIG or --config")
 
-// readConfiguration reads the configuration file and the operator file. The error names the file and the fault.
+// readConfiguration reads the configuration file and the operator file. Errors name the file and the cause.
 func readConfiguration(opts options) (configuration, error) {
 	if opts.file == "" {
 		return configuration{}, errNoConfiguration
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// decodeKnown decodes the list of replicas to start with. It is taken as complete, whatever the file says.
+// decodeKnown decodes the list of replicas to start with. The list counts as complete even if the file marks it as
+// incomplete.
 func decodeKnown(c *configuration, file configurationFile) error {
 	known, err := discovery.Parse(file.Known)
 	if err != nil {
--- a/cmd/lilacbend/configserver.go
+++ b/cmd/lilacbend/configserver.go
@@ -17,7 +17,7 @@
 	"lilacbend/internal/configserver"
 )
 
-// configserverCommands has the actions of the commands that run a configuration server and check its file.
+// configserverCommands implements the actions of the commands that run a configuration server and check its options file.
 type configserverCommands struct {
 	hangups <-chan os.Signal
 	out     io.Writer
@@ -128,7 +128,8 @@
 	}
 }
 
-// check prints what a server started with the file would do, or returns the fault of the file or its folder.
+// check prints what a server started with the options file would do. It returns an error if the options or a settings file
+// in the server's folder is invalid.
 func (c *configserverCommands) check(_ context.Context, cmd *cli.Command) error {
 	c.file = firstNonEmpty(cmd.Args().First(), c.file)
 	options, err := c.options()
--- a/cmd/lilacbend/logwriter_test.go
+++ b/cmd/lilacbend/logwriter_test.go
@@ -19,6 +19,6 @@
 	writer.close() // returns at its timeout, as the lines are not read yet
 	go func() { <-writer.done; destination.Close() }()
 	if text, _ := io.ReadAll(reader); strings.Count(string(text), "line\n") != 2*logBufferLines-int(writer.lost.Load()) {
-		t.Errorf("%d bytes read, which are not the lines that were not lost", len(text))
+		t.Errorf("%d bytes read, want exactly the lines that were not dropped", len(text))
 	}
 }
--- a/cmd/lilacbend/main.go
+++ b/cmd/lilacbend/main.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// commands has the actions of the root command and of "serve" and "check".
+// commands implements the actions of the root command and of "serve" and "check".
 type commands struct {
 	options options
 	hangups <-chan os.Signal
@@ -83,7 +83,8 @@
 	return serve(ctx, configuration, reloader{hangups: c.hangups, options: c.options}, log)
 }
 
-// check prints what a controller started with the configuration would do, or returns the fault of the configuration.
+// check prints what a controller started with the configuration would do. It returns an error if the configuration is
+// invalid.
 func (c *commands) check(_ context.Context, cmd *cli.Command) error {
 	c.options.file = firstNonEmpty(cmd.Args().First(), c.options.file)
 	configuration, err := readConfiguration(c.options)
--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -64,8 +64,8 @@
 	return readConfiguration(opts)
 }
 
-// run reloads the configuration at each signal, until ctx ends. Only the discovery address takes effect at once, all other
-// changes require a restart. A configuration that cannot be used is logged and counted once for each signal, not at each
+// run reloads the configuration at each hangup signal, until ctx ends. Only a change of the discovery address takes effect
+// at once; all other changes require a restart. A failed reload is logged and counted once for each signal, not at each
 // retry.
 func (r reloader) run(ctx context.Context, running configuration, client *discovery.Client, queues *eventloop.Queues, log *slog.Logger) {
 	reloadOnHangup(ctx, r.hangups, func(signalled bool) error {
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -195,8 +195,9 @@
 	}
 }
 
-// The list in the configuration is out of date. Proxies that connect before discovery answers receive endpoints from it;
-// after the complete list of discovery, the replica that it lists as draining is removed from them.
+// The list of replicas in the configuration is out of date. A proxy that connects before discovery answers receives
+// endpoints from that list. Once discovery has sent its complete list, in which one of these replicas is draining, the
+// controller removes this replica from the proxy.
 func TestProxiesConnectBeforeDiscoveryAnswers(t *testing.T) {
 	agent, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	c := exampleConfiguration(t, listen)
--- a/cmd/lilacbend/serve.go
+++ b/cmd/lilacbend/serve.go
@@ -206,11 +206,12 @@
 	}
 	p.snapshots.submit(result.Snapshot)
 	p.follower.handleResults(result.Configured, p.core, p.server)
-	// A new module has replaced the old one within the turn. It starts from the last learned state, the connected proxies
-	// and the listed replicas; the commands of the turn, timers, and the reports that arrived in the turn are lost. If the
-	// new module panics as well, the settings that arrived in this turn and then the learned state are dropped, and finally
-	// the module is paused for a second (Core.recoverTurn).
+	// If the routing module panicked, the core has already replaced it within the turn. The new module starts with the last
+	// learned state, the connected proxies and the listed replicas; the commands of the turn, the timers, and the reports
+	// that arrived in the turn are lost. If the new module panics as well, the core reverts the settings that arrived in
+	// this turn. If that does not help, it discards the learned state, and finally it pauses the module for one second
+	// (Core.recoverTurn).
 	if result.Panic != "" {
-		p.log.Error("module panicked, starting a new module", "panic", result.Panic)
+		p.log.Error("routing module panicked, starting a new module", "panic", result.Panic)
 	}
 }
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -51,7 +51,8 @@
 	return c
 }
 
-// A controller serves proxies from its known list while discovery refuses connections, and shuts down in time.
+// A controller serves proxies from the list of replicas in its configuration while discovery refuses connections, and shuts
+// down in time.
 func TestServeFromKnownList(t *testing.T) {
 	listen, log := scriptedpeer.FreeAddress(t), &logBuffer{}
 	ctx, stop := context.WithCancel(context.Background())
--- a/cmd/lilacbend/settings_test.go
+++ b/cmd/lilacbend/settings_test.go
@@ -17,9 +17,10 @@
 	"lilacbend/experiment/emulator"
 )
 
-// The tests in this file use settings with unusual values. A configuration with such settings is either accepted, and core
-// and module keep rules 1, 3 and 5 in a short simulation with faults, or it is rejected with an error of one line that names
-// the key.
+// The tests in this file use settings with unusual values. A configuration with such settings is either rejected with an
+// error of one line that names the key, or it is accepted. If it is accepted, the controllers keep three rules of the
+// protocol in a short simulation with faults: 1 (a joined proxy has an endpoint), 3 (no requests to a draining replica after
+// its grace period) and 5 (limits of the queued cost units and of the messages to a proxy). Package emulator checks them.
 
 type object = map[string]any
 
@@ -84,9 +85,9 @@
 	return parseConfiguration(raw, options{})
 }
 
-// simulateViolations simulates core and module: all proxies join, a replica drains, one is replaced, a stream is replaced, a
-// controller restarts and a replica becomes silent. It returns the violations of rules 1, 3 and 5, and the controllers whose
-// module was restarted or whose core had invalid inputs.
+// simulateViolations simulates controllers, that is, core and routing module: all proxies join, a replica drains, another is
+// replaced, a stream is replaced, a controller restarts and a replica becomes silent. It returns the violations of rules 1,
+// 3 and 5, and the controllers whose routing module was restarted or whose core received invalid inputs.
 func simulateViolations(c configuration) (violations []string) {
 	const second = int64(1e9)
 	if c.settings.Proxies == 0 { // no proxy may join
@@ -193,7 +194,7 @@
 	}
 }
 
-// Random settings within the valid ranges, from fixed seeds.
+// Random settings within the valid ranges, generated from fixed seeds, are accepted, and the controllers keep the rules.
 func TestRandomSettingsKeepRules(t *testing.T) {
 	t.Parallel()
 	names := []string{"a", "a-1", "a-10", "1", "A", "b_2", "9.9"}
--- a/cmd/lilacbend/settingscache.go
+++ b/cmd/lilacbend/settingscache.go
@@ -24,8 +24,8 @@
 	topology controller.Topology // of the record's settings
 }
 
-// openSettingsCache acquires the folder and reads the settings that were active before the restart. After a failure, which
-// is logged, the controller starts with the settings in its configuration file.
+// openSettingsCache acquires the lock of the cache folder and reads the settings that were active before the restart. If
+// either fails, the failure is logged, and the controller starts with the settings in its configuration file.
 func openSettingsCache(ctx context.Context, c configuration, own controller.Topology, log *slog.Logger) *settingsCache {
 	following := c.operator.Configuration
 	if following.Folder == "" {
--- a/cmd/lilacbend/shutdown_test.go
+++ b/cmd/lilacbend/shutdown_test.go
@@ -76,10 +76,10 @@
 	}
 }
 
-// A restarted controller serves reconnected proxies from its known list before discovery answers. A drain that discovery
-// then reports reaches the proxies at once. The proxy's acks are for nonces of the controller before its restart. The
-// controller may read the ack of nonce 1 before or after it has sent its own nonce 1; in the second case the proxy counts as
-// bound and receives the drain as a weight of 0.
+// A proxy reconnects to a restarted controller before discovery answers. The controller serves it from the list of replicas
+// in the configuration file, and sends it a drain as soon as discovery reports one. The proxy still sends acks for nonces
+// that it received before the restart. The controller may read the ack of nonce 1 before or after it has sent a nonce 1
+// itself. In the second case it accepts the ack, considers the proxy bound, and sends it the drain as a weight of 0.
 func TestProxiesReconnectBeforeDiscoveryAnswers(t *testing.T) {
 	discovery, listen := scriptedpeer.Listen(t), scriptedpeer.FreeAddress(t)
 	file := writeExampleConfiguration(t, map[string]any{"listen": listen, "discovery": discovery.Address()})
--- a/cmd/lilacbend/sidecar.go
+++ b/cmd/lilacbend/sidecar.go
@@ -16,7 +16,7 @@
 
 var errNoManifest = errors.New("no manifest given: set --manifest or LILACBEND_SIDECAR")
 
-// sidecarCommands has the actions of the commands that run a sidecar and check its manifest.
+// sidecarCommands implements the actions of the commands that run a sidecar and check its manifest.
 type sidecarCommands struct {
 	hangups <-chan os.Signal
 	file    string // path of the manifest
@@ -76,8 +76,8 @@
 	return sidecar.Read(file)
 }
 
-// reloadManifest reloads the manifest at each SIGHUP. A manifest that cannot be used changes nothing, and is logged once for
-// each signal, not at each retry.
+// reloadManifest reloads the manifest at each SIGHUP. If the new manifest cannot be used, the sidecar keeps the current one,
+// and the failure is logged once for each signal, not at each retry.
 func reloadManifest(ctx context.Context, file string, s *sidecar.Sidecar, hangups <-chan os.Signal, log *slog.Logger) {
 	reloadOnHangup(ctx, hangups, func(signalled bool) error {
 		config, err := readManifest(file)
--- a/cmd/lilacbend/snapshots.go
+++ b/cmd/lilacbend/snapshots.go
@@ -33,8 +33,8 @@
 	refused    int           // files that were rejected at the start
 }
 
-// openSnapshotKeeper acquires the folder. It returns nil if the operator file names no folder, or if the folder cannot be
-// acquired, which is logged.
+// openSnapshotKeeper acquires the lock of the folder for learned state. It returns nil if the operator file names no such
+// folder. If the lock cannot be acquired, it logs the error and returns nil.
 func openSnapshotKeeper(ctx context.Context, retention operator.Retention, name string, log *slog.Logger) *snapshotKeeper {
 	if retention.Folder == "" {
 		return nil
@@ -55,7 +55,7 @@
 }
 
 // restore returns the state and the list to start with from the newest complete generation. If no generation is usable, it
-// logs that and returns the known list without state.
+// logs that and returns known, the list of replicas in the configuration file, without learned state.
 func (k *snapshotKeeper) restore(known controller.ReplicaList, topology controller.Topology, base clock) restoredState {
 	unrestored := restoredState{list: known}
 	latest, err := snapshot.Latest(k.folder)
@@ -84,8 +84,8 @@
 	k.log.Warn("learned state file rejected", "file", filepath.Join(k.retention.Folder, name), "error", reason)
 }
 
-// restoreGeneration returns the state of a generation, fitted to the topology, and its list if that list is newer than the
-// known one.
+// restoreGeneration returns the state of a generation, fitted to the topology, and the newer one of its list and known,
+// the list of replicas in the configuration file.
 func (k *snapshotKeeper) restoreGeneration(generation snapshot.Generation, known controller.ReplicaList, topology controller.Topology, base clock) restoredState {
 	halfLife := k.retention.HalfLife.Nanoseconds()
 	age := generation.State.Taken.Age(snapshot.Now())
--- a/cmd/lilacbend/statecommand.go
+++ b/cmd/lilacbend/statecommand.go
@@ -30,7 +30,8 @@
 	errNoImportFile = errors.New("no exported file given: import FILE [FOLDER]")
 )
 
-// stateCommands has the actions of the commands that show, verify, export, import and prune snapshots of learned state.
+// stateCommands implements the actions of the commands that show, verify, export, import and prune snapshots of learned
+// state.
 type stateCommands struct {
 	options *options
 	out     io.Writer
@@ -79,7 +80,8 @@
 	}
 }
 
-// path returns the argument at a position, or the folder that the operator file names.
+// path returns the command-line argument at a position. If there is none, it returns the state folder that the operator file
+// names.
 func (s *stateCommands) path(cmd *cli.Command, position int) (string, error) {
 	argument := cmd.Args().Get(position)
 	if argument != "" {
@@ -95,8 +97,9 @@
 	return file.State.Folder, nil
 }
 
-// generation reads the generation that the first argument or the operator file names.
-func (s *stateCommands) generation(cmd *cli.Command) (snapshot.Generation, error) {
+// readSelectedGeneration reads a snapshot generation from the file or folder in the first command-line argument. Without
+// arguments, it reads from the state folder that the operator file names.
+func (s *stateCommands) readSelectedGeneration(cmd *cli.Command) (snapshot.Generation, error) {
 	path, err := s.path(cmd, 0)
 	if err != nil {
 		return snapshot.Generation{}, err
@@ -104,7 +107,8 @@
 	return readGeneration(path)
 }
 
-// readGeneration reads a file, or the newest complete generation of a folder.
+// readGeneration reads a generation. path is either the file of the generation, or a folder whose newest complete generation
+// is read.
 func readGeneration(path string) (snapshot.Generation, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -128,7 +132,7 @@
 }
 
 func (s *stateCommands) show(_ context.Context, cmd *cli.Command) error {
-	generation, err := s.generation(cmd)
+	generation, err := s.readSelectedGeneration(cmd)
 	if err != nil {
 		return err
 	}
@@ -139,7 +143,7 @@
 }
 
 func (s *stateCommands) export(_ context.Context, cmd *cli.Command) error {
-	generation, err := s.generation(cmd)
+	generation, err := s.readSelectedGeneration(cmd)
 	if err != nil {
 		return err
 	}
