--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -19,13 +19,13 @@
 	"lilacbend/experiment/scale"
 )
 
-// hostCommand is the hidden command of the processes that a scale run starts for simulated controllers.
+// hostCommand is the name of the hidden command that a scale run starts to run simulated controllers in other processes.
 const hostCommand = "scale-host"
 
 var errFailedChecks = errors.New("checks failed")
 
-// scaleCommands returns the command of a scale run, the one that fits lines to its reports, and the hidden one of a process
-// with many simulated controllers.
+// scaleCommands returns three commands: one performs a scale run, one fits lines to the reports of scale runs, and a hidden
+// one runs a host process of simulated controllers.
 func scaleCommands() []*cli.Command {
 	var plan scale.Plan
 	var reportFile, program string
--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -39,7 +39,7 @@
 func newRealService(program, dir string) *realService {
 	r := &realService{activations: activationLog{activatedAt: map[string]time.Time{}}, loadEnded: make(chan struct{})}
 	r.config = installation.Config{Zones: realZones, Replicas: realReplicas, ReplicaSlots: 4, Sidecars: realSidecars, Controllers: realControllers,
-		ServiceTime: realServiceTime, Dir: dir, Controlled: true, Program: program, Log: &r.activations}
+		ServiceTime: realServiceTime, Dir: dir, RunControllers: true, Program: program, Log: &r.activations}
 	r.site = &installation.Site{Config: r.config}
 	return r
 }
@@ -47,7 +47,8 @@
 // Settings returns a revision of the service's settings.
 func (r *realService) Settings(revision int) []byte { return []byte(r.site.Settings(revision)) }
 
-// Start starts the service. Its controllers watch the settings of the given name at servers.
+// Start starts the service. Its controllers watch the settings of the service called name at the given configuration
+// servers.
 func (r *realService) Start(ctx context.Context, name, region string, servers []configclient.Server) error {
 	var serverList []string
 	for _, server := range servers {
--- a/cmd/experiment/service.go
+++ b/cmd/experiment/service.go
@@ -15,7 +15,8 @@
 	"lilacbend/experiment/load"
 )
 
-// serviceCommand returns the command that compares the whole product with sidecars that have equal tables and no controller.
+// serviceCommand returns the command that compares the whole product with sidecars that have no controllers and therefore
+// weight all replicas equally.
 func serviceCommand() *cli.Command {
 	var rate float64
 	var seed int64
@@ -27,15 +28,15 @@
 			&cli.IntFlag{Name: "budget", Usage: "bytes per second from each collector to each controller; 0: no limit", Destination: &budget}},
 		Action: func(ctx context.Context, _ *cli.Command) error {
 			for _, fault := range faults {
-				for _, controlled := range []bool{false, true} {
-					if !controlled && requiresController(fault) {
+				for _, withControllers := range []bool{false, true} {
+					if !withControllers && requiresController(fault) {
 						continue
 					}
-					result, duplicates, err := measureService(ctx, fault, controlled, rate, seed, budget)
+					result, duplicates, err := measureService(ctx, fault, withControllers, rate, seed, budget)
 					if err != nil {
 						return fmt.Errorf("fault %s: %w", fault, err)
 					}
-					variant := map[bool]string{false: "equal table", true: "controllers"}[controlled]
+					variant := map[bool]string{false: "equal table", true: "controllers"}[withControllers]
 					fmt.Printf("%-14s %-11s %.1f%% answered within the latency budget; %v; payouts that ran more than once %d\n", fault, variant, 100*result.FractionWithin(250*time.Millisecond), result, duplicates)
 				}
 			}
@@ -63,7 +64,7 @@
 
 // measureService runs the service through one fault. It returns the result of the load, and the number of idempotency keys
 // whose request was executed more than once.
-func measureService(ctx context.Context, fault string, controlled bool, rate float64, seed int64, budget int) (load.Result, int, error) {
+func measureService(ctx context.Context, fault string, withControllers bool, rate float64, seed int64, budget int) (load.Result, int, error) {
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
 		return load.Result{}, 0, err
@@ -72,7 +73,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	site, err := installation.Start(ctx, installation.Config{Zones: 2, Replicas: 20, ReplicaSlots: 4, Sidecars: 4, Controllers: 2, ServiceTime: 20 * time.Millisecond, SlowFactor: 2,
-		Dir: dir, Controlled: controlled, KeepState: fault == "restart-state", StandbyCollectors: fault == "collector-failover", ReportBudget: budget, Log: processLog()})
+		Dir: dir, RunControllers: withControllers, KeepState: fault == "restart-state", StandbyCollectors: fault == "collector-failover", ReportBudget: budget, Log: processLog()})
 	if err != nil {
 		return load.Result{}, 0, err
 	}
--- a/example/shop/main.go
+++ b/example/shop/main.go
@@ -30,7 +30,7 @@
 	}
 	defer os.RemoveAll(dir)
 	site, err := installation.Start(ctx, installation.Config{Zones: 2, Replicas: 6, ReplicaSlots: 8, Sidecars: 2, Controllers: 1, ServiceTime: 20 * time.Millisecond, SlowFactor: 2,
-		HTTP1Address: "127.0.0.1:18080", HTTP2Address: "127.0.0.1:18081", KeepState: true, Controlled: true, Dir: dir, Log: os.Stderr})
+		HTTP1Address: "127.0.0.1:18080", HTTP2Address: "127.0.0.1:18081", KeepState: true, RunControllers: true, Dir: dir, Log: os.Stderr})
 	if err != nil {
 		return err
 	}
--- a/experiment/emulator/reports.go
+++ b/experiment/emulator/reports.go
@@ -11,12 +11,13 @@
 	reportDelaySpread = 900 * millisecond
 )
 
-// reportKey identifies the subject of a report line. Queued lines of the same key are merged.
+// reportKey identifies the subject of a report line: a zone and a replica in a line of outcomes, a stream and a traffic
+// class in a line of demand. Queued lines of the same key are merged.
 type reportKey struct {
-	zone    string // zone and replica are set for outcomes
-	replica string
-	stream  controller.StreamID // stream and class are set for demand
-	class   string
+	zone    string              // empty for demand
+	replica string              // empty for demand
+	stream  controller.StreamID // 0 for outcomes
+	class   string              // empty for outcomes
 }
 
 // reportLine is a queued line of a report, either of demand or of outcomes. It is one of demand if the demand has a class.
--- a/experiment/emulator/rules.go
+++ b/experiment/emulator/rules.go
@@ -122,13 +122,13 @@
 	capacity := float64(r.slots) / r.meanServiceTime * float64(overloadTime) / float64(second)
 	limit := sim.Site.Settings.OverloadMultiple * fraction * capacity
 	attempts := float64(len(r.recentAttempts))
-	if sim.isControlled() && sim.now-r.Member.UpSince >= overloadTime && attempts > limit {
+	if sim.hasEstablishedController() && sim.now-r.Member.UpSince >= overloadTime && attempts > limit {
 		sim.recordViolation(ruleWarmUp, r.Member.ID, "overloaded during slow start: %.0f attempts in 3 s, limit %.0f", attempts, limit)
 	}
 }
 
-// isControlled reports whether any controller has run for long enough to notify the proxies of a replica.
-func (sim *Simulation) isControlled() bool {
+// hasEstablishedController reports whether any controller has run for long enough to notify the proxies of a replica.
+func (sim *Simulation) hasEstablishedController() bool {
 	for _, c := range sim.controllers {
 		if c.core != nil && sim.now-c.startedAt > controllerStartTime+overloadTime {
 			return true
--- a/experiment/installation/site.go
+++ b/experiment/installation/site.go
@@ -33,10 +33,11 @@
 	ServiceTime  time.Duration // of a request at a replica
 	SlowFactor   float64       // factor of the service time of hardware class m2; 0: none
 
-	// Addresses of the first sidecar; empty: unused ports.
+	// HTTP1Address and HTTP2Address are the listen addresses of the first sidecar. If HTTP1Address is empty, Start selects
+	// unused ports.
 	HTTP1Address, HTTP2Address string
 
-	Controlled        bool   // if false, sidecars have equal tables, and no controllers or collectors run
+	RunControllers    bool   // start controllers and collectors; without them, sidecars weight all replicas equally
 	KeepState         bool   // controllers save their learned state
 	StandbyCollectors bool   // each zone has a second collector
 	ReportBudget      int    // bytes a second of a collector to each controller; 0: no limit
@@ -92,7 +93,7 @@
 }
 
 // Start builds the program if necessary, starts the installation and waits until its sidecars serve requests. Its processes
-// end when ctx does.
+// end when ctx is done.
 func Start(ctx context.Context, config Config) (*Site, error) {
 	s := &Site{Config: config, program: config.Program, revision: 1, changed: make(chan struct{}), processes: map[string]*exec.Cmd{}}
 	err := s.start(ctx)
@@ -145,9 +146,9 @@
 	return nil
 }
 
-// startControllers starts the controllers, if the sidecars are controlled.
+// startControllers starts the controllers if RunControllers is set.
 func (s *Site) startControllers(ctx context.Context) error {
-	if !s.Controlled {
+	if !s.RunControllers {
 		return nil
 	}
 	for k := range s.controllers {
@@ -168,7 +169,7 @@
 	for _, name := range names {
 		address := FreeAddress()
 		addresses = append(addresses, address)
-		if !s.Controlled {
+		if !s.RunControllers {
 			continue
 		}
 		arguments := []string{"collector", "--zone", zoneName(number), "--listen", address, "--every", "500ms", "--budget", strconv.Itoa(s.ReportBudget)}
@@ -329,7 +330,7 @@
 		h1, h2 = s.HTTP1Address, s.HTTP2Address
 	}
 	controllers, collectors := "[]", ""
-	if s.Controlled {
+	if s.RunControllers {
 		controllers = asJSON(s.controllers)
 		collectors = "collectors: " + asJSON(s.collectors[k%s.Zones])
 	}
--- a/experiment/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -53,7 +53,8 @@
 	faultTime      = 10 * second
 	minRestartTime = 30 * second
 	downtime       = second / 2
-	// snapshotInterval is the longest age of the learned state at the restart.
+	// snapshotInterval is the time between two snapshots of the learned state. A controller stops at a random time within
+	// an interval, so that the latest snapshot is at most this old.
 	snapshotInterval = 5 * second
 	// window is how long arriving requests are counted, from the restart on. settleTime is how long they may then take to
 	// finish.
--- a/experiment/scale/host.go
+++ b/experiment/scale/host.go
@@ -58,7 +58,7 @@
 	done chan struct{}
 }
 
-// Host reads a plan and commands from in, runs the controllers and writes reports to out, until in or ctx ends.
+// Host reads a plan and commands from in, runs the controllers and writes reports to out, until in ends or ctx is done.
 func Host(ctx context.Context, in io.Reader, out io.Writer, newSource NewSource) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/experiment/scale/phase.go
+++ b/experiment/scale/phase.go
@@ -158,7 +158,7 @@
 	return r.endPhase(span, faultEnd)
 }
 
-// waitUntil waits until a time since the start of the run, and reports false if ctx ends before.
+// waitUntil waits until a time since the start of the run, and reports false if ctx is done first.
 func (r *scaleRun) waitUntil(ctx context.Context, at time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -297,7 +297,7 @@
 	return nil
 }
 
-// schedule runs a task after a delay, unless ctx ends before.
+// schedule runs a task after a delay, unless ctx is done first.
 func (r *scaleRun) schedule(ctx context.Context, delay time.Duration, task func()) {
 	at := r.tracker.elapsed() + delay
 	r.repairs.Go(func() {
--- a/experiment/scale/plan.go
+++ b/experiment/scale/plan.go
@@ -14,17 +14,17 @@
 
 // The full size of an installation, for which the product is built. Plan.Fill sets missing values in proportion to it.
 const (
-	fullControllers   = 1600
-	fullServices      = 290
-	fullReplicas      = 9500
-	fullRoutes        = 14_000
-	fullTenants       = 74_000
-	fullBurstRestarts = 1200
-	fullChanges       = 8400.0 // per day, like the next two
-	fullFailures      = 39.0
-	fullRestarts      = 1200.0
-	zonesPerService   = 3 // at most
-	day               = 24 * time.Hour
+	fullControllers    = 1600
+	fullServices       = 290
+	fullReplicas       = 9500
+	fullRoutes         = 14_000
+	fullTenants        = 74_000
+	fullBurstRestarts  = 1200
+	fullChanges        = 8400.0 // per day
+	fullFailures       = 39.0   // per day
+	fullRestarts       = 1200.0 // per day
+	maxZonesPerService = 3
+	day                = 24 * time.Hour
 )
 
 // Fault is the fault that is injected in a phase.
@@ -43,10 +43,11 @@
 // Faults are all faults, in the default order of a run.
 var Faults = []Fault{NoFault, ServerKilled, WriterKilled, RegionPartitioned, RestartBurst, ChangeBurst}
 
-// Plan describes one run.
+// Plan describes one run. Fill replaces 0 in Services, Replicas, Routes, Tenants and BurstRestarts by a count in proportion
+// to Controllers.
 type Plan struct {
 	Controllers        int `json:"governors"`
-	Services           int `json:"services"` // 0: in proportion to Controllers; also Replicas, Routes, Tenants, BurstRestarts
+	Services           int `json:"services"`
 	Replicas           int `json:"replicas"`
 	Zones              int `json:"zones"`
 	Regions            int `json:"regions"`
@@ -54,7 +55,7 @@
 	Routes             int `json:"routes"`
 	Tenants            int `json:"tenants"`
 	Proxies            int `json:"proxies"`   // of each controller
-	ControllersPerHost int `json:"host_size"` // at most
+	ControllersPerHost int `json:"host_size"` // maximum number of controllers that share a host process
 	Skew               int `json:"skew"`      // size of the first service as a multiple of the others; 0: the same size
 
 	Seed            uint64        `json:"seed"`
@@ -70,7 +71,7 @@
 
 	RepairTime time.Duration `json:"repair"` // from a failure to the replacement
 
-	MaxPropagationDelay time.Duration `json:"in_force"` // bounds of the checks
+	MaxPropagationDelay time.Duration `json:"in_force"` // this and HeartbeatTimeout are the bounds of the checks
 	HeartbeatTimeout    time.Duration `json:"silence"`
 }
 
@@ -168,7 +169,7 @@
 		from = 0
 	}
 	share := func(all int) int { return max(1, all*to/totalShares-all*from/totalShares) }
-	return ServiceShape{Controllers: share(p.Controllers), Replicas: share(p.Replicas), Zones: min(zonesPerService, p.Zones),
+	return ServiceShape{Controllers: share(p.Controllers), Replicas: share(p.Replicas), Zones: min(maxZonesPerService, p.Zones),
 		Routes: share(p.Routes), Tenants: share(p.Tenants), Proxies: p.Proxies}
 }
 
--- a/experiment/scale/realservice.go
+++ b/experiment/scale/realservice.go
@@ -15,8 +15,8 @@
 type RealService interface {
 	// Settings returns a revision of the service's settings. Revisions start at 0.
 	Settings(revision int) []byte
-	// Start starts the service. Its controllers are in the given region, and watch the settings of the given name at
-	// servers.
+	// Start starts the service in the given region. Its controllers watch the settings of the service called name at the
+	// given configuration servers.
 	Start(ctx context.Context, name, region string, servers []configclient.Server) error
 	// Controllers returns the number of the service's controllers.
 	Controllers() int
--- a/experiment/scale/servers.go
+++ b/experiment/scale/servers.go
@@ -53,7 +53,7 @@
 	stop func()       // shuts the server down, and waits for its end
 }
 
-// ServerLaunch starts a server, which runs until ctx ends.
+// ServerLaunch starts a server, which runs until ctx is done.
 type ServerLaunch func(ctx context.Context, options configserver.Options) (*runningServer, error)
 
 // newServers prepares the servers of a plan, with their files in a folder.
--- a/experiment/scale/slopes.go
+++ b/experiment/scale/slopes.go
@@ -25,10 +25,10 @@
 // bytes.
 const megabytesPerMebibyte = float64(1<<20) / 1e6
 
-// quietPhaseTotal returns a figure that is the total over all instances of a role in the quiet phase.
-func quietPhaseTotal(role string, usageFigure func(ResourceUsage) float64) func(Report) float64 {
+// faultFreeTotal returns a figure that is the total over all instances of a role in the phase without a fault.
+func faultFreeTotal(role string, usageFigure func(ResourceUsage) float64) func(Report) float64 {
 	return func(r Report) float64 {
-		for _, report := range quietPhase(r).Roles {
+		for _, report := range faultFreePhase(r).Roles {
 			if report.Role == role {
 				return usageFigure(report.ResourceUsage) * float64(report.Count)
 			}
@@ -37,11 +37,11 @@
 	}
 }
 
-// quietPhaseDelay returns a figure of the delays until changes of configuration were in force at all controllers of their
-// service in the quiet phase.
-func quietPhaseDelay(delayFigure func(Delays) float64) func(Report) float64 {
+// faultFreeDelay returns a figure of the delays until changes of configuration were in force at all controllers of their
+// service, in the phase without a fault.
+func faultFreeDelay(delayFigure func(Delays) float64) func(Report) float64 {
 	return func(r Report) float64 {
-		for _, delay := range quietPhase(r).Delays {
+		for _, delay := range faultFreePhase(r).Delays {
 			if delay.Subject == checks.Configuration.String() {
 				return delayFigure(delay.AllControllers)
 			}
@@ -50,8 +50,8 @@
 	}
 }
 
-// quietPhase returns the phase of a run without a fault, or an empty one if the run had none.
-func quietPhase(r Report) PhaseReport {
+// faultFreePhase returns the first phase in which no fault is injected, or an empty report if the run has no such phase.
+func faultFreePhase(r Report) PhaseReport {
 	for _, phase := range r.Phases {
 		if phase.Fault == NoFault {
 			return phase
@@ -64,21 +64,21 @@
 func figures() (all []figure) {
 	for _, role := range []struct{ name, role string }{{"governors", roleSimulated}, {"servers", roleServer}, {"rig", roleHarness}} {
 		add := func(name, text, unit string, usageFigure func(ResourceUsage) float64) {
-			all = append(all, figure{"scale_" + role.name + "_" + name, text + ", all of: " + role.role, unit, quietPhaseTotal(role.role, usageFigure)})
+			all = append(all, figure{"scale_" + role.name + "_" + name, text + ", all of: " + role.role, unit, faultFreeTotal(role.role, usageFigure)})
 		}
 		add("processor", "processor time", "% of a core", func(s ResourceUsage) float64 { return s.CPUPercent })
 		add("memory", "resident memory", "MB", func(s ResourceUsage) float64 { return s.ResidentMB * megabytesPerMebibyte })
 		add("bytes", "bytes both ways", "B/s", func(s ResourceUsage) float64 { return s.BytesPerSecond })
 		add("messages", "messages", "/s", func(s ResourceUsage) float64 { return s.MessagesPerSecond })
 	}
-	return append(all, figure{"scale_in_force_p50", "a change in force at all controllers of its service, p50", "s", quietPhaseDelay(func(d Delays) float64 { return d.P50 })},
-		figure{"scale_in_force_max", "a change in force at all controllers of its service, max", "s", quietPhaseDelay(func(d Delays) float64 { return d.Max })})
+	return append(all, figure{"scale_in_force_p50", "a change in force at all controllers of its service, p50", "s", faultFreeDelay(func(d Delays) float64 { return d.P50 })},
+		figure{"scale_in_force_max", "a change in force at all controllers of its service, max", "s", faultFreeDelay(func(d Delays) float64 { return d.Max })})
 }
 
-var errFewReports = errors.New("slopes need reports for at least two numbers of controllers, each with a quiet phase")
+var errFewReports = errors.New("slopes need reports for at least two numbers of controllers, each with a phase without a fault (phase quiet)")
 
 // Measurements returns one measurement for each figure, with one point for each report: the number of controllers and the
-// value in the quiet phase.
+// value in the phase without a fault.
 func Measurements(reports []Report) ([]capacity.Measurement, error) {
 	sizes := map[int]bool{}
 	for _, r := range reports {
--- a/experiment/scale/slopes_test.go
+++ b/experiment/scale/slopes_test.go
@@ -50,7 +50,7 @@
 
 func TestSlopesNeedTwoFleetSizes(t *testing.T) {
 	for name, reports := range map[string][]Report{"none": nil, "one size": {reportOf(100, 0), reportOf(100, 1)},
-		"no quiet phase": {reportOf(100, 0), {Plan: Plan{Controllers: 200}}}} {
+		"no phase without a fault": {reportOf(100, 0), {Plan: Plan{Controllers: 200}}}} {
 		if _, err := Measurements(reports); !errors.Is(err, errFewReports) {
 			t.Errorf("%s: %v", name, err)
 		}
--- a/experiment/scale/source.go
+++ b/experiment/scale/source.go
@@ -19,7 +19,7 @@
 type ConfigurationSource interface {
 	// Start delivers the settings that were in force in the previous incarnation. It is called before the first turn.
 	Start(apply Apply)
-	// Run delivers new settings until ctx ends.
+	// Run delivers new settings until ctx is done.
 	Run(ctx context.Context)
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// Run follows the servers until ctx ends.
+// Run follows the servers until ctx is done.
 func (s *watchSource) Run(ctx context.Context) { s.watcher.Run(ctx) }
 
 // store stores active settings. The storage is in memory, so this may run within a turn.
--- a/internal/capacity/crossing.go
+++ b/internal/capacity/crossing.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// maxTargetMultiple limits the search for crossings to this multiple of the target's number of controllers.
+	// maxTargetMultiple limits the search for the fleet at which a row exceeds its bound, as a multiple of the target's
+	// number of controllers.
 	maxTargetMultiple = 100
 	// scanStep is the distance between two sizes at which bounds are checked, as a fraction of the size. The distance is at
-	// least the smallest step. Within the step that contains a crossing, the crossing is found by bisection. A row that
-	// exceeds its bound only in a range of sizes narrower than a step can be missed.
+	// least the smallest step. Within the step in which a row first exceeds its bound, the size is found by bisection. A row
+	// that exceeds its bound only in a range of sizes narrower than a step can be missed.
 	scanStep = 0.01
 	// stepsPerMeanService is the number of smallest steps that make up the size of the mean service.
 	stepsPerMeanService = 10
@@ -19,10 +20,11 @@
 // rows returns all rows of the table, of ordinary operation and of incidents.
 func (m *Model) rows() []Path { return slices.Concat(m.Paths, m.Incidents) }
 
-// boundsCheck reports, by row, whether it exceeds its bound at a size. The size is a number of smallest steps.
+// boundsCheck reports for each row, by its name, whether it exceeds its bound at a size. The size is a number of
+// smallest steps.
 type boundsCheck func(size int) (map[string]bool, error)
 
-// overBound reports, by row, whether it exceeds its bound in a scenario.
+// overBound reports for each row, by its name, whether it exceeds its bound in a scenario.
 func (m *Model) overBound(scenario Scenario) (map[string]bool, error) {
 	values, err := m.Evaluate(scenario)
 	if err != nil {
@@ -35,7 +37,8 @@
 	return over, nil
 }
 
-// firstCrossings returns, by row, the smallest size at which it exceeds its bound. Rows that never exceed it have no entry.
+// firstCrossings returns for each row, by its name, the smallest size at which it exceeds its bound. Rows that never exceed
+// their bounds have no entry.
 func firstCrossings(from, to int, check boundsCheck) (map[string]int, error) {
 	first := map[string]int{}
 	previous := from
@@ -75,9 +78,9 @@
 	return beyond, nil
 }
 
-// Crossings returns, by row, the number of controllers of the smallest fleet at which the row exceeds its bound in a
-// reading. A row without a mechanism crosses at today's fleet. A row that stays within its bound up to maxTargetMultiple
-// times the target has the value +Inf.
+// Crossings returns for each row, by its name, the number of controllers of the smallest fleet at which the row exceeds its
+// bound in a reading. For a row without a mechanism this is the number of today's fleet. For a row that stays within its
+// bound up to maxTargetMultiple times the target it is +Inf.
 func (m *Model) Crossings(reading string) (map[string]float64, error) {
 	size := m.size(controllersSize)
 	first, err := firstCrossings(int(size.Today), int(maxTargetMultiple*size.Target), func(controllers int) (map[string]bool, error) {
@@ -105,8 +108,9 @@
 	return crossings, nil
 }
 
-// LargestServices returns, by row, the largest size of a service of the target's fleet at which the row is within its bound,
-// as a multiple of the mean: 0 if the row exceeds its bound at the mean already, +Inf if the whole fleet may be one service.
+// LargestServices returns for each row, by its name, the largest size of a service of the target's fleet at which the
+// row is within its bound, as a multiple of the mean: 0 if the row exceeds its bound at the mean already, +Inf if the whole
+// fleet may be one service.
 func (m *Model) LargestServices() (map[string]float64, error) {
 	controllers := m.size(controllersSize).Target
 	services := int(m.sizesOf(controllers)["services"])
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -22,7 +22,7 @@
 		name, end := match[1], match[3]
 		section, ok := missing[name]
 		if !ok || name != end {
-			errs = append(errs, fmt.Errorf("section %s, ended as %s: unknown section, duplicate, or wrong end", name, end))
+			errs = append(errs, fmt.Errorf("section %s, closed by the comment of section %s: section is unknown or duplicate, or the names differ", name, end))
 			return text
 		}
 		delete(missing, name)
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// rankedPath is a row of the ranking. Its crossings are numbers of controllers, by reading.
+// rankedPath is a row of the ranking. Its slices have one element for each reading, in the order of Model.Readings.
 type rankedPath struct {
-	path      Path
-	crossings []float64
-	over      []bool  // by reading, at the target's size
-	ratio     float64 // of result to bound at the target's size, in the first reading
+	path            Path
+	crossings       []float64 // smallest numbers of controllers at which the row exceeds its bound, see Model.Crossings
+	exceedsAtTarget []bool    // whether the row exceeds its bound at the target's size
+	ratio           float64   // of result to bound at the target's size, in the first reading
 }
 
 // compare orders rows without a mechanism first, then by the number of controllers at which they cross in the first reading,
@@ -55,7 +55,7 @@
 		row := rankedPath{path: p, ratio: values[0][p.Name] / m.bound(p.Bound)}
 		for k, first := range crossings {
 			row.crossings = append(row.crossings, first[p.Name])
-			row.over = append(row.over, exceeds(values[k][p.Name], m.bound(p.Bound)))
+			row.exceedsAtTarget = append(row.exceedsAtTarget, exceeds(values[k][p.Name], m.bound(p.Bound)))
 		}
 		all = append(all, row)
 	}
@@ -78,7 +78,7 @@
 				row = append(row, "at once")
 			case math.IsInf(crossing, 0):
 				row = append(row, "not by "+formatExact(maxTargetMultiple*size.Target))
-			case crossing <= size.Target && !r.over[k]:
+			case crossing <= size.Target && !r.exceedsAtTarget[k]:
 				row = append(row, formatExact(crossing)+", under it again at "+formatExact(size.Target))
 			case crossing <= size.Today:
 				row = append(row, "today's "+formatExact(crossing))
