--- a/internal/controlclient/budget_test.go
+++ b/internal/controlclient/budget_test.go
@@ -32,8 +32,9 @@
 	r.attempts[words[4]] += attempts
 }
 
-// The reports to a controller keep to their budget, although sidecars report more replicas than it allows at once. Each
-// attempt is reported exactly once in the end, and a failing replica is reported before most others with as many attempts.
+// The reports to a controller stay within their budget, although sidecars report more replicas than the budget allows at
+// once. Each attempt is reported exactly once in the end, and a failing replica is reported before most healthy replicas
+// with the same number of attempts.
 func TestReportsKeepToTheBudget(t *testing.T) {
 	const (
 		interval = 50 * time.Millisecond
@@ -87,7 +88,7 @@
 			t.Errorf("replica %s: %d attempts reported, want %d", name, received.attempts[name], attempts)
 		}
 	}
-	const message = 200 // bytes; more than one message takes
+	const message = 200 // bytes; larger than one message
 	if limit := int(budget*(time.Since(began)+2*interval).Seconds()) + message; received.bytes > limit {
 		t.Errorf("%d bytes reported in %v, want at most %d", received.bytes, time.Since(began), limit)
 	}
@@ -107,8 +108,8 @@
 	return ""
 }
 
-// A controller that already knows of a failing replica receives reports in the order of their age. After a
-// restart it receives the failures first, although it knew of them before.
+// A controller that has already received the failures of a replica receives reports in the order of their age. After its
+// restart, the controller receives the failures first, although it received them before as well.
 func TestRestartedControllerGetsFailuresFirst(t *testing.T) {
 	const (
 		interval = 50 * time.Millisecond
@@ -121,8 +122,8 @@
 	controller.WaitForMessage("agent site a")
 	sidecar := scriptedpeer.Dial(t, address)
 	known := false
-	for round := 0; round < 10 && !known; round++ { // a round may begin between the two messages and report one of them alone
-		sidecar.Send(healthy) // the first of the two to be reported, so it has the older report
+	for round := 0; round < 10 && !known; round++ { // a round may begin between the two messages and report only one of the two replicas
+		sidecar.Send(healthy) // the first of the two replicas to be reported, so its last report is the older one
 		controller.WaitForMessage("outcomes site a target healthy count 10 fail 0 ")
 		sidecar.Send(failing)
 		controller.WaitForMessage("outcomes site a target failing count 12 fail 12 ")
--- a/internal/controlclient/capacity_bench_test.go
+++ b/internal/controlclient/capacity_bench_test.go
@@ -18,7 +18,7 @@
 // internal/capacity/table/measurements.yaml refers to them by name.
 
 // BenchmarkReportHeardByGovernors measures how a collector receives one report of a sidecar, by the number of controllers
-// that it reports to.
+// that the collector reports to.
 func BenchmarkReportHeardByGovernors(b *testing.B) {
 	for _, controllers := range []int{1, 6, 110, 400, 1600} {
 		b.Run(fmt.Sprintf("governors=%d", controllers), func(b *testing.B) {
@@ -69,8 +69,8 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkMessageSent measures the write of one message to a loopback socket whose other end reads at once. Only the writer
-// is timed; the reader runs at the same time and shares the wall-clock time.
+// BenchmarkMessageSent measures the write of one message to a loopback socket whose other end reads immediately. Only the
+// writer is timed; the reader runs at the same time and shares the wall-clock time.
 func BenchmarkMessageSent(b *testing.B) {
 	for _, m := range []struct{ name, text string }{
 		{"outcomes", "outcomes site zone-17 target stock-7c9d4f5b8-x2v9q count 118 fail 2 mean 47.318 over 500.112"},
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -19,8 +19,8 @@
 const (
 	// dialTimeout bounds the opening of a connection.
 	dialTimeout = time.Second
-	// backoffInitial and backoffLimit bound the waits after failed streams. The waits have jitter, so that all sidecars of a
-	// controller that fails do not connect to the others at once.
+	// backoffInitial and backoffLimit bound the waits after failed streams. The waits have jitter, so that the sidecars of a
+	// controller that fails do not all connect to the other controllers at the same time.
 	backoffInitial = 50 * time.Millisecond
 	backoffLimit   = 2 * time.Second
 	// stableStreamAge is the age of a stream above which its end resets the backoff.
@@ -195,7 +195,7 @@
 	return words, nil
 }
 
-// apply applies an update, and sends an ack if the update asks for one.
+// apply applies an update, and sends an ack if the update requests one.
 func (c *Client) apply(w *messageWriter, message updateMessage) error {
 	began := time.Now()
 	if err := c.Dispatcher.Apply(message.parts); err != nil {
@@ -235,8 +235,8 @@
 }
 
 // sendDemand reports the requests since the last report with the actual length of that period. The last report may have gone
-// to another controller: if the requests that arrived between that stream and this one were reported as those of one second,
-// the reported rate would be many times the actual rate.
+// to another controller: if the requests that arrived between that stream and this one were reported as the requests of one
+// second, the reported rate would be many times the actual rate.
 func (c *Client) sendDemand(w *messageWriter) error {
 	period := time.Since(c.demandSince)
 	c.demandSince = c.demandSince.Add(period)
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// waitFor waits for a message that begins with a text, and returns it. Other messages are discarded.
+// waitFor waits for a message that begins with a given string, and returns it. Other messages are discarded.
 func (c *scriptedController) waitFor(t *testing.T, prefix string) string {
 	t.Helper()
 	for limit := time.After(8 * time.Second); ; {
@@ -201,7 +201,7 @@
 	dispatcher.applyError = fmt.Errorf("%w: refused by the test", dispatch.ErrInvalidUpdate)
 	dispatcher.mu.Unlock()
 	controller.send(t, conn, "push full 1 endpoints a:1 nonce_out 6")
-	controller.waitFor(t, "closed") // no ack was sent before
+	controller.waitFor(t, "closed") // no ack was sent before the close
 	conn = <-controller.conns
 	controller.send(t, conn, "error reason none")
 	controller.waitFor(t, "closed")
@@ -210,7 +210,8 @@
 	}
 }
 
-// One controller accepts connections and sends nothing, another is not listening: the client finds the third one.
+// One controller accepts connections and sends nothing, another is not listening: the client connects to the third
+// controller.
 func TestClientTriesControllersUntilOneSendsUpdates(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/controlclient/collector.go
+++ b/internal/controlclient/collector.go
@@ -30,7 +30,7 @@
 type Collector struct {
 	Zone        string
 	Controllers []string
-	Interval    time.Duration // between two reports
+	Interval    time.Duration // time between two reports to a controller
 	Budget      int           // bytes per second of the reports to one controller; 0: no limit
 	Log         *slog.Logger
 	MaxSidecars int
@@ -39,7 +39,7 @@
 	Reported    atomic.Int64 // messages sent to controllers
 
 	pool        *resp.Pool
-	pending     []*pendingOutcomes // by controller
+	pending     []*pendingOutcomes // outcomes not reported yet, by controller
 	connections atomic.Int64
 }
 
@@ -194,7 +194,8 @@
 	}
 }
 
-// sendOutcomes sends the pending outcomes of a controller, one message for each replica, as far as the budget allows.
+// sendOutcomes sends the outcomes that are pending for a controller, one message for each replica, as far as the budget
+// allows.
 func (c *Collector) sendOutcomes(w *messageWriter, pending *pendingOutcomes) error {
 	pending.beginRound()
 	for {
--- a/internal/controlclient/collector_conn.go
+++ b/internal/controlclient/collector_conn.go
@@ -94,8 +94,8 @@
 	return c.answers < c.probes && now.Sub(c.waitingSince) > responseTimeout
 }
 
-// closedByCollector reports whether the collector has closed the connection. The first write after that would succeed,
-// although the message is never read. A close that has already arrived is noticed within closedCheckTime.
+// closedByCollector reports whether the collector has closed the connection. The first write after the close would succeed,
+// although the collector never reads the message. A close that has already arrived is noticed within closedCheckTime.
 func (c *collectorConn) closedByCollector() bool {
 	timer := time.NewTimer(closedCheckTime)
 	defer timer.Stop()
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -182,8 +182,8 @@
 	golden.CheckDetectsChange(t, receivedFile, output)
 }
 
-// Messages that need a whole connection, in addition to those of the golden files: how a collector joins a controller, and
-// how it answers a sidecar's probe.
+// This test checks messages that need a whole connection, in addition to the messages of the golden files: how a collector
+// joins a controller, and how it answers a sidecar's probe.
 func TestCollectorJoinAndProbeAnswerBytes(t *testing.T) {
 	controller, sidecarListener := scriptedpeer.Listen(t), scriptedpeer.Listen(t)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/controlclient/outcome_report.go
+++ b/internal/controlclient/outcome_report.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxReplicas bounds the number of replicas whose outcomes are held for one controller. No installation has as many
-	// replicas.
+	// maxReplicas bounds the number of replicas whose outcomes are held for one controller. No installation reaches this
+	// number of replicas.
 	maxReplicas = 1 << 14
 	// maxReportAge is how long outcomes are held for a controller that is not connected, unless two report intervals are
-	// longer. Older outcomes do not describe the current state.
+	// longer: in that case they are held for two intervals. Older outcomes do not describe the current state.
 	maxReportAge = 10 * time.Second
 	// maxIDLength, maxAttempts and maxResponseMillis bound the values of a report: the length of a replica's id in bytes,
 	// the number of attempts, and the mean response time in milliseconds.
@@ -74,8 +74,8 @@
 	outcomes *loadreport.Aggregator
 }
 
-// newPendingOutcomes returns empty pendingOutcomes that are reported in each interval, with at most bytesPerSecond; 0: no
-// limit.
+// newPendingOutcomes returns empty pendingOutcomes that are reported in each interval, with at most bytesPerSecond bytes of
+// reports per second; 0: no limit.
 func newPendingOutcomes(interval time.Duration, bytesPerSecond int) *pendingOutcomes {
 	limits := loadreport.Limits{
 		BytesPerSecond: bytesPerSecond,
--- a/internal/controlclient/races_test.go
+++ b/internal/controlclient/races_test.go
@@ -29,8 +29,8 @@
 }
 
 // A controller is lost between two parts of an update, in the middle of a part, or while an ack is being sent. The next
-// stream, to another controller or to the same one, begins with an update of its own: no incomplete update is applied, none
-// is assembled from parts of two streams, and no nonce of the earlier stream is acknowledged on the new one.
+// stream, to another controller or to the same controller, begins with an update of its own: no incomplete update is
+// applied, none is assembled from parts of two streams, and no nonce of the earlier stream is acknowledged on the new one.
 func TestControllerIsLostDuringAnUpdate(t *testing.T) {
 	complete := scriptedpeer.EncodeMessage("push full 1 endpoints a:1,b:1 nonce_out 5")
 	for name, c := range map[string]struct {
@@ -168,7 +168,8 @@
 	reconnected.WaitForMessage("outcomes site a target b count 7 fail 2 mean 10.000 over ")
 }
 
-// Outcomes are held for a disconnected controller up to the maximum age. Older ones are dropped, not reported as current.
+// Outcomes are held for a disconnected controller up to the maximum age. Older outcomes are dropped, not reported as
+// current.
 func TestOldOutcomesExpire(t *testing.T) {
 	second := int64(time.Second)
 	pending, now := newPendingOutcomes(time.Second, 0), monotonicNow()
@@ -186,7 +187,8 @@
 	}
 }
 
-// A controller reads nothing, so that the write of a report blocks when the collector is stopped: it stops at once.
+// A controller reads nothing, so that the write of a report blocks when the collector is stopped: the collector stops at
+// once all the same.
 func TestCollectorStopsDuringABlockedWrite(t *testing.T) {
 	listener := scriptedpeer.Listen(t)
 	c, _, stop := startCollector(t, 50*time.Millisecond, listener)
--- a/internal/controlclient/reporter.go
+++ b/internal/controlclient/reporter.go
@@ -79,7 +79,7 @@
 
 // closeIfUnusable closes the current connection if its collector has closed it or has not answered a probe in time. A
 // collector that had answered probes and closed the connection has probably been restarted, so it is dialed again first. An
-// unresponsive collector is kept if it is the only one and has answered no probe on this connection.
+// unresponsive collector is kept if it is the only collector and has answered no probe on this connection.
 func (r *Reporter) closeIfUnusable() {
 	if r.current == nil {
 		return
--- a/internal/controlclient/reporter_test.go
+++ b/internal/controlclient/reporter_test.go
@@ -83,8 +83,8 @@
 }
 
 // After a zone's collector has stopped, its reporter sends the reports to the next collector from the next interval on, so
-// that the controller receives reports of the zone again within a few intervals. Without a second collector it would receive
-// none.
+// that the controller receives reports of the zone again within a few intervals. Without a second collector the controller
+// would receive none.
 func TestNextCollectorTakesOver(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	controller := scriptedpeer.Listen(t)
@@ -110,7 +110,7 @@
 }
 
 // A collector's machine fails, or its process hangs, without closing connections, and the kernel still accepts all writes.
-// The reporter fails over once an answer has been missing for the timeout, and counts the sums sent until then as
+// The reporter fails over once an answer has been missing for the timeout, and counts the sums sent before the failover as
 // unconfirmed.
 func TestReporterFailsOverFromUnresponsiveCollector(t *testing.T) {
 	const interval = 50 * time.Millisecond
@@ -130,7 +130,7 @@
 }
 
 // The preferred collector runs again: once its cool-down has ended and it has answered a probe, it receives the reports
-// again. Until then the other collector receives all of them. A collector that accepts connections and answers no probe
+// again. Until then the second collector receives all reports. A collector that accepts connections and answers no probe
 // receives none.
 func TestReportsReturnToThePreferredCollector(t *testing.T) {
 	const interval = 20 * time.Millisecond
@@ -159,8 +159,8 @@
 	}
 }
 
-// A collector at its limit of connections closes new ones at once: its sidecars use the next collector, and do not dial the
-// full one in each interval.
+// A collector at its limit of connections closes new connections at once: its sidecars use the next collector, and do not
+// dial the full collector in each interval.
 func TestFullCollectorIsNotDialedInEachInterval(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	full := scriptedpeer.Listen(t)
@@ -174,14 +174,14 @@
 	}
 }
 
-// A collector of an earlier version answers no probes. If it is the only one, the reporter keeps using it.
+// A collector of an earlier version answers no probes. If it is the only collector, the reporter keeps using it.
 func TestOnlyCollectorIsKeptWithoutProbeAnswers(t *testing.T) {
 	const interval = 50 * time.Millisecond
 	only := serveCollector(t, scriptedpeer.Listen(t), false)
 	r, taken, stop := startReporter(t, interval, only.Address())
 	scriptedpeer.WaitFor(t, "the reporter stops taking outcomes before the timeout of the collector", func() bool { return taken.Load() > int64((responseTimeout+time.Second)/interval) })
 	stop()
-	if n := only.dials.Load(); n != 1 || r.Lost.Load() > 1 { // one sum may be lost by the stop
+	if n := only.dials.Load(); n != 1 || r.Lost.Load() > 1 { // one sum may be lost when the reporter stops
 		t.Errorf("%d connections and %d sums lost, want 1 connection and at most 1 sum", n, r.Lost.Load())
 	}
 	scriptedpeer.WaitFor(t, "an outcome is neither reported nor counted as lost", func() bool { return only.attempts.Load()+r.Lost.Load() == taken.Load() })
--- a/internal/controlclient/writer.go
+++ b/internal/controlclient/writer.go
@@ -12,7 +12,7 @@
 	// writeTimeout bounds the writing of one message.
 	writeTimeout = 2 * time.Second
 	// closedCheckTime is how long to wait for the reader of a connection to notice a close that has already arrived, which
-	// takes less.
+	// takes less time than this.
 	closedCheckTime = time.Millisecond
 )
 
--- a/internal/controller/acks.go
+++ b/internal/controller/acks.go
@@ -6,8 +6,8 @@
 	"lilacbend/control"
 )
 
-// Nonces are counted modulo nonceModulus. A nonce that the core chooses is half the modulus away from the module's last one,
-// so that the two cannot be confused.
+// Nonces are counted modulo nonceModulus. A nonce that the core chooses is half the modulus away from the module's last
+// nonce, so that the two cannot be confused.
 const (
 	nonceModulus    = 1 << 16
 	coreNonceOffset = 1 << 15
@@ -50,7 +50,7 @@
 
 // expireSilentProxies reports each proxy that has owed an ack for longer than the silence timeout to the module as
 // disconnected, since a machine that fails leaves its stream open. The core keeps the stream open and continues to send
-// updates on it, so a proxy that was only slow has missed nothing and is connected again as soon as anything arrives from
+// updates on it, so a proxy that was only slow has missed no update and is connected again as soon as anything arrives from
 // it.
 func (c *Core) expireSilentProxies(now int64) []control.Event {
 	var proxies []int
@@ -135,8 +135,8 @@
 	t.send(s, update, number)
 }
 
-// nextCoreNonce returns the nonce of the core's next ack request: half the modulus past the last nonce if that one is the
-// running module's, and one past it otherwise.
+// nextCoreNonce returns the nonce of the core's next ack request: half the modulus past the last nonce if the running module
+// chose that nonce, and one past it otherwise.
 func (u unackedMessages) nextCoreNonce() uint64 {
 	last := u[len(u)-1]
 	if last.hiddenFromModule {
--- a/internal/controller/configure_test.go
+++ b/internal/controller/configure_test.go
@@ -49,7 +49,7 @@
 		setEndpoint(0, 1, 1), setEndpoint(0, 2, 1), control.Bind{Proxy: 4}, control.Bind{Proxy: 5},
 		control.SetAdmission{Table: control.AllTables, Class: 1, Fraction: 0.5}, control.SetAdmission{Table: 0, Class: 0, Fraction: 0.7})
 	result := turn([]Input{
-		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // before the change: the old number
+		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 1}}, // sent before the change, so with the old class number
 		changedNames(2, namesOf("order,new,read", "b,a", "m0,m2"), module),
 		Demand{Stream: 1, Class: "order", Demand: control.Demand{Proxy: 4, Requests: 2}},
 		Outcomes{Zone: "a", Replica: "x", Outcomes: control.Outcomes{Attempts: 1}},
@@ -65,7 +65,7 @@
 				t.Errorf("event %d: demand of class %d, want %d", k, e.Class, want)
 			}
 		case control.Outcomes:
-			if e.Zone != 0 { // zones keep their numbers if there are as many as before
+			if e.Zone != 0 { // zones keep their numbers if the number of zones has not changed
 				t.Errorf("event %d: outcomes of zone %d, want 0", k, e.Zone)
 			}
 		case control.SettingsChanged:
@@ -140,7 +140,7 @@
 
 func (panickingModule) Turn(int64, []control.Event) []control.Command { panic("panicking module") }
 
-// Settings with which a new module panics are refused: the former ones stay in force and every stream stays open. If the
+// Settings with which a new module panics are refused: the former settings stay in force and every stream stays open. If the
 // running module panics on the change but a new module runs with the settings, they are in force.
 func TestSettingsWithWhichTheModulePanicsAreReverted(t *testing.T) {
 	c, module := newTestCore()
--- a/internal/controller/core.go
+++ b/internal/controller/core.go
@@ -90,8 +90,8 @@
 	return next
 }
 
-// collectEvents returns the module's events of a turn: those of the inputs, those of proxies whose acks are overdue, and
-// those of due timers.
+// collectEvents returns the module's events of a turn: the events of the inputs, of proxies whose acks are overdue, and of
+// due timers.
 func (c *Core) collectEvents(t *turn, inputs []Input) []control.Event {
 	var events []control.Event
 	for _, input := range inputs {
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -104,12 +104,12 @@
 	}{
 		{[]Input{replicaList(true, "xr", "yr", "zr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "a", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b"}},
 			commands{setEndpoint(0, 1, 1), setEndpoint(0, 2, 0.5), control.Bind{Proxy: 4}, control.RequestAck{Nonce: 1}}, "1: full x=1 y=0.5 #1"},
-		{nil, commands{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // may hold any replica as ejected
+		{nil, commands{control.Bind{Proxy: 5}, control.RequestAck{Nonce: 2}}, "2: full x=1 y=0.5 +x +y #2"}, // the proxy may hold any replica as ejected
 		{nil, commands{setEndpoint(0, 2, 0.7), control.RequestAck{Nonce: 3}}, "1: y=0.7 #3; 2: y=0.7 #3"},
 		{nil, commands{setEndpoint(1, 3, 1), control.RequestAck{Nonce: 4}}, ""}, // no proxy is bound to the table
 		{nil, commands{control.SetEjected{Replica: 3, Ejected: true}}, ""},
 		{nil, commands{control.SetEjected{Replica: 1, Ejected: true}, control.RequestAck{Nonce: 5}}, "1: -x #5; 2: -x #5"},
-		{nil, commands{setEndpoint(0, 3, 1)}, "1: z=1 -z; 2: z=1 -z"}, // added while it is ejected
+		{nil, commands{setEndpoint(0, 3, 1)}, "1: z=1 -z; 2: z=1 -z"}, // z is added to the table while it is ejected
 		{nil, commands{control.SetEjected{Replica: 1}, setEndpoint(0, 3, 0), control.RequestAck{Nonce: 6}}, "1: z=0 +x #6; 2: z=0 +x #6"},
 		{nil, commands{control.SetEjected{Replica: 3}, setEndpoint(0, 3, 2)}, "1: z=2 +z; 2: z=2 +z"},
 		{nil, commands{control.SetAdmission{Table: all, Class: 1, Fraction: 0.5, Retries: 1}}, "1: order~0.5/1; 2: order~0.5/1"},
@@ -147,15 +147,15 @@
 	}
 }
 
-// The cost of the updates is that of the module's commands, as long as nothing is sent twice.
+// The cost of the updates equals the cost of the module's commands, as long as nothing is sent twice.
 func TestCostSentIsTheCostOfTheCommands(t *testing.T) {
 	c, _ := newTestCore(commands{setEndpoint(0, 1, 1), setEndpoint(0, 2, 1), control.SetAdmission{Table: control.AllTables, Fraction: 0.5},
 		control.SetEjected{Replica: 2, Ejected: true}, control.Bind{Proxy: 4}, control.Bind{Proxy: 5}, control.RequestAck{Nonce: 1}},
 		commands{setEndpoint(0, 1, 2), control.RequestAck{Nonce: 2}})
 	c.Turn(0, []Input{replicaList(true, "xr", "yr"), StreamOpened{Stream: 1, Proxy: 4, Zone: "b", WithoutTable: true}, StreamOpened{Stream: 2, Proxy: 5, Zone: "b", WithoutTable: true}})
 	c.Turn(1, nil)
-	// For each of two proxies, first the full flag, two endpoints, an admission, an ejection and an ack request, and then an
-	// endpoint and an ack request.
+	// The cost units are, for each of two proxies, first the full flag, two endpoints, an admission, an ejection and an ack
+	// request, and then an endpoint and an ack request.
 	if counters := c.Counters; counters.CostSent != 2*(5+1)+2*2 || counters.AckRequests != 4 || counters.FullTables != 2 {
 		t.Errorf("counters %+v", counters)
 	}
@@ -351,7 +351,7 @@
 	} {
 		module.turns = []commands{step.commands}
 		result := c.Turn(step.at, step.inputs)
-		result.Updates = slices.DeleteFunc(result.Updates, func(s OutgoingUpdate) bool { return s.Update.Nonce >= coreNonceOffset }) // of requestMissingAck
+		result.Updates = slices.DeleteFunc(result.Updates, func(s OutgoingUpdate) bool { return s.Update.Nonce >= coreNonceOffset }) // sent by requestMissingAck
 		if got := formatUpdates(result); got != step.want || !reflect.DeepEqual(module.events, step.events) {
 			t.Errorf("at %d: events %+v, updates %s", step.at, module.events, got)
 		}
@@ -470,7 +470,7 @@
 		commands commands
 		want     string
 	}{
-		{connected, module.turns[0], "1: full x=1 y=1 #1; 2: full x=1 y=1 #1"}, // 16 cost units of 28
+		{connected, module.turns[0], "1: full x=1 y=1 #1; 2: full x=1 y=1 #1"}, // 16 of the channel's 28 cost units
 		{nil, commands{setEndpoint(0, 1, 2), control.RequestAck{Nonce: 2}}, "1: x=2 #2"},
 		{nil, commands{setEndpoint(0, 1, 3), setEndpoint(0, 2, 0.5), control.RequestAck{Nonce: 3}}, ""},
 		{nil, commands{control.SetEjected{Replica: 2, Ejected: true}, control.RequestAck{Nonce: 4}}, ""},
@@ -534,7 +534,7 @@
 // waited longest is sent its update first.
 func TestPendingChangesAreBroughtUpToDate(t *testing.T) {
 	c, module := newTestCore(commands{setEndpoint(0, 1, 1), control.Bind{Proxy: 1}, control.Bind{Proxy: 2}, control.Bind{Proxy: 3}, control.RequestAck{Nonce: 1}})
-	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 1 << 20, ChannelRate: 100, MessageOverhead: 4, MaxTransit: 1e7}) // busy from 4 cost units on
+	c.delivery.account = sendbudget.New(sendbudget.Bounds{ChannelLimit: 1 << 20, ChannelRate: 100, MessageOverhead: 4, MaxTransit: 1e7}) // the channel counts as busy from 4 cost units on
 	inputs := []Input{replicaList(true, "xr", "yr")}
 	for proxy := 1; proxy <= 3; proxy++ {
 		inputs = append(inputs, StreamOpened{Stream: StreamID(proxy), Proxy: proxy, Zone: "a", WithoutTable: true})
--- a/internal/controller/crossings_test.go
+++ b/internal/controller/crossings_test.go
@@ -70,7 +70,7 @@
 	if c.Turn(2, nil); c.Counters.ModuleRestarts != 1 || c.delivery.account.Queued() == 0 {
 		t.Fatalf("%d module restarts, %d cost units charged", c.Counters.ModuleRestarts, c.delivery.account.Queued())
 	}
-	for step, want := range [][]control.Event{nil, nil, {control.Ack{Proxy: 4, Nonce: 2}}} { // the old nonces 2 and 3, then the new 2
+	for step, want := range [][]control.Event{nil, nil, {control.Ack{Proxy: 4, Nonce: 2}}} { // acks of the failed module's nonces 2 and 3, then of the new module's nonce 2
 		nonce := uint64([]int{2, 3, 2}[step])
 		if c.Turn(int64(3+step), []Input{Ack{Stream: 1, Nonce: nonce}}); !reflect.DeepEqual(module.events, want) {
 			t.Errorf("ack %d of nonce %d: events %+v", step, nonce, module.events)
--- a/internal/controller/delivery.go
+++ b/internal/controller/delivery.go
@@ -18,11 +18,11 @@
 	account *sendbudget.Account // persists across modules and streams
 	due     map[int]*stream     // by proxy: streams to consider in the next updates even if no command affects them
 	urgent  []*stream           // streams with urgent pending changes, longest waiting first
-	normal  []*stream           // streams with pending changes, longest waiting first; urgent ones are skipped here
+	normal  []*stream           // streams with pending changes, longest waiting first; urgent streams are skipped in this queue
 	acks    ackDeadlines
 
 	lastCatchUp     int64  // when unbound streams were last checked
-	coreAckRequests uint64 // number of ack requests by the core, so that successive ones go to different proxies
+	coreAckRequests uint64 // number of ack requests that the core has sent, so that successive requests go to different proxies
 }
 
 func newDeliveryState(account *sendbudget.Account) deliveryState {
@@ -60,7 +60,7 @@
 }
 
 // sortByUrgency returns the streams that the changes affect, sorted by proxy. Streams that already have pending changes are
-// left out: the changes are added to their pending ones.
+// left out: the changes are added to the pending changes of these streams.
 func (c *Core) sortByUrgency(changes *turnChanges) (urgent, normal []*stream) {
 	for _, proxy := range c.affectedProxies(changes) {
 		s := c.streams.byProxy[proxy]
@@ -95,9 +95,10 @@
 	return slices.Sorted(maps.Keys(affected))
 }
 
-// isUrgent reports whether a stream's next update stops its proxy from using a replica. Besides new ejections, a full update
-// does so if there is a drain grace, and so does the rest of a table whose subset has no usable replica. Both replace the
-// table that the proxy held when it connected, which may contain ejected replicas.
+// isUrgent reports whether a stream's next update stops its proxy from using a replica. An update with new ejections does
+// so. A full update does so if there is a drain grace, and so does an update with the rest of a table whose subset has no
+// usable replica. The latter two replace the table that the proxy held when it connected, which may contain ejected
+// replicas.
 func (c *Core) isUrgent(s *stream, ejections map[uint32]bool) bool {
 	if s.binding.needsFull && s.binding.table >= 0 && c.drainGrace > 0 {
 		return true
@@ -113,8 +114,8 @@
 	return false
 }
 
-// sendOrEnqueue sends the changes to streams. If there is no capacity, or other streams are already waiting, it enqueues
-// them.
+// sendOrEnqueue sends the changes to streams. If there is no capacity, or other streams are already waiting, it enqueues the
+// changes.
 func (c *Core) sendOrEnqueue(t *turn, streams []*stream, urgent bool, changes *turnChanges) {
 	queue := &c.delivery.normal
 	if urgent {
@@ -138,7 +139,7 @@
 // that remain in the queue. A stream that has reached its proxy's message cap does not block the streams behind it.
 func (c *Core) sendPending(t *turn, queue []*stream, urgent bool, changes *turnChanges) (waiting []*stream) {
 	for k, s := range queue {
-		if s.pending == nil || s.pending.urgent != urgent || !c.streams.isCurrent(s) { // sent, in the other queue, or closed
+		if s.pending == nil || s.pending.urgent != urgent || !c.streams.isCurrent(s) { // its changes were sent, it is in the other queue, or it is closed
 			continue
 		}
 		if !c.delivery.account.HasCapacity(urgent) {
@@ -179,7 +180,7 @@
 		return
 	}
 	number := c.delivery.account.Charge(s.opened.Proxy, units, t.now)
-	// A repeated nonce is not recorded again: its ack may answer the first message, so it must not clear any later one.
+	// A repeated nonce is not recorded again: its ack may answer the first message, so it must not clear any later message.
 	if wantsNewAck {
 		s.unacked.add(sentMessage{nonce: update.Nonce, number: number})
 		c.delivery.acks.await(s, t.now)
@@ -215,7 +216,7 @@
 
 // catchUpUnbound enqueues all ejections for streams that have been unbound for longer than the catch-up delay. The table
 // that a proxy held when it connected may contain replicas that were ejected earlier. In a reconnect storm, or if no replica
-// is left for its new table, that table may arrive too late to replace them.
+// is left for its new table, the new table may arrive too late to replace them.
 func (c *Core) catchUpUnbound(now int64) {
 	if c.drainGrace <= 0 || len(c.routing.ejected) == 0 || now-c.delivery.lastCatchUp < c.drainGrace/catchUpIntervalDivisor {
 		return
--- a/internal/controller/input.go
+++ b/internal/controller/input.go
@@ -53,8 +53,8 @@
 	Revision   int64
 	Complete   bool // replicas that are not in the list are gone
 	Members    []Member
-	ReadAt     int64 // when the list was read, by the core's clock
-	ReadAtWall int64 // the same moment by the wall clock
+	ReadAt     int64 // when the list was read, according to the core's clock
+	ReadAtWall int64 // when the list was read, according to the wall clock
 }
 
 // Member is one replica in a ReplicaList.
@@ -67,7 +67,7 @@
 	State         control.State
 	Unusable      bool // the state could not be read
 	Weight        float64
-	UpSince       int64 // when the replica's process started, by the wall clock; 0 means long ago
+	UpSince       int64 // when the replica's process started, according to the wall clock; 0 means long ago
 }
 
 // StreamActive reports that a message arrived on a stream but could not be used as any other input. It shows that the proxy
@@ -84,7 +84,7 @@
 // first ReplicaList.
 type SnapshotRestored struct{ Snapshot *learnedstate.AgedState }
 
-// Configure requests that settings be put in force. They have passed the same checks as the settings of a starting
+// Configure requests that settings be put in force. The settings have passed the same checks as those of a starting
 // controller. Start creates modules that use them.
 type Configure struct {
 	Version  revision.Version
--- a/internal/controller/messagecap_test.go
+++ b/internal/controller/messagecap_test.go
@@ -68,7 +68,7 @@
 			}
 		}
 		switch {
-		case now < 26*second/10 && (now/(second/10))%4 == 0: // with the first connection, this leaves one message of the cap
+		case now < 26*second/10 && (now/(second/10))%4 == 0: // these connections and the first one together leave one message of the cap
 			inputs = append(inputs, connect(0))
 		case drainedAt == 0 && now >= 3*second:
 			drainedAt, inputs = now, append(inputs, list("s-0"))
--- a/internal/controller/pendingchanges.go
+++ b/internal/controller/pendingchanges.go
@@ -45,14 +45,14 @@
 	ejections map[uint32]bool
 	urgent    bool
 	wantsAck  bool
-	nonce     uint64 // of the last requested ack
+	nonce     uint64 // nonce of the last requested ack
 }
 
 func newPendingChanges() *pendingChanges {
 	return &pendingChanges{endpoints: map[uint32]bool{}, ejections: map[uint32]bool{}}
 }
 
-// add adds those changes of a turn that affect a stream.
+// add adds the changes of a turn that affect a stream.
 func (p *pendingChanges) add(changes *turnChanges, table int, affects func(replica uint32) bool) {
 	maps.Copy(p.endpoints, changes.endpoints[table])
 	for replica := range changes.ejections {
--- a/internal/controller/reconfigure_test.go
+++ b/internal/controller/reconfigure_test.go
@@ -41,7 +41,7 @@
 var simulationNames = settings.Names{Classes: []string{"read", "order"}, Zones: []string{"a", "b"}, HardwareClasses: []string{"m1"}}
 
 // The limits of the channel and the invariants hold for any sequence of settings changes, combined with reconnect storms,
-// releases, faults and occasional module failures. After the last change all proxies are served as before the first one.
+// releases, faults and occasional module failures. After the last change all proxies are served as before the first change.
 func TestInvariantsHoldThroughChangesOfSettings(t *testing.T) {
 	t.Parallel()
 	zones := [][]string{{"a", "b"}, {"b", "a"}, {"a", "b", "c"}, {"c", "b", "a"}, {"b"}, {"a", "c"}, {}}
@@ -59,7 +59,7 @@
 				changed.Proxies, changed.Controllers = changed.Proxies*(1+draw.Intn(4)), 1+draw.Intn(5)
 				changed.DrainGrace, changed.ReportInterval = second*int64(2+draw.Intn(8)), second/int64(1+draw.Intn(2))
 				changed.ChannelLimit, changed.MaxMessages = limit+draw.Intn(limit), 12+draw.Intn(4)
-				if sim.queuedUnits > 0 || len(sim.unwritten) > 0 { // queued messages may exceed limits that shrink
+				if sim.queuedUnits > 0 || len(sim.unwritten) > 0 { // queued messages may exceed limits that the new settings lower
 					changed.ChannelLimit, changed.MaxMessages = sim.settings.ChannelLimit, sim.settings.MaxMessages
 				}
 				sim.configure(number, changed, settings.Names{Classes: classes[draw.Intn(len(classes))], Zones: zones[draw.Intn(len(zones))], HardwareClasses: [][]string{{"m1"}, {"m2", "m1"}, {}}[draw.Intn(3)]})
@@ -69,7 +69,7 @@
 		violation := sim.violation
 		sim.configure(number+1, original, simulationNames)
 		sim.advance(second)
-		for k := range sim.proxies { // including those that were refused because of their zone
+		for k := range sim.proxies { // including proxies that were refused because of their zone
 			sim.connect(k)
 		}
 		if violation == "" {
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -29,7 +29,7 @@
 	name          string
 	zone          string // as listed
 	hardwareClass string // as listed
-	upSince       int64  // as listed, by the wall clock
+	upSince       int64  // as listed, according to the wall clock
 	lastListed    int64  // when the replica was last listed or not gone
 	// lastList is the number of the last list that contained the replica. A time would not identify a list, since one turn
 	// may apply several lists.
@@ -163,9 +163,9 @@
 	return list
 }
 
-// nameRetention is how long the name of a replica is kept after it was last listed, in nanoseconds: as long as discovery may
-// omit a replica by mistake, and shorter than the module keeps a replica that is gone. A replica that returns later gets a
-// new number and is new to the core and the module.
+// nameRetention is how long the name of a replica is kept after it was last listed, in nanoseconds: for as long as discovery
+// may omit a replica by mistake, and for less time than the module keeps a replica that is gone. A replica that returns
+// later gets a new number and is new to the core and the module.
 const nameRetention = int64(30 * time.Second)
 
 // maxEvictedEjections limits the number of evicted names that some proxies may still hold as ejected: enough for a few
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// restoredFleet returns an event with the learned state of the whole fleet, or none if the state is so old that its weight
-// is 0.
+// restoredFleet returns an event with the learned state of the whole fleet, or no event if the state is so old that its
+// weight is 0.
 func (c *Core) restoredFleet(learned *learnedstate.AgedState, now int64) []control.Event {
 	if learned == nil {
 		return nil
--- a/internal/controller/result.go
+++ b/internal/controller/result.go
@@ -84,7 +84,7 @@
 	// Updates sent.
 	Updates         int64
 	CostRequested   int64 // cost units of the module's commands, for all streams that they affect
-	CostSent        int64 // cost units of the updates
+	CostSent        int64 // cost units of the updates sent
 	AckRequests     int64 // ack requests of the module
 	OwnAckRequests  int64 // ack requests of the core for missing acks
 	FullTables      int64 // updates that replace the table
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -97,8 +97,8 @@
 	return units
 }
 
-// renumberClasses moves the admissions to the new numbers of their traffic classes and drops those of classes whose new
-// number is negative: these classes no longer exist.
+// renumberClasses moves the admissions to the new numbers of their traffic classes and drops the admissions of classes whose
+// new number is negative: these classes no longer exist.
 func (r *routingState) renumberClasses(numbers []int) {
 	renumbered := map[tableClass]control.SetAdmission{}
 	for key, admission := range r.admissions {
--- a/internal/controller/routing_test.go
+++ b/internal/controller/routing_test.go
@@ -75,7 +75,7 @@
 	r.setWeight(0, 1, 1)
 	r.setWeight(0, 2, 1)
 	r.setEjected(2, true)
-	r.setEjected(3, true) // in no table
+	r.setEjected(3, true) // replica 3 is in no table
 	r.admissions[tableClass{control.AllTables, 1}] = control.SetAdmission{Class: 1}
 	if got := r.tableCost(0, 2); got != 1+2+1+1 {
 		t.Errorf("%d units, want 5", got)
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -48,10 +48,10 @@
 	members           map[string]controller.Member // by name
 	replicaNames      []string
 	now               int64
-	lastStream        controller.StreamID // the last one opened
-	inputs            []controller.Input  // of the next turn
-	unwritten         []message           // not yet written to the channel
-	channelQueue      []message           // in the channel
+	lastStream        controller.StreamID // the last stream opened
+	inputs            []controller.Input  // inputs of the next turn
+	unwritten         []message           // messages not yet written to the channel
+	channelQueue      []message           // messages in the channel
 	queuedUnits       int                 // cost units in the channel
 	sendCredit        float64             // cost units that the channel may send now
 	rateFactor        float64             // factor on the channel's rate; 1 is normal
@@ -115,7 +115,7 @@
 	sim.inputs = append(sim.inputs, list)
 }
 
-// connect connects a proxy by a new stream.
+// connect connects a proxy on a new stream.
 func (sim *simulation) connect(proxy int) {
 	p := sim.proxies[proxy]
 	sim.lastStream++
@@ -194,7 +194,7 @@
 				if !sim.writersNeverStall {
 					stall = sim.Int63n(2) * sim.Int63n(second)
 				}
-				p.lastEntryAt = max(p.lastEntryAt, sim.now+stall) // in order on each stream
+				p.lastEntryAt = max(p.lastEntryAt, sim.now+stall) // the messages of each stream enter in order
 				sim.unwritten = append(sim.unwritten, message{k, sim.cost(outgoing.Update) + sim.settings.MessageOverhead, outgoing, p.lastEntryAt})
 			}
 		}
@@ -337,12 +337,12 @@
 		"overhead":   func(p controller.Update) int { return 4 },
 		"endpoints":  func(p controller.Update) int { return len(p.Endpoints) },
 		"ejected":    func(p controller.Update) int { return len(p.Ejected) },
-		"unejected":  func(p controller.Update) int { return 5 * len(p.Unejected) },  // five times, since a subset has only three unejections
-		"admissions": func(p controller.Update) int { return 5 * len(p.Admissions) }, // five times, since admissions are few
+		"unejected":  func(p controller.Update) int { return 5 * len(p.Unejected) },  // counted five times, since a subset has only three unejections
+		"admissions": func(p controller.Update) int { return 5 * len(p.Admissions) }, // counted five times, since updates have few admissions
 		"resyncs":    func(p controller.Update) int { return map[bool]int{true: updateCost(p)}[p.Resync] },
 		"full with ack requests": func(p controller.Update) int {
 			return 5 * (map[bool]int{true: 1}[p.Full] + map[bool]int{true: 1}[p.WantsAck])
-		}, // five times, since these are few
+		}, // counted five times, since full updates and ack requests are few
 	} {
 		violations := 0
 		for seed := range int64(40) {
@@ -387,8 +387,8 @@
 	}
 }
 
-// BenchmarkTurnAtSize measures turns of a controller with all proxies connected, each with the reports of a quarter of a
-// second: their duration, their allocations, and the memory per proxy.
+// BenchmarkTurnAtSize measures turns of a controller with all proxies connected, where each turn has the reports of a
+// quarter of a second: the turns' duration, their allocations, and the memory per proxy.
 func BenchmarkTurnAtSize(b *testing.B) {
 	for _, c := range []struct{ proxies, replicas int }{{480, 60}, {1280, 120}, {2400, 200}, {10000, 1000}} {
 		b.Run(fmt.Sprintf("%dx%d", c.proxies, c.replicas), func(b *testing.B) {
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -156,8 +156,8 @@
 	return replicas
 }
 
-// snapshotResponseTimes returns the baselines with the names of their hardware classes. The last one is the baseline over
-// all hardware classes and has no name.
+// snapshotResponseTimes returns the baselines with the names of their hardware classes. The last baseline is that over all
+// hardware classes and has no name.
 func (c *Core) snapshotResponseTimes(baselines [][]float64) []learnedstate.ResponseTimes {
 	var responseTimes []learnedstate.ResponseTimes
 	for class, times := range baselines {
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -25,7 +25,7 @@
 // newRestoringCore returns a core whose settings have two hardware classes, and its scripted module.
 func newRestoringCore(turns ...[]control.Command) (*Core, *scriptedModule) {
 	c, module := newTestCore(turns...)
-	c.hardwareClasses = 3 // two with names, and one for all others
+	c.hardwareClasses = 3 // two classes with names, and one for all other classes
 	return c, module
 }
 
--- a/internal/controller/storm_test.go
+++ b/internal/controller/storm_test.go
@@ -19,19 +19,20 @@
 	// unavoidableCost is the cost of an update that cannot be delayed, in units without the overhead: as many endpoints as a
 	// proxy holds before it connects.
 	unavoidableCost = 10.75
-	// deliveries is how many such updates to all proxies the channel has to be able to send within the platform's drain
-	// grace.
+	// deliveries is how many updates of unavoidableCost to each proxy the channel has to be able to send within the
+	// platform's drain grace.
 	deliveries = 2
 )
 
-// storm simulates a release, the proxies that a controller has when it begins, and those that connect during the release.
+// storm simulates a release, the proxies that a controller has when the release begins, and those that connect during the
+// release.
 type storm struct {
 	*simulation
 	draining        map[string]int64 // since when each draining replica has been draining
 	withoutEndpoint map[int]int64    // since when each proxy without usable endpoints has had none
 	nextReplica     int              // number of the next replica that replaces a draining one
-	// longestHeld is the longest time for which a proxy held a draining replica, from the later of its connection and the
-	// drain.
+	// longestHeld is the longest time for which a proxy held a draining replica, counted from the connection of the proxy or
+	// the start of the drain, whichever is later.
 	longestHeld int64
 }
 
--- a/internal/controller/streams.go
+++ b/internal/controller/streams.go
@@ -7,7 +7,7 @@
 )
 
 // unbound is the table number of streams that are bound to no table. Their proxies keep the table that they held when they
-// connected, which the core does not know.
+// connected, and which is unknown to the core.
 const unbound = -1
 
 // maxUnacked limits the number of unacknowledged messages of one stream. A proxy receives a few messages per second and an
--- a/internal/controller/subset.go
+++ b/internal/controller/subset.go
@@ -10,9 +10,9 @@
 // subset is the part of its table that a stream gets first. The module decides which part this is and when the rest follows.
 type subset struct {
 	ordered  []uint32        // in the module's order
-	replicas map[uint32]bool // those of ordered that were sent or are about to be sent
-	// confirmedCount is the number of replicas at the beginning of the first update for which this update also states that
-	// they are not ejected, if the proxy may assume the opposite.
+	replicas map[uint32]bool // replicas in ordered that were sent or are about to be sent
+	// confirmedCount is a number of replicas: the first update also states for its first confirmedCount replicas that they
+	// are not ejected, if the proxy may assume the opposite.
 	confirmedCount int
 	restDue        bool // the rest of the table is due
 }
@@ -25,7 +25,7 @@
 	return s
 }
 
-// intersect returns those of the given replicas that are in the subset.
+// intersect returns the given replicas that are in the subset.
 func (s *subset) intersect(replicas map[uint32]bool) map[uint32]bool {
 	changed := map[uint32]bool{}
 	for replica := range replicas {
@@ -77,8 +77,8 @@
 	return c.endpointsIn(s.binding.table, usable)
 }
 
-// restEndpoints returns the endpoints of the table outside the subset, the changed ones of the subset, and those that the
-// proxy may still hold as ejected. It removes the subset: from then on the stream has the whole table.
+// restEndpoints returns the endpoints of the table outside the subset, the changed endpoints of the subset, and endpoints
+// that the proxy may still hold as ejected. It removes the subset, since the stream has the whole table after this update.
 func (c *Core) restEndpoints(s *stream, changes *turnChanges) endpointList {
 	boundSubset := s.binding.subset
 	due := boundSubset.intersect(changes.endpoints[s.binding.table])
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -17,7 +17,8 @@
 )
 
 // The benchmarks of this file measure the slopes in docs/CAPACITY.md: each varies one parameter of a turn and keeps the
-// others at the values of one controller of a mean service. They measure only the core and the module, without sockets.
+// other parameters at the values of one controller of a mean service. They measure only the core and the module, without
+// sockets.
 
 // The channel of a fleet.
 const (
@@ -30,7 +31,7 @@
 
 const (
 	tickInterval   = second / 4
-	reportInterval = second / 500 // between two turns in which no tick is due
+	reportInterval = second / 500 // time between two turns in which no tick is due, in nanoseconds
 	settlingTurns  = 40
 )
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -66,7 +66,7 @@
 	endpoints map[string]Endpoint
 	replicas  map[string]*replicaState
 
-	retryTokens float64 // each allows one retry
+	retryTokens float64 // tokens of the retry budget; each allows one retry
 	hasTables   bool    // a controller has sent a table
 	draining    bool
 	inFlight    int
@@ -84,7 +84,7 @@
 type Counters struct {
 	Requests      int64
 	Succeeded     int64
-	SucceededLate int64 // those of Succeeded that took longer than the latency objective
+	SucceededLate int64 // requests in Succeeded that took longer than the latency objective
 	Attempts      int64
 	Retries       int64
 	Ejections     int64
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -49,8 +49,8 @@
 	return Update{Settings: []ClassSettings{{1, policy}}}
 }
 
-// For any order of events, each request gets exactly one final step, no request is executed twice that must not be, and all
-// capacity is free in the end.
+// For any order of events, each request gets exactly one final step, no request that must not be executed twice is executed
+// twice, and all capacity is free once all requests have ended.
 func TestEachRequestEndsOnceAndUnsafeDuplicatesAreNotExecuted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDispatcher(&testing.T{}, nil)
--- a/internal/dispatch/outlier.go
+++ b/internal/dispatch/outlier.go
@@ -3,7 +3,7 @@
 // maxEjectionDoublings bounds how often the ejection time doubles over consecutive ejections.
 const maxEjectionDoublings = 3
 
-// replicaState is what this sidecar has observed of a replica by its own requests.
+// replicaState is what this sidecar has observed of a replica in its own requests.
 type replicaState struct {
 	inFlight             int
 	consecutiveFailures  int
@@ -40,7 +40,7 @@
 }
 
 // seemsUnresponsive reports whether a replica has at least as many requests in flight as would eject it if they failed, and
-// has answered none for longer than the latency objective. It anticipates their failures.
+// has answered none for longer than the latency objective. It anticipates the failures of these requests.
 func (d *Dispatcher) seemsUnresponsive(now int64, class int, replica *replicaState) bool {
 	if replica.inFlight < d.config.MaxConsecutiveFailures {
 		return false
--- a/internal/dispatch/pick.go
+++ b/internal/dispatch/pick.go
@@ -8,9 +8,10 @@
 	replica  *replicaState
 }
 
-// choose picks a replica for the next attempt, by the weights of the class's table. Replicas that this sidecar avoids are
-// picked only if no other replica may be picked: the sidecar's observations are less reliable than the controller's table.
-// Replicas that a controller has ejected, and those that are draining or not listed by service discovery, are never picked.
+// choose picks a replica for the next attempt, according to the weights of the class's table. Replicas that this sidecar
+// avoids are picked only if no other replica may be picked: the sidecar's observations are less reliable than the
+// controller's table. Replicas that a controller has ejected, and replicas that are draining or not listed by service
+// discovery, are never picked.
 func (d *Dispatcher) choose(now int64, r *Request, scope retryScope) (replica string, reason Reason) {
 	reason = ErrNoReplica
 	for _, avoided := range [...]bool{false, true} {
@@ -25,9 +26,9 @@
 	return "", reason
 }
 
-// findCandidates returns the endpoints that may be picked: those of avoided replicas if avoided is true, and those of the
-// other replicas if it is false. It also reports whether any of these endpoints was left out because its replica is at
-// capacity. The result is valid until the next call.
+// findCandidates returns the endpoints that may be picked: the endpoints of avoided replicas if avoided is true, and the
+// endpoints of all other replicas if it is false. It also reports whether any of these endpoints was left out because its
+// replica is at capacity. The result is valid until the next call.
 func (d *Dispatcher) findCandidates(now int64, r *Request, scope retryScope, avoided bool) (candidates []candidate, atCapacity bool) {
 	candidates = d.candidates[:0]
 	endpoints := d.tables[r.class].endpoints
@@ -59,7 +60,7 @@
 	return !d.ejectedByController[replica] && !r.attempted(replica) && scope.contains(endpoint)
 }
 
-// pick picks one of the candidates by the configured pick policy.
+// pick picks one of the candidates according to the configured pick policy.
 func (d *Dispatcher) pick(candidates []candidate) candidate {
 	switch d.config.Pick {
 	case control.PickRoundRobin:
--- a/internal/dispatch/reason.go
+++ b/internal/dispatch/reason.go
@@ -7,7 +7,7 @@
 // Error returns the text that clients read.
 func (r Reason) Error() string { return string(r) }
 
-// None is the absence of a reason: the request was neither rejected nor has it failed.
+// None is the absence of a reason: the request has neither been rejected nor failed.
 const None Reason = ""
 
 // Reasons for rejecting a request before its first attempt.
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -11,8 +11,8 @@
 
 // Demand counts the requests of one traffic class since the last report.
 type Demand struct {
-	Requests int // all requests that arrived, including rejected ones
-	Failures int // attempted requests that failed; excludes rejected ones and those whose client no longer waited
+	Requests int // all requests that arrived, including rejected requests
+	Failures int // attempted requests that failed; excludes rejected requests and requests whose client no longer waited
 }
 
 // recordOutcome adds the current attempt to the outcomes of its replica.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -13,12 +13,12 @@
 	TimedOut                   // possibly executed; no response arrived in time
 )
 
-// Step tells the caller what to do next with a request. It is exactly one of an attempt (Replica is set), Wait and Final.
+// Step is what the caller has to do next with a request. It is exactly one of an attempt (Replica is set), Wait and Final.
 type Step struct {
 	Replica string // the replica to send the request to
 	Address string // address of the replica when it was picked; later endpoint lists may no longer contain it
 
-	// Wait tells the caller to call Resume when there may be capacity, and at Deadline at the latest.
+	// Wait means that the caller has to call Resume when there may be capacity, and at Deadline at the latest.
 	Wait bool
 
 	// Deadline is when the attempt or the wait has to end.
--- a/internal/dispatch/table.go
+++ b/internal/dispatch/table.go
@@ -9,7 +9,7 @@
 type weightedEndpoint struct {
 	replica string
 	weight  float64
-	credit  float64 // in smooth weighted round robin
+	credit  float64 // credit in smooth weighted round robin
 }
 
 // table holds the weighted endpoints, settings and token bucket of one traffic class.
--- a/internal/dispatch/update.go
+++ b/internal/dispatch/update.go
@@ -15,7 +15,7 @@
 	Classes  []string           // the traffic classes that the part applies to; empty: all
 	Full     bool               // the part replaces the tables and settings of its classes
 	Weights  map[string]float64 // by replica; 0 removes the replica
-	Settings []ClassSettings    // the last one applies; empty: settings are unchanged
+	Settings []ClassSettings    // the last element applies; empty: settings are unchanged
 	Eject    []string           // replicas that must not be picked
 	Uneject  []string           // replicas that may be picked again
 }
@@ -31,16 +31,17 @@
 var ErrInvalidUpdate = errors.New("invalid update")
 
 const (
-	// maxUpdateEndpoints bounds the endpoints of one part. No installation has as many endpoints, so a controller that
-	// sends more is faulty.
+	// maxUpdateEndpoints bounds the endpoints of one part. No installation reaches this number of endpoints, so a controller
+	// that sends more is faulty.
 	maxUpdateEndpoints = 1 << 14
 	// maxAdmission bounds the admission setting, in requests per second.
 	maxAdmission = 1e6
-	// maxUnreferencedEjections is the number of controller ejections above which those of replicas in no table are dropped.
+	// maxUnreferencedEjections is the number of controller ejections above which the ejections of replicas in no table are
+	// dropped.
 	maxUnreferencedEjections = 1024
 )
 
-// Apply applies the parts of one update in their order: all of them, or nothing.
+// Apply applies the parts of one update in their order: all of them or none.
 func (d *Dispatcher) Apply(now int64, parts ...Update) error {
 	for _, part := range parts {
 		if err := d.validate(part); err != nil {
--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -46,8 +46,8 @@
 }
 
 // Next returns the address of the peer to use: the first one that has not failed or whose cool-down has ended. If there is
-// none, it returns the peer whose last failure is the oldest, so that all peers are tried in turn. Without peers it returns
-// an empty address.
+// no such peer, it returns the peer whose last failure is the oldest, so that all peers are tried in turn. Without peers it
+// returns an empty address.
 func (s *Selector) Next(now int64) string {
 	var oldest *peer
 	for _, p := range s.peers {
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -63,8 +63,8 @@
 }
 
 // After any sequence of failures and successes, the only working peer is found within a few attempts, and is found again
-// each time the cool-downs of the others have ended. No peer that has failed is selected during its cool-down while there is
-// one that has not failed.
+// each time the cool-downs of the other peers have ended. No peer that has failed is selected during its cool-down while
+// there is a peer that has not failed.
 func TestOnlyWorkingPeerIsFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := []string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "peers")]
--- a/internal/learnedstate/age.go
+++ b/internal/learnedstate/age.go
@@ -70,8 +70,8 @@
 func (s *AgedState) Weight(now int64) float64 { return Weight(s.Age(now), s.halfLife) }
 
 // Lookup returns the data about a replica as the endpoint list has it now, the age of its last sample and the weight of the
-// data. Weight 0 means that there is no usable data. A process that was started since, or that is now in another zone or
-// hardware class, is a different replica and has no data.
+// data. Weight 0 means that there is no usable data. A replica whose process has been restarted since the state was taken,
+// or that is now in another zone or hardware class, is a different replica and has no data.
 func (s *AgedState) Lookup(id, zone, hardwareClass string, upSince, now int64) (replica Replica, age int64, weight float64) {
 	if s == nil || s.replicaByID[id] == nil {
 		return Replica{}, 0, 0
--- a/internal/learnedstate/fit.go
+++ b/internal/learnedstate/fit.go
@@ -14,7 +14,8 @@
 	maxNameLength = 128
 )
 
-// Bounds of valid values. Values from the decision module are far within them, so a value outside was not written by it.
+// Bounds of valid values. Values from the decision module are far within them, so a value outside its bounds was not written
+// by the module.
 const (
 	minSpeed        = 1.0 / 1024
 	maxSpeed        = 1024.0
--- a/internal/learnedstate/state.go
+++ b/internal/learnedstate/state.go
@@ -80,9 +80,9 @@
 	return s.Revision > revision && age <= maxListAge && len(s.Replicas) > 0
 }
 
-// Merge returns the current state with the replicas added that only the earlier state has: those that are no longer or not
-// yet in the endpoint list. Earlier replicas whose samples are so old that their weight is 0 are left out, and so are those
-// beyond MaxReplicas. elapsed is the time from the earlier to the current state.
+// Merge returns the current state with the replicas added that only the earlier state has: replicas that are no longer or
+// not yet in the endpoint list. Earlier replicas whose samples are so old that their weight is 0 are left out, and so are
+// replicas beyond MaxReplicas. elapsed is the time from the earlier to the current state.
 func Merge(current, earlier State, elapsed, halfLife int64) State {
 	known := make(map[string]bool, len(current.Replicas))
 	for _, r := range current.Replicas {
--- a/internal/loadreport/aggregator.go
+++ b/internal/loadreport/aggregator.go
@@ -12,8 +12,8 @@
 
 // Limits bound an Aggregator.
 type Limits struct {
-	BytesPerSecond int           // bytes of reports; 0: each sum is reported in each round
-	Interval       time.Duration // between two rounds; the unused budget of one interval is kept for the next
+	BytesPerSecond int           // limit for the bytes of all reports; 0: no limit, each sum is reported in each round
+	Interval       time.Duration // time between two rounds; the unused budget of one interval is kept for the next
 	MaxAge         time.Duration // outcomes older than MaxAge are not reported
 	MaxKeys        int           // number of keys whose sums are held
 }
@@ -32,11 +32,11 @@
 type Aggregator struct {
 	limits         Limits
 	entries        map[string]*entry
-	budget         float64 // bytes; negative by less than one message
+	budget         float64 // bytes that may still be sent; below 0 by less than the size of one message
 	roundStartedAt int64   // when the last round began
 
-	// The queues of the rest of the round: changed holds the entries that differ from what the receiver knows, and oldest
-	// holds all pending entries by the age of their last report. An entry may be in both.
+	// The queues of the rest of the round: changed holds the entries that deviate from the earlier reports to the receiver,
+	// and oldest holds all pending entries by the age of their last report. An entry may be in both.
 	changed       []*entry
 	oldest        []*entry
 	changedIsNext bool
@@ -109,7 +109,7 @@
 }
 
 // Next returns the next report of the round, or false if no report is left or the budget is spent. It alternates between
-// changed entries and the oldest ones, so that no entry waits forever even if all entries change in each round, as in an
+// changed entries and the oldest entries, so that no entry waits forever even if all entries change in each round, as in an
 // outage.
 func (a *Aggregator) Next(now int64) (Report, bool) {
 	if a.limits.BytesPerSecond > 0 && a.budget <= 0 {
--- a/internal/loadreport/aggregator_test.go
+++ b/internal/loadreport/aggregator_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// For random outcomes, the reports of any period do not exceed the budget of the period, the unused budget of one interval
-// and less than one message together, and each attempt is either reported exactly once or still pending.
+// For random outcomes, the bytes reported in any period do not exceed the sum of the period's budget, the unused budget of
+// one interval and less than one message, and each attempt is either reported exactly once or still pending.
 func TestReportsKeepToBudgetWithoutLosingOutcomes(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -129,8 +129,8 @@
 	}
 }
 
-// After a restart of the receiver, sums that it knew before are changes again, and the sum with the most attempts is
-// reported first.
+// After a restart of the receiver, sums that were reported to it before are changes again, and the sum with the most
+// attempts is reported first.
 func TestRestartedReceiverGetsAllSumsAsChanges(t *testing.T) {
 	a := New(limitsOf(25*messageBytes), 0)
 	known := Sum{Attempts: 30, Failures: 30}
--- a/internal/loadreport/entry.go
+++ b/internal/loadreport/entry.go
@@ -3,7 +3,7 @@
 import "time"
 
 // entry holds the pending outcomes of one key in two sums. Outcomes are added to the newer sum, and the older sum is dropped
-// as a whole, so that a report covers at least the last half of the maximum age, and at most all of it.
+// as a whole, so that a report covers at least the last half of the maximum age, and at most the whole maximum age.
 type entry struct {
 	key        string
 	newer      Sum
@@ -52,7 +52,7 @@
 	}
 }
 
-// report returns the pending outcomes as a report, clears them, and records what the receiver will know.
+// report returns the pending outcomes as a report, clears them, and adds the report to the receiver's state.
 func (e *entry) report(now int64) Report {
 	report := Report{Key: e.key, Sum: e.sum(), Period: time.Duration(now - e.since())}
 	e.older, e.newer = Sum{}, Sum{}
--- a/internal/loadreport/sum.go
+++ b/internal/loadreport/sum.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// receiverState is what a receiver knows about a key from the reports sent to it. Later reports weigh more than earlier
-// ones.
+// receiverState is the state of a key at a receiver according to the reports sent to it. Later reports weigh more than
+// earlier ones.
 type receiverState struct {
 	attempts   float64
 	failures   float64
@@ -57,7 +57,7 @@
 }
 
 // deviation returns the number of attempts whose outcome deviates from what the receiver expects, or 0 if the difference can
-// be chance. For a receiver that knows nothing, all attempts deviate.
+// be chance. Without attempts in earlier reports, all attempts deviate.
 func (r *receiverState) deviation(s Sum) float64 {
 	if r.attempts == 0 {
 		return float64(max(s.Attempts, s.Failures))
--- a/internal/sendbudget/account_test.go
+++ b/internal/sendbudget/account_test.go
@@ -36,7 +36,7 @@
 	a.Disconnect(3, 5*second)
 	fourth := a.Charge(2, 6, 8*second)
 	a.Acknowledge(2, fourth, 9*second)
-	a.MarkSent(stalled, 9*second)     // no longer in the account
+	a.MarkSent(stalled, 9*second)     // the message is no longer in the account
 	a.Acknowledge(1, first, 9*second) // late: its charge was already released
 	if a.Queued() != 0 || len(a.messages) != 0 {
 		t.Errorf("%d units charged, %d messages, want none", a.Queued(), len(a.messages))
@@ -86,7 +86,8 @@
 }
 
 // Without spacing, a proxy that is sent many changes in a message each would use up its cap in a few seconds and get no
-// ejection for the rest of the window. With it, no message waits longer than the spacing.
+// ejection for the rest of the window. With spacing, no message waits longer than the minimum time between two spaced
+// messages.
 func TestNoMessageWaitsLongerThanTheSpacing(t *testing.T) {
 	for name, ackDelay := range map[string]int64{"at once": 0, "late": second, "never": -1} {
 		a := New(Bounds{MaxMessages: 30, MessageWindow: 10 * second, MaxTransit: second / 4, DrainGrace: 2 * second})
@@ -119,8 +120,8 @@
 	}
 }
 
-// The spacing is short enough for the drain grace, with as few spaced messages as that allows, so that the others are sent
-// immediately.
+// The spacing is short enough for the drain grace. As few messages as the grace allows are spaced, so that the others are
+// sent immediately.
 func TestSpacingFollowsTheDrainGrace(t *testing.T) {
 	for _, c := range []struct {
 		messages          int
--- a/internal/sendbudget/bounds.go
+++ b/internal/sendbudget/bounds.go
@@ -43,8 +43,8 @@
 
 const (
 	// likelyLeftSlowdown is the factor by which the channel may be slower than its stated rate before an unacknowledged
-	// message counts as likely to have left. From then on the message does not count as keeping the channel busy, since its
-	// ack may be lost.
+	// message counts as likely to have left. Such a message does not count as keeping the channel busy, since
+	// its ack may be lost.
 	likelyLeftSlowdown = 4
 	// maxSlowdown and lostAckDelay determine when an unacknowledged message counts as having left: lostAckDelay after the
 	// time at which a channel slower than its stated rate by the factor maxSlowdown would have sent it and all messages that
@@ -108,8 +108,8 @@
 // arrives after the transits of the message and of the ack.
 func (b *Bounds) countedWindow() int64 { return b.MessageWindow + countedTransits*b.MaxTransit }
 
-// spacedMessages returns how many of the messages that a proxy may get within a window are spaced. These are the last ones,
-// and as many as are needed to make the spacing short enough for the drain grace.
+// spacedMessages returns how many of the messages that a proxy may get within a window are spaced. These are the last
+// messages of the window, as many as are needed to make the spacing short enough for the drain grace.
 func (b *Bounds) spacedMessages() int {
 	if b.DrainGrace == 0 {
 		return b.MaxMessages - b.MaxMessages/spacedDivisor
--- a/internal/sendbudget/messagecap_test.go
+++ b/internal/sendbudget/messagecap_test.go
@@ -14,7 +14,7 @@
 	if p.countedMessages() != 3 || len(p.outstanding) != 1 || len(p.receivedAt) != 2 {
 		t.Errorf("%d messages count after an ack of two, want 3: %+v", p.countedMessages(), p)
 	}
-	p.assumeReceived(9, 35) // not outstanding
+	p.assumeReceived(9, 35) // message 9 is not outstanding
 	p.assumeReceived(3, 40)
 	if p.countedMessages() != 3 || len(p.outstanding) != 0 || p.receivedAt[2] != 40 {
 		t.Errorf("after all messages are received: %+v", p)
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -18,7 +18,7 @@
 const (
 	magic                = "LILACST\n" // bytes 0 to 7
 	formatOffset         = 8
-	lengthOffset         = 12 // of the body, in bytes
+	lengthOffset         = 12 // the body's length, in bytes
 	generationOffset     = 16
 	bodyChecksumOffset   = 24 // xxhash64 of the body
 	headerChecksumOffset = 32 // xxhash64 of all bytes before it
@@ -31,9 +31,9 @@
 	oldestFormat = 1
 )
 
-// maxFileSize is the maximum size of a generation's file, in bytes. It is above that of the largest known installation, so
-// that a larger file was not written by a controller. Decoding takes several times the file's size in memory, and a
-// controller may have only 32 MiB in total.
+// maxFileSize is the maximum size of a generation's file, in bytes. It is above the file size of the largest known
+// installation, so that a larger file was not written by a controller. Decoding takes several times the file's size in
+// memory, and a controller may have only 32 MiB in total.
 const maxFileSize = 2 << 20
 
 // Reasons to refuse a file.
@@ -42,7 +42,7 @@
 	ErrDamaged = errors.New("damaged")
 	// ErrNewer means that a newer version of the program wrote the file, in a format that this one cannot read.
 	ErrNewer = errors.New("unsupported newer format")
-	// ErrNotSnapshot means that a file is not a snapshot, or not the generation that its name says.
+	// ErrNotSnapshot means that a file is not a snapshot, or not the generation in its name.
 	ErrNotSnapshot = errors.New("not a controller's state")
 	// ErrTooLarge means that a file exceeds the size limit of its kind.
 	ErrTooLarge = filewriter.ErrTooLarge
@@ -50,7 +50,8 @@
 
 var (
 	cborEncoder = must(cbor.EncOptions{Sort: cbor.SortCoreDeterministic, ShortestFloat: cbor.ShortestFloat16}.EncMode())
-	// The limits are little above those of a state, so that a crafted length in a body causes no large allocation.
+	// The decoder's limits are slightly above those of a state, so that a crafted length in a body causes no large
+	// allocation.
 	cborDecoder = must(cbor.DecOptions{
 		MaxArrayElements: 2 * learnedstate.MaxReplicas,
 		MaxMapPairs:      4 * learnedstate.MaxReplicas,
@@ -111,7 +112,7 @@
 type container struct {
 	format       int
 	generation   uint64
-	length       int // of the body
+	length       int // length of the body, in bytes, according to the header
 	bodyChecksum uint64
 	body         []byte
 }
@@ -151,7 +152,7 @@
 func (c container) check() error {
 	switch {
 	case c.length != len(c.body):
-		return fmt.Errorf("%w: body has %d bytes, header says %d", ErrDamaged, len(c.body), c.length)
+		return fmt.Errorf("%w: body has %d bytes, header states %d", ErrDamaged, len(c.body), c.length)
 	case xxhash.Sum64(c.body) != c.bodyChecksum:
 		return fmt.Errorf("%w: body checksum mismatch", ErrDamaged)
 	case c.format > Format:
@@ -184,7 +185,7 @@
 		len(state.RequestRates) > learnedstate.MaxRequestRates ||
 		len(state.BaselineResponseTimes) > learnedstate.MaxNames ||
 		len(state.Classes) > learnedstate.MaxNames
-	// Half of the range of int64, so that the difference of two times does not overflow.
+	// Times are limited to half of the range of int64, so that the difference of two times does not overflow.
 	impossibleTime := state.Taken.Wall < math.MinInt64/2 || state.Taken.Wall > math.MaxInt64/2
 	if tooMany || impossibleTime {
 		return learnedstate.State{}, fmt.Errorf("state out of bounds: %d replicas (at most %d), %d request rates (at most %d), %d traffic classes (at most %d), taken at Unix time %d ns",
--- a/internal/snapshot/generations.go
+++ b/internal/snapshot/generations.go
@@ -214,10 +214,10 @@
 	return last + 1, nil
 }
 
-// Prune removes the temporary files of unfinished writes and all but the newest keep complete generations; it keeps at least
-// one. It returns the names of the removed files. A file that is damaged or cannot be read is removed once more than keep
-// newer complete generations exist, so that the cause of the damage can be examined until then. A file of a newer program is
-// never removed.
+// Prune removes the temporary files of unfinished writes and all complete generations but the newest ones, of which it
+// leaves as many as keep states, and at least one. It returns the names of the removed files. A file that is damaged or
+// cannot be read is removed once more than keep newer complete generations exist, so that the cause of the damage can be
+// examined until then. A file of a newer program is never removed.
 func Prune(storage Storage, keep int) (removed []string, err error) {
 	unfinished, err := list(storage)
 	if err != nil {
@@ -236,8 +236,8 @@
 	return append(removed, removedGenerations...), err
 }
 
-// outdatedNames returns the names of the files to be removed so that the newest keep complete generations remain, newest
-// first.
+// outdatedNames returns the names of the files to be removed so that of the complete generations only the newest ones
+// remain, as many as keep states. The names are sorted by generation, newest first.
 func outdatedNames(storage Storage, keep int) ([]string, error) {
 	names, err := generationNames(storage)
 	if err != nil {
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -16,7 +16,7 @@
 	// maxRetryInterval is the maximum interval between writes while they fail, unless the regular interval is longer.
 	// Frequent retries do not help on a full disk, and a disk that works again is used within this time.
 	maxRetryInterval = time.Minute
-	// maxDoublings is how often the interval is doubled at most while writes fail.
+	// maxDoublings is the maximum number of times that the interval is doubled while writes fail.
 	maxDoublings = 10
 )
 
@@ -42,8 +42,9 @@
 	log      *slog.Logger
 }
 
-// NewWriter returns a Writer that keeps the newest keep generations and writes at most one per interval. reopen is called
-// when the directory no longer exists, to create it again. If reopen is nil, the directory is not created again.
+// NewWriter returns a Writer that keeps the newest generations, as many as keep states, and writes at most one generation
+// per interval. reopen is called when the directory no longer exists, to create it again. If reopen is nil, the directory is
+// not created again.
 func NewWriter(storage Storage, keep int, interval time.Duration, reopen func() error, log *slog.Logger) *Writer {
 	w := &Writer{storage: storage, keep: keep, reopen: reopen, log: log}
 	w.writer = filewriter.New(filewriter.Config[learnedstate.State]{
