--- a/cmd/experiment/benchmarks.go
+++ b/cmd/experiment/benchmarks.go
@@ -13,8 +13,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// pointsCommand returns the command that prints the medians of the output of `go test -bench -count N`. The capacity table
-// uses these medians as points.
+// pointsCommand returns the command that prints the median of each benchmark and unit in the output of `go test -bench
+// -count N`. The capacity table uses these medians as points.
 func pointsCommand() *cli.Command {
 	return &cli.Command{Name: "points", Usage: "print the medians of the benchmark output on standard input, by benchmark and unit",
 		Action: func(context.Context, *cli.Command) error {
--- a/cmd/experiment/load.go
+++ b/cmd/experiment/load.go
@@ -37,8 +37,8 @@
 		}}
 }
 
-// baselineCommand returns the command of the proxy that the sidecar is compared with: a minimal reverse proxy on the
-// standard library.
+// baselineCommand returns the command of the proxy that the sidecar is compared with: a minimal reverse proxy built on
+// the standard library.
 func baselineCommand() *cli.Command {
 	return &cli.Command{Name: "baseline", Hidden: true, Flags: []cli.Flag{&cli.StringFlag{Name: "listen"}, &cli.StringSliceFlag{Name: "to"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
--- a/cmd/experiment/overhead.go
+++ b/cmd/experiment/overhead.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// overheadTimeout limits the duration of a request.
+	// overheadTimeout limits the duration of each request.
 	overheadTimeout = 10 * time.Second
 	// baselineStartDelay is the time that the baseline proxy is given to start listening.
 	baselineStartDelay = 300 * time.Millisecond
@@ -30,7 +30,7 @@
 	// referenceConcurrency is the number of concurrent requests at which the sidecar's throughput is measured. The request
 	// rates of measureRates are fractions of this throughput.
 	referenceConcurrency = 100
-	// plottedRateDivisor is the divisor of the sidecar's throughput that gives the request rate of the plot.
+	// plottedRateDivisor divides the sidecar's throughput to give the request rate of the plot.
 	plottedRateDivisor = 8
 )
 
@@ -61,7 +61,7 @@
 	name string
 	urls []string
 	h2   bool
-	pid  int // of the proxy; 0: none
+	pid  int // process ID of the proxy; 0: the target has no proxy
 }
 
 const (
@@ -69,8 +69,8 @@
 	requestPath = "/stock"
 )
 
-// measureOverhead measures each target at several concurrencies and at several rates, and plots latencies if plotFile is
-// set.
+// measureOverhead measures requests to each target at several concurrencies and at several rates, and plots latencies if
+// plotFile is set.
 func measureOverhead(ctx context.Context, duration time.Duration, plotFile string) error {
 	dir, err := os.MkdirTemp("", "lab-")
 	if err != nil {
--- a/cmd/experiment/restart.go
+++ b/cmd/experiment/restart.go
@@ -71,7 +71,7 @@
 				outcome, err := restart.Run(site, scenario, kind, int64(seed+1))
 				missedFractions[k][seed] = outcome.BadFraction()
 				if err != nil {
-					errs <- fmt.Errorf("%s, %v, seed %d: %w", scenario.Name, kind, seed+1, err)
+					errs <- fmt.Errorf("scenario %s, %v, seed %d: %w", scenario.Name, kind, seed+1, err)
 				}
 			})
 		}
--- a/cmd/experiment/scale.go
+++ b/cmd/experiment/scale.go
@@ -22,7 +22,7 @@
 // hostCommand is the name of the hidden command that a scale run starts to run simulated controllers in other processes.
 const hostCommand = "scale-host"
 
-var errFailedChecks = errors.New("checks failed")
+var errFailedChecks = errors.New("checks of the scale run failed")
 
 // scaleCommands returns three commands: one performs a scale run, one fits lines to the reports of scale runs, and a hidden
 // one runs a host process of simulated controllers.
--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -44,7 +44,7 @@
 	return r
 }
 
-// Settings returns a revision of the service's settings.
+// Settings returns the service's settings at the given revision.
 func (r *realService) Settings(revision int) []byte { return []byte(r.site.Settings(revision)) }
 
 // Start starts the service. Its controllers watch the settings of the service called name at the given configuration
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// ActiveSince returns the number of controllers at which a configuration has come into force since a time.
+// ActiveSince returns the number of controllers at which a configuration has come into force since the given time.
 func (r *realService) ActiveSince(at time.Time) int { return r.activations.countSince(at) }
 
 // Controllers returns the number of the service's controllers.
--- a/cmd/experiment/seeds.go
+++ b/cmd/experiment/seeds.go
@@ -19,7 +19,7 @@
 )
 
 var (
-	errRulesViolated = errors.New("rules violated")
+	errRulesViolated = errors.New("protocol rules violated")
 	errNoScriptFile  = errors.New("script file argument is missing")
 )
 
--- a/cmd/experiment/service.go
+++ b/cmd/experiment/service.go
@@ -34,7 +34,7 @@
 					}
 					result, duplicates, err := measureService(ctx, fault, withControllers, rate, seed, budget)
 					if err != nil {
-						return fmt.Errorf("fault %s: %w", fault, err)
+						return fmt.Errorf("measuring the service with fault %s: %w", fault, err)
 					}
 					variant := map[bool]string{false: "equal table", true: "controllers"}[withControllers]
 					fmt.Printf("%-14s %-11s %.1f%% answered within the latency budget; %v; payouts that ran more than once %d\n", fault, variant, 100*result.FractionWithin(250*time.Millisecond), result, duplicates)
@@ -153,7 +153,7 @@
 	}
 }
 
-// replaceThird replaces a third of the replicas one after another. Each new one is slow during its warm-up.
+// replaceThird replaces a third of the replicas one after another. Each new replica is slow during its warm-up.
 func replaceThird(site *installation.Site) {
 	for k := 0; k < len(site.Replicas); k += 3 {
 		site.ChangeMember(k, func(m *installation.Member) { m.Phase = "Terminating" })
--- a/cmd/experiment/slopes.go
+++ b/cmd/experiment/slopes.go
@@ -15,7 +15,7 @@
 
 // slopesCommand returns the command that fits lines to the results of scale runs of several sizes, for the capacity page.
 func slopesCommand() *cli.Command {
-	var common capacity.Measurement // fields of all measurements
+	var common capacity.Measurement // values that all measurements share
 	var asTable bool
 	stringFlag := func(name, usage string, destination *string) cli.Flag {
 		return &cli.StringFlag{Name: name, Usage: usage, Destination: destination}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -20,7 +20,7 @@
 
 const (
 	reportInterval = 500 * time.Millisecond
-	changeInterval = 5 * time.Second // between two changes
+	changeInterval = 5 * time.Second // time between two changes
 	replicas       = 6
 	firstPort      = 9001
 	proxies        = 4
@@ -62,7 +62,8 @@
 	return l
 }
 
-// zoneName returns the zone of the replica, proxy or collector with a number: consecutive numbers are in alternating zones.
+// zoneName returns the zone of the replica, proxy or collector with the given number: the zones alternate from one number
+// to the next.
 func zoneName(number int) string { return string("ab"[number%zones]) }
 
 func (l *endpointList) set(id, phase string, startedAt int64) {
@@ -139,7 +140,7 @@
 	pool *resp.Pool
 }
 
-// send writes a message of the words in the formatted text.
+// send writes the words of the formatted string as one message.
 func (p peer) send(format string, args ...any) error {
 	_, err := resp.Write(p.conn, p.pool, strings.Fields(fmt.Sprintf(format, args...))...)
 	return err
@@ -173,7 +174,8 @@
 	}
 }
 
-// runCollector reports the outcomes of a zone's proxies: all requests succeed, except those to the failing replica.
+// runCollector reports the outcomes of the requests of a zone's proxies: all requests succeed, except those to the
+// failing replica.
 func (p peer) runCollector(zone string, list *endpointList, failing *failingReplica) error {
 	if err := p.send("agent site %s", zone); err != nil {
 		return err
@@ -258,7 +260,7 @@
 		func() { list.set("box-1", phaseGone, 0) },
 		func() { list.set("box-1", phaseReady, time.Now().UnixMilli()) },
 		func() { failing.set("box-2") },
-		func() {}, // time to see the replica ejected and on probation
+		func() {}, // no change: the replica has time to be ejected and put on probation
 		func() { fmt.Println("toy: finished") },
 	}
 	for _, change := range changes {
--- a/experiment/emulator/controllers.go
+++ b/experiment/emulator/controllers.go
@@ -18,14 +18,14 @@
 	core          *controller.Core // nil: not running
 	startedAt     int64
 	inputs        []controller.Input
-	nextTurn      int64 // 0: not scheduled
-	channelFreeAt int64 // when the send channel has sent all queued messages
+	nextTurn      int64 // time of the next turn; 0: none is scheduled
+	channelFreeAt int64 // time at which the send channel has sent all queued messages
 	learned       *learnedstate.State
 	queuedReports []reportLine // queued by the rate limit, oldest first
 	reportCredit  float64      // report lines that the rate limit permits at present
 }
 
-// Start starts all controllers. The first one receives the restored state.
+// Start starts all controllers. The first controller receives the restored state.
 func (sim *Simulation) Start(restored *learnedstate.AgedState) {
 	for _, c := range sim.controllers {
 		sim.start(c, restored)
@@ -53,7 +53,7 @@
 	}
 	sim.sendReplicaList(c)
 	for _, p := range sim.proxies {
-		delete(p.messageTimes, c.index) // of the process before the restart
+		delete(p.messageTimes, c.index) // times of messages that the process before the restart sent
 		if sim.isPreferredController(p, c) {
 			sim.scheduleJoin(p, c)
 		}
@@ -140,7 +140,7 @@
 	sim := c.simulation
 	c.nextTurn = max(time, sim.now)
 	sim.at(time, func() {
-		if c.core != core || c.nextTurn != sim.now { // the controller was restarted, or the turn was moved
+		if c.core != core || c.nextTurn != sim.now { // the controller was restarted, or the turn was moved to another time
 			return
 		}
 		c.nextTurn = 0
@@ -173,7 +173,8 @@
 	}
 }
 
-// send sends an update through the controller's send channel to the proxy of its stream, which applies updates in order.
+// send sends an update through the controller's send channel to the proxy of the update's stream, which applies updates
+// in order.
 func (sim *Simulation) send(c *controllerNode, outgoing controller.OutgoingUpdate) {
 	index := slices.IndexFunc(sim.proxies, func(p *proxy) bool { return p.stream == outgoing.Stream })
 	if index < 0 {
--- a/experiment/emulator/fault.go
+++ b/experiment/emulator/fault.go
@@ -11,7 +11,7 @@
 type Fault struct {
 	Start    int64 // virtual time, in nanoseconds
 	Kind     string
-	Target   int   // index of a replica, proxy, zone or controller; too large ones wrap around, except for a zone
+	Target   int   // index of a replica, proxy, zone or controller; too large an index wraps around, except that of a zone
 	Duration int64 // nanoseconds
 }
 
@@ -32,8 +32,8 @@
 	kindControllerRestart          = "governor"      // a controller restarts without state
 	kindControllerRestartWithState = "governor-kept" // a controller restarts with its learned state
 	kindProxyStall                 = "stall"         // a proxy does not apply messages
-	kindSecondStream               = "stream"        // a proxy opens a new stream before the end of the old one is noticed
-	kindRelease                    = "release"       // six in ten replicas are replaced within the duration
+	kindSecondStream               = "stream"        // a proxy opens a new stream before the end of the old stream is noticed
+	kindRelease                    = "release"       // six in ten replicas are replaced within the fault's duration
 	kindZoneLoss                   = "zone"          // a zone's replicas and proxies are lost; all replicas return warming up
 )
 
@@ -60,8 +60,9 @@
 	transitTime, 2 * transitTime, batchDelay, second / 4, second / 2, second, 2 * second, 2500 * millisecond, 3 * second, 4 * second, 5 * second, 10 * second,
 }
 
-// RandomFaults returns a random script from a seed: faults of the given kinds that start from one time until another. Half
-// of the later ones start a boundary duration after the previous one, and half of the faults last a boundary duration.
+// RandomFaults returns a random script from a seed: faults of the given kinds that start from one time until another. Of
+// the faults after the first, half start a boundary duration after the previous fault. Half of all faults last a boundary
+// duration.
 func RandomFaults(site Site, seed int64, from, until int64, kinds []string) []Fault {
 	var script []Fault
 	random := rand.New(rand.NewSource(seed))
@@ -85,7 +86,7 @@
 	return script
 }
 
-// randomBoundary returns a random boundary duration, exact, 1 ns less, or 1 ns or 1 ms more.
+// randomBoundary returns a random boundary duration: exact, 1 ns shorter, 1 ns longer or 1 ms longer.
 func randomBoundary(random *rand.Rand) int64 {
 	boundary := boundaryDurations[random.Intn(len(boundaryDurations))]
 	shifts := []int64{-1, 0, 1, millisecond}
--- a/experiment/emulator/inject.go
+++ b/experiment/emulator/inject.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// snapshotHalfLife is the half-life by which learned state loses weight until a controller restarts with it.
+	// snapshotHalfLife is the half-life with which learned state loses weight until a controller restarts with it.
 	snapshotHalfLife = 60 * second
 	// zoneLossNoticeDelay is how long after the loss of a zone its replicas are removed from the list.
 	zoneLossNoticeDelay = second
@@ -107,7 +107,7 @@
 	})
 }
 
-// injectRelease replaces replicas one after another, in a random order. Each one drains before it is replaced.
+// injectRelease replaces replicas one after another, in a random order. Each replica drains before it is replaced.
 func (sim *Simulation) injectRelease(fault Fault) {
 	replaced := sim.random.Perm(len(sim.Replicas))[:len(sim.Replicas)*releaseTenths/10]
 	for k, index := range replaced {
@@ -134,7 +134,7 @@
 	sim.after(fault.Duration, func() { sim.reconnectZone(zone) })
 }
 
-// injectSecondStream opens a new stream of a proxy. Its controller notices the end of the old one after the fault's
+// injectSecondStream opens a new stream of a proxy. Its controller notices the end of the old stream after the fault's
 // duration.
 func (sim *Simulation) injectSecondStream(fault Fault) {
 	p := sim.proxy(fault)
@@ -164,8 +164,8 @@
 	}
 }
 
-// reconnectZone ends one partition of a zone. After the last one its proxies join again, and messages to their old streams
-// are lost.
+// reconnectZone ends one partition of a zone. After the zone's last partition its proxies join again, and messages to
+// their old streams are lost.
 func (sim *Simulation) reconnectZone(zone string) {
 	sim.partitions[zone]--
 	if sim.partitions[zone] > 0 {
@@ -178,7 +178,8 @@
 	}
 }
 
-// rejoin replaces a proxy's stream by a new one to the same controller, or to another one if that is not running.
+// rejoin replaces a proxy's stream by a new stream to the same controller, or to another controller if the same one is
+// not running.
 func (sim *Simulation) rejoin(p *proxy) {
 	c := sim.controllers[p.controller]
 	if c.core == nil {
--- a/experiment/emulator/overload.go
+++ b/experiment/emulator/overload.go
@@ -1,9 +1,9 @@
 package emulator
 
 // Overload describes effects that amplify an overload: full queues, proxies that avoid failing replicas, and clients that
-// retry failed requests. With the zero value, requests queue without limit and have no such effects.
+// retry failed requests. The zero value has none of these effects: requests queue without limit.
 type Overload struct {
-	QueueLimit         int   // requests that may wait at a replica; more are rejected before they run; 0: no limit
+	QueueLimit         int   // requests that may wait at a replica; further ones are rejected before they run; 0: no limit
 	ClientRetries      int   // retries of a failed request by its client
 	AvoidAfterFailures int   // consecutive failures after which a proxy avoids a replica; 0: never
 	AvoidDuration      int64 // nanoseconds
@@ -29,7 +29,8 @@
 	})
 }
 
-// attemptFailed counts a failed attempt. After AvoidAfterFailures in a row the proxy avoids the replica for AvoidDuration.
+// attemptFailed counts a failed attempt. After AvoidAfterFailures failed attempts in a row the proxy avoids the replica
+// for AvoidDuration.
 func (sim *Simulation) attemptFailed(p *proxy, r *Replica) {
 	overload := sim.Site.Overload
 	id := r.Member.ID
@@ -46,7 +47,7 @@
 	})
 }
 
-// isPreferredController reports whether a proxy connects to a controller as soon as that has started.
+// isPreferredController reports whether a proxy connects to a controller as soon as the controller has started.
 func (sim *Simulation) isPreferredController(p *proxy, c *controllerNode) bool {
 	count := len(sim.controllers)
 	zones := len(sim.Site.zones())
--- a/experiment/emulator/proxy.go
+++ b/experiment/emulator/proxy.go
@@ -10,24 +10,24 @@
 	id         int
 	zone       string
 	stream     controller.StreamID // 0: none
-	controller int                 // that the stream, or the previous one, is connected to
-	weights    map[string]float64  // of endpoints, by replica ID
+	controller int                 // index of the controller of the stream, or of the previous stream if there is none
+	weights    map[string]float64  // weights of the endpoints, by replica ID
 	ejected    map[string]bool
 	admissions map[string]controller.Admission // by class
 	arrivals   []int                           // requests by class since the last report
 	failures   []int                           // failed requests by class since the last report
 
 	candidates  []candidate // replicas that may be picked; nil: not computed yet
-	totalWeight float64     // of all candidates
+	totalWeight float64     // sum of the weights of all candidates
 
-	consecutiveFailures map[string]int  // by replica ID
+	consecutiveFailures map[string]int  // failed attempts in a row, by replica ID
 	avoided             map[string]bool // IDs of replicas that the proxy avoids because of its own failed attempts
 
 	joinedAt        int64           // when the stream was opened
 	stalledUntil    int64           // messages are not applied before that time
 	lastApplied     int64           // when the latest message was, or will be, applied
-	noEndpointSince int64           // since when it has had no endpoint; 0: it has one
-	messageTimes    map[int][]int64 // by controller: when it sent messages to the proxy, within the message window
+	noEndpointSince int64           // time since which the proxy has had no endpoint; 0: it has one
+	messageTimes    map[int][]int64 // send times of the messages to the proxy in the message window, by controller
 }
 
 // candidate is a replica that a proxy may pick, with its weight.
@@ -51,8 +51,8 @@
 	}
 }
 
-// pick returns a random replica by weight, but not the excluded one (the one of the first attempt). It returns nil if there
-// is none.
+// pick returns a random replica according to the weights, but not the excluded replica (that of the first attempt). It
+// returns nil if there is no other candidate.
 func (sim *Simulation) pick(p *proxy, excluded string) *Replica {
 	if p.candidates == nil {
 		sim.computeCandidates(p)
@@ -88,7 +88,8 @@
 	}
 }
 
-// hasEndpoint reports whether a proxy has an endpoint that is not ejected. Endpoints that it avoids by itself count too.
+// hasEndpoint reports whether a proxy has an endpoint that is not ejected. Endpoints that the proxy avoids because of its
+// own failed attempts count too.
 func (p *proxy) hasEndpoint() bool {
 	for id, weight := range p.weights {
 		if weight > 0 && !p.ejected[id] {
--- a/experiment/emulator/replica.go
+++ b/experiment/emulator/replica.go
@@ -36,12 +36,12 @@
 	meanServiceTime float64 // seconds
 	running         int
 	waiting         []func()
-	notifiedAt      int64   // when controllers were last notified of a change
-	recentAttempts  []int64 // times of attempts within overloadTime, recorded while it is warming up
+	notifiedAt      int64   // when controllers were last notified of a change of the replica
+	recentAttempts  []int64 // times of attempts within overloadTime, recorded while the replica is warming up
 	outcomes        map[reporter]*outcomeSum
 }
 
-// reporter is the collector of a zone, as it sums outcomes for one controller.
+// reporter is the part of a zone's collector that sums outcomes for one controller.
 type reporter struct {
 	zone       string
 	controller int
@@ -69,7 +69,7 @@
 	}
 }
 
-// outcomesFor returns the sum of a reporter.
+// outcomesFor returns the replica's outcomes that a reporter has summed.
 func (r *Replica) outcomesFor(from reporter) *outcomeSum {
 	if r.outcomes[from] == nil {
 		r.outcomes[from] = &outcomeSum{}
@@ -87,8 +87,8 @@
 	s.responseTime += responseTime
 }
 
-// execute runs an attempt on a replica as soon as a slot is free, and calls succeeded when it has completed. An unresponsive
-// replica does not call it.
+// execute runs an attempt on a replica as soon as a slot is free, and calls succeeded when the attempt has completed. An
+// unresponsive replica does not call it.
 func (sim *Simulation) execute(r *Replica, succeeded func()) {
 	if r.running >= r.slots {
 		r.waiting = append(r.waiting, func() { sim.execute(r, succeeded) })
--- a/experiment/emulator/reports.go
+++ b/experiment/emulator/reports.go
@@ -5,7 +5,7 @@
 	"lilacbend/internal/controller"
 )
 
-// The random delay of collectors' reports: the minimum and the range above it.
+// Collectors' reports have a random delay from minReportDelay to minReportDelay + reportDelaySpread.
 const (
 	minReportDelay    = 700 * millisecond
 	reportDelaySpread = 900 * millisecond
@@ -20,7 +20,8 @@
 	class   string              // empty for outcomes
 }
 
-// reportLine is a queued line of a report, either of demand or of outcomes. It is one of demand if the demand has a class.
+// reportLine is a queued line of a report, either of demand or of outcomes. It is a line of demand if the demand has a
+// class.
 type reportLine struct {
 	key      reportKey
 	outcomes controller.Outcomes
--- a/experiment/emulator/request.go
+++ b/experiment/emulator/request.go
@@ -35,7 +35,7 @@
 	return req.arrived + sim.classSettings(req).Timeout
 }
 
-// handleArrival admits a request, or rejects it by the admission fraction of its class.
+// handleArrival admits a request, or rejects it according to the admission fraction of its class.
 func (sim *Simulation) handleArrival(req *request) {
 	req.proxy.arrivals[req.class]++
 	sim.count(req, func(o *OutcomeCounts) { o.Arrived++ })
@@ -75,7 +75,7 @@
 	sim.count(req, func(o *OutcomeCounts) { o.Good++ })
 }
 
-// attempt sends a request to a replica, but not to the excluded one (the one of the first attempt).
+// attempt sends a request to a replica, but not to the excluded replica (that of the first attempt).
 func (sim *Simulation) attempt(req *request, excluded string) {
 	p := req.proxy
 	r := sim.pick(p, excluded)
--- a/experiment/emulator/rules.go
+++ b/experiment/emulator/rules.go
@@ -11,11 +11,12 @@
 // each step that could violate them. A violation is recorded once for each rule and subject (a proxy, replica or channel).
 
 const (
-	// maxNoEndpointTime is how long a joined proxy may have no endpoint while a ready replica that is warmed up is listed: 4
-	// s, and 300 ms in transit. Time in which the proxy applies no messages does not count.
+	// maxNoEndpointTime is how long a joined proxy may have no endpoint while a ready replica that is warmed up is listed:
+	// 4 s, plus 300 ms in transit. Time in which the proxy applies no messages does not count.
 	maxNoEndpointTime = 4300 * millisecond
-	// maxDrainGrace is how long a proxy may send requests to a draining replica after it joined or after the controllers
-	// were notified, whichever is later: 2.5 s, and 300 ms in transit. A site may configure another grace period.
+	// maxDrainGrace is how long a proxy may send requests to a draining replica after the proxy joined or after the
+	// controllers were notified, whichever is later: 2.5 s, plus 300 ms in transit. A site may configure another grace
+	// period.
 	maxDrainGrace = 2800 * millisecond
 	// drainGraceSlack is added to a configured grace period, for the time in transit.
 	drainGraceSlack = 300 * millisecond
@@ -57,7 +58,7 @@
 	sim.Violations = append(sim.Violations, Violation{Time: sim.now, Rule: rule, Description: subject + " " + fmt.Sprintf(description, args...)})
 }
 
-// hasWarmReplica reports whether any replica is ready and warmed up, and was last changed at least a duration ago.
+// hasWarmReplica reports whether any replica is ready and warmed up, and was last changed at least the given duration ago.
 func (sim *Simulation) hasWarmReplica(duration int64) bool {
 	for _, r := range sim.Replicas {
 		if r.Member.State == control.Ready && sim.warmUpFraction(r) == 1 && sim.now-r.notifiedAt >= duration {
@@ -138,7 +139,7 @@
 }
 
 // checkChannel queues an update on the controller's send channel. It checks the limits of the queue and of the proxy's
-// messages, and returns when the update has been sent.
+// messages, and returns the time at which the update has been sent.
 func (sim *Simulation) checkChannel(p *proxy, update controller.Update) (sentAt int64) {
 	settings := sim.Site.Settings
 	cost := len(update.Endpoints) + len(update.Ejected) + len(update.Unejected) + len(update.Admissions) + settings.MessageOverhead + 1
@@ -157,7 +158,7 @@
 	return c.channelFreeAt
 }
 
-// dropUntil drops the leading elements of sorted times that are not after a time.
+// dropUntil drops the leading elements of sorted times that are not after the given time.
 func dropUntil(times []int64, until int64) []int64 {
 	for len(times) > 0 && times[0] <= until {
 		times = times[1:]
--- a/experiment/emulator/simulation.go
+++ b/experiment/emulator/simulation.go
@@ -28,7 +28,7 @@
 // OutcomeCounts counts the requests that arrived in a time window, by outcome.
 type OutcomeCounts struct {
 	Arrived  int
-	Good     int // within the latency budget
+	Good     int // answered within the latency budget
 	Late     int
 	Failed   int
 	Rejected int // by admission
@@ -49,7 +49,7 @@
 	Site         Site
 	Replicas     []*Replica
 	LearnedState *learnedstate.State // the latest snapshot of the first controller
-	TurnTimes    []int64             // duration of each turn by Clock; empty if Clock is nil
+	TurnTimes    []int64             // duration of each turn, measured with Clock; empty if Clock is nil
 	Clock        func() int64
 
 	Violations []Violation
@@ -99,7 +99,7 @@
 	return sim
 }
 
-// event is a function that runs at a time. Events of the same time run in the order in which they were scheduled.
+// event is a function that runs at a virtual time. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at    int64
 	order int64
@@ -126,7 +126,7 @@
 	return popped
 }
 
-// at schedules an event at a time, or now if that has passed.
+// at schedules an event at the given time, or now if that time has passed.
 func (sim *Simulation) at(time int64, run func()) {
 	sim.scheduled++
 	heap.Push(&sim.events, event{at: max(time, sim.now), order: sim.scheduled, run: run})
@@ -134,7 +134,7 @@
 
 func (sim *Simulation) after(delay int64, run func()) { sim.at(sim.now+delay, run) }
 
-// every schedules an event at intervals. The first time is random within the first interval.
+// every schedules an event at regular intervals. The first time is random within the first interval.
 func (sim *Simulation) every(interval int64, run func()) {
 	var repeat func()
 	repeat = func() {
--- a/experiment/installation/site.go
+++ b/experiment/installation/site.go
@@ -30,8 +30,8 @@
 	ReplicaSlots int // concurrent requests of each replica; 0: no limit
 	Sidecars     int
 	Controllers  int
-	ServiceTime  time.Duration // of a request at a replica
-	SlowFactor   float64       // factor of the service time of hardware class m2; 0: none
+	ServiceTime  time.Duration // service time of a request at a replica
+	SlowFactor   float64       // multiplies the service time of hardware class m2; 0: unchanged
 
 	// HTTP1Address and HTTP2Address are the listen addresses of the first sidecar. If HTTP1Address is empty, Start selects
 	// unused ports.
@@ -40,11 +40,11 @@
 	RunControllers    bool   // start controllers and collectors; without them, sidecars weight all replicas equally
 	KeepState         bool   // controllers save their learned state
 	StandbyCollectors bool   // each zone has a second collector
-	ReportBudget      int    // bytes a second of a collector to each controller; 0: no limit
+	ReportBudget      int    // bytes a second that a collector may send to each controller; 0: no limit
 	OperatorSections  string // YAML of further sections of the controllers' operator file
 
 	Program string // path of a lilacbend binary; empty: Start builds one
-	Dir     string // for the binary and the files of the processes
+	Dir     string // folder for the binary and the files of the processes
 	Log     io.Writer
 }
 
@@ -64,7 +64,7 @@
 type Site struct {
 	Config
 	Replicas                       []*replica.Replica
-	HTTP1Addresses, HTTP2Addresses []string // of the sidecars
+	HTTP1Addresses, HTTP2Addresses []string // listen addresses of the sidecars
 
 	program     string
 	mu          sync.Mutex
@@ -72,8 +72,8 @@
 	revision    int
 	changed     chan struct{}
 	discovery   net.Listener
-	controllers []string   // addresses
-	collectors  [][]string // addresses by zone, the preferred collector first
+	controllers []string   // addresses of the controllers
+	collectors  [][]string // addresses of the collectors by zone, the preferred collector first
 	processes   map[string]*exec.Cmd
 }
 
@@ -296,8 +296,8 @@
 	return slices.Sorted(maps.Keys(s.processes))
 }
 
-// Settings returns the controllers' settings as JSON, with the latency budget of the first traffic class extended by some
-// milliseconds.
+// Settings returns the controllers' settings as JSON, with the latency budget of the first traffic class extended by the
+// given number of milliseconds.
 func (s *Site) Settings(extraMillis int) string {
 	zones, _ := json.Marshal([]string{"a", "b", "c", "d"}[:s.Zones])
 	return fmt.Sprintf(settingsTemplate, s.Controllers, s.Sidecars, 100*s.Sidecars, zones, baseLatencyBudgetMillis+extraMillis)
--- a/experiment/load/load.go
+++ b/experiment/load/load.go
@@ -23,7 +23,7 @@
 const (
 	maxRate       = 50_000.0 // requests a second
 	maxDuration   = 5 * time.Minute
-	maxConcurrent = 4096 // requests in flight; more wait, which counts towards their latency
+	maxConcurrent = 4096 // requests in flight; further requests wait, which counts towards their latency
 )
 
 const (
@@ -37,21 +37,21 @@
 
 // Job describes the requests to send.
 type Job struct {
-	URLs        []string // round robin
+	URLs        []string // each request uses the next URL, in turn
 	HTTP2       bool
 	Method      string
 	Rate        float64       // requests a second; 0: as fast as Concurrency permits
 	Concurrency int           // requests in flight if Rate is 0
-	Duration    time.Duration // for which requests are sent
-	Timeout     time.Duration // of a request, from its arrival time
+	Duration    time.Duration // time for which requests are sent
+	Timeout     time.Duration // longest time from a request's arrival to its response
 	Seed        int64
-	EditRequest func(k int, r *http.Request) // modifies the k-th request before it is sent; nil: none
+	EditRequest func(k int, r *http.Request) // modifies the k-th request before it is sent; nil: requests stay unmodified
 }
 
 // Result has the outcomes of a job's requests.
 type Result struct {
 	Sent, Good, Rejected, Failed int
-	Latencies                    *hdrhistogram.Histogram // of good responses, from the arrival time, in microseconds
+	Latencies                    *hdrhistogram.Histogram // latencies of good responses since arrival, in microseconds
 	Reasons                      map[string]int
 	Elapsed                      time.Duration
 }
@@ -164,7 +164,8 @@
 	}
 }
 
-// send sends a request and reads its response. The reason is the proxy's, or why there is no complete response.
+// send sends a request and reads its response. The returned reason is the one that the proxy gave, or the cause of a
+// missing or incomplete response.
 func send(ctx context.Context, transport *http.Transport, job Job, number int, arrival time.Time) (status int, reason string) {
 	ctx, cancel := context.WithDeadline(ctx, arrival.Add(job.Timeout))
 	defer cancel()
@@ -216,7 +217,7 @@
 	}
 	defer f.Close()
 	if _, err := r.Latencies.PercentilesPrint(f, 5, 1000); err != nil {
-		return fmt.Errorf("writing %s: %w", file, err)
+		return fmt.Errorf("writing latencies to %s: %w", file, err)
 	}
 	return nil
 }
--- a/experiment/replica/h2client.go
+++ b/experiment/replica/h2client.go
@@ -42,8 +42,8 @@
 // Done reports whether the stream has ended.
 func (s *StreamRecord) Done() bool { return s.Ended || s.Reset }
 
-// DialHTTP2 connects and sends the client preface. window is the initial flow-control window of each stream, in bytes; at 0,
-// windows are not replenished either.
+// DialHTTP2 connects and sends the client preface. window is the initial flow-control window of each stream, in bytes; if
+// it is 0, windows are not replenished as data arrives.
 func DialHTTP2(addr string, window uint32) (*HTTP2Client, error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// handle records a frame, and replenishes the flow-control windows by its data if AutoWindowUpdate is set.
+// handle records a frame, and replenishes the flow-control windows by the length of its data if AutoWindowUpdate is set.
 func (c *HTTP2Client) handle(frame http2.Frame) {
 	c.mu.Lock()
 	c.record(frame)
--- a/experiment/replica/replica.go
+++ b/experiment/replica/replica.go
@@ -17,9 +17,9 @@
 type Replica struct {
 	Addr         string
 	RequestCount atomic.Int64  // requests received
-	ServiceTime  atomic.Int64  // of each request, in nanoseconds
+	ServiceTime  atomic.Int64  // service time of each request, in nanoseconds
 	Unresponsive atomic.Bool   // requests are received but not answered
-	Status       atomic.Int64  // of responses; 0: 200
+	Status       atomic.Int64  // status code of responses; 0: 200
 	Slots        chan struct{} // limits concurrent requests; nil: no limit
 	BodySize     atomic.Int64  // bytes that follow the address in a response body
 	mu           sync.Mutex
@@ -28,7 +28,7 @@
 	handler      http.HandlerFunc
 }
 
-// NewReplica starts a replica on an address, with a limit of concurrent requests (0: none). A handler that is not nil
+// NewReplica starts a replica on an address, with a limit of concurrent requests (0: no limit). A handler that is not nil
 // replaces the scripted response.
 func NewReplica(addr string, slots int, handler http.HandlerFunc) (*Replica, error) {
 	l, err := net.Listen("tcp", addr)
--- a/experiment/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -14,11 +14,11 @@
 
 const second = int64(1e9)
 
-// Scenario is a fault of a fraction of the replicas, which starts at faultTime.
+// Scenario is a fault that affects a fraction of the replicas and starts at faultTime.
 type Scenario struct {
 	Name     string
 	Fault    emulator.ReplicaFault
-	Fraction float64 // of the replicas
+	Fraction float64 // fraction of the replicas that have the fault
 }
 
 // Scenarios are the scenarios of the standard measurement.
@@ -40,11 +40,11 @@
 	NoRestart  StateKind = iota // the controller does not restart
 	NoState                     // no state
 	KeptState                   // the state learned before the restart
-	OldState                    // two minutes older, with ejected replicas healthy and healthy ones on probation
+	OldState                    // state two minutes older; ejected replicas are healthy, and healthy ones are on probation
 	WrongState                  // the learned state, with the entries of the replicas exchanged at random
 )
 
-// String returns the name for tables of results.
+// String returns the name of the kind in tables of results.
 func (k StateKind) String() string {
 	return [...]string{"no restart", "without state", "with state", "state old", "state wrong"}[k]
 }
@@ -56,8 +56,8 @@
 	// snapshotInterval is the time between two snapshots of the learned state. A controller stops at a random time within
 	// an interval, so that the latest snapshot is at most this old.
 	snapshotInterval = 5 * second
-	// window is how long arriving requests are counted, from the restart on. settleTime is how long they may then take to
-	// finish.
+	// window is the time after the restart in which arriving requests are counted. settleTime is the time after the
+	// window in which these requests may finish.
 	window     = 10 * second
 	settleTime = 5 * second
 	halfLife   = 60 * second
--- a/experiment/scale/checks/checks.go
+++ b/experiment/scale/checks/checks.go
@@ -80,7 +80,7 @@
 
 // Bounds are the time limits of the rules.
 type Bounds struct {
-	MaxPropagationDelay time.Duration // from a publication, or from when the controller is reachable, until in force
+	MaxPropagationDelay time.Duration // from publication, or from when the controller is reachable, until the revision is in force
 	HeartbeatTimeout    time.Duration // longest time without a heartbeat
 }
 
@@ -115,7 +115,7 @@
 	slices.SortStableFunc(sorted, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	c := &checker{bounds: bounds, controllers: map[int]*controllerState{}, topics: map[topic][]publication{}}
 	for _, e := range sorted {
-		if e.Kind == Published { // all of them first, as a controller may serve a revision at the time at which it is published
+		if e.Kind == Published { // recorded first, as a controller may serve a revision at the time of its publication
 			c.recordPublication(e)
 		}
 	}
@@ -138,7 +138,7 @@
 	changeIndex int // index in Result.Changes; below 0: the publication is not valid
 }
 
-// subjectState is what one controller serves and has refused of one subject.
+// subjectState has the revisions of one subject that one controller serves and has refused.
 type subjectState struct {
 	served  Marker
 	refused map[Marker]bool
@@ -317,7 +317,7 @@
 }
 
 // checkNewest checks that a controller serves the newest valid publication, if that was published, and the controller was
-// reachable, at least MaxPropagationDelay before the end.
+// reachable, at least MaxPropagationDelay before the end of the run.
 func (c *checker) checkNewest(controller *controllerState, e Event, subject Subject) {
 	if controller.partitioned && subject == Configuration {
 		return
--- a/experiment/scale/checks/checks_test.go
+++ b/experiment/scale/checks/checks_test.go
@@ -42,7 +42,7 @@
 func TestCheckReportsEachViolatedRule(t *testing.T) {
 	for name, c := range map[string]struct {
 		modify   func(events []Event) []Event
-		violated Rule // empty: none
+		violated Rule // empty: no rule is violated
 	}{
 		"no fault":       {func(e []Event) []Event { return e }, ""},
 		"two markers":    {func(e []Event) []Event { return append(e, servingEvent(1, 13*second, 1, 3)) }, NoMixedRevisions},
--- a/experiment/scale/discovery.go
+++ b/experiment/scale/discovery.go
@@ -33,7 +33,7 @@
 
 	mu         sync.Mutex
 	members    []member
-	changedIn  []checks.Marker // by member: the revision of its last change
+	changedIn  []checks.Marker // revision of the last change of each member
 	revision   checks.Marker
 	nextChange chan struct{} // closed at the next change
 }
--- a/experiment/scale/faulty_test.go
+++ b/experiment/scale/faulty_test.go
@@ -35,7 +35,7 @@
 	inner  ConfigurationSource
 	number int
 	shape  ServiceShape
-	file   string // of the service's settings
+	file   string // path of the file of the service's settings
 	apply  Apply
 }
 
--- a/experiment/scale/host.go
+++ b/experiment/scale/host.go
@@ -18,7 +18,8 @@
 	Controllers []ControllerPlan `json:"governors"`
 }
 
-// command is each further line: the controllers to stop and to start, and whether to report the counters.
+// command is a line that a host process reads after its plan: the controllers to stop and to start, and whether to report
+// the counters.
 type command struct {
 	Stop     []int `json:"stop,omitempty"`
 	Start    []int `json:"start,omitempty"`
--- a/experiment/scale/phase.go
+++ b/experiment/scale/phase.go
@@ -21,7 +21,7 @@
 	settleTime              time.Duration
 	partitioned, restarted  int
 	usageBefore, usageAfter map[string]usage
-	realDelays              *hdrhistogram.Histogram // until each change was in force at all controllers of the real service
+	realDelays              *hdrhistogram.Histogram // time until a change was in force at all controllers of the real service
 }
 
 // The roles of a run, besides those of the real service. Reports contain these values, and Measurements finds roles in saved
@@ -150,7 +150,7 @@
 	}
 	faultEnd := r.tracker.elapsed()
 	r.repairs.Wait()
-	// A controller that still serves an older revision after this time fails the checks.
+	// The checks fail for a controller that still serves an older revision after this wait.
 	r.waitSettled(ctx, r.plan.MaxPropagationDelay+time.Second)
 	if ctx.Err() != nil {
 		return span, ctx.Err()
@@ -271,7 +271,7 @@
 	switch a.kind {
 	case publishChange:
 		return r.publish(service, true)
-	case publishInvalid: // only if the previous revision is in force everywhere
+	case publishInvalid: // published only if the previous revision is in force everywhere
 		if !r.tracker.serviceSettled(service) {
 			return nil
 		}
@@ -319,7 +319,7 @@
 	end := r.tracker.elapsed()
 	events, hostErrors := r.tracker.snapshot()
 	if len(hostErrors) > 0 {
-		return out, fmt.Errorf("%d errors of host processes, the first: %s", len(hostErrors), hostErrors[0])
+		return out, fmt.Errorf("host processes reported %d errors, the first: %s", len(hostErrors), hostErrors[0])
 	}
 	result := checks.Check(events, end, checks.Bounds{MaxPropagationDelay: r.plan.MaxPropagationDelay, HeartbeatTimeout: r.plan.HeartbeatTimeout})
 	result.Violations = append(result.Violations, r.realViolations...)
--- a/experiment/scale/plan.go
+++ b/experiment/scale/plan.go
@@ -20,9 +20,9 @@
 	fullRoutes         = 14_000
 	fullTenants        = 74_000
 	fullBurstRestarts  = 1200
-	fullChanges        = 8400.0 // per day
-	fullFailures       = 39.0   // per day
-	fullRestarts       = 1200.0 // per day
+	fullChanges        = 8400.0 // changes of configuration per day
+	fullFailures       = 39.0   // failures of machines per day
+	fullRestarts       = 1200.0 // restarts of machines per day
 	maxZonesPerService = 3
 	day                = 24 * time.Hour
 )
@@ -54,7 +54,7 @@
 	Servers            int `json:"servers"`
 	Routes             int `json:"routes"`
 	Tenants            int `json:"tenants"`
-	Proxies            int `json:"proxies"`   // of each controller
+	Proxies            int `json:"proxies"`   // proxies of each controller
 	ControllersPerHost int `json:"host_size"` // maximum number of controllers that share a host process
 	Skew               int `json:"skew"`      // size of the first service as a multiple of the others; 0: the same size
 
@@ -62,14 +62,14 @@
 	PhaseDuration   time.Duration `json:"phase"` // duration of each fault
 	Faults          []Fault       `json:"faults"`
 	TimeCompression float64       `json:"factor"`   // a day of background actions takes 24 h divided by this factor
-	ChangesPerDay   float64       `json:"changes"`  // of configuration; rates below 0: in proportion to Controllers
-	FailuresPerDay  float64       `json:"failures"` // of machines, each with a controller or a replica
-	RestartsPerDay  float64       `json:"restarts"` // of machines
+	ChangesPerDay   float64       `json:"changes"`  // changes of configuration; a rate below 0: in proportion to Controllers
+	FailuresPerDay  float64       `json:"failures"` // failures of machines, each with a controller or a replica
+	RestartsPerDay  float64       `json:"restarts"` // restarts of machines
 	InvalidFraction float64       `json:"invalid"`  // fraction of the changes that are not valid
-	BurstChanges    int           `json:"at_once"`  // published at once
-	BurstRestarts   int           `json:"crowd"`    // within restartBurstDuration
+	BurstChanges    int           `json:"at_once"`  // changes published at once
+	BurstRestarts   int           `json:"crowd"`    // restarts within restartBurstDuration
 
-	RepairTime time.Duration `json:"repair"` // from a failure to the replacement
+	RepairTime time.Duration `json:"repair"` // time from a failure to the replacement
 
 	MaxPropagationDelay time.Duration `json:"in_force"` // this and HeartbeatTimeout are the bounds of the checks
 	HeartbeatTimeout    time.Duration `json:"silence"`
--- a/experiment/scale/process.go
+++ b/experiment/scale/process.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	terminationTimeout = 15 * time.Second // from SIGTERM to SIGKILL
-	countersTimeout    = 30 * time.Second // for a host to report its counters
+	terminationTimeout = 15 * time.Second // time from SIGTERM to SIGKILL
+	countersTimeout    = 30 * time.Second // longest time for a host to report its counters
 	reportBufferSize   = 1 << 20          // bytes
 )
 
--- a/experiment/scale/realservice.go
+++ b/experiment/scale/realservice.go
@@ -13,14 +13,14 @@
 
 // RealService is one service that runs as processes of the product, next to the simulated controllers.
 type RealService interface {
-	// Settings returns a revision of the service's settings. Revisions start at 0.
+	// Settings returns the service's settings at the given revision. Revisions start at 0.
 	Settings(revision int) []byte
 	// Start starts the service in the given region. Its controllers watch the settings of the service called name at the
 	// given configuration servers.
 	Start(ctx context.Context, name, region string, servers []configclient.Server) error
 	// Controllers returns the number of the service's controllers.
 	Controllers() int
-	// ActiveSince returns the number of controllers at which new settings have become active since a time.
+	// ActiveSince returns the number of controllers at which new settings have become active since the given time.
 	ActiveSince(at time.Time) int
 	// Processes returns the process IDs of each role.
 	Processes() map[string][]int
@@ -30,7 +30,7 @@
 
 const (
 	realServiceName    = "real"
-	realChangeInterval = 5 * time.Second // between two changes of the settings
+	realChangeInterval = 5 * time.Second // time between two changes of the settings
 	realPollInterval   = 10 * time.Millisecond
 )
 
--- a/experiment/scale/report.go
+++ b/experiment/scale/report.go
@@ -19,9 +19,9 @@
 	Hosts            int                `json:"hosts"`
 	Seconds          float64            `json:"seconds"`
 	Phases           []PhaseReport      `json:"phases"`
-	Changes          int                `json:"changes"`         // of configuration, over all phases
-	PropagationDelay Delays             `json:"in_force_at_all"` // until configuration is in force at all controllers
-	PerController    ResourceUsage      `json:"governor"`        // of a simulated controller, over all phases after the start
+	Changes          int                `json:"changes"`         // changes of configuration over all phases
+	PropagationDelay Delays             `json:"in_force_at_all"` // time until configuration is in force at all controllers
+	PerController    ResourceUsage      `json:"governor"`        // usage of a simulated controller over all phases but the start
 	PeakMB           float64            `json:"peak_mb"`         // resident memory of all processes together
 	FailedChecks     int                `json:"failed_checks"`
 	Violations       []checks.Violation `json:"failures"` // the first maxReportedViolations
@@ -32,10 +32,10 @@
 // PhaseReport has the measurements of one phase.
 type PhaseReport struct {
 	Fault         Fault          `json:"fault"`
-	Seconds       float64        `json:"seconds"`   // until all controllers served the newest revisions
+	Seconds       float64        `json:"seconds"`   // time until all controllers served the newest revisions
 	SettleSeconds float64        `json:"settled"`   // the part of Seconds after the end of the fault
 	Partitioned   int            `json:"cut"`       // controllers that were partitioned
-	Restarted     int            `json:"restarted"` // controllers
+	Restarted     int            `json:"restarted"` // controllers that were restarted
 	Roles         []RoleReport   `json:"roles"`
 	Servers       []RoleReport   `json:"servers"` // each server separately
 	Delays        []SubjectDelay `json:"delays"`
@@ -51,7 +51,7 @@
 // ResourceUsage is the resource usage of one process or controller.
 type ResourceUsage struct {
 	BytesPerSecond    float64 `json:"bytes_per_second"`
-	CPUPercent        float64 `json:"processor_percent"` // of a core
+	CPUPercent        float64 `json:"processor_percent"` // percentage of one core
 	ResidentMB        float64 `json:"resident_mb"`
 	HeapMB            float64 `json:"heap_mb,omitempty"`
 	MessagesPerSecond float64 `json:"messages_per_second"`
@@ -61,8 +61,8 @@
 type SubjectDelay struct {
 	Subject        string `json:"subject"`
 	Changes        int    `json:"changes"`
-	PerController  Delays `json:"each"`   // until in force at one controller
-	AllControllers Delays `json:"at_all"` // until in force at all controllers of the service
+	PerController  Delays `json:"each"`   // delays until a change was in force at one controller
+	AllControllers Delays `json:"at_all"` // delays until a change was in force at all controllers of the service
 }
 
 // Delays has the quantiles of delays, in seconds.
@@ -75,7 +75,7 @@
 
 const (
 	maxDelayMicros = int64(10 * time.Minute / time.Microsecond)
-	delayDigits    = 3 // significant ones
+	delayDigits    = 3 // significant digits
 )
 
 func newDelayHistogram() *hdrhistogram.Histogram {
--- a/experiment/scale/run.go
+++ b/experiment/scale/run.go
@@ -17,7 +17,7 @@
 const (
 	settleInterval       = 50 * time.Millisecond
 	memoryInterval       = time.Second
-	replacementSteps     = 5 // each step of a replica's replacement takes this part of the repair time
+	replacementSteps     = 5 // each step of a replica's replacement takes the repair time divided by this number
 	startTimeout         = 2 * time.Minute
 	restartBurstDuration = time.Minute // or the duration of the phase if that is shorter
 )
@@ -32,7 +32,7 @@
 	hosts            []*hostProcess
 	hostByController map[int]*hostProcess
 	controllers      []ControllerPlan
-	lastMarkers      []checks.Marker // of the last published settings, by service
+	lastMarkers      []checks.Marker // markers of the last published settings, by service
 	random           *rand.Rand
 	peakMemory       int64 // bytes; guarded by tracker.mu
 
@@ -49,7 +49,7 @@
 type Options struct {
 	Launch      Launch
 	Serve       ServerLaunch
-	Dir         string      // for the servers' files
+	Dir         string      // folder for the servers' files
 	RealService RealService // may be nil
 	Log         func(format string, args ...any)
 }
--- a/experiment/scale/servers.go
+++ b/experiment/scale/servers.go
@@ -36,8 +36,8 @@
 type servers struct {
 	plan           Plan
 	launch         ServerLaunch
-	settingsFolder string // with the settings files, which the writer reads
-	stateFolder    string // with the servers' state files
+	settingsFolder string // folder of the settings files, which the writer reads
+	stateFolder    string // folder of the servers' state files
 	addresses      []string
 	linkAddress    func(from, to int) string // address at which a follower reaches another server
 
@@ -113,7 +113,7 @@
 func (s *servers) startServer(ctx context.Context, k int) error {
 	server, err := s.launch(ctx, s.options(k))
 	if err != nil {
-		return fmt.Errorf("server %d: %w", k, err)
+		return fmt.Errorf("starting server %d: %w", k, err)
 	}
 	s.mu.Lock()
 	s.running[k] = server
@@ -124,7 +124,7 @@
 			return nil
 		}
 		if time.Now().After(end) || ctx.Err() != nil {
-			return fmt.Errorf("server %d: %w", k, err)
+			return fmt.Errorf("waiting for the response of server %d: %w", k, err)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 		return err
 	}
 	if status.Server != serverName(k) {
-		return fmt.Errorf("server %q responds at the address", status.Server)
+		return fmt.Errorf("another server, %q, responds at the address", status.Server)
 	}
 	return nil
 }
--- a/experiment/scale/settings.go
+++ b/experiment/scale/settings.go
@@ -17,7 +17,7 @@
 	Zones       int `json:"zones"`
 	Routes      int `json:"routes"`
 	Tenants     int `json:"tenants"`
-	Proxies     int `json:"proxies"` // of each controller
+	Proxies     int `json:"proxies"` // proxies of each controller
 }
 
 // The marker of a revision is added to several settings in different parts of the file, so that a mix of two revisions is
--- a/experiment/scale/simulated.go
+++ b/experiment/scale/simulated.go
@@ -46,7 +46,7 @@
 	source   ConfigurationSource
 
 	queues *eventloop.Queues
-	module *policy.Policy // the last one started; used by the goroutine of the core only
+	module *policy.Policy // the module that was started last; used by the goroutine of the core only
 
 	mu     sync.Mutex
 	offers map[revision.Version]offer
@@ -68,7 +68,7 @@
 func (c *simulatedController) run(ctx context.Context) error {
 	first, err := loadSettings(encodeSettings(c.plan.Shape, 1, true), c.plan.Seed)
 	if err != nil {
-		return fmt.Errorf("controller %d: %w", c.plan.Number, err)
+		return fmt.Errorf("loading the first settings of controller %d: %w", c.plan.Number, err)
 	}
 	c.queues = eventloop.New()
 	c.queues.SetProxies(first.values.Proxies)
--- a/experiment/scale/slopes.go
+++ b/experiment/scale/slopes.go
@@ -95,7 +95,7 @@
 		for _, r := range sorted {
 			value := f.value(r)
 			if math.IsNaN(value) {
-				return nil, fmt.Errorf("%s: %w", f.name, errFewReports)
+				return nil, fmt.Errorf("no value of %s: %w", f.name, errFewReports)
 			}
 			m.Points = append(m.Points, [2]float64{float64(r.Plan.Controllers), value})
 		}
--- a/experiment/scale/source.go
+++ b/experiment/scale/source.go
@@ -36,7 +36,7 @@
 	plan    ControllerPlan
 	storage configcache.Storage
 	service string
-	digest  configcache.Digest // of the settings that each incarnation starts with
+	digest  configcache.Digest // digest of the settings that each incarnation starts with
 	watcher *configwatch.Watcher
 }
 
--- a/experiment/scale/tracker.go
+++ b/experiment/scale/tracker.go
@@ -15,7 +15,7 @@
 	mu         sync.Mutex
 	events     []checks.Event
 	hostErrors []string
-	newest     map[topic]checks.Marker // of the valid publications
+	newest     map[topic]checks.Marker // newest marker among the valid publications, by topic
 	running    map[int]*controllerState
 }
 
--- a/experiment/scriptedpeer/peers.go
+++ b/experiment/scriptedpeer/peers.go
@@ -60,8 +60,8 @@
 	return newConn(t, conn)
 }
 
-// Listener accepts connections when the test calls for it. Until then they wait in the kernel's accept queue, established
-// but not served.
+// Listener accepts connections when the test calls AcceptConn or Serve. Until then connections wait in the kernel's
+// accept queue, established but not served.
 type Listener struct {
 	net.Listener
 	t testing.TB
@@ -95,8 +95,8 @@
 	return newConn(l.t, conn)
 }
 
-// Serve starts to accept connections and returns. It calls handle for each in a goroutine of its own, and closes the
-// connection when handle returns.
+// Serve starts to accept connections and returns. It calls handle for each connection in a separate goroutine, and closes
+// the connection when handle returns.
 func (l *Listener) Serve(handle func(net.Conn)) {
 	go func() {
 		for {
@@ -112,8 +112,8 @@
 	}()
 }
 
-// ExpectNoConnection fails the test if a connection arrives within a duration. Use it only to check that none is made, not
-// to order events.
+// ExpectNoConnection fails the test if a connection arrives within a duration. Use it only to check that no connection is
+// made, not to order events.
 func (l *Listener) ExpectNoConnection(duration time.Duration) {
 	l.t.Helper()
 	l.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(duration))
@@ -138,7 +138,7 @@
 		port := firstFreePort + rand.IntN(lastFreePort-firstFreePort)
 		l, err := net.Listen("tcp", net.JoinHostPort("127.0.0.1", strconv.Itoa(port)))
 		if err != nil {
-			continue // in use
+			continue // the port is in use
 		}
 		l.Close()
 		return l.Addr().String()
@@ -147,7 +147,7 @@
 	return ""
 }
 
-// SendRaw writes a text without encoding it.
+// SendRaw writes a string without encoding it.
 func (c *Conn) SendRaw(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.Conn, text); err != nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-// Send writes messages as RESP2 arrays. Each is given as its words, separated by spaces.
+// Send writes messages as RESP2 arrays. Each argument holds the words of one message, separated by spaces.
 func (c *Conn) Send(messages ...string) {
 	c.t.Helper()
 	for _, text := range messages {
@@ -171,7 +171,7 @@
 	}
 }
 
-// EncodeMessage returns the RESP2 array of the words of a text, which are separated by spaces.
+// EncodeMessage returns the RESP2 array of the words of a string, which are separated by spaces.
 func EncodeMessage(text string) string {
 	var b strings.Builder
 	if _, err := resp.Write(&b, resp.NewPool(1<<20), strings.Fields(text)...); err != nil {
@@ -250,7 +250,7 @@
 	return c
 }
 
-// WaitFor polls a condition until it holds. It fails the test with a message if that exceeds WaitTimeout.
+// WaitFor polls a condition until it holds. It fails the test with a message if the wait exceeds WaitTimeout.
 func WaitFor(t testing.TB, failure string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(WaitTimeout); !condition(); time.Sleep(time.Millisecond) {
--- a/experiment/seeds/seeds.go
+++ b/experiment/seeds/seeds.go
@@ -17,8 +17,8 @@
 
 const (
 	second = int64(1e9)
-	// Faults start between faultsFrom and faultsUntil, and end about ten seconds later at most. The service must have
-	// recovered recoveryTime after faultsUntil.
+	// Faults start between faultsFrom and faultsUntil, and end at most about ten seconds after they start. The service
+	// must have recovered recoveryTime after faultsUntil.
 	faultsFrom   = 8 * second
 	faultsUntil  = 24 * second
 	recoveryTime = 40 * second
@@ -33,7 +33,7 @@
 // Profile is the installation that is simulated, and the kinds of faults that affect it.
 type Profile struct {
 	Site  func() emulator.Site
-	Kinds []string // of random faults; empty: all
+	Kinds []string // kinds of random faults; empty: all kinds
 	// CorrelatedKinds are kinds of faults that affect many replicas at once. Each random script has one of them; empty: none.
 	CorrelatedKinds []string
 	// RulesOnly is set if more requests arrive than can be served, so that the service need not recover.
@@ -98,7 +98,7 @@
 	return script
 }
 
-// Play simulates a script. If trace is not nil, it is called with the text of each step.
+// Play simulates a script. If trace is not nil, it is called with a description of each step.
 func (p Profile) Play(seed int64, script []emulator.Fault, trace func(text string)) Result {
 	simulation := emulator.New(p.Site(), seed)
 	simulation.WrapModule = p.WrapModule
@@ -129,8 +129,8 @@
 	return Result{Seed: seed, Script: script, Violations: simulation.Violations, Digest: digest.Sum64()}
 }
 
-// Run simulates count consecutive seeds from first on, at most workers at once. It calls handle with the results in seed
-// order.
+// Run simulates count consecutive seeds starting at first, at most workers of them at the same time. It calls handle with
+// the results in seed order.
 func (p Profile) Run(first int64, count, workers int, handle func(Result)) {
 	results := make([]chan Result, count)
 	for k := range results {
--- a/experiment/seeds/seeds_test.go
+++ b/experiment/seeds/seeds_test.go
@@ -40,7 +40,7 @@
 }
 
 // Two releases of six in ten replicas, one during the other's warm-up, in an overload: reports are late and proxies avoid
-// warm replicas, but those that warm up must not be overloaded.
+// warm replicas, but replicas that warm up must not be overloaded.
 func TestWarmingReplicasAreNotOverloaded(t *testing.T) {
 	p := Profiles["overload"]
 	releases := []emulator.Fault{{Start: 10 * second, Kind: "release", Duration: 4 * second}, {Start: 18 * second, Kind: "release", Duration: 4 * second}}
@@ -54,9 +54,9 @@
 	}
 }
 
-// A release of six in ten replicas in an overload, one step each 0.15 s, needs more messages to each proxy than their
+// A release of six in ten replicas in an overload, one step every 0.15 s, needs more messages to each proxy than their
 // limit allows in the time. Withdrawals must not be late: a replica that has just restarted would receive the requests of
-// the one before it.
+// its predecessor.
 func TestReleaseInOverloadKeepsRules(t *testing.T) {
 	p := Profiles["overload"]
 	for _, seed := range []int64{3, 31, 62, 103} {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -269,7 +269,7 @@
 		{"name: here,", "nam: here,", "small.yaml: yaml: unmarshal errors:\n  line"},
 		{"formula: here,", "formula: there,", "paths: holds: formula"},
 		{"formula: here,", "formula: 'here +',", "paths: holds: formula"},
-		{`"2 * holds"`, `"2 * spends"`, "paths: doubles: formula"}, // a later row
+		{`"2 * holds"`, `"2 * spends"`, "paths: doubles: formula"}, // the formula uses the result of a later row
 		{"service: services", "service: serves", "readings: flat"},
 		{"bound: most, mechanism: []", "bound: least, mechanism: []", `missing: unknown bound "least"`},
 		{"kind: time, text: t, formula: \"1\"", "kind: times, text: t, formula: \"1\"", `missing: unknown kind "times"`},
--- a/internal/capacity/crossing.go
+++ b/internal/capacity/crossing.go
@@ -61,7 +61,7 @@
 }
 
 // bisectCrossing returns the smallest size at which a row exceeds its bound. The row exceeds its bound at the size
-// beyond, and is within it at the size within, unless the two sizes are equal.
+// `beyond`, and is within it at the size `within`, unless the two sizes are equal.
 func bisectCrossing(name string, within, beyond int, check boundsCheck) (int, error) {
 	for beyond-within > 1 {
 		middle := within + (beyond-within)/2
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -83,7 +83,7 @@
 	return slices.DeleteFunc(slices.Clone(rows), func(p Path) bool { return !selected(p) })
 }
 
-// distinct returns the values of a key, in the order of the first rows that have them.
+// distinct returns each value of a key once, in the order of the first rows with that value.
 func distinct(rows []Path, key func(Path) string) (values []string) {
 	for _, p := range rows {
 		if !slices.Contains(values, key(p)) {
--- a/internal/capacity/ranking.go
+++ b/internal/capacity/ranking.go
@@ -14,7 +14,7 @@
 	path            Path
 	crossings       []float64 // smallest numbers of controllers at which the row exceeds its bound, see Model.Crossings
 	exceedsAtTarget []bool    // whether the row exceeds its bound at the target's size
-	ratio           float64   // of result to bound at the target's size, in the first reading
+	ratio           float64   // ratio of result to bound at the target's size, in the first reading
 }
 
 // compare orders rows without a mechanism first, then by the number of controllers at which they cross in the first reading,
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -91,7 +91,7 @@
 type Path struct {
 	Name      string   `yaml:"name"`
 	Role      string   `yaml:"role"`
-	Event     string   `yaml:"event"` // of an incident; else empty
+	Event     string   `yaml:"event"` // event of an incident; empty: ordinary operation
 	Kind      string   `yaml:"kind"`
 	Text      string   `yaml:"text"`
 	Formula   string   `yaml:"formula"`
