--- a/control/commands.go
+++ b/control/commands.go
@@ -26,8 +26,8 @@
 	Proxy    int
 	Table    int
 	Replicas []uint32
-	// Unejected is the number of elements at the start of Replicas that are unejected at the proxy if it may still have them
-	// as ejected.
+	// Unejected is the number of replicas, from the start of Replicas, that are unejected at the proxy if the proxy may
+	// still have them as ejected.
 	Unejected int
 }
 
@@ -41,7 +41,7 @@
 type SetAdmission struct {
 	Table    int
 	Class    int
-	Fraction float64 // of the requests, or a rate in requests a second, depending on Settings.Admission
+	Fraction float64 // admitted fraction of the requests, or admitted requests a second, depending on Settings.Admission
 	Retries  RetryPolicy
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -34,7 +34,7 @@
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
 	binary.LittleEndian.PutUint64(b[8:], draws)
-	crc := ^uint32(0) // equals crc32.ChecksumIEEE, which would move b to the heap on each call
+	crc := ^uint32(0) // the same result as crc32.ChecksumIEEE, which would move b to the heap on each call
 	for _, v := range b {
 		crc = crc32.IEEETable[byte(crc)^v] ^ crc>>8
 	}
--- a/control/events.go
+++ b/control/events.go
@@ -85,8 +85,8 @@
 	Settings
 	NewClasses         []int           // the new number of each traffic class; below 0: the class no longer exists
 	NewHardwareClasses []int           // the new number of each hardware class; below 0: the class no longer exists
-	Replicas           []ListedReplica // all listed replicas, with the new numbers
-	Proxies            []StreamOpened  // all proxies with a stream, with the new numbers
+	Replicas           []ListedReplica // all listed replicas, with the new numbers of their zones and hardware classes
+	Proxies            []StreamOpened  // all proxies with a stream, with the new numbers of their zones
 }
 
 // SnapshotRequested requests a Snapshot among this turn's commands.
--- a/control/learned.go
+++ b/control/learned.go
@@ -16,10 +16,10 @@
 // LearnedFleet is the state that a controller has learned of the fleet as a whole.
 type LearnedFleet struct {
 	Tables                int         // number of tables; 0: none yet
-	BaselineResponseTimes [][]float64 // latest samples of each hardware class, in seconds; last element: the whole fleet
+	BaselineResponseTimes [][]float64 // by hardware class: latest samples, in seconds; last element: the whole fleet
 	RequestRates          []ClassRate
 	Bindings              []Binding
-	AdmissionThreshold    float64 // fraction of the traffic classes that is admitted, by priority weight: 0 to 1
+	AdmissionThreshold    float64 // fraction of the traffic classes that is admitted, in order of priority weight: 0 to 1
 	MaxSuccessRate        float64 // highest recent success rate of one replica, in successful responses a second
 	RetriesStopped        bool
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -33,10 +33,10 @@
 // PickPolicy is how a proxy picks an endpoint of its table.
 type PickPolicy int
 
-// The pick policies, all of them by weight.
+// The pick policies. All of them take the weights of the endpoints into account.
 const (
 	PickRandom     PickPolicy = iota
-	PickRoundRobin            // one after another
+	PickRoundRobin            // the endpoints one after another
 	PickPowerOfTwo            // of two random endpoints, the one with fewer requests of this proxy in flight
 )
 
@@ -74,7 +74,7 @@
 	ChannelLimit    int     // cost units that may wait in the channel
 	MessageOverhead int     // cost units of each message in addition to its content
 	MaxTransit      int64   // longest transit time of a message to a proxy, in nanoseconds
-	MaxMessages     int     // message cap: messages to one proxy within MessageWindow; 0: no limit
+	MaxMessages     int     // message cap: largest number of messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow   int64   // nanoseconds
 	// HostQueues states that the controller queues commands for which the channel or the message cap of a proxy has no
 	// capacity. It queues them for that proxy alone and sends ejections first. Otherwise the controller sends each command
@@ -87,7 +87,7 @@
 	DrainGrace        int64
 	SlowStartFraction float64 // least fraction of its capacity that a replica has when it starts
 	SlowStartTime     int64   // time from its start until a replica has its full capacity, in nanoseconds
-	OverloadMultiple  float64 // multiple of its capacity at which a replica fails
+	OverloadMultiple  float64 // load at which a replica fails, as a multiple of its capacity
 
 	Pick                 PickPolicy
 	Admission            AdmissionMode
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,7 +17,7 @@
 	demand    *admission.Demand
 	threshold *admission.Threshold
 	retries   *retry.Throttle
-	sent      map[int]control.SetAdmission // the last command sent, by traffic class
+	sent      map[int]control.SetAdmission // last command sent for each traffic class
 }
 
 func newAdmissionController(shared *sharedState) *admissionController {
@@ -69,7 +69,7 @@
 	}
 }
 
-// verb returns the verb of a log line about a condition: entered if it holds now, left if it does not.
+// verb returns the verb of a log line about a condition: entered if the condition holds now, left if it does not.
 func verb(holds bool, entered, left string) string {
 	if holds {
 		return entered
@@ -77,8 +77,9 @@
 	return left
 }
 
-// sendIfChanged enqueues the command of a traffic class if it differs from the last one sent. Before the first command, it
-// is compared with what proxies do without one: they admit every request and retry by the default policy.
+// sendIfChanged enqueues the command of a traffic class if it differs from the last one sent. Before the first command of a
+// class, the new command is compared with what proxies do without a command: they admit every request and retry by the
+// default policy.
 func (a *admissionController) sendIfChanged(class admission.ClassFraction) {
 	command := control.SetAdmission{
 		Table:    control.AllTables,
@@ -99,7 +100,7 @@
 	a.enqueue(pacingComponent, admissionChanged{command})
 }
 
-// renumberClasses moves the state of each traffic class to its new number and drops that of removed classes.
+// renumberClasses moves the state of each traffic class to its new number and drops the state of removed classes.
 func (a *admissionController) renumberClasses(newClasses []int) {
 	a.demand.Renumber(newClasses)
 	a.threshold.Renumber(newClasses)
--- a/policy/admission/demand.go
+++ b/policy/admission/demand.go
@@ -23,11 +23,12 @@
 type Summary struct {
 	// ClassRates are the requests per second of each traffic class, over LoadWindow.
 	ClassRates map[int]float64
-	// Requests are the requests of each proxy within DemandWindow.
+	// Requests is the number of requests that arrived at each proxy within DemandWindow.
 	Requests map[int]float64
-	// LatestRequests are the requests of each proxy within the last report interval, extrapolated to DemandWindow.
+	// LatestRequests is the number of requests that arrived at each proxy within the last report interval, extrapolated to
+	// DemandWindow.
 	LatestRequests map[int]float64
-	// FailedFraction is the fraction of the requests of LoadWindow that got no successful response.
+	// FailedFraction is the fraction of the requests within LoadWindow that got no successful response.
 	FailedFraction float64
 	// ReportDelay is the mean length of the periods that the reports cover, minus the report interval. If it is above 0, the
 	// reports arrive late, because they cover more than one interval each.
@@ -47,7 +48,7 @@
 	reports  []demandReport
 
 	restored   []control.ClassRate // rates that an earlier controller had learned
-	confidence float64             // in the restored rates, from 0 to 1
+	confidence float64             // confidence in the restored rates, from 0 to 1
 	restoredAt time.Duration
 }
 
@@ -123,8 +124,9 @@
 	return rates
 }
 
-// Renumber gives the reports and the restored rates the new numbers of their classes, and drops those of classes that no
-// longer exist. newClasses holds the new number of each class by its old number, negative for a class that no longer exists.
+// Renumber gives the reports and the restored rates the new numbers of their classes, and drops the reports and rates of
+// classes that no longer exist. newClasses holds the new number of each class by its old number, negative for a class that
+// no longer exists.
 func (d *Demand) Renumber(newClasses []int) {
 	var reports []demandReport
 	for _, r := range d.reports {
--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -5,29 +5,29 @@
 // fleet is overloaded and rises again afterwards.
 //
 // The inputs at each tick are the fleet's load (Load) and the demand (Summary). The fleet is overloaded while its pressure
-// is above 1. The pressure is the mean response time as a multiple of maxObjectiveFraction of the latency objective of the
-// first class, that of the highest priority. If responses also take more than slowResponseFactor times as long as those of
-// an idle fleet, the pressure is at least the failure rate of most replicas as a multiple of maxFailureRate. Failures
-// without slow responses come from refused connections, replicas that do not respond, or errors, and fewer requests would
-// not end them. The fleet does not count as overloaded while there are fewer than minSuccesses successes within LoadWindow,
-// or if proxies do not follow fractions (Settings.Admission).
+// is above 1. The pressure is the mean response time divided by the product of maxObjectiveFraction and the latency
+// objective of the first class, which has the highest priority. If responses also take more than slowResponseFactor times as
+// long as those of an idle fleet, the pressure is at least the failure rate of most replicas divided by maxFailureRate.
+// Failures without slow responses come from refused connections, replicas that do not respond, or errors, and fewer requests
+// would not end them. The fleet does not count as overloaded while there are fewer than minSuccesses successes within
+// LoadWindow, or if proxies do not follow fractions (Settings.Admission).
 //
 // The threshold changes by the first of these rules that applies:
 //
-//  1. It stays unchanged for LoadWindow after a fall, or after rule 4 applied without a fall, because the load still
-//     includes the time before.
+//  1. It stays unchanged for LoadWindow after a fall, or after rule 4 applied without a fall, because the measured load
+//     still includes the time before that.
 //  2. It stays unchanged while an overload has lasted for less than the delay of the reports (Summary.ReportDelay), because
 //     the overload may have ended already.
 //  3. If the fleet is overloaded and all classes are admitted completely, the threshold falls to what the serving replicas
 //     can serve at firstFallFraction of the highest recent success rate.
-//  4. If the fleet is overloaded and something is shed already, the threshold is multiplied by fallFactor if the pressure is
-//     higher than when rule 3 or 4 last applied. Otherwise it stays unchanged: an overload that eases by itself needs no
-//     further fall.
+//  4. If the fleet is overloaded and a class is already shed in part or completely, the threshold is multiplied by
+//     fallFactor if the pressure is higher than when rule 3 or 4 last applied. Otherwise it stays unchanged: an overload
+//     that eases by itself needs no further fall.
 //  5. If the fleet is not overloaded, the threshold rises by risePerSecond of all classes each second, and faster the longer
 //     ago rule 3 or 4 last applied (riseAccelerationTime).
 //
-// The rules assume that response times show how full the replicas' queues are. They shed too much where a slow network or
-// slow requests lengthen the response times.
+// The rules assume that response times show how full the replicas' queues are. They shed too many requests where a slow
+// network or slow requests lengthen the response times.
 package admission
 
 import (
@@ -57,13 +57,13 @@
 	// summed (outlier.EvaluationPeriod).
 	LoadWindow = 4 * time.Second
 
-	// firstFallFraction is the fraction of the highest recent success rate that the first fall admits. The rest lets the
-	// replicas' queues drain.
+	// firstFallFraction is the fraction of the highest recent success rate that the first fall admits. The remaining
+	// capacity lets the replicas' queues drain.
 	firstFallFraction = 0.9
 	// fallFactor is the factor by which a further fall multiplies the threshold.
 	fallFactor = 0.9
 	// risePerSecond is the fraction of all classes by which the threshold rises each second. The rise is slow compared with
-	// the delay of reports, so that an overload that begins again is detected before much more is admitted.
+	// the delay of reports, so that an overload that begins again is detected before many more requests are admitted.
 	risePerSecond = 0.01
 	// riseAccelerationTime is the time since the last fall after which the rise accelerates: after twice this time it is
 	// twice as fast. Requests that were shed because of a fault that has ended are soon admitted again, and falls in quick
@@ -82,9 +82,9 @@
 // Load is the load of the fleet over LoadWindow.
 type Load struct {
 	AttemptRate          float64 // attempts per second at replicas that are ready and neither ejected nor on probation
-	FailureRate          float64 // fraction of the attempts of AttemptRate that failed
-	TypicalFailureRate   float64 // mean failure rate of most replicas of AttemptRate, without those with the highest rates
-	ResponseTime         float64 // mean of the successful responses, in seconds
+	FailureRate          float64 // failed fraction of the attempts that AttemptRate counts
+	TypicalFailureRate   float64 // mean failure rate of the replicas that AttemptRate covers, without the highest rates
+	ResponseTime         float64 // mean response time of the successful responses, in seconds
 	ServingReplicas      float64 // number of the replicas that AttemptRate covers
 	BaselineResponseTime float64 // response time of the fastest hardware class without load, in seconds; infinite: not known
 }
@@ -96,10 +96,10 @@
 type Threshold struct {
 	settings *control.Settings
 
-	// classes are the numbers of all traffic classes, those of the highest priority first. It is nil before the first
+	// classes are the numbers of all traffic classes, in order of descending priority. It is nil before the first
 	// evaluation.
 	classes []int
-	// admittedClasses is the threshold: how many of the classes are admitted, in this order.
+	// admittedClasses is the threshold: the number of traffic classes that are admitted, in the order of the field classes.
 	admittedClasses float64
 	// initialFraction is the fraction of the classes that the first evaluation starts with.
 	initialFraction float64
@@ -127,7 +127,8 @@
 	t.lastEvaluation = now
 }
 
-// Evaluate updates the threshold by the rules in the package comment. It reports whether an overload began or ended.
+// Evaluate updates the threshold according to the rules in the package comment. It reports whether an overload began or
+// ended.
 func (t *Threshold) Evaluate(now time.Duration, load Load, demand Summary) (changed bool) {
 	if t.classes == nil {
 		t.classes = byPriority(t.settings.Classes)
@@ -167,7 +168,7 @@
 	t.successRates = sample.Newest(successRateSamples, append(t.successRates, rate))
 }
 
-// update changes the threshold by the first rule of the package comment that applies.
+// update changes the threshold according to the first rule of the package comment that applies.
 func (t *Threshold) update(now time.Duration, overloaded bool, pressure float64, load Load, demand Summary) {
 	switch {
 	case now-t.lastFall < LoadWindow:
@@ -222,8 +223,8 @@
 }
 
 // ClassFractions returns the admitted fraction of each traffic class, those of the highest priority first: 1 for the classes
-// that the threshold admits completely, 0 for those that it sheds completely, and for the class in between the admitted
-// fraction, rounded up to a step.
+// that the threshold admits completely, 0 for those that it sheds completely, and the admitted fraction, rounded up to a
+// step, for the class that is admitted in part.
 func (t *Threshold) ClassFractions() []ClassFraction {
 	fractions := make([]ClassFraction, 0, len(t.classes))
 	for rank, class := range t.classes {
--- a/policy/admission/threshold_test.go
+++ b/policy/admission/threshold_test.go
@@ -235,7 +235,7 @@
 	for _, replicas := range []float64{10, 5} {
 		c := newController()
 		c.evaluate(Load{AttemptRate: 50, ResponseTime: 0.2, ServingReplicas: 10})
-		load := failingLoad(0.8, 2) // with 100 attempts per second
+		load := failingLoad(0.8, 2) // a load of 100 attempts per second
 		load.ServingReplicas = replicas
 		c.evaluate(load)
 		admitted = append(admitted, c.AdmittedClasses())
@@ -251,7 +251,7 @@
 func TestFirstFallAllowsForUnreportedAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		attempts float64 // per second, for 100 requests per second
+		attempts float64 // attempts per second, while 100 requests per second arrive
 		want     float64
 	}{
 		{"all attempts reported", 100, 1.8},
@@ -315,8 +315,8 @@
 func TestRenumberKeepsAdmittedClasses(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		admitted   float64 // threshold before; classes 1, 2 and 0 have the priority weights 3, 2 and 1
-		want       float64 // threshold after
+		admitted   float64 // threshold before Renumber; classes 1, 2 and 0 have the priority weights 3, 2 and 1
+		want       float64 // threshold after Renumber
 		newNumbers []int   // new number of each class, by its old number; -1: class removed
 		priorities []float64
 	}{
@@ -332,7 +332,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			settings := &control.Settings{Classes: []control.TrafficClass{{PriorityWeight: 1}, {PriorityWeight: 3}, {PriorityWeight: 2}}}
 			threshold := NewThreshold(settings)
-			threshold.Renumber(nil) // nothing to renumber yet
+			threshold.Renumber(nil) // the threshold has no classes yet
 			threshold.Evaluate(start, Load{}, Summary{})
 			threshold.admittedClasses = c.admitted
 			settings.Classes = nil
--- a/policy/binding/acks.go
+++ b/policy/binding/acks.go
@@ -3,9 +3,9 @@
 import "lilacbend/policy/internal/ordered"
 
 // PendingAcks tracks, for each nonce, the proxies that have not acknowledged it yet. An acknowledgement covers all nonces up
-// to its own, as messages reach a proxy in order. Proxies that have disconnected are not waited for. A nonce that is
-// complete only because its last proxies have disconnected tells nothing about the channel, where messages to these proxies
-// may still wait.
+// to its own, as messages reach a proxy in order. PendingAcks does not wait for proxies that have disconnected. If a nonce
+// is complete only because its last proxies have disconnected, this does not show that the channel is empty: messages to
+// these proxies may still wait in it.
 type PendingAcks struct {
 	nonceMask uint64                  // the bits of a nonce that messages carry
 	last      uint64                  // the newest nonce, with all its bits
@@ -40,8 +40,8 @@
 	return complete
 }
 
-// Disconnect stops waiting for a proxy. It returns the nonces for which only its acknowledgement was missing, in ascending
-// order.
+// Disconnect stops waiting for the acknowledgements of a proxy. It returns the nonces for which only its acknowledgement was
+// missing, in ascending order.
 func (p *PendingAcks) Disconnect(proxy int) (complete []uint64) {
 	for _, nonce := range ordered.Keys(p.pending) {
 		if p.remove(nonce, proxy) {
@@ -51,7 +51,8 @@
 	return complete
 }
 
-// remove stops waiting for the proxy to acknowledge the nonce, and reports whether it was the last one that was waited for.
+// remove stops waiting for the proxy to acknowledge the nonce, and reports whether it was the last proxy whose
+// acknowledgement of the nonce was missing.
 func (p *PendingAcks) remove(nonce uint64, proxy int) bool {
 	proxies := p.pending[nonce]
 	if !proxies[proxy] {
--- a/policy/binding/binding.go
+++ b/policy/binding/binding.go
@@ -33,7 +33,7 @@
 type Proxy struct {
 	control.StreamOpened
 	ConnectedAt time.Duration
-	Table       int // table that it is assigned to; negative: none yet
+	Table       int // table that the proxy is assigned to; negative: none yet
 }
 
 // Kind is the kind of change of a proxy's binding, which determines how the change is sent.
@@ -50,14 +50,14 @@
 type Change struct {
 	Proxy Proxy
 	Kind  Kind
-	Table int // table that serves the proxy from now on: its own, or the sibling table that replaces it
+	Table int // table that serves the proxy after the change: its own, or the sibling table that replaces it
 }
 
-// earlierController is the learned state of an earlier controller about proxies. The zero value has none.
+// earlierController holds what an earlier controller had learned about proxies. The zero value holds no learned state.
 type earlierController struct {
-	confidence float64         // 0 to 1; lower the older the learned state is
-	tables     int             // number of tables
-	bindings   map[int]int     // by proxy: its table; removed once the proxy is assigned
+	confidence float64         // confidence in the learned state, from 0 to 1; lower the older that state is
+	tables     int             // number of tables at the earlier controller
+	bindings   map[int]int     // by proxy: its table there; removed once the proxy is assigned
 	rates      map[int]float64 // by proxy: requests per second
 }
 
@@ -76,7 +76,7 @@
 	return &Bindings{settings: settings, proxies: map[int]*Proxy{}}
 }
 
-// Restore adopts the learned state of an earlier controller about proxies.
+// Restore adopts what an earlier controller had learned about proxies.
 func (b *Bindings) Restore(fleet control.FleetRestored) {
 	b.earlier = earlierController{
 		confidence: fleet.Weight,
@@ -112,9 +112,9 @@
 	delete(b.proxies, proxy)
 }
 
-// Assign assigns each proxy that has no table, and returns the proxies that are to be bound: first those for whose table the
-// serving table has changed, then those that were assigned by this call. serving has an element for each table: the table
-// that serves its proxies.
+// Assign assigns each proxy that has no table, and returns the proxies that are to be bound: first the proxies of tables
+// whose serving table has changed, then those that were assigned by this call. serving has an element for each table: the
+// table that serves its proxies.
 func (b *Bindings) Assign(serving []int) []Change {
 	if b.unassignedCount == 0 && slices.Equal(serving, b.serving) {
 		return nil
@@ -165,8 +165,8 @@
 }
 
 // Reassign adapts to replicas that were assigned to tables again under changed settings, and returns a decision for each
-// proxy that had a table. From now on each table serves its own proxies. tablesBefore and tables are the numbers of tables
-// before and after the change; bound is the table that each proxy is currently bound to, negative for none.
+// proxy that had a table. After the change each table serves its own proxies. tablesBefore and tables are the numbers of
+// tables before and after the change; bound is the table that each proxy is currently bound to, negative for none.
 func (b *Bindings) Reassign(tablesBefore, tables int, bound map[int]int) []Change {
 	b.serving = make([]int, tables)
 	for table := range b.serving {
@@ -206,7 +206,8 @@
 	}
 }
 
-// RenumberZones replaces the zone number of each given proxy that is connected, and returns those of them that have a table.
+// RenumberZones replaces the zone number of each given proxy that is connected, and returns the connected ones that have a
+// table.
 func (b *Bindings) RenumberZones(proxies []control.StreamOpened) []Proxy {
 	var assigned []Proxy
 	for _, renumbered := range proxies {
--- a/policy/binding/binding_test.go
+++ b/policy/binding/binding_test.go
@@ -78,7 +78,7 @@
 func TestEarlierBindingIsRestoredIfItStillFits(t *testing.T) {
 	for _, c := range []struct {
 		name           string
-		tables         int // of the earlier controller
+		tables         int // number of tables at the earlier controller
 		binding, table int
 	}{
 		{"same number of tables and same zone", 4, 2, 2},
@@ -156,7 +156,7 @@
 				b.Connect(0, control.StreamOpened{Proxy: proxy, Zone: proxy % 2, Rate: 1})
 			}
 			b.Assign(eachServesItself(4))
-			b.Connect(0, control.StreamOpened{Proxy: 5}) // has no table yet
+			b.Connect(0, control.StreamOpened{Proxy: 5}) // proxy 5 has no table yet
 			settings.Zones = c.zones
 			assertDecisions(t, "reassigned", b.Reassign(4, c.tables, c.bound), c.want...)
 			if got := b.Serving(); !slices.Equal(got, eachServesItself(c.tables)) {
--- a/policy/internal/sample/sample.go
+++ b/policy/internal/sample/sample.go
@@ -4,7 +4,7 @@
 // Kept is the maximum number of samples of one kind that are kept.
 const Kept = 32
 
-// Newest returns the last samples of a list, at most limit of them.
+// Newest returns the last samples of a list, but no more than limit samples.
 func Newest[T any](limit int, samples []T) []T { return samples[max(0, len(samples)-limit):] }
 
 // Mean returns the mean of the values, 0 if there are none. Each value is divided before it is added.
--- a/policy/internal/zone/zone.go
+++ b/policy/internal/zone/zone.go
@@ -5,8 +5,8 @@
 // the number of tables.
 func Rows(zones, tables int) int { return min(max(1, zones), tables) }
 
-// LeastLoaded returns the table with the least load among the tables of a zone, the first one if several have the same load.
-// load has an element for each table.
+// LeastLoaded returns the table with the least load among the tables of a zone, the first such table if several have the
+// same load. load has an element for each table.
 func LeastLoaded(zone, zones int, load []float64) int {
 	rows := Rows(zones, len(load))
 	best := zone % rows
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -31,7 +31,7 @@
 	fleet.Bindings = b.bindings.Learned()
 }
 
-// addLearned adds the state of admission control and retries. uptime is the controller's, in nanoseconds.
+// addLearned adds the state of admission control and retries. uptime is the uptime of the controller, in nanoseconds.
 func (a *admissionController) addLearned(fleet *control.LearnedFleet, uptime int64) {
 	fleet.AdmissionThreshold = a.threshold.AdmittedFraction()
 	fleet.MaxSuccessRate = a.threshold.MaxSuccessRate()
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -223,7 +223,7 @@
 		wantEqual(t, "table of a replica", table, int(id%2)+2*int(id/2%4))
 	}
 	replicas := map[int]int{}
-	for _, table := range assigned(4) { // the number of tables differs from the one restored: all replicas are reassigned
+	for _, table := range assigned(4) { // the number of tables differs from the restored number: all replicas are reassigned
 		replicas[table]++
 	}
 	wantEqual(t, "tables after the reassignment", len(replicas), 8)
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -44,7 +44,7 @@
 }
 
 // drawPlacementKey draws the rank of a replica in a weighted random order: replicas are ordered by descending key, and a
-// replica of twice the weight of another is twice as likely to precede it.
+// replica of twice the weight of another is twice as likely to precede the other replica as to follow it.
 func (s *sharedState) drawPlacementKey(weight float64) float64 {
 	return math.Pow(s.random(), 1/math.Max(weight, minPlacementWeight))
 }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -47,23 +47,23 @@
 	replicaEvaluation struct {                      // from placement to the replica
 		health       outlier.Fleet // values that the replica's health is compared with
 		weightGoal   float64       // goal of the replica's weight, relative to its listed weight
-		lostFraction float64       // see slowstart.Recovery
+		lostFraction float64       // see slowstart.Recovery.LostFraction
 	}
 	replicaStatus struct { // from the replica to placement
 		control.ListedReplica
 		queue            int     // index of the replica's queue
-		weight           float64 // weight of its endpoints, by its estimated speed
+		weight           float64 // weight of the replica's endpoints, according to its estimated speed
 		capacity         float64 // weight that its endpoints have once its estimated speed has reached the weight goal
 		placementKey     float64
 		window           outlier.Window
 		rememberedSpeed  float64 // speed that was restored from an earlier controller
-		confidence       float64 // number of attempts that rememberedSpeed counts for
-		penalty          float64 // fraction that its weight is reduced by while it is on probation because of learned state
+		confidence       float64 // weight of rememberedSpeed, as a number of attempts
+		penalty          float64 // fraction by which its weight is reduced while it is on probation because of learned state
 		capacityFraction float64 // fraction of its usual capacity that it certainly has while it warms up
 		warmingUp        bool
 		heldBack         bool // the replica gets no requests for now because it is warming up
 		ejected          bool // outlier detection has ejected the replica
-		onProbation      bool // it is on probation after an ejection by this controller, not because of learned state
+		onProbation      bool // the replica is on probation after an ejection by this controller, not from learned state
 	}
 	fleetLoad       admission.Load    // from placement to admission
 	targetTables    update.Target     // from placement to update
@@ -77,7 +77,7 @@
 	messagesSent struct { // from pacing to update and binding: the messages of one turn
 		nonce    uint64            // nonce that the proxies are asked to acknowledge; 0: no proxy was sent a message
 		proxies  []int             // proxies that were sent messages, in ascending order
-		commands []control.Command // commands of the update's step
+		commands []control.Command // sent commands of the update's step
 	}
 	acknowledged struct { // from binding to pacing and update
 		nonce        uint64
--- a/policy/outlier/fleet.go
+++ b/policy/outlier/fleet.go
@@ -16,7 +16,7 @@
 	Attempts     float64
 	Failures     float64
 	Replicas     float64
-	failureRates []float64 // one for each replica
+	failureRates []float64 // failure rate of each replica
 }
 
 // Add adds the window of a replica in service. Callers add the replicas in a fixed order, because floating-point sums depend
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -8,13 +8,13 @@
 //
 // Detector.Evaluate applies the following rule at each tick to the attempts of the last EvaluationPeriod. A healthy replica
 // is ejected if its failure rate is much higher than the fleet's, it has far fewer successes than its peers, and its
-// responses are not slow. All three hold for a replica that does not respond, is unreachable or fails its requests. A
-// replica that still has about as many successes as its peers, or whose responses are slow, is overloaded: packages weight
-// and admission handle overload, and ejecting the replica would overload its peers. A replica on probation is ejected again
-// if its failure rate is much higher than the fleet's; otherwise it becomes healthy.
+// responses are not slow. All three conditions hold for a replica that does not respond, is unreachable or fails its
+// requests. A replica that still has about as many successes as its peers, or whose responses are slow, is overloaded:
+// packages weight and admission handle overload, and ejecting the replica would overload its peers. A replica on probation
+// is ejected again if its failure rate is much higher than the fleet's; otherwise it becomes healthy.
 //
-// No replica is ejected while the fleet as a whole fails, because a faulty replica cannot be distinguished from a common
-// cause then. The exception is a replica that Detector.Restore has put on probation.
+// No replica is ejected while the fleet as a whole fails, because then a fault of one replica cannot be distinguished from a
+// common cause. The exception is a replica that Detector.Restore has put on probation.
 //
 // A new process of a replica starts healthy, with a zero Detector. Detector.Restore takes over what an earlier controller
 // had learned about a process.
@@ -31,7 +31,7 @@
 
 const (
 	// EvaluationPeriod is the age up to which load reports are evaluated. It spans several load reports, and is short enough
-	// that a fault that has ended soon no longer counts.
+	// that the reports of a fault stop counting soon after the fault has ended.
 	EvaluationPeriod = 4 * time.Second
 
 	// minAttempts is the number of attempts below which a healthy replica is not evaluated: a few failures may be chance.
@@ -42,10 +42,10 @@
 	minProbationAttempts = 3
 
 	// excessFailureFraction sets the failure rate above which a replica is an outlier: the fleet's failure rate plus this
-	// fraction of the distance from there to 1, the failure of all attempts.
+	// fraction of the difference between 1, at which all attempts fail, and the fleet's failure rate.
 	excessFailureFraction = 0.5
 
-	// maxFleetFailureRate is the fleet's failure rate above which no replica is ejected; canEvaluate has the exception.
+	// maxFleetFailureRate is the fleet's failure rate above which no replica is ejected; see canEvaluate for the exception.
 	maxFleetFailureRate = 0.4
 
 	// minSuccessFraction is the fraction of its peers' mean successes at which a replica contributes enough not to be
@@ -55,8 +55,8 @@
 	// ejectionTime is the duration of the first ejection of a process.
 	ejectionTime = 3 * time.Second
 
-	// maxDoublings limits how often the ejection time of a process doubles, so that a replica that has been repaired
-	// receives requests again soon enough.
+	// maxDoublings limits how often the ejection time of a process doubles, so that a replica that has been repaired does
+	// not wait long until it receives requests again.
 	maxDoublings = 2
 
 	// RestoredWeightFraction is the fraction of its weight that a replica gets on the probation that Restore starts, at full
@@ -68,7 +68,7 @@
 // Fleet holds the figures of the fleet that a replica is compared with.
 type Fleet struct {
 	FailureRate      float64 // fraction of the attempts at replicas in service that failed
-	PeerSuccesses    float64 // mean successes of the healthy replicas of its hardware class, in EvaluationPeriod
+	PeerSuccesses    float64 // mean number of successes of the healthy replicas of its hardware class, in EvaluationPeriod
 	SlowResponseTime float64 // mean response time at which a replica is slow, in seconds; infinite: not known
 }
 
@@ -199,9 +199,9 @@
 
 // Restored is the health of a replica that an earlier controller had learned.
 type Restored struct {
-	Ejected    bool // ejected or on probation
+	Ejected    bool // the replica was ejected or on probation
 	Ejections  int
-	Confidence float64 // falls with the age of the learned state; above 0, at most 1
+	Confidence float64 // confidence in the learned state, lower the older that state is; above 0, up to 1
 }
 
 // Restore takes over the health that an earlier controller had learned. A replica that was ejected or on probation is put on
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -8,7 +8,8 @@
 
 const reportInterval = time.Second
 
-// healthyFleet has no failures; its replicas have 20 successes in EvaluationPeriod and are slow from 0.4 s on.
+// healthyFleet has no failures; its replicas have 20 successes in EvaluationPeriod and count as slow from a mean response
+// time of 0.4 s.
 var healthyFleet = Fleet{PeerSuccesses: 20, SlowResponseTime: 0.4}
 
 func detectorWithReport(now time.Duration, attempts, failures int, responseTime time.Duration) *Detector {
--- a/policy/outlier/window.go
+++ b/policy/outlier/window.go
@@ -12,14 +12,14 @@
 	receivedAt   time.Duration
 	attempts     float64
 	failures     float64
-	responseTime float64 // mean of the successful attempts, in seconds; 0: not known
+	responseTime float64 // mean response time of the successful attempts, in seconds; 0: not known
 }
 
-// Window is the sum of the load reports of a replica that are evaluated.
+// Window is the sum of those load reports of a replica that are evaluated.
 type Window struct {
 	Attempts     float64
 	Failures     float64
-	ResponseTime float64 // mean of the successful attempts whose response time is known, in seconds; 0: there are none
+	ResponseTime float64 // mean over the successful attempts whose response time is known, in seconds; 0: no such attempts
 }
 
 // Successes returns the number of attempts that succeeded.
@@ -39,7 +39,8 @@
 	d.reports = sample.Newest(sample.Kept, append(d.reports, report))
 }
 
-// Window sums the load reports of the last EvaluationPeriod. On probation it leaves out those received up to its start.
+// Window sums the load reports of the last EvaluationPeriod. On probation the sum leaves out the reports received up to the
+// start of the probation.
 func (d *Detector) Window(now time.Duration) Window {
 	var window Window
 	var totalResponseTime, timedSuccesses float64
--- a/policy/pacer_test.go
+++ b/policy/pacer_test.go
@@ -41,7 +41,7 @@
 }
 
 func TestPacerAppliesReceivedMessages(t *testing.T) {
-	// cost is that of the table, in cost units: endpoints, admission rates, binding, message overhead, nonce.
+	// cost is the cost of the table, in cost units: endpoints, admission rates, binding, message overhead, nonce.
 	const cost = 2*3 + 2 + 1 + 4 + 1
 	for _, c := range []struct {
 		name     string
--- a/policy/pacing/budget.go
+++ b/policy/pacing/budget.go
@@ -33,10 +33,10 @@
 
 // Fractions of Settings.ChannelLimit.
 const (
-	// ordinaryChannelFraction is what the update's step may use: under half, so that more than half remains for urgent
-	// commands.
+	// ordinaryChannelFraction is the fraction that the update's step may use: under half, so that more than half remains for
+	// urgent commands.
 	ordinaryChannelFraction = 0.4
-	// urgentChannelFraction is what urgent commands may use. The remainder is a margin, as costs are estimates.
+	// urgentChannelFraction is the fraction that urgent commands may use. The remainder is a margin, as costs are estimates.
 	urgentChannelFraction = 0.85
 )
 
@@ -70,8 +70,9 @@
 }
 
 // budgetOfUrgent returns the budget of an urgent command that is sent unchanged, without a subset in place of a table.
-// Ejections are unlimited if the controller queues commands: it holds them back only for those proxies that are at their
-// message cap. If it does not queue commands, the cap of one proxy holds an ejection back from all proxies.
+// Ejections are unlimited if the controller queues commands: the controller then holds an ejection back only for the proxies
+// that are at their message cap. If the controller does not queue commands, the cap of one proxy holds an ejection back from
+// all proxies.
 func (p *Pacer) budgetOfUrgent(command control.Command) budget {
 	switch c := command.(type) {
 	case control.SetEjected:
@@ -114,8 +115,8 @@
 	return !exceeded
 }
 
-// fitTogether reports whether all the commands fit into a fraction of the channel's limit, in addition to what may still
-// wait in the channel and what the turn has sent.
+// fitTogether reports whether all the commands fit into a fraction of the channel's limit, in addition to the cost units
+// that may still wait in the channel and those that the turn has sent.
 func (p *Pacer) fitTogether(commands []control.Command, fraction float64) bool {
 	units := 0.0
 	messaged := map[int]bool{}
@@ -127,8 +128,8 @@
 
 // firstBindFraction returns the fraction of the channel's limit that the complete tables of a reconnect storm may use if the
 // controller does not queue commands. An ejection then waits for capacity until the tables in the channel are sent, and is
-// itself sent together with as many more tables: each of these two phases may take half of the drain grace. The fraction is
-// never less than what ordinary changes may use; otherwise no proxy would be bound if the grace is short.
+// itself sent together with the same number of further tables: each of these two phases may take half of the drain grace.
+// The fraction is never less than what ordinary changes may use; otherwise no proxy would be bound if the grace is short.
 func (p *Pacer) firstBindFraction() float64 {
 	if p.settings.DrainGrace == 0 || p.settings.HostQueues {
 		return urgentChannelFraction
--- a/policy/pacing/channel.go
+++ b/policy/pacing/channel.go
@@ -13,7 +13,7 @@
 // channelAccount keeps account of the messages that may still wait in the channel. Only acks show that a message has left
 // the channel. The channel keeps the order of messages, so an ack clears all batches that were sent before its own nonce;
 // the batch of the nonce itself is cleared when all proxies that were sent it have acknowledged it. All other batches count
-// as waiting, so less is sent into a slow channel.
+// as waiting, so fewer commands are sent into a slow channel.
 //
 // A proxy that disconnects clears nothing, as the messages to it may still wait in the channel. Otherwise a reconnect storm
 // would fill the channel twice.
@@ -27,8 +27,8 @@
 	nonce    uint64
 	units    float64 // cost units, message overheads included
 	sent     time.Duration
-	due      time.Duration // when it will be acknowledged if the channel keeps its rate
-	orphaned bool          // the proxies that have not acknowledged it have all disconnected
+	due      time.Duration // when the batch will be acknowledged if the channel keeps its rate
+	orphaned bool          // all proxies that have not acknowledged the batch have disconnected
 }
 
 // add charges a batch to the channel.
--- a/policy/pacing/cost.go
+++ b/policy/pacing/cost.go
@@ -10,12 +10,12 @@
 // commandCost is the cost of sending a command.
 type commandCost struct {
 	recipients []int   // the proxies that the command reaches
-	units      float64 // cost units at all of them, message overheads included
+	units      float64 // cost units at all recipients together, message overheads included
 }
 
 // costOf returns the cost of a command in addition to what the turn has sent already: its content for each recipient, and
-// the overhead of a message for each recipient that gets none yet. Recipients in messaged count as getting a message; the
-// others are added to messaged, unless it is nil.
+// the overhead of a message for each recipient that gets no message in this turn yet. Recipients in messaged count as
+// getting a message; the others are added to messaged, unless it is nil.
 func (p *Pacer) costOf(command control.Command, messaged map[int]bool) commandCost {
 	recipients, units := p.recipientsAndUnits(command)
 	total := float64(units * len(recipients))
--- a/policy/pacing/cost_test.go
+++ b/policy/pacing/cost_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestCostOfACommand(t *testing.T) {
-	const overhead = 4 + 1 // of a message, and its nonce
+	const overhead = 4 + 1 // cost units of a message's overhead and its nonce
 	for _, c := range []struct {
 		name       string
 		command    control.Command
--- a/policy/pacing/order.go
+++ b/policy/pacing/order.go
@@ -28,7 +28,7 @@
 func (p *Pacer) sendUrgent() {
 	p.urgent.commands = slices.DeleteFunc(p.urgent.commands, func(command control.Command) bool {
 		if bind, ok := command.(control.Bind); ok && p.graceFraction() > 0 {
-			return p.trySend(p.firstTable(bind), unlimited) // firstTable limits its size to the cost that it may have
+			return p.trySend(p.firstTable(bind), unlimited) // firstTable has already limited the cost of the command
 		}
 		return p.trySend(command, p.budgetOfUrgent(command))
 	})
@@ -51,7 +51,7 @@
 		}
 		return done
 	})
-	p.step.Additions = 0 // the next SetStep sets the number of additions again, with those held back now
+	p.step.Additions = 0 // the next SetStep sets the number of additions again, including those held back now
 	return sent
 }
 
@@ -59,8 +59,8 @@
 //
 //   - While the oldest ack is overdue only additions are sent: ejections must not wait behind changed weights in a slow
 //     channel.
-//   - A replica is not unejected while a change of its weights is held back: proxies would pick it by weights from a time
-//     when it may have been warmed up.
+//   - A replica is not unejected while a change of its weights is held back: proxies would pick it according to weights from
+//     a time when it may have been warmed up.
 //   - If warming replicas are to be unejected together (Warming.UnejectTogether), none is unejected until there is capacity
 //     for all of them or the channel is empty. Until then, raised weights of ejected replicas are not sent: weights rise at
 //     each evaluation, and the commands would use up the capacity that the unejections need.
--- a/policy/pacing/order_test.go
+++ b/policy/pacing/order_test.go
@@ -164,7 +164,7 @@
 	table := p.proxies.tables[0]
 	p.proxies.tables[0] = nil
 	p.Bind(control.Bind{Proxy: 0, Table: 0})
-	p.Bind(control.Bind{Proxy: 99, Table: 0}) // never connected
+	p.Bind(control.Bind{Proxy: 99, Table: 0}) // proxy 99 has never connected
 	assertEqual(t, "binds while the table has no endpoint", len(commandsOfType[control.Bind](p.Send(0).Commands)), 0)
 	assertEqual(t, "queued commands, without the bind of the proxy that is not connected", p.urgent.len(), 1)
 	p.proxies.tables[0] = table
--- a/policy/pacing/pacing.go
+++ b/policy/pacing/pacing.go
@@ -1,7 +1,7 @@
 // Package pacing decides which commands are sent to the proxies, in which order and within which budget. The channel to the
-// proxies is slow and limits how much may wait in it, and each proxy accepts only a limited number of messages within a
-// window of time. An ejection must reach all proxies within the drain grace whatever else is to be sent, so all other
-// commands leave capacity for it.
+// proxies is slow and limits how many cost units may wait in it, and each proxy accepts only a limited number of messages
+// within a window of time. An ejection must reach all proxies within the drain grace whatever else is to be sent, so all
+// other commands leave capacity for it.
 //
 // Each file has one concern:
 //
@@ -121,8 +121,8 @@
 // Forget removes the ejection of a replica that no longer exists from the state of the proxies.
 func (p *Pacer) Forget(replica uint32) { delete(p.proxies.ejected, replica) }
 
-// Acknowledged records that a proxy has acknowledged a nonce; all is whether every proxy that was sent the nonce has now
-// done so.
+// Acknowledged records that a proxy has acknowledged a nonce; all is whether every proxy that was sent the nonce has
+// acknowledged it.
 func (p *Pacer) Acknowledged(now time.Duration, nonce uint64, all bool) {
 	p.channel.acknowledge(now, nonce, all)
 }
--- a/policy/pacing/partition.go
+++ b/policy/pacing/partition.go
@@ -8,8 +8,8 @@
 )
 
 // partition divides a table into subsets. Each replica is in exactly one subset, and all subsets have nearly the same total
-// weight. Endpoints keep their weights, so the requests that a replica gets from all subsets together are those that it
-// would get from complete tables.
+// weight. Endpoints keep their weights, so a replica gets as many requests from all subsets together as it would get from
+// complete tables.
 type partition struct {
 	subsets  [][]uint32
 	requests []float64      // by subset: requests per second from the proxies that hold replicas of it
--- a/policy/pacing/partition_test.go
+++ b/policy/pacing/partition_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestPartitionAssignsTheSubsetWithTheFewestRequests(t *testing.T) {
-	p := newPartition(equalWeights(6), nil, 2) // {0, 3}, {1, 4}, {2, 5}
+	p := newPartition(equalWeights(6), nil, 2) // the subsets are {0, 3}, {1, 4} and {2, 5}
 	p.addRequests(map[uint32]bool{0: true, 3: true}, 10)
 	p.addRequests(map[uint32]bool{1: true, 2: true, 99: true}, 6) // replica 99 is not in any subset
 	for k, want := range [][]uint32{{1, 4}, {2, 5}, {1, 4}, {1, 4}} {
--- a/policy/pacing/proxies.go
+++ b/policy/pacing/proxies.go
@@ -133,7 +133,7 @@
 	return len(s.bindings) - len(s.members[unbound]) - len(s.subsets)
 }
 
-// requestRate returns the forecast of a proxy in requests per second, or minRequestRate if the proxy gave none.
+// requestRate returns the forecast of a proxy in requests per second, or minRequestRate if the proxy gave no forecast.
 func (s *proxyStates) requestRate(proxy int) float64 { return math.Max(s.rates[proxy], minRequestRate) }
 
 // limitedClassCount returns the number of traffic classes for which an admission rate was sent.
--- a/policy/pacing/proxies_test.go
+++ b/policy/pacing/proxies_test.go
@@ -42,7 +42,7 @@
 		name   string
 		change func(*proxyStates)
 		left   float64
-		holds  bool // replica 1
+		holds  bool // the proxy holds replica 1
 	}{
 		{"no change", func(*proxyStates) {}, 1, true},
 		{"weight changed", func(s *proxyStates) { s.setWeight(control.SetEndpoint{Table: 4, Replica: 1, Weight: 3}) }, 1, true},
--- a/policy/pacing/send.go
+++ b/policy/pacing/send.go
@@ -76,7 +76,8 @@
 	p.turn.commands = append(p.turn.commands, command)
 }
 
-// endTurn asks the proxies that the turn reaches for an ack and charges their messages to the channel and to their caps.
+// endTurn requests an ack from the proxies that the turn reaches and charges their messages to the channel and to their
+// caps.
 func (p *Pacer) endTurn(stepCommands []control.Command) Sent {
 	sent := Sent{StepCommands: stepCommands, Proxies: ordered.Keys(p.turn.reached)}
 	if len(sent.Proxies) > 0 {
--- a/policy/pacing/subset.go
+++ b/policy/pacing/subset.go
@@ -25,7 +25,7 @@
 // A proxy gets the rest of its table when no urgent command waits and completionBudget has capacity. If more than half of
 // its subset has been ejected or removed before that, the subset is renewed at once (minRemainingFraction).
 type subset struct {
-	replicas    map[uint32]bool // those that were neither ejected nor removed since the subset was sent
+	replicas    map[uint32]bool // replicas that were neither ejected nor removed since the subset was sent
 	initialSize int             // number of replicas when the subset was sent
 }
 
@@ -113,11 +113,11 @@
 	return budget{completionGraceFraction * p.graceFraction(), additionMessageFraction}
 }
 
-// sendRestOfTables renews subsets of which too little is left, and completes tables as far as the budget allows. It stops at
-// the first proxy whose table it cannot complete: this holds back the completions of later proxies in this turn, even if a
-// smaller table would fit, so that the proxy with the least of its subset left is completed first. Any waiting urgent
-// command, of this turn or an earlier one, stops all completions. Proxies whose subset needs renewal come before all others,
-// so completions do not hold renewals back.
+// sendRestOfTables renews subsets of which less than minRemainingFraction is left, and completes tables as far as the budget
+// allows. It stops at the first proxy whose table it cannot complete: this holds back the completions of later proxies in
+// this turn, even if a smaller table would fit, so that the proxy with the least of its subset left is completed first. Any
+// waiting urgent command, of this turn or an earlier one, stops all completions. Proxies whose subset needs renewal come
+// before all others, so completions do not hold renewals back.
 func (p *Pacer) sendRestOfTables() {
 	for _, proxy := range p.proxies.proxiesWithSubset() {
 		bind := control.Bind{Proxy: proxy, Table: p.proxies.bindings[proxy]}
--- a/policy/pacing/subset_test.go
+++ b/policy/pacing/subset_test.go
@@ -59,8 +59,8 @@
 	assertEqual(t, "first tables cost no more than their part of the grace", within, true)
 }
 
-// If the controller does not queue commands, the proxies of a reconnect storm get complete tables, at one time as many as the
-// channel sends in half of the drain grace: an ejection need not wait for the acks of these tables.
+// If the controller does not queue commands, the proxies of a reconnect storm get complete tables, no more of them at one
+// time than the channel sends in half of the drain grace: an ejection need not wait for the acks of these tables.
 func TestCompleteTablesOfAReconnectStormLeaveCapacityForAnEjection(t *testing.T) {
 	p := pacerInReconnectStorm(40, 160, func(s *control.Settings) {
 		s.HostQueues = false
@@ -136,7 +136,7 @@
 	for _, c := range []struct {
 		name  string
 		units float64
-		size  int // of the subset; 0: the table is complete
+		size  int // number of replicas in the subset; 0: the table is complete
 	}{
 		{"the table costs less than the share", complete + 1, 0},
 		{"the table costs exactly the share", complete, 60},
--- a/policy/pacing/urgent.go
+++ b/policy/pacing/urgent.go
@@ -23,7 +23,8 @@
 	q.commands = slices.Insert(q.commands, 0, ejection)
 }
 
-// cancelEjection removes the ejections of a replica that is unejected now: sent later, they would undo the unejection.
+// cancelEjection removes the ejections of a replica that is unejected now: if they were sent later, they would undo the
+// unejection.
 func (q *urgentQueue) cancelEjection(replica uint32) {
 	ejection := control.SetEjected{Replica: replica, Ejected: true}
 	q.commands = slices.DeleteFunc(q.commands, func(command control.Command) bool {
--- a/policy/placement/assignment.go
+++ b/policy/placement/assignment.go
@@ -50,7 +50,7 @@
 // Assigned returns the table of each replica that has one.
 func (a *assignment) Assigned() map[uint32]int { return maps.Clone(a.tableOf) }
 
-// TableOf returns the table of a replica; if the replica has none, the one that it had in an earlier assignment.
+// TableOf returns the table of a replica or, if the replica has no table, its table in an earlier assignment.
 func (a *assignment) TableOf(id uint32) int {
 	if table, ok := a.tableOf[id]; ok {
 		return table
--- a/policy/placement/balance_test.go
+++ b/policy/placement/balance_test.go
@@ -52,7 +52,7 @@
 	for _, c := range []struct {
 		name      string
 		since     time.Duration
-		connected int // of six
+		connected int // number of connected proxies, of six
 		want      float64
 	}{
 		{"just connected: forecast and received requests", now, 3, (10*4 + 160) / 4.0},
--- a/policy/placement/endpoints.go
+++ b/policy/placement/endpoints.go
@@ -32,13 +32,13 @@
 	spilloverSeed = 10007
 
 	// maxPenalizedFraction is the fraction of replicas with a penalty at which all penalties are ignored: learned state with
-	// so many ejected replicas points to a fault that has ended, or to a fault of this controller itself.
+	// such a large fraction of ejected replicas points to a fault that has ended, or to a fault of this controller itself.
 	maxPenalizedFraction = 0.4
 )
 
 // builder builds the list of endpoints of each table.
 type builder struct {
-	maxSize        int // limit of size
+	maxSize        int // limit of each element of size
 	applyPenalties bool
 	size           []int // by table: number of endpoints whose replicas are not excluded
 	endpoints      [][]Endpoint
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -37,7 +37,7 @@
 	Key           float64 // sort key of the assignment: the highest is assigned first
 	Weight        float64 // weight of its endpoints
 	Capacity      float64 // capacity to serve requests, in units of listed weight
-	Penalty       float64 // fraction by which its weight is reduced while learned state has it on probation
+	Penalty       float64 // fraction by which its weight is reduced while it is on probation because of learned state
 	WarmingUp     bool
 	HeldBack      bool // the replica is warming up and is not to get requests yet
 	Ejected       bool // outlier detection has ejected the replica, whether placement excludes it or not
@@ -46,9 +46,9 @@
 // Proxy is a connected proxy that is bound.
 type Proxy struct {
 	ID    int
-	Table int           // table that it is assigned to
-	Rate  float64       // forecast of its requests per second
-	Since time.Duration // when it connected, counted from the same moment as Input.Now
+	Table int           // table that the proxy is assigned to
+	Rate  float64       // forecast of the proxy's requests per second
+	Since time.Duration // when the proxy connected, counted from the same moment as Input.Now
 }
 
 // Demand is the number of requests that each proxy received recently.
@@ -76,7 +76,7 @@
 // Endpoint is a replica in a table.
 type Endpoint struct {
 	Replica uint32
-	Weight  float64 // or KeepWeight
+	Weight  float64 // weight of the replica in the table, or KeepWeight
 }
 
 // Plan is the result of Place.
@@ -120,7 +120,7 @@
 	if p.tables == 0 {
 		return Plan{}, false
 	}
-	slices.SortStableFunc(replicas, byKey) // a full table lacks those with the lowest keys, whatever their hardware class
+	slices.SortStableFunc(replicas, byKey) // a full table lacks the replicas with the lowest keys, of any hardware class
 	zoneRows := zone.Rows(in.Settings.Zones, p.tables)
 	plan.NewlyExcluded = p.exclude(in, replicas, zoneRows)
 	plan.Excluded = p.excluded
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -169,7 +169,7 @@
 func TestPenaltiesReduceWeights(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		penalized int // of ten
+		penalized int // number of replicas with a penalty, of ten
 		want      float64
 	}{{"few replicas have a penalty", 3, 0.25}, {"so many replicas have a penalty that penalties are ignored", 4, 1}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -229,10 +229,10 @@
 		return &placedReplica{Replica: readyReplica(id, table%2), table: table, spare: spare, excluded: excluded}
 	}
 	replicas := []*placedReplica{
-		replica(1, 0, 1, false), // of the table itself
-		replica(2, 1, 1, false), // of the other zone
-		replica(3, 2, 1, false), // of the same zone
-		replica(4, 2, 0, false), // needed by its own table
+		replica(1, 0, 1, false), // replica of the table itself
+		replica(2, 1, 1, false), // replica of the other zone
+		replica(3, 2, 1, false), // replica of the same zone
+		replica(4, 2, 0, false), // replica that its own table needs
 		replica(5, 2, 1, true),
 		replica(6, 3, 0.1, false),
 		replica(7, 2, 0.1, false),
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -27,7 +27,7 @@
 	placer          *placement.Placer
 	baselines       *weight.Baselines
 	planIsCurrent   bool // no input has changed since the last plan
-	unejectTogether bool // see slowstart.Recovery
+	unejectTogether bool // see slowstart.Recovery.UnejectTogether
 }
 
 func newPlanner(shared *sharedState) *planner {
@@ -87,7 +87,7 @@
 	p.unejectTogether = recovery.UnejectTogether
 	replicas := p.weightInputs(ids)
 	estimator := weight.NewEstimator(p.baselines, p.HardwareClasses, replicas)
-	p.baselines.Sample(time.Duration(p.now), estimator) // before the goals, which use this sample as well
+	p.baselines.Sample(time.Duration(p.now), estimator) // before the goals are computed, which use this sample as well
 	for k, id := range ids {
 		status := p.statuses[id]
 		p.enqueue(status.queue, replicaEvaluation{
@@ -132,7 +132,8 @@
 	return window
 }
 
-// recovery returns how replicas that warm up are treated, from the load of all replicas and the requests lost.
+// recovery returns how replicas that warm up are treated; it depends on the load of all replicas and the fraction of lost
+// requests.
 func (p *planner) recovery(ids []uint32, window *outlier.FleetWindow) slowstart.Recovery {
 	fleet := slowstart.NewFleet(p.OverloadMultiple)
 	for _, id := range ids {
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -52,7 +52,7 @@
 			p.placer.RememberTable(id, int(id-1)/10)
 			plannerWith(policy, status)
 		}
-		plannerWith(policy, statusOf(21, 0, control.Gone)) // counts as no capacity
+		plannerWith(policy, statusOf(21, 0, control.Gone)) // a gone replica counts as no capacity
 		p.handle(demandSummary{FailedFraction: 0.8})
 		p.evaluateFleet()
 		for _, queue := range []int{fixedComponents, fixedComponents + 19} {
@@ -73,7 +73,7 @@
 	status := statusOf(1, 0, control.Ready)
 	status.window = outlier.Window{Attempts: 100, Failures: 10}
 	p := plannerWith(policy, status)
-	p.handle(demandSummary{FailedFraction: 0.9}) // requests without a response
+	p.handle(demandSummary{FailedFraction: 0.9}) // nine tenths of the requests get no successful response
 	p.evaluateFleet()
 	evaluation := queued[replicaEvaluation](policy, fixedComponents)[0]
 	wantEqual(t, "ejection uses the failure rate of attempts, slow start the higher failure rate, that of requests", evaluation.health.FailureRate < 0.11 && evaluation.lostFraction == 0.9, true)
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -20,11 +20,11 @@
 	*sharedState
 	queue        int
 	entry        control.ListedReplica
-	knownSince   int64   // when it was first listed with its current start time
-	lastListed   int64   // last tick at which it was not in state Gone
+	knownSince   int64   // when the replica was first listed with its current start time
+	lastListed   int64   // last tick at which the replica was not in state Gone
 	placementKey float64 // rank in the order in which replicas are assigned to tables
 	evaluatedAt  int64   // time of the last evaluation; 0: not evaluated yet
-	lostFraction float64 // see slowstart.Recovery
+	lostFraction float64 // see slowstart.Recovery.LostFraction
 	detector     outlier.Detector
 	estimate     weight.Estimate
 }
@@ -56,8 +56,8 @@
 	r.enqueue(placementComponent, r.status())
 }
 
-// setEntry sets the replica's entry of the endpoint list. If it is ready and its start time is another one, it is a new
-// process: the health is reset, and the samples behind the speed no longer count.
+// setEntry sets the replica's entry of the endpoint list. If it is ready and its start time differs from the earlier one, it
+// is a new process: the health is reset, and the samples behind the speed no longer count.
 func (r *replica) setEntry(entry control.ListedReplica) {
 	if entry.Start != r.entry.Start && entry.State == control.Ready {
 		r.detector = outlier.Detector{}
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -2,7 +2,7 @@
 //
 // Allowed derives the retry policy of a traffic class from the settings: the proxies' default policy, or a stricter one if a
 // second execution of the request would have an effect of its own. Requests of an idempotent class may always be retried.
-// Requests with an idempotency key may be retried if all replicas know each other's keys and the deduplication window is
+// Requests with an idempotency key may be retried if all replicas share their keys and the deduplication window is
 // certainly longer than all attempts take. All other requests are retried only after proof that the first attempt was not
 // executed.
 //
--- a/policy/sharedstate.go
+++ b/policy/sharedstate.go
@@ -10,9 +10,9 @@
 // the number of random draws.
 type sharedState struct {
 	control.Settings
-	now      int64             // of this turn, in nanoseconds
-	draws    uint64            // random numbers drawn so far
-	commands []control.Command // of this turn
+	now      int64             // time of this turn, in nanoseconds
+	draws    uint64            // number of random numbers drawn so far
+	commands []control.Command // commands of this turn
 	queues   []*queue
 	pending  []int // the queue of each message not delivered yet, in the order of enqueuing
 }
--- a/policy/slowstart/recovery.go
+++ b/policy/slowstart/recovery.go
@@ -28,8 +28,9 @@
 	// decides whether they are held back. It is the fraction of the attempts that fail or of the requests that fail,
 	// whichever is larger; 0 if the replicas that warm up could serve all attempts together.
 	LostFraction float64
-	// UnejectTogether says that ejected replicas that warm up are unejected all at once, because lost requests do not count
-	// for them although more than maxLostFraction is lost: a single one would get the load that is meant for all of them.
+	// UnejectTogether is whether ejected replicas that warm up are unejected all at once. They are if lost requests do not
+	// count for them although the fraction of lost requests exceeds maxLostFraction: a single unejected replica would get
+	// the load that is meant for all of them.
 	UnejectTogether bool
 }
 
--- a/policy/slowstart/slowstart.go
+++ b/policy/slowstart/slowstart.go
@@ -10,9 +10,9 @@
 //   - 1, the weight fraction of a warmed-up replica
 //
 // The fraction of lost requests is the fraction of the attempts that fail or of the requests that fail, whichever is larger.
-// The first limit, or 1 if that is lower, is multiplied by the square of the fraction of requests that are not lost, because
-// each failed request is sent again. If the fraction of lost requests exceeds maxLostFraction, and until the state of the
-// fleet is known, the replica is held back and gets no requests: in a collapse all retries would go to it.
+// The first of these limits, or 1 if that limit is above 1, is multiplied by the square of the fraction of requests that are
+// not lost, because each failed request is sent again. If the fraction of lost requests exceeds maxLostFraction, and until
+// the state of the fleet is known, the replica is held back and gets no requests: in a collapse all retries would go to it.
 //
 // The exception is the recovery of a fleet of which most replicas have just been replaced. If all replicas that warm up
 // could serve all attempts together, lost requests do not count for them (Fleet.Recovery): holding them back would overload
--- a/policy/update/acks.go
+++ b/policy/update/acks.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// ackTimeout is how long a step waits for an ack after the nonce was sent: a stalled proxy delays the update of all others
-// by no more than this.
+// ackTimeout is how long a step waits for an ack after the nonce was sent: a stalled proxy delays the update of all other
+// proxies by no more than this time.
 const ackTimeout = 2 * time.Second
 
 // pendingAcks maps the nonces of the current step that are not acknowledged yet to the times at which they were sent.
--- a/policy/update/changes.go
+++ b/policy/update/changes.go
@@ -22,7 +22,7 @@
 	target   float64 // 0: the endpoint is to be removed; or placement.KeepWeight
 }
 
-// size is the change in relation to the larger of both weights: from 0 to 1.
+// size is the change in relation to the larger of the current and the target weight: from 0 to 1.
 func (c weightChange) size() float64 {
 	return math.Abs(c.target-c.current) / math.Max(c.current, c.target)
 }
@@ -33,10 +33,10 @@
 
 // endpointCommands returns the commands of a step that set weights and, in step Add, those that uneject replicas.
 //
-// Proxies pick an unejected replica by the weights that they hold, which may date from a time when the replica could serve
-// more requests. So all changes of its endpoints, removals included, belong to the step that unejects it. Changes that lower
-// a weight or add an endpoint come before the unejection. Changes that raise a weight come after it: too low a weight does
-// no harm, so the unejection need not wait for them.
+// Proxies pick an unejected replica according to the weights that they hold, which may date from a time when the replica
+// could serve more requests. So all changes of its endpoints, removals included, belong to the step that unejects it.
+// Changes that lower a weight or add an endpoint come before the unejection. Changes that raise a weight come after it: too
+// low a weight does no harm, so the unejection need not wait for them.
 func (s *Sequence) endpointCommands(step Step) []control.Command {
 	var before, after []control.Command
 	for _, change := range s.weightChanges(step) {
--- a/policy/update/changes_test.go
+++ b/policy/update/changes_test.go
@@ -11,9 +11,9 @@
 	for _, c := range []struct {
 		name            string
 		current, target float64
-		ejected         replicas // at the proxies
+		ejected         replicas // replicas that are ejected at the proxies
 		targetEjected   replicas
-		due             Step // stepCount: in no step
+		due             Step // step in which the change is due; stepCount: in no step
 	}{
 		{name: "endpoint is missing", target: 1, due: Add},
 		{name: "endpoint is missing and its target weight is small", target: 0.001, due: Add},
@@ -59,8 +59,8 @@
 		control.SetEndpoint{Table: 2, Replica: 1, Weight: 0.5})
 }
 
-// An ejected replica still has endpoints, whose weights may date from a time when it was warmed up. Proxies pick it by these
-// weights as soon as it is unejected.
+// An ejected replica still has endpoints, whose weights may date from a time when it was warmed up. Proxies pick it
+// according to these weights as soon as it is unejected.
 func TestAllWeightChangesOfAReplicaAreDueWithItsUnejection(t *testing.T) {
 	s := sequenceWith(weights{{0, 1}: 1, {1, 1}: 1, {2, 1}: 0.21},
 		Target{Weights: weights{{0, 1}: 0.2, {2, 1}: 0.2}}, replicas{1: true})
--- a/policy/update/sequence.go
+++ b/policy/update/sequence.go
@@ -1,7 +1,7 @@
 // Package update changes the proxies' tables from their current to their target weights by the reverse-order update: add,
 // overwrite in place, rebind, remove. See Step for the rules. Other packages decide which weights are the target and what
-// the channel has capacity for: a Sequence returns the commands that are due, and is told which of them were sent and
-// acknowledged.
+// the channel has capacity for: a Sequence returns the commands that are due, and its caller reports which of them were sent
+// and acknowledged.
 //
 // The package has no I/O, no clock and no goroutine. Times are durations since any fixed moment.
 package update
--- a/policy/weight/baselines.go
+++ b/policy/weight/baselines.go
@@ -17,7 +17,7 @@
 )
 
 // Baselines keeps the newest mean response times of each hardware class, in seconds, and of all classes together. The lowest
-// of a class is taken as the response time of an idle replica. A class without samples has no entry.
+// baseline of a class is taken as the response time of an idle replica. A class without samples has no entry.
 type Baselines struct {
 	byClass   map[int][]float64
 	sampledAt time.Duration
--- a/policy/weight/estimate.go
+++ b/policy/weight/estimate.go
@@ -13,7 +13,7 @@
 	minSettleTime = time.Second
 
 	// settleDivisor shortens the time constant of a new replica: it is the time since the replica became known, divided by
-	// settleDivisor, within minSettleTime and settleTime.
+	// settleDivisor, but at least minSettleTime and at most settleTime.
 	settleDivisor = 8
 
 	// maxSampleCount is the maximum weight of a remembered speed, as a number of attempts, so that the new attempts of a few
@@ -68,7 +68,7 @@
 	Speed       float64
 	SampleCount float64
 	Age         time.Duration // time since its last sample
-	Confidence  float64       // falls with Age; above 0, at most 1
+	Confidence  float64       // confidence in the speed, falls with Age; above 0, at most 1
 }
 
 // Restore takes over the speed that an earlier controller had learned. The older it is, the closer the restored speed is to
--- a/policy/weight/estimate_test.go
+++ b/policy/weight/estimate_test.go
@@ -48,7 +48,7 @@
 	for _, c := range []struct {
 		name                  string
 		sinceLast, sinceKnown time.Duration
-		want                  float64 // on the way from 1 to the goal of 16
+		want                  float64 // speed on the way from 1 to the goal of 16
 	}{
 		{"known for an hour: reaches the goal in settleTime", 4 * time.Second, time.Hour, 16},
 		{"known for an hour: half way in half of settleTime", 2 * time.Second, time.Hour, 4},
--- a/policy/weight/weight.go
+++ b/policy/weight/weight.go
@@ -1,4 +1,5 @@
-// Package weight estimates how many requests a replica can serve compared with the others. Its weight follows from that.
+// Package weight estimates how many requests a replica can serve compared with the other replicas. The weight of the replica
+// follows from this estimate.
 //
 // Estimator.Goal computes the weight goal of a replica, as a multiple of its listed weight, from the attempts of the last
 // seconds:
@@ -14,7 +15,8 @@
 // Estimate follows the goals of one replica gradually, because load reports are late and an immediate response would
 // oscillate.
 //
-// Baselines keeps the mean response times of each hardware class. The lowest is taken as that of an idle replica.
+// Baselines keeps the mean response times of each hardware class. The lowest mean of a class is taken as the response time
+// of an idle replica.
 package weight
 
 import "math"
@@ -23,8 +25,8 @@
 	// slowResponseFactor is the multiple of the mean response time of its hardware class at which a replica is slow.
 	slowResponseFactor = 2.0
 
-	// minGoal is the lowest weight goal of a replica, as a fraction of that of its hardware class: without any requests, the
-	// estimate of the replica could not recover.
+	// minGoal is the lowest weight goal of a replica, as a fraction of the weight goal of its hardware class: without any
+	// requests, the estimate of the replica could not recover.
 	minGoal = 1.0 / 16
 
 	// priorSuccesses is the weight of the mean of the hardware class when it is mixed with the successes of a replica, as a
@@ -59,7 +61,7 @@
 	ListedWeight    float64
 	Attempts        float64
 	Failures        float64
-	ResponseTime    float64 // mean of the successful attempts, in seconds; 0: not known
+	ResponseTime    float64 // mean response time of the successful attempts, in seconds; 0: not known
 	Healthy         bool    // ready, warmed up, neither ejected nor on probation
 	RememberedSpeed float64 // learned by an earlier controller
 	Confidence      float64 // weight of RememberedSpeed, as a number of attempts
@@ -73,9 +75,9 @@
 // classTotals sums the healthy replicas of a hardware class.
 type classTotals struct {
 	successes         float64
-	totalResponseTime float64 // sum over all successes, in seconds
+	totalResponseTime float64 // sum of the response times of all successes, in seconds
 	replicas          float64
-	capacity          float64 // sum of the estimates of capacity
+	capacity          float64 // sum of the replicas' estimated capacities
 }
 
 func (t classTotals) meanSuccesses() float64 { return t.successes / math.Max(1, t.replicas) }
@@ -193,7 +195,7 @@
 func (e *Estimator) PeerSuccesses(class int) float64 { return e.classes[class].meanSuccesses() }
 
 // SlowResponseTime returns the response time at which a replica of a hardware class is slow, in seconds. It is infinite
-// where weights do not follow response times: there nothing else reduces the load of a slow replica.
+// where weights do not follow response times: there nothing but an ejection reduces the load of a slow replica.
 func (e *Estimator) SlowResponseTime(class int) float64 {
 	totals := e.classes[class]
 	if !e.equalListedWeights || totals.capacity <= 0 {
--- a/policy/weight/weight_test.go
+++ b/policy/weight/weight_test.go
@@ -80,7 +80,7 @@
 func TestGoalWithListedWeights(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		responseTime float64 // mean of the hardware class: 0.1 s
+		responseTime float64 // in seconds; the mean of the hardware class is 0.1 s
 		want         float64
 	}{
 		{"mean of the class", 0.1, 1},
--- a/settings/capacity_bench_test.go
+++ b/settings/capacity_bench_test.go
@@ -56,7 +56,7 @@
 	}
 	example.Settings["lanes"] = repeated
 	domain := example.Settings["domain"].(map[string]any)
-	// The limit is large enough for two messages of a table with the admission rates of all classes.
+	// The channel limit is large enough for two messages of a table with the admission rates of all classes.
 	domain["pending_max"] = channelLimit
 	for _, name := range []string{"write_classes", "class_own_zone"} { // settings with one value for each class
 		flags := make([]any, classCount)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -35,7 +35,8 @@
 	}
 )
 
-// Names are the names of traffic classes, zones and hardware classes. The decision module identifies each by its index here.
+// Names are the names of traffic classes, zones and hardware classes. The decision module identifies each name by its index
+// in these lists.
 type Names struct {
 	Classes         []string
 	Zones           []string
@@ -150,8 +151,8 @@
 	return class
 }
 
-// checkChannelLimit rejects a channel limit below the cost of minMessages messages of the smallest table: a channel with
-// such a limit could not be kept within it.
+// checkChannelLimit rejects a channel limit below the cost of minMessages messages of the smallest table: the controller
+// could not keep a channel with such a limit within it.
 func (d *decoder) checkChannelLimit(decoded control.Settings) {
 	minimum := minMessages * smallestTableCost(decoded.MessageOverhead, len(decoded.Classes))
 	if decoded.ChannelLimit < minimum {
