--- a/internal/configapi/configapi.go
+++ b/internal/configapi/configapi.go
@@ -29,7 +29,7 @@
 // Query is the poll of a follower.
 type Query struct {
 	Service  string           // empty: all services
-	Since    revision.Version // active at the follower
+	Since    revision.Version // the version that is active at the follower
 	Rejected revision.Version // the newest version that the follower could not use, if any
 	Timeout  time.Duration    // how long the server may wait for a newer version
 	Instance string           // the follower's name
@@ -118,9 +118,9 @@
 
 // Answer is a server's answer to a query. It has no services if there is no newer version than the follower's.
 type Answer struct {
-	revision.Version           // of the service that the query names, or of the server's whole configuration
+	revision.Version           // the version of the service that the query names, or of the server's whole configuration
 	Complete         bool      `json:"complete"` // Services has all queried services; otherwise only the changed ones
-	AgeMS            int64     `json:"age_ms"`   // how long ago the server last heard from the writer; 0 at the writer
+	AgeMS            int64     `json:"age_ms"`   // milliseconds since the writer was last known to be running; 0 at the writer
 	Services         []Service `json:"services"`
 }
 
@@ -135,7 +135,7 @@
 // Refusal is the body of the answer to a query that is not served.
 type Refusal struct {
 	Reason       string `json:"error"`
-	RetryAfterMS int64  `json:"retry_after_ms,omitempty"` // after how long to poll again; 0: unknown
+	RetryAfterMS int64  `json:"retry_after_ms,omitempty"` // milliseconds after which the follower should poll again; 0: unknown
 }
 
 // Check returns an error if an answer to a query is invalid. It does not check the settings themselves.
@@ -153,7 +153,7 @@
 		}
 	}
 	if query.Service != "" && len(a.Services) > 1 {
-		return fmt.Errorf("answer has %d services, the query names only service %s", len(a.Services), query.Service)
+		return fmt.Errorf("answer has %d services, but the query names only service %s", len(a.Services), query.Service)
 	}
 	return nil
 }
--- a/internal/configapi/encode.go
+++ b/internal/configapi/encode.go
@@ -8,8 +8,8 @@
 	"lilacbend/internal/revision"
 )
 
-// WriteTo writes an answer as JSON with the same bytes as encoding/json, but without parsing the settings, which are compact
-// JSON already and make up most of an answer.
+// WriteTo writes an answer as JSON with the same bytes as encoding/json writes, but without parsing the settings,
+// which are compact JSON already and make up most of an answer.
 func (a Answer) WriteTo(destination io.Writer) (written int64, err error) {
 	writer := &answerWriter{destination: destination}
 	head := appendVersion([]byte{'{'}, a.Version)
--- a/internal/configapi/status.go
+++ b/internal/configapi/status.go
@@ -2,13 +2,13 @@
 
 import "lilacbend/internal/revision"
 
-// Status is the state of one server: the versions of its services, and those that are active at its followers.
+// Status is the state of one server: the versions of its services, and the versions that are active at its followers.
 type Status struct {
 	Server   string           `json:"server"`
 	Region   string           `json:"region"`
 	Writer   bool             `json:"writer"`
 	Version  revision.Version `json:"version"`
-	AgeMS    int64            `json:"age_ms"` // how long ago the server last heard from the writer; 0 at the writer
+	AgeMS    int64            `json:"age_ms"` // milliseconds since the writer was last known to be running; 0 at the writer
 	Faults   []Fault          `json:"faults"` // rejected settings files
 	Services []ServiceStatus  `json:"services"`
 	Watchers []Watcher        `json:"watchers"`
@@ -21,12 +21,13 @@
 	Reason string `json:"reason"`
 }
 
-// ServiceStatus is the version of a service at a server, and how long ago the server received it and earlier ones.
+// ServiceStatus is the version of a service at a server, and how long ago the server received this version and earlier
+// ones.
 type ServiceStatus struct {
 	Name    string           `json:"name"`
 	Version revision.Version `json:"version"`
 	Bytes   int              `json:"bytes"`
-	History []Published      `json:"history"` // oldest first
+	History []Published      `json:"history"` // versions, oldest first
 }
 
 // Published is a version and how long ago the server received it.
@@ -43,7 +44,7 @@
 	Region     string           `json:"region"`
 	Active     revision.Version `json:"in_force"`
 	Rejected   revision.Version `json:"refused"`
-	LastSeenMS int64            `json:"heard_ms"` // how long ago it polled
+	LastSeenMS int64            `json:"heard_ms"` // milliseconds since its last poll
 }
 
 // Counters count requests, answers and connections of a server since its start.
@@ -53,7 +54,7 @@
 	Changes     int64 `json:"changes"`      // answers with changes
 	Throttled   int64 `json:"sent_away"`    // queries rejected because too many complete copies were being sent
 	Refused     int64 `json:"refused"`      // connections closed because of the connection limit
-	BytesOut    int64 `json:"bytes_out"`    // of response bodies
+	BytesOut    int64 `json:"bytes_out"`    // bytes of response bodies sent
 	WriteErrors int64 `json:"write_errors"` // answers that a follower did not receive in time
-	Connections int64 `json:"connections"`  // open now
+	Connections int64 `json:"connections"`  // connections that are open now
 }
--- a/internal/configcache/record.go
+++ b/internal/configcache/record.go
@@ -28,7 +28,7 @@
 type Record struct {
 	Service  string
 	Version  revision.Version
-	Start    Digest // of the settings in the controller's own file when the record was created
+	Start    Digest // digest of the settings in the controller's own file when the record was created
 	Settings []byte // JSON, as a configuration server sent them
 }
 
--- a/internal/configcache/writer_test.go
+++ b/internal/configcache/writer_test.go
@@ -20,7 +20,7 @@
 	mu            sync.Mutex
 	file          []byte
 	err           error
-	writeDuration time.Duration // of each write
+	writeDuration time.Duration // how long each write takes
 	writes        int
 }
 
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -17,23 +17,24 @@
 	// ControllerPollWait is how long a server may wait for a change before it answers a controller without one. It bounds the
 	// time until a silently dead connection is detected, and the rate at which a follower polls when nothing changes.
 	ControllerPollWait = 5 * time.Second
-	// ServerPollWait is the same for a server that follows another one.
+	// ServerPollWait is how long a server may wait for a change before it answers another server without one.
 	ServerPollWait = 2 * time.Second
 	// AnswerTimeout is how much longer than the requested wait a server may send nothing before the poll fails.
 	AnswerTimeout = 2 * time.Second
 )
 
 const (
-	// retryInitial and retryLimit bound the backoff after which a failed server may be polled again while no other one
-	// answers, so that the recovery of a network is detected within retryLimit.
+	// retryInitial and retryLimit bound the backoff after which a failed server may be polled again while no other
+	// server answers, so that the recovery of a network is detected within retryLimit.
 	retryInitial = 100 * time.Millisecond
 	retryLimit   = 3 * time.Second
 	// failbackInitial and failbackLimit bound the backoff after which a failed or stale server may be polled again while
-	// another one answers.
+	// another server answers.
 	failbackInitial = 5 * time.Second
 	failbackLimit   = time.Minute
-	// staleAfter is how long ago a server may last have heard from the writer before it is stale. Other servers are polled
-	// before a stale one, which is used only if there is none better. Servers poll each other with ServerPollWait, so the
+	// staleAfter is the largest age in an answer of a server that is not stale. The age is how long before the answer the
+	// writer was last known to be running. Other servers are polled before a stale one, which is used only if no better
+	// server answers. Servers poll each other with ServerPollWait, so the
 	// second in a chain of two may be behind the writer by twice that.
 	staleAfter = 3 * ServerPollWait
 	// failurePauseInitial and failurePauseLimit bound the backoff between any two polls after a failure. It spreads the
@@ -44,7 +45,7 @@
 	// second, so this delays none of its changes.
 	minPollInterval = 100 * time.Millisecond
 	// earlyInitial and earlyLimit bound the backoff after answers without a change that arrive before the requested wait has
-	// passed. A server that shuts down sends one such answer, a server that cannot wait sends no others.
+	// passed. A server that shuts down sends one such answer; a server that cannot wait sends only such ones.
 	earlyInitial = minPollInterval
 	earlyLimit   = retryLimit
 	// maxBusyAnswers is how many consecutive busy answers a server may give before it counts as failed.
@@ -81,9 +82,9 @@
 	earlyBackoff   *backoff.Backoff
 
 	active   revision.Version
-	settings []byte // of the active version; nil: unknown
+	settings []byte // settings of the active version; nil: unknown
 	rejected revision.Version
-	offered  revision.Version // returned by Answered and neither applied nor rejected yet
+	offered  revision.Version // version that Answered or Resume has offered and that was neither applied nor rejected yet
 }
 
 // server is the state of one server.
@@ -91,9 +92,9 @@
 	Server
 	consecutiveFailures int
 	consecutiveBusy     int
-	stale               bool  // it answers, but last heard from the writer more than staleAfter ago or is behind the follower
-	retryAt             int64 // not polled before this time
-	failbackAt          int64 // not polled before this time while another server answers
+	stale               bool  // its latest answer has an age over staleAfter, or an older version than the follower's
+	retryAt             int64 // the server is not polled before this time
+	failbackAt          int64 // the server is not polled before this time while another server answers
 	retryBackoff        *backoff.Backoff
 	failbackBackoff     *backoff.Backoff
 }
--- a/internal/configclient/outcome.go
+++ b/internal/configclient/outcome.go
@@ -19,7 +19,8 @@
 	c.delayPolls(now, c.failureBackoff.Next())
 }
 
-// Busy records that the polled server has no capacity now, and after what time it requests to be polled again; 0: unknown.
+// Busy records that the polled server has no capacity now, and after what time it requests to be polled again; a time
+// of 0 is unknown.
 func (c *Client) Busy(now int64, retryAfter time.Duration) {
 	c.polled.consecutiveBusy++
 	if c.polled.consecutiveBusy > maxBusyAnswers {
@@ -104,7 +105,7 @@
 	case len(answer.Services) != 1 || answer.Services[0].Removed:
 		return fmt.Errorf("answer of version %s without settings of service %s", answer.Version, c.options.Service)
 	case answer.Services[0].Version != answer.Version:
-		return fmt.Errorf("answer has settings of version %s, its own version is %s", answer.Services[0].Version, answer.Version)
+		return fmt.Errorf("answer has settings of version %s, but its own version is %s", answer.Services[0].Version, answer.Version)
 	}
 	return nil
 }
--- a/internal/configclient/pollrate_test.go
+++ b/internal/configclient/pollrate_test.go
@@ -44,8 +44,8 @@
 func TestPollRateIsBounded(t *testing.T) {
 	const (
 		paced = int(time.Minute/minPollInterval) + 1 // queries in a minute, the first one at time 0
-		// Jittered pauses are at least half of the backoff's limit, except for the first ones, while the backoff grows. 5 and 10
-		// queries are added for these.
+		// Jittered pauses are at least half of the backoff's limit, except for the first ones, while the backoff grows. The
+		// bounds below allow 5 and 10 more queries for these.
 		failed = int(time.Minute/(failurePauseLimit/2)) + 5
 		idle   = int(time.Minute/(earlyLimit/2)) + 10
 	)
--- a/internal/configclient/simulation_test.go
+++ b/internal/configclient/simulation_test.go
@@ -13,12 +13,12 @@
 )
 
 // This file simulates an installation in virtual time: a writer, other servers and controllers of several services in
-// several regions. Regions can be disconnected, servers can fail and recover. Stores, copy limiters and clients are those of
-// production.
+// several regions. Regions can be disconnected, and servers can fail and recover. Stores, copy limiters and clients are
+// those of production.
 
 // Limits of the simulated network, and of propagation.
 const (
-	maxDelay         = int64(40 * time.Millisecond) // of a message, one way
+	maxDelay         = int64(40 * time.Millisecond) // longest delay of a message in one direction
 	answerTimeout    = int64(AnswerTimeout)
 	propagationLimit = int64(18 * time.Second)
 )
@@ -90,7 +90,7 @@
 	queue        events
 	nodes        []*node
 	controllers  []*controller
-	disconnected map[string]bool // by region
+	disconnected map[string]bool // whether a region is disconnected, by region
 	queries      int
 }
 
--- a/internal/configserver/bench_test.go
+++ b/internal/configserver/bench_test.go
@@ -128,7 +128,7 @@
 	b.ReportMetric(float64(client.bytes)/float64(b.N), "B/watch")
 }
 
-// BenchmarkCopyByBytes measures the cost of a complete copy of one service by the size of its settings.
+// BenchmarkCopyByBytes measures the cost of a complete copy of one service for several sizes of its settings.
 func BenchmarkCopyByBytes(b *testing.B) {
 	for _, classes := range []int{3, 48, 240, 960} {
 		_, _, size := startWriterWithClasses(b, classes)
--- a/internal/configserver/folder.go
+++ b/internal/configserver/folder.go
@@ -31,7 +31,7 @@
 // folder reads the settings of all services from the files of a folder.
 type folder struct {
 	path     string
-	stamps   map[string]fileStamp // by file name; only of files whose next change is certain to change the stamp
+	stamps   map[string]fileStamp // stamps by file name, only of files whose next change is certain to change the stamp
 	lastFull time.Time            // when all files were last read
 }
 
--- a/internal/configserver/handler.go
+++ b/internal/configserver/handler.go
@@ -90,7 +90,7 @@
 type preparedAnswer struct {
 	answer     configapi.Answer
 	result     configstore.Result
-	slots      int   // of the copy limiter, acquired unless throttled
+	slots      int   // number of the copy limiter's slots, acquired unless throttled
 	throttled  bool  // too few slots are free
 	retryAfter int64 // when to poll again if throttled, in nanoseconds
 }
--- a/internal/configserver/helpers_test.go
+++ b/internal/configserver/helpers_test.go
@@ -32,7 +32,7 @@
 	return l.text.Write(b)
 }
 
-// count returns how many times the log contains a text.
+// count returns how many times the log contains a string.
 func (l *logBuffer) count(text string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/configserver/server.go
+++ b/internal/configserver/server.go
@@ -63,7 +63,7 @@
 	Follow []configclient.Server
 	// StateFile stores the epoch and the configuration across restarts; empty: neither is stored.
 	StateFile      string
-	PollInterval   time.Duration // between two scans of Folder
+	PollInterval   time.Duration // pause between two scans of Folder
 	MaxConnections int
 	MaxCopies      int // complete copies sent at once; a large one counts as several
 	Seed           uint64
@@ -80,14 +80,14 @@
 	rescans  chan struct{} // requests by Rescan
 	counts   counters
 	upstream *configwatch.Watcher // nil at the writer
-	folder   folder               // of the writer; used by one goroutine at a time
+	folder   folder               // the writer's folder; used by one goroutine at a time
 
 	mu                  sync.Mutex // guards the following fields
 	store               *configstore.Store
 	watchers            *configstore.WatcherTable
 	copies              *configstore.CopyLimiter
-	faults              map[string]string        // reasons by file, or by folder if the whole folder is unusable
-	changeSignals       map[string]chan struct{} // by service, closed when it changes; empty name: any service
+	faults              map[string]string        // reasons of the faults, by file, or by folder if the whole folder is unusable
+	changeSignals       map[string]chan struct{} // by service, closed when the service changes; empty name: any service
 	absent              map[string]bool          // services that had no file at the last scan
 	dirty               bool                     // the configuration has changed since the last write of the state file
 	anotherWriterLogged bool                     // the existence of another writer was logged
@@ -277,7 +277,7 @@
 	return nil
 }
 
-// recordWriterAge records how long before an answer the followed server last heard from the writer.
+// recordWriterAge records how long before a followed server's answer the writer was last known to be running.
 func (s *Server) recordWriterAge(answer configapi.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/configserver/state.go
+++ b/internal/configserver/state.go
@@ -15,8 +15,8 @@
 	"lilacbend/internal/configapi"
 )
 
-// restore reads the state file. A writer then begins a later epoch than any that it knows, because it may have been restored
-// from a backup: in the new epoch its configuration outranks every version that it served before.
+// restore reads the state file. A writer then begins a later epoch than that of the restored configuration, because it
+// may have been restored from a backup: in the new epoch its configuration outranks every version that it served before.
 func (s *Server) restore() error {
 	if s.options.StateFile != "" {
 		if err := s.readState(); err != nil {
--- a/internal/configserver/writer.go
+++ b/internal/configserver/writer.go
@@ -82,7 +82,7 @@
 	return s.store.Put(file.service, file.settings, s.now())
 }
 
-// removeAbsent removes the services that had no file in two consecutive scans; a single one is not enough because some
+// removeAbsent removes the services that had no file in two consecutive scans; a single scan is not enough because some
 // programs replace a file by removing it first. It returns the services that were removed.
 func (s *Server) removeAbsent(present map[string]bool) []string {
 	var removed []string
--- a/internal/configstore/copylimiter_test.go
+++ b/internal/configstore/copylimiter_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// A large copy takes slots by its size. One that needs more slots than there are is sent alone.
+// The number of slots that a large copy takes depends on its size. One that needs more slots than there are is sent alone.
 func TestLargeCopiesTakeMoreSlots(t *testing.T) {
 	for bytes, want := range map[int]int{0: 1, 1: 1, MaxSettingsSize: 1, MaxSettingsSize + 1: 2, 10 * MaxSettingsSize: 10} {
 		if got := Slots(bytes); got != want {
--- a/internal/configstore/merge.go
+++ b/internal/configstore/merge.go
@@ -6,8 +6,8 @@
 	"lilacbend/internal/configapi"
 )
 
-// Merge stores another server's answer, or nothing of it if it returns an error, and returns the names of the services that
-// changed. An answer with the stored version changes nothing.
+// Merge stores another server's answer and returns the names of the services that changed. If it returns an error, it has
+// stored nothing of the answer. An answer with the stored version changes nothing.
 func (s *Store) Merge(answer configapi.Answer, now int64) (changed []string, err error) {
 	switch {
 	case s.version.Newer(answer.Version):
@@ -55,7 +55,7 @@
 		total += size
 	}
 	if total > MaxTotalSize || len(sizes) > MaxServices {
-		return fmt.Errorf("merged configuration has %d services with %d bytes in total, limits are %d services and %d bytes", len(sizes), total, MaxServices, MaxTotalSize)
+		return fmt.Errorf("merged configuration has %d services with %d bytes in total, but the limits are %d services and %d bytes", len(sizes), total, MaxServices, MaxTotalSize)
 	}
 	return nil
 }
--- a/internal/configstore/store.go
+++ b/internal/configstore/store.go
@@ -36,11 +36,11 @@
 // Store is the configuration of all services.
 type Store struct {
 	check      Check
-	version    revision.Version // of the whole configuration
+	version    revision.Version // version of the whole configuration
 	services   map[string]*service
 	removed    map[string]uint64 // the revision of each recorded removal, by service
 	compacted  uint64            // removals up to this revision are no longer in removed
-	bytes      int               // size of all settings
+	bytes      int               // size of all settings together, in bytes
 	writerSeen int64             // the latest time at which the writer is known to have been running
 	followed   bool              // the current epoch is active at a follower
 }
@@ -117,7 +117,8 @@
 	return true, nil
 }
 
-// checkCapacity returns an error if the store would exceed its limits with settings of a size in place of the stored ones.
+// checkCapacity returns an error if the store would exceed its limits after settings of the given size replace the
+// stored ones.
 func (s *Store) checkCapacity(stored *service, size int) error {
 	total := s.bytes + size
 	if stored != nil {
--- a/internal/configstore/summary.go
+++ b/internal/configstore/summary.go
@@ -55,8 +55,8 @@
 	ForMS  int64            `json:"for_ms"` // time since a newer version than the active one was published
 }
 
-// Summarize combines the states of several servers. If several servers have a controller, because it has changed its server,
-// the state at the server that it polled last is used.
+// Summarize combines the states of several servers. If several servers list the same controller, because it has changed
+// its server, the state at the server that it polled last is used.
 func Summarize(statuses []configapi.Status) Summary {
 	summary := Summary{
 		Servers:  []ServerSummary{},
@@ -88,7 +88,8 @@
 	return summary
 }
 
-// collectServices adds a server's services. Of several servers' statuses of the same service the most complete one stays.
+// collectServices adds a server's services. If several servers have a status of the same service, the most complete
+// one is used.
 func collectServices(services map[string]configapi.ServiceStatus, added []configapi.ServiceStatus) {
 	for _, service := range added {
 		known, ok := services[service.Name]
@@ -107,8 +108,8 @@
 	return len(a.History) > 0 && len(b.History) > 0 && a.History[0].AgoMS > b.History[0].AgoMS
 }
 
-// collectWatchers adds the controllers among a server's followers. Of several servers' states of the same controller the one
-// with the latest poll stays.
+// collectWatchers adds the controllers among a server's followers. If several servers have a state of the same
+// controller, the one with the latest poll is used.
 func collectWatchers(watchers map[watcherKey]configapi.Watcher, added []configapi.Watcher) {
 	for _, w := range added {
 		if w.Service == "" {
--- a/internal/configstore/watchers_test.go
+++ b/internal/configstore/watchers_test.go
@@ -32,7 +32,7 @@
 	if _, err := writer.Put("orders", []byte(`{"a":1}`), 10*second); err != nil {
 		t.Fatal(err)
 	}
-	disconnected := New(checkObject) // the store of a server that is disconnected from now on
+	disconnected := New(checkObject) // the store of a server that is disconnected after the merge
 	if _, err := disconnected.Merge(writer.Snapshot(), 11*second); err != nil {
 		t.Fatal(err)
 	}
@@ -48,10 +48,10 @@
 	}
 	record(current, "n0", "a", version(3, 3), revision.Version{}, 39*second)
 	record(current, "n1", "a", version(3, 2), version(3, 3), 39*second)
-	record(outdated, "n2", "b", version(3, 1), revision.Version{}, 38*second) // at the disconnected server
-	record(outdated, "n0", "a", version(3, 1), revision.Version{}, 15*second) // an earlier poll at the other server
+	record(outdated, "n2", "b", version(3, 1), revision.Version{}, 38*second) // n2 polls the disconnected server
+	record(outdated, "n0", "a", version(3, 1), revision.Version{}, 15*second) // n0's earlier poll of the disconnected server
 	record(current, "s1", "", version(3, 3), revision.Version{}, 39*second)
-	current.Record(configapi.Query{Instance: "s2", Since: version(3, 3)}, 39*second) // a server
+	current.Record(configapi.Query{Instance: "s2", Since: version(3, 3)}, 39*second) // this follower is a server
 	status := func(name string, store *Store, table *WatcherTable) configapi.Status {
 		return configapi.Status{Server: name, Version: store.Version(), Services: store.Services(now), Watchers: table.Watchers(now)}
 	}
--- a/internal/configwatch/connection.go
+++ b/internal/configwatch/connection.go
@@ -19,8 +19,8 @@
 const (
 	// dialTimeout limits one attempt to connect.
 	dialTimeout = 2 * time.Second
-	// readTimeLimit is how much longer than the requested wait an answer may take in all. It ends connections on which data
-	// only trickles.
+	// readTimeLimit is how much longer than the requested wait a complete answer may take. It ends connections on which
+	// data only trickles.
 	readTimeLimit = 10 * time.Second
 	// maxServiceBody and maxAllBody limit the body of an answer for one service and for all services, in bytes.
 	maxServiceBody = configstore.MaxSettingsSize + 4<<10
--- a/internal/configwatch/watcher_test.go
+++ b/internal/configwatch/watcher_test.go
@@ -355,7 +355,8 @@
 		conn.SendRaw(response("200 OK", `{"epoch":1,"revision":1,"complete":false,"age_ms":0,"services":[]}`))
 	}
 	conn.ReadRequestHead()
-	// The pauses are at least minPollInterval, and then the halves of 0.1, 0.2, 0.4 and 0.8 s.
+	// The first poll follows the previous one after at least minPollInterval, and the next four follow the answers after at
+	// least half of 0.1, 0.2, 0.4 and 0.8 s.
 	if elapsed := time.Since(appliedAt); elapsed < 700*time.Millisecond {
 		t.Errorf("%d answers without a change and the polls after them took only %v", answers, elapsed)
 	}
--- a/internal/controlserver/join.go
+++ b/internal/controlserver/join.go
@@ -13,7 +13,8 @@
 
 const (
 	// joinTimeout is how long a peer may take to join, counted from the accepted connection; no other message extends it.
-	// By the protocol, a peer joins at once, and the server may disconnect it after 1 s and has to answer within 3 s.
+	// According to the protocol, a peer joins at once, and the server may disconnect it after 1 s and has to answer within
+	// 3 s.
 	joinTimeout = 2 * time.Second
 	// rejectTimeout limits the time to write the reason of a rejection. The reason fits an empty send buffer; if the buffer
 	// has no room for it, it is not sent.
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -29,9 +29,9 @@
 	conn      net.Conn
 	stream    controller.StreamID
 	evictable *list.Element // its entry in Server.evictable, or nil; guarded by Server.mu
-	zone      string        // of a collector; guarded by Server.mu
+	zone      string        // zone of a collector; guarded by Server.mu
 	role      role
-	id        int // of a proxy
+	id        int // id of a proxy
 	sendQueue *eventloop.SendQueue
 	lateBytes int           // how many bytes may still be read after the join deadline; 0: the deadline has not passed
 	done      chan struct{} // closed when reading has ended
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -37,14 +37,14 @@
 	log            *slog.Logger
 	maxConnections int
 	topology       atomic.Pointer[controller.Topology]
-	goroutines     sync.WaitGroup // of peers
+	goroutines     sync.WaitGroup // goroutines that serve peers
 
 	mu          sync.Mutex
 	peers       map[*peer]struct{}
 	evictable   *list.List       // of *peer, in the order of eviction: peers that have not joined, and replaced collectors
 	collectors  map[string]*peer // the last collector to join, by zone
 	lastStream  controller.StreamID
-	lastWarning map[string]time.Time // by text
+	lastWarning map[string]time.Time // time of the last log line with a text, by text
 }
 
 // New returns a server for a process with the given limit of file descriptors, of which reservedDescriptors are not for
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,8 +14,9 @@
 
 const (
 	instancesPath = "/registry/instances"
-	// watchTimeout is how long a watch waits for changes. By the protocol, a change counts as delivered 2 s after the wait
-	// of a watch, whether it has arrived or not. A short wait limits the delay that a silently dead connection causes.
+	// watchTimeout is how long a watch waits for changes. According to the protocol, a change counts as delivered 2 s
+	// after a watch's wait has ended, whether it has arrived or not. A short wait limits the delay that a silently dead
+	// connection causes.
 	watchTimeout = 2 * time.Second
 	// answerTimeout is how long the client waits for the first or next piece of an answer, beyond the requested wait:
 	// discovery's agent runs on the same machine and answers at once.
@@ -31,14 +32,14 @@
 	// delivered after 6 s, long enough not to overload an agent that refuses calls. A timeout resets the backoff.
 	backoffInitial = 50 * time.Millisecond
 	backoffLimit   = time.Second
-	// idlePause separates calls that are answered at once without a change, so that they do not become a busy loop. By the
-	// protocol, a watch continues if the next call arrives within 200 ms.
+	// idlePause separates calls that are answered at once without a change, so that they do not become a busy loop. According
+	// to the protocol, a watch continues if the next call arrives within 200 ms.
 	idlePause = 100 * time.Millisecond
 	// maxBodySize, in bytes, is enough for about ten thousand members. Decoding holds several copies of a body in memory.
 	maxBodySize = 4 << 20
 	// staleAnswersLimit is the number of consecutive answers older than the list in use at which a complete list is
-	// accepted. Fewer are taken for stale copies and ignored; at the limit, after about fifteen seconds, the client
-	// concludes that discovery has restarted its revision count.
+	// accepted. Fewer such answers are treated as stale copies and ignored; at the limit, after about fifteen seconds,
+	// the client concludes that discovery has restarted its revision count.
 	staleAnswersLimit = 20
 	// staleAnswersLimitAfterMove replaces staleAnswersLimit at a new address, where the service may count revisions
 	// differently. It is reached in under 1 s, well within the drain grace, which runs from the first of these answers. With
@@ -59,7 +60,7 @@
 	clock     func() int64 // returns the receive time of a list, in nanoseconds
 	retry     *backoff.Backoff
 
-	revision     int64         // of the list in use
+	revision     int64         // revision of the list in use
 	synced       bool          // the list came from this service, so it can be watched
 	staleAnswers int           // consecutive answers older than the list in use
 	failing      bool          // a failure was logged, and no watch has been answered since
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -72,7 +72,7 @@
 	}
 	for name, c := range map[string]struct {
 		answers   [][]byte
-		revision  int64 // in use after the last answer
+		revision  int64 // revision in use after the last answer
 		published int
 		fails     bool // the last answer is an error
 		complete  bool // the complete list is requested next
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -125,7 +125,7 @@
 	return client, queues, log
 }
 
-// answerCalls answers one call with each of the texts, and reports whether it could.
+// answerCalls answers one call with each of the texts, and reports whether all were read and answered.
 func answerCalls(r *bufio.Reader, agent net.Conn, texts ...string) bool {
 	for _, text := range texts {
 		if _, err := http.ReadRequest(r); err != nil {
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -178,7 +178,7 @@
 func TestRevisionLimits(t *testing.T) {
 	body := func(answer string) []byte { return []byte(answer[strings.Index(answer, "{"):]) }
 	for name, c := range map[string]struct {
-		known, revision  int64 // known is in use; revision is that of the complete list that the service answers
+		known, revision  int64 // known is the revision in use; revision is that of the complete list that the service answers
 		published, fails bool
 	}{
 		"the largest":                  {41, math.MaxInt64, true, false},
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// By the protocol, a change counts as delivered 2 s after the wait of a watch. The drain grace and its tolerance run from
-// then.
+// According to the protocol, a change counts as delivered 2 s after a watch's wait has ended. The drain grace and its
+// tolerance start at that time.
 const (
 	deliveredAfter    = watchTimeout + 2*time.Second
 	typicalDrainGrace = 2*time.Second + 300*time.Millisecond
-	channelTransit    = 100 * time.Millisecond // time of a message to a proxy
+	channelTransit    = 100 * time.Millisecond // time that a message to a proxy takes
 )
 
 // A change exists from the start of the watch, and then the connection becomes silent or slow and later dials may hang. The
@@ -111,7 +111,7 @@
 }
 
 // For agents that answer every watch at once, do not support watches, or refuse all calls, the number of calls is bounded,
-// the list stays current if the agent answers it, and the log has one line for each series of failures.
+// the list stays current if the agent answers requests for it, and the log has one line for each series of failures.
 func TestCallRateIsBounded(t *testing.T) {
 	notFound := "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 	sameList := listAnswer(41, true, "Ready")
@@ -190,7 +190,7 @@
 			if published := nextList(t, queues); published.Revision != 3 {
 				t.Errorf("published %+v", published)
 			}
-			const maxDelay = (1 + 2 + 4 + 8) * backoffInitial // with the largest jitter
+			const maxDelay = (1 + 2 + 4 + 8) * backoffInitial // sum of the first four backoffs, with the largest jitter
 			if took := time.Since(<-answered); took > maxDelay || took < maxDelay/2 || maxDelay+channelTransit > typicalDrainGrace {
 				t.Errorf("the list was accepted after %v, want %v to %v", took, maxDelay/2, maxDelay)
 			}
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -7,10 +7,10 @@
 	// Connections of peers.
 	Accepted          atomic.Int64
 	Refused           atomic.Int64
-	Evicted           atomic.Int64 // closed to accept another connection
+	Evicted           atomic.Int64 // connections closed to accept another one
 	Ended             atomic.Int64
-	UnidentifiedPeers atomic.Int64 // closed, as the first message was not a valid join
-	JoinTimeouts      atomic.Int64 // closed, as no join arrived in time
+	UnidentifiedPeers atomic.Int64 // connections closed, as the first message was not a valid join
+	JoinTimeouts      atomic.Int64 // connections closed, as no join arrived in time
 
 	// Messages received from peers.
 	Skipped   atomic.Int64 // complete messages that cannot be used
@@ -22,7 +22,7 @@
 	UpdateBytes   atomic.Int64
 	QueuesDropped atomic.Int64 // how often a full send queue has dropped its updates
 	WriteErrors   atomic.Int64
-	HealthChecks  atomic.Int64 // answered
+	HealthChecks  atomic.Int64 // health checks answered
 
 	// Calls of service discovery.
 	DiscoveryCalls   atomic.Int64
@@ -32,9 +32,9 @@
 	InvalidLists     atomic.Int64
 	Timeouts         atomic.Int64
 
-	InputsDropped atomic.Int64 // because the queue of inputs was full
+	InputsDropped atomic.Int64 // inputs dropped because the queue of inputs was full
 
 	// Reloads of the configuration file.
-	Reloads       atomic.Int64 // applied
-	ReloadsFailed atomic.Int64 // rejected, as the file could not be used
+	Reloads       atomic.Int64 // reloads applied
+	ReloadsFailed atomic.Int64 // reloads rejected, as the file could not be used
 }
--- a/internal/eventloop/queues.go
+++ b/internal/eventloop/queues.go
@@ -69,8 +69,8 @@
 	return false
 }
 
-// MessageSent appends the input that the update of this number has been written. It does not signal Ready: there is one such
-// input for each update, and the core needs it only when acks arrive.
+// MessageSent appends the input which reports that the update of the given number has been written. It does not signal
+// Ready: there is one such input for each update, and the core needs it only when acks arrive.
 func (q *Queues) MessageSent(number uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventloop/sendqueue.go
+++ b/internal/eventloop/sendqueue.go
@@ -15,7 +15,7 @@
 // Item is an item of a send queue: an update, or the reply to a health check.
 type Item struct {
 	controller.Update
-	Number           uint64 // of the update, as in controller.OutgoingUpdate
+	Number           uint64 // number of the update, as in controller.OutgoingUpdate
 	HealthCheckReply bool
 }
 
@@ -33,7 +33,7 @@
 	ready           chan struct{}
 }
 
-// enqueue appends an item, or drops it by the rules of a full SendQueue. The caller holds the mutex.
+// enqueue appends an item, or drops it according to the rules of a full SendQueue. The caller holds queues.mu.
 func (s *SendQueue) enqueue(item Item) {
 	switch {
 	case s.overflowed && !item.Resync:
--- a/internal/filewriter/directory.go
+++ b/internal/filewriter/directory.go
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if info.Size() > maxBytes {
-		return nil, fmt.Errorf("%w: %d bytes, at most %d", ErrTooLarge, info.Size(), maxBytes)
+		return nil, fmt.Errorf("%w: %d bytes, the limit is %d bytes", ErrTooLarge, info.Size(), maxBytes)
 	}
 	return io.ReadAll(io.LimitReader(file, maxBytes+1))
 }
--- a/internal/filewriter/writer_test.go
+++ b/internal/filewriter/writer_test.go
@@ -17,7 +17,7 @@
 	writeDuration time.Duration
 	startTime     time.Time
 	written       []int
-	writeTimes    []time.Duration // of the start of each write, failed ones too, since startTime
+	writeTimes    []time.Duration // starts of all writes, failed ones included, as times since startTime
 	reports       []string
 }
 
@@ -32,7 +32,7 @@
 	return r.err
 }
 
-// setError makes writes fail with err from now on, or succeed if err is nil.
+// setError makes later writes fail with err, or succeed if err is nil.
 func (r *recorder) setError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -103,7 +103,7 @@
 		return nil
 	}
 	offset := firstDifference(want, output)
-	return fmt.Errorf("%s: %w at byte %d of %d, the output has %d:\n got ...%q\nwant ...%q", path(name), errDiffers, offset, len(want), len(output),
+	return fmt.Errorf("%s: %w at byte %d of %d, the output has %d bytes:\n got ...%q\nwant ...%q", path(name), errDiffers, offset, len(want), len(output),
 		excerpt(output, offset), excerpt(want, offset))
 }
 
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -10,9 +10,9 @@
 // folder where it keeps them.
 type ConfigurationSource struct {
 	Service string                // service of the controller; empty: the controller uses no configuration server
-	Region  string                // of this controller
-	Zone    string                // of this controller; only reported, in the servers' status
-	Servers []configclient.Server // of all regions; those of this controller's region are preferred
+	Region  string                // region of this controller
+	Zone    string                // zone of this controller; only reported, in the servers' status
+	Servers []configclient.Server // servers of all regions; those of this controller's region are preferred
 	Folder  string                // where the active settings are kept across restarts; empty: they are not kept
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -20,10 +20,10 @@
 
 // Retention describes how learned state is kept across restarts.
 type Retention struct {
-	Folder   string        // used by no other controller; empty: nothing is kept
+	Folder   string        // directory that no other controller uses; empty: nothing is kept
 	Every    time.Duration // interval between snapshot writes
 	HalfLife time.Duration // time after which learned state has half its weight
-	Keep     int           // number of generations
+	Keep     int           // number of snapshot generations that are kept
 }
 
 // Limits of the values in the section state.
--- a/internal/resp/pool.go
+++ b/internal/resp/pool.go
@@ -13,8 +13,8 @@
 	BufferSize = 4 << 10
 	// MaxMessageSize is the largest size of a message in bytes.
 	MaxMessageSize = 1 << 20
-	// maxFreeBuffers limits the free buffers that a pool keeps for later readers and writers. A reconnect storm needs more;
-	// the memory of these goes back to the runtime afterwards.
+	// maxFreeBuffers limits the free buffers that a pool keeps for later readers and writers. A reconnect storm needs
+	// more buffers, whose memory is returned to the runtime afterwards.
 	maxFreeBuffers = 64
 )
 
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -26,8 +26,8 @@
 
 // ReadError is an error after which the reader cannot read another message. It reports how much was read before.
 type ReadError struct {
-	Messages int // read completely
-	Bytes    int // read of the incomplete or invalid message
+	Messages int // messages read completely
+	Bytes    int // bytes read of the incomplete or invalid message
 	Err      error
 }
 
@@ -50,11 +50,11 @@
 	source         io.Reader
 	pool           *Pool
 	buffers        []*buffer
-	position       int // of the next byte to parse, from the start of the first buffer
-	end            int // of the received bytes
+	position       int // position of the next byte to parse, from the start of the first buffer
+	end            int // position after the last received byte
 	messageStart   int // position of the current message's first byte
 	maxMessageSize int // bytes
-	messages       int // read so far
+	messages       int // messages read so far
 }
 
 // NewReader returns a reader of source that takes its buffers from pool.
@@ -62,7 +62,7 @@
 	return &Reader{source: source, pool: pool, maxMessageSize: MaxMessageSize}
 }
 
-// SetMaxMessageSize limits the size of each message that is read from now on.
+// SetMaxMessageSize limits the size of each message that is read after this call.
 func (r *Reader) SetMaxMessageSize(maxBytes int) { r.maxMessageSize = maxBytes }
 
 // Close returns the buffers to the pool.
--- a/internal/simwire/event.go
+++ b/internal/simwire/event.go
@@ -46,7 +46,7 @@
 
 // recordFormat is the format of a record's fields.
 type recordFormat struct {
-	minSize int // in bytes, with the instance
+	minSize int // smallest size of the fields in bytes, including the instance's number
 	decode  func(*fieldReader) (Event, error)
 }
 
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -21,7 +21,7 @@
 func (r *fieldReader) uint32() uint32 { return binary.LittleEndian.Uint32(r.next(4)) }
 func (r *fieldReader) uint64() uint64 { return binary.LittleEndian.Uint64(r.next(8)) }
 
-// float32 reads a number of that precision. The result is always finite.
+// float32 reads a number of single precision. The result is always finite.
 func (r *fieldReader) float32() float64 {
 	return control.Finite(float64(math.Float32frombits(r.uint32())))
 }
--- a/internal/simwire/frame.go
+++ b/internal/simwire/frame.go
@@ -109,7 +109,7 @@
 	return batch, nil
 }
 
-// describeInstance returns the part of an error text that names the instance of a record. It returns an empty text if the
+// describeInstance returns the part of an error text that names the instance of a record. It returns an empty string if the
 // record is too short to contain the number of its instance.
 func describeInstance(fields []byte) string {
 	if len(fields) < instanceSize {
--- a/internal/simwire/reply.go
+++ b/internal/simwire/reply.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// text appends the size of a text and the text, which is cut off at the largest size.
+// text appends the size of a string and the string, which is cut off at the largest size.
 func (r *Reply) text(text string) {
 	if len(text) > math.MaxUint16 {
 		text = text[:math.MaxUint16]
--- a/internal/strictyaml/document.go
+++ b/internal/strictyaml/document.go
@@ -1,5 +1,5 @@
 // Package strictyaml reads the program's own YAML files strictly: every key must be known, be given once and have a value of
-// the right type. Each fault names its file, line, column and the path of its key, and says what is expected. One pass finds
+// the right type. Each fault names its file, line, column, the path of its key and what is expected. One pass finds
 // all faults of a file, up to maxFaults. The meaning of the keys is left to the callers.
 package strictyaml
 
--- a/internal/strictyaml/nearest.go
+++ b/internal/strictyaml/nearest.go
@@ -2,8 +2,8 @@
 
 import "github.com/agnivade/levenshtein"
 
-// lettersPerEdit is the number of letters in a name per edit by which a misspelling may differ from a known name. One edit
-// is always allowed.
+// lettersPerEdit is how many letters a misspelled name must have for each edit by which it may differ from a known name.
+// One edit is always allowed.
 const lettersPerEdit = 3
 
 // Nearest returns the known name that name most likely misspells, or an empty string if no known name is similar enough.
