--- a/policy/admission/threshold.go
+++ b/policy/admission/threshold.go
@@ -74,7 +74,7 @@
 	// changes, as each change is sent to all proxies.
 	fractionSteps = 20
 	// successRateSamples is the number of success rates that are kept, one for each tick.
-	successRateSamples = 2 * sample.Kept
+	successRateSamples = 2 * sample.MaxKept
 	// minDivisor keeps divisors above 0.
 	minDivisor = 1e-9
 )
--- a/policy/binding/binding.go
+++ b/policy/binding/binding.go
@@ -36,20 +36,20 @@
 	Table       int // table that it is assigned to; negative: none yet
 }
 
-// Kind is the kind of change of a proxy's binding, which determines how the change is sent.
-type Kind int
+// ChangeKind is the kind of change of a proxy's binding, which determines how the change is sent.
+type ChangeKind int
 
 // The kinds of changes.
 const (
-	Unchanged Kind = iota // the proxy stays bound to its table
-	FirstBind             // the proxy was not bound to a table
-	Move                  // the proxy was bound to another table
+	Unchanged ChangeKind = iota // the proxy stays bound to its table
+	FirstBind                   // the proxy was not bound to a table
+	Move                        // the proxy was bound to another table
 )
 
 // Change is the decision on the binding of one proxy.
 type Change struct {
 	Proxy Proxy
-	Kind  Kind
+	Kind  ChangeKind
 	Table int // table that serves the proxy from now on: its own, or the sibling table that replaces it
 }
 
@@ -160,8 +160,8 @@
 
 // isInZone reports whether a table belongs to the proxy's zone, given the number of tables.
 func (b *Bindings) isInZone(table int, proxy *Proxy, tables int) bool {
-	rows := zone.Rows(b.settings.Zones, tables)
-	return table%rows == proxy.Zone%rows
+	stride := zone.Stride(b.settings.Zones, tables)
+	return table%stride == proxy.Zone%stride
 }
 
 // Reassign adapts to replicas that were assigned to tables again under changed settings, and returns a decision for each
@@ -195,7 +195,7 @@
 
 // changeKind returns the kind of change for a proxy, given the table that it is bound to and the table that it is assigned
 // to.
-func changeKind(bound, assigned int) Kind {
+func changeKind(bound, assigned int) ChangeKind {
 	switch {
 	case bound < 0:
 		return FirstBind
@@ -223,11 +223,11 @@
 }
 
 // KeepsZones reports whether each proxy's zone still has the same tables under new zone numbers. A table belongs to a zone
-// if both numbers have the same remainder when divided by rows (see zone.Rows).
-func (b *Bindings) KeepsZones(rows int, proxies []control.StreamOpened) bool {
+// if both numbers have the same remainder when divided by stride (see zone.Stride).
+func (b *Bindings) KeepsZones(stride int, proxies []control.StreamOpened) bool {
 	for _, renumbered := range proxies {
 		proxy := b.proxies[renumbered.Proxy]
-		if proxy != nil && proxy.Zone%rows != renumbered.Zone%rows {
+		if proxy != nil && proxy.Zone%stride != renumbered.Zone%stride {
 			return false
 		}
 	}
@@ -243,11 +243,11 @@
 	return proxies
 }
 
-// Serving returns, for each table, the table that serves its proxies.
-func (b *Bindings) Serving() []int { return slices.Clone(b.serving) }
+// ServingTables returns, for each table, the table that serves its proxies.
+func (b *Bindings) ServingTables() []int { return slices.Clone(b.serving) }
 
-// Learned returns the table of each proxy that has one, sorted by proxy.
-func (b *Bindings) Learned() []control.Binding {
+// LearnedBindings returns the table of each proxy that has one, sorted by proxy.
+func (b *Bindings) LearnedBindings() []control.Binding {
 	var bindings []control.Binding
 	for _, number := range ordered.Keys(b.proxies) {
 		proxy := b.proxies[number]
--- a/policy/binding/binding_test.go
+++ b/policy/binding/binding_test.go
@@ -21,7 +21,7 @@
 // decision has the parts of a Change that the tests compare.
 type decision struct {
 	Proxy, Assigned int
-	Kind            Kind
+	Kind            ChangeKind
 	Table           int
 }
 
@@ -128,7 +128,7 @@
 	assertDecisions(t, "the connected proxy", b.Assign(eachServesItself(2)), decision{1, 1, FirstBind, 1})
 	b.Disconnect(1)
 	assertDecisions(t, "no proxy is connected", b.Assign([]int{1, 0}))
-	if got := b.Learned(); got != nil {
+	if got := b.LearnedBindings(); got != nil {
 		t.Errorf("got learned bindings %v, want none", got)
 	}
 }
@@ -159,7 +159,7 @@
 			b.Connect(0, control.StreamOpened{Proxy: 5}) // has no table yet
 			settings.Zones = c.zones
 			assertDecisions(t, "reassigned", b.Reassign(4, c.tables, c.bound), c.want...)
-			if got := b.Serving(); !slices.Equal(got, eachServesItself(c.tables)) {
+			if got := b.ServingTables(); !slices.Equal(got, eachServesItself(c.tables)) {
 				t.Errorf("got serving tables %v, want %v", got, eachServesItself(c.tables))
 			}
 			for _, change := range b.Assign(eachServesItself(c.tables)) {
@@ -198,7 +198,7 @@
 	b := withConnectedProxies(3)
 	b.Assign(eachServesItself(2))
 	b.Connect(0, control.StreamOpened{Proxy: 4})
-	if got, want := b.Learned(), []control.Binding{{Proxy: 0, Table: 0}, {Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}; !slices.Equal(got, want) {
+	if got, want := b.LearnedBindings(), []control.Binding{{Proxy: 0, Table: 0}, {Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}; !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
--- a/policy/binding_test.go
+++ b/policy/binding_test.go
@@ -32,7 +32,7 @@
 		p.pacing.handle(turnEnding{})
 		p.binding.handle(messagesSent{nonce: uint64(proxy), proxies: []int{proxy}})
 	}
-	channelUnits := func() float64 { return p.pacing.sender.Waiting(time.Duration(p.now)) }
+	channelUnits := func() float64 { return p.pacing.sender.WaitingCostUnits(time.Duration(p.now)) }
 	wantEqual(t, "cost units in the channel with both messages sent", channelUnits(), 40000.0)
 	channelUnitsAfterAcks := func() float64 {
 		for _, ack := range queued[acknowledged](p, pacingComponent) {
--- a/policy/internal/sample/sample.go
+++ b/policy/internal/sample/sample.go
@@ -1,8 +1,8 @@
 // Package sample has functions on lists of samples that several policies share.
 package sample
 
-// Kept is the maximum number of samples of one kind that are kept.
-const Kept = 32
+// MaxKept is the maximum number of samples of one kind that are kept.
+const MaxKept = 32
 
 // Newest returns the last samples of a list, at most limit of them.
 func Newest[T any](limit int, samples []T) []T { return samples[max(0, len(samples)-limit):] }
--- a/policy/internal/zone/zone_test.go
+++ b/policy/internal/zone/zone_test.go
@@ -4,7 +4,7 @@
 
 func TestRows(t *testing.T) {
 	for _, c := range []struct{ zones, tables, want int }{{0, 4, 1}, {3, 6, 3}, {5, 2, 2}, {-1, 1, 1}} {
-		if got := Rows(c.zones, c.tables); got != c.want {
+		if got := Stride(c.zones, c.tables); got != c.want {
 			t.Errorf("%d zones, %d tables: got %d, want %d", c.zones, c.tables, got, c.want)
 		}
 	}
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -28,7 +28,7 @@
 }
 
 func (b *binder) addLearned(fleet *control.LearnedFleet) {
-	fleet.Bindings = b.bindings.Learned()
+	fleet.Bindings = b.bindings.LearnedBindings()
 }
 
 // addLearned adds the state of admission control and retries. uptime is the controller's, in nanoseconds.
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -56,8 +56,8 @@
 		capacity         float64 // weight that its endpoints have once its estimated speed has reached the weight goal
 		placementKey     float64
 		window           outlier.Window
-		rememberedSpeed  float64 // speed that was restored from an earlier controller
-		confidence       float64 // number of attempts that rememberedSpeed counts for
+		learnedSpeed     float64 // speed that was restored from an earlier controller
+		confidence       float64 // number of attempts that learnedSpeed counts for
 		penalty          float64 // fraction that its weight is reduced by while it is on probation because of learned state
 		capacityFraction float64 // fraction of its usual capacity that it certainly has while it warms up
 		warmingUp        bool
--- a/policy/outlier/outlier.go
+++ b/policy/outlier/outlier.go
@@ -102,8 +102,8 @@
 	healthy
 )
 
-// Happened reports whether there was a transition.
-func (c Change) Happened() bool { return c.to != unchanged }
+// Occurred reports whether there was a transition.
+func (c Change) Occurred() bool { return c.to != unchanged }
 
 // String describes the transition for on-call engineers, as the part of a log line that follows the replica's name.
 func (c Change) String() string {
@@ -219,8 +219,10 @@
 // Ejected reports whether the replica is ejected. The first evaluation after the ejection time ends the ejection.
 func (d *Detector) Ejected() bool { return d.ejectedUntil > 0 }
 
-// EjectedFor returns the remaining ejection time; 0 if the replica is not ejected.
-func (d *Detector) EjectedFor(now time.Duration) time.Duration { return max(0, d.ejectedUntil-now) }
+// RemainingEjection returns the remaining ejection time; 0 if the replica is not ejected.
+func (d *Detector) RemainingEjection(now time.Duration) time.Duration {
+	return max(0, d.ejectedUntil-now)
+}
 
 // OnProbation reports whether the replica is on probation.
 func (d *Detector) OnProbation() bool { return d.probationSince > 0 }
--- a/policy/outlier/outlier_test.go
+++ b/policy/outlier/outlier_test.go
@@ -46,11 +46,11 @@
 			fleet := healthyFleet
 			fleet.FailureRate = c.fleetFailureRate
 			change := d.Evaluate(now, fleet, reportInterval)
-			if d.Ejected() != c.ejected || change.Happened() != c.ejected {
+			if d.Ejected() != c.ejected || change.Occurred() != c.ejected {
 				t.Errorf("ejected %v, change %q, want %v", d.Ejected(), change, c.ejected)
 			}
-			if d.Ejected() && d.EjectedFor(now) != ejectionTime {
-				t.Errorf("ejected for %v, want %v", d.EjectedFor(now), ejectionTime)
+			if d.Ejected() && d.RemainingEjection(now) != ejectionTime {
+				t.Errorf("ejected for %v, want %v", d.RemainingEjection(now), ejectionTime)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 	now := 100 * time.Second
 	d := detectorWithReport(now, 10, 10, 0)
 	d.Evaluate(now, healthyFleet, reportInterval)
-	firstEjectionTime := d.EjectedFor(now)
+	firstEjectionTime := d.RemainingEjection(now)
 	now += firstEjectionTime
 	d.Evaluate(now, healthyFleet, reportInterval)
 	if !d.OnProbation() || d.Ejected() || d.probationSince != now+reportInterval {
@@ -69,10 +69,10 @@
 	now += 2 * time.Second
 	d.Observe(now, minProbationAttempts, minProbationAttempts, 0)
 	d.Evaluate(now, healthyFleet, reportInterval)
-	if d.EjectedFor(now) != 2*firstEjectionTime || d.OnProbation() || d.Ejections() != 2 {
-		t.Errorf("after failures on probation: ejected for %v, want %v; ejections %d", d.EjectedFor(now), 2*firstEjectionTime, d.Ejections())
+	if d.RemainingEjection(now) != 2*firstEjectionTime || d.OnProbation() || d.Ejections() != 2 {
+		t.Errorf("after failures on probation: ejected for %v, want %v; ejections %d", d.RemainingEjection(now), 2*firstEjectionTime, d.Ejections())
 	}
-	now += d.EjectedFor(now)
+	now += d.RemainingEjection(now)
 	d.Evaluate(now, healthyFleet, reportInterval)
 	now += 2 * time.Second
 	d.Observe(now, minProbationAttempts, 0, 200*time.Millisecond)
@@ -91,7 +91,7 @@
 		d := detectorWithReport(now, 10, 10, 0)
 		d.ejections = ejections
 		d.Evaluate(now, healthyFleet, reportInterval)
-		if got := d.EjectedFor(now); got != want {
+		if got := d.RemainingEjection(now); got != want {
 			t.Errorf("after %d ejections: ejected for %v, want %v", ejections, got, want)
 		}
 	}
@@ -126,7 +126,7 @@
 	d := &Detector{ejectedUntil: now, ejections: 1}
 	d.Evaluate(now, healthyFleet, reportInterval)
 	d.Observe(now+reportInterval, 10, 10, 0)
-	if change := d.Evaluate(now+reportInterval, healthyFleet, reportInterval); change.Happened() {
+	if change := d.Evaluate(now+reportInterval, healthyFleet, reportInterval); change.Occurred() {
 		t.Errorf("report received at the start of the probation: change %q, want none", change)
 	}
 	d.Observe(now+reportInterval+1, 10, 10, 0)
@@ -167,7 +167,7 @@
 			if math.Abs(1-d.Penalty()-c.weight) > 1e-12 {
 				t.Errorf("penalty %v, want %v", d.Penalty(), 1-c.weight)
 			}
-			if change.Happened() != c.probation {
+			if change.Occurred() != c.probation {
 				t.Errorf("change %q", change)
 			}
 		})
--- a/policy/outlier/window.go
+++ b/policy/outlier/window.go
@@ -36,7 +36,7 @@
 		failures:     float64(failures),
 		responseTime: float64(responseTime) / float64(time.Second),
 	}
-	d.reports = sample.Newest(sample.Kept, append(d.reports, report))
+	d.reports = sample.Newest(sample.MaxKept, append(d.reports, report))
 }
 
 // Window sums the load reports of the last EvaluationPeriod. On probation it leaves out those received up to its start.
--- a/policy/outlier/window_test.go
+++ b/policy/outlier/window_test.go
@@ -43,10 +43,10 @@
 
 func TestObserveKeepsTheNewestReports(t *testing.T) {
 	d := &Detector{}
-	for range 2 * sample.Kept {
+	for range 2 * sample.MaxKept {
 		d.Observe(time.Second, 1, 0, 0)
 	}
-	if got := d.Window(time.Second).Attempts; got != sample.Kept {
-		t.Errorf("%v attempts of kept reports, want %v", got, sample.Kept)
+	if got := d.Window(time.Second).Attempts; got != sample.MaxKept {
+		t.Errorf("%v attempts of kept reports, want %v", got, sample.MaxKept)
 	}
 }
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -29,7 +29,7 @@
 	case streamClosed:
 		p.sender.Disconnected(m.Proxy)
 	case replicaEvicted:
-		p.sender.Forget(m.replica)
+		p.sender.RemoveReplica(m.replica)
 	case warmingReplicas:
 		p.sender.SetWarming(pacing.Warming(m))
 	case updateStep:
@@ -45,7 +45,7 @@
 
 func (p *pacer) acknowledge(m acknowledged) {
 	if m.disconnected {
-		p.sender.Abandoned(m.nonce)
+		p.sender.NonceAbandoned(m.nonce)
 		return
 	}
 	p.sender.Acknowledged(time.Duration(p.now), m.nonce, m.complete)
--- a/policy/pacer_test.go
+++ b/policy/pacer_test.go
@@ -68,7 +68,7 @@
 			}
 			_, bound := p.sender.Bindings()[4]
 			wantEqual(t, "proxy is bound", bound, c.bound)
-			wantEqual(t, "cost units in the channel", p.sender.Waiting(0), c.waiting)
+			wantEqual(t, "cost units in the channel", p.sender.WaitingCostUnits(0), c.waiting)
 		})
 	}
 }
--- a/policy/pacing/budget_test.go
+++ b/policy/pacing/budget_test.go
@@ -17,7 +17,7 @@
 	sent := p.Send(0)
 	assertEqual(t, "ejections", len(commandsOfType[control.SetEjected](sent.Commands)), 1)
 	assertEqual(t, "some changed weights are sent", len(commandsOfType[control.SetEndpoint](sent.Commands)) > 0, true)
-	if waiting := p.Waiting(0); waiting > urgentChannelFraction*400 {
+	if waiting := p.WaitingCostUnits(0); waiting > urgentChannelFraction*400 {
 		t.Errorf("%v cost units wait in the channel, want at most %v", waiting, urgentChannelFraction*400)
 	}
 	assertEqual(t, "commands while the ack is missing", len(p.Send(0).Commands), 0)
--- a/policy/pacing/channel_test.go
+++ b/policy/pacing/channel_test.go
@@ -98,7 +98,7 @@
 	sent := p.Send(0)
 	assertEqual(t, "reaches only the proxy that holds an endpoint", len(sent.Proxies) == 1 && sent.Proxies[0] == 1, true)
 	lost := p.channel.outstanding[0].due + lostAfter + 1
-	assertEqual(t, "waiting cost units once the batch counts as lost", p.Waiting(lost), 0.0)
+	assertEqual(t, "waiting cost units once the batch counts as lost", p.WaitingCostUnits(lost), 0.0)
 }
 
 // Messages to proxies that have disconnected may still wait in the channel.
@@ -107,9 +107,9 @@
 	p.Connected(1, 1)
 	p.Bind(control.Bind{Proxy: 1})
 	sent := p.Send(0)
-	units := p.Waiting(0)
+	units := p.WaitingCostUnits(0)
 	assertEqual(t, "cost units wait", units > 0, true)
 	p.Disconnected(1)
-	p.Abandoned(sent.Nonce)
-	assertEqual(t, "waiting cost units", p.Waiting(0), units)
+	p.NonceAbandoned(sent.Nonce)
+	assertEqual(t, "waiting cost units", p.WaitingCostUnits(0), units)
 }
--- a/policy/pacing/order_test.go
+++ b/policy/pacing/order_test.go
@@ -147,7 +147,7 @@
 	sent := p.Send(0)
 	assertEqual(t, "commands", len(sent.Commands), 1)
 	assertEqual(t, "nonce", sent.Nonce, uint64(0))
-	assertEqual(t, "waiting cost units", p.Waiting(0), 0.0)
+	assertEqual(t, "waiting cost units", p.WaitingCostUnits(0), 0.0)
 }
 
 func TestNonceOfACommandIsMasked(t *testing.T) {
--- a/policy/pacing/pacing.go
+++ b/policy/pacing/pacing.go
@@ -118,8 +118,8 @@
 // its message cap.
 func (p *Pacer) Disconnected(proxy int) { p.proxies.disconnect(proxy) }
 
-// Forget removes the ejection of a replica that no longer exists from the state of the proxies.
-func (p *Pacer) Forget(replica uint32) { delete(p.proxies.ejected, replica) }
+// RemoveReplica removes the ejection of a replica that no longer exists from the state of the proxies.
+func (p *Pacer) RemoveReplica(replica uint32) { delete(p.proxies.ejected, replica) }
 
 // Acknowledged records that a proxy has acknowledged a nonce; all is whether every proxy that was sent the nonce has now
 // done so.
@@ -127,11 +127,11 @@
 	p.channel.acknowledge(now, nonce, all)
 }
 
-// Abandoned records that every proxy that has not acknowledged the nonce has disconnected.
-func (p *Pacer) Abandoned(nonce uint64) { p.channel.abandon(nonce) }
+// NonceAbandoned records that every proxy that has not acknowledged the nonce has disconnected.
+func (p *Pacer) NonceAbandoned(nonce uint64) { p.channel.abandon(nonce) }
 
 // Bindings returns the table of each connected proxy, negative for a proxy that is not bound yet.
 func (p *Pacer) Bindings() map[int]int { return maps.Clone(p.proxies.bindings) }
 
-// Waiting returns how many cost units may still wait in the channel.
-func (p *Pacer) Waiting(now time.Duration) float64 { return p.channel.waiting(now) }
+// WaitingCostUnits returns how many cost units may still wait in the channel.
+func (p *Pacer) WaitingCostUnits(now time.Duration) float64 { return p.channel.waiting(now) }
--- a/policy/pacing/proxies_test.go
+++ b/policy/pacing/proxies_test.go
@@ -88,9 +88,9 @@
 	p := pacerWithTable(1, nil)
 	p.Eject(5)
 	p.Send(0)
-	assertEqual(t, "ejected before Forget", p.proxies.ejected[5], true)
-	p.Forget(5)
-	assertEqual(t, "ejected after Forget", p.proxies.ejected[5], false)
+	assertEqual(t, "ejected before RemoveReplica", p.proxies.ejected[5], true)
+	p.RemoveReplica(5)
+	assertEqual(t, "ejected after RemoveReplica", p.proxies.ejected[5], false)
 }
 
 func TestBindingsAreACopy(t *testing.T) {
--- a/policy/pacing/subset_test.go
+++ b/policy/pacing/subset_test.go
@@ -70,7 +70,7 @@
 		s.MaxTransit = second / 2
 	})
 	assertEqual(t, "some proxies are bound", len(commandsOfType[control.Bind](p.Send(0).Commands)) > 0, true)
-	assertEqual(t, "no more waits than is sent in half of the grace", p.Waiting(0) <= 1500*1.4, true)
+	assertEqual(t, "no more waits than is sent in half of the grace", p.WaitingCostUnits(0) <= 1500*1.4, true)
 	p.Eject(3)
 	assertEqual(t, "ejections before the first ack", len(commandsOfType[control.SetEjected](p.Send(0).Commands)), 1)
 	p.settings.DrainGrace = second // half of it is no longer than the transit
--- a/policy/placement/assignment.go
+++ b/policy/placement/assignment.go
@@ -39,9 +39,9 @@
 		return 0
 	}
 	maxTables := max(1, (s.Proxies/max(1, s.Controllers)-1)/minTableProxies)
-	zoneRows := zone.Rows(s.Zones, maxTables)
-	tablesPerZone := math.Round(float64(replicas/zoneRows) / minTableReplicas)
-	return zoneRows * max(1, min(maxTables/zoneRows, int(tablesPerZone)))
+	zoneStride := zone.Stride(s.Zones, maxTables)
+	tablesPerZone := math.Round(float64(replicas/zoneStride) / minTableReplicas)
+	return zoneStride * max(1, min(maxTables/zoneStride, int(tablesPerZone)))
 }
 
 // Tables returns the number of tables; 0: no replica is known yet.
@@ -64,8 +64,8 @@
 // RememberTableCount records the number of tables that an earlier controller had.
 func (a *assignment) RememberTableCount(tables int) { a.rememberedTables = tables }
 
-// Forget removes a replica from the current and the earlier assignment.
-func (a *assignment) Forget(id uint32) {
+// RemoveReplica removes a replica from the current and the earlier assignment.
+func (a *assignment) RemoveReplica(id uint32) {
 	delete(a.tableOf, id)
 	delete(a.remembered, id)
 }
@@ -107,8 +107,8 @@
 // same and the table belongs to the replica's zone.
 func (a *assignment) reuseRememberedTable(s control.Settings, r *placedReplica) {
 	table, ok := a.remembered[r.ID]
-	zoneRows := zone.Rows(s.Zones, a.tables)
-	if ok && a.rememberedTables == a.tables && table < a.tables && table%zoneRows == r.Zone%zoneRows {
+	zoneStride := zone.Stride(s.Zones, a.tables)
+	if ok && a.rememberedTables == a.tables && table < a.tables && table%zoneStride == r.Zone%zoneStride {
 		a.tableOf[r.ID] = table
 	}
 	delete(a.remembered, r.ID)
--- a/policy/placement/assignment_test.go
+++ b/policy/placement/assignment_test.go
@@ -75,7 +75,7 @@
 	if got := a.TableOf(11); got != 1 {
 		t.Errorf("the new replica is in table %d, want table 1, whose replicas have left", got)
 	}
-	a.Forget(11)
+	a.RemoveReplica(11)
 	if !maps.Equal(a.Assigned(), before) {
 		t.Errorf("assigned tables after adding and forgetting a replica: %v, before: %v", a.Assigned(), before)
 	}
--- a/policy/placement/balance.go
+++ b/policy/placement/balance.go
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, proxy := range in.Proxies {
-		seconds := math.Min(float64(in.Now-proxy.Since), float64(in.Demand.Period)) / nanosPerSecond
+		seconds := math.Min(float64(in.Now-proxy.ConnectedAt), float64(in.Demand.Period)) / nanosPerSecond
 		rate := (proxy.Rate*forecastTime + in.Demand.Requests[proxy.ID]) / (forecastTime + seconds)
 		b.need[proxy.Table] += rate
 		b.totalNeed += rate
@@ -106,12 +106,12 @@
 
 // servingTable returns the table that the proxies of a table are bound to: the table itself, or, if it has no capacity of
 // its own, the sibling table in its zone with the most capacity.
-func (b *balance) servingTable(table, zoneRows int) int {
+func (b *balance) servingTable(table, zoneStride int) int {
 	if b.capacity[table] != 0 {
 		return table
 	}
 	best := table
-	for sibling := table % zoneRows; sibling < len(b.capacity); sibling += zoneRows {
+	for sibling := table % zoneStride; sibling < len(b.capacity); sibling += zoneStride {
 		if b.capacity[sibling] > b.capacity[best] {
 			best = sibling
 		}
--- a/policy/placement/balance_test.go
+++ b/policy/placement/balance_test.go
@@ -62,7 +62,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			in := Input{Now: now, Settings: settings(), Demand: demand}
 			for proxy := 1; proxy <= c.connected; proxy++ {
-				in.Proxies = append(in.Proxies, Proxy{ID: proxy, Table: min(1, proxy-1), Rate: 10, Since: c.since})
+				in.Proxies = append(in.Proxies, Proxy{ID: proxy, Table: min(1, proxy-1), Rate: 10, ConnectedAt: c.since})
 			}
 			if got := newBalance(in, nil, 2).need[0]; math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("got a need of %v requests per second, want %v", got, c.want)
--- a/policy/placement/endpoints.go
+++ b/policy/placement/endpoints.go
@@ -73,7 +73,7 @@
 }
 
 // add adds an endpoint with a fraction of a replica's weight to a table, unless the replica is not ready, the weight is 0 or
-// the table is full. An excluded replica keeps its endpoint with KeepWeight and does not count towards the size of the
+// the table is full. An excluded replica keeps its endpoint with KeepCurrentWeight and does not count towards the size of the
 // table.
 func (b *builder) add(table int, r *placedReplica, fraction float64) {
 	weight := fraction * r.Weight
@@ -84,7 +84,7 @@
 		return
 	}
 	if r.excluded {
-		weight = KeepWeight
+		weight = KeepCurrentWeight
 	} else {
 		b.size[table]++
 	}
@@ -93,13 +93,13 @@
 
 // addSpillover adds endpoints with fractions of other tables' replicas until the table's shortfall is covered or the table
 // is full.
-func (b *builder) addSpillover(table, zoneRows int, balance *balance, replicas []*placedReplica) {
+func (b *builder) addSpillover(table, zoneStride int, balance *balance, replicas []*placedReplica) {
 	shortfall := balance.shortfall(table)
 	if shortfall <= 0 {
 		return
 	}
 	withoutCapacity := balance.capacity[table] == 0
-	for _, r := range spilloverOrder(table, zoneRows, withoutCapacity, replicas) {
+	for _, r := range spilloverOrder(table, zoneStride, withoutCapacity, replicas) {
 		if shortfall <= 0 || b.size[table] >= b.maxSize {
 			return
 		}
@@ -114,14 +114,14 @@
 
 // spilloverOrder returns the replicas of other tables that may get a spillover endpoint in a table, those of the table's
 // zone first. Replicas that their own table cannot spare at all are included only for a table without capacity of its own.
-func spilloverOrder(table, zoneRows int, withoutCapacity bool, replicas []*placedReplica) []candidate {
+func spilloverOrder(table, zoneStride int, withoutCapacity bool, replicas []*placedReplica) []candidate {
 	var order []candidate
 	for _, r := range replicas {
 		if r.table == table || r.excluded || r.spare <= 0 && !withoutCapacity {
 			continue
 		}
-		otherZone := min(1, math.Abs(float64(r.table%zoneRows-table%zoneRows)))
-		shuffled := math.Mod(r.Key*float64(spilloverSeed+table), 1)
+		otherZone := min(1, math.Abs(float64(r.table%zoneStride-table%zoneStride)))
+		shuffled := math.Mod(r.AssignmentKey*float64(spilloverSeed+table), 1)
 		order = append(order, candidate{placedReplica: r, rank: otherZone + shuffled})
 	}
 	slices.SortFunc(order, func(a, b candidate) int { return cmp.Compare(a.rank, b.rank) })
--- a/policy/placement/exclusion.go
+++ b/policy/placement/exclusion.go
@@ -19,8 +19,8 @@
 //   - replicas that are warming up and are ejected or held back, or are in a zone whose requests surge: proxies soon avoid
 //     all overloaded replicas, and a replica that has just started would get all requests, whatever its weight. These
 //     replicas are not excluded if no replica is warmed up.
-func (p *Placer) exclude(in Input, replicas []*placedReplica, zoneRows int) (newlyExcluded []uint32) {
-	surges := surgingZones(in, zoneRows)
+func (p *Placer) exclude(in Input, replicas []*placedReplica, zoneStride int) (newlyExcluded []uint32) {
+	surges := surgingZones(in, zoneStride)
 	warmedUp := countWarmedUp(replicas)
 	outliersLeft := warmedUp * maxOutlierFraction
 	excluded := map[uint32]bool{}
@@ -29,7 +29,7 @@
 		case !r.Ready:
 			r.excluded = true
 		case r.WarmingUp:
-			r.excluded = warmedUp > 0 && (r.Ejected || r.HeldBack || surges[r.table%zoneRows])
+			r.excluded = warmedUp > 0 && (r.Ejected || r.HeldBack || surges[r.table%zoneStride])
 		case r.Ejected && outliersLeft >= 1:
 			r.excluded = true
 			outliersLeft--
@@ -58,15 +58,15 @@
 
 // surgingZones reports for each zone whether the newest requests of its proxies are more than surgeFactor times the usual
 // ones.
-func surgingZones(in Input, zoneRows int) []bool {
-	usual := make([]float64, zoneRows)
-	newest := make([]float64, zoneRows)
+func surgingZones(in Input, zoneStride int) []bool {
+	usual := make([]float64, zoneStride)
+	newest := make([]float64, zoneStride)
 	for _, proxy := range in.Proxies {
-		row := proxy.Table % zoneRows
+		row := proxy.Table % zoneStride
 		usual[row] += in.Demand.Requests[proxy.ID]
-		newest[row] += in.Demand.Newest[proxy.ID]
+		newest[row] += in.Demand.LatestRequests[proxy.ID]
 	}
-	surges := make([]bool, zoneRows)
+	surges := make([]bool, zoneStride)
 	for row := range surges {
 		surges[row] = newest[row] > surgeFactor*max(1, usual[row])
 	}
--- a/policy/placement/exclusion_test.go
+++ b/policy/placement/exclusion_test.go
@@ -74,7 +74,7 @@
 			all, _ := planExclusions(t, placerWithTables(1, map[uint32]int{}), Input{
 				Replicas: []Replica{warming, readyReplica(2, 0)},
 				Proxies:  []Proxy{{ID: 7}},
-				Demand:   Demand{Requests: map[int]float64{7: 100}, Newest: map[int]float64{7: c.newest}},
+				Demand:   Demand{Requests: map[int]float64{7: 100}, LatestRequests: map[int]float64{7: c.newest}},
 			})
 			if !slices.Equal(all, c.want) {
 				t.Errorf("excluded %v, want %v", all, c.want)
@@ -89,7 +89,7 @@
 	all, _ := planExclusions(t, placerWithTables(2, map[uint32]int{}), Input{
 		Replicas: []Replica{first, second, readyReplica(3, 0), readyReplica(4, 1)},
 		Proxies:  []Proxy{{ID: 7, Table: 0}, {ID: 8, Table: 1}},
-		Demand:   Demand{Requests: map[int]float64{7: 100, 8: 100}, Newest: map[int]float64{7: 100, 8: 200}},
+		Demand:   Demand{Requests: map[int]float64{7: 100, 8: 100}, LatestRequests: map[int]float64{7: 100, 8: 200}},
 	})
 	if !slices.Equal(all, []uint32{2}) {
 		t.Errorf("excluded %v, want only replica 2", all)
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -34,7 +34,7 @@
 	HardwareClass int
 	Ready         bool // neither draining nor gone
 	ListedWeight  float64
-	Key           float64 // sort key of the assignment: the highest is assigned first
+	AssignmentKey float64 // sort key of the assignment: the highest is assigned first
 	Weight        float64 // weight of its endpoints
 	Capacity      float64 // capacity to serve requests, in units of listed weight
 	Penalty       float64 // fraction by which its weight is reduced while learned state has it on probation
@@ -45,17 +45,17 @@
 
 // Proxy is a connected proxy that is bound.
 type Proxy struct {
-	ID    int
-	Table int           // table that it is assigned to
-	Rate  float64       // forecast of its requests per second
-	Since time.Duration // when it connected, counted from the same moment as Input.Now
+	ID          int
+	Table       int           // table that it is assigned to
+	Rate        float64       // forecast of its requests per second
+	ConnectedAt time.Duration // when it connected, counted from the same moment as Input.Now
 }
 
 // Demand is the number of requests that each proxy received recently.
 type Demand struct {
-	Period   time.Duration
-	Requests map[int]float64 // by proxy: requests in Period
-	Newest   map[int]float64 // by proxy: requests in the last load reports, scaled to Period
+	Period         time.Duration
+	Requests       map[int]float64 // by proxy: requests in Period
+	LatestRequests map[int]float64 // by proxy: requests in the last load reports, scaled to Period
 }
 
 // Input is the input of Place.
@@ -67,16 +67,17 @@
 	Demand   Demand
 }
 
-// KeepWeight is set in place of the weight of an endpoint that keeps its current weight because its replica is excluded.
-const KeepWeight = -1
+// KeepCurrentWeight is set in place of the weight of an endpoint that keeps its current weight because its replica is
+// excluded.
+const KeepCurrentWeight = -1
 
-// KeepsWeight reports whether a weight is KeepWeight.
-func KeepsWeight(weight float64) bool { return weight < 0 }
+// KeepsCurrentWeight reports whether a weight is KeepCurrentWeight.
+func KeepsCurrentWeight(weight float64) bool { return weight < 0 }
 
 // Endpoint is a replica in a table.
 type Endpoint struct {
 	Replica uint32
-	Weight  float64 // or KeepWeight
+	Weight  float64 // or KeepCurrentWeight
 }
 
 // Plan is the result of Place.
@@ -121,8 +122,8 @@
 		return Plan{}, false
 	}
 	slices.SortStableFunc(replicas, byKey) // a full table lacks those with the lowest keys, whatever their hardware class
-	zoneRows := zone.Rows(in.Settings.Zones, p.tables)
-	plan.NewlyExcluded = p.exclude(in, replicas, zoneRows)
+	zoneStride := zone.Stride(in.Settings.Zones, p.tables)
+	plan.NewlyExcluded = p.exclude(in, replicas, zoneStride)
 	plan.Excluded = p.excluded
 
 	balance := newBalance(in, replicas, p.tables)
@@ -133,14 +134,14 @@
 	}
 	plan.ServingTable = make([]int, p.tables)
 	for table := range p.tables {
-		plan.ServingTable[table] = balance.servingTable(table, zoneRows)
-		b.addSpillover(table, zoneRows, balance, replicas)
+		plan.ServingTable[table] = balance.servingTable(table, zoneStride)
+		b.addSpillover(table, zoneStride, balance, replicas)
 	}
 	plan.Endpoints = b.endpoints
 	return plan, true
 }
 
-func byKey(a, b *placedReplica) int { return cmp.Compare(b.Key, a.Key) }
+func byKey(a, b *placedReplica) int { return cmp.Compare(b.AssignmentKey, a.AssignmentKey) }
 
 // byClassAndKey orders replicas so that each hardware class is spread over the tables.
 func byClassAndKey(a, b *placedReplica) int {
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -15,7 +15,7 @@
 
 // readyReplica returns a replica whose key decreases with its ID, so that replicas are assigned in the order of their IDs.
 func readyReplica(id uint32, zone int) Replica {
-	return Replica{ID: id, Zone: zone, Ready: true, ListedWeight: 1, Key: 1 / float64(id), Weight: 1, Capacity: 1}
+	return Replica{ID: id, Zone: zone, Ready: true, ListedWeight: 1, AssignmentKey: 1 / float64(id), Weight: 1, Capacity: 1}
 }
 
 func goneReplica(id uint32, zone int) Replica {
@@ -103,8 +103,8 @@
 	if got := plan.weightIn(1, 1) + plan.weightIn(1, 4) + plan.weightIn(1, 5); got <= 0 {
 		t.Errorf("spillover endpoints have a total weight of %v, want more than 0", got)
 	}
-	if got := plan.weightIn(1, 2); got != KeepWeight {
-		t.Errorf("weight of the ejected replica: %v, want KeepWeight", got)
+	if got := plan.weightIn(1, 2); got != KeepCurrentWeight {
+		t.Errorf("weight of the ejected replica: %v, want KeepCurrentWeight", got)
 	}
 }
 
@@ -117,7 +117,7 @@
 	for id := uint32(1); id <= 300; id++ {
 		r := readyReplica(id, 0)
 		r.HardwareClass = int(id % 2)
-		r.Key = float64((id * 37) % 101)
+		r.AssignmentKey = float64((id * 37) % 101)
 		in.Replicas = append(in.Replicas, r)
 	}
 	plan := mustPlace(t, New(), in)
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -51,7 +51,7 @@
 		p.demand = n
 	case replicaEvicted:
 		delete(p.statuses, n.replica)
-		p.placer.Forget(n.replica)
+		p.placer.RemoveReplica(n.replica)
 	case proxyBound:
 		p.setProxy(n.proxy)
 	case replicaRestored:
@@ -158,14 +158,14 @@
 
 func (s replicaStatus) weightInput() weight.Replica {
 	return weight.Replica{
-		HardwareClass:   s.HardwareClass,
-		ListedWeight:    s.Weight,
-		Attempts:        s.window.Attempts,
-		Failures:        s.window.Failures,
-		ResponseTime:    s.window.ResponseTime,
-		Healthy:         s.inService() && !s.warmingUp,
-		RememberedSpeed: s.rememberedSpeed,
-		Confidence:      s.confidence,
+		HardwareClass: s.HardwareClass,
+		ListedWeight:  s.Weight,
+		Attempts:      s.window.Attempts,
+		Failures:      s.window.Failures,
+		ResponseTime:  s.window.ResponseTime,
+		Healthy:       s.inService() && !s.warmingUp,
+		LearnedSpeed:  s.learnedSpeed,
+		Confidence:    s.confidence,
 	}
 }
 
@@ -189,9 +189,9 @@
 		Replicas: p.placementInputs(),
 		Proxies:  p.proxies,
 		Demand: placement.Demand{
-			Period:   admission.DemandWindow,
-			Requests: p.demand.Requests,
-			Newest:   p.demand.LatestRequests,
+			Period:         admission.DemandWindow,
+			Requests:       p.demand.Requests,
+			LatestRequests: p.demand.LatestRequests,
 		},
 	})
 	if !ok {
@@ -217,7 +217,7 @@
 			HardwareClass: s.HardwareClass,
 			Ready:         s.State == control.Ready,
 			ListedWeight:  s.Weight,
-			Key:           s.placementKey,
+			AssignmentKey: s.placementKey,
 			Weight:        s.weight,
 			Capacity:      s.capacity,
 			Penalty:       s.penalty,
@@ -257,7 +257,7 @@
 }
 
 func (p *planner) setProxy(bound binding.Proxy) {
-	proxy := placement.Proxy{ID: bound.Proxy, Table: bound.Table, Rate: bound.Rate, Since: bound.ConnectedAt}
+	proxy := placement.Proxy{ID: bound.Proxy, Table: bound.Table, Rate: bound.Rate, ConnectedAt: bound.ConnectedAt}
 	k, ok := p.findProxy(bound.Proxy)
 	if !ok {
 		p.proxies = slices.Insert(p.proxies, k, proxy)
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -57,15 +57,15 @@
 	if tableCount == 0 {
 		return true
 	}
-	rows := zone.Rows(p.Zones, tableCount)
-	if zone.Rows(changed.Zones, tableCount) != rows {
+	stride := zone.Stride(p.Zones, tableCount)
+	if zone.Stride(changed.Zones, tableCount) != stride {
 		return false
 	}
 	for _, entry := range changed.Replicas {
 		r := p.replicas[entry.Replica]
-		if r != nil && r.entry.Zone%rows != entry.Zone%rows {
+		if r != nil && r.entry.Zone%stride != entry.Zone%stride {
 			return false
 		}
 	}
-	return p.binding.bindings.KeepsZones(rows, changed.Proxies)
+	return p.binding.bindings.KeepsZones(stride, changed.Proxies)
 }
--- a/policy/reconfigure_test.go
+++ b/policy/reconfigure_test.go
@@ -194,16 +194,16 @@
 			}
 			tables := p.placement.placer.Tables()
 			wantEqual(t, "number of tables", tables, newlyStarted.placement.placer.Tables())
-			rows := zone.Rows(p.Zones, tables)
+			stride := zone.Stride(p.Zones, tables)
 			for id, table := range p.placement.placer.Assigned() {
-				wantEqual(t, fmt.Sprintf("zone of replica %d", id), table%rows, p.replicas[id].entry.Zone%rows)
+				wantEqual(t, fmt.Sprintf("zone of replica %d", id), table%stride, p.replicas[id].entry.Zone%stride)
 			}
-			serving := p.binding.bindings.Serving()
+			serving := p.binding.bindings.ServingTables()
 			for number, proxy := range p.binding.bindings.Proxies() {
-				wantEqual(t, fmt.Sprintf("zone of proxy %d", number), proxy.Table%rows, proxy.Zone%rows)
+				wantEqual(t, fmt.Sprintf("zone of proxy %d", number), proxy.Table%stride, proxy.Zone%stride)
 				wantEqual(t, fmt.Sprintf("table of proxy %d", number), p.pacing.sender.Bindings()[number], serving[proxy.Table])
 			}
-			wantEqual(t, "rebinds not sent yet", p.update.sequence.Rebinds(), 0)
+			wantEqual(t, "rebinds not sent yet", p.update.sequence.PendingRebinds(), 0)
 		})
 	}
 }
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -92,14 +92,14 @@
 func (r *replica) evaluate(fleet replicaEvaluation) {
 	now := time.Duration(r.now)
 	r.lostFraction = fleet.lostFraction
-	r.estimate.Follow(fleet.weightGoal, time.Duration(r.now-r.evaluatedAt), time.Duration(r.now-r.knownSince))
+	r.estimate.MoveTowards(fleet.weightGoal, time.Duration(r.now-r.evaluatedAt), time.Duration(r.now-r.knownSince))
 	r.evaluatedAt = r.now
 	r.logChange(r.detector.Evaluate(now, fleet.health, time.Duration(r.ReportInterval)))
 }
 
 // logChange logs a change of health.
 func (r *replica) logChange(change outlier.Change) {
-	if change.Happened() {
+	if change.Occurred() {
 		r.logf("replica %d %s", r.entry.Replica, change)
 	}
 }
@@ -121,7 +121,7 @@
 		capacity:         listed * r.estimate.Goal,
 		placementKey:     r.placementKey,
 		window:           r.detector.Window(now),
-		rememberedSpeed:  r.estimate.RememberedSpeed,
+		learnedSpeed:     r.estimate.LearnedSpeed,
 		confidence:       r.estimate.Confidence,
 		penalty:          r.detector.Penalty(),
 		capacityFraction: config.CapacityFraction(now, start),
@@ -140,7 +140,7 @@
 		PlacementKey:    r.placementKey,
 		Speed:           r.estimate.Speed,
 		SampleCount:     r.estimate.SampleCount,
-		EjectedFor:      int64(r.detector.EjectedFor(now)),
+		EjectedFor:      int64(r.detector.RemainingEjection(now)),
 		Probation:       r.detector.OnProbation(),
 		Ejections:       r.detector.Ejections(),
 		SinceLastSample: int64(max(0, now-r.estimate.LastSample)),
--- a/policy/update/changes.go
+++ b/policy/update/changes.go
@@ -19,7 +19,7 @@
 type weightChange struct {
 	endpoint Endpoint
 	current  float64 // 0: the table lacks the endpoint
-	target   float64 // 0: the endpoint is to be removed; or placement.KeepWeight
+	target   float64 // 0: the endpoint is to be removed; or placement.KeepCurrentWeight
 }
 
 // size is the change in relation to the larger of both weights: from 0 to 1.
@@ -97,7 +97,7 @@
 
 // mustSend reports whether a change is to be sent. Changes of the step Add are sent however small they are.
 func mustSend(change weightChange, step Step) bool {
-	if placement.KeepsWeight(change.target) || change.target == change.current {
+	if placement.KeepsCurrentWeight(change.target) || change.target == change.current {
 		return false
 	}
 	return step == Add || change.size() >= minWeightChange
--- a/policy/update/changes_test.go
+++ b/policy/update/changes_test.go
@@ -23,8 +23,8 @@
 		{name: "weight falls by more than minWeightChange", current: 1, target: 0.8, due: Overwrite},
 		{name: "weight changes by less than minWeightChange", current: 1, target: 0.9, due: stepCount},
 		{name: "weight does not change", current: 1, target: 1, due: stepCount},
-		{name: "weight is kept", current: 1, target: placement.KeepWeight, due: stepCount},
-		{name: "weight of a missing endpoint is kept", target: placement.KeepWeight, due: stepCount},
+		{name: "weight is kept", current: 1, target: placement.KeepCurrentWeight, due: stepCount},
+		{name: "weight of a missing endpoint is kept", target: placement.KeepCurrentWeight, due: stepCount},
 		{name: "ejected replica stays ejected", current: 1, target: 0.5, ejected: replicas{1: true},
 			targetEjected: replicas{1: true}, due: Overwrite},
 		{name: "ejected replica is gone", current: 1, ejected: replicas{1: true}, targetEjected: replicas{1: true}, due: Remove},
@@ -81,7 +81,7 @@
 func TestForgottenReplicaIsNotUnejected(t *testing.T) {
 	s := New()
 	s.SetTarget(Target{Ejected: replicas{3: true, 1: true}})
-	s.Forget(3)
+	s.RemoveReplica(3)
 	s.SetTarget(Target{})
 	assertCommands(t, "unejections", s.commands(Add), control.SetEjected{Replica: 1})
 }
--- a/policy/update/sequence.go
+++ b/policy/update/sequence.go
@@ -55,7 +55,7 @@
 // Target is the state that the proxies are to reach.
 type Target struct {
 	// Weights has the weights of the endpoints. An endpoint that is missing, or has weight 0, is to be removed; an endpoint
-	// with placement.KeepWeight keeps its current weight.
+	// with placement.KeepCurrentWeight keeps its current weight.
 	Weights map[Endpoint]float64
 	// Ejected has the replicas that are to be ejected at the proxies: all that placement excludes. A replica that was in the
 	// set of an earlier target and is not in this one is to be unejected.
@@ -103,8 +103,8 @@
 // CancelRebinds drops all moves that were not sent yet.
 func (s *Sequence) CancelRebinds() { clear(s.rebinds) }
 
-// Forget removes a replica that no longer exists. It stays ejected at the proxies: no unejection becomes due for it.
-func (s *Sequence) Forget(replica uint32) { delete(s.ejected, replica) }
+// RemoveReplica removes a replica that no longer exists. It stays ejected at the proxies: no unejection becomes due for it.
+func (s *Sequence) RemoveReplica(replica uint32) { delete(s.ejected, replica) }
 
 // Sent records commands that were sent. The current step does not end before the nonce is acknowledged; nonce 0 means that
 // the commands reach no proxy, so there is no ack to wait for.
@@ -190,5 +190,5 @@
 // Weights returns the weights that were sent, by endpoint.
 func (s *Sequence) Weights() map[Endpoint]float64 { return maps.Clone(s.current) }
 
-// Rebinds returns the number of proxies whose move was not sent yet.
-func (s *Sequence) Rebinds() int { return len(s.rebinds) }
+// PendingRebinds returns the number of proxies whose move was not sent yet.
+func (s *Sequence) PendingRebinds() int { return len(s.rebinds) }
--- a/policy/update/sequence_test.go
+++ b/policy/update/sequence_test.go
@@ -196,7 +196,7 @@
 	assertCommands(t, "the later of two rebinds", s.commands(Rebind), control.Bind{Proxy: 1, Table: 3})
 	s.CancelRebinds()
 	assertCommands(t, "after CancelRebinds", s.commands(Rebind))
-	if s.Rebinds() != 0 {
-		t.Errorf("%d proxies wait to be moved, want 0", s.Rebinds())
+	if s.PendingRebinds() != 0 {
+		t.Errorf("%d proxies wait to be moved, want 0", s.PendingRebinds())
 	}
 }
--- a/policy/updater.go
+++ b/policy/updater.go
@@ -21,7 +21,7 @@
 	case targetTables:
 		u.sequence.SetTarget(update.Target(m))
 	case replicaEvicted:
-		u.sequence.Forget(m.replica)
+		u.sequence.RemoveReplica(m.replica)
 	case bindRequested:
 		u.sequence.Rebind(m.Bind)
 	case messagesSent:
--- a/policy/weight/baselines.go
+++ b/policy/weight/baselines.go
@@ -35,7 +35,7 @@
 	for class, totals := range e.classes {
 		if totals.successes >= minBaselineSuccesses {
 			samples := append(b.byClass[class], totals.totalResponseTime/totals.successes)
-			b.byClass[class] = sample.Newest(sample.Kept, samples)
+			b.byClass[class] = sample.Newest(sample.MaxKept, samples)
 		}
 	}
 }
--- a/policy/weight/estimate.go
+++ b/policy/weight/estimate.go
@@ -27,12 +27,12 @@
 // Estimate is the speed of one replica: its weight as a multiple of its listed weight. Times are durations since the epoch
 // of the caller's clock.
 type Estimate struct {
-	Speed           float64 // follows Goal; above 0
-	Goal            float64
-	RememberedSpeed float64 // learned by an earlier controller
-	Confidence      float64 // weight of RememberedSpeed, as a number of attempts
-	SampleCount     float64 // number of attempts on which Speed is based, up to maxSampleCount
-	LastSample      time.Duration
+	Speed        float64 // follows Goal; above 0
+	Goal         float64
+	LearnedSpeed float64 // learned by an earlier controller
+	Confidence   float64 // weight of LearnedSpeed, as a number of attempts
+	SampleCount  float64 // number of attempts on which Speed is based, up to maxSampleCount
+	LastSample   time.Duration
 }
 
 // NewEstimate returns the estimate of a replica of which only the listed weight is known.
@@ -47,9 +47,9 @@
 	e.LastSample = now
 }
 
-// Follow moves the speed towards a goal. The step is larger the longer ago the last move was, and the more recently the
+// MoveTowards moves the speed towards a goal. The step is larger the longer ago the last move was, and the more recently the
 // replica became known.
-func (e *Estimate) Follow(goal float64, sinceLast, sinceKnown time.Duration) {
+func (e *Estimate) MoveTowards(goal float64, sinceLast, sinceKnown time.Duration) {
 	e.Goal = goal
 	settle := min(settleTime, max(minSettleTime, sinceKnown/settleDivisor))
 	step := math.Min(1, float64(sinceLast)/float64(settle))
@@ -74,10 +74,10 @@
 // Restore takes over the speed that an earlier controller had learned. The older it is, the closer the restored speed is to
 // 1, the listed weight.
 func (e *Estimate) Restore(now time.Duration, r Restored) {
-	e.RememberedSpeed = math.Pow(r.Speed, r.Confidence)
+	e.LearnedSpeed = math.Pow(r.Speed, r.Confidence)
 	e.Confidence = r.Confidence * math.Min(r.SampleCount, maxSampleCount)
 	e.SampleCount = r.Confidence * r.SampleCount
 	e.LastSample = now - r.Age
-	e.Speed = e.RememberedSpeed
-	e.Goal = e.RememberedSpeed
+	e.Speed = e.LearnedSpeed
+	e.Goal = e.LearnedSpeed
 }
--- a/policy/weight/estimate_test.go
+++ b/policy/weight/estimate_test.go
@@ -11,9 +11,9 @@
 	for _, c := range []struct{ speed, confidence, want float64 }{{0.25, 1, 0.25}, {0.25, 0.5, 0.5}, {0.25, 0.01, 0.986}, {4, 0.5, 2}} {
 		e := NewEstimate(now)
 		e.Restore(now, Restored{Speed: c.speed, SampleCount: 40, Age: time.Second, Confidence: c.confidence})
-		if math.Abs(e.Speed-c.want) > 0.001 || e.Goal != e.Speed || e.RememberedSpeed != e.Speed {
+		if math.Abs(e.Speed-c.want) > 0.001 || e.Goal != e.Speed || e.LearnedSpeed != e.Speed {
 			t.Errorf("speed %v with confidence %v: got speed %v, goal %v, remembered speed %v, want %v",
-				c.speed, c.confidence, e.Speed, e.Goal, e.RememberedSpeed, c.want)
+				c.speed, c.confidence, e.Speed, e.Goal, e.LearnedSpeed, c.want)
 		}
 		if math.Abs(e.Confidence-maxSampleCount*c.confidence) > 1e-12 || math.Abs(e.SampleCount-40*c.confidence) > 1e-12 {
 			t.Errorf("speed %v with confidence %v: got confidence %v, sample count %v", c.speed, c.confidence, e.Confidence, e.SampleCount)
@@ -60,7 +60,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := NewEstimate(0)
-			e.Follow(16, c.sinceLast, c.sinceKnown)
+			e.MoveTowards(16, c.sinceLast, c.sinceKnown)
 			if math.Abs(e.Speed-c.want) > 1e-9 || e.Goal != 16 {
 				t.Errorf("speed %v, want %v; goal %v", e.Speed, c.want, e.Goal)
 			}
--- a/policy/weight/weight.go
+++ b/policy/weight/weight.go
@@ -55,14 +55,14 @@
 
 // Replica holds the inputs of the estimation for one replica. Attempts and response times are those of the last seconds.
 type Replica struct {
-	HardwareClass   int
-	ListedWeight    float64
-	Attempts        float64
-	Failures        float64
-	ResponseTime    float64 // mean of the successful attempts, in seconds; 0: not known
-	Healthy         bool    // ready, warmed up, neither ejected nor on probation
-	RememberedSpeed float64 // learned by an earlier controller
-	Confidence      float64 // weight of RememberedSpeed, as a number of attempts
+	HardwareClass int
+	ListedWeight  float64
+	Attempts      float64
+	Failures      float64
+	ResponseTime  float64 // mean of the successful attempts, in seconds; 0: not known
+	Healthy       bool    // ready, warmed up, neither ejected nor on probation
+	LearnedSpeed  float64 // learned by an earlier controller
+	Confidence    float64 // weight of LearnedSpeed, as a number of attempts
 }
 
 func (r Replica) successes() float64 { return r.Attempts - r.Failures }
@@ -163,7 +163,7 @@
 		if class.capacity > 0 {
 			sampleWeight += priorSuccesses
 		}
-		goal = (goal*sampleWeight + r.RememberedSpeed*r.Confidence) / (sampleWeight + r.Confidence)
+		goal = (goal*sampleWeight + r.LearnedSpeed*r.Confidence) / (sampleWeight + r.Confidence)
 	}
 	return goal
 }
--- a/policy/weight/weight_test.go
+++ b/policy/weight/weight_test.go
@@ -133,7 +133,7 @@
 		{"as many successes as the confidence: mean of both", 12, 12, 0.625},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := Replica{ListedWeight: 1, Attempts: c.successes, RememberedSpeed: 0.25, Confidence: c.confidence}
+			r := Replica{ListedWeight: 1, Attempts: c.successes, LearnedSpeed: 0.25, Confidence: c.confidence}
 			e := NewEstimator(NewBaselines(), 1, []Replica{r})
 			if got := e.Goal(r); got != c.want {
 				t.Errorf("got %v, want %v", got, c.want)
