--- a/cmd/lilacbend/snapshots.go
+++ b/cmd/lilacbend/snapshots.go
@@ -84,15 +84,15 @@
 	k.log.Warn("learned state file rejected", "file", filepath.Join(k.retention.Folder, name), "error", reason)
 }
 
-// restoreGeneration returns the state of a generation, fitted to the topology, and its list if that list is newer than the
-// known one.
+// restoreGeneration returns the state of a generation, restricted to the topology, and its list if that list is newer than
+// the known one.
 func (k *snapshotKeeper) restoreGeneration(generation snapshot.Generation, known controller.ReplicaList, topology controller.Topology, base clock) restoredState {
 	halfLife := k.retention.HalfLife.Nanoseconds()
-	age := generation.State.Taken.Age(snapshot.Now())
-	fitted, dropped := learnedstate.Fit(generation.State, topology.Installation(), age, halfLife)
+	age := generation.State.TakenAt.Age(snapshot.Now())
+	restricted, dropped := learnedstate.Restrict(generation.State, topology.Installation(), age, halfLife)
 	list := known
-	if fitted.HasNewerList(known.Revision, age) {
-		list = controller.ListFromSnapshot(fitted)
+	if restricted.HasNewerEndpointList(known.Revision, age) {
+		list = controller.ListFromSnapshot(restricted)
 	}
 	k.generation = generation.Name
 	k.age = time.Duration(age)
@@ -100,13 +100,13 @@
 		"file", generation.Name,
 		"age", k.age.Round(time.Millisecond),
 		"weight", fmt.Sprintf("%.2f", learnedstate.Weight(age, halfLife)),
-		"replicas", len(fitted.Replicas),
+		"replicas", len(restricted.Replicas),
 		"list", list.Revision,
-		"unfit", dropped.Replicas,
-		"too_old", dropped.Expired,
+		"unfit", dropped.InvalidReplicas,
+		"too_old", dropped.ExpiredReplicas,
 		"usage_dropped", dropped.RequestRates,
 		"groups_changed", dropped.ClassesChanged)
-	aged := learnedstate.NewAgedState(fitted, base.now(), age, halfLife)
+	aged := learnedstate.NewAgedState(restricted, base.now(), age, halfLife)
 	return restoredState{list: list, state: aged}
 }
 
@@ -136,7 +136,7 @@
 	}
 	submitted := *state
 	submitted.Controller = k.name
-	submitted.Taken = snapshot.Now()
+	submitted.TakenAt = snapshot.Now()
 	k.writer.Submit(submitted)
 }
 
--- a/cmd/lilacbend/state_test.go
+++ b/cmd/lilacbend/state_test.go
@@ -124,7 +124,7 @@
 
 // A controller serves whatever its state folder contains. It logs the files that it cannot use and leaves them unchanged.
 func TestControllerServesWithAnyStateFolder(t *testing.T) {
-	encoded, _ := snapshot.Encode(learnedstate.State{Controller: "n9", Taken: snapshot.Now()}, 1)
+	encoded, _ := snapshot.Encode(learnedstate.State{Controller: "n9", TakenAt: snapshot.Now()}, 1)
 	for name, c := range map[string]struct{ raw, logText string }{
 		"state-0000000000000001.lbs": {string(encoded), `written by controller \"n9\", this controller is \"n0\"`},
 		"state-0000000000000002.lbs": {string(encoded), "file name does not match generation 1 in the header"},
@@ -173,7 +173,7 @@
 
 func TestStateCommands(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "s")
-	state := learnedstate.State{Controller: "n0", Taken: snapshot.Now(), Classes: []string{"read"}, AdmissionThreshold: 1, Replicas: []learnedstate.Replica{{ID: "box-2", Zone: "a", Speed: 0.5, EjectedFor: 3e9, Ejections: 1}}}
+	state := learnedstate.State{Controller: "n0", TakenAt: snapshot.Now(), Classes: []string{"read"}, AdmissionThreshold: 1, Replicas: []learnedstate.Replica{{ID: "box-2", Zone: "a", Speed: 0.5, RemainingEjection: 3e9, EjectionCount: 1}}}
 	exported, err := snapshot.Export(state)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/lilacbend/statecommand.go
+++ b/cmd/lilacbend/statecommand.go
@@ -254,19 +254,19 @@
 // printGeneration prints a generation as a table. Ages are relative to the current time.
 func printGeneration(out io.Writer, generation snapshot.Generation) error {
 	state := generation.State
-	age := time.Duration(state.Taken.Age(snapshot.Now()))
+	age := time.Duration(state.TakenAt.Age(snapshot.Now()))
 	fmt.Fprintf(out, "%s: generation %d, format %d, %d bytes\n", generation.Name, generation.Number, generation.Format, generation.Bytes)
 	fmt.Fprintf(out, "controller %s, taken %s, %v ago; list revision %d\n",
-		state.Controller, time.Unix(0, state.Taken.Wall).UTC().Format(time.RFC3339), age.Round(time.Second), state.Revision)
+		state.Controller, time.Unix(0, state.TakenAt.Wall).UTC().Format(time.RFC3339), age.Round(time.Second), state.Revision)
 	fmt.Fprintf(out, "traffic classes %s; admission threshold %.0f%%; retries stopped %v; %d tables, %d proxies bound, %d request rates of proxies\n\n",
-		strings.Join(state.Classes, ", "), 100*state.AdmissionThreshold, state.RetriesStopped, state.Tables, len(state.Bindings), len(state.RequestRates))
+		strings.Join(state.Classes, ", "), 100*state.AdmissionThreshold, state.RetriesStopped, state.TableCount, len(state.Bindings), len(state.RequestRates))
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "replica\tzone\tkind\tlisted\tverdict\trelapses\tspeed\ttries\tage")
 	for _, replica := range state.Replicas {
 		sampleAge := age + time.Duration(replica.SinceLastSample)
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%d\t%.2f\t%.0f\t%v\n",
 			replica.ID, replica.Zone, replica.HardwareClass, listedState(replica.State), healthState(replica),
-			replica.Ejections, replica.Speed, replica.SampleCount, sampleAge.Round(time.Second))
+			replica.EjectionCount, replica.Speed, replica.SampleCount, sampleAge.Round(time.Second))
 	}
 	return table.Flush()
 }
@@ -281,8 +281,8 @@
 // healthState returns a replica's health as the table shows it: ejected ("sick"), on probation ("on trial") or "well".
 func healthState(replica learnedstate.Replica) string {
 	switch {
-	case replica.EjectedFor > 0:
-		return fmt.Sprintf("sick, %v left", time.Duration(replica.EjectedFor).Round(100*time.Millisecond))
+	case replica.RemainingEjection > 0:
+		return fmt.Sprintf("sick, %v left", time.Duration(replica.RemainingEjection).Round(100*time.Millisecond))
 	case replica.Probation:
 		return "on trial"
 	}
--- a/cmd/lilacbend/statecommand_test.go
+++ b/cmd/lilacbend/statecommand_test.go
@@ -22,7 +22,7 @@
 	for want, replica := range map[string]learnedstate.Replica{
 		"well":            {},
 		"on trial":        {Probation: true},
-		"sick, 1.5s left": {EjectedFor: int64(1520 * time.Millisecond), Probation: true},
+		"sick, 1.5s left": {RemainingEjection: int64(1520 * time.Millisecond), Probation: true},
 	} {
 		if got := healthState(replica); got != want {
 			t.Errorf("health of %+v is %q, want %q", replica, got, want)
--- a/experiment/emulator/controllers.go
+++ b/experiment/emulator/controllers.go
@@ -162,7 +162,7 @@
 	}
 	if result.Snapshot != nil {
 		c.learned = result.Snapshot
-		c.learned.Taken = learnedstate.Timestamp{Wall: sim.now}
+		c.learned.TakenAt = learnedstate.Timestamp{Wall: sim.now}
 		sim.LearnedState = sim.controllers[0].learned
 	}
 	for _, outgoing := range result.Updates {
--- a/experiment/emulator/inject.go
+++ b/experiment/emulator/inject.go
@@ -100,7 +100,7 @@
 		}
 		var restored *learnedstate.AgedState
 		if fault.Kind == kindControllerRestartWithState && learned != nil {
-			age := learned.Taken.Age(learnedstate.Timestamp{Wall: sim.now})
+			age := learned.TakenAt.Age(learnedstate.Timestamp{Wall: sim.now})
 			restored = learnedstate.NewAgedState(*learned, sim.now, age, snapshotHalfLife)
 		}
 		sim.start(c, restored)
--- a/experiment/restart/restart.go
+++ b/experiment/restart/restart.go
@@ -107,7 +107,7 @@
 		return nil, fmt.Errorf("decoding the encoded snapshot: %w", err)
 	}
 	state := generation.State
-	age := state.Taken.Age(learnedstate.Timestamp{Wall: simulation.Now()})
+	age := state.TakenAt.Age(learnedstate.Timestamp{Wall: simulation.Now()})
 	switch kind {
 	case OldState:
 		age += 2 * halfLife
@@ -116,22 +116,22 @@
 		shuffleReplicaState(state.Replicas, random)
 	}
 	names := simulation.Site.Names
-	installation := learnedstate.Installation{Classes: names.Classes, HardwareClasses: names.HardwareClasses, Proxies: simulation.Site.Proxies}
-	fitted, _ := learnedstate.Fit(state, installation, age, halfLife)
-	return learnedstate.NewAgedState(fitted, simulation.Now(), age, halfLife), nil
+	installation := learnedstate.Installation{Classes: names.Classes, HardwareClasses: names.HardwareClasses, ProxyCount: simulation.Site.Proxies}
+	restricted, _ := learnedstate.Restrict(state, installation, age, halfLife)
+	return learnedstate.NewAgedState(restricted, simulation.Now(), age, halfLife), nil
 }
 
 // invertHealth marks replicas healthy that are ejected or on probation, and puts healthy ones on probation.
 func invertHealth(replicas []learnedstate.Replica) {
 	for k := range replicas {
 		r := &replicas[k]
-		if r.EjectedFor > 0 || r.Probation {
-			r.EjectedFor = 0
+		if r.RemainingEjection > 0 || r.Probation {
+			r.RemainingEjection = 0
 			r.Probation = false
 			continue
 		}
 		r.Probation = true
-		r.Ejections = 1
+		r.EjectionCount = 1
 	}
 }
 
@@ -143,8 +143,8 @@
 		other := originals[n]
 		r.Speed = other.Speed
 		r.SampleCount = other.SampleCount
-		r.EjectedFor = other.EjectedFor
+		r.RemainingEjection = other.RemainingEjection
 		r.Probation = other.Probation
-		r.Ejections = other.Ejections
+		r.EjectionCount = other.EjectionCount
 	}
 }
--- a/internal/controller/core_test.go
+++ b/internal/controller/core_test.go
@@ -240,8 +240,8 @@
 // A step of the wall clock between two lists must not be taken for a restart of every replica.
 func TestStartTimesSurviveStepsOfTheWallClock(t *testing.T) {
 	c, module := newTestCore()
-	listedStart := func(wall, upSince int64) int64 {
-		c.Turn(wall, []Input{ReplicaList{ReadAt: 500e9, ReadAtWallClock: wall, Members: []Member{{ID: "x", Weight: 1, StartedAt: upSince}}}})
+	listedStart := func(wall, startedAt int64) int64 {
+		c.Turn(wall, []Input{ReplicaList{ReadAt: 500e9, ReadAtWallClock: wall, Members: []Member{{ID: "x", Weight: 1, StartedAt: startedAt}}}})
 		return module.events[0].(control.ReplicasListed).Entries[0].StartedAt
 	}
 	for k, step := range [][3]int64{{1000e9, 990e9, 490e9}, {5000e9, 990e9, 490e9}, {5000e9, 4999e9, 499e9},
--- a/internal/controller/input.go
+++ b/internal/controller/input.go
@@ -81,8 +81,8 @@
 // UpdatesDropped reports that a stream's send queue was full and dropped its updates.
 type UpdatesDropped struct{ Stream StreamID }
 
-// SnapshotRestored passes in the state that an earlier controller had learned, fitted to this installation. It precedes the
-// first ReplicaList.
+// SnapshotRestored passes in the state that an earlier controller had learned, restricted to this installation. It precedes
+// the first ReplicaList.
 type SnapshotRestored struct{ Snapshot *learnedstate.AgedState }
 
 // Configure requests that settings be put in force. They have passed the same checks as the settings of a starting
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -29,7 +29,7 @@
 	name          string
 	zone          string // as listed
 	hardwareClass string // as listed
-	upSince       int64  // as listed, by the wall clock
+	listedStart   int64  // as listed, by the wall clock
 	lastListed    int64  // when the replica was last listed or not gone
 	// lastList is the number of the last list that contained the replica. A time would not identify a list, since one turn
 	// may apply several lists.
@@ -100,10 +100,10 @@
 
 // updateReplica updates a replica from a list and reports whether the replica is new, has restarted or has moved.
 func (c *Core) updateReplica(r *replica, member Member, list ReplicaList) bool {
-	restarted := member.StartedAt != r.upSince
+	restarted := member.StartedAt != r.listedStart
 	moved := member.Zone != r.zone || member.HardwareClass != r.hardwareClass
 	if restarted { // only then, so that steps of the wall clock do not look like restarts
-		r.upSince = member.StartedAt
+		r.listedStart = member.StartedAt
 		r.StartedAt = startTime(member.StartedAt, list)
 	}
 	r.zone = member.Zone
@@ -122,11 +122,11 @@
 
 // startTime converts the start time of a process from the wall clock to the core's clock. The result is above 0 and not
 // after the time at which the list was read; it is 0 if the process started long ago.
-func startTime(upSince int64, list ReplicaList) int64 {
-	if upSince <= 0 {
+func startTime(listedStart int64, list ReplicaList) int64 {
+	if listedStart <= 0 {
 		return 0
 	}
-	return max(1, min(list.ReadAt, list.ReadAt-list.ReadAtWallClock+upSince))
+	return max(1, min(list.ReadAt, list.ReadAt-list.ReadAtWallClock+listedStart))
 }
 
 // add adds a replica with a new name and the next number.
@@ -135,7 +135,7 @@
 	added := &replica{
 		ListedReplica: control.ListedReplica{Replica: set.lastNumber},
 		name:          name,
-		upSince:       -1, // differs from every listed value
+		listedStart:   -1, // differs from every listed value
 	}
 	set.numbers[name] = set.lastNumber
 	set.byNumber[set.lastNumber] = added
--- a/internal/controller/restore.go
+++ b/internal/controller/restore.go
@@ -8,9 +8,9 @@
 )
 
 // Installation returns the traffic classes, hardware classes and number of proxies to which restored learned state is
-// fitted.
+// restricted.
 func (t Topology) Installation() learnedstate.Installation {
-	return learnedstate.Installation{Classes: t.names.Classes, HardwareClasses: t.names.HardwareClasses, Proxies: t.proxies}
+	return learnedstate.Installation{Classes: t.names.Classes, HardwareClasses: t.names.HardwareClasses, ProxyCount: t.proxies}
 }
 
 // restoredReplicas returns events with the learned state of the replicas in a list.
@@ -24,7 +24,7 @@
 		if r == nil || entry.State == control.Gone {
 			continue
 		}
-		last, age, weight := learned.Lookup(r.name, r.zone, r.hardwareClass, r.upSince, now)
+		last, age, weight := learned.Lookup(r.name, r.zone, r.hardwareClass, r.listedStart, now)
 		if weight == 0 {
 			continue
 		}
@@ -46,9 +46,9 @@
 		PlacementKey:      r.PlacementKey,
 		Speed:             r.Speed,
 		SampleCount:       r.SampleCount,
-		RemainingEjection: r.EjectedFor,
+		RemainingEjection: r.RemainingEjection,
 		Probation:         r.Probation,
-		EjectionCount:     r.Ejections,
+		EjectionCount:     r.EjectionCount,
 		SinceLastSample:   r.SinceLastSample,
 	}
 }
@@ -64,7 +64,7 @@
 		return nil
 	}
 	fleet := control.LearnedFleet{
-		TableCount:            learned.Tables,
+		TableCount:            learned.TableCount,
 		Bindings:              learned.Bindings,
 		BaselineResponseTimes: c.restoredResponseTimes(learned.BaselineResponseTimes),
 		RequestRates:          c.restoredRequestRates(learned.RequestRates),
--- a/internal/controller/snapshot.go
+++ b/internal/controller/snapshot.go
@@ -98,8 +98,8 @@
 			Zone:          r.Zone,
 			HardwareClass: r.HardwareClass,
 			State:         r.State,
-			Weight:        r.Weight,
-			StartedAt:     r.UpSince,
+			Weight:        r.ListedWeight,
+			StartedAt:     r.StartedAt,
 		})
 	}
 	return list
@@ -115,7 +115,7 @@
 		BaselineResponseTimes: c.snapshotResponseTimes(learned.BaselineResponseTimes),
 		RequestRates:          c.snapshotRequestRates(learned.RequestRates),
 		Bindings:              learned.Bindings,
-		Tables:                learned.TableCount,
+		TableCount:            learned.TableCount,
 		AdmissionThreshold:    learned.AdmissionThreshold,
 		MaxSuccessRate:        learned.MaxSuccessRate,
 		RetriesStopped:        learned.RetriesStopped,
@@ -136,20 +136,20 @@
 			continue
 		}
 		replicas = append(replicas, learnedstate.Replica{
-			ID:              r.name,
-			Zone:            r.zone,
-			HardwareClass:   r.hardwareClass,
-			UpSince:         r.upSince,
-			State:           r.State,
-			Weight:          r.Weight,
-			Speed:           l.Speed,
-			SampleCount:     l.SampleCount,
-			PlacementKey:    l.PlacementKey,
-			Table:           l.Table,
-			EjectedFor:      l.RemainingEjection,
-			Probation:       l.Probation,
-			Ejections:       l.EjectionCount,
-			SinceLastSample: l.SinceLastSample,
+			ID:                r.name,
+			Zone:              r.zone,
+			HardwareClass:     r.hardwareClass,
+			StartedAt:         r.listedStart,
+			State:             r.State,
+			ListedWeight:      r.Weight,
+			Speed:             l.Speed,
+			SampleCount:       l.SampleCount,
+			PlacementKey:      l.PlacementKey,
+			Table:             l.Table,
+			RemainingEjection: l.RemainingEjection,
+			Probation:         l.Probation,
+			EjectionCount:     l.EjectionCount,
+			SinceLastSample:   l.SinceLastSample,
 		})
 	}
 	slices.SortFunc(replicas, func(a, b learnedstate.Replica) int { return strings.Compare(a.ID, b.ID) })
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -10,7 +10,7 @@
 
 // agedState returns learned state of an age, loaded at a time.
 func agedState(at, age int64, replicas ...learnedstate.Replica) *learnedstate.AgedState {
-	state := learnedstate.State{Tables: 2, AdmissionThreshold: 0.5, Replicas: replicas, BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {HardwareClass: "m9", Times: []float64{9}}},
+	state := learnedstate.State{TableCount: 2, AdmissionThreshold: 0.5, Replicas: replicas, BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {HardwareClass: "m9", Times: []float64{9}}},
 		RequestRates: []learnedstate.RequestRate{{Proxy: 4, Class: "order", Rate: 3}}, Bindings: []control.Binding{{Proxy: 4, Table: 1}}}
 	return learnedstate.NewAgedState(state, at, age, defaultHalfLife)
 }
@@ -98,7 +98,7 @@
 }
 
 func TestListFromSnapshotNamesListedReplicas(t *testing.T) {
-	state := learnedstate.State{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, Weight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
+	state := learnedstate.State{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", StartedAt: 5, ListedWeight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
 	want := ReplicaList{Revision: 7, Complete: true, Members: []Member{{ID: "x", Zone: "a", HardwareClass: "m1", State: control.Draining, Weight: 2, StartedAt: 5}}}
 	if got := ListFromSnapshot(state); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
--- a/internal/learnedstate/age.go
+++ b/internal/learnedstate/age.go
@@ -16,12 +16,12 @@
 	return weight
 }
 
-// Timestamp is a time read from a machine's clocks. The wall clock may step. Up does not step, but it is comparable only
+// Timestamp is a time read from a machine's clocks. The wall clock may step. Uptime does not step, but it is comparable only
 // between timestamps of the same boot.
 type Timestamp struct {
-	Wall int64  // Unix time in nanoseconds
-	Boot string // boot ID of the machine; empty: unknown
-	Up   int64  // nanoseconds since boot
+	Wall   int64  // Unix time in nanoseconds
+	Boot   string // boot ID of the machine; empty: unknown
+	Uptime int64  // nanoseconds since boot
 }
 
 // Age returns how long before now a timestamp was taken: the larger of the ages by the wall clock and, within one boot, by
@@ -34,7 +34,7 @@
 		wallAge = -max(wallAge, -math.MaxInt64)
 	}
 	if t.Boot != "" && t.Boot == now.Boot {
-		return max(wallAge, now.Up-t.Up)
+		return max(wallAge, now.Uptime-t.Uptime)
 	}
 	return wallAge
 }
@@ -72,12 +72,12 @@
 // Lookup returns the data about a replica as the endpoint list has it now, the age of its last sample and the weight of the
 // data. Weight 0 means that there is no usable data. A process that was started since, or that is now in another zone or
 // hardware class, is a different replica and has no data.
-func (s *AgedState) Lookup(id, zone, hardwareClass string, upSince, now int64) (replica Replica, age int64, weight float64) {
+func (s *AgedState) Lookup(id, zone, hardwareClass string, startedAt, now int64) (replica Replica, age int64, weight float64) {
 	if s == nil || s.replicaByID[id] == nil {
 		return Replica{}, 0, 0
 	}
 	replica = *s.replicaByID[id]
-	if replica.UpSince != upSince || replica.Zone != zone || replica.HardwareClass != hardwareClass {
+	if replica.StartedAt != startedAt || replica.Zone != zone || replica.HardwareClass != hardwareClass {
 		return Replica{}, 0, 0
 	}
 	elapsed := s.Age(now)
--- a/internal/learnedstate/fit.go
+++ b/internal/learnedstate/restrict.go
@@ -31,27 +31,27 @@
 type Installation struct {
 	Classes         []string // traffic classes, in configured order
 	HardwareClasses []string
-	Proxies         int // number of proxies; they are numbered from 0
+	ProxyCount      int // number of proxies; they are numbered from 0
 }
 
-// Dropped counts the entries of a state that Fit has dropped, by reason. Dropped bindings and response times are not
+// Dropped counts the entries of a state that Restrict has dropped, by reason. Dropped bindings and response times are not
 // counted.
 type Dropped struct {
-	Replicas       int  // replicas with a value out of bounds
-	Expired        int  // replicas whose samples are so old that their weight is 0
-	RequestRates   int  // request rates of unknown traffic classes or proxies, out of bounds or too old
-	ClassesChanged bool // the traffic classes or their order differ, so that the admission threshold does not apply
+	InvalidReplicas int  // replicas with a value out of bounds
+	ExpiredReplicas int  // replicas whose samples are so old that their weight is 0
+	RequestRates    int  // request rates of unknown traffic classes or proxies, out of bounds or too old
+	ClassesChanged  bool // the traffic classes or their order differ, so that the admission threshold does not apply
 }
 
-// Fit returns the state without the entries that are invalid, do not match the installation or are too old, and the counts
-// of dropped entries. age is the age of the state. Zones and hardware classes of replicas are not checked here:
+// Restrict returns the state without the entries that are invalid, do not match the installation or are too old, and the
+// counts of dropped entries. age is the age of the state. Zones and hardware classes of replicas are not checked here:
 // AgedState.Lookup compares them with the endpoint list.
-func Fit(state State, installation Installation, age, halfLife int64) (State, Dropped) {
+func Restrict(state State, installation Installation, age, halfLife int64) (State, Dropped) {
 	var dropped Dropped
-	state.Replicas = fitReplicas(state.Replicas, age, halfLife, &dropped)
-	state.RequestRates = fitRequestRates(state.RequestRates, installation, &dropped)
-	state.Bindings = fitBindings(state.Bindings, state.Tables, installation)
-	state.BaselineResponseTimes = fitResponseTimes(state.BaselineResponseTimes, installation)
+	state.Replicas = restrictReplicas(state.Replicas, age, halfLife, &dropped)
+	state.RequestRates = restrictRequestRates(state.RequestRates, installation, &dropped)
+	state.Bindings = restrictBindings(state.Bindings, state.TableCount, installation)
+	state.BaselineResponseTimes = restrictResponseTimes(state.BaselineResponseTimes, installation)
 	// The threshold refers to the traffic classes in their order.
 	dropped.ClassesChanged = !slices.Equal(state.Classes, installation.Classes)
 	if dropped.ClassesChanged || !inRange(state.AdmissionThreshold, 0, 1) {
@@ -61,8 +61,8 @@
 	if !inRange(state.MaxSuccessRate, 0, maxRequestRate) {
 		state.MaxSuccessRate = 0
 	}
-	if state.Tables < 0 || state.Tables > maxTables {
-		state.Tables = 0
+	if state.TableCount < 0 || state.TableCount > maxTables {
+		state.TableCount = 0
 		state.Bindings = nil
 	}
 	if Weight(age, halfLife) == 0 {
@@ -77,20 +77,20 @@
 	s.RequestRates = nil
 	s.Bindings = nil
 	s.BaselineResponseTimes = nil
-	s.Tables = 0
+	s.TableCount = 0
 	s.AdmissionThreshold = 1
 	s.MaxSuccessRate = 0
 	s.RetriesStopped = false
 }
 
-func fitReplicas(replicas []Replica, age, halfLife int64, dropped *Dropped) []Replica {
+func restrictReplicas(replicas []Replica, age, halfLife int64, dropped *Dropped) []Replica {
 	kept := replicas[:0:0]
 	for _, r := range replicas {
 		switch {
 		case !r.valid():
-			dropped.Replicas++
+			dropped.InvalidReplicas++
 		case Weight(addDurations(r.SinceLastSample, age), halfLife) == 0:
-			dropped.Expired++
+			dropped.ExpiredReplicas++
 		default:
 			kept = append(kept, r)
 		}
@@ -98,10 +98,10 @@
 	return kept
 }
 
-func fitRequestRates(rates []RequestRate, installation Installation, dropped *Dropped) []RequestRate {
+func restrictRequestRates(rates []RequestRate, installation Installation, dropped *Dropped) []RequestRate {
 	kept := rates[:0:0]
 	for _, r := range rates {
-		knownProxy := r.Proxy >= 0 && r.Proxy < installation.Proxies
+		knownProxy := r.Proxy >= 0 && r.Proxy < installation.ProxyCount
 		if !knownProxy || !slices.Contains(installation.Classes, r.Class) || !inRange(r.Rate, 0, maxRequestRate) {
 			dropped.RequestRates++
 			continue
@@ -111,13 +111,13 @@
 	return kept
 }
 
-func fitBindings(bindings []control.Binding, tables int, installation Installation) []control.Binding {
+func restrictBindings(bindings []control.Binding, tables int, installation Installation) []control.Binding {
 	return slices.DeleteFunc(slices.Clone(bindings), func(b control.Binding) bool {
-		return b.Proxy < 0 || b.Proxy >= installation.Proxies || b.Table < 0 || b.Table >= tables
+		return b.Proxy < 0 || b.Proxy >= installation.ProxyCount || b.Table < 0 || b.Table >= tables
 	})
 }
 
-func fitResponseTimes(allTimes []ResponseTimes, installation Installation) []ResponseTimes {
+func restrictResponseTimes(allTimes []ResponseTimes, installation Installation) []ResponseTimes {
 	kept := allTimes[:0:0]
 	for _, r := range allTimes {
 		if r.HardwareClass != "" && !slices.Contains(installation.HardwareClasses, r.HardwareClass) {
@@ -138,9 +138,9 @@
 // valid reports whether all values of a replica are within their bounds.
 func (r Replica) valid() bool {
 	validID := r.ID != "" && len(r.ID) <= maxNameLength
-	validListing := inRange(r.Weight, 0, math.MaxFloat64) && r.UpSince >= 0 && r.State >= control.Ready && r.State <= control.Gone
+	validListing := inRange(r.ListedWeight, 0, math.MaxFloat64) && r.StartedAt >= 0 && r.State >= control.Ready && r.State <= control.Gone
 	validSamples := inRange(r.Speed, minSpeed, maxSpeed) && inRange(r.SampleCount, 0, maxSampleCount) && r.SinceLastSample >= 0
 	validAssignment := inRange(r.PlacementKey, 0, 1) && r.Table >= 0 && r.Table <= maxTables
-	validEjections := r.EjectedFor >= 0 && r.EjectedFor <= maxEjectionTime && r.Ejections >= 0 && r.Ejections <= maxEjections
+	validEjections := r.RemainingEjection >= 0 && r.RemainingEjection <= maxEjectionTime && r.EjectionCount >= 0 && r.EjectionCount <= maxEjections
 	return validID && validListing && validSamples && validAssignment && validEjections
 }
--- a/internal/learnedstate/state.go
+++ b/internal/learnedstate/state.go
@@ -25,14 +25,14 @@
 // State is the learned state of one controller at one time.
 type State struct {
 	Controller            string    // the controller's name
-	Taken                 Timestamp // when the state was taken
+	TakenAt               Timestamp // when the state was taken
 	Revision              int64     // revision of the endpoint list
 	Classes               []string
 	Replicas              []Replica // sorted by ID
 	BaselineResponseTimes []ResponseTimes
 	RequestRates          []RequestRate
 	Bindings              []control.Binding
-	Tables                int     // number of tables
+	TableCount            int     // number of tables
 	AdmissionThreshold    float64 // as in control.LearnedFleet, like the fields below
 	MaxSuccessRate        float64
 	RetriesStopped        bool
@@ -40,20 +40,20 @@
 
 // Replica is the learned data about one replica, with its entry in the endpoint list from discovery.
 type Replica struct {
-	ID              string
-	Zone            string
-	HardwareClass   string
-	UpSince         int64 // start of the replica's process as listed, in Unix time; another value means another process
-	State           control.State
-	Weight          float64 // as listed
-	Speed           float64 // as in control.LearnedReplica, like the fields below
-	SampleCount     float64
-	PlacementKey    float64
-	Table           int
-	EjectedFor      int64
-	Probation       bool
-	Ejections       int
-	SinceLastSample int64 // time from the replica's last sample to State.Taken
+	ID                string
+	Zone              string
+	HardwareClass     string
+	StartedAt         int64 // start of the replica's process as listed, in Unix time; another value means another process
+	State             control.State
+	ListedWeight      float64 // as listed
+	Speed             float64 // as in control.LearnedReplica, like the fields below
+	SampleCount       float64
+	PlacementKey      float64
+	Table             int
+	RemainingEjection int64
+	Probation         bool
+	EjectionCount     int
+	SinceLastSample   int64 // time from the replica's last sample to State.TakenAt
 }
 
 // ResponseTimes are the response times of a hardware class at low load, in seconds. The empty class name denotes the whole
@@ -74,9 +74,9 @@
 // not comparable with that of the configured list, since discovery may have restarted its revision numbers.
 const maxListAge = int64(15 * 60 * 1e9)
 
-// HasNewerList reports whether the state's endpoint list is to be used until discovery answers, in place of a list with the
-// given revision. age is the age of the state.
-func (s State) HasNewerList(revision, age int64) bool {
+// HasNewerEndpointList reports whether the state's endpoint list is to be used until discovery answers, in place of a list
+// with the given revision. age is the age of the state.
+func (s State) HasNewerEndpointList(revision, age int64) bool {
 	return s.Revision > revision && age <= maxListAge && len(s.Replicas) > 0
 }
 
@@ -105,10 +105,10 @@
 // ageEjection subtracts the elapsed time from the remaining time of an ejection. If the ejection ends within that time, the
 // replica enters probation, as it would have at the controller that ejected it.
 func (r *Replica) ageEjection(elapsed int64) {
-	if r.EjectedFor > 0 && r.EjectedFor <= elapsed {
+	if r.RemainingEjection > 0 && r.RemainingEjection <= elapsed {
 		r.Probation = true
 	}
-	r.EjectedFor = max(0, r.EjectedFor-max(0, elapsed))
+	r.RemainingEjection = max(0, r.RemainingEjection-max(0, elapsed))
 }
 
 // addDurations adds two durations. A negative duration counts as 0, and a sum that overflows is math.MaxInt64.
--- a/internal/learnedstate/state_test.go
+++ b/internal/learnedstate/state_test.go
@@ -52,15 +52,15 @@
 }
 
 func sampleState() State {
-	return State{Controller: "n0", Taken: Timestamp{Wall: 100 * minute}, Revision: 9, Classes: []string{"read", "order"},
-		Replicas: []Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, Weight: 1, Speed: 0.5, SampleCount: 12, PlacementKey: 0.3, Table: 1, EjectedFor: 2 * second, Ejections: 2, SinceLastSample: second},
-			{ID: "y", Zone: "b", HardwareClass: "m2", Weight: 1, Speed: 2, SampleCount: 16, PlacementKey: 0.4}},
+	return State{Controller: "n0", TakenAt: Timestamp{Wall: 100 * minute}, Revision: 9, Classes: []string{"read", "order"},
+		Replicas: []Replica{{ID: "x", Zone: "a", HardwareClass: "m1", StartedAt: 5, ListedWeight: 1, Speed: 0.5, SampleCount: 12, PlacementKey: 0.3, Table: 1, RemainingEjection: 2 * second, EjectionCount: 2, SinceLastSample: second},
+			{ID: "y", Zone: "b", HardwareClass: "m2", ListedWeight: 1, Speed: 2, SampleCount: 16, PlacementKey: 0.4}},
 		BaselineResponseTimes: []ResponseTimes{{"m1", []float64{0.1, 0.2}}, {"", []float64{0.15}}},
 		RequestRates:          []RequestRate{{1, "read", 20}, {2, "order", 0.5}}, Bindings: []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2}},
-		Tables: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true}
+		TableCount: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true}
 }
 
-var sampleInstallation = Installation{Classes: []string{"read", "order"}, HardwareClasses: []string{"m1", "m2"}, Proxies: 3}
+var sampleInstallation = Installation{Classes: []string{"read", "order"}, HardwareClasses: []string{"m1", "m2"}, ProxyCount: 3}
 
 func TestFitDropsInvalidAndOutdatedEntries(t *testing.T) {
 	for _, c := range []struct {
@@ -74,29 +74,29 @@
 		{"age of one half-life: everything kept", func(*State, *Installation) {}, minute, func(state State) bool { return reflect.DeepEqual(state, sampleState()) }, Dropped{}},
 		{"age of a day: everything dropped", func(*State, *Installation) {}, 1440 * minute, func(state State) bool {
 			return len(state.Replicas)+len(state.RequestRates)+len(state.Bindings)+len(state.BaselineResponseTimes) == 0 && state.AdmissionThreshold == 1 && !state.RetriesStopped && state.MaxSuccessRate == 0
-		}, Dropped{Expired: 2, RequestRates: 2}},
-		{"one replica's sample too old", func(state *State, _ *Installation) { state.Replicas[0].SinceLastSample = 6 * minute }, minute, func(state State) bool { return len(state.Replicas) == 1 }, Dropped{Expired: 1}},
+		}, Dropped{ExpiredReplicas: 2, RequestRates: 2}},
+		{"one replica's sample too old", func(state *State, _ *Installation) { state.Replicas[0].SinceLastSample = 6 * minute }, minute, func(state State) bool { return len(state.Replicas) == 1 }, Dropped{ExpiredReplicas: 1}},
 		{"a traffic class removed", func(_ *State, installation *Installation) { installation.Classes = installation.Classes[:1] }, 0, func(state State) bool {
 			return state.AdmissionThreshold == 1 && !state.RetriesStopped && len(state.RequestRates) == 1
 		}, Dropped{RequestRates: 1, ClassesChanged: true}},
 		{"traffic classes in another order", func(_ *State, installation *Installation) { installation.Classes = []string{"order", "read"} }, 0, func(state State) bool { return state.AdmissionThreshold == 1 && len(state.RequestRates) == 2 }, Dropped{ClassesChanged: true}},
-		{"fewer proxies", func(_ *State, installation *Installation) { installation.Proxies = 2 }, 0, func(state State) bool { return len(state.Bindings) == 1 }, Dropped{RequestRates: 1}},
+		{"fewer proxies", func(_ *State, installation *Installation) { installation.ProxyCount = 2 }, 0, func(state State) bool { return len(state.Bindings) == 1 }, Dropped{RequestRates: 1}},
 		{"a hardware class removed", func(_ *State, installation *Installation) { installation.HardwareClasses = []string{"m2"} }, 0, func(state State) bool {
 			return len(state.BaselineResponseTimes) == 1 && state.BaselineResponseTimes[0].HardwareClass == ""
 		}, Dropped{}},
-		{"speed not a number", func(state *State, _ *Installation) { state.Replicas[0].Speed = math.NaN() }, 0, func(state State) bool { return len(state.Replicas) == 1 }, Dropped{Replicas: 1}},
-		{"speed out of bounds", func(state *State, _ *Installation) { state.Replicas[1].Speed = 0 }, 0, func(state State) bool { return state.Replicas[0].ID == "x" }, Dropped{Replicas: 1}},
-		{"ejection time out of bounds", func(state *State, _ *Installation) { state.Replicas[0].EjectedFor = math.MaxInt64 }, 0, func(state State) bool { return len(state.Replicas) == 1 }, Dropped{Replicas: 1}},
+		{"speed not a number", func(state *State, _ *Installation) { state.Replicas[0].Speed = math.NaN() }, 0, func(state State) bool { return len(state.Replicas) == 1 }, Dropped{InvalidReplicas: 1}},
+		{"speed out of bounds", func(state *State, _ *Installation) { state.Replicas[1].Speed = 0 }, 0, func(state State) bool { return state.Replicas[0].ID == "x" }, Dropped{InvalidReplicas: 1}},
+		{"ejection time out of bounds", func(state *State, _ *Installation) { state.Replicas[0].RemainingEjection = math.MaxInt64 }, 0, func(state State) bool { return len(state.Replicas) == 1 }, Dropped{InvalidReplicas: 1}},
 		{"admission threshold out of bounds", func(state *State, _ *Installation) { state.AdmissionThreshold = -3 }, 0, func(state State) bool { return state.AdmissionThreshold == 1 }, Dropped{}},
-		{"number of tables out of bounds", func(state *State, _ *Installation) { state.Tables = 1 << 30 }, 0, func(state State) bool { return state.Tables == 0 && state.Bindings == nil }, Dropped{}},
+		{"number of tables out of bounds", func(state *State, _ *Installation) { state.TableCount = 1 << 30 }, 0, func(state State) bool { return state.TableCount == 0 && state.Bindings == nil }, Dropped{}},
 		{"response times out of bounds", func(state *State, _ *Installation) {
 			state.BaselineResponseTimes[0].Times = []float64{-1, math.Inf(1), 0.2}
 		}, 0, func(state State) bool { return len(state.BaselineResponseTimes[0].Times) == 1 }, Dropped{}},
 	} {
 		state, installation := sampleState(), sampleInstallation
 		c.change(&state, &installation)
-		if fitted, dropped := Fit(state, installation, c.age, minute); !c.wantKept(fitted) || dropped != c.wantDropped {
-			t.Errorf("%s: kept %+v, dropped %+v", c.name, fitted, dropped)
+		if restricted, dropped := Restrict(state, installation, c.age, minute); !c.wantKept(restricted) || dropped != c.wantDropped {
+			t.Errorf("%s: kept %+v, dropped %+v", c.name, restricted, dropped)
 		}
 	}
 }
@@ -107,13 +107,13 @@
 	if len(merged.Replicas) != 2 || merged.Replicas[1].Speed != 3 {
 		t.Fatalf("merged replicas %+v, want x and the current y", merged.Replicas)
 	}
-	if unlisted := merged.Replicas[0]; unlisted.ID != "x" || unlisted.SinceLastSample != 5*second || unlisted.EjectedFor != 0 || !unlisted.Probation || unlisted.State != control.Gone {
+	if unlisted := merged.Replicas[0]; unlisted.ID != "x" || unlisted.SinceLastSample != 5*second || unlisted.RemainingEjection != 0 || !unlisted.Probation || unlisted.State != control.Gone {
 		t.Errorf("unlisted replica %+v, want x gone, in probation, with its last sample 5 s old", unlisted)
 	}
 	if merged = Merge(current, sampleState(), 10*minute, minute); len(merged.Replicas) != 1 {
 		t.Errorf("replica with weight 0 was kept: %+v", merged.Replicas)
 	}
-	if len(current.Replicas) != 1 || sampleState().Replicas[0].EjectedFor == 0 {
+	if len(current.Replicas) != 1 || sampleState().Replicas[0].RemainingEjection == 0 {
 		t.Error("Merge changed its arguments")
 	}
 }
@@ -121,7 +121,7 @@
 func TestLookupMatchesOnlyTheSameReplicaProcess(t *testing.T) {
 	aged := NewAgedState(sampleState(), 1000*second, 10*second, minute)
 	replica, age, weight := aged.Lookup("x", "a", "m1", 5, 1001*second)
-	if age != 12*second || math.Abs(weight-math.Exp2(-0.2)) > 1e-9 || replica.EjectedFor != 0 || !replica.Probation || replica.Speed != 0.5 {
+	if age != 12*second || math.Abs(weight-math.Exp2(-0.2)) > 1e-9 || replica.RemainingEjection != 0 || !replica.Probation || replica.Speed != 0.5 {
 		t.Errorf("%+v, age %d, weight %v", replica, age, weight)
 	}
 	for _, identity := range [][4]any{{"x", "a", "m1", int64(6)}, {"x", "b", "m1", int64(5)}, {"x", "a", "m2", int64(5)}, {"z", "a", "m1", int64(5)}} {
@@ -140,7 +140,7 @@
 
 func TestHasNewerList(t *testing.T) {
 	state := sampleState()
-	if !state.HasNewerList(8, minute) || state.HasNewerList(9, minute) || state.HasNewerList(8, maxListAge+1) || (State{Revision: 9}).HasNewerList(8, 0) {
+	if !state.HasNewerEndpointList(8, minute) || state.HasNewerEndpointList(9, minute) || state.HasNewerEndpointList(8, maxListAge+1) || (State{Revision: 9}).HasNewerEndpointList(8, 0) {
 		t.Error("want the list used only if it is newer, at most maxListAge old and not empty")
 	}
 }
--- a/internal/snapshot/bench_test.go
+++ b/internal/snapshot/bench_test.go
@@ -11,10 +11,10 @@
 
 // largeState is a state with 1,000 replicas and 10,000 proxies with three traffic classes.
 func largeState() learnedstate.State {
-	state := learnedstate.State{Controller: "n0", Classes: []string{"read", "order", "payout"}, Tables: 40, AdmissionThreshold: 1}
+	state := learnedstate.State{Controller: "n0", Classes: []string{"read", "order", "payout"}, TableCount: 40, AdmissionThreshold: 1}
 	for k := range 1000 {
-		state.Replicas = append(state.Replicas, learnedstate.Replica{ID: fmt.Sprintf("s-%08x", k*2654435761), Zone: "a", HardwareClass: "m1", UpSince: 1_700_000_000e9 + int64(k),
-			Weight: 1, Speed: 0.7 + float64(k)/3e3, SampleCount: 16, PlacementKey: float64(k) / 1001, Table: k % 40, SinceLastSample: int64(k) * 1e6})
+		state.Replicas = append(state.Replicas, learnedstate.Replica{ID: fmt.Sprintf("s-%08x", k*2654435761), Zone: "a", HardwareClass: "m1", StartedAt: 1_700_000_000e9 + int64(k),
+			ListedWeight: 1, Speed: 0.7 + float64(k)/3e3, SampleCount: 16, PlacementKey: float64(k) / 1001, Table: k % 40, SinceLastSample: int64(k) * 1e6})
 	}
 	for k := range 10000 {
 		for g, name := range state.Classes {
--- a/internal/snapshot/clock.go
+++ b/internal/snapshot/clock.go
@@ -32,6 +32,6 @@
 		return now
 	}
 	now.Boot = strings.TrimSpace(string(boot))
-	now.Up = int64(seconds * float64(time.Second))
+	now.Uptime = int64(seconds * float64(time.Second))
 	return now
 }
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -185,11 +185,11 @@
 		len(state.BaselineResponseTimes) > learnedstate.MaxNames ||
 		len(state.Classes) > learnedstate.MaxNames
 	// Half of the range of int64, so that the difference of two times does not overflow.
-	impossibleTime := state.Taken.Wall < math.MinInt64/2 || state.Taken.Wall > math.MaxInt64/2
+	impossibleTime := state.TakenAt.Wall < math.MinInt64/2 || state.TakenAt.Wall > math.MaxInt64/2
 	if tooMany || impossibleTime {
 		return learnedstate.State{}, fmt.Errorf("state out of bounds: %d replicas (at most %d), %d request rates (at most %d), %d traffic classes (at most %d), taken at Unix time %d ns",
 			len(state.Replicas), learnedstate.MaxReplicas, len(state.RequestRates), learnedstate.MaxRequestRates,
-			len(state.Classes), learnedstate.MaxNames, state.Taken.Wall)
+			len(state.Classes), learnedstate.MaxNames, state.TakenAt.Wall)
 	}
 	return state, nil
 }
--- a/internal/snapshot/export.go
+++ b/internal/snapshot/export.go
@@ -30,7 +30,7 @@
 }
 
 // Import reads a state in the format of Export. Unknown fields, data after the state and a state out of bounds are errors.
-// Single entries are not checked here but by learnedstate.Fit, when a controller restores the state.
+// Single entries are not checked here but by learnedstate.Restrict, when a controller restores the state.
 func Import(r io.Reader) (learnedstate.State, error) {
 	data, err := io.ReadAll(io.LimitReader(r, maxExportSize+1))
 	if err != nil {
--- a/internal/snapshot/format1.go
+++ b/internal/snapshot/format1.go
@@ -49,7 +49,7 @@
 func (b body1) state() learnedstate.State {
 	state := learnedstate.State{
 		Controller:         b.Controller,
-		Taken:              learnedstate.Timestamp{Wall: b.Wall},
+		TakenAt:            learnedstate.Timestamp{Wall: b.Wall},
 		Revision:           b.Revision,
 		Classes:            b.Classes,
 		AdmissionThreshold: b.AdmissionThreshold,
@@ -75,19 +75,19 @@
 		ID:              r.ID,
 		Zone:            r.Zone,
 		HardwareClass:   r.HardwareClass,
-		UpSince:         r.UpSince,
-		Weight:          r.Weight,
+		StartedAt:       r.UpSince,
+		ListedWeight:    r.Weight,
 		Speed:           r.Speed,
 		SampleCount:     r.SampleCount,
 		Probation:       r.Health == probation1,
-		Ejections:       r.Ejections,
+		EjectionCount:   r.Ejections,
 		SinceLastSample: r.SinceLastSample,
 	}
 	if r.Draining {
 		replica.State = control.Draining
 	}
 	if r.Health == ejected1 {
-		replica.EjectedFor = format1EjectionTime
+		replica.RemainingEjection = format1EjectionTime
 	}
 	return replica
 }
--- a/internal/snapshot/generations_test.go
+++ b/internal/snapshot/generations_test.go
@@ -28,10 +28,10 @@
 )
 
 func sampleState(k int) learnedstate.State {
-	state := learnedstate.State{Controller: "n0", Taken: learnedstate.Timestamp{Wall: 1_700_000_000e9 + int64(k), Boot: "b", Up: 5e9}, Revision: int64(k),
-		Classes: []string{"read", "order"}, Tables: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true,
-		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, PlacementKey: 0.3, Table: 1,
-			EjectedFor: 2e9, Ejections: 2, SinceLastSample: 1e9}, {ID: "y", Zone: "b", HardwareClass: "m2", Weight: 1, Speed: 2, SampleCount: 16, PlacementKey: 0.4, Probation: true}},
+	state := learnedstate.State{Controller: "n0", TakenAt: learnedstate.Timestamp{Wall: 1_700_000_000e9 + int64(k), Boot: "b", Uptime: 5e9}, Revision: int64(k),
+		Classes: []string{"read", "order"}, TableCount: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true,
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", StartedAt: 5, State: control.Draining, ListedWeight: 1, Speed: 0.5, SampleCount: 12, PlacementKey: 0.3, Table: 1,
+			RemainingEjection: 2e9, EjectionCount: 2, SinceLastSample: 1e9}, {ID: "y", Zone: "b", HardwareClass: "m2", ListedWeight: 1, Speed: 2, SampleCount: 16, PlacementKey: 0.4, Probation: true}},
 		BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
 		RequestRates:          []learnedstate.RequestRate{{Proxy: 1, Class: "read", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
 		Bindings:              []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}}
@@ -141,9 +141,9 @@
 
 // testdata/format1.lbs and format2.lbs were written by earlier versions of the program and are never regenerated.
 func TestFilesOfEachFormatAreDecoded(t *testing.T) {
-	for format, want := range map[int]learnedstate.State{1: {Controller: "n0", Taken: learnedstate.Timestamp{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
-		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, EjectedFor: format1EjectionTime, Ejections: 2, SinceLastSample: 1e9},
-			{ID: "y", Zone: "b", HardwareClass: "m2", Weight: 2, Speed: 2, SampleCount: 16, Probation: true}},
+	for format, want := range map[int]learnedstate.State{1: {Controller: "n0", TakenAt: learnedstate.Timestamp{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", StartedAt: 5, State: control.Draining, ListedWeight: 1, Speed: 0.5, SampleCount: 12, RemainingEjection: format1EjectionTime, EjectionCount: 2, SinceLastSample: 1e9},
+			{ID: "y", Zone: "b", HardwareClass: "m2", ListedWeight: 2, Speed: 2, SampleCount: 16, Probation: true}},
 		BaselineResponseTimes: []learnedstate.ResponseTimes{{Times: []float64{0.125}}, {HardwareClass: "m1", Times: []float64{0.25}}},
 		RequestRates:          []learnedstate.RequestRate{{Proxy: 3, Class: "read", Rate: 10}, {Proxy: 3, Class: "order", Rate: 10}}}, 2: sampleState(41)} {
 		raw, err := os.ReadFile(fmt.Sprintf("testdata/format%d.lbs", format))
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -18,13 +18,13 @@
 // goldenSnapshot has a non-zero value in every field, and replicas in each state.
 func goldenSnapshot() learnedstate.State {
 	return learnedstate.State{
-		Controller: "n7", Taken: learnedstate.Timestamp{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Up: 5_000_000_003}, Revision: 905,
-		Classes: []string{"lookup", "order"}, Tables: 3, AdmissionThreshold: 0.7, MaxSuccessRate: 40.25, RetriesStopped: true,
+		Controller: "n7", TakenAt: learnedstate.Timestamp{Wall: 1_700_000_000_000_000_041, Boot: "5f0c", Uptime: 5_000_000_003}, Revision: 905,
+		Classes: []string{"lookup", "order"}, TableCount: 3, AdmissionThreshold: 0.7, MaxSuccessRate: 40.25, RetriesStopped: true,
 		Replicas: []learnedstate.Replica{
-			{ID: "s-1", Zone: "a", HardwareClass: "m1", UpSince: 1_699_999_000_000_000_000, State: control.Draining, Weight: 1.5, Speed: 0.5, SampleCount: 12,
-				PlacementKey: 0.3, Table: 1, EjectedFor: 2_000_000_000, Probation: true, Ejections: 2, SinceLastSample: 1_000_000_000},
-			{ID: "s-2", Zone: "b", HardwareClass: "m2", Weight: 1, Speed: 2.125, SampleCount: 16, PlacementKey: 0.4},
-			{ID: "s-3", Zone: "b", State: control.Gone, Weight: 0.25, Speed: 1, SampleCount: 1, PlacementKey: 1, Table: 2},
+			{ID: "s-1", Zone: "a", HardwareClass: "m1", StartedAt: 1_699_999_000_000_000_000, State: control.Draining, ListedWeight: 1.5, Speed: 0.5, SampleCount: 12,
+				PlacementKey: 0.3, Table: 1, RemainingEjection: 2_000_000_000, Probation: true, EjectionCount: 2, SinceLastSample: 1_000_000_000},
+			{ID: "s-2", Zone: "b", HardwareClass: "m2", ListedWeight: 1, Speed: 2.125, SampleCount: 16, PlacementKey: 0.4},
+			{ID: "s-3", Zone: "b", State: control.Gone, ListedWeight: 0.25, Speed: 1, SampleCount: 1, PlacementKey: 1, Table: 2},
 		},
 		BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m1", Times: []float64{0.125, 0.25}}, {HardwareClass: "m2", Times: []float64{0.0625}}, {Times: []float64{0.15}}},
 		RequestRates:          []learnedstate.RequestRate{{Proxy: 1, Class: "lookup", Rate: 20}, {Proxy: 1, Class: "order", Rate: 2.5}, {Proxy: 2, Class: "order", Rate: 0.5}},
