--- a/cmd/lilacbend/snapshots.go
+++ b/cmd/lilacbend/snapshots.go
@@ -161,6 +161,6 @@
 	}
 	c := &k.writer.Counters
 	return slog.Group("state", "on", true, "read", k.generation, "age_at_start", k.age.Round(time.Millisecond), "refused", k.refused,
-		"offered", c.Offered.Load(), "written", c.Written.Load(), "bytes", c.Bytes.Load(), "failed", c.Failed.Load(),
-		"skipped", c.Skipped.Load(), "generation", c.Generation.Load(), "last_took", time.Duration(c.Duration.Load()))
+		"offered", c.Submitted.Load(), "written", c.Written.Load(), "bytes", c.BytesWritten.Load(), "failed", c.Failed.Load(),
+		"skipped", c.Skipped.Load(), "generation", c.LastGeneration.Load(), "last_took", time.Duration(c.LastWriteDuration.Load()))
 }
--- a/cmd/lilacbend/statecommand.go
+++ b/cmd/lilacbend/statecommand.go
@@ -171,7 +171,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%s is intact: generation %d, format %d, %d bytes\n", path, generation.Number, generation.Format, generation.Bytes)
+	fmt.Fprintf(s.out, "%s is intact: generation %d, format %d, %d bytes\n", path, generation.Number, generation.Format, generation.Size)
 	return nil
 }
 
@@ -255,7 +255,7 @@
 func printGeneration(out io.Writer, generation snapshot.Generation) error {
 	state := generation.State
 	age := time.Duration(state.TakenAt.Age(snapshot.Now()))
-	fmt.Fprintf(out, "%s: generation %d, format %d, %d bytes\n", generation.Name, generation.Number, generation.Format, generation.Bytes)
+	fmt.Fprintf(out, "%s: generation %d, format %d, %d bytes\n", generation.Name, generation.Number, generation.Format, generation.Size)
 	fmt.Fprintf(out, "controller %s, taken %s, %v ago; list revision %d\n",
 		state.Controller, time.Unix(0, state.TakenAt.Wall).UTC().Format(time.RFC3339), age.Round(time.Second), state.Revision)
 	fmt.Fprintf(out, "traffic classes %s; admission threshold %.0f%%; retries stopped %v; %d tables, %d proxies bound, %d request rates of proxies\n\n",
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// Format is the format that is written. Formats from oldestFormat to Format can be read.
-	Format       = 2
-	oldestFormat = 1
+	// CurrentFormat is the format that is written. Formats from oldestFormat to CurrentFormat can be read.
+	CurrentFormat = 2
+	oldestFormat  = 1
 )
 
 // maxFileSize is the maximum size of a generation's file, in bytes. It is above that of the largest known installation, so
@@ -70,7 +70,7 @@
 
 // Encode returns the content of a generation's file: the encoded state, with the generation's number in the header.
 func Encode(state learnedstate.State, generation uint64) ([]byte, error) {
-	return encodeFile(newBody2(state), Format, generation)
+	return encodeFile(newBody2(state), CurrentFormat, generation)
 }
 
 // encodeFile returns the encoded body with a header before it.
@@ -104,7 +104,7 @@
 	if err != nil {
 		return Generation{}, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return Generation{Number: parsed.generation, Format: parsed.format, Bytes: len(file), State: state}, nil
+	return Generation{Number: parsed.generation, Format: parsed.format, Size: len(file), State: state}, nil
 }
 
 // container is a file with its header decoded and its body still encoded.
@@ -154,8 +154,8 @@
 		return fmt.Errorf("%w: body has %d bytes, header says %d", ErrDamaged, len(c.body), c.length)
 	case xxhash.Sum64(c.body) != c.bodyChecksum:
 		return fmt.Errorf("%w: body checksum mismatch", ErrDamaged)
-	case c.format > Format:
-		return fmt.Errorf("%w: format %d, this program reads formats %d to %d", ErrNewer, c.format, oldestFormat, Format)
+	case c.format > CurrentFormat:
+		return fmt.Errorf("%w: format %d, this program reads formats %d to %d", ErrNewer, c.format, oldestFormat, CurrentFormat)
 	case c.format < oldestFormat:
 		return fmt.Errorf("%w: invalid format %d", ErrNotSnapshot, c.format)
 	}
--- a/internal/snapshot/export.go
+++ b/internal/snapshot/export.go
@@ -22,7 +22,7 @@
 
 // Export returns a state in JSON. Equal states give equal bytes.
 func Export(state learnedstate.State) ([]byte, error) {
-	encoded, err := json.MarshalIndent(exported{Format, newBody2(state)}, "", " ")
+	encoded, err := json.MarshalIndent(exported{CurrentFormat, newBody2(state)}, "", " ")
 	if err != nil {
 		return nil, fmt.Errorf("encoding state as JSON: %w", err)
 	}
@@ -59,9 +59,9 @@
 	switch {
 	case format == 0:
 		return fmt.Errorf("%w: field lilacbend_state is missing or 0", ErrNotSnapshot)
-	case format > Format:
-		return fmt.Errorf("%w: format %d, this program reads formats up to %d", ErrNewer, format, Format)
-	case format < Format:
+	case format > CurrentFormat:
+		return fmt.Errorf("%w: format %d, this program reads formats up to %d", ErrNewer, format, CurrentFormat)
+	case format < CurrentFormat:
 		return fmt.Errorf("%w: format %d is not used for exports", ErrNotSnapshot, format)
 	}
 	return nil
--- a/internal/snapshot/generations.go
+++ b/internal/snapshot/generations.go
@@ -52,7 +52,7 @@
 	Name   string
 	Number uint64
 	Format int
-	Bytes  int // size of the file
+	Size   int // size of the file
 	State  learnedstate.State
 }
 
@@ -190,7 +190,7 @@
 	if err != nil {
 		return Generation{Number: number}, err
 	}
-	generation := Generation{Name: fileName(number), Number: number, Format: Format, Bytes: len(file), State: state}
+	generation := Generation{Name: fileName(number), Number: number, Format: CurrentFormat, Size: len(file), State: state}
 	if err := storage.Replace(generation.Name, file); err != nil {
 		return generation, fmt.Errorf("writing %s: %w", generation.Name, err)
 	}
--- a/internal/snapshot/generations_test.go
+++ b/internal/snapshot/generations_test.go
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Decode(raw); err != nil || got.Number != 7 || got.Format != Format || !reflect.DeepEqual(got.State, state) {
+		if got, err := Decode(raw); err != nil || got.Number != 7 || got.Format != CurrentFormat || !reflect.DeepEqual(got.State, state) {
 			t.Fatalf("decoded generation %d, format %d, error %v:\n%+v\nwant %+v", got.Number, got.Format, err, got.State, state)
 		}
 		exportData, err := Export(state)
@@ -106,12 +106,12 @@
 	}
 	for name, body := range map[string][]byte{"huge": huge, "deep": deep, "long": long, "twice": twice, "many": many, "empty": nil, "text": []byte("hello")} {
 		var before, after = peakMemory(), uint64(0)
-		_, err := Decode(fileWithValidChecksums(Format, body))
+		_, err := Decode(fileWithValidChecksums(CurrentFormat, body))
 		if after = peakMemory(); !errors.Is(err, ErrDamaged) || after > before+64<<20 {
 			t.Errorf("%s: error %v, want damaged; %d bytes more memory, want at most 64 MiB", name, err, after-before)
 		}
 	}
-	if _, err := Decode(fileWithValidChecksums(Format+1, []byte{0xa0})); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "3") {
+	if _, err := Decode(fileWithValidChecksums(CurrentFormat+1, []byte{0xa0})); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "3") {
 		t.Errorf("newer format: error %v, want one that names format 3", err)
 	}
 	if _, err := Decode(fileWithValidChecksums(0, []byte{0xa0})); !errors.Is(err, ErrNotSnapshot) {
@@ -201,10 +201,10 @@
 	}
 	path := func(k uint64) string { return filepath.Join(string(dir), fileName(k)) }
 	raw, _ := os.ReadFile(path(6))
-	os.WriteFile(path(6), raw[:len(raw)/2], 0o600)                               // truncated
-	os.WriteFile(path(7), fileWithValidChecksums(Format+1, []byte{0xa0}), 0o600) // of a newer program
-	os.WriteFile(path(8), raw, 0o600)                                            // a copy under another name
-	os.WriteFile(filepath.Join(string(dir), "."+fileName(9)+"123"), raw, 0o600)  // an unfinished write
+	os.WriteFile(path(6), raw[:len(raw)/2], 0o600)                                      // truncated
+	os.WriteFile(path(7), fileWithValidChecksums(CurrentFormat+1, []byte{0xa0}), 0o600) // of a newer program
+	os.WriteFile(path(8), raw, 0o600)                                                   // a copy under another name
+	os.WriteFile(filepath.Join(string(dir), "."+fileName(9)+"123"), raw, 0o600)         // an unfinished write
 	newest, err := Latest(dir)
 	if err != nil || !newest.Found || newest.Number != 5 || len(newest.Refused) != 3 {
 		t.Fatalf("latest generation %d, found %v, refused %v, error %v; want generation 5 and three files refused", newest.Number, newest.Found, newest.Refused, err)
@@ -276,8 +276,8 @@
 	for n := 1; n <= 1000; n++ {
 		writer.Submit(sampleState(n))
 	}
-	if time.Since(started) > time.Second || writer.Counters.Offered.Load() != 1000 {
-		t.Errorf("%d submits took %v, want 1000 within 1 s", writer.Counters.Offered.Load(), time.Since(started))
+	if time.Since(started) > time.Second || writer.Counters.Submitted.Load() != 1000 {
+		t.Errorf("%d submits took %v, want 1000 within 1 s", writer.Counters.Submitted.Load(), time.Since(started))
 	}
 	stop()
 	close(unblock)
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -44,7 +44,7 @@
 func TestSnapshotOfTheGoldenFileIsDecodedAndEncodedAgain(t *testing.T) {
 	stored := golden.Read(t, snapshotFile)
 	decoded, err := Decode(stored)
-	if err != nil || decoded.Number != snapshotGeneration || decoded.Format != Format {
+	if err != nil || decoded.Number != snapshotGeneration || decoded.Format != CurrentFormat {
 		t.Fatalf("generation %d, format %d: %v", decoded.Number, decoded.Format, err)
 	}
 	if want := goldenSnapshot(); !reflect.DeepEqual(decoded.State, want) {
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -22,13 +22,13 @@
 
 // Counters are the counters of a Writer.
 type Counters struct {
-	Offered    atomic.Int64 // submitted states
-	Written    atomic.Int64 // generations written
-	Bytes      atomic.Int64 // total size of the generations written
-	Failed     atomic.Int64 // failed writes
-	Skipped    atomic.Int64 // submitted states that were replaced by a newer one before they were written
-	Generation atomic.Int64 // number of the last generation written
-	Duration   atomic.Int64 // duration of the last successful write, in nanoseconds
+	Submitted         atomic.Int64 // submitted states
+	Written           atomic.Int64 // generations written
+	BytesWritten      atomic.Int64 // total size of the generations written
+	Failed            atomic.Int64 // failed writes
+	Skipped           atomic.Int64 // submitted states that were replaced by a newer one before they were written
+	LastGeneration    atomic.Int64 // number of the last generation written
+	LastWriteDuration atomic.Int64 // duration of the last successful write, in nanoseconds
 }
 
 // Writer writes states as generations in its own goroutine, so that a slow, full or missing disk only makes the stored state
@@ -61,7 +61,7 @@
 // Submit submits a state, which must not be modified afterwards. Of the states that wait for a write, only the newest is
 // written. Submit does not wait for the disk.
 func (w *Writer) Submit(state learnedstate.State) {
-	w.Counters.Offered.Add(1)
+	w.Counters.Submitted.Add(1)
 	if w.writer.Submit(state) {
 		w.Counters.Skipped.Add(1)
 	}
@@ -88,9 +88,9 @@
 		return err
 	}
 	w.Counters.Written.Add(1)
-	w.Counters.Bytes.Add(int64(generation.Bytes))
-	w.Counters.Generation.Store(int64(generation.Number))
-	w.Counters.Duration.Store(int64(time.Since(started)))
+	w.Counters.BytesWritten.Add(int64(generation.Size))
+	w.Counters.LastGeneration.Store(int64(generation.Number))
+	w.Counters.LastWriteDuration.Store(int64(time.Since(started)))
 	return nil
 }
 
@@ -104,6 +104,6 @@
 
 func (w *Writer) logRecovery(_ learnedstate.State, final bool) {
 	if !final {
-		w.log.Info("learned state written again after failures", "generation", w.Counters.Generation.Load())
+		w.log.Info("learned state written again after failures", "generation", w.Counters.LastGeneration.Load())
 	}
 }
