--- a/cmd/lilacbend/collector.go
+++ b/cmd/lilacbend/collector.go
@@ -28,7 +28,7 @@
 			&cli.StringFlag{Name: "listen", Usage: "address on which sidecars connect, as host:port", Required: true, Destination: &listen},
 			&cli.StringSliceFlag{Name: "governor", Usage: "address of a controller, as host:port; may be repeated", Required: true, Destination: &collector.Controllers},
 			&cli.DurationFlag{Name: "every", Value: time.Second, Usage: "interval between two reports", Destination: &collector.Interval},
-			&cli.IntFlag{Name: "budget", Usage: "limit of the reports to each controller, in bytes per second; 0: no limit", Destination: &collector.Budget},
+			&cli.IntFlag{Name: "budget", Usage: "limit of the reports to each controller, in bytes per second; 0: no limit", Destination: &collector.BytesPerSecond},
 			&cli.IntFlag{Name: "sidecars", Value: 10000, Usage: "maximum number of connected sidecars", Destination: &collector.MaxSidecars},
 		},
 		Action: func(ctx context.Context, _ *cli.Command) error {
@@ -46,8 +46,8 @@
 	if collector.Interval < minReportInterval || collector.MaxSidecars < 1 {
 		return fmt.Errorf("--every is %v, want %v or more; --sidecars is %d, want 1 or more", collector.Interval, minReportInterval, collector.MaxSidecars)
 	}
-	if collector.Budget < 0 {
-		return fmt.Errorf("--budget is %d, want bytes per second, or 0 for no limit", collector.Budget)
+	if collector.BytesPerSecond < 0 {
+		return fmt.Errorf("--budget is %d, want bytes per second, or 0 for no limit", collector.BytesPerSecond)
 	}
 	for _, address := range collector.Controllers {
 		if _, _, err := net.SplitHostPort(address); err != nil {
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -38,7 +38,7 @@
 // Dispatcher applies updates and counts the requests that arrive.
 type Dispatcher interface {
 	// Apply applies the parts of an update, all of them or none.
-	Apply(parts []dispatch.Update) error
+	Apply(parts []dispatch.UpdatePart) error
 	// HasTables reports whether an update with a table has been applied.
 	HasTables() bool
 	// TakeDemand returns the demand by traffic class since the last call.
@@ -52,7 +52,7 @@
 type Counters struct {
 	Dials          atomic.Int64
 	Streams        atomic.Int64
-	Failures       atomic.Int64 // failed dials and ended streams
+	StreamFailures atomic.Int64 // failed dials and ended streams
 	Updates        atomic.Int64 // applied updates
 	Acks           atomic.Int64
 	InvalidUpdates atomic.Int64
@@ -64,7 +64,7 @@
 type Client struct {
 	Counters    Counters
 	Controllers []string
-	ID          int // proxy id
+	ProxyID     int
 	Zone        string
 	Classes     []string
 	Rate        float64 // estimated requests per second of the proxy
@@ -92,7 +92,7 @@
 	c.pool = resp.NewPool(clientPoolSize)
 	c.demandSince = time.Now()
 	retry := backoff.NewJittered(backoffInitial, backoffLimit, c.Seed)
-	index := c.ID % max(1, len(c.Controllers))
+	index := c.ProxyID % max(1, len(c.Controllers))
 	for ctx.Err() == nil && len(c.Controllers) > 0 {
 		began := time.Now()
 		err := c.followUpdates(ctx, c.Controllers[index])
@@ -115,7 +115,7 @@
 	}
 	none := ""
 	c.currentController.Store(&none)
-	c.Counters.Failures.Add(1)
+	c.Counters.StreamFailures.Add(1)
 }
 
 // followUpdates opens a stream to one controller and applies its updates until the stream ends.
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -24,10 +24,10 @@
 		wantError string
 	}{
 		{[]string{"push full 1 endpoints a:1.5,b:0.2 continued 1", "push eject a,b continued 1", "push restore c continued 1", "push routes x+y admit 0.9 policy 2 nonce_out 905"},
-			updateMessage{parts: []dispatch.Update{{Full: true, Weights: map[string]float64{"a": 1.5, "b": 0.2}}, {Eject: []string{"a", "b"}}, {Uneject: []string{"c"}},
+			updateMessage{parts: []dispatch.UpdatePart{{Replace: true, Weights: map[string]float64{"a": 1.5, "b": 0.2}}, {Eject: []string{"a", "b"}}, {Uneject: []string{"c"}},
 				{Classes: []string{"x", "y"}, Settings: []dispatch.ClassSettings{{Admission: 0.9, Retry: control.RetryOnce}}}}, wantsAck: true, nonce: 905}, ""},
-		{[]string{"push nonce_out 0"}, updateMessage{parts: []dispatch.Update{{}}, wantsAck: true}, ""},
-		{[]string{"push later 7 full 0"}, updateMessage{parts: []dispatch.Update{{}}}, ""}, // a field of a later protocol version
+		{[]string{"push nonce_out 0"}, updateMessage{parts: []dispatch.UpdatePart{{}}, wantsAck: true}, ""},
+		{[]string{"push later 7 full 0"}, updateMessage{parts: []dispatch.UpdatePart{{}}}, ""}, // a field of a later protocol version
 		{[]string{"push endpoints a:1 continued 2"}, updateMessage{}, "continued"},
 		{[]string{"push endpoints a"}, updateMessage{}, "endpoints"}, {[]string{"push endpoints :1"}, updateMessage{}, "endpoints"}, {[]string{"push endpoints a:x"}, updateMessage{}, "endpoints"},
 		{[]string{"push admit 1"}, updateMessage{}, "admit and policy"}, {[]string{"push admit 1 policy x"}, updateMessage{}, "policy"}, {[]string{"push nonce_out -1"}, updateMessage{}, "nonce_out"},
@@ -72,12 +72,12 @@
 // recordingDispatcher records the applied updates, and returns fixed demand.
 type recordingDispatcher struct {
 	mu         sync.Mutex
-	applied    [][]dispatch.Update
+	applied    [][]dispatch.UpdatePart
 	applyError error
 	demand     []dispatch.Demand
 }
 
-func (d *recordingDispatcher) Apply(parts []dispatch.Update) error {
+func (d *recordingDispatcher) Apply(parts []dispatch.UpdatePart) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.applyError == nil {
@@ -164,7 +164,7 @@
 
 // startScriptedClient runs a Client of scripted controllers until the test ends.
 func startScriptedClient(t *testing.T, dispatcher *recordingDispatcher, controllers ...*scriptedController) *Client {
-	client := &Client{ID: 0, Zone: "a", Classes: []string{"x"}, Dispatcher: dispatcher, Log: slog.New(slog.DiscardHandler)}
+	client := &Client{ProxyID: 0, Zone: "a", Classes: []string{"x"}, Dispatcher: dispatcher, Log: slog.New(slog.DiscardHandler)}
 	for _, controller := range controllers {
 		client.Controllers = append(client.Controllers, controller.Addr().String())
 	}
@@ -242,9 +242,9 @@
 	go func() { collector.Serve(ctx, l); close(ended) }()
 	defer func() { stop(); <-ended }()
 	controller.waitFor(t, "agent site a")
-	takeOnce := func(outcomes map[string]*dispatch.Outcomes) func() map[string]*dispatch.Outcomes {
+	takeOnce := func(outcomes map[string]*dispatch.OutcomeSum) func() map[string]*dispatch.OutcomeSum {
 		var mu sync.Mutex
-		return func() map[string]*dispatch.Outcomes {
+		return func() map[string]*dispatch.OutcomeSum {
 			mu.Lock()
 			defer mu.Unlock()
 			taken := outcomes
@@ -253,7 +253,7 @@
 		}
 	}
 	for k := range 2 {
-		reporter := &Reporter{Collectors: []string{l.Addr().String()}, Interval: 20 * time.Millisecond, TakeOutcomes: takeOnce(map[string]*dispatch.Outcomes{"b": {Attempts: 10 + k, Failures: 1, ResponseTime: time.Duration(9+k) * 40e6}, "c": {Attempts: 1, Failures: 1}})}
+		reporter := &Reporter{Collectors: []string{l.Addr().String()}, Interval: 20 * time.Millisecond, TakeOutcomes: takeOnce(map[string]*dispatch.OutcomeSum{"b": {Attempts: 10 + k, Failures: 1, ResponseTime: time.Duration(9+k) * 40e6}, "c": {Attempts: 1, Failures: 1}})}
 		go reporter.Run(ctx)
 	}
 	controller.waitFor(t, "outcomes site a target b count 21 fail 2 mean 40.000 over ")
--- a/internal/controlclient/collector.go
+++ b/internal/controlclient/collector.go
@@ -28,15 +28,15 @@
 
 // Collector sums the outcomes that the sidecars of a zone report, and reports the sums to controllers.
 type Collector struct {
-	Zone        string
-	Controllers []string
-	Interval    time.Duration // between two reports
-	Budget      int           // bytes per second of the reports to one controller; 0: no limit
-	Log         *slog.Logger
-	MaxSidecars int
-	Received    atomic.Int64 // reports received from sidecars
-	Skipped     atomic.Int64 // messages of sidecars that could not be used
-	Reported    atomic.Int64 // messages sent to controllers
+	Zone           string
+	Controllers    []string
+	Interval       time.Duration // between two reports
+	BytesPerSecond int           // limit of the reports to one controller; 0: no limit
+	Log            *slog.Logger
+	MaxSidecars    int
+	Received       atomic.Int64 // reports received from sidecars
+	Skipped        atomic.Int64 // messages of sidecars that could not be used
+	Reported       atomic.Int64 // messages sent to controllers
 
 	pool        *resp.Pool
 	pending     []*pendingOutcomes // by controller
@@ -49,7 +49,7 @@
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
 	for k, address := range c.Controllers {
-		pending := newPendingOutcomes(c.Interval, c.Budget)
+		pending := newPendingOutcomes(c.Interval, c.BytesPerSecond)
 		c.pending = append(c.pending, pending)
 		goroutines.Go(func() { c.reportContinuously(ctx, address, pending, uint64(k)) })
 	}
--- a/internal/controlclient/golden_test.go
+++ b/internal/controlclient/golden_test.go
@@ -29,7 +29,7 @@
 // goldenDispatcher is a sidecar's dispatcher with fixed demand.
 type goldenDispatcher struct{ noTables bool }
 
-func (d *goldenDispatcher) Apply([]dispatch.Update) error {
+func (d *goldenDispatcher) Apply([]dispatch.UpdatePart) error {
 	time.Sleep(1500 * time.Microsecond)
 	return nil
 }
@@ -62,7 +62,7 @@
 func sentMessages(t *testing.T) []byte {
 	t.Helper()
 	client := func(dispatcher goldenDispatcher) *Client {
-		return &Client{ID: 17, Zone: "a", Rate: 21.5, Classes: []string{"lookup", "order", "scan"}, Dispatcher: &dispatcher, Log: slog.New(slog.DiscardHandler), demandSince: time.Now()}
+		return &Client{ProxyID: 17, Zone: "a", Rate: 21.5, Classes: []string{"lookup", "order", "scan"}, Dispatcher: &dispatcher, Log: slog.New(slog.DiscardHandler), demandSince: time.Now()}
 	}
 	var b bytes.Buffer
 	for _, m := range []struct {
@@ -81,10 +81,10 @@
 			return c.sendDemand(w)
 		}},
 		{"outcomes of a sidecar", func(w *messageWriter) error {
-			return (&collectorConn{writer: w}).sendOutcomes("s-5", &dispatch.Outcomes{Attempts: 212, Failures: 3, ResponseTime: time.Duration(209 * 41700 * time.Microsecond)})
+			return (&collectorConn{writer: w}).sendOutcomes("s-5", &dispatch.OutcomeSum{Attempts: 212, Failures: 3, ResponseTime: time.Duration(209 * 41700 * time.Microsecond)})
 		}},
 		{"outcomes of a sidecar, all failed", func(w *messageWriter) error {
-			return (&collectorConn{writer: w}).sendOutcomes("s-5", &dispatch.Outcomes{Attempts: 3, Failures: 3})
+			return (&collectorConn{writer: w}).sendOutcomes("s-5", &dispatch.OutcomeSum{Attempts: 3, Failures: 3})
 		}},
 		{"probe of a collector", func(w *messageWriter) error { return (&collectorConn{writer: w}).probe(1) }},
 		{"outcomes of a collector", func(w *messageWriter) error {
@@ -106,7 +106,7 @@
 func describe(m updateMessage) string {
 	text := fmt.Sprintf("wants ack %t, nonce %d, unfinished %t", m.wantsAck, m.nonce, m.unfinished)
 	for _, part := range m.parts {
-		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", part.Classes, part.Full, part.Eject, part.Uneject)
+		text += fmt.Sprintf("; part classes=%q full=%t ejected=%q restored=%q", part.Classes, part.Replace, part.Eject, part.Uneject)
 		for _, replica := range slices.Sorted(maps.Keys(part.Weights)) {
 			text += fmt.Sprintf(" endpoint=%q:%g", replica, part.Weights[replica])
 		}
--- a/internal/controlclient/messages.go
+++ b/internal/controlclient/messages.go
@@ -53,24 +53,24 @@
 
 // helloMessage introduces a proxy to a controller.
 func (c *Client) helloMessage() []string {
-	return []string{wordHello, keyProxyID, strconv.Itoa(c.ID), keyZone, c.Zone, keyRate, formatNumber(c.Rate),
+	return []string{wordHello, keyProxyID, strconv.Itoa(c.ProxyID), keyZone, c.Zone, keyRate, formatNumber(c.Rate),
 		keyNoTables, formatFlag(!c.Dispatcher.HasTables())}
 }
 
 // ackMessage acknowledges an update, with the time that the dispatcher took to apply it.
 func (c *Client) ackMessage(nonce uint64, took time.Duration) []string {
-	return []string{wordAck, keyProxyID, strconv.Itoa(c.ID), keyNonce, strconv.FormatUint(nonce, 10),
+	return []string{wordAck, keyProxyID, strconv.Itoa(c.ProxyID), keyNonce, strconv.FormatUint(nonce, 10),
 		keyMillis, formatNumber(milliseconds(took))}
 }
 
 // demandMessage reports the demand of a traffic class over a period.
 func (c *Client) demandMessage(class string, demand dispatch.Demand, period time.Duration) []string {
-	return []string{wordDemand, keyProxyID, strconv.Itoa(c.ID), keyClass, class, keyCount, strconv.Itoa(demand.Requests),
+	return []string{wordDemand, keyProxyID, strconv.Itoa(c.ProxyID), keyClass, class, keyCount, strconv.Itoa(demand.Requests),
 		keyFailures, strconv.Itoa(demand.Failures), keyPeriod, formatNumber(milliseconds(period))}
 }
 
 // sidecarOutcomesMessage reports the outcomes of a sidecar's attempts at one replica.
-func sidecarOutcomesMessage(replica string, outcomes *dispatch.Outcomes) []string {
+func sidecarOutcomesMessage(replica string, outcomes *dispatch.OutcomeSum) []string {
 	mean := 0.0
 	if succeeded := outcomes.Attempts - outcomes.Failures; succeeded > 0 {
 		mean = float64(outcomes.ResponseTime) / float64(succeeded) / float64(time.Millisecond)
--- a/internal/controlclient/races_test.go
+++ b/internal/controlclient/races_test.go
@@ -113,7 +113,7 @@
 // startCollectorWithBudget runs a Collector with a budget in bytes per second for each controller; 0: no limit.
 func startCollectorWithBudget(t *testing.T, interval time.Duration, budget int, controllers ...*scriptedpeer.Listener) (c *Collector, address string, stop func()) {
 	l := scriptedpeer.Listen(t)
-	c = &Collector{Zone: "a", Interval: interval, Budget: budget, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
+	c = &Collector{Zone: "a", Interval: interval, BytesPerSecond: budget, MaxSidecars: 10, Log: slog.New(slog.DiscardHandler)}
 	for _, controller := range controllers {
 		c.Controllers = append(c.Controllers, controller.Address())
 	}
@@ -222,13 +222,13 @@
 func TestCollectorRestartsBetweenReports(t *testing.T) {
 	l := scriptedpeer.Listen(t)
 	due, taken := make(chan int), atomic.Int64{}
-	reporter := &Reporter{Collectors: []string{l.Address()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes {
+	reporter := &Reporter{Collectors: []string{l.Address()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.OutcomeSum {
 		n, ok := <-due
 		if !ok {
 			return nil
 		}
 		taken.Add(1)
-		return map[string]*dispatch.Outcomes{"b": {Attempts: n}, "c": {Attempts: n}}
+		return map[string]*dispatch.OutcomeSum{"b": {Attempts: n}, "c": {Attempts: n}}
 	}}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -244,20 +244,20 @@
 	close(due)
 	stop()
 	<-ended
-	if reporter.Lost.Load() != 0 {
-		t.Errorf("%d sums counted as lost, want 0", reporter.Lost.Load())
+	if reporter.LostSums.Load() != 0 {
+		t.Errorf("%d sums counted as lost, want 0", reporter.LostSums.Load())
 	}
 }
 
 // A collector that reads nothing does not delay the stop of a reporter.
 func TestReporterStopsWhileItsCollectorReadsNothing(t *testing.T) {
 	l := scriptedpeer.Listen(t)
-	outcomes := map[string]*dispatch.Outcomes{}
+	outcomes := map[string]*dispatch.OutcomeSum{}
 	for k := range maxReplicas {
-		outcomes[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.Outcomes{Attempts: 1}
+		outcomes[strings.Repeat("x", 100)+strconv.Itoa(k)] = &dispatch.OutcomeSum{Attempts: 1}
 	}
 	calls := atomic.Int64{}
-	reporter := &Reporter{Collectors: []string{l.Address()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.Outcomes { calls.Add(1); return outcomes }}
+	reporter := &Reporter{Collectors: []string{l.Address()}, Interval: 10 * time.Millisecond, TakeOutcomes: func() map[string]*dispatch.OutcomeSum { calls.Add(1); return outcomes }}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { reporter.Run(ctx); close(ended) }()
--- a/internal/controlclient/reporter.go
+++ b/internal/controlclient/reporter.go
@@ -21,11 +21,11 @@
 	Collectors []string // in order of preference
 	Interval   time.Duration
 	// TakeOutcomes returns the outcomes by replica since the last call.
-	TakeOutcomes func() map[string]*dispatch.Outcomes
-	Seed         uint64
-	Lost         atomic.Int64 // sums, each of one replica and interval, that could not be sent to a collector
-	Unconfirmed  atomic.Int64 // sums sent on a connection that ended before a collector had confirmed them; they may be lost
-	Failovers    atomic.Int64 // times that the reporter gave up on its current collector
+	TakeOutcomes    func() map[string]*dispatch.OutcomeSum
+	Seed            uint64
+	LostSums        atomic.Int64 // sums, each of one replica and interval, that could not be sent to a collector
+	UnconfirmedSums atomic.Int64 // sums sent on a connection that ended before a collector had confirmed them; they may be lost
+	Failovers       atomic.Int64 // times that the reporter gave up on its current collector
 
 	pool     *resp.Pool
 	selector *failover.Selector
@@ -62,12 +62,12 @@
 		r.connect(ctx)
 	}
 	if r.current == nil {
-		r.Lost.Add(int64(len(outcomes)))
+		r.LostSums.Add(int64(len(outcomes)))
 		return
 	}
 	for sent, replica := range slices.Sorted(maps.Keys(outcomes)) {
 		if r.current.sendOutcomes(replica, outcomes[replica]) != nil {
-			r.Lost.Add(int64(len(outcomes) - sent))
+			r.LostSums.Add(int64(len(outcomes) - sent))
 			r.failOver(time.Now())
 			return
 		}
@@ -130,7 +130,7 @@
 		r.dialCandidate(ctx, now)
 	case r.candidate.hasAnswered():
 		r.selector.RecordSuccess(r.candidate.address)
-		r.Unconfirmed.Add(int64(r.current.close()))
+		r.UnconfirmedSums.Add(int64(r.current.close()))
 		r.current = r.candidate
 		r.candidate = nil
 	case r.candidate.unresponsive(now) || r.candidate.closedByCollector():
@@ -169,12 +169,12 @@
 func (r *Reporter) disconnect() {
 	r.closeCandidate()
 	if r.current != nil {
-		r.Unconfirmed.Add(int64(r.current.close()))
+		r.UnconfirmedSums.Add(int64(r.current.close()))
 		r.current = nil
 	}
 }
 
 // sendOutcomes sends the outcomes of the attempts at one replica.
-func (c *collectorConn) sendOutcomes(replica string, outcomes *dispatch.Outcomes) error {
+func (c *collectorConn) sendOutcomes(replica string, outcomes *dispatch.OutcomeSum) error {
 	return c.writer.send(sidecarOutcomesMessage(replica, outcomes)...)
 }
--- a/internal/controlclient/reporter_test.go
+++ b/internal/controlclient/reporter_test.go
@@ -19,9 +19,9 @@
 // the intervals.
 func startReporter(t *testing.T, interval time.Duration, collectors ...string) (r *Reporter, taken *atomic.Int64, stop func()) {
 	taken = &atomic.Int64{}
-	r = &Reporter{Collectors: collectors, Interval: interval, TakeOutcomes: func() map[string]*dispatch.Outcomes {
+	r = &Reporter{Collectors: collectors, Interval: interval, TakeOutcomes: func() map[string]*dispatch.OutcomeSum {
 		taken.Add(1)
-		return map[string]*dispatch.Outcomes{"b": {Attempts: 1}}
+		return map[string]*dispatch.OutcomeSum{"b": {Attempts: 1}}
 	}}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -104,7 +104,7 @@
 	if gap > 20*interval {
 		t.Errorf("%v without a report, want at most %v", gap, 20*interval)
 	}
-	if lost, unconfirmed := r.Lost.Load(), r.Unconfirmed.Load(); lost+unconfirmed > 3 {
+	if lost, unconfirmed := r.LostSums.Load(), r.UnconfirmedSums.Load(); lost+unconfirmed > 3 {
 		t.Errorf("%d sums lost and %d unconfirmed, want at most 3", lost, unconfirmed)
 	}
 }
@@ -124,7 +124,7 @@
 		t.Errorf("failed over after %v, want %v to %v", took, responseTimeout, responseTimeout+20*interval)
 	}
 	sent := int64(responseTimeout / interval)
-	if unconfirmed := r.Unconfirmed.Load(); unconfirmed < sent/2 || unconfirmed > sent+5 {
+	if unconfirmed := r.UnconfirmedSums.Load(); unconfirmed < sent/2 || unconfirmed > sent+5 {
 		t.Errorf("%d sums unconfirmed, want about the %d sent before the failover", unconfirmed, sent)
 	}
 }
@@ -152,10 +152,10 @@
 	scriptedpeer.WaitFor(t, "the connection to the second collector is not closed", func() bool { return second.connections.Load() == 0 })
 	stop()
 	scriptedpeer.WaitFor(t, "an outcome is neither reported nor counted as lost", func() bool {
-		return first.attempts.Load()+second.attempts.Load()+r.Lost.Load() == taken.Load()
+		return first.attempts.Load()+second.attempts.Load()+r.LostSums.Load() == taken.Load()
 	})
-	if r.Lost.Load() > 1 {
-		t.Errorf("%d sums lost, want at most 1 although the first collector is unreachable at the start", r.Lost.Load())
+	if r.LostSums.Load() > 1 {
+		t.Errorf("%d sums lost, want at most 1 although the first collector is unreachable at the start", r.LostSums.Load())
 	}
 }
 
@@ -181,10 +181,10 @@
 	r, taken, stop := startReporter(t, interval, only.Address())
 	scriptedpeer.WaitFor(t, "the reporter stops taking outcomes before the timeout of the collector", func() bool { return taken.Load() > int64((responseTimeout+time.Second)/interval) })
 	stop()
-	if n := only.dials.Load(); n != 1 || r.Lost.Load() > 1 { // one sum may be lost by the stop
-		t.Errorf("%d connections and %d sums lost, want 1 connection and at most 1 sum", n, r.Lost.Load())
+	if n := only.dials.Load(); n != 1 || r.LostSums.Load() > 1 { // one sum may be lost by the stop
+		t.Errorf("%d connections and %d sums lost, want 1 connection and at most 1 sum", n, r.LostSums.Load())
 	}
-	scriptedpeer.WaitFor(t, "an outcome is neither reported nor counted as lost", func() bool { return only.attempts.Load()+r.Lost.Load() == taken.Load() })
+	scriptedpeer.WaitFor(t, "an outcome is neither reported nor counted as lost", func() bool { return only.attempts.Load()+r.LostSums.Load() == taken.Load() })
 }
 
 // While all collectors of a zone are unreachable, each is dialed once in each interval, so that the first one that is
@@ -193,7 +193,7 @@
 	const interval = 50 * time.Millisecond
 	one, two := scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t)
 	r, _, _ := startReporter(t, interval, one, two)
-	scriptedpeer.WaitFor(t, "no sums are counted as lost while no collector is reachable", func() bool { return r.Lost.Load() > 5 })
+	scriptedpeer.WaitFor(t, "no sums are counted as lost while no collector is reachable", func() bool { return r.LostSums.Load() > 5 })
 	reachable := serveCollector(t, scriptedpeer.ListenOn(t, two), true)
 	began := time.Now()
 	scriptedpeer.WaitFor(t, "the collector that is reachable again receives no reports", func() bool { return reachable.attempts.Load() > 0 })
--- a/internal/controlclient/update.go
+++ b/internal/controlclient/update.go
@@ -21,7 +21,7 @@
 
 // updateMessage is one update of a controller, assembled from its parts.
 type updateMessage struct {
-	parts      []dispatch.Update
+	parts      []dispatch.UpdatePart
 	wantsAck   bool
 	nonce      uint64
 	unfinished bool // more parts of the update follow
@@ -48,13 +48,13 @@
 		return err
 	}
 	part.Settings = settings
-	m.parts = append(m.parts, part.Update)
+	m.parts = append(m.parts, part.UpdatePart)
 	return nil
 }
 
 // partFields are the fields of one part of an update. Admission and retry policy may come in either order.
 type partFields struct {
-	dispatch.Update
+	dispatch.UpdatePart
 	admission   string
 	retryPolicy string
 }
@@ -66,7 +66,7 @@
 	case keyClasses:
 		part.Classes = strings.Split(value, "+")
 	case keyFull:
-		part.Full, err = parseFlag(value)
+		part.Replace, err = parseFlag(value)
 	case keyEndpoints:
 		part.Weights, err = parseEndpoints(value)
 	case keyAdmission:
--- a/internal/dispatch/admission.go
+++ b/internal/dispatch/admission.go
@@ -35,7 +35,7 @@
 // request has waited for the maximum queue time, or its deadline has passed, it is rejected for ErrQueueTimeout.
 func (d *Dispatcher) enqueue(now int64, r *Request, reason Reason) Step {
 	if !r.queued {
-		if d.queued >= d.config.MaxQueued {
+		if d.queued >= d.config.MaxQueuedRequests {
 			return d.reject(r, reason)
 		}
 		d.queued++
--- a/internal/dispatch/admission_test.go
+++ b/internal/dispatch/admission_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestBeginAdmitsNoMoreThanTheAdmissionModeAllows(t *testing.T) {
-	half := Update{Settings: []ClassSettings{{0.5, control.RetryIfNotExecuted}}}
-	rate := Update{Settings: []ClassSettings{{10, control.RetryIfNotExecuted}}}
+	half := UpdatePart{Settings: []ClassSettings{{0.5, control.RetryIfNotExecuted}}}
+	rate := UpdatePart{Settings: []ClassSettings{{10, control.RetryIfNotExecuted}}}
 	countAdmitted := func(d *Dispatcher, n int, every int64) (admitted int) {
 		for k := range n {
 			request, step := d.Begin(int64(k)*every+1, 0, true)
@@ -31,7 +31,7 @@
 	if n := countAdmitted(newDispatcher(t, func(c *Config) { c.Admission = control.AdmitAll }, half), 100, 1); n != 100 {
 		t.Errorf("mode AdmitAll admits %d of 100 requests, want all despite the settings", n)
 	}
-	if n := countAdmitted(newDispatcher(t, nil, Update{Settings: []ClassSettings{{0, control.RetryIfNotExecuted}}}), 100, 1); n != 0 {
+	if n := countAdmitted(newDispatcher(t, nil, UpdatePart{Settings: []ClassSettings{{0, control.RetryIfNotExecuted}}}), 100, 1); n != 0 {
 		t.Errorf("an admitted fraction of 0 admits %d requests, want none", n)
 	}
 	d := newDispatcher(t, nil)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -47,7 +47,7 @@
 
 	MaxRequests           int // limit of requests in flight
 	MaxRequestsPerReplica int // limit of requests in flight at one replica; 0: no limit
-	MaxQueued             int // limit of requests that wait for capacity
+	MaxQueuedRequests     int // limit of requests that wait for capacity
 	MaxQueueTime          time.Duration
 }
 
@@ -73,8 +73,8 @@
 	queued      int
 	candidates  []candidate // scratch space of choose
 
-	outcomes map[string]*Outcomes // by replica
-	demand   []Demand             // by class
+	outcomes map[string]*OutcomeSum // by replica
+	demand   []Demand               // by class
 
 	// Counters count the events since the Dispatcher was created.
 	Counters Counters
@@ -116,7 +116,7 @@
 		endpoints:           map[string]Endpoint{},
 		replicas:            map[string]*replicaState{},
 		retryTokens:         config.RetryBudgetBurst,
-		outcomes:            map[string]*Outcomes{},
+		outcomes:            map[string]*OutcomeSum{},
 		demand:              make([]Demand, len(config.Classes)),
 		Counters:            Counters{Rejected: map[Reason]int64{}, Failed: map[Reason]int64{}},
 	}, nil
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -13,7 +13,7 @@
 
 func testConfig() Config {
 	return Config{Seed: 3, AttemptTimeoutFactor: 1, DefaultRetry: control.RetryIfNotExecuted, MaxConsecutiveFailures: 3, EjectionTime: 5 * time.Second, RetryBudgetRatio: 0.5, RetryBudgetBurst: 10,
-		MaxRequests: 4, MaxRequestsPerReplica: 2, MaxQueued: 1, MaxQueueTime: time.Second, Admission: control.AdmitFraction, Classes: []Class{
+		MaxRequests: 4, MaxRequestsPerReplica: 2, MaxQueuedRequests: 1, MaxQueueTime: time.Second, Admission: control.AdmitFraction, Classes: []Class{
 			{"read", control.TrafficClass{LatencyObjective: second, Timeout: 4 * second, Idempotency: control.Idempotent}},
 			{"order", control.TrafficClass{LatencyObjective: second, Timeout: 4 * second, Idempotency: control.IdempotentByKey, DeduplicationScope: control.ScopeZone, DeduplicationWindow: 5 * second / 2}},
 			{"payout", control.TrafficClass{LatencyObjective: second, Timeout: 4 * second, Idempotency: control.NotIdempotent}}}}
@@ -21,7 +21,7 @@
 
 // newDispatcher returns a Dispatcher with four replicas, a1 and a2 in zone a, b1 and b2 in zone b, all with weight 1 in the
 // table of each class.
-func newDispatcher(t testing.TB, change func(*Config), updates ...Update) *Dispatcher {
+func newDispatcher(t testing.TB, change func(*Config), updates ...UpdatePart) *Dispatcher {
 	t.Helper()
 	config := testConfig()
 	if change != nil {
@@ -36,7 +36,7 @@
 		endpoints[id] = Endpoint{Zone: id[:1], Cell: id, Address: id + ":80"}
 	}
 	d.UpdateEndpoints(true, endpoints)
-	for _, update := range append([]Update{{Full: true, Weights: map[string]float64{"a1": 1, "a2": 1, "b1": 1, "b2": 1}}}, updates...) {
+	for _, update := range append([]UpdatePart{{Replace: true, Weights: map[string]float64{"a1": 1, "a2": 1, "b1": 1, "b2": 1}}}, updates...) {
 		if err := d.Apply(0, update); err != nil {
 			t.Fatal(err)
 		}
@@ -45,8 +45,8 @@
 }
 
 // retryPolicy returns an update that sets the retry policy of all classes.
-func retryPolicy(policy control.RetryPolicy) Update {
-	return Update{Settings: []ClassSettings{{1, policy}}}
+func retryPolicy(policy control.RetryPolicy) UpdatePart {
+	return UpdatePart{Settings: []ClassSettings{{1, policy}}}
 }
 
 // For any order of events, each request gets exactly one final step, no request is executed twice that must not be, and all
@@ -62,11 +62,11 @@
 		var requests []*trackedRequest
 		now := int64(0)
 		checkStep := func(tracked *trackedRequest, step Step) {
-			if kinds := boolToInt(step.Replica != "") + boolToInt(step.Wait) + boolToInt(step.Final); kinds != 1 {
+			if kinds := boolToInt(step.Replica != "") + boolToInt(step.Wait) + boolToInt(step.Ended); kinds != 1 {
 				t.Fatalf("step %+v is of %d kinds, want exactly one", step, kinds)
 			}
 			tracked.step = step
-			if step.Final {
+			if step.Ended {
 				tracked.finalSteps++
 			}
 			if step.Replica != "" && (step.Deadline <= now || d.ejectedByController[step.Replica]) {
@@ -103,7 +103,7 @@
 				switch {
 				case tracked.step.Replica != "" && rapid.IntRange(0, 9).Draw(t, "canceled") == 0:
 					d.Cancel(tracked.request)
-					tracked.step = Step{Final: true}
+					tracked.step = Step{Ended: true}
 					tracked.finalSteps++
 				case tracked.step.Replica != "":
 					checkStep(tracked, d.AttemptEnded(now, tracked.request, Outcome(rapid.IntRange(0, 3).Draw(t, "outcome"))))
@@ -114,11 +114,11 @@
 			"time passes": func(t *rapid.T) { now += rapid.Int64Range(1, 2*second).Draw(t, "span") },
 			"update": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"a1", "a2", "b1", "b2"}).Draw(t, "id")
-				d.Apply(now, Update{Weights: map[string]float64{id: rapid.Float64Range(0, 2).Draw(t, "weight")}, Settings: []ClassSettings{{rapid.Float64Range(0, 1).Draw(t, "admission"), control.RetryPolicy(rapid.IntRange(0, 3).Draw(t, "retry"))}}})
+				d.Apply(now, UpdatePart{Weights: map[string]float64{id: rapid.Float64Range(0, 2).Draw(t, "weight")}, Settings: []ClassSettings{{rapid.Float64Range(0, 1).Draw(t, "admission"), control.RetryPolicy(rapid.IntRange(0, 3).Draw(t, "retry"))}}})
 				if rapid.Bool().Draw(t, "eject") {
-					d.Apply(now, Update{Eject: []string{id}})
+					d.Apply(now, UpdatePart{Eject: []string{id}})
 				} else {
-					d.Apply(now, Update{Uneject: []string{id}})
+					d.Apply(now, UpdatePart{Uneject: []string{id}})
 				}
 			},
 		})
--- a/internal/dispatch/endpoints_test.go
+++ b/internal/dispatch/endpoints_test.go
@@ -14,7 +14,7 @@
 	}
 	d.UpdateEndpoints(true, map[string]Endpoint{"a1": {Zone: "a", Address: "x"}, "a2": {Zone: "a", Address: "y"}})
 	d.UseEqualWeights(1)
-	if err := d.Apply(1, Update{Classes: []string{"read"}, Settings: []ClassSettings{{0, control.NoRetry}}, Eject: []string{"a1"}}); err != nil {
+	if err := d.Apply(1, UpdatePart{Classes: []string{"read"}, Settings: []ClassSettings{{0, control.NoRetry}}, Eject: []string{"a1"}}); err != nil {
 		t.Fatal(err)
 	}
 	d.UpdateEndpoints(false, map[string]Endpoint{"a2": {State: control.Gone}, "b1": {Zone: "b", Address: "z"}})
@@ -34,7 +34,7 @@
 // it had when it was picked.
 func TestEndpointListBetweenPickAndSend(t *testing.T) {
 	for _, changed := range []Endpoint{{State: control.Gone}, {Zone: "a", Address: "elsewhere:80"}} {
-		d := newDispatcher(t, nil, Update{Full: true, Weights: map[string]float64{"a1": 1}})
+		d := newDispatcher(t, nil, UpdatePart{Replace: true, Weights: map[string]float64{"a1": 1}})
 		request, step := d.Begin(0, 2, true)
 		d.UpdateEndpoints(false, map[string]Endpoint{"a1": changed})
 		if step.Replica != "a1" || step.Address != "a1:80" {
--- a/internal/dispatch/outlier_test.go
+++ b/internal/dispatch/outlier_test.go
@@ -5,14 +5,14 @@
 )
 
 func TestReplicaIsEjectedAfterConsecutiveFailures(t *testing.T) {
-	d := newDispatcher(t, nil, retryPolicy(0), Update{Weights: map[string]float64{"a1": 1000}})
+	d := newDispatcher(t, nil, retryPolicy(0), UpdatePart{Weights: map[string]float64{"a1": 1000}})
 	for range 3 {
 		request, step := d.Begin(0, 0, true)
 		for step.Replica != "a1" {
 			d.AttemptEnded(0, request, Succeeded)
 			request, step = d.Begin(0, 0, true)
 		}
-		d.AttemptEnded(0, request, Broken)
+		d.AttemptEnded(0, request, Incomplete)
 	}
 	for k := range 50 {
 		request, step := d.Begin(int64(k), 0, true)
@@ -20,7 +20,7 @@
 			t.Fatal("an ejected replica is picked while others are available")
 		}
 	}
-	d.Apply(0, Update{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0}})
+	d.Apply(0, UpdatePart{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0}})
 	request, step := d.Begin(9, 0, true)
 	if step.Replica != "a1" {
 		t.Errorf("an ejected replica is the only one in the table: step %+v, want it to be picked", step)
@@ -33,7 +33,7 @@
 
 // After an ejection, a single request tests whether the replica has recovered; if it has not, the next ejection is longer.
 func TestReplicaOnProbationGetsOneRequest(t *testing.T) {
-	d := newDispatcher(t, func(c *Config) { c.MaxRequests, c.MaxRequestsPerReplica = 100, 100 }, retryPolicy(0), Update{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0.001}})
+	d := newDispatcher(t, func(c *Config) { c.MaxRequests, c.MaxRequestsPerReplica = 100, 100 }, retryPolicy(0), UpdatePart{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0.001}})
 	now := int64(0)
 	fail := func(n int) {
 		var requests []*Request
@@ -46,7 +46,7 @@
 			}
 		}
 		for _, request := range requests {
-			d.AttemptEnded(now, request, Broken)
+			d.AttemptEnded(now, request, Incomplete)
 		}
 		if n == 20 && len(requests) != 1 {
 			t.Errorf("at %d ns, %d requests were sent to a replica on probation, want 1", now, len(requests))
@@ -68,7 +68,7 @@
 }
 
 func TestUnresponsiveReplicaIsAvoidedBeforeItsRequestsFail(t *testing.T) {
-	d := newDispatcher(t, func(c *Config) { c.MaxRequests, c.MaxRequestsPerReplica = 100, 100 }, Update{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0.001}})
+	d := newDispatcher(t, func(c *Config) { c.MaxRequests, c.MaxRequestsPerReplica = 100, 100 }, UpdatePart{Weights: map[string]float64{"a2": 0, "b1": 0, "b2": 0.001}})
 	var first *Request
 	for k := range 3 {
 		request, step := d.Begin(0, 0, true)
--- a/internal/dispatch/pick_test.go
+++ b/internal/dispatch/pick_test.go
@@ -8,14 +8,14 @@
 
 func TestReplicasThatMayNotBePicked(t *testing.T) {
 	for name, change := range map[string]func(*Dispatcher){
-		"ejected":          func(d *Dispatcher) { d.Apply(0, Update{Eject: []string{"a1"}}) },
+		"ejected":          func(d *Dispatcher) { d.Apply(0, UpdatePart{Eject: []string{"a1"}}) },
 		"draining":         func(d *Dispatcher) { d.UpdateEndpoints(false, map[string]Endpoint{"a1": {State: control.Draining}}) },
 		"gone":             func(d *Dispatcher) { d.UpdateEndpoints(false, map[string]Endpoint{"a1": {State: control.Gone}}) },
 		"unlisted":         func(d *Dispatcher) { d.UpdateEndpoints(true, map[string]Endpoint{"b1": {Address: "x"}}) },
-		"not in the table": func(d *Dispatcher) { d.Apply(0, Update{Weights: map[string]float64{"a1": 0}}) },
+		"not in the table": func(d *Dispatcher) { d.Apply(0, UpdatePart{Weights: map[string]float64{"a1": 0}}) },
 	} {
 		d := newDispatcher(t, nil)
-		d.Apply(0, Update{Full: true, Weights: map[string]float64{"a1": 1}})
+		d.Apply(0, UpdatePart{Replace: true, Weights: map[string]float64{"a1": 1}})
 		request, step := d.Begin(0, 0, true)
 		if step.Replica != "a1" {
 			t.Fatalf("%s: step %+v before the change, want replica a1", name, step)
@@ -33,7 +33,7 @@
 
 func TestPicksFollowWeights(t *testing.T) {
 	for _, pick := range []control.PickPolicy{control.PickRandom, control.PickRoundRobin, control.PickPowerOfTwo} {
-		d := newDispatcher(t, func(c *Config) { c.Pick, c.MaxRequests = pick, 1 }, Update{Weights: map[string]float64{"a1": 6, "a2": 3, "b1": 1, "b2": 0}})
+		d := newDispatcher(t, func(c *Config) { c.Pick, c.MaxRequests = pick, 1 }, UpdatePart{Weights: map[string]float64{"a1": 6, "a2": 3, "b1": 1, "b2": 0}})
 		got := map[string]int{}
 		for range 1000 {
 			request, step := d.Begin(0, 0, true)
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Outcomes sums the attempts at one replica since the last report.
-type Outcomes struct {
+// OutcomeSum sums the attempts at one replica since the last report.
+type OutcomeSum struct {
 	Attempts     int
 	Failures     int
 	ResponseTime time.Duration // from the start of each successful attempt to its response head, summed
@@ -19,7 +19,7 @@
 func (d *Dispatcher) recordOutcome(now int64, r *Request, outcome Outcome) {
 	outcomes := d.outcomes[r.replica]
 	if outcomes == nil {
-		outcomes = &Outcomes{}
+		outcomes = &OutcomeSum{}
 		d.outcomes[r.replica] = outcomes
 	}
 	outcomes.Attempts++
@@ -35,9 +35,9 @@
 }
 
 // TakeOutcomes returns the outcomes by replica, and resets them.
-func (d *Dispatcher) TakeOutcomes() map[string]*Outcomes {
+func (d *Dispatcher) TakeOutcomes() map[string]*OutcomeSum {
 	outcomes := d.outcomes
-	d.outcomes = make(map[string]*Outcomes, len(outcomes))
+	d.outcomes = make(map[string]*OutcomeSum, len(outcomes))
 	return outcomes
 }
 
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -9,11 +9,11 @@
 const (
 	Succeeded   Outcome = iota // the replica responded, whatever the content of its response
 	NotExecuted                // certainly not executed by any replica
-	Broken                     // possibly executed; no complete response arrived
+	Incomplete                 // possibly executed; no complete response arrived
 	TimedOut                   // possibly executed; no response arrived in time
 )
 
-// Step tells the caller what to do next with a request. It is exactly one of an attempt (Replica is set), Wait and Final.
+// Step tells the caller what to do next with a request. It is exactly one of an attempt (Replica is set), Wait and Ended.
 type Step struct {
 	Replica string // the replica to send the request to
 	Address string // address of the replica when it was picked; later endpoint lists may no longer contain it
@@ -24,7 +24,7 @@
 	// Deadline is when the attempt or the wait has to end.
 	Deadline int64
 
-	Final     bool   // the request has ended
+	Ended     bool   // the request has ended
 	Succeeded bool   // the request has succeeded with the response of the attempt that has just ended
 	Reason    Reason // why the request was rejected or failed
 }
@@ -86,7 +86,7 @@
 // Resume continues a waiting request when there may be capacity, or when the deadline of the wait has been reached.
 func (d *Dispatcher) Resume(now int64, r *Request) Step {
 	if r.ended {
-		return Step{Final: true, Reason: ErrClientGone}
+		return Step{Ended: true, Reason: ErrClientGone}
 	}
 	return d.firstAttempt(now, r)
 }
@@ -133,7 +133,7 @@
 // AttemptEnded records how the current attempt ended, and returns the next step.
 func (d *Dispatcher) AttemptEnded(now int64, r *Request, outcome Outcome) Step {
 	if r.ended {
-		return Step{Final: true, Reason: ErrClientGone}
+		return Step{Ended: true, Reason: ErrClientGone}
 	}
 	d.endAttempt(now, r, outcome)
 	if outcome == Succeeded {
@@ -191,7 +191,7 @@
 	if now-r.arrivedAt > d.config.Classes[r.class].LatencyObjective {
 		d.Counters.SucceededLate++
 	}
-	return Step{Final: true, Succeeded: true}
+	return Step{Ended: true, Succeeded: true}
 }
 
 // fail ends a request that was attempted without success, or whose client no longer waits for the response.
@@ -201,14 +201,14 @@
 		d.demand[r.class].Failures++
 	}
 	d.Counters.Failed[reason]++
-	return Step{Final: true, Reason: reason}
+	return Step{Ended: true, Reason: reason}
 }
 
 // reject ends a request that was not attempted.
 func (d *Dispatcher) reject(r *Request, reason Reason) Step {
 	d.finish(r)
 	d.Counters.Rejected[reason]++
-	return Step{Final: true, Reason: reason}
+	return Step{Ended: true, Reason: reason}
 }
 
 // finish releases the capacity that a request occupies.
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -22,21 +22,21 @@
 		{"no retry", read, 0, []Outcome{NotExecuted}, []int64{1}, 1, ErrAttemptsFailed},
 		{"certainly not executed", read, 1, []Outcome{NotExecuted, Succeeded}, []int64{1, 2}, 2, None},
 		{"one retry, not two", read, 1, []Outcome{NotExecuted, NotExecuted}, []int64{1, 2}, 2, ErrAttemptsFailed},
-		{"may have been executed", read, 1, []Outcome{Broken}, []int64{1}, 1, ErrAttemptsFailed},
+		{"may have been executed", read, 1, []Outcome{Incomplete}, []int64{1}, 1, ErrAttemptsFailed},
 		{"retry after any failure", read, 2, []Outcome{TimedOut, Succeeded}, []int64{second, second + 1}, 2, None},
-		{"two retries", read, 3, []Outcome{Broken, TimedOut, Succeeded}, []int64{1, 2, 3}, 3, None},
-		{"two retries, not three", read, 3, []Outcome{Broken, TimedOut, Broken}, []int64{1, 2, 3}, 3, ErrAttemptsFailed},
+		{"two retries", read, 3, []Outcome{Incomplete, TimedOut, Succeeded}, []int64{1, 2, 3}, 3, None},
+		{"two retries, not three", read, 3, []Outcome{Incomplete, TimedOut, Incomplete}, []int64{1, 2, 3}, 3, ErrAttemptsFailed},
 		{"timeout", read, 3, []Outcome{TimedOut}, []int64{4 * second}, 1, ErrTimeout},
-		{"a payout may have been executed", payout, 3, []Outcome{Broken}, []int64{1}, 1, ErrMayHaveExecuted},
+		{"a payout may have been executed", payout, 3, []Outcome{Incomplete}, []int64{1}, 1, ErrMayHaveExecuted},
 		{"a payout timed out", payout, 2, []Outcome{TimedOut}, []int64{1}, 1, ErrMayHaveExecuted},
 		{"a payout was not executed", payout, 2, []Outcome{NotExecuted, Succeeded}, []int64{1, 2}, 2, None},
-		{"a payout was not executed, then may have been", payout, 3, []Outcome{NotExecuted, Broken}, []int64{1, 2}, 2, ErrMayHaveExecuted},
+		{"a payout was not executed, then may have been", payout, 3, []Outcome{NotExecuted, Incomplete}, []int64{1, 2}, 2, ErrMayHaveExecuted},
 		{"an order within its window", order, 2, []Outcome{TimedOut, Succeeded}, []int64{second, second + 1}, 2, None},
 		{"an order at the edge of its window", order, 2, []Outcome{TimedOut}, []int64{3 * second / 2}, 1, ErrNoTimeToRetry},
 		{"an order just within its window", order, 2, []Outcome{TimedOut}, []int64{3*second/2 - 1}, 2, None},
 		{"the window does not apply to an order that was not executed", order, 1, []Outcome{NotExecuted, Succeeded}, []int64{3 * second, 3*second + 1}, 2, None},
-		{"the window begins with the first attempt that may have been executed", order, 3, []Outcome{NotExecuted, Broken, Succeeded}, []int64{second, 2 * second, 2*second + 1}, 3, None},
-		{"an order without another replica in its zone", order, 3, []Outcome{Broken, Broken}, []int64{1, 2}, 2, ErrNoReplica},
+		{"the window begins with the first attempt that may have been executed", order, 3, []Outcome{NotExecuted, Incomplete, Succeeded}, []int64{second, 2 * second, 2*second + 1}, 3, None},
+		{"an order without another replica in its zone", order, 3, []Outcome{Incomplete, Incomplete}, []int64{1, 2}, 2, ErrNoReplica},
 	} {
 		d := newDispatcher(t, nil, retryPolicy(c.policy))
 		request, step := d.Begin(0, c.class, true)
@@ -47,7 +47,7 @@
 			step = d.AttemptEnded(c.times[k], request, outcome)
 		}
 		last := c.outcomes[len(c.outcomes)-1]
-		if step.Reason != c.reason || len(request.attempts) != c.attempts || (last == Succeeded) != step.Succeeded || step.Final == (step.Replica != "") {
+		if step.Reason != c.reason || len(request.attempts) != c.attempts || (last == Succeeded) != step.Succeeded || step.Ended == (step.Replica != "") {
 			t.Errorf("%s: last step %+v after %d attempts, want reason %q after %d", c.name, step, len(request.attempts), c.reason, c.attempts)
 		}
 		for k, a := range request.attempts {
@@ -60,7 +60,7 @@
 				}
 			}
 		}
-		if step.Final && d.InFlight() != 0 {
+		if step.Ended && d.InFlight() != 0 {
 			t.Errorf("%s: %d requests in flight after the final step, want 0", c.name, d.InFlight())
 		}
 	}
@@ -84,8 +84,8 @@
 	d := newDispatcher(t, func(c *Config) { c.MaxConsecutiveFailures, c.RetryBudgetRatio = 0, 0.1 }, retryPolicy(2))
 	for range 1000 {
 		request, step := d.Begin(0, 0, true)
-		for !step.Final {
-			step = d.AttemptEnded(1, request, Broken)
+		for !step.Ended {
+			step = d.AttemptEnded(1, request, Incomplete)
 		}
 	}
 	if n := d.Counters.Retries; n < 100 || n > 111 || d.Counters.Failed[ErrRetryBudgetExhausted]+d.Counters.Failed[ErrAttemptsFailed] != 1000 {
--- a/internal/dispatch/update.go
+++ b/internal/dispatch/update.go
@@ -10,10 +10,10 @@
 	"lilacbend/control"
 )
 
-// Update is one part of a controller's update.
-type Update struct {
+// UpdatePart is one part of a controller's update.
+type UpdatePart struct {
 	Classes  []string           // the traffic classes that the part applies to; empty: all
-	Full     bool               // the part replaces the tables and settings of its classes
+	Replace  bool               // the part replaces the tables and settings of its classes
 	Weights  map[string]float64 // by replica; 0 removes the replica
 	Settings []ClassSettings    // the last one applies; empty: settings are unchanged
 	Eject    []string           // replicas that must not be picked
@@ -41,7 +41,7 @@
 )
 
 // Apply applies the parts of one update in their order: all of them, or nothing.
-func (d *Dispatcher) Apply(now int64, parts ...Update) error {
+func (d *Dispatcher) Apply(now int64, parts ...UpdatePart) error {
 	for _, part := range parts {
 		if err := d.validate(part); err != nil {
 			return err
@@ -54,7 +54,7 @@
 }
 
 // validate checks one part of an update.
-func (d *Dispatcher) validate(part Update) error {
+func (d *Dispatcher) validate(part UpdatePart) error {
 	if _, err := d.classIndexes(part.Classes); err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 }
 
 // applyPart applies one part of an update, which has been validated.
-func (d *Dispatcher) applyPart(now int64, part Update) {
+func (d *Dispatcher) applyPart(now int64, part UpdatePart) {
 	classes, _ := d.classIndexes(part.Classes)
 	for _, class := range classes {
 		d.tables[class].apply(part)
@@ -99,15 +99,15 @@
 	for _, replica := range part.Uneject {
 		delete(d.ejectedByController, replica)
 	}
-	if part.Full || len(part.Weights) > 0 {
+	if part.Replace || len(part.Weights) > 0 {
 		d.hasTables = true
 		d.evictUnreferenced(now)
 	}
 }
 
 // apply applies one part of an update to the table of a class.
-func (t *table) apply(part Update) {
-	if part.Full {
+func (t *table) apply(part UpdatePart) {
+	if part.Replace {
 		t.clear()
 	}
 	for _, replica := range slices.Sorted(maps.Keys(part.Weights)) {
--- a/internal/dispatch/update_test.go
+++ b/internal/dispatch/update_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestUpdateIsAppliedCompletelyOrNotAtAll(t *testing.T) {
-	for name, update := range map[string]Update{
-		"traffic class": {Classes: []string{"reads"}, Full: true, Weights: map[string]float64{"z": 1}},
-		"weight":        {Full: true, Weights: map[string]float64{"z": -1}}, "weight NaN": {Full: true, Weights: map[string]float64{"z": math.NaN()}},
-		"admission": {Full: true, Settings: []ClassSettings{{-0.5, 1}}, Eject: []string{"a1"}}, "retry policy": {Full: true, Settings: []ClassSettings{{1, 4}}}, "replica id": {Weights: map[string]float64{"": 1}},
+	for name, update := range map[string]UpdatePart{
+		"traffic class": {Classes: []string{"reads"}, Replace: true, Weights: map[string]float64{"z": 1}},
+		"weight":        {Replace: true, Weights: map[string]float64{"z": -1}}, "weight NaN": {Replace: true, Weights: map[string]float64{"z": math.NaN()}},
+		"admission": {Replace: true, Settings: []ClassSettings{{-0.5, 1}}, Eject: []string{"a1"}}, "retry policy": {Replace: true, Settings: []ClassSettings{{1, 4}}}, "replica id": {Weights: map[string]float64{"": 1}},
 	} {
 		d := newDispatcher(t, nil)
 		if err := d.Apply(0, update); !errors.Is(err, ErrInvalidUpdate) || strings.Contains(err.Error(), "\n") {
@@ -22,8 +22,8 @@
 			t.Errorf("invalid %s: table sizes %v after the update, want no change to tables, ejections and settings", name, n)
 		}
 	}
-	d := newDispatcher(t, nil, retryPolicy(2), Update{Eject: []string{"a1"}})
-	d.Apply(0, Update{Classes: []string{"order"}, Full: true, Weights: map[string]float64{"b1": 2}})
+	d := newDispatcher(t, nil, retryPolicy(2), UpdatePart{Eject: []string{"a1"}})
+	d.Apply(0, UpdatePart{Classes: []string{"order"}, Replace: true, Weights: map[string]float64{"b1": 2}})
 	if n := d.TableSizes(); n["order"] != 1 || n["read"] != 4 || d.tables[1].hasSettings || !d.tables[0].hasSettings || !d.ejectedByController["a1"] {
 		t.Errorf("full update of class order: table sizes %v, want other tables, settings and the ejection unchanged", n)
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -12,7 +12,7 @@
 
 // canceledStep ends a request whose client has gone or has not sent the body. It is not reported as the outcome of an
 // attempt, so that it does not count against the replica; the dispatcher is notified when the request is released.
-var canceledStep = dispatch.Step{Final: true, Reason: dispatch.ErrClientGone}
+var canceledStep = dispatch.Step{Ended: true, Reason: dispatch.ErrClientGone}
 
 // attempt makes one attempt and returns the next step. The step is not used once a response to the client has started.
 func (t *transaction) attempt(step dispatch.Step) dispatch.Step {
@@ -34,7 +34,7 @@
 		return next
 	}
 	next := t.reportFailedResponse(response.StatusCode)
-	if next.Final { // no attempt follows, so the client gets the replica's own error response
+	if next.Ended { // no attempt follows, so the client gets the replica's own error response
 		t.result.Reason = next.Reason
 		t.forwardResponse(response)
 	}
@@ -89,7 +89,7 @@
 	if t.proxy.notExecutedStatuses[status] {
 		return t.reportAttemptEnd(dispatch.NotExecuted)
 	}
-	return t.reportAttemptEnd(dispatch.Broken)
+	return t.reportAttemptEnd(dispatch.Incomplete)
 }
 
 // reportResponseEnd reports to the dispatcher how the forwarding of a response ended, unless the client was the cause.
@@ -99,7 +99,7 @@
 	}
 	var failed *upstream.AttemptError
 	if errors.As(err, &failed) && !t.cancel.Canceled() {
-		return t.reportAttemptEnd(dispatch.Broken)
+		return t.reportAttemptEnd(dispatch.Incomplete)
 	}
 	return canceledStep
 }
@@ -113,5 +113,5 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		return dispatch.TimedOut
 	}
-	return dispatch.Broken
+	return dispatch.Incomplete
 }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -23,8 +23,8 @@
 		{"not sent", &upstream.AttemptError{Progress: upstream.NotSent, Err: io.EOF}, dispatch.NotExecuted},
 		{"not sent in time", &upstream.AttemptError{Progress: upstream.NotSent, Err: context.DeadlineExceeded}, dispatch.NotExecuted},
 		{"no response in time", &upstream.AttemptError{Progress: upstream.Sent, Err: context.DeadlineExceeded}, dispatch.TimedOut},
-		{"connection ended", &upstream.AttemptError{Progress: upstream.Sent, Err: io.ErrUnexpectedEOF}, dispatch.Broken},
-		{"response ended", &upstream.AttemptError{Progress: upstream.ResponseStarted, Err: io.ErrUnexpectedEOF}, dispatch.Broken},
+		{"connection ended", &upstream.AttemptError{Progress: upstream.Sent, Err: io.ErrUnexpectedEOF}, dispatch.Incomplete},
+		{"response ended", &upstream.AttemptError{Progress: upstream.ResponseStarted, Err: io.ErrUnexpectedEOF}, dispatch.Incomplete},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := outcomeOf(c.err); got != c.want {
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -76,7 +76,7 @@
 		t.state, first = d.Begin(now, t.Class, replayable)
 		return first
 	})
-	for !t.responseStarted && !step.Final {
+	for !t.responseStarted && !step.Ended {
 		if !step.Wait {
 			step = t.attempt(step)
 			continue
--- a/internal/sidecar/capacity_test.go
+++ b/internal/sidecar/capacity_test.go
@@ -62,7 +62,7 @@
 func TestReplicaRemovedWhilePicked(t *testing.T) {
 	testReplica := startReplica(t, nil)
 	s := startSidecar(t, withLongTimeouts("usual: again", "usual: once"), testReplica.Addr)
-	if err := (lockedDispatcher{s.proxy}).Apply([]dispatch.Update{{Full: true, Weights: map[string]float64{"r0": 1}}}); err != nil {
+	if err := (lockedDispatcher{s.proxy}).Apply([]dispatch.UpdatePart{{Replace: true, Weights: map[string]float64{"r0": 1}}}); err != nil {
 		t.Fatal(err)
 	}
 	stop, stopped := make(chan struct{}), make(chan struct{})
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -78,7 +78,7 @@
 			RetryBudgetRatio:       0.1,
 			RetryBudgetBurst:       10,
 			MaxRequests:            1000,
-			MaxQueued:              200,
+			MaxQueuedRequests:      200,
 			MaxQueueTime:           500 * time.Millisecond,
 		},
 	}
@@ -221,7 +221,7 @@
 		return
 	}
 	s.Whole("flows", &c.Dispatch.MaxRequests, 1, 1<<20)
-	s.Whole("waiting", &c.Dispatch.MaxQueued, 0, 1<<20)
+	s.Whole("waiting", &c.Dispatch.MaxQueuedRequests, 0, 1<<20)
 	s.Duration("wait", &c.Dispatch.MaxQueueTime, 0, time.Minute)
 	s.Whole("replica_connections", &c.Upstream.MaxConnections, 1, 1<<16)
 	s.Whole("replica_idle", &c.Upstream.MaxIdle, 0, 1<<16)
--- a/internal/sidecar/control.go
+++ b/internal/sidecar/control.go
@@ -12,7 +12,7 @@
 type lockedDispatcher struct{ proxy *proxy.Proxy }
 
 // Apply implements controlclient.Dispatcher.
-func (l lockedDispatcher) Apply(updates []dispatch.Update) (err error) {
+func (l lockedDispatcher) Apply(updates []dispatch.UpdatePart) (err error) {
 	l.proxy.WithDispatcher(func(now int64, d *dispatch.Dispatcher) { err = d.Apply(now, updates...) })
 	return err
 }
@@ -30,7 +30,7 @@
 }
 
 // TakeOutcomes returns the outcomes of attempts by replica since the last call.
-func (l lockedDispatcher) TakeOutcomes() (outcomes map[string]*dispatch.Outcomes) {
+func (l lockedDispatcher) TakeOutcomes() (outcomes map[string]*dispatch.OutcomeSum) {
 	l.proxy.WithDispatcher(func(_ int64, d *dispatch.Dispatcher) { outcomes = d.TakeOutcomes() })
 	return outcomes
 }
--- a/internal/sidecar/local.go
+++ b/internal/sidecar/local.go
@@ -59,13 +59,13 @@
 	return map[string]int64{
 		"dials":                c.Dials.Load(),
 		"streams":              c.Streams.Load(),
-		"failures":             c.Failures.Load(),
+		"failures":             c.StreamFailures.Load(),
 		"updates":              c.Updates.Load(),
 		"acks":                 c.Acks.Load(),
 		"invalid_updates":      c.InvalidUpdates.Load(),
 		"demand_reports":       c.DemandReports.Load(),
-		"outcomes_lost":        s.reporter.Lost.Load(),
-		"outcomes_unconfirmed": s.reporter.Unconfirmed.Load(),
+		"outcomes_lost":        s.reporter.LostSums.Load(),
+		"outcomes_unconfirmed": s.reporter.UnconfirmedSums.Load(),
 		"collector_failovers":  s.reporter.Failovers.Load(),
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -92,7 +92,7 @@
 	})
 	s.controlClient = &controlclient.Client{
 		Controllers: config.Controllers,
-		ID:          config.ProxyID,
+		ProxyID:     config.ProxyID,
 		Zone:        config.Zone,
 		Classes:     config.classNames(),
 		Dispatcher:  lockedDispatcher{s.proxy},
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -440,34 +440,34 @@
 	firstReplica, secondReplica := startReplica(t, nil), startReplica(t, nil)
 	firstReplica.ServiceTime.Store(int64(200 * time.Millisecond))
 	s := startSidecar(t, nil, firstReplica.Addr, secondReplica.Addr)
-	apply := func(updates ...dispatch.Update) {
+	apply := func(updates ...dispatch.UpdatePart) {
 		if err := (lockedDispatcher{s.proxy}).Apply(updates); err != nil {
 			t.Error(err)
 		}
 	}
-	apply(dispatch.Update{Full: true, Weights: map[string]float64{"r0": 1}})
+	apply(dispatch.UpdatePart{Replace: true, Weights: map[string]float64{"r0": 1}})
 	responses := make(chan string)
 	get := "GET /stock HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 	go func() { responses <- exchangeRaw(t, s.h1, get) }()
 	for firstReplica.RequestCount.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	apply(dispatch.Update{Eject: []string{"r0"}}) // the replica of the request in flight
+	apply(dispatch.UpdatePart{Eject: []string{"r0"}}) // the replica of the request in flight
 	if got := exchangeRaw(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
 		t.Errorf("all replicas ejected: %q", got)
 	}
-	apply(dispatch.Update{Full: true, Weights: map[string]float64{"r1": 1}})
+	apply(dispatch.UpdatePart{Replace: true, Weights: map[string]float64{"r1": 1}})
 	if got := exchangeRaw(t, s.h1, get); !strings.Contains(got, secondReplica.Addr) {
 		t.Errorf("replaced table: %q", got)
 	}
-	apply(dispatch.Update{Classes: []string{"stock"}, Full: true}) // empties the table of one class
+	apply(dispatch.UpdatePart{Classes: []string{"stock"}, Replace: true}) // empties the table of one class
 	if got := exchangeRaw(t, s.h1, get); !strings.Contains(got, "Lilacbend-Reason: no-replica") {
 		t.Errorf("empty table of the class: %q", got)
 	}
 	if got := exchangeRaw(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, secondReplica.Addr) {
 		t.Errorf("class whose table was not emptied: %q", got)
 	}
-	apply(dispatch.Update{Classes: []string{"order"}, Settings: []dispatch.ClassSettings{{Admission: 0}}})
+	apply(dispatch.UpdatePart{Classes: []string{"order"}, Settings: []dispatch.ClassSettings{{Admission: 0}}})
 	if got := exchangeRaw(t, s.h1, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"); !strings.Contains(got, "Lilacbend-Reason: level") || !strings.Contains(got, "Retry-After: ") {
 		t.Errorf("admission of 0: %q", got)
 	}
