--- a/cmd/lilacbend/config.go
+++ b/cmd/lilacbend/config.go
@@ -167,7 +167,7 @@
 	if !reflect.DeepEqual(c.settings, next.settings) || !reflect.DeepEqual(c.names, next.names) {
 		parts = append(parts, "settings")
 	}
-	return append(parts, c.operator.Differs(next.operator)...)
+	return append(parts, c.operator.ChangedSections(next.operator)...)
 }
 
 // firstNonEmpty returns the first string, or the second if the first is empty.
--- a/cmd/lilacbend/configserver.go
+++ b/cmd/lilacbend/configserver.go
@@ -43,7 +43,7 @@
 			&cli.StringFlag{Name: "state", Usage: "file that keeps the epoch and the copy of the configuration over restarts", Destination: &flags.StateFile},
 			&cli.DurationFlag{Name: "poll", Usage: "interval between two scans of the folder", Destination: &flags.PollInterval},
 			&cli.IntFlag{Name: "connections", Usage: "maximum number of open connections", Destination: &flags.MaxConnections},
-			&cli.IntFlag{Name: "copies", Usage: "maximum number of complete copies being sent", Destination: &flags.MaxCopies},
+			&cli.IntFlag{Name: "copies", Usage: "maximum number of complete copies being sent", Destination: &flags.MaxConcurrentCopies},
 		},
 		Action: commands.run,
 		Commands: []*cli.Command{
@@ -55,11 +55,11 @@
 
 // options returns the options of the file, replaced by those that flags set.
 func (c *configserverCommands) options() (configserver.Options, error) {
-	c.flags.Follow = parseServers(c.follow)
+	c.flags.Upstreams = parseServers(c.follow)
 	if c.file == "" {
 		return c.flags, nil
 	}
-	file, err := configserver.ReadFile(c.file)
+	file, err := configserver.ReadOptions(c.file)
 	return overridden(file, c.flags), err
 }
 
@@ -70,8 +70,8 @@
 	options.Listen = firstNonEmpty(flags.Listen, options.Listen)
 	options.Folder = firstNonEmpty(flags.Folder, options.Folder)
 	options.StateFile = firstNonEmpty(flags.StateFile, options.StateFile)
-	if len(flags.Follow) > 0 {
-		options.Follow = flags.Follow
+	if len(flags.Upstreams) > 0 {
+		options.Upstreams = flags.Upstreams
 	}
 	if flags.PollInterval > 0 {
 		options.PollInterval = flags.PollInterval
@@ -79,8 +79,8 @@
 	if flags.MaxConnections > 0 {
 		options.MaxConnections = flags.MaxConnections
 	}
-	if flags.MaxCopies > 0 {
-		options.MaxCopies = flags.MaxCopies
+	if flags.MaxConcurrentCopies > 0 {
+		options.MaxConcurrentCopies = flags.MaxConcurrentCopies
 	}
 	return options
 }
@@ -137,7 +137,7 @@
 	}
 	name := firstNonEmpty(options.Name, "it")
 	if options.Folder == "" {
-		fmt.Fprintf(c.out, "%s would start: %s listens on %s and follows %d servers\n", c.file, name, options.Listen, len(options.Follow))
+		fmt.Fprintf(c.out, "%s would start: %s listens on %s and follows %d servers\n", c.file, name, options.Listen, len(options.Upstreams))
 		return nil
 	}
 	services, err := configserver.CheckFolder(options.Folder)
--- a/cmd/lilacbend/configserver_test.go
+++ b/cmd/lilacbend/configserver_test.go
@@ -12,19 +12,19 @@
 func TestOverriddenPrefersFlags(t *testing.T) {
 	file := configserver.Options{
 		Name: "s0", Region: "r0", Listen: ":1", Folder: "f", StateFile: "s",
-		Follow:       []configclient.Server{{Address: "a"}},
-		PollInterval: time.Second, MaxConnections: 1, MaxCopies: 2,
+		Upstreams:    []configclient.Server{{Address: "a"}},
+		PollInterval: time.Second, MaxConnections: 1, MaxConcurrentCopies: 2,
 	}
 	flags := configserver.Options{
 		Name: "s1", Region: "r1", Listen: ":2", Folder: "g", StateFile: "t",
-		Follow:       []configclient.Server{{Address: "b"}},
-		PollInterval: time.Minute, MaxConnections: 3, MaxCopies: 4,
+		Upstreams:    []configclient.Server{{Address: "b"}},
+		PollInterval: time.Minute, MaxConnections: 3, MaxConcurrentCopies: 4,
 	}
 	for name, c := range map[string]struct{ file, flags, want configserver.Options }{
 		"no flags":           {file, configserver.Options{}, file},
 		"no file":            {configserver.Options{}, flags, flags},
 		"all flags":          {file, flags, flags},
-		"one option in each": {configserver.Options{Name: "s0"}, configserver.Options{MaxCopies: 4}, configserver.Options{Name: "s0", MaxCopies: 4}},
+		"one option in each": {configserver.Options{Name: "s0"}, configserver.Options{MaxConcurrentCopies: 4}, configserver.Options{Name: "s0", MaxConcurrentCopies: 4}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := overridden(c.file, c.flags); !reflect.DeepEqual(got, c.want) {
--- a/cmd/lilacbend/follow.go
+++ b/cmd/lilacbend/follow.go
@@ -28,7 +28,7 @@
 // section for them. own is the topology of the settings in the controller's configuration file.
 func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, queues *eventloop.Queues, log *slog.Logger) (*configurationFollower, error) {
 	following := c.operator.Configuration
-	if !following.On() {
+	if !following.Enabled() {
 		return nil, nil
 	}
 	f := &configurationFollower{
--- a/cmd/lilacbend/golden_test.go
+++ b/cmd/lilacbend/golden_test.go
@@ -93,7 +93,7 @@
 				{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: version(29), LastSeenMS: 70_000},
 			},
 			Counters: configapi.Counters{Requests: 1, Copies: 2}},
-		{Server: "s1", Region: "r1", Version: version(31), AgeMS: 12, Faults: []configapi.Fault{},
+		{Server: "s1", Region: "r1", Version: version(31), WriterAgeMS: 12, Faults: []configapi.Fault{},
 			Services: []configapi.ServiceStatus{{Name: "orders", Version: version(31), Bytes: 905, History: history(-20)}},
 			Watchers: []configapi.Watcher{{Instance: "n3", Service: "orders", Zone: "b", Region: "r1", Active: version(29), Rejected: version(31), LastSeenMS: 30}}},
 	}
--- a/cmd/lilacbend/main.go
+++ b/cmd/lilacbend/main.go
@@ -95,7 +95,7 @@
 		fmt.Printf("%s: learned state is saved to %s every %v, with %d generations kept\n", c.options.operator, state.Folder, state.Every, state.Keep)
 	}
 	following := configuration.operator.Configuration
-	if following.On() {
+	if following.Enabled() {
 		fmt.Printf("%s: settings of service %s are followed at %d configuration servers\n", c.options.operator, following.Service, len(following.Servers))
 	}
 	fmt.Printf("%s would start: %s listens on %s, discovery at %s, %d replicas known, %d proxies, %d traffic classes\n",
--- a/cmd/lilacbend/reload.go
+++ b/cmd/lilacbend/reload.go
@@ -77,7 +77,7 @@
 			}
 			return err
 		}
-		queues.Counters.Reloads.Add(1)
+		queues.Counters.ReloadsApplied.Add(1)
 		log.Info("configuration reloaded", "discovery", next.discovery)
 		client.SetAddress(next.discovery)
 		parts := running.changesAtRestart(next)
--- a/cmd/lilacbend/reload_test.go
+++ b/cmd/lilacbend/reload_test.go
@@ -128,8 +128,8 @@
 	writeFile(t, file, exampleAt(t, oldAgent.Address()))
 	hangups <- syscall.SIGHUP // the address is unchanged
 	hangups <- syscall.SIGHUP // received only after the file has been read for the first signal
-	scriptedpeer.WaitFor(t, "the file was not read twice", func() bool { return queues.Counters.Reloads.Load() == 2 })
-	if dials := queues.Counters.Dials.Load(); dials != 1 {
+	scriptedpeer.WaitFor(t, "the file was not read twice", func() bool { return queues.Counters.ReloadsApplied.Load() == 2 })
+	if dials := queues.Counters.DiscoveryDials.Load(); dials != 1 {
 		t.Errorf("%d dials for an unchanged address, want 1", dials)
 	}
 	replaceFile(t, file, exampleAt(t, newAgent.Address()))
@@ -141,9 +141,9 @@
 	hangups <- syscall.SIGHUP
 	third := oldAgent.AcceptConn()
 	second.WaitForClose()
-	if got := third.ReadRequestHead(); got != completeListRequest || queues.Counters.Reloads.Load() != 4 || queues.Counters.ReloadsFailed.Load() != 0 {
+	if got := third.ReadRequestHead(); got != completeListRequest || queues.Counters.ReloadsApplied.Load() != 4 || queues.Counters.ReloadsFailed.Load() != 0 {
 		t.Errorf("request is %q, want %q; %d reloads, want 4; %d reloads failed, want 0", got, completeListRequest,
-			queues.Counters.Reloads.Load(), queues.Counters.ReloadsFailed.Load())
+			queues.Counters.ReloadsApplied.Load(), queues.Counters.ReloadsFailed.Load())
 	}
 }
 
@@ -165,7 +165,7 @@
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		writeFile(t, file, exampleAt(t, "127.0.0.1:2"))
-		for queues.Counters.Reloads.Load() == 0 && time.Since(start) < time.Minute {
+		for queues.Counters.ReloadsApplied.Load() == 0 && time.Since(start) < time.Minute {
 			time.Sleep(time.Millisecond)
 		}
 		// The intervals are 50, 100, ... 800 ms, 1.55 s in total, and then 1 s each: the first attempt after 10 s is at
--- a/cmd/lilacbend/serve_test.go
+++ b/cmd/lilacbend/serve_test.go
@@ -137,7 +137,7 @@
 			t.Fatal(err)
 		}
 		hangups <- syscall.SIGHUP
-		for queues.Counters.Reloads.Load()+queues.Counters.ReloadsFailed.Load() <= int64(k) {
+		for queues.Counters.ReloadsApplied.Load()+queues.Counters.ReloadsFailed.Load() <= int64(k) {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -147,7 +147,7 @@
 		t.Fatalf("discovery did not connect to the new address: %v", err)
 	}
 	conn.Close()
-	if queues.Counters.Reloads.Load() != 1 || queues.Counters.ReloadsFailed.Load() != 1 {
-		t.Errorf("%d reloads, want 1; %d reloads failed, want 1", queues.Counters.Reloads.Load(), queues.Counters.ReloadsFailed.Load())
+	if queues.Counters.ReloadsApplied.Load() != 1 || queues.Counters.ReloadsFailed.Load() != 1 {
+		t.Errorf("%d reloads, want 1; %d reloads failed, want 1", queues.Counters.ReloadsApplied.Load(), queues.Counters.ReloadsFailed.Load())
 	}
 }
--- a/experiment/scale/servers.go
+++ b/experiment/scale/servers.go
@@ -170,7 +170,7 @@
 		if step > 0 { // neither this server nor the writer
 			to = 1 + (k-1+step)%(s.plan.Servers-1)
 		}
-		options.Follow = append(options.Follow, configclient.Server{Address: s.linkAddress(k, to), Region: regionName(s.plan.serverRegion(to))})
+		options.Upstreams = append(options.Upstreams, configclient.Server{Address: s.linkAddress(k, to), Region: regionName(s.plan.serverRegion(to))})
 	}
 	return options
 }
@@ -282,7 +282,7 @@
 		return append(arguments, "--folder", o.Folder)
 	}
 	var follow []string
-	for _, followed := range o.Follow {
+	for _, followed := range o.Upstreams {
 		follow = append(follow, followed.Address+"="+followed.Region)
 	}
 	return append(arguments, "--follow", strings.Join(follow, ","))
--- a/experiment/scale/simulated.go
+++ b/experiment/scale/simulated.go
@@ -192,7 +192,7 @@
 		if !ok {
 			return
 		}
-		c.queues.MessageSent(item.Number)
+		c.queues.MessageSent(item.UpdateNumber)
 		if item.WantsAck {
 			c.queues.Enqueue(controller.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
 		}
--- a/experiment/seeds/script.go
+++ b/experiment/seeds/script.go
@@ -34,19 +34,19 @@
 		kinds[kind] = kind
 	}
 	strictyaml.Choice(top, "profile", &script.Profile, profiles)
-	top.Whole("seed", &seed, 0, math.MaxInt32)
+	top.Integer("seed", &seed, 0, math.MaxInt32)
 	for _, section := range top.Sections("faults") {
 		var start, duration time.Duration
 		var fault emulator.Fault
 		if !section.Has("kind") {
-			section.Fault("", "lacks kind: one of %s", strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
+			section.AddFault("", "lacks kind: one of %s", strings.Join(slices.Sorted(maps.Keys(kinds)), ", "))
 		}
 		strictyaml.Choice(section, "kind", &fault.Kind, kinds)
 		section.Duration("at", &start, 0, time.Hour)
 		section.Duration("span", &duration, 0, time.Hour)
-		section.Whole("who", &fault.Target, 0, math.MaxInt32)
+		section.Integer("who", &fault.Target, 0, math.MaxInt32)
 		if zones := len(Profiles[script.Profile].Site().Names.Zones); (fault.Kind == "cut" || fault.Kind == "zone") && fault.Target >= zones {
-			section.Fault("who", "must be below the number of zones: zone %d of %d", fault.Target, zones)
+			section.AddFault("who", "must be below the number of zones: zone %d of %d", fault.Target, zones)
 		}
 		section.Done()
 		fault.Start, fault.Duration = start.Nanoseconds(), duration.Nanoseconds()
--- a/internal/configapi/golden_test.go
+++ b/internal/configapi/golden_test.go
@@ -20,7 +20,7 @@
 	active := revision.Version{Epoch: 7, Revision: 30}
 	newest := revision.Version{Epoch: 7, Revision: 31}
 	return Status{
-		Server: "s0", Region: "r0", Writer: true, Version: newest, AgeMS: 12,
+		Server: "s0", Region: "r0", Writer: true, Version: newest, WriterAgeMS: 12,
 		Faults:   []Fault{{File: "orders.json", Reason: "unexpected end"}},
 		Services: []ServiceStatus{{Name: "orders", Version: newest, Bytes: 905, History: []Published{{active, 60_000}, {newest, 1500}}}},
 		Watchers: []Watcher{{Instance: "n7", Service: "orders", Zone: "a", Region: "r1", Active: active, Rejected: newest, LastSeenMS: 40}},
--- a/internal/configapi/status.go
+++ b/internal/configapi/status.go
@@ -4,15 +4,15 @@
 
 // Status is the state of one server: the versions of its services, and those that are active at its followers.
 type Status struct {
-	Server   string           `json:"server"`
-	Region   string           `json:"region"`
-	Writer   bool             `json:"writer"`
-	Version  revision.Version `json:"version"`
-	AgeMS    int64            `json:"age_ms"` // how long ago the server last heard from the writer; 0 at the writer
-	Faults   []Fault          `json:"faults"` // rejected settings files
-	Services []ServiceStatus  `json:"services"`
-	Watchers []Watcher        `json:"watchers"`
-	Counters Counters         `json:"counters"`
+	Server      string           `json:"server"`
+	Region      string           `json:"region"`
+	Writer      bool             `json:"writer"`
+	Version     revision.Version `json:"version"`
+	WriterAgeMS int64            `json:"age_ms"` // how long ago the server last heard from the writer; 0 at the writer
+	Faults      []Fault          `json:"faults"` // rejected settings files
+	Services    []ServiceStatus  `json:"services"`
+	Watchers    []Watcher        `json:"watchers"`
+	Counters    Counters         `json:"counters"`
 }
 
 // Fault is a rejected settings file, or an unusable folder, and the reason.
--- a/internal/configcache/writer.go
+++ b/internal/configcache/writer.go
@@ -69,10 +69,10 @@
 	w := &Writer{storage: storage, log: log}
 	retry := backoff.NewJittered(minRetryInterval, maxRetryInterval, seed)
 	w.writer = filewriter.New(filewriter.Config[Record]{
-		Write:     w.write,
-		Failed:    w.logFailure,
-		Recovered: w.logRecovery,
-		Retry:     true,
+		Write:      w.write,
+		OnFailure:  w.logFailure,
+		OnRecovery: w.logRecovery,
+		Retry:      true,
 		Backoff: func(failures int) time.Duration {
 			if failures == 1 {
 				retry.Reset()
--- a/internal/configclient/serverlist.go
+++ b/internal/configclient/serverlist.go
@@ -15,17 +15,17 @@
 		entry.Text("address", &server.Address)
 		entry.Text("region", &server.Region)
 		if _, _, err := net.SplitHostPort(server.Address); err != nil {
-			entry.Fault("address", "is %.40q, want an address of host and port", server.Address)
+			entry.AddFault("address", "is %.40q, want an address of host and port", server.Address)
 		}
 		if seen[server.Address] {
-			entry.Fault("address", "%s is listed twice", server.Address)
+			entry.AddFault("address", "%s is listed twice", server.Address)
 		}
 		seen[server.Address] = true
 		entry.Done()
 		servers = append(servers, server)
 	}
 	if section.Has(key) && len(servers) == 0 {
-		section.Fault(key, "names no server: want a list of sections with address and region")
+		section.AddFault(key, "names no server: want a list of sections with address and region")
 	}
 	return servers
 }
--- a/internal/configserver/deploy_test.go
+++ b/internal/configserver/deploy_test.go
@@ -27,19 +27,19 @@
 // server that follows others and for a controller that follows configuration servers.
 func TestFilesUnderDeployAreUsable(t *testing.T) {
 	const file, operatorFile = "../../deploy/configserver.yaml", "../../deploy/operator.yaml"
-	options, err := ReadFile(file)
-	if err != nil || options.Folder == "" || options.StateFile == "" || options.MaxConnections != DefaultMaxConnections || options.MaxCopies != DefaultMaxCopies || options.PollInterval != DefaultPollInterval {
+	options, err := ReadOptions(file)
+	if err != nil || options.Folder == "" || options.StateFile == "" || options.MaxConnections != DefaultMaxConnections || options.MaxConcurrentCopies != DefaultMaxConcurrentCopies || options.PollInterval != DefaultPollInterval {
 		t.Errorf("%s as a writer's file: options %+v, error %v", file, options, err)
 	}
 	follower := strings.Replace(string(uncommented(t, file, "# follow:")), "folder:", "# folder:", 1)
-	if options, err = ParseFile(file, []byte(follower)); err != nil || len(options.Follow) != 2 {
+	if options, err = ParseOptions(file, []byte(follower)); err != nil || len(options.Upstreams) != 2 {
 		t.Errorf("%s with follow instead of folder: options %+v, error %v", file, options, err)
 	}
 	operatorConfig, err := operator.Parse(operatorFile, uncommented(t, operatorFile, "# configuration:"))
-	if err != nil || !operatorConfig.Configuration.On() || len(operatorConfig.Configuration.Servers) != 2 {
+	if err != nil || !operatorConfig.Configuration.Enabled() || len(operatorConfig.Configuration.Servers) != 2 {
 		t.Errorf("%s with the configuration section: %+v, error %v", operatorFile, operatorConfig, err)
 	}
-	if operatorConfig, err = operator.Read(operatorFile); err != nil || operatorConfig.Configuration.On() {
+	if operatorConfig, err = operator.Read(operatorFile); err != nil || operatorConfig.Configuration.Enabled() {
 		t.Errorf("%s without the configuration section: %+v, error %v", operatorFile, operatorConfig, err)
 	}
 }
--- a/internal/configserver/failures_test.go
+++ b/internal/configserver/failures_test.go
@@ -20,7 +20,7 @@
 	var regional []configclient.Server
 	var servers []*runningServer
 	for k := range 3 {
-		server := startServer(t, Options{Name: fmt.Sprintf("s%d", k+1), Region: "r0", Follow: []configclient.Server{asServer(writer)}})
+		server := startServer(t, Options{Name: fmt.Sprintf("s%d", k+1), Region: "r0", Upstreams: []configclient.Server{asServer(writer)}})
 		servers, regional = append(servers, server), append(regional, asServer(server))
 	}
 	controller := followService(t, "orders", regional...)
@@ -51,7 +51,7 @@
 	}
 	writer := startServer(t, Options{Name: "s0", Folder: folder})
 	link := newForwarder(t, writer.Address())
-	disconnected := startServer(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{{Address: link.Addr().String(), Region: "r0"}}})
+	disconnected := startServer(t, Options{Name: "s1", Region: "r1", Upstreams: []configclient.Server{{Address: link.Addr().String(), Region: "r0"}}})
 	controller := followService(t, "service-3", asServer(disconnected))
 	controller.waitForClass("first")
 	copies := writer.Status().Counters.Copies
@@ -80,7 +80,7 @@
 	for k := range 8 {
 		writeFile(t, folder, fmt.Sprintf("service-%d.json", k), []byte(large))
 	}
-	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxCopies: 1})
+	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxConcurrentCopies: 1})
 	scriptedpeer.WaitFor(t, "the writer did not publish all services", func() bool { return writer.Version().Revision == 8 })
 	conn, err := net.Dial("tcp", writer.Address())
 	if err != nil {
@@ -101,7 +101,7 @@
 	t.Parallel()
 	folder := t.TempDir()
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
-	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxCopies: 2})
+	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxConcurrentCopies: 2})
 	const followers = 200
 	var controllers []*controllerClient
 	for range followers {
@@ -127,8 +127,8 @@
 	t.Parallel()
 	lostWriter := configclient.Server{Address: scriptedpeer.FreeAddress(t)}
 	firstAddress, secondAddress := scriptedpeer.FreeAddress(t), scriptedpeer.FreeAddress(t)
-	first := startServer(t, Options{Name: "s1", Listen: firstAddress, Follow: []configclient.Server{lostWriter, {Address: secondAddress}}})
-	second := startServer(t, Options{Name: "s2", Listen: secondAddress, Follow: []configclient.Server{lostWriter, {Address: firstAddress}}})
+	first := startServer(t, Options{Name: "s1", Listen: firstAddress, Upstreams: []configclient.Server{lostWriter, {Address: secondAddress}}})
+	second := startServer(t, Options{Name: "s2", Listen: secondAddress, Upstreams: []configclient.Server{lostWriter, {Address: firstAddress}}})
 	const seconds, maxRate = 2, 10 // maxRate in queries a second
 	time.Sleep(seconds * time.Second)
 	for _, server := range []*runningServer{first, second} {
--- a/internal/configserver/golden_test.go
+++ b/internal/configserver/golden_test.go
@@ -60,7 +60,7 @@
 func TestStateFileRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stored := golden.Read(t, stateFile)
-		follower := Options{Name: "s1", Follow: []configclient.Server{{Address: "127.0.0.1:1", Region: "r0"}}}
+		follower := Options{Name: "s1", Upstreams: []configclient.Server{{Address: "127.0.0.1:1", Region: "r0"}}}
 		golden.Compare(t, stateFile, stateFileAfterScan(t, follower, stored))
 		writer := Options{Name: "s0", Folder: goldenFolder}
 		if later := stateFileAfterScan(t, writer, stored); bytes.Equal(later, stored) {
--- a/internal/configserver/optionsfile.go
+++ b/internal/configserver/optionsfile.go
@@ -18,40 +18,40 @@
 	maxCopyLimit       = 1 << 14
 )
 
-// ReadFile reads a server's configuration file. Unknown keys are faults, too; the error names file, line and key of each
+// ReadOptions reads a server's configuration file. Unknown keys are faults, too; the error names file, line and key of each
 // fault.
-func ReadFile(file string) (Options, error) {
+func ReadOptions(file string) (Options, error) {
 	raw, err := strictyaml.Open(file)
 	if err != nil {
 		return Options{}, err
 	}
-	return ParseFile(file, raw)
+	return ParseOptions(file, raw)
 }
 
-// ParseFile parses the content of a server's configuration file.
-func ParseFile(file string, raw []byte) (Options, error) {
+// ParseOptions parses the content of a server's configuration file.
+func ParseOptions(file string, raw []byte) (Options, error) {
 	document, top, err := strictyaml.Parse(file, raw)
 	if err != nil {
 		return Options{}, err
 	}
-	options := Options{PollInterval: DefaultPollInterval, MaxConnections: DefaultMaxConnections, MaxCopies: DefaultMaxCopies}
+	options := Options{PollInterval: DefaultPollInterval, MaxConnections: DefaultMaxConnections, MaxConcurrentCopies: DefaultMaxConcurrentCopies}
 	top.Text("name", &options.Name)
 	top.Text("region", &options.Region)
 	top.Text("listen", &options.Listen)
 	top.Text("folder", &options.Folder)
 	top.Text("state", &options.StateFile)
 	top.Duration("poll", &options.PollInterval, minPollInterval, maxPollInterval)
-	top.Whole("connections", &options.MaxConnections, 1, maxConnectionLimit)
-	top.Whole("copies", &options.MaxCopies, 1, maxCopyLimit)
-	options.Follow = configclient.ReadServers(top, "follow")
+	top.Integer("connections", &options.MaxConnections, 1, maxConnectionLimit)
+	top.Integer("copies", &options.MaxConcurrentCopies, 1, maxCopyLimit)
+	options.Upstreams = configclient.ReadServers(top, "follow")
 	if _, _, err := net.SplitHostPort(options.Listen); err != nil {
-		top.Fault("listen", "is %.40q, want an address of host and port", options.Listen)
+		top.AddFault("listen", "is %.40q, want an address of host and port", options.Listen)
 	}
 	switch {
 	case options.Folder == "" && !top.Has("follow"):
-		top.Fault("", "lacks folder or follow: a writer reads a folder, any other server follows servers")
+		top.AddFault("", "lacks folder or follow: a writer reads a folder, any other server follows servers")
 	case options.Folder != "" && top.Has("follow"):
-		top.Fault("follow", "is set together with folder: a writer follows no server")
+		top.AddFault("follow", "is set together with folder: a writer follows no server")
 	}
 	options.Folder = relativeTo(file, options.Folder)
 	options.StateFile = relativeTo(file, options.StateFile)
--- a/internal/configserver/optionsfile_test.go
+++ b/internal/configserver/optionsfile_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestParseFile(t *testing.T) {
-	got, err := ParseFile("/etc/l/s.yaml", []byte("name: s0\nregion: r0\nlisten: 127.0.0.1:7000\nfolder: settings\nstate: /var/s.json\npoll: 2s\n"))
+	got, err := ParseOptions("/etc/l/s.yaml", []byte("name: s0\nregion: r0\nlisten: 127.0.0.1:7000\nfolder: settings\nstate: /var/s.json\npoll: 2s\n"))
 	want := Options{Name: "s0", Region: "r0", Listen: "127.0.0.1:7000", Folder: "/etc/l/settings", StateFile: "/var/s.json", PollInterval: 2 * time.Second,
-		MaxConnections: DefaultMaxConnections, MaxCopies: DefaultMaxCopies}
+		MaxConnections: DefaultMaxConnections, MaxConcurrentCopies: DefaultMaxConcurrentCopies}
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("writer's file: options %+v, error %v, want %+v", got, err, want)
 	}
-	got, err = ParseFile("s.yaml", []byte("listen: :7000\nfollow: [{address: 's0:7000', region: r0}, {address: 's1:7000'}]\ncopies: 3\nconnections: 9\n"))
-	if err != nil || !reflect.DeepEqual(got.Follow, []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000"}}) || got.MaxCopies != 3 || got.MaxConnections != 9 {
+	got, err = ParseOptions("s.yaml", []byte("listen: :7000\nfollow: [{address: 's0:7000', region: r0}, {address: 's1:7000'}]\ncopies: 3\nconnections: 9\n"))
+	if err != nil || !reflect.DeepEqual(got.Upstreams, []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000"}}) || got.MaxConcurrentCopies != 3 || got.MaxConnections != 9 {
 		t.Errorf("follower's file: options %+v, error %v", got, err)
 	}
 	for raw, wantError := range map[string]string{
@@ -38,7 +38,7 @@
 		"listen: :7\nfolder: f\nstate: [x]":                      "state: is a list",
 		"listen: :7\nfolder: f\nname: {}":                        "name: is a set of keys",
 	} {
-		if _, err := ParseFile("s.yaml", []byte(raw)); err == nil || !strings.Contains(err.Error(), wantError) {
+		if _, err := ParseOptions("s.yaml", []byte(raw)); err == nil || !strings.Contains(err.Error(), wantError) {
 			t.Errorf("file %q: error %v, want %q", raw, err, wantError)
 		}
 	}
--- a/internal/configserver/server.go
+++ b/internal/configserver/server.go
@@ -25,9 +25,9 @@
 // Defaults of Options. An installation has 1,600 controllers and 8 servers, and all controllers may connect to the same
 // server; sending a complete copy takes a few milliseconds.
 const (
-	DefaultMaxConnections = 4096
-	DefaultMaxCopies      = 64
-	DefaultPollInterval   = time.Second
+	DefaultMaxConnections      = 4096
+	DefaultMaxConcurrentCopies = 64
+	DefaultPollInterval        = time.Second
 )
 
 const (
@@ -57,17 +57,17 @@
 	Name   string
 	Region string
 	Listen string
-	// Folder is where the writer reads the settings, in one file for each service. Follow lists the servers that any other
-	// server follows, in order of preference, the writer first. Exactly one of Folder and Follow is set.
-	Folder string
-	Follow []configclient.Server
+	// Folder is where the writer reads the settings, in one file for each service. Upstreams lists the servers that any
+	// other server follows, in order of preference, the writer first. Exactly one of Folder and Upstreams is set.
+	Folder    string
+	Upstreams []configclient.Server
 	// StateFile stores the epoch and the configuration across restarts; empty: neither is stored.
-	StateFile      string
-	PollInterval   time.Duration // between two scans of Folder
-	MaxConnections int
-	MaxCopies      int // complete copies sent at once; a large one counts as several
-	Seed           uint64
-	Log            *slog.Logger
+	StateFile           string
+	PollInterval        time.Duration // between two scans of Folder
+	MaxConnections      int
+	MaxConcurrentCopies int // complete copies sent at once; a large one counts as several
+	Seed                uint64
+	Log                 *slog.Logger
 }
 
 // Server is one configuration server.
@@ -102,9 +102,9 @@
 // New returns a server that listens, but does not serve before Run is called.
 func New(options Options) (*Server, error) {
 	switch {
-	case options.Folder == "" && len(options.Follow) == 0:
+	case options.Folder == "" && len(options.Upstreams) == 0:
 		return nil, ErrNoSource
-	case options.Folder != "" && len(options.Follow) > 0:
+	case options.Folder != "" && len(options.Upstreams) > 0:
 		return nil, ErrTwoSources
 	}
 	setDefaults(&options)
@@ -115,14 +115,14 @@
 		rescans:       make(chan struct{}, 1),
 		store:         configstore.New(Check),
 		watchers:      configstore.NewWatcherTable(),
-		copies:        configstore.NewCopyLimiter(options.MaxCopies),
+		copies:        configstore.NewCopyLimiter(options.MaxConcurrentCopies),
 		faults:        map[string]string{},
 		changeSignals: map[string]chan struct{}{},
 	}
 	if err := s.restore(); err != nil {
 		return nil, err
 	}
-	if len(options.Follow) > 0 {
+	if len(options.Upstreams) > 0 {
 		if err := s.followUpstream(); err != nil {
 			return nil, err
 		}
@@ -152,8 +152,8 @@
 	if options.MaxConnections <= 0 {
 		options.MaxConnections = DefaultMaxConnections
 	}
-	if options.MaxCopies <= 0 {
-		options.MaxCopies = DefaultMaxCopies
+	if options.MaxConcurrentCopies <= 0 {
+		options.MaxConcurrentCopies = DefaultMaxConcurrentCopies
 	}
 }
 
@@ -178,7 +178,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	s.scan(true)
-	s.options.Log.Info("serving configuration", "listen", s.Address(), "folder", s.options.Folder, "follows", len(s.options.Follow),
+	s.options.Log.Info("serving configuration", "listen", s.Address(), "folder", s.options.Folder, "follows", len(s.options.Upstreams),
 		"version", s.Version().String(), "services", len(s.serviceNames()))
 	var goroutines sync.WaitGroup
 	var serveErr error
@@ -250,7 +250,7 @@
 	upstream, err := configwatch.New(configwatch.Options{
 		Instance: s.options.Name,
 		Region:   s.options.Region,
-		Servers:  s.options.Follow,
+		Servers:  s.options.Upstreams,
 		Ordered:  true,
 		Seed:     s.options.Seed,
 		Log:      s.options.Log,
--- a/internal/configserver/server_test.go
+++ b/internal/configserver/server_test.go
@@ -25,7 +25,7 @@
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
 	writeFile(t, folder, "payouts.json", exampleSettings(t, "other"))
 	writer := startServer(t, Options{Name: "s0", Folder: folder})
-	follower := startServer(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{asServer(writer)}})
+	follower := startServer(t, Options{Name: "s1", Region: "r1", Upstreams: []configclient.Server{asServer(writer)}})
 	controller := followService(t, "orders", asServer(follower))
 	controller.waitForClass("first")
 	writeFile(t, folder, "orders.json", exampleSettings(t, "second"))
@@ -167,7 +167,7 @@
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
 	listen := scriptedpeer.FreeAddress(t)
 	writer := startServer(t, Options{Name: "s0", Folder: folder, StateFile: statePath, Listen: listen})
-	follower := startServer(t, Options{Name: "s1", Region: "r1", Follow: []configclient.Server{asServer(writer)}})
+	follower := startServer(t, Options{Name: "s1", Region: "r1", Upstreams: []configclient.Server{asServer(writer)}})
 	controller := followService(t, "orders", asServer(follower))
 	controller.waitForClass("first")
 	scriptedpeer.WaitFor(t, "no state file was written", func() bool { _, err := os.Stat(statePath); return err == nil })
@@ -261,7 +261,7 @@
 		scriptedpeer.WaitFor(t, "the log does not report "+wantLog, func() bool { return writer.log.count("state file rejected") == 1 && writer.log.count(wantLog) > 0 })
 		writer.stop()
 	}
-	for _, options := range []Options{{}, {Folder: folder, Follow: []configclient.Server{{Address: "127.0.0.1:1"}}}} {
+	for _, options := range []Options{{}, {Folder: folder, Upstreams: []configclient.Server{{Address: "127.0.0.1:1"}}}} {
 		if _, err := New(options); err == nil {
 			t.Errorf("options %+v are accepted", options)
 		}
@@ -287,7 +287,7 @@
 func TestResponseByQuery(t *testing.T) {
 	folder := t.TempDir()
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
-	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxCopies: 1})
+	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxConcurrentCopies: 1})
 	scriptedpeer.WaitFor(t, "the service was not published", func() bool { return writer.Version().Revision == 1 })
 	version := writer.Version().String()
 	for _, c := range []struct {
@@ -326,7 +326,7 @@
 	folder := t.TempDir()
 	writeFile(t, folder, "orders.json", exampleSettings(t, "first"))
 	writer := startServer(t, Options{Name: "s0", Folder: folder, MaxConnections: 3})
-	second := startServer(t, Options{Name: "s1", Follow: []configclient.Server{asServer(writer)}})
+	second := startServer(t, Options{Name: "s1", Upstreams: []configclient.Server{asServer(writer)}})
 	scriptedpeer.WaitFor(t, "the service was not published", func() bool { return second.Version().Revision == 1 }) // its connection is one of the three
 	var connections []net.Conn
 	for range 2 {
--- a/internal/configserver/state.go
+++ b/internal/configserver/state.go
@@ -23,7 +23,7 @@
 			s.options.Log.Error("state file rejected, starting without it", "file", s.options.StateFile, "error", err)
 		}
 	}
-	if len(s.options.Follow) > 0 {
+	if len(s.options.Upstreams) > 0 {
 		return nil
 	}
 	s.folder = folder{path: s.options.Folder}
--- a/internal/configserver/status.go
+++ b/internal/configserver/status.go
@@ -37,15 +37,15 @@
 		s.store.WriterSeen(0, now)
 	}
 	status := configapi.Status{
-		Server:   s.options.Name,
-		Region:   s.options.Region,
-		Writer:   s.isWriter(),
-		Version:  s.store.Version(),
-		AgeMS:    s.store.WriterAge(now) / int64(time.Millisecond),
-		Faults:   []configapi.Fault{},
-		Services: s.store.Services(now),
-		Watchers: s.watchers.Watchers(now),
-		Counters: s.currentCounters(),
+		Server:      s.options.Name,
+		Region:      s.options.Region,
+		Writer:      s.isWriter(),
+		Version:     s.store.Version(),
+		WriterAgeMS: s.store.WriterAge(now) / int64(time.Millisecond),
+		Faults:      []configapi.Fault{},
+		Services:    s.store.Services(now),
+		Watchers:    s.watchers.Watchers(now),
+		Counters:    s.currentCounters(),
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.faults)) {
 		status.Faults = append(status.Faults, configapi.Fault{File: name, Reason: s.faults[name]})
--- a/internal/configstore/summary.go
+++ b/internal/configstore/summary.go
@@ -73,7 +73,7 @@
 			Region:  status.Region,
 			Writer:  status.Writer,
 			Version: status.Version,
-			AgeMS:   status.AgeMS,
+			AgeMS:   status.WriterAgeMS,
 		})
 		summary.Faults = append(summary.Faults, status.Faults...)
 		collectServices(services, status.Services)
--- a/internal/controlclient/collector.go
+++ b/internal/controlclient/collector.go
@@ -92,7 +92,7 @@
 	for reader := resp.NewReader(conn, c.pool); ; {
 		conn.SetReadDeadline(time.Now().Add(sidecarTimeout))
 		words, err := reader.Next()
-		if errors.Is(err, resp.ErrNotWords) {
+		if errors.Is(err, resp.ErrNotBulkStringArray) {
 			c.Skipped.Add(1)
 			continue
 		}
--- a/internal/controlclient/collector_conn.go
+++ b/internal/controlclient/collector_conn.go
@@ -45,7 +45,7 @@
 	defer close(c.done)
 	for {
 		words, err := reader.Next()
-		if err != nil && !errors.Is(err, resp.ErrNotWords) {
+		if err != nil && !errors.Is(err, resp.ErrNotBulkStringArray) {
 			return
 		}
 		if err == nil && len(words) > 0 && words[0] == wordAlive {
--- a/internal/controlserver/eviction.go
+++ b/internal/controlserver/eviction.go
@@ -12,7 +12,7 @@
 	p := first.Value.(*peer)
 	s.remove(p)
 	p.conn.Close()
-	s.queues.Counters.Evicted.Add(1)
+	s.queues.Counters.ConnectionsEvicted.Add(1)
 	return true
 }
 
--- a/internal/controlserver/golden_test.go
+++ b/internal/controlserver/golden_test.go
@@ -180,7 +180,7 @@
 		if events := p.server.queues.Drain(); len(events) > 0 {
 			event = events[0]
 		}
-		fmt.Fprintf(&b, "%v: %s\n  %s; skipped %d; error %v\n", m.role, m.words, describe(t, event), p.server.queues.Counters.Skipped.Load(), err)
+		fmt.Fprintf(&b, "%v: %s\n  %s; skipped %d; error %v\n", m.role, m.words, describe(t, event), p.server.queues.Counters.MessagesSkipped.Load(), err)
 	}
 	for _, words := range [][]string{
 		{"hello id 17 site a rps 21.5 new 1"},
--- a/internal/controlserver/peer.go
+++ b/internal/controlserver/peer.go
@@ -72,12 +72,12 @@
 	case errors.Is(err, errJoinTimeout):
 		text = "connection closed: join timeout"
 		counters.JoinTimeouts.Add(1)
-	case errors.Is(err, errInvalidJoin), errors.Is(err, resp.ErrNotWords):
+	case errors.Is(err, errInvalidJoin), errors.Is(err, resp.ErrNotBulkStringArray):
 		text = "connection closed: invalid join"
-		counters.UnidentifiedPeers.Add(1)
+		counters.InvalidJoins.Add(1)
 	case errors.Is(err, resp.ErrUnreadable), errors.Is(err, resp.ErrNoBuffer):
 		text = "connection closed: malformed message"
-		counters.Malformed.Add(1)
+		counters.MalformedMessages.Add(1)
 	default:
 		p.server.log.Debug("connection lost", "peer", p.role, "error", err)
 		return
@@ -92,7 +92,7 @@
 func (p *peer) leave() {
 	close(p.done)
 	p.conn.Close()
-	p.server.queues.Counters.Ended.Add(1)
+	p.server.queues.Counters.ConnectionsEnded.Add(1)
 	if p.sendQueue != nil {
 		p.sendQueue.Close()
 		p.server.queues.Enqueue(controller.StreamClosed{Stream: p.stream})
--- a/internal/controlserver/peer_test.go
+++ b/internal/controlserver/peer_test.go
@@ -72,7 +72,7 @@
 		}
 		skipped := c.role != unidentified && (c.event == nil || c.event == active)
 		if !reflect.DeepEqual(received, c.event) || errors.Is(err, errInvalidJoin) != (c.role == unidentified) ||
-			s.queues.Counters.Skipped.Load() != map[bool]int64{true: 1}[skipped] {
+			s.queues.Counters.MessagesSkipped.Load() != map[bool]int64{true: 1}[skipped] {
 			t.Errorf("%v sends %q: published event %+v, error %v", c.role, c.message, received, err)
 		}
 	}
--- a/internal/controlserver/race_test.go
+++ b/internal/controlserver/race_test.go
@@ -50,7 +50,7 @@
 		}})
 		second.Send(joinMessage)
 		second.WaitForClose()
-		scriptedpeer.WaitFor(t, "the evicted connection has not ended", func() bool { return s.queues.Counters.Ended.Load() == 1 })
+		scriptedpeer.WaitFor(t, "the evicted connection has not ended", func() bool { return s.queues.Counters.ConnectionsEnded.Load() == 1 })
 		first.Send("outcomes site a target s-5 count 2 fail 0 mean 1 over 1")
 		if events := receive(t, s, 1); len(events) != 1 || events[0].(controller.OutcomeReport).Attempts != 2 {
 			t.Errorf("%s: received %+v", joinMessage, events)
@@ -83,7 +83,7 @@
 		}
 		c.Close()
 	}
-	scriptedpeer.WaitFor(t, "rejected connections have not ended", func() bool { return s.queues.Counters.Ended.Load() == 10 })
+	scriptedpeer.WaitFor(t, "rejected connections have not ended", func() bool { return s.queues.Counters.ConnectionsEnded.Load() == 10 })
 }
 
 // Shutdown must not wait for rejected peers that keep their connection open, for proxies that do not read, or for peers that
--- a/internal/controlserver/read.go
+++ b/internal/controlserver/read.go
@@ -10,7 +10,7 @@
 // readMessage reads and handles one message. An error ends the connection.
 func (p *peer) readMessage(reader *resp.Reader) error {
 	words, err := reader.Next()
-	if errors.Is(err, resp.ErrNotWords) && p.role != unidentified {
+	if errors.Is(err, resp.ErrNotBulkStringArray) && p.role != unidentified {
 		p.skip(err)
 		return nil
 	}
@@ -73,7 +73,7 @@
 
 // skip counts and logs a complete message that cannot be used. For a proxy it reports the stream as active all the same.
 func (p *peer) skip(err error) {
-	p.server.queues.Counters.Skipped.Add(1)
+	p.server.queues.Counters.MessagesSkipped.Add(1)
 	p.server.warn("message skipped", err, "peer", p.role, "from", p.conn.RemoteAddr())
 	if p.role == proxy {
 		p.server.queues.Enqueue(controller.MessageSkipped{Stream: p.stream})
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -106,11 +106,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.peers) >= s.maxConnections && !s.evict() {
-		s.queues.Counters.Refused.Add(1)
+		s.queues.Counters.ConnectionsRefused.Add(1)
 		conn.Close()
 		return
 	}
-	s.queues.Counters.Accepted.Add(1)
+	s.queues.Counters.ConnectionsAccepted.Add(1)
 	s.lastStream++
 	p := &peer{server: s, conn: conn, stream: s.lastStream, done: make(chan struct{})}
 	p.evictable = s.evictable.PushBack(p)
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -179,8 +179,8 @@
 	joinedCollector.send(t, "outcomes site a target s-5 count 1 fail 0 mean 1 over 1")
 	io.WriteString(joinedProxy, "*2\r\n$3\r\nack\r\n:1\r\n$-1\r\n")
 	joinedProxy.send(t, "ack id 1 seq 1 ms 1")
-	if receive(t, s, 4); s.queues.Counters.JoinTimeouts.Load() != 3 || s.queues.Counters.Skipped.Load() != 5 {
-		t.Errorf("%d join timeouts, want 3; %d messages skipped, want 5", s.queues.Counters.JoinTimeouts.Load(), s.queues.Counters.Skipped.Load())
+	if receive(t, s, 4); s.queues.Counters.JoinTimeouts.Load() != 3 || s.queues.Counters.MessagesSkipped.Load() != 5 {
+		t.Errorf("%d join timeouts, want 3; %d messages skipped, want 5", s.queues.Counters.JoinTimeouts.Load(), s.queues.Counters.MessagesSkipped.Load())
 	}
 }
 
@@ -308,7 +308,7 @@
 	}
 	receive(t, s, 2)
 	dial(t, address).expectClosed(t)
-	if s.queues.Counters.Refused.Load() != 1 {
+	if s.queues.Counters.ConnectionsRefused.Load() != 1 {
 		t.Error("the connection over the limit was not counted as refused")
 	}
 }
@@ -348,7 +348,7 @@
 	ejection := controller.Update{Ejected: []string{"s-1"}}
 	s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: ejection})
 	local.Read(make([]byte, 1)) // the rest of the message stays unread
-	for s.queues.Counters.QueuesDropped.Load() == 0 {
+	for s.queues.Counters.SendQueueOverflows.Load() == 0 {
 		s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: ejection})
 	}
 	s.queues.Send(controller.OutgoingUpdate{Stream: 2, Update: ejection})
--- a/internal/controlserver/write.go
+++ b/internal/controlserver/write.go
@@ -52,7 +52,7 @@
 	if !p.writeParts(parts) {
 		return false
 	}
-	p.server.queues.MessageSent(item.Number)
+	p.server.queues.MessageSent(item.UpdateNumber)
 	return true
 }
 
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -85,7 +85,7 @@
 
 // connect dials the current address.
 func (c *Client) connect(ctx context.Context) (*pacedConn, error) {
-	c.queues.Counters.Dials.Add(1)
+	c.queues.Counters.DiscoveryDials.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, "tcp", c.address)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -143,7 +143,7 @@
 func (c *Client) countFailure(err error, answers int) {
 	c.queues.Counters.DiscoveryErrors.Add(1)
 	if isTimeout(err) {
-		c.queues.Counters.Timeouts.Add(1)
+		c.queues.Counters.DiscoveryTimeouts.Add(1)
 		c.retry.Reset()
 	}
 	if !c.failing {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -218,8 +218,8 @@
 	}
 	stop()
 	<-ended
-	if queues.Counters.Timeouts.Load() != 1 || queues.Counters.Dials.Load() != 4 || len(queues.Drain()) < 2 {
-		t.Errorf("%d dials, want 4 dials, 1 timeout and at least 2 lists", queues.Counters.Dials.Load())
+	if queues.Counters.DiscoveryTimeouts.Load() != 1 || queues.Counters.DiscoveryDials.Load() != 4 || len(queues.Drain()) < 2 {
+		t.Errorf("%d dials, want 4 dials, 1 timeout and at least 2 lists", queues.Counters.DiscoveryDials.Load())
 	}
 }
 
@@ -259,8 +259,8 @@
 		}
 		client.SetAddress(address) // the same address: no effect
 	}
-	if time.Since(start) > time.Second || queues.Counters.Dials.Load() != 2 || len(queues.Drain()) != 2 {
-		t.Errorf("%d dials in %v, want 2 dials and 2 lists in less than 1 s", queues.Counters.Dials.Load(), time.Since(start))
+	if time.Since(start) > time.Second || queues.Counters.DiscoveryDials.Load() != 2 || len(queues.Drain()) != 2 {
+		t.Errorf("%d dials in %v, want 2 dials and 2 lists in less than 1 s", queues.Counters.DiscoveryDials.Load(), time.Since(start))
 	}
 	stop()
 	<-ended
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -149,8 +149,8 @@
 	expectRequest(t, thirdConn, completeListLine)
 	thirdConn.SendRaw(listAnswer(41, true, "Ready"))
 	expectRequest(t, thirdConn, fmt.Sprintf(watchLine, 41))
-	if published := nextList(t, queues); published.Revision != 41 || queues.Counters.Dials.Load() != 3 {
-		t.Errorf("published %+v after %d dials", published, queues.Counters.Dials.Load())
+	if published := nextList(t, queues); published.Revision != 41 || queues.Counters.DiscoveryDials.Load() != 3 {
+		t.Errorf("published %+v after %d dials", published, queues.Counters.DiscoveryDials.Load())
 	}
 }
 
--- a/internal/discovery/timing_test.go
+++ b/internal/discovery/timing_test.go
@@ -225,8 +225,8 @@
 				t.Errorf("dial %d was made %v after the previous one, want at most %v", k, gap, maxGap)
 			}
 		}
-		if len(dials) < 30 || queues.Counters.Timeouts.Load() < 10 {
-			t.Errorf("%d dials, want at least 30; %d timed out, want at least 10", len(dials), queues.Counters.Timeouts.Load())
+		if len(dials) < 30 || queues.Counters.DiscoveryTimeouts.Load() < 10 {
+			t.Errorf("%d dials, want at least 30; %d timed out, want at least 10", len(dials), queues.Counters.DiscoveryTimeouts.Load())
 		}
 	})
 }
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -5,36 +5,36 @@
 // Counters holds a controller's counters of peers, messages, discovery calls, dropped inputs and reloads.
 type Counters struct {
 	// Connections of peers.
-	Accepted          atomic.Int64
-	Refused           atomic.Int64
-	Evicted           atomic.Int64 // closed to accept another connection
-	Ended             atomic.Int64
-	UnidentifiedPeers atomic.Int64 // closed, as the first message was not a valid join
-	JoinTimeouts      atomic.Int64 // closed, as no join arrived in time
+	ConnectionsAccepted atomic.Int64
+	ConnectionsRefused  atomic.Int64
+	ConnectionsEvicted  atomic.Int64 // closed to accept another connection
+	ConnectionsEnded    atomic.Int64
+	InvalidJoins        atomic.Int64 // closed, as the first message was not a valid join
+	JoinTimeouts        atomic.Int64 // closed, as no join arrived in time
 
 	// Messages received from peers.
-	Skipped   atomic.Int64 // complete messages that cannot be used
-	Malformed atomic.Int64 // connections closed, as the start of the next message is unknown
-	Panics    atomic.Int64 // recovered in the goroutine of a connection
+	MessagesSkipped   atomic.Int64 // complete messages that cannot be used
+	MalformedMessages atomic.Int64 // connections closed, as the start of the next message is unknown
+	Panics            atomic.Int64 // recovered in the goroutine of a connection
 
 	// Messages sent to peers.
-	UpdatesSent   atomic.Int64 // updates whose writing has begun
-	UpdateBytes   atomic.Int64
-	QueuesDropped atomic.Int64 // how often a full send queue has dropped its updates
-	WriteErrors   atomic.Int64
-	HealthChecks  atomic.Int64 // answered
+	UpdatesSent        atomic.Int64 // updates whose writing has begun
+	UpdateBytes        atomic.Int64
+	SendQueueOverflows atomic.Int64 // how often a full send queue has dropped its updates
+	WriteErrors        atomic.Int64
+	HealthChecks       atomic.Int64 // answered
 
 	// Calls of service discovery.
-	DiscoveryCalls   atomic.Int64
-	DiscoveryAnswers atomic.Int64
-	Dials            atomic.Int64
-	DiscoveryErrors  atomic.Int64
-	InvalidLists     atomic.Int64
-	Timeouts         atomic.Int64
+	DiscoveryCalls    atomic.Int64
+	DiscoveryAnswers  atomic.Int64
+	DiscoveryDials    atomic.Int64
+	DiscoveryErrors   atomic.Int64
+	InvalidLists      atomic.Int64
+	DiscoveryTimeouts atomic.Int64
 
 	InputsDropped atomic.Int64 // because the queue of inputs was full
 
 	// Reloads of the configuration file.
-	Reloads       atomic.Int64 // applied
-	ReloadsFailed atomic.Int64 // rejected, as the file could not be used
+	ReloadsApplied atomic.Int64 // applied
+	ReloadsFailed  atomic.Int64 // rejected, as the file could not be used
 }
--- a/internal/eventloop/queues.go
+++ b/internal/eventloop/queues.go
@@ -105,7 +105,7 @@
 	defer q.mu.Unlock()
 	s := q.sendQueues[outgoing.Stream]
 	if s != nil {
-		s.enqueue(Item{Update: outgoing.Update, Number: outgoing.ChargeNumber})
+		s.enqueue(Item{Update: outgoing.Update, UpdateNumber: outgoing.ChargeNumber})
 	}
 }
 
--- a/internal/eventloop/queues_test.go
+++ b/internal/eventloop/queues_test.go
@@ -40,7 +40,7 @@
 	for nonce := range uint64(maxItems + 2) {
 		queues.Send(controller.OutgoingUpdate{Stream: 3, Update: ackRequest(nonce)})
 	}
-	if len(sendQueue.items) != 0 || queues.Counters.QueuesDropped.Load() != 1 {
+	if len(sendQueue.items) != 0 || queues.Counters.SendQueueOverflows.Load() != 1 {
 		t.Errorf("%d items are waiting after the overflow", len(sendQueue.items))
 	}
 	go func() {
--- a/internal/eventloop/sendqueue.go
+++ b/internal/eventloop/sendqueue.go
@@ -15,7 +15,7 @@
 // Item is an item of a send queue: an update, or the reply to a health check.
 type Item struct {
 	controller.Update
-	Number           uint64 // of the update, as in controller.OutgoingUpdate
+	UpdateNumber     uint64 // of the update, as in controller.OutgoingUpdate
 	HealthCheckReply bool
 }
 
@@ -42,7 +42,7 @@
 		s.items = nil
 		s.overflowed = true
 		s.resyncRequested = false
-		s.queues.Counters.QueuesDropped.Add(1)
+		s.queues.Counters.SendQueueOverflows.Add(1)
 	default:
 		s.overflowed = false
 		s.items = append(s.items, item)
--- a/internal/filewriter/writer.go
+++ b/internal/filewriter/writer.go
@@ -13,11 +13,11 @@
 type Config[T any] struct {
 	// Write writes one value. Submit does not wait for it.
 	Write func(value T) error
-	// Failed is called for the first failed write, and for the first one after a success. final is true if this is the write
-	// at the end of Run.
-	Failed func(value T, err error, final bool)
-	// Recovered is called for the first successful write after a failed one. final is as for Failed.
-	Recovered func(value T, final bool)
+	// OnFailure is called for the first failed write, and for the first one after a success. final is true if this is the
+	// write at the end of Run.
+	OnFailure func(value T, err error, final bool)
+	// OnRecovery is called for the first successful write after a failed one. final is as for OnFailure.
+	OnRecovery func(value T, final bool)
 	// Interval is the pause after a successful write; if it is 0, the next value is written without a pause.
 	Interval time.Duration
 	// Backoff returns the time until the next write after a number of consecutive failures.
@@ -127,9 +127,9 @@
 	err := w.config.Write(value)
 	switch {
 	case err != nil && w.failures == 0:
-		w.config.Failed(value, err, final)
+		w.config.OnFailure(value, err, final)
 	case err == nil && w.failures > 0:
-		w.config.Recovered(value, final)
+		w.config.OnRecovery(value, final)
 	}
 	if err != nil {
 		w.failures++
--- a/internal/filewriter/writer_test.go
+++ b/internal/filewriter/writer_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// recorder records a writer's writes and its calls to Failed and Recovered. Writes fail while err is set.
+// recorder records a writer's writes and its calls to OnFailure and OnRecovery. Writes fail while err is set.
 type recorder struct {
 	mu            sync.Mutex
 	err           error
@@ -50,8 +50,8 @@
 func startWriter(t *testing.T, r *recorder, config Config[int]) (w *Writer[int], stop func()) {
 	r.startTime = time.Now()
 	config.Write = r.write
-	config.Failed = func(_ int, _ error, final bool) { r.report("failed", final) }
-	config.Recovered = func(_ int, final bool) { r.report("recovered", final) }
+	config.OnFailure = func(_ int, _ error, final bool) { r.report("failed", final) }
+	config.OnRecovery = func(_ int, final bool) { r.report("recovered", final) }
 	if config.Backoff == nil {
 		config.Backoff = func(failures int) time.Duration { return time.Duration(failures) * time.Second }
 	}
--- a/internal/ingress/http2_conn.go
+++ b/internal/ingress/http2_conn.go
@@ -251,7 +251,7 @@
 	case errors.As(err, &connError):
 		return http2.ErrCode(connError), true
 	case errors.Is(err, errFlood):
-		c.server.Counters.Floods.Add(1)
+		c.server.Counters.ControlFloods.Add(1)
 		return http2.ErrCodeEnhanceYourCalm, true
 	case errors.Is(err, http2.ErrFrameTooLarge):
 		return http2.ErrCodeFrameSize, true
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -79,18 +79,18 @@
 
 // Counters are the cumulative counts of a Server, and its current numbers of connections and requests.
 type Counters struct {
-	Accepted     atomic.Int64 // connections
-	Refused      atomic.Int64 // connections over the limit, or during shutdown
-	Requests     atomic.Int64
-	BadRequests  atomic.Int64
-	Unclassified atomic.Int64 // requests that belong to no traffic class
-	Resets       atomic.Int64 // streams that clients have reset
-	Floods       atomic.Int64 // connections closed for too many control frames
-	Stalls       atomic.Int64 // streams whose client neither sent nor accepted data for too long
-	Lost         atomic.Int64 // requests that were cut off by a shutdown
-	Panics       atomic.Int64
-	Open         atomic.Int64 // connections, currently
-	InFlight     atomic.Int64 // requests, currently
+	Accepted      atomic.Int64 // connections
+	Refused       atomic.Int64 // connections over the limit, or during shutdown
+	Requests      atomic.Int64
+	BadRequests   atomic.Int64
+	Unclassified  atomic.Int64 // requests that belong to no traffic class
+	Resets        atomic.Int64 // streams that clients have reset
+	ControlFloods atomic.Int64 // connections closed for too many control frames
+	Stalls        atomic.Int64 // streams whose client neither sent nor accepted data for too long
+	CutOff        atomic.Int64 // requests that were cut off by a shutdown
+	Panics        atomic.Int64
+	Open          atomic.Int64 // connections, currently
+	InFlight      atomic.Int64 // requests, currently
 }
 
 // Server serves any number of listeners.
@@ -223,7 +223,7 @@
 	case <-time.After(s.limits.DrainTimeout):
 	}
 	lost = s.Counters.InFlight.Load()
-	s.Counters.Lost.Add(lost)
+	s.Counters.CutOff.Add(lost)
 	s.mu.Lock()
 	for c := range s.conns {
 		notifications.Go(c.abort)
--- a/internal/operator/configuration.go
+++ b/internal/operator/configuration.go
@@ -16,8 +16,8 @@
 	Folder  string                // where the active settings are kept across restarts; empty: they are not kept
 }
 
-// On reports whether the controller receives its settings from configuration servers.
-func (f ConfigurationSource) On() bool { return f.Service != "" }
+// Enabled reports whether the controller receives its settings from configuration servers.
+func (f ConfigurationSource) Enabled() bool { return f.Service != "" }
 
 // readConfigurationSource reads the section configuration.
 func readConfigurationSource(file string, section *strictyaml.Section) ConfigurationSource {
@@ -29,7 +29,7 @@
 	readFolder(file, section, &source.Folder)
 	checkService(section, source.Service)
 	if !section.Has("servers") {
-		section.Fault("", "lacks servers: name the configuration servers")
+		section.AddFault("", "lacks servers: name the configuration servers")
 	}
 	section.Done()
 	return source
@@ -38,11 +38,11 @@
 // checkService reports a section without a service, or with one that has an invalid name.
 func checkService(section *strictyaml.Section, service string) {
 	if !section.Has("service") {
-		section.Fault("", "lacks service: name the service whose settings this controller is to receive")
+		section.AddFault("", "lacks service: name the service whose settings this controller is to receive")
 		return
 	}
 	err := configstore.CheckName(service)
 	if err != nil {
-		section.Fault("service", "%v", err)
+		section.AddFault("service", "%v", err)
 	}
 }
--- a/internal/operator/configuration_test.go
+++ b/internal/operator/configuration_test.go
@@ -12,11 +12,11 @@
 	raw := "configuration:\n  service: orders\n  region: r1\n  zone: a\n  servers: [{address: 's0:7000', region: r0}, {address: 's1:7000', region: r1}]\n"
 	file, err := Parse("o.yaml", []byte(raw))
 	want := ConfigurationSource{Service: "orders", Region: "r1", Zone: "a", Servers: []configclient.Server{{Address: "s0:7000", Region: "r0"}, {Address: "s1:7000", Region: "r1"}}}
-	if err != nil || !reflect.DeepEqual(file.Configuration, want) || !file.Configuration.On() {
+	if err != nil || !reflect.DeepEqual(file.Configuration, want) || !file.Configuration.Enabled() {
 		t.Errorf("parsed %+v, error %v; want %+v", file.Configuration, err, want)
 	}
-	if empty := (File{}); empty.Configuration.On() || !reflect.DeepEqual(empty.Differs(file), []string{"configuration"}) || len(file.Differs(file)) != 0 {
-		t.Errorf("sections that differ from an empty file %v, from itself %v; want [configuration] and none", empty.Differs(file), file.Differs(file))
+	if empty := (File{}); empty.Configuration.Enabled() || !reflect.DeepEqual(empty.ChangedSections(file), []string{"configuration"}) || len(file.ChangedSections(file)) != 0 {
+		t.Errorf("sections that differ from an empty file %v, from itself %v; want [configuration] and none", empty.ChangedSections(file), file.ChangedSections(file))
 	}
 	withFolder := "configuration:\n  service: orders\n  servers: [{address: 's0:7000'}]\n  folder: kept\n"
 	if file, err := Parse("/etc/o.yaml", []byte(withFolder)); err != nil || file.Configuration.Folder != "/etc/kept" {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -65,7 +65,7 @@
 	if section := top.Section("configuration"); section != nil {
 		result.Configuration = readConfigurationSource(file, section)
 		if isSameFolder(result.Configuration.Folder, result.State.Folder) {
-			section.Fault("folder", "is also the folder of state: name a different folder")
+			section.AddFault("folder", "is also the folder of state: name a different folder")
 		}
 	}
 	top.Done()
@@ -85,9 +85,9 @@
 	retention := defaultRetention
 	section.Duration("every", &retention.Every, minEvery, maxEvery)
 	section.Duration("half_life", &retention.HalfLife, minHalfLife, maxHalfLife)
-	section.Whole("keep", &retention.Keep, 1, maxKeep)
+	section.Integer("keep", &retention.Keep, 1, maxKeep)
 	if !section.Has("folder") {
-		section.Fault("", "lacks folder: name a persistent folder that only this controller uses")
+		section.AddFault("", "lacks folder: name a persistent folder that only this controller uses")
 	}
 	readFolder(file, section, &retention.Folder)
 	section.Done()
@@ -100,14 +100,14 @@
 	switch {
 	case !section.Has("folder"):
 	case strings.TrimSpace(*folder) == "":
-		section.Fault("folder", "is empty: name a persistent folder that only this controller uses")
+		section.AddFault("folder", "is empty: name a persistent folder that only this controller uses")
 	case !filepath.IsAbs(*folder):
 		*folder = filepath.Join(filepath.Dir(file), *folder)
 	}
 }
 
-// Differs returns the names of the sections whose values differ between f and other.
-func (f File) Differs(other File) []string {
+// ChangedSections returns the names of the sections whose values differ between f and other.
+func (f File) ChangedSections(other File) []string {
 	var sections []string
 	if f.State != other.State {
 		sections = append(sections, "state")
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -44,7 +44,7 @@
 // send sends the request to a replica and waits for the head of its response.
 func (t *transaction) send(step dispatch.Step) (*upstream.Response, error) {
 	p := t.proxy
-	remaining := time.Duration(step.Deadline - p.config.Now())
+	remaining := time.Duration(step.Deadline - p.config.DispatcherTime())
 	t.upstream = upstream.Request{
 		Method:          t.Method,
 		Target:          t.Target,
@@ -75,7 +75,7 @@
 	if t.streamed.isConsumed() {
 		p.dispatcher.BodyConsumed(t.state)
 	}
-	step := p.dispatcher.AttemptEnded(p.config.Now(), t.state, outcome)
+	step := p.dispatcher.AttemptEnded(p.config.DispatcherTime(), t.state, outcome)
 	p.wakeWaiting() // the replica has free capacity again, even if another attempt follows
 	return step
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -63,8 +63,8 @@
 	NotExecutedStatuses []int
 	// NonIdempotent specifies for each traffic class, by its index, whether its requests must not be executed twice.
 	NonIdempotent []bool
-	// Now returns the time of the dispatcher's clock in nanoseconds.
-	Now func() int64
+	// DispatcherTime returns the time of the dispatcher's clock in nanoseconds.
+	DispatcherTime func() int64
 	// OnPanic is called with the text of a panic; a panic ends only the request in which it occurs.
 	OnPanic func(text string)
 }
@@ -101,7 +101,7 @@
 func (p *Proxy) WithDispatcher(call func(now int64, d *dispatch.Dispatcher)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	call(p.config.Now(), p.dispatcher)
+	call(p.config.DispatcherTime(), p.dispatcher)
 	p.wakeWaiting()
 }
 
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -35,7 +35,7 @@
 func (p *Proxy) reportResponseStart(state *dispatch.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dispatcher.ResponseStarted(p.config.Now(), state)
+	p.dispatcher.ResponseStarted(p.config.DispatcherTime(), state)
 }
 
 // copyResponse copies a response, no faster than the client accepts it.
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -116,7 +116,7 @@
 	p := t.proxy
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	step := ask(p.config.Now(), p.dispatcher)
+	step := ask(p.config.DispatcherTime(), p.dispatcher)
 	if step.Wait {
 		p.waiting++
 		t.capacityFreed = p.capacityFreed
@@ -132,7 +132,7 @@
 		defer p.mu.Unlock()
 		p.waiting--
 	}()
-	timer := time.NewTimer(time.Duration(deadline - p.config.Now()))
+	timer := time.NewTimer(time.Duration(deadline - p.config.DispatcherTime()))
 	defer timer.Stop()
 	select {
 	case <-t.capacityFreed:
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -41,8 +41,8 @@
 // ErrUnreadable reports that the received bytes are not a valid message, so that the start of the next message is unknown.
 var ErrUnreadable = errors.New("unreadable")
 
-// ErrNotWords reports that a complete message is not an array of bulk strings. The next message can be read.
-var ErrNotWords = errors.New("not an array of bulk strings")
+// ErrNotBulkStringArray reports that a complete message is not an array of bulk strings. The next message can be read.
+var ErrNotBulkStringArray = errors.New("not an array of bulk strings")
 
 // Reader reads messages from one connection. It holds one or two buffers, more of them for long messages, and none after
 // Close.
@@ -79,7 +79,7 @@
 func (r *Reader) Next() ([]string, error) {
 	r.releaseRead()
 	words, err := r.readMessage()
-	if err != nil && !errors.Is(err, ErrNotWords) {
+	if err != nil && !errors.Is(err, ErrNotBulkStringArray) {
 		if errors.Is(err, io.EOF) && r.end > r.messageStart {
 			err = io.ErrUnexpectedEOF
 		}
@@ -105,7 +105,7 @@
 }
 
 // readMessage reads one message of any type to its end, including nested arrays, so that the next message can be read. It
-// returns ErrNotWords for a complete message that is not an array of bulk strings.
+// returns ErrNotBulkStringArray for a complete message that is not an array of bulk strings.
 func (r *Reader) readMessage() ([]string, error) {
 	m := parsedMessage{elementsLeft: 1}
 	for first := true; m.elementsLeft > 0; first = false {
@@ -122,7 +122,7 @@
 		}
 	}
 	if m.notWords {
-		return nil, ErrNotWords
+		return nil, ErrNotBulkStringArray
 	}
 	return m.words, nil
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -111,7 +111,7 @@
 	for _, message := range []string{"+OK\r\n", "-ERR no\r\n", ":-5\r\n", "$3\r\nabc\r\n", "$-1\r\n", "*-1\r\n", "*2\r\n$3\r\nack\r\n:5\r\n",
 		"*3\r\n$1\r\na\r\n*2\r\n*1\r\n$1\r\nb\r\n*0\r\n$1\r\nc\r\n", "*2\r\n$-1\r\n$1\r\na\r\n"} {
 		r := NewReader(iotest.OneByteReader(strings.NewReader(message+ack)), NewPool(MaxMessageSize))
-		if words, err := r.Next(); !errors.Is(err, ErrNotWords) || words != nil {
+		if words, err := r.Next(); !errors.Is(err, ErrNotBulkStringArray) || words != nil {
 			t.Errorf("%q: %q %v", message, words, err)
 		}
 		if words, err := r.Next(); err != nil || !reflect.DeepEqual(words, ackWords) {
@@ -155,7 +155,7 @@
 		r := NewReader(&pieceReader{input, max(1, piece)}, pool)
 		for {
 			words, err := r.Next()
-			if errors.Is(err, ErrNotWords) {
+			if errors.Is(err, ErrNotBulkStringArray) {
 				continue
 			}
 			if err != nil {
--- a/internal/sidecar/classify.go
+++ b/internal/sidecar/classify.go
@@ -31,7 +31,7 @@
 		s.Done()
 	}
 	if len(c.Rules) == 0 {
-		top.Fault("rules", "is missing or empty: no request would match a traffic class")
+		top.AddFault("rules", "is missing or empty: no request would match a traffic class")
 	}
 }
 
@@ -47,11 +47,11 @@
 		c.faultUnknownClass(s, rule.Class)
 	}
 	if !validPath(rule.Path) {
-		s.Fault("path", "is %.60q, want a path that begins with / and has * at most at its end", rule.Path)
+		s.AddFault("path", "is %.60q, want a path that begins with / and has * at most at its end", rule.Path)
 	}
 	shadowing := slices.IndexFunc(c.Rules, func(earlier Rule) bool { return earlier.shadows(rule) })
 	if shadowing >= 0 {
-		s.Fault("", "is never reached: rules[%d] matches all of its requests", shadowing)
+		s.AddFault("", "is never reached: rules[%d] matches all of its requests", shadowing)
 	}
 	return rule
 }
@@ -63,10 +63,10 @@
 		names = append(names, class.Name)
 	}
 	if nearest := strictyaml.Nearest(name, names); nearest != "" {
-		s.Fault("group", "is %q, which is not a traffic class: did you mean %s?", name, nearest)
+		s.AddFault("group", "is %q, which is not a traffic class: did you mean %s?", name, nearest)
 		return
 	}
-	s.Fault("group", "is %q, want one of %s", name, strings.Join(names, ", "))
+	s.AddFault("group", "is %q, want one of %s", name, strings.Join(names, ", "))
 }
 
 // validPath reports whether a rule's path is empty, a path, or a prefix of paths followed by *.
--- a/internal/sidecar/config.go
+++ b/internal/sidecar/config.go
@@ -122,7 +122,7 @@
 		s.Done()
 	}
 	if len(c.Dispatch.Classes) == 0 {
-		top.Fault("groups", "is missing or empty, want at least one traffic class")
+		top.AddFault("groups", "is missing or empty, want at least one traffic class")
 	}
 }
 
@@ -142,11 +142,11 @@
 	class.DeduplicationWindow = window.Nanoseconds()
 	switch {
 	case c.hasClass(class.Name):
-		s.Fault("name", "is %q, the name of an earlier traffic class", class.Name)
+		s.AddFault("name", "is %q, the name of an earlier traffic class", class.Name)
 	case strings.ContainsAny(class.Name, "+, \t") || s.Has("name") && class.Name == "":
-		s.Fault("name", "is %.40q, want a word without plus, comma or white space", class.Name)
+		s.AddFault("name", "is %.40q, want a word without plus, comma or white space", class.Name)
 	case objective > timeout && s.Has("expiry"):
-		s.Fault("latency_budget", "is %v, exceeds the expiry of %v", objective, timeout)
+		s.AddFault("latency_budget", "is %v, exceeds the expiry of %v", objective, timeout)
 	default:
 		checkDeduplication(s, class)
 	}
@@ -161,9 +161,9 @@
 	byKey := class.Idempotency == control.IdempotentByKey
 	switch {
 	case byKey && (!s.Has("window") || !s.Has("scope")):
-		s.Fault("effect", "is deduped, which requires the scope and the window within which replicas deduplicate retries")
+		s.AddFault("effect", "is deduped, which requires the scope and the window within which replicas deduplicate retries")
 	case !byKey && (s.Has("window") || s.Has("scope")):
-		s.Fault("effect", "does not allow scope or window unless it is deduped")
+		s.AddFault("effect", "does not allow scope or window unless it is deduped")
 	}
 }
 
@@ -176,7 +176,7 @@
 func requireKeys(s *strictyaml.Section, keys ...string) {
 	for _, key := range keys {
 		if !s.Has(key) {
-			s.Fault("", "lacks %s", key)
+			s.AddFault("", "lacks %s", key)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	}
 	strictyaml.Choice(s, "usual", &c.Dispatch.DefaultRetry, retryPolicyWords)
 	s.Number("factor", &c.Dispatch.AttemptTimeoutFactor, 0.1, 100)
-	s.Whole("strikes", &c.Dispatch.MaxConsecutiveFailures, 0, 1000)
+	s.Integer("strikes", &c.Dispatch.MaxConsecutiveFailures, 0, 1000)
 	s.Duration("shun", &c.Dispatch.EjectionTime, time.Millisecond, time.Hour)
 	s.Number("repeat_share", &c.Dispatch.RetryBudgetRatio, 0, 1)
 	s.Number("repeat_burst", &c.Dispatch.RetryBudgetBurst, 0, 1e6)
@@ -208,7 +208,7 @@
 		var status int
 		_, err := fmt.Sscanf(word, "%d", &status)
 		if err != nil || status < http.StatusInternalServerError || status > 599 {
-			s.Fault(key, "has %.20q, want statuses from 500 to 599", word)
+			s.AddFault(key, "has %.20q, want statuses from 500 to 599", word)
 		}
 		c.NotExecutedStatuses = append(c.NotExecutedStatuses, status)
 	}
@@ -220,27 +220,27 @@
 	if s == nil {
 		return
 	}
-	s.Whole("flows", &c.Dispatch.MaxRequests, 1, 1<<20)
-	s.Whole("waiting", &c.Dispatch.MaxQueuedRequests, 0, 1<<20)
+	s.Integer("flows", &c.Dispatch.MaxRequests, 1, 1<<20)
+	s.Integer("waiting", &c.Dispatch.MaxQueuedRequests, 0, 1<<20)
 	s.Duration("wait", &c.Dispatch.MaxQueueTime, 0, time.Minute)
-	s.Whole("replica_connections", &c.Upstream.MaxConnections, 1, 1<<16)
-	s.Whole("replica_idle", &c.Upstream.MaxIdle, 0, 1<<16)
+	s.Integer("replica_connections", &c.Upstream.MaxConnections, 1, 1<<16)
+	s.Integer("replica_idle", &c.Upstream.MaxIdle, 0, 1<<16)
 	s.Duration("replica_idle_time", &c.Upstream.IdleTimeout, time.Millisecond, time.Hour)
 	s.Duration("replica_stall", &c.Upstream.StallTimeout, time.Millisecond, time.Hour)
-	s.Whole("connections", &c.Ingress.MaxConnections, 1, 1<<20)
-	s.Whole("streams", &c.Ingress.MaxStreams, 1, 1<<16)
+	s.Integer("connections", &c.Ingress.MaxConnections, 1, 1<<20)
+	s.Integer("streams", &c.Ingress.MaxStreams, 1, 1<<16)
 	s.Duration("idle", &c.Ingress.IdleTimeout, time.Millisecond, 24*time.Hour)
 	s.Duration("head", &c.Ingress.HeadTimeout, time.Millisecond, time.Hour)
 	s.Duration("stall", &c.Ingress.StallTimeout, time.Millisecond, time.Hour)
 	s.Duration("drain", &c.Ingress.DrainTimeout, 0, time.Hour)
-	s.Whole("memory_mb", &c.MemoryMB, 0, 1<<20)
+	s.Integer("memory_mb", &c.MemoryMB, 0, 1<<20)
 	s.Done()
 }
 
 // parseReports parses how often requests are logged and outcomes are reported.
 func (c *Config) parseReports(top *strictyaml.Section) {
 	if s := top.Section("log"); s != nil {
-		s.Whole("every", &c.LogEvery, 0, 1<<30)
+		s.Integer("every", &c.LogEvery, 0, 1<<30)
 		s.Done()
 	}
 	top.Duration("report_every", &c.ReportInterval, 100*time.Millisecond, time.Minute)
--- a/internal/sidecar/config_addresses.go
+++ b/internal/sidecar/config_addresses.go
@@ -20,7 +20,7 @@
 func parseAddress(s *strictyaml.Section, key string, v *string) {
 	s.Text(key, v)
 	if *v != "" && !isAddress(*v) {
-		s.Fault(key, "is %.60q, want host:port", *v)
+		s.AddFault(key, "is %.60q, want host:port", *v)
 	}
 }
 
@@ -29,7 +29,7 @@
 	s.Words(key, v)
 	for k, text := range *v {
 		if !isAddress(text) {
-			s.Fault(key, "entry %d is %.60q, want host:port", k, text)
+			s.AddFault(key, "entry %d is %.60q, want host:port", k, text)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 func (c *Config) parseIdentity(top *strictyaml.Section) {
 	top.Text("name", &c.Name)
 	top.Text("zone", &c.Zone)
-	top.Whole("proxy", &c.ProxyID, 0, maxProxyID)
+	top.Integer("proxy", &c.ProxyID, 0, maxProxyID)
 	requireKeys(top, "name", "zone", "proxy")
 	c.parseListeners(top)
 	parseAddresses(top, "governors", &c.Controllers)
@@ -57,7 +57,7 @@
 		c.checkListeners(s)
 	}
 	if c.HTTP1 == "" && c.HTTP2 == "" {
-		top.Fault("listen", "has no listener for clients: set http1 or http2")
+		top.AddFault("listen", "has no listener for clients: set http1 or http2")
 	}
 }
 
@@ -67,7 +67,7 @@
 	for key, address := range map[string]string{"http1": c.HTTP1, "http2": c.HTTP2, "local": c.Local} {
 		other, duplicate := keys[address]
 		if address != "" && duplicate {
-			s.Fault(max(key, other), "is also the address of %s", min(key, other))
+			s.AddFault(max(key, other), "is also the address of %s", min(key, other))
 		}
 		keys[address] = key
 	}
@@ -79,7 +79,7 @@
 	parseAddress(top, "collector", &single)
 	parseAddresses(top, "collectors", &c.Collectors)
 	if single != "" && top.Has("collectors") {
-		top.Fault("collectors", "is set together with collector: set one of the two")
+		top.AddFault("collectors", "is set together with collector: set one of the two")
 	}
 	if single != "" {
 		c.Collectors = []string{single}
@@ -87,7 +87,7 @@
 	}
 	for k, address := range c.Collectors {
 		if slices.Contains(c.Collectors[:k], address) {
-			top.Fault("collectors", "entry %d is %.60q, which repeats an earlier entry", k, address)
+			top.AddFault("collectors", "entry %d is %.60q, which repeats an earlier entry", k, address)
 		}
 	}
 }
@@ -97,13 +97,13 @@
 	sections := top.Sections("replicas")
 	c.Endpoints = map[string]dispatch.Endpoint{}
 	if len(sections) > 0 && c.Discovery != "" {
-		top.Fault("replicas", "is set together with discovery: set one of the two")
+		top.AddFault("replicas", "is set together with discovery: set one of the two")
 	}
 	for _, s := range sections {
 		c.parseEndpoint(s)
 	}
 	if len(sections) == 0 && c.Discovery == "" {
-		top.Fault("", "lacks discovery or replicas: set one of the two")
+		top.AddFault("", "lacks discovery or replicas: set one of the two")
 	}
 }
 
@@ -117,7 +117,7 @@
 	parseAddress(s, "address", &endpoint.Address)
 	_, duplicate := c.Endpoints[id]
 	if duplicate || id == "" || endpoint.Address == "" {
-		s.Fault("", "requires a unique id and an address")
+		s.AddFault("", "requires a unique id and an address")
 	}
 	c.Endpoints[id] = endpoint
 	s.Done()
--- a/internal/sidecar/local.go
+++ b/internal/sidecar/local.go
@@ -47,9 +47,9 @@
 		"bad_requests": c.BadRequests.Load(),
 		"unclassified": c.Unclassified.Load(),
 		"resets":       c.Resets.Load(),
-		"floods":       c.Floods.Load(),
+		"floods":       c.ControlFloods.Load(),
 		"stalls":       c.Stalls.Load(),
-		"lost":         c.Lost.Load(),
+		"lost":         c.CutOff.Load(),
 		"panics":       c.Panics.Load(),
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -80,7 +80,7 @@
 	s.proxy = proxy.New(dispatcher, s.pool, proxy.Config{
 		NotExecutedStatuses: config.NotExecutedStatuses,
 		NonIdempotent:       config.nonIdempotent(),
-		Now:                 s.now,
+		DispatcherTime:      s.now,
 		OnPanic:             s.logPanic,
 	})
 	s.server = ingress.New(ingress.Config{
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -47,10 +47,10 @@
 func NewWriter(storage Storage, keep int, interval time.Duration, reopen func() error, log *slog.Logger) *Writer {
 	w := &Writer{storage: storage, keep: keep, reopen: reopen, log: log}
 	w.writer = filewriter.New(filewriter.Config[learnedstate.State]{
-		Write:     w.write,
-		Failed:    w.logFailure,
-		Recovered: w.logRecovery,
-		Interval:  interval,
+		Write:      w.write,
+		OnFailure:  w.logFailure,
+		OnRecovery: w.logRecovery,
+		Interval:   interval,
 		Backoff: func(failures int) time.Duration {
 			return min(max(maxRetryInterval, interval), interval<<min(failures, maxDoublings))
 		},
--- a/internal/strictyaml/document_test.go
+++ b/internal/strictyaml/document_test.go
@@ -29,7 +29,7 @@
 	if s := top.Section("pool"); s != nil {
 		s.Text("name", &p.name)
 		s.Duration("every", &p.every, time.Second, time.Minute)
-		s.Whole("size", &p.size, 1, 9)
+		s.Integer("size", &p.size, 1, 9)
 		s.Number("share", &p.share, 0, 1)
 		s.Bool("enabled", &p.enabled)
 		for _, host := range s.Sections("hosts") {
--- a/internal/strictyaml/section.go
+++ b/internal/strictyaml/section.go
@@ -103,9 +103,9 @@
 	return node.Content
 }
 
-// Fault reports that the value of a key is invalid. If key is empty, the fault is one of the whole section. reason and
+// AddFault reports that the value of a key is invalid. If key is empty, the fault is one of the whole section. reason and
 // args are formatted as by fmt.Sprintf.
-func (s *Section) Fault(key, reason string, args ...any) {
+func (s *Section) AddFault(key, reason string, args ...any) {
 	if key == "" {
 		s.document.addFault(s.node, s.path, reason, args...)
 		return
--- a/internal/strictyaml/value.go
+++ b/internal/strictyaml/value.go
@@ -76,8 +76,8 @@
 	readNumber(s, key, destination, durationFormat, minimum, maximum)
 }
 
-// Whole reads an integer in the range from minimum to maximum.
-func (s *Section) Whole(key string, destination *int, minimum, maximum int) {
+// Integer reads an integer in the range from minimum to maximum.
+func (s *Section) Integer(key string, destination *int, minimum, maximum int) {
 	readNumber(s, key, destination, integerFormat, minimum, maximum)
 }
 
