--- a/cmd/experiment/scalereal.go
+++ b/cmd/experiment/scalereal.go
@@ -39,15 +39,16 @@
 func newRealService(program, dir string) *realService {
 	r := &realService{activations: activationLog{activatedAt: map[string]time.Time{}}, loadEnded: make(chan struct{})}
 	r.config = installation.Config{Zones: realZones, Replicas: realReplicas, ReplicaSlots: 4, Sidecars: realSidecars, Controllers: realControllers,
-		ServiceTime: realServiceTime, Dir: dir, Controlled: true, Program: program, Log: &r.activations}
+		ServiceTime: realServiceTime, Dir: dir, RunControllers: true, Program: program, Log: &r.activations}
 	r.site = &installation.Site{Config: r.config}
 	return r
 }
 
-// Settings returns a revision of the service's settings.
+// Settings returns the service's settings at the given revision.
 func (r *realService) Settings(revision int) []byte { return []byte(r.site.Settings(revision)) }
 
-// Start starts the service. Its controllers watch the settings of the given name at servers.
+// Start starts the service. Its controllers watch the settings of the service called name at the given configuration
+// servers.
 func (r *realService) Start(ctx context.Context, name, region string, servers []configclient.Server) error {
 	var serverList []string
 	for _, server := range servers {
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// ActiveSince returns the number of controllers at which a configuration has come into force since a time.
+// ActiveSince returns the number of controllers at which a configuration has come into force since the given time.
 func (r *realService) ActiveSince(at time.Time) int { return r.activations.countSince(at) }
 
 // Controllers returns the number of the service's controllers.
--- a/experiment/emulator/reports.go
+++ b/experiment/emulator/reports.go
@@ -5,21 +5,23 @@
 	"lilacbend/internal/controller"
 )
 
-// The random delay of collectors' reports: the minimum and the range above it.
+// Collectors' reports have a random delay from minReportDelay to minReportDelay + reportDelaySpread.
 const (
 	minReportDelay    = 700 * millisecond
 	reportDelaySpread = 900 * millisecond
 )
 
-// reportKey identifies the subject of a report line. Queued lines of the same key are merged.
+// reportKey identifies the subject of a report line: a zone and a replica in a line of outcomes, a stream and a traffic
+// class in a line of demand. Queued lines of the same key are merged.
 type reportKey struct {
-	zone    string // zone and replica are set for outcomes
-	replica string
-	stream  controller.StreamID // stream and class are set for demand
-	class   string
+	zone    string              // empty for demand
+	replica string              // empty for demand
+	stream  controller.StreamID // 0 for outcomes
+	class   string              // empty for outcomes
 }
 
-// reportLine is a queued line of a report, either of demand or of outcomes. It is one of demand if the demand has a class.
+// reportLine is a queued line of a report, either of demand or of outcomes. It is a line of demand if the demand has a
+// class.
 type reportLine struct {
 	key      reportKey
 	outcomes controller.OutcomeReport
--- a/experiment/scale/host.go
+++ b/experiment/scale/host.go
@@ -18,7 +18,8 @@
 	Controllers []ControllerPlan `json:"governors"`
 }
 
-// command is each further line: the controllers to stop and to start, and whether to report the counters.
+// command is a line that a host process reads after its plan: the controllers to stop and to start, and whether to report
+// the counters.
 type command struct {
 	Stop     []int `json:"stop,omitempty"`
 	Start    []int `json:"start,omitempty"`
@@ -58,7 +59,7 @@
 	done chan struct{}
 }
 
-// Host reads a plan and commands from in, runs the controllers and writes reports to out, until in or ctx ends.
+// Host reads a plan and commands from in, runs the controllers and writes reports to out, until in ends or ctx is done.
 func Host(ctx context.Context, in io.Reader, out io.Writer, newSource NewSource) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/experiment/scale/plan.go
+++ b/experiment/scale/plan.go
@@ -14,17 +14,17 @@
 
 // The full size of an installation, for which the product is built. Plan.Fill sets missing values in proportion to it.
 const (
-	fullControllers   = 1600
-	fullServices      = 290
-	fullReplicas      = 9500
-	fullRoutes        = 14_000
-	fullTenants       = 74_000
-	fullBurstRestarts = 1200
-	fullChanges       = 8400.0 // per day, like the next two
-	fullFailures      = 39.0
-	fullRestarts      = 1200.0
-	zonesPerService   = 3 // at most
-	day               = 24 * time.Hour
+	fullControllers    = 1600
+	fullServices       = 290
+	fullReplicas       = 9500
+	fullRoutes         = 14_000
+	fullTenants        = 74_000
+	fullBurstRestarts  = 1200
+	fullChanges        = 8400.0 // changes of configuration per day
+	fullFailures       = 39.0   // failures of machines per day
+	fullRestarts       = 1200.0 // restarts of machines per day
+	maxZonesPerService = 3
+	day                = 24 * time.Hour
 )
 
 // Fault is the fault that is injected in a phase.
@@ -43,34 +43,35 @@
 // Faults are all faults, in the default order of a run.
 var Faults = []Fault{NoFault, ServerKilled, WriterKilled, RegionPartitioned, RestartBurst, ChangeBurst}
 
-// Plan describes one run.
+// Plan describes one run. Fill replaces 0 in Services, Replicas, Routes, Tenants and BurstRestarts by a count in proportion
+// to Controllers.
 type Plan struct {
 	Controllers        int `json:"governors"`
-	Services           int `json:"services"` // 0: in proportion to Controllers; also Replicas, Routes, Tenants, BurstRestarts
+	Services           int `json:"services"`
 	Replicas           int `json:"replicas"`
 	Zones              int `json:"zones"`
 	Regions            int `json:"regions"`
 	Servers            int `json:"servers"`
 	Routes             int `json:"routes"`
 	Tenants            int `json:"tenants"`
-	Proxies            int `json:"proxies"`   // of each controller
-	ControllersPerHost int `json:"host_size"` // at most
+	Proxies            int `json:"proxies"`   // proxies of each controller
+	ControllersPerHost int `json:"host_size"` // maximum number of controllers that share a host process
 	Skew               int `json:"skew"`      // size of the first service as a multiple of the others; 0: the same size
 
 	Seed            uint64        `json:"seed"`
 	PhaseDuration   time.Duration `json:"phase"` // duration of each fault
 	Faults          []Fault       `json:"faults"`
 	TimeCompression float64       `json:"factor"`   // a day of background actions takes 24 h divided by this factor
-	ChangesPerDay   float64       `json:"changes"`  // of configuration; rates below 0: in proportion to Controllers
-	FailuresPerDay  float64       `json:"failures"` // of machines, each with a controller or a replica
-	RestartsPerDay  float64       `json:"restarts"` // of machines
+	ChangesPerDay   float64       `json:"changes"`  // changes of configuration; a rate below 0: in proportion to Controllers
+	FailuresPerDay  float64       `json:"failures"` // failures of machines, each with a controller or a replica
+	RestartsPerDay  float64       `json:"restarts"` // restarts of machines
 	InvalidFraction float64       `json:"invalid"`  // fraction of the changes that are not valid
-	BurstChanges    int           `json:"at_once"`  // published at once
-	BurstRestarts   int           `json:"crowd"`    // within restartBurstDuration
+	BurstChanges    int           `json:"at_once"`  // changes published at once
+	BurstRestarts   int           `json:"crowd"`    // restarts within restartBurstDuration
 
-	RepairTime time.Duration `json:"repair"` // from a failure to the replacement
+	RepairTime time.Duration `json:"repair"` // time from a failure to the replacement
 
-	MaxPropagationDelay time.Duration `json:"in_force"` // bounds of the checks
+	MaxPropagationDelay time.Duration `json:"in_force"` // this and HeartbeatTimeout are the bounds of the checks
 	HeartbeatTimeout    time.Duration `json:"silence"`
 }
 
@@ -168,7 +169,7 @@
 		from = 0
 	}
 	share := func(all int) int { return max(1, all*to/totalShares-all*from/totalShares) }
-	return ServiceShape{Controllers: share(p.Controllers), Replicas: share(p.Replicas), Zones: min(zonesPerService, p.Zones),
+	return ServiceShape{Controllers: share(p.Controllers), Replicas: share(p.Replicas), Zones: min(maxZonesPerService, p.Zones),
 		Routes: share(p.Routes), Tenants: share(p.Tenants), Proxies: p.Proxies}
 }
 
