--- a/internal/controller/handleinput.go
+++ b/internal/controller/handleinput.go
@@ -143,7 +143,7 @@
 // that are new in the list or have restarted or moved.
 func (c *Core) handleReplicaList(list ReplicaList, now int64) []control.Event {
 	applied := c.applyList(list, now)
-	c.Counters.InvalidInputs += int64(applied.unusable)
+	c.Counters.InvalidInputs += int64(applied.invalidMembers)
 	events := []control.Event{applied.event}
 	return append(events, c.restoredReplicas(c.snapshots.restored, applied.newOrRestarted, now)...)
 }
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -53,7 +53,7 @@
 type appliedList struct {
 	event          control.ReplicasListed
 	newOrRestarted []control.ListedReplica // replicas that are new, or have restarted or moved since the last list
-	unusable       int                     // number of list members that could not be used
+	invalidMembers int                     // number of list members that could not be used
 }
 
 // applyList applies a response of discovery.
@@ -64,12 +64,12 @@
 	for _, member := range list.Members {
 		r := c.findOrAdd(member)
 		if r == nil {
-			applied.unusable++
+			applied.invalidMembers++
 			continue
 		}
 		switch {
 		case member.StateUnreadable:
-			applied.unusable++
+			applied.invalidMembers++
 		case c.updateReplica(r, member, list):
 			applied.newOrRestarted = append(applied.newOrRestarted, r.ListedReplica)
 		}
--- a/internal/learnedstate/state_test.go
+++ b/internal/learnedstate/state_test.go
@@ -62,7 +62,7 @@
 
 var sampleInstallation = Installation{Classes: []string{"read", "order"}, HardwareClasses: []string{"m1", "m2"}, ProxyCount: 3}
 
-func TestFitDropsInvalidAndOutdatedEntries(t *testing.T) {
+func TestRestrictDropsInvalidAndOutdatedEntries(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		change      func(*State, *Installation)
