--- a/cmd/lilacbend/follow.go
+++ b/cmd/lilacbend/follow.go
@@ -28,7 +28,7 @@
 // section for them. own is the topology of the settings in the controller's configuration file.
 func newConfigurationFollower(ctx context.Context, c configuration, own controller.Topology, queues *eventloop.Queues, log *slog.Logger) (*configurationFollower, error) {
 	following := c.operator.Configuration
-	if !following.On() {
+	if !following.Enabled() {
 		return nil, nil
 	}
 	f := &configurationFollower{
@@ -94,10 +94,10 @@
 		return
 	}
 	f.queues.Enqueue(controller.Configure{
-		Version:  version,
-		Names:    names,
-		Settings: decoded,
-		Start:    func() controller.Module { return policy.New(decoded) },
+		Version:   version,
+		Names:     names,
+		Settings:  decoded,
+		NewModule: func() controller.Module { return policy.New(decoded) },
 	})
 }
 
--- a/experiment/scale/simulated.go
+++ b/experiment/scale/simulated.go
@@ -110,7 +110,7 @@
 	c.mu.Lock()
 	c.offers[version] = offer{markerOf(body), done}
 	c.mu.Unlock()
-	c.queues.Enqueue(controller.Configure{Version: version, Names: loaded.names, Settings: loaded.values, Start: c.moduleStarter(loaded)})
+	c.queues.Enqueue(controller.Configure{Version: version, Names: loaded.names, Settings: loaded.values, NewModule: c.moduleStarter(loaded)})
 }
 
 // moduleStarter returns a function that starts a decision module with the given settings.
@@ -166,7 +166,7 @@
 		for _, update := range outcome.Updates {
 			c.queues.Send(update)
 		}
-		for _, result := range outcome.Configured {
+		for _, result := range outcome.ConfigurationResults {
 			c.handleResult(result)
 		}
 		reporter.reportServing(c.activeMarkers(core))
@@ -183,7 +183,7 @@
 	defer outgoing.Close()
 	random := rand.New(rand.NewPCG(c.plan.Seed, uint64(number)))
 	zone := zoneName(random.IntN(max(1, c.plan.Shape.Zones)))
-	c.queues.Enqueue(controller.StreamOpened{Stream: stream, Proxy: number, Zone: zone, Rate: 1, WithoutTable: true})
+	c.queues.Enqueue(controller.StreamOpened{Stream: stream, Proxy: number, Zone: zone, RequestRate: 1, WithoutTable: true})
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
 	goroutines.Go(func() { c.reportDemand(ctx, stream, number, random) })
@@ -192,7 +192,7 @@
 		if !ok {
 			return
 		}
-		c.queues.MessageSent(item.Number)
+		c.queues.MessageSent(item.UpdateNumber)
 		if item.WantsAck {
 			c.queues.Enqueue(controller.Ack{Stream: stream, Nonce: item.Nonce, Delay: proxyAckDelay})
 		}
@@ -209,7 +209,7 @@
 		}
 		route := fmt.Sprintf("route-%d", random.IntN(c.plan.Shape.Routes))
 		c.queues.Enqueue(controller.Demand{Stream: stream, Class: route,
-			Demand: control.Demand{Proxy: proxy, Requests: 1, Period: int64(time.Second)}})
+			DemandReport: control.DemandReport{Proxy: proxy, Requests: 1, Period: int64(time.Second)}})
 	}
 }
 
--- a/internal/controlclient/collector.go
+++ b/internal/controlclient/collector.go
@@ -28,15 +28,15 @@
 
 // Collector sums the outcomes that the sidecars of a zone report, and reports the sums to controllers.
 type Collector struct {
-	Zone        string
-	Controllers []string
-	Interval    time.Duration // time between two reports to a controller
-	Budget      int           // bytes per second of the reports to one controller; 0: no limit
-	Log         *slog.Logger
-	MaxSidecars int
-	Received    atomic.Int64 // reports received from sidecars
-	Skipped     atomic.Int64 // messages of sidecars that could not be used
-	Reported    atomic.Int64 // messages sent to controllers
+	Zone           string
+	Controllers    []string
+	Interval       time.Duration // time between two reports to a controller
+	BytesPerSecond int           // limit of the reports to one controller; 0: no limit
+	Log            *slog.Logger
+	MaxSidecars    int
+	Received       atomic.Int64 // reports received from sidecars
+	Skipped        atomic.Int64 // messages of sidecars that could not be used
+	Reported       atomic.Int64 // messages sent to controllers
 
 	pool        *resp.Pool
 	pending     []*pendingOutcomes // outcomes not reported yet, by controller
@@ -49,7 +49,7 @@
 	var goroutines sync.WaitGroup
 	defer goroutines.Wait()
 	for k, address := range c.Controllers {
-		pending := newPendingOutcomes(c.Interval, c.Budget)
+		pending := newPendingOutcomes(c.Interval, c.BytesPerSecond)
 		c.pending = append(c.pending, pending)
 		goroutines.Go(func() { c.reportContinuously(ctx, address, pending, uint64(k)) })
 	}
@@ -92,7 +92,7 @@
 	for reader := resp.NewReader(conn, c.pool); ; {
 		conn.SetReadDeadline(time.Now().Add(sidecarTimeout))
 		words, err := reader.Next()
-		if errors.Is(err, resp.ErrNotWords) {
+		if errors.Is(err, resp.ErrNotBulkStringArray) {
 			c.Skipped.Add(1)
 			continue
 		}
--- a/internal/controller/replicas.go
+++ b/internal/controller/replicas.go
@@ -29,7 +29,7 @@
 	name          string
 	zone          string // as listed
 	hardwareClass string // as listed
-	upSince       int64  // as listed, according to the wall clock
+	listedStart   int64  // as listed, according to the wall clock
 	lastListed    int64  // when the replica was last listed or not gone
 	// lastList is the number of the last list that contained the replica. A time would not identify a list, since one turn
 	// may apply several lists.
@@ -53,7 +53,7 @@
 type appliedList struct {
 	event          control.ReplicasListed
 	newOrRestarted []control.ListedReplica // replicas that are new, or have restarted or moved since the last list
-	unusable       int                     // number of list members that could not be used
+	invalidMembers int                     // number of list members that could not be used
 }
 
 // applyList applies a response of discovery.
@@ -64,12 +64,12 @@
 	for _, member := range list.Members {
 		r := c.findOrAdd(member)
 		if r == nil {
-			applied.unusable++
+			applied.invalidMembers++
 			continue
 		}
 		switch {
-		case member.Unusable:
-			applied.unusable++
+		case member.StateUnreadable:
+			applied.invalidMembers++
 		case c.updateReplica(r, member, list):
 			applied.newOrRestarted = append(applied.newOrRestarted, r.ListedReplica)
 		}
@@ -89,7 +89,7 @@
 	if number, known := c.replicas.numbers[member.ID]; known {
 		return c.replicas.byNumber[number]
 	}
-	if member.ID == "" || member.Unusable || len(c.replicas.byNumber) >= maxNames {
+	if member.ID == "" || member.StateUnreadable || len(c.replicas.byNumber) >= maxNames {
 		return nil
 	}
 	if slices.Contains(c.replicas.evictedEjections, member.ID) {
@@ -100,11 +100,11 @@
 
 // updateReplica updates a replica from a list and reports whether the replica is new, has restarted or has moved.
 func (c *Core) updateReplica(r *replica, member Member, list ReplicaList) bool {
-	restarted := member.UpSince != r.upSince
+	restarted := member.StartedAt != r.listedStart
 	moved := member.Zone != r.zone || member.HardwareClass != r.hardwareClass
 	if restarted { // only then, so that steps of the wall clock do not look like restarts
-		r.upSince = member.UpSince
-		r.Start = startTime(member.UpSince, list)
+		r.listedStart = member.StartedAt
+		r.StartedAt = startTime(member.StartedAt, list)
 	}
 	r.zone = member.Zone
 	r.hardwareClass = member.HardwareClass
@@ -122,11 +122,11 @@
 
 // startTime converts the start time of a process from the wall clock to the core's clock. The result is above 0 and not
 // after the time at which the list was read; it is 0 if the process started long ago.
-func startTime(upSince int64, list ReplicaList) int64 {
-	if upSince <= 0 {
+func startTime(listedStart int64, list ReplicaList) int64 {
+	if listedStart <= 0 {
 		return 0
 	}
-	return max(1, min(list.ReadAt, list.ReadAt-list.ReadAtWall+upSince))
+	return max(1, min(list.ReadAt, list.ReadAt-list.ReadAtWallClock+listedStart))
 }
 
 // add adds a replica with a new name and the next number.
@@ -135,7 +135,7 @@
 	added := &replica{
 		ListedReplica: control.ListedReplica{Replica: set.lastNumber},
 		name:          name,
-		upSince:       -1, // differs from every listed value
+		listedStart:   -1, // differs from every listed value
 	}
 	set.numbers[name] = set.lastNumber
 	set.byNumber[set.lastNumber] = added
--- a/internal/controller/snapshot_test.go
+++ b/internal/controller/snapshot_test.go
@@ -10,7 +10,7 @@
 
 // agedState returns learned state of an age, loaded at a time.
 func agedState(at, age int64, replicas ...learnedstate.Replica) *learnedstate.AgedState {
-	state := learnedstate.State{Tables: 2, AdmissionThreshold: 0.5, Replicas: replicas, BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {HardwareClass: "m9", Times: []float64{9}}},
+	state := learnedstate.State{TableCount: 2, AdmissionThreshold: 0.5, Replicas: replicas, BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m2", Times: []float64{0.1}}, {Times: []float64{0.2}}, {HardwareClass: "m9", Times: []float64{9}}},
 		RequestRates: []learnedstate.RequestRate{{Proxy: 4, Class: "order", Rate: 3}}, Bindings: []control.Binding{{Proxy: 4, Table: 1}}}
 	return learnedstate.NewAgedState(state, at, age, defaultHalfLife)
 }
@@ -46,13 +46,13 @@
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9, Table: 1}
 	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, defaultHalfLife, x)}, replicaList(true, "yr")})
 	replicas, fleet := restoredEvents(module.events)
-	if _, first := module.events[0].(control.FleetRestored); !first || len(replicas) != 0 || len(fleet) != 1 || fleet[0].Weight != 0.5 ||
+	if _, first := module.events[0].(control.FleetRestored); !first || len(replicas) != 0 || len(fleet) != 1 || fleet[0].Confidence != 0.5 ||
 		!reflect.DeepEqual(fleet[0].BaselineResponseTimes, [][]float64{nil, {0.1}, nil, {0.2}}) || !reflect.DeepEqual(fleet[0].RequestRates, []control.ClassRate{{Proxy: 4, Class: 1, Rate: 3}}) {
 		t.Errorf("events %+v", module.events)
 	}
 	c.Turn(100e9+defaultHalfLife, []Input{replicaList(false, "xr")}) // the state has aged by another half-life
 	replicas, _ = restoredEvents(module.events)
-	want := []control.ReplicaRestored{{LearnedReplica: control.LearnedReplica{Replica: 2, Speed: 0.5, SampleCount: 9, Table: 1}, Weight: 0.25, Age: 2 * defaultHalfLife}}
+	want := []control.ReplicaRestored{{LearnedReplica: control.LearnedReplica{Replica: 2, Speed: 0.5, SampleCount: 9, Table: 1}, Confidence: 0.25, Age: 2 * defaultHalfLife}}
 	if !reflect.DeepEqual(replicas, want) {
 		t.Errorf("events %+v", module.events)
 	}
@@ -60,7 +60,7 @@
 	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(module.events) != 1 {
 		t.Errorf("learned state was reported again: %+v", module.events)
 	}
-	again.Members[0].UpSince = 999e9 // the replica has restarted
+	again.Members[0].StartedAt = 999e9 // the replica has restarted
 	if c.Turn(100e9+defaultHalfLife, []Input{again}); len(module.events) != 1 || c.Counters.ReplicasRestored != 1 {
 		t.Errorf("learned state of an earlier process was restored: %+v", module.events)
 	}
@@ -81,8 +81,8 @@
 	}
 	result = c.Turn(100e9+settleTime+defaultHalfLife, nil)
 	replicas, fleet := restoredEvents(module.events)
-	if result.Panic == "" || len(replicas) != 1 || replicas[0].Speed != 0.25 || replicas[0].Weight != 0.5 || len(fleet) != 1 {
-		t.Errorf("events %+v after %.20q", module.events, result.Panic)
+	if result.PanicMessage == "" || len(replicas) != 1 || replicas[0].Speed != 0.25 || replicas[0].Confidence != 0.5 || len(fleet) != 1 {
+		t.Errorf("events %+v after %.20q", module.events, result.PanicMessage)
 	}
 }
 
@@ -92,14 +92,14 @@
 	x := learnedstate.Replica{ID: "x", Zone: "b", HardwareClass: "m2", Speed: 0.5, SampleCount: 9}
 	c.Turn(100e9, []Input{SnapshotRestored{agedState(100e9, 0, x)}, replicaList(true, "xr")})
 	result := c.Turn(101e9, nil)
-	if replicas, fleet := restoredEvents(module.events); len(replicas)+len(fleet) != 0 || len(module.events) != 1 || c.Counters.RestartsWithoutState != 1 || result.NextTurn != 0 {
-		t.Errorf("events %+v, %d restarts without state, next turn due at %d", module.events, c.Counters.RestartsWithoutState, result.NextTurn)
+	if replicas, fleet := restoredEvents(module.events); len(replicas)+len(fleet) != 0 || len(module.events) != 1 || c.Counters.RestartsWithoutLearnedState != 1 || result.NextTurn != 0 {
+		t.Errorf("events %+v, %d restarts without state, next turn due at %d", module.events, c.Counters.RestartsWithoutLearnedState, result.NextTurn)
 	}
 }
 
 func TestListFromSnapshotNamesListedReplicas(t *testing.T) {
-	state := learnedstate.State{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, Weight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
-	want := ReplicaList{Revision: 7, Complete: true, Members: []Member{{ID: "x", Zone: "a", HardwareClass: "m1", State: control.Draining, Weight: 2, UpSince: 5}}}
+	state := learnedstate.State{Revision: 7, Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", StartedAt: 5, ListedWeight: 2, State: control.Draining}, {ID: "y", State: control.Gone}}}
+	want := ReplicaList{Revision: 7, Complete: true, Members: []Member{{ID: "x", Zone: "a", HardwareClass: "m1", State: control.Draining, Weight: 2, StartedAt: 5}}}
 	if got := ListFromSnapshot(state); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
--- a/internal/controller/turn_bench_test.go
+++ b/internal/controller/turn_bench_test.go
@@ -106,7 +106,7 @@
 	sim.updates += len(result.Updates)
 	for _, outgoing := range result.Updates {
 		sim.units += updateCost(outgoing.Update)
-		sim.inputs = append(sim.inputs, controller.MessageSent{Number: outgoing.Number})
+		sim.inputs = append(sim.inputs, controller.MessageSent{ChargeNumber: outgoing.ChargeNumber})
 		sim.deliver(message{proxy: int(outgoing.Stream) - 1, outgoing: outgoing}) // streams are numbered from 1 as the proxies join
 	}
 	return took
@@ -126,7 +126,7 @@
 // addReports adds the inputs of one turn.
 func (sim *benchmarkSimulation) addReports() {
 	for range sim.shape.reports {
-		sim.inputs = append(sim.inputs, controller.Outcomes{Zone: "a", Replica: sim.replicaNames[sim.Intn(len(sim.replicaNames))], Outcomes: control.Outcomes{
+		sim.inputs = append(sim.inputs, controller.OutcomeReport{Zone: "a", Replica: sim.replicaNames[sim.Intn(len(sim.replicaNames))], OutcomeReport: control.OutcomeReport{
 			Attempts:     20,
 			Failures:     sim.Intn(2),
 			ResponseTime: second/10 + int64(sim.Intn(int(second/20))),
@@ -136,7 +136,7 @@
 	for range sim.shape.demands {
 		proxy := sim.Intn(len(sim.proxies))
 		sim.inputs = append(sim.inputs, controller.Demand{Stream: sim.proxies[proxy].stream, Class: sim.classes[sim.Intn(len(sim.classes))],
-			Demand: control.Demand{Proxy: proxy, Requests: 5, Period: second}})
+			DemandReport: control.DemandReport{Proxy: proxy, Requests: 5, Period: second}})
 	}
 	if sim.shape.changes > 0 {
 		sim.listReplicas(sim.restartReplicas(sim.shape.changes), false)
@@ -148,7 +148,7 @@
 	var names []string
 	for range count {
 		m := sim.members[sim.replicaNames[sim.Intn(len(sim.replicaNames))]]
-		m.UpSince = sim.now
+		m.StartedAt = sim.now
 		sim.members[m.ID] = m
 		names = append(names, m.ID)
 	}
@@ -240,7 +240,7 @@
 				changed.Classes[0].Timeout += int64(len(durations)%2) * second
 				version.Revision++
 				sim.inputs = append(sim.inputs, controller.Configure{Version: version, Names: sim.settingNames(), Settings: changed,
-					Start: func() controller.Module { return policy.New(changed) }})
+					NewModule: func() controller.Module { return policy.New(changed) }})
 				durations = append(durations, sim.turn(shape.interval))
 				if sim.core.ConfigurationVersion() != version {
 					b.Fatal("changed settings are not in force")
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -103,16 +103,16 @@
 	address := serve(t, s)
 	c := dial(t, address, "probe", "hello id 17 site a rps 2 new 1")
 	c.expect(t, "alive")
-	if events := receive(t, s, 1); events[0] != (controller.StreamOpened{Stream: 1, Proxy: 17, Zone: "a", Rate: 2, WithoutTable: true}) {
+	if events := receive(t, s, 1); events[0] != (controller.StreamOpened{Stream: 1, Proxy: 17, Zone: "a", RequestRate: 2, WithoutTable: true}) {
 		t.Errorf("after the join: received %+v", events)
 	}
-	s.queues.Send(controller.OutgoingUpdate{Stream: 1, Number: 7, Update: controller.Update{Full: true, WantsAck: true, Nonce: 3,
+	s.queues.Send(controller.OutgoingUpdate{Stream: 1, ChargeNumber: 7, Update: controller.Update{FullTable: true, WantsAck: true, Nonce: 3,
 		Endpoints: []controller.WeightedEndpoint{{Replica: "s-1", Weight: 1}}, Admissions: []controller.Admission{{Class: "g", Fraction: 1}}}})
 	c.expect(t, "push full 1 endpoints s-1:1 continued 1")
 	c.expect(t, "push routes g admit 1 policy 0 nonce_out 3")
 	c.send(t, "probe")
 	c.expect(t, "alive")
-	if events := s.queues.Drain(); len(events) != 1 || events[0] != (controller.MessageSent{Number: 7}) {
+	if events := s.queues.Drain(); len(events) != 1 || events[0] != (controller.MessageSent{ChargeNumber: 7}) {
 		t.Errorf("after both parts and the answer to a health check were sent: received %+v", events)
 	}
 	s.queues.CloseStream(1)
@@ -179,8 +179,8 @@
 	joinedCollector.send(t, "outcomes site a target s-5 count 1 fail 0 mean 1 over 1")
 	io.WriteString(joinedProxy, "*2\r\n$3\r\nack\r\n:1\r\n$-1\r\n")
 	joinedProxy.send(t, "ack id 1 seq 1 ms 1")
-	if receive(t, s, 4); s.queues.Counters.JoinTimeouts.Load() != 3 || s.queues.Counters.Skipped.Load() != 5 {
-		t.Errorf("%d join timeouts, want 3; %d messages skipped, want 5", s.queues.Counters.JoinTimeouts.Load(), s.queues.Counters.Skipped.Load())
+	if receive(t, s, 4); s.queues.Counters.JoinTimeouts.Load() != 3 || s.queues.Counters.MessagesSkipped.Load() != 5 {
+		t.Errorf("%d join timeouts, want 3; %d messages skipped, want 5", s.queues.Counters.JoinTimeouts.Load(), s.queues.Counters.MessagesSkipped.Load())
 	}
 }
 
@@ -308,7 +308,7 @@
 	}
 	receive(t, s, 2)
 	dial(t, address).expectClosed(t)
-	if s.queues.Counters.Refused.Load() != 1 {
+	if s.queues.Counters.ConnectionsRefused.Load() != 1 {
 		t.Error("the connection over the limit was not counted as refused")
 	}
 }
@@ -348,7 +348,7 @@
 	ejection := controller.Update{Ejected: []string{"s-1"}}
 	s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: ejection})
 	local.Read(make([]byte, 1)) // the rest of the message stays unread
-	for s.queues.Counters.QueuesDropped.Load() == 0 {
+	for s.queues.Counters.SendQueueOverflows.Load() == 0 {
 		s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: ejection})
 	}
 	s.queues.Send(controller.OutgoingUpdate{Stream: 2, Update: ejection})
@@ -361,7 +361,7 @@
 	if events := receive(t, s, 1); events[0] != (controller.UpdatesDropped{Stream: 1}) {
 		t.Errorf("after the send queue overflowed: received %+v", events)
 	}
-	s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: controller.Update{Resync: true, Full: true}})
+	s.queues.Send(controller.OutgoingUpdate{Stream: 1, Update: controller.Update{Resync: true, FullTable: true}})
 	local.Read(make([]byte, 1))
 	s.queues.CloseStream(1) // while the server writes to it
 	slowProxy.expectClosed(t)
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -85,7 +85,7 @@
 
 // connect dials the current address.
 func (c *Client) connect(ctx context.Context) (*pacedConn, error) {
-	c.queues.Counters.Dials.Add(1)
+	c.queues.Counters.DiscoveryDials.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, "tcp", c.address)
@@ -191,7 +191,7 @@
 	c.synced = true
 	c.staleAnswers = 0
 	list.ReadAt = c.clock()
-	list.ReadAtWall = time.Now().UnixNano()
+	list.ReadAtWallClock = time.Now().UnixNano()
 	c.queues.Enqueue(list)
 	return changed, nil
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -30,7 +30,7 @@
 
 func TestParse(t *testing.T) {
 	list, err := Parse([]byte(someList))
-	want := controller.Member{ID: "s-1", Zone: "a", HardwareClass: "m2", Address: "h:1", Cell: "3", Weight: 1.5, UpSince: 2e6}
+	want := controller.Member{ID: "s-1", Zone: "a", HardwareClass: "m2", Address: "h:1", Cell: "3", Weight: 1.5, StartedAt: 2e6}
 	if err != nil || list.Revision != 41 || !list.Complete || len(list.Members) != 1 || list.Members[0] != want {
 		t.Errorf("parsed list: %+v, error %v", list, err)
 	}
@@ -46,7 +46,7 @@
 		{`{"id":"` + strings.Repeat("s", maxIDLength+1) + `","phase":"Ready"}`, 0, true},
 	} {
 		list, err := Parse([]byte(`{"revision":1,"complete":false,"members":[` + c.member + `]}`))
-		if err != nil || list.Members[0].State != c.state || list.Members[0].Unusable != c.unusable {
+		if err != nil || list.Members[0].State != c.state || list.Members[0].StateUnreadable != c.unusable {
 			t.Errorf("member %s: parsed list %+v, error %v", c.member, list, err)
 		}
 	}
@@ -218,8 +218,8 @@
 	}
 	stop()
 	<-ended
-	if queues.Counters.Timeouts.Load() != 1 || queues.Counters.Dials.Load() != 4 || len(queues.Drain()) < 2 {
-		t.Errorf("%d dials, want 4 dials, 1 timeout and at least 2 lists", queues.Counters.Dials.Load())
+	if queues.Counters.DiscoveryTimeouts.Load() != 1 || queues.Counters.DiscoveryDials.Load() != 4 || len(queues.Drain()) < 2 {
+		t.Errorf("%d dials, want 4 dials, 1 timeout and at least 2 lists", queues.Counters.DiscoveryDials.Load())
 	}
 }
 
@@ -259,8 +259,8 @@
 		}
 		client.SetAddress(address) // the same address: no effect
 	}
-	if time.Since(start) > time.Second || queues.Counters.Dials.Load() != 2 || len(queues.Drain()) != 2 {
-		t.Errorf("%d dials in %v, want 2 dials and 2 lists in less than 1 s", queues.Counters.Dials.Load(), time.Since(start))
+	if time.Since(start) > time.Second || queues.Counters.DiscoveryDials.Load() != 2 || len(queues.Drain()) != 2 {
+		t.Errorf("%d dials in %v, want 2 dials and 2 lists in less than 1 s", queues.Counters.DiscoveryDials.Load(), time.Since(start))
 	}
 	stop()
 	<-ended
--- a/internal/discovery/race_test.go
+++ b/internal/discovery/race_test.go
@@ -149,8 +149,8 @@
 	expectRequest(t, thirdConn, completeListLine)
 	thirdConn.SendRaw(listAnswer(41, true, "Ready"))
 	expectRequest(t, thirdConn, fmt.Sprintf(watchLine, 41))
-	if published := nextList(t, queues); published.Revision != 41 || queues.Counters.Dials.Load() != 3 {
-		t.Errorf("published %+v after %d dials", published, queues.Counters.Dials.Load())
+	if published := nextList(t, queues); published.Revision != 41 || queues.Counters.DiscoveryDials.Load() != 3 {
+		t.Errorf("published %+v after %d dials", published, queues.Counters.DiscoveryDials.Load())
 	}
 }
 
@@ -203,7 +203,7 @@
 	}
 	list, err := Parse([]byte(`{"revision":5,"complete":false,"members":[{"id":"a","phase":"Gone","up_since_ms":1},` +
 		`{"id":"a","phase":"Ready","up_since_ms":2},{"id":"b","phase":"Gone"}]}`))
-	if err != nil || len(list.Members) != 3 || list.Members[1].UpSince != 2e6 { // in order, as the last entry of an id applies
+	if err != nil || len(list.Members) != 3 || list.Members[1].StartedAt != 2e6 { // in order, as the last entry of an id applies
 		t.Errorf("list with repeated ids: %+v, error %v", list, err)
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -80,7 +80,7 @@
 	s.proxy = proxy.New(dispatcher, s.pool, proxy.Config{
 		NotExecutedStatuses: config.NotExecutedStatuses,
 		NonIdempotent:       config.nonIdempotent(),
-		Now:                 s.now,
+		DispatcherTime:      s.now,
 		OnPanic:             s.logPanic,
 	})
 	s.server = ingress.New(ingress.Config{
@@ -92,7 +92,7 @@
 	})
 	s.controlClient = &controlclient.Client{
 		Controllers: config.Controllers,
-		ID:          config.ProxyID,
+		ProxyID:     config.ProxyID,
 		Zone:        config.Zone,
 		Classes:     config.classNames(),
 		Dispatcher:  lockedDispatcher{s.proxy},
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	// Format is the format that is written. Formats from oldestFormat to Format can be read.
-	Format       = 2
-	oldestFormat = 1
+	// CurrentFormat is the format that is written. Formats from oldestFormat to CurrentFormat can be read.
+	CurrentFormat = 2
+	oldestFormat  = 1
 )
 
 // maxFileSize is the maximum size of a generation's file, in bytes. It is above the file size of the largest known
@@ -71,7 +71,7 @@
 
 // Encode returns the content of a generation's file: the encoded state, with the generation's number in the header.
 func Encode(state learnedstate.State, generation uint64) ([]byte, error) {
-	return encodeFile(newBody2(state), Format, generation)
+	return encodeFile(newBody2(state), CurrentFormat, generation)
 }
 
 // encodeFile returns the encoded body with a header before it.
@@ -105,7 +105,7 @@
 	if err != nil {
 		return Generation{}, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	return Generation{Number: parsed.generation, Format: parsed.format, Bytes: len(file), State: state}, nil
+	return Generation{Number: parsed.generation, Format: parsed.format, Size: len(file), State: state}, nil
 }
 
 // container is a file with its header decoded and its body still encoded.
@@ -155,8 +155,8 @@
 		return fmt.Errorf("%w: body has %d bytes, header states %d", ErrDamaged, len(c.body), c.length)
 	case xxhash.Sum64(c.body) != c.bodyChecksum:
 		return fmt.Errorf("%w: body checksum mismatch", ErrDamaged)
-	case c.format > Format:
-		return fmt.Errorf("%w: format %d, this program reads formats %d to %d", ErrNewer, c.format, oldestFormat, Format)
+	case c.format > CurrentFormat:
+		return fmt.Errorf("%w: format %d, this program reads formats %d to %d", ErrNewer, c.format, oldestFormat, CurrentFormat)
 	case c.format < oldestFormat:
 		return fmt.Errorf("%w: invalid format %d", ErrNotSnapshot, c.format)
 	}
@@ -186,11 +186,11 @@
 		len(state.BaselineResponseTimes) > learnedstate.MaxNames ||
 		len(state.Classes) > learnedstate.MaxNames
 	// Times are limited to half of the range of int64, so that the difference of two times does not overflow.
-	impossibleTime := state.Taken.Wall < math.MinInt64/2 || state.Taken.Wall > math.MaxInt64/2
+	impossibleTime := state.TakenAt.Wall < math.MinInt64/2 || state.TakenAt.Wall > math.MaxInt64/2
 	if tooMany || impossibleTime {
 		return learnedstate.State{}, fmt.Errorf("state out of bounds: %d replicas (at most %d), %d request rates (at most %d), %d traffic classes (at most %d), taken at Unix time %d ns",
 			len(state.Replicas), learnedstate.MaxReplicas, len(state.RequestRates), learnedstate.MaxRequestRates,
-			len(state.Classes), learnedstate.MaxNames, state.Taken.Wall)
+			len(state.Classes), learnedstate.MaxNames, state.TakenAt.Wall)
 	}
 	return state, nil
 }
--- a/internal/snapshot/generations_test.go
+++ b/internal/snapshot/generations_test.go
@@ -28,10 +28,10 @@
 )
 
 func sampleState(k int) learnedstate.State {
-	state := learnedstate.State{Controller: "n0", Taken: learnedstate.Timestamp{Wall: 1_700_000_000e9 + int64(k), Boot: "b", Up: 5e9}, Revision: int64(k),
-		Classes: []string{"read", "order"}, Tables: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true,
-		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, PlacementKey: 0.3, Table: 1,
-			EjectedFor: 2e9, Ejections: 2, SinceLastSample: 1e9}, {ID: "y", Zone: "b", HardwareClass: "m2", Weight: 1, Speed: 2, SampleCount: 16, PlacementKey: 0.4, Probation: true}},
+	state := learnedstate.State{Controller: "n0", TakenAt: learnedstate.Timestamp{Wall: 1_700_000_000e9 + int64(k), Boot: "b", Uptime: 5e9}, Revision: int64(k),
+		Classes: []string{"read", "order"}, TableCount: 2, AdmissionThreshold: 0.7, MaxSuccessRate: 40, RetriesStopped: true,
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", StartedAt: 5, State: control.Draining, ListedWeight: 1, Speed: 0.5, SampleCount: 12, PlacementKey: 0.3, Table: 1,
+			RemainingEjection: 2e9, EjectionCount: 2, SinceLastSample: 1e9}, {ID: "y", Zone: "b", HardwareClass: "m2", ListedWeight: 1, Speed: 2, SampleCount: 16, PlacementKey: 0.4, Probation: true}},
 		BaselineResponseTimes: []learnedstate.ResponseTimes{{HardwareClass: "m1", Times: []float64{0.125, 0.25}}, {Times: []float64{0.15}}},
 		RequestRates:          []learnedstate.RequestRate{{Proxy: 1, Class: "read", Rate: 20}, {Proxy: 2, Class: "order", Rate: 0.5}},
 		Bindings:              []control.Binding{{Proxy: 1, Table: 1}, {Proxy: 2, Table: 0}}}
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := Decode(raw); err != nil || got.Number != 7 || got.Format != Format || !reflect.DeepEqual(got.State, state) {
+		if got, err := Decode(raw); err != nil || got.Number != 7 || got.Format != CurrentFormat || !reflect.DeepEqual(got.State, state) {
 			t.Fatalf("decoded generation %d, format %d, error %v:\n%+v\nwant %+v", got.Number, got.Format, err, got.State, state)
 		}
 		exportData, err := Export(state)
@@ -106,12 +106,12 @@
 	}
 	for name, body := range map[string][]byte{"huge": huge, "deep": deep, "long": long, "twice": twice, "many": many, "empty": nil, "text": []byte("hello")} {
 		var before, after = peakMemory(), uint64(0)
-		_, err := Decode(fileWithValidChecksums(Format, body))
+		_, err := Decode(fileWithValidChecksums(CurrentFormat, body))
 		if after = peakMemory(); !errors.Is(err, ErrDamaged) || after > before+64<<20 {
 			t.Errorf("%s: error %v, want damaged; %d bytes more memory, want at most 64 MiB", name, err, after-before)
 		}
 	}
-	if _, err := Decode(fileWithValidChecksums(Format+1, []byte{0xa0})); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "3") {
+	if _, err := Decode(fileWithValidChecksums(CurrentFormat+1, []byte{0xa0})); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "3") {
 		t.Errorf("newer format: error %v, want one that names format 3", err)
 	}
 	if _, err := Decode(fileWithValidChecksums(0, []byte{0xa0})); !errors.Is(err, ErrNotSnapshot) {
@@ -141,9 +141,9 @@
 
 // testdata/format1.lbs and format2.lbs were written by earlier versions of the program and are never regenerated.
 func TestFilesOfEachFormatAreDecoded(t *testing.T) {
-	for format, want := range map[int]learnedstate.State{1: {Controller: "n0", Taken: learnedstate.Timestamp{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
-		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", UpSince: 5, State: control.Draining, Weight: 1, Speed: 0.5, SampleCount: 12, EjectedFor: format1EjectionTime, Ejections: 2, SinceLastSample: 1e9},
-			{ID: "y", Zone: "b", HardwareClass: "m2", Weight: 2, Speed: 2, SampleCount: 16, Probation: true}},
+	for format, want := range map[int]learnedstate.State{1: {Controller: "n0", TakenAt: learnedstate.Timestamp{Wall: 1_700_000_000e9}, Revision: 41, Classes: []string{"read", "order"}, AdmissionThreshold: 0.5,
+		Replicas: []learnedstate.Replica{{ID: "x", Zone: "a", HardwareClass: "m1", StartedAt: 5, State: control.Draining, ListedWeight: 1, Speed: 0.5, SampleCount: 12, RemainingEjection: format1EjectionTime, EjectionCount: 2, SinceLastSample: 1e9},
+			{ID: "y", Zone: "b", HardwareClass: "m2", ListedWeight: 2, Speed: 2, SampleCount: 16, Probation: true}},
 		BaselineResponseTimes: []learnedstate.ResponseTimes{{Times: []float64{0.125}}, {HardwareClass: "m1", Times: []float64{0.25}}},
 		RequestRates:          []learnedstate.RequestRate{{Proxy: 3, Class: "read", Rate: 10}, {Proxy: 3, Class: "order", Rate: 10}}}, 2: sampleState(41)} {
 		raw, err := os.ReadFile(fmt.Sprintf("testdata/format%d.lbs", format))
@@ -201,10 +201,10 @@
 	}
 	path := func(k uint64) string { return filepath.Join(string(dir), fileName(k)) }
 	raw, _ := os.ReadFile(path(6))
-	os.WriteFile(path(6), raw[:len(raw)/2], 0o600)                               // truncated
-	os.WriteFile(path(7), fileWithValidChecksums(Format+1, []byte{0xa0}), 0o600) // of a newer program
-	os.WriteFile(path(8), raw, 0o600)                                            // a copy under another name
-	os.WriteFile(filepath.Join(string(dir), "."+fileName(9)+"123"), raw, 0o600)  // an unfinished write
+	os.WriteFile(path(6), raw[:len(raw)/2], 0o600)                                      // truncated
+	os.WriteFile(path(7), fileWithValidChecksums(CurrentFormat+1, []byte{0xa0}), 0o600) // of a newer program
+	os.WriteFile(path(8), raw, 0o600)                                                   // a copy under another name
+	os.WriteFile(filepath.Join(string(dir), "."+fileName(9)+"123"), raw, 0o600)         // an unfinished write
 	newest, err := Latest(dir)
 	if err != nil || !newest.Found || newest.Number != 5 || len(newest.Refused) != 3 {
 		t.Fatalf("latest generation %d, found %v, refused %v, error %v; want generation 5 and three files refused", newest.Number, newest.Found, newest.Refused, err)
@@ -276,8 +276,8 @@
 	for n := 1; n <= 1000; n++ {
 		writer.Submit(sampleState(n))
 	}
-	if time.Since(started) > time.Second || writer.Counters.Offered.Load() != 1000 {
-		t.Errorf("%d submits took %v, want 1000 within 1 s", writer.Counters.Offered.Load(), time.Since(started))
+	if time.Since(started) > time.Second || writer.Counters.Submitted.Load() != 1000 {
+		t.Errorf("%d submits took %v, want 1000 within 1 s", writer.Counters.Submitted.Load(), time.Since(started))
 	}
 	stop()
 	close(unblock)
--- a/policy/binding_test.go
+++ b/policy/binding_test.go
@@ -32,7 +32,7 @@
 		p.pacing.handle(turnEnding{})
 		p.binding.handle(messagesSent{nonce: uint64(proxy), proxies: []int{proxy}})
 	}
-	channelUnits := func() float64 { return p.pacing.sender.Waiting(time.Duration(p.now)) }
+	channelUnits := func() float64 { return p.pacing.sender.WaitingCostUnits(time.Duration(p.now)) }
 	wantEqual(t, "cost units in the channel with both messages sent", channelUnits(), 40000.0)
 	channelUnitsAfterAcks := func() float64 {
 		for _, ack := range queued[acknowledged](p, pacingComponent) {
@@ -52,7 +52,7 @@
 
 func TestFirstBindIsPacedAndMoveIsPartOfAnUpdate(t *testing.T) {
 	p := newPolicyAt(5 * second)
-	opened := control.StreamOpened{Proxy: 1, Zone: 1, Rate: 10}
+	opened := control.StreamOpened{Proxy: 1, Zone: 1, ForecastRate: 10}
 	p.binding.handle(streamOpened{opened})
 	p.binding.handle(tablesAssigned{[]int{0, 1}})
 	wantEqual(t, "first bind requested from pacing", queued[bindRequested](p, pacingComponent)[0], bindRequested{control.Bind{Proxy: 1, Table: 1}})
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -23,12 +23,12 @@
 }
 
 func (p *planner) addLearned(fleet *control.LearnedFleet) {
-	fleet.Tables = p.placer.Tables()
+	fleet.TableCount = p.placer.Tables()
 	fleet.BaselineResponseTimes = p.baselines.Snapshot(p.HardwareClasses + 1) // the last element is that of the whole fleet
 }
 
 func (b *binder) addLearned(fleet *control.LearnedFleet) {
-	fleet.Bindings = b.bindings.Learned()
+	fleet.Bindings = b.bindings.LearnedBindings()
 }
 
 // addLearned adds the state of admission control and retries. uptime is the uptime of the controller, in nanoseconds.
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -16,12 +16,12 @@
 // Messages by which the turn passes an event on to the components that handle it.
 type (
 	replicaListed    struct{ control.ListedReplica }   // to the replica
-	outcomesReported struct{ control.Outcomes }        // to the replica
+	outcomesReported struct{ control.OutcomeReport }   // to the replica
 	replicaRestored  struct{ control.ReplicaRestored } // to the replica and placement
 	fleetRestored    struct{ control.FleetRestored }   // to binding, placement and admission
 	streamOpened     struct{ control.StreamOpened }    // to binding and pacing
 	streamClosed     struct{ control.StreamClosed }    // to binding, placement and pacing
-	demandReported   struct{ control.Demand }          // to admission
+	demandReported   struct{ control.DemandReport }    // to admission
 	ackReceived      struct{ control.Ack }             // to binding
 )
 
@@ -56,8 +56,8 @@
 		capacity         float64 // weight that its endpoints have once its estimated speed has reached the weight goal
 		placementKey     float64
 		window           outlier.Window
-		rememberedSpeed  float64 // speed that was restored from an earlier controller
-		confidence       float64 // weight of rememberedSpeed, as a number of attempts
+		learnedSpeed     float64 // speed that was restored from an earlier controller
+		confidence       float64 // weight of learnedSpeed, as a number of attempts
 		penalty          float64 // fraction by which its weight is reduced while it is on probation because of learned state
 		capacityFraction float64 // fraction of its usual capacity that it certainly has while it warms up
 		warmingUp        bool
--- a/policy/pacer.go
+++ b/policy/pacer.go
@@ -25,11 +25,11 @@
 	case admissionChanged:
 		p.sender.SetAdmission(m.SetAdmission)
 	case streamOpened:
-		p.sender.Connected(m.Proxy, m.Rate)
+		p.sender.Connected(m.Proxy, m.ForecastRate)
 	case streamClosed:
 		p.sender.Disconnected(m.Proxy)
 	case replicaEvicted:
-		p.sender.Forget(m.replica)
+		p.sender.RemoveReplica(m.replica)
 	case warmingReplicas:
 		p.sender.SetWarming(pacing.Warming(m))
 	case updateStep:
@@ -45,7 +45,7 @@
 
 func (p *pacer) acknowledge(m acknowledged) {
 	if m.disconnected {
-		p.sender.Abandoned(m.nonce)
+		p.sender.NonceAbandoned(m.nonce)
 		return
 	}
 	p.sender.Acknowledged(time.Duration(p.now), m.nonce, m.complete)
--- a/policy/pacing/budget_test.go
+++ b/policy/pacing/budget_test.go
@@ -17,7 +17,7 @@
 	sent := p.Send(0)
 	assertEqual(t, "ejections", len(commandsOfType[control.SetEjected](sent.Commands)), 1)
 	assertEqual(t, "some changed weights are sent", len(commandsOfType[control.SetEndpoint](sent.Commands)) > 0, true)
-	if waiting := p.Waiting(0); waiting > urgentChannelFraction*400 {
+	if waiting := p.WaitingCostUnits(0); waiting > urgentChannelFraction*400 {
 		t.Errorf("%v cost units wait in the channel, want at most %v", waiting, urgentChannelFraction*400)
 	}
 	assertEqual(t, "commands while the ack is missing", len(p.Send(0).Commands), 0)
@@ -112,7 +112,7 @@
 		{"bind without a drain grace", false, control.Bind{}, urgentBudget},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPacer(func(s *control.Settings) { s.HostQueues = c.queues })
+			p := newPacer(func(s *control.Settings) { s.ControllerQueues = c.queues })
 			assertEqual(t, "budget", p.budgetOfUrgent(c.command), c.want)
 		})
 	}
@@ -136,7 +136,7 @@
 			p := newPacer(func(s *control.Settings) {
 				s.ChannelLimit = 2000
 				s.DrainGrace = c.grace
-				s.HostQueues = c.queues
+				s.ControllerQueues = c.queues
 			})
 			assertEqual(t, "fraction", p.firstBindFraction(), c.want)
 		})
@@ -161,7 +161,7 @@
 			p := newPacer(func(s *control.Settings) {
 				s.ChannelLimit = 2000
 				s.DrainGrace = c.grace
-				s.HostQueues = c.queues
+				s.ControllerQueues = c.queues
 			})
 			assertEqual(t, "fraction", p.graceFraction(), c.want)
 		})
--- a/policy/reconfigure.go
+++ b/policy/reconfigure.go
@@ -17,9 +17,9 @@
 	tableCount := p.placement.placer.Tables()
 	keepsZones := p.keepsZones(changed, tableCount)
 	p.Settings = changed.Settings
-	p.placement.baselines.Renumber(changed.NewHardwareClasses, previous.HardwareClasses, changed.HardwareClasses)
-	p.admission.renumberClasses(changed.NewClasses)
-	p.pacing.sender.RenumberClasses(changed.NewClasses)
+	p.placement.baselines.Renumber(changed.HardwareClassNumbers, previous.HardwareClasses, changed.HardwareClasses)
+	p.admission.renumberClasses(changed.ClassNumbers)
+	p.pacing.sender.RenumberClasses(changed.ClassNumbers)
 	p.binding.renumberZones(changed.Proxies)
 	p.applyEndpointList(control.ReplicasListed{Entries: slices.DeleteFunc(changed.Replicas, p.isListedAs)})
 	p.deliverAll()
@@ -57,15 +57,15 @@
 	if tableCount == 0 {
 		return true
 	}
-	rows := zone.Rows(p.Zones, tableCount)
-	if zone.Rows(changed.Zones, tableCount) != rows {
+	stride := zone.Stride(p.Zones, tableCount)
+	if zone.Stride(changed.Zones, tableCount) != stride {
 		return false
 	}
 	for _, entry := range changed.Replicas {
 		r := p.replicas[entry.Replica]
-		if r != nil && r.entry.Zone%rows != entry.Zone%rows {
+		if r != nil && r.entry.Zone%stride != entry.Zone%stride {
 			return false
 		}
 	}
-	return p.binding.bindings.KeepsZones(rows, changed.Proxies)
+	return p.binding.bindings.KeepsZones(stride, changed.Proxies)
 }
